--- a/cmd/emulator/commands.go
+++ b/cmd/emulator/commands.go
@@ -18,7 +18,7 @@
 
 const (
 	defaultFile      = "deploy/emulator.toml"
-	sidecarProgram   = "pinedale"
+	sidecarProgram   = "sidecar"
 	workerCommand    = "worker"
 	defaultSidecars  = 54
 	defaultReal      = 8
--- a/cmd/emulator/main_test.go
+++ b/cmd/emulator/main_test.go
@@ -36,7 +36,7 @@
 		return "", err
 	}
 	path := filepath.Join(directory, sidecarProgram)
-	out, err := exec.Command("go", "build", "-o", path, "peatpost/cmd/pinedale").CombinedOutput()
+	out, err := exec.Command("go", "build", "-o", path, "peatpost/cmd/sidecar").CombinedOutput()
 	if err != nil {
 		return "", fmt.Errorf("%w: %s", err, out)
 	}
@@ -221,7 +221,7 @@
 		"too many sidecars":   {[]string{"--sidecars", "100000"}, "100000"},
 		"no endpoints":        {[]string{"--endpoints", "-1"}, "endpoints"},
 		"more real than all":  {[]string{"--real", "15"}, "real"},
-		"missing program":     {[]string{"--sidecar", "/nonesuch/pinedale"}, "/nonesuch/pinedale"},
+		"missing program":     {[]string{"--sidecar", "/nonesuch/sidecar"}, "/nonesuch/sidecar"},
 		"missing file":        {[]string{"--file", "nonesuch.toml"}, "nonesuch.toml"},
 		"unknown flag":        {[]string{"--nonesuch"}, "nonesuch"},
 		"unknown key":         {[]string{"--file", changed("history =", "histories =")}, "histories"},
@@ -343,7 +343,7 @@
 // The programs that are deployed hold no package of others, and nothing of the emulator.
 func TestNoForeignPackagesInTheSidecar(t *testing.T) {
 	list := exec.Command("go", "list", "-deps", "-f", "{{if not .Standard}}{{.ImportPath}}{{end}}",
-		"peatpost/cmd/pinedale", "peatpost/cmd/simhost", "peatpost/balancer")
+		"peatpost/cmd/sidecar", "peatpost/cmd/simhost", "peatpost/balancer")
 	out, err := list.Output()
 	if err != nil {
 		t.Fatal(err)
--- a/cmd/pinedale/main.go
+++ b/cmd/sidecar/main.go
@@ -1,4 +1,4 @@
-// Command pinedale is one sidecar: it takes the requests of the application
+// Command sidecar is one sidecar: it takes the requests of the application
 // beside it and passes them on to endpoints that discovery names. The file at
 // $BALANCER_CONFIG tells it all it has to know.
 package main
@@ -18,7 +18,7 @@
 
 func main() {
 	if err := run(func(*sidecar.Host) {}); err != nil {
-		fmt.Fprintln(os.Stderr, "pinedale:", err)
+		fmt.Fprintln(os.Stderr, "sidecar:", err)
 		os.Exit(1)
 	}
 }
--- a/cmd/pinedale/main_test.go
+++ b/cmd/sidecar/main_test.go
@@ -23,7 +23,7 @@
 
 // TestMain lets the test binary stand in for the program.
 func TestMain(m *testing.M) {
-	if os.Getenv("PINEDALE_TEST_RUN") != "" {
+	if os.Getenv("SIDECAR_TEST_RUN") != "" {
 		if orders := os.Getenv(ordersVar); orders != "" {
 			runWithShims(orders)
 		}
@@ -34,12 +34,12 @@
 }
 
 // ordersVar names the file of the orders for the shims of a program that is run with them.
-const ordersVar = "PINEDALE_TEST_ORDERS"
+const ordersVar = "SIDECAR_TEST_ORDERS"
 
 // runWithShims is main with shims of the disk and the wall clock.
 func runWithShims(orders string) {
 	if err := run(func(host *sidecar.Host) { faults.Shim(host, orders) }); err != nil {
-		fmt.Fprintln(os.Stderr, "pinedale:", err)
+		fmt.Fprintln(os.Stderr, "sidecar:", err)
 		os.Exit(1)
 	}
 	os.Exit(0)
@@ -53,7 +53,7 @@
 		t.Fatal(err)
 	}
 	c := exec.Command(os.Args[0])
-	c.Env = append(os.Environ(), "PINEDALE_TEST_RUN=1", "BALANCER_CONFIG="+path)
+	c.Env = append(os.Environ(), "SIDECAR_TEST_RUN=1", "BALANCER_CONFIG="+path)
 	return c
 }
 
--- a/internal/emulator/imports_test.go
+++ b/internal/emulator/imports_test.go
@@ -10,7 +10,7 @@
 // TestTheSidecarDoesWithoutTheEmulator keeps the emulator and what it requires out of
 // the sidecar's own packages.
 func TestTheSidecarDoesWithoutTheEmulator(t *testing.T) {
-	listed, err := exec.Command("go", "list", "-deps", "peatpost/balancer", "peatpost/internal/sidecar", "peatpost/cmd/pinedale").Output()
+	listed, err := exec.Command("go", "list", "-deps", "peatpost/balancer", "peatpost/internal/sidecar", "peatpost/cmd/sidecar").Output()
 	if err != nil {
 		t.Fatal(err)
 	}
