--- a/balancer/example_test.go
+++ b/balancer/example_test.go
@@ -3,7 +3,7 @@
 import (
 	"fmt"
 
-	"peatpost/balancer"
+	"oakproxy/balancer"
 )
 
 // host prints what a balancer asks for. A sidecar does these things.
--- a/cmd/emulator/commands.go
+++ b/cmd/emulator/commands.go
@@ -10,10 +10,10 @@
 
 	"github.com/spf13/cobra"
 
-	"peatpost/internal/emulator/play"
-	"peatpost/internal/emulator/result"
-	"peatpost/internal/emulator/spec"
-	"peatpost/internal/emulator/worker"
+	"oakproxy/internal/emulator/play"
+	"oakproxy/internal/emulator/result"
+	"oakproxy/internal/emulator/spec"
+	"oakproxy/internal/emulator/worker"
 )
 
 const (
--- a/cmd/emulator/main.go
+++ b/cmd/emulator/main.go
@@ -11,7 +11,7 @@
 	"strings"
 	"syscall"
 
-	"peatpost/internal/emulator/spec"
+	"oakproxy/internal/emulator/spec"
 )
 
 // Exit codes.
--- a/cmd/emulator/main_test.go
+++ b/cmd/emulator/main_test.go
@@ -13,7 +13,7 @@
 	"testing"
 	"time"
 
-	"peatpost/internal/emulator/result"
+	"oakproxy/internal/emulator/result"
 )
 
 const (
@@ -36,7 +36,7 @@
 		return "", err
 	}
 	path := filepath.Join(directory, sidecarProgram)
-	out, err := exec.Command("go", "build", "-o", path, "peatpost/cmd/sidecar").CombinedOutput()
+	out, err := exec.Command("go", "build", "-o", path, "oakproxy/cmd/sidecar").CombinedOutput()
 	if err != nil {
 		return "", fmt.Errorf("%w: %s", err, out)
 	}
@@ -343,7 +343,7 @@
 // The programs that are deployed hold no package of others, and nothing of the emulator.
 func TestNoForeignPackagesInTheSidecar(t *testing.T) {
 	list := exec.Command("go", "list", "-deps", "-f", "{{if not .Standard}}{{.ImportPath}}{{end}}",
-		"peatpost/cmd/sidecar", "peatpost/cmd/simhost", "peatpost/balancer")
+		"oakproxy/cmd/sidecar", "oakproxy/cmd/simhost", "oakproxy/balancer")
 	out, err := list.Output()
 	if err != nil {
 		t.Fatal(err)
@@ -353,7 +353,7 @@
 		t.Errorf("only %v", packages)
 	}
 	for _, path := range packages {
-		if !strings.HasPrefix(path, "peatpost/") || strings.HasPrefix(path, "peatpost/internal/emulator") {
+		if !strings.HasPrefix(path, "oakproxy/") || strings.HasPrefix(path, "oakproxy/internal/emulator") {
 			t.Errorf("%s is in", path)
 		}
 	}
--- a/cmd/emulator/sweep.go
+++ b/cmd/emulator/sweep.go
@@ -9,9 +9,9 @@
 
 	"github.com/spf13/cobra"
 
-	"peatpost/internal/emulator/play"
-	"peatpost/internal/emulator/result"
-	"peatpost/internal/emulator/spec"
+	"oakproxy/internal/emulator/play"
+	"oakproxy/internal/emulator/result"
+	"oakproxy/internal/emulator/spec"
 )
 
 const (
--- a/cmd/sidecar/faults_test.go
+++ b/cmd/sidecar/faults_test.go
@@ -14,7 +14,7 @@
 	"testing"
 	"time"
 
-	"peatpost/internal/faults"
+	"oakproxy/internal/faults"
 )
 
 // faultyWorld is a running program whose endpoints are behind a bad network, with traffic.
--- a/cmd/sidecar/main.go
+++ b/cmd/sidecar/main.go
@@ -12,8 +12,8 @@
 	"syscall"
 	"time"
 
-	"peatpost/internal/asynclog"
-	"peatpost/internal/sidecar"
+	"oakproxy/internal/asynclog"
+	"oakproxy/internal/sidecar"
 )
 
 func main() {
--- a/cmd/sidecar/main_test.go
+++ b/cmd/sidecar/main_test.go
@@ -17,8 +17,8 @@
 	"testing"
 	"time"
 
-	"peatpost/internal/faults"
-	"peatpost/internal/sidecar"
+	"oakproxy/internal/faults"
+	"oakproxy/internal/sidecar"
 )
 
 // TestMain lets the test binary stand in for the program.
--- a/cmd/sidecar/traffic_test.go
+++ b/cmd/sidecar/traffic_test.go
@@ -14,7 +14,7 @@
 	"testing"
 	"time"
 
-	"peatpost/internal/faults"
+	"oakproxy/internal/faults"
 )
 
 // arrival is a whole request at an endpoint.
--- a/cmd/simhost/main.go
+++ b/cmd/simhost/main.go
@@ -9,8 +9,8 @@
 	"os"
 	"runtime/debug"
 
-	"peatpost/balancer"
-	"peatpost/internal/wire"
+	"oakproxy/balancer"
+	"oakproxy/internal/wire"
 )
 
 func main() {
--- a/internal/emulator/endpoint/counts.go
+++ b/internal/emulator/endpoint/counts.go
@@ -3,7 +3,7 @@
 import (
 	"sync/atomic"
 
-	"peatpost/internal/emulator/httpconn"
+	"oakproxy/internal/emulator/httpconn"
 )
 
 // Counts are the figures of an endpoint since Start, over all its restarts.
--- a/internal/emulator/endpoint/endpoint.go
+++ b/internal/emulator/endpoint/endpoint.go
@@ -9,7 +9,7 @@
 	"sync"
 	"time"
 
-	"peatpost/internal/emulator/httpconn"
+	"oakproxy/internal/emulator/httpconn"
 )
 
 const acceptPause = 5 * time.Millisecond
--- a/internal/emulator/endpoint/endpoint_test.go
+++ b/internal/emulator/endpoint/endpoint_test.go
@@ -11,7 +11,7 @@
 	"testing"
 	"time"
 
-	"peatpost/internal/emulator/httpconn"
+	"oakproxy/internal/emulator/httpconn"
 )
 
 func start(t *testing.T, config Config) *Endpoint {
--- a/internal/emulator/endpoint/queue.go
+++ b/internal/emulator/endpoint/queue.go
@@ -5,7 +5,7 @@
 	"sync"
 	"time"
 
-	"peatpost/internal/emulator/httpconn"
+	"oakproxy/internal/emulator/httpconn"
 )
 
 // progress is how far a task has come.
--- a/internal/emulator/fleet/config.go
+++ b/internal/emulator/fleet/config.go
@@ -4,7 +4,7 @@
 	"encoding/json"
 	"fmt"
 
-	"peatpost/internal/emulator/spec"
+	"oakproxy/internal/emulator/spec"
 )
 
 // baseAllowance is the first tenant's allowance in the first version of a configuration.
--- a/internal/emulator/fleet/fleet_test.go
+++ b/internal/emulator/fleet/fleet_test.go
@@ -3,8 +3,8 @@
 import (
 	"testing"
 
-	"peatpost/internal/emulator/spec"
-	"peatpost/internal/sidecar"
+	"oakproxy/internal/emulator/spec"
+	"oakproxy/internal/sidecar"
 )
 
 func shipped(t *testing.T) *spec.File {
--- a/internal/emulator/fleet/layout.go
+++ b/internal/emulator/fleet/layout.go
@@ -5,9 +5,9 @@
 import (
 	"fmt"
 
-	"peatpost/internal/emulator/endpoint"
-	"peatpost/internal/emulator/registry"
-	"peatpost/internal/emulator/spec"
+	"oakproxy/internal/emulator/endpoint"
+	"oakproxy/internal/emulator/registry"
+	"oakproxy/internal/emulator/spec"
 )
 
 // Loopback addresses of endpoints are 127.(firstZoneOctet+zone).x.y, so that each has
--- a/internal/emulator/imports_test.go
+++ b/internal/emulator/imports_test.go
@@ -10,14 +10,14 @@
 // TestTheSidecarDoesWithoutTheEmulator keeps the emulator and what it requires out of
 // the sidecar's own packages.
 func TestTheSidecarDoesWithoutTheEmulator(t *testing.T) {
-	listed, err := exec.Command("go", "list", "-deps", "peatpost/balancer", "peatpost/internal/sidecar", "peatpost/cmd/sidecar").Output()
+	listed, err := exec.Command("go", "list", "-deps", "oakproxy/balancer", "oakproxy/internal/sidecar", "oakproxy/cmd/sidecar").Output()
 	if err != nil {
 		t.Fatal(err)
 	}
 	for _, name := range strings.Fields(string(listed)) {
 		domain, _, _ := strings.Cut(name, "/")
 		required := strings.Contains(domain, ".")
-		if required || strings.HasPrefix(name, "peatpost/internal/emulator") {
+		if required || strings.HasPrefix(name, "oakproxy/internal/emulator") {
 			t.Errorf("the sidecar depends on %s", name)
 		}
 	}
--- a/internal/emulator/load/load_test.go
+++ b/internal/emulator/load/load_test.go
@@ -13,7 +13,7 @@
 	"testing"
 	"time"
 
-	"peatpost/internal/emulator/endpoint"
+	"oakproxy/internal/emulator/endpoint"
 )
 
 // target serves requests by a handler and returns its address.
--- a/internal/emulator/play/changes.go
+++ b/internal/emulator/play/changes.go
@@ -8,11 +8,11 @@
 	"syscall"
 	"time"
 
-	"peatpost/internal/emulator/control"
-	"peatpost/internal/emulator/result"
-	"peatpost/internal/emulator/sidecarlog"
-	"peatpost/internal/emulator/worker"
-	"peatpost/internal/sidecar"
+	"oakproxy/internal/emulator/control"
+	"oakproxy/internal/emulator/result"
+	"oakproxy/internal/emulator/sidecarlog"
+	"oakproxy/internal/emulator/worker"
+	"oakproxy/internal/sidecar"
 )
 
 // inForceWithin is how long a change may take until it counts as missing.
--- a/internal/emulator/play/guard.go
+++ b/internal/emulator/play/guard.go
@@ -6,7 +6,7 @@
 	"os"
 	"time"
 
-	"peatpost/internal/emulator/process"
+	"oakproxy/internal/emulator/process"
 )
 
 const (
--- a/internal/emulator/play/measure.go
+++ b/internal/emulator/play/measure.go
@@ -9,14 +9,14 @@
 	"runtime"
 	"time"
 
-	"peatpost/internal/emulator/control"
-	"peatpost/internal/emulator/endpoint"
-	"peatpost/internal/emulator/load"
-	"peatpost/internal/emulator/process"
-	"peatpost/internal/emulator/registry"
-	"peatpost/internal/emulator/result"
-	"peatpost/internal/emulator/spec"
-	"peatpost/internal/emulator/worker"
+	"oakproxy/internal/emulator/control"
+	"oakproxy/internal/emulator/endpoint"
+	"oakproxy/internal/emulator/load"
+	"oakproxy/internal/emulator/process"
+	"oakproxy/internal/emulator/registry"
+	"oakproxy/internal/emulator/result"
+	"oakproxy/internal/emulator/spec"
+	"oakproxy/internal/emulator/worker"
 )
 
 // crowdedPart is such that a process with this part of its descriptors left is crowded.
--- a/internal/emulator/play/options.go
+++ b/internal/emulator/play/options.go
@@ -9,9 +9,9 @@
 	"runtime"
 	"strings"
 
-	"peatpost/internal/emulator/process"
-	"peatpost/internal/emulator/result"
-	"peatpost/internal/emulator/spec"
+	"oakproxy/internal/emulator/process"
+	"oakproxy/internal/emulator/result"
+	"oakproxy/internal/emulator/spec"
 )
 
 // Options are what to play, and with which programs.
--- a/internal/emulator/play/real.go
+++ b/internal/emulator/play/real.go
@@ -9,9 +9,9 @@
 	"syscall"
 	"time"
 
-	"peatpost/internal/emulator/fleet"
-	"peatpost/internal/emulator/process"
-	"peatpost/internal/emulator/sidecarlog"
+	"oakproxy/internal/emulator/fleet"
+	"oakproxy/internal/emulator/process"
+	"oakproxy/internal/emulator/sidecarlog"
 )
 
 const (
--- a/internal/emulator/play/runner.go
+++ b/internal/emulator/play/runner.go
@@ -9,11 +9,11 @@
 	"sync/atomic"
 	"time"
 
-	"peatpost/internal/emulator/fleet"
-	"peatpost/internal/emulator/process"
-	"peatpost/internal/emulator/result"
-	"peatpost/internal/emulator/spec"
-	"peatpost/internal/emulator/worker"
+	"oakproxy/internal/emulator/fleet"
+	"oakproxy/internal/emulator/process"
+	"oakproxy/internal/emulator/result"
+	"oakproxy/internal/emulator/spec"
+	"oakproxy/internal/emulator/worker"
 )
 
 const (
--- a/internal/emulator/play/scenarios.go
+++ b/internal/emulator/play/scenarios.go
@@ -3,7 +3,7 @@
 import (
 	"context"
 
-	"peatpost/internal/emulator/spec"
+	"oakproxy/internal/emulator/spec"
 )
 
 // scenarios are what can be played. A new kind of scenario is a function more.
--- a/internal/emulator/play/start.go
+++ b/internal/emulator/play/start.go
@@ -8,11 +8,11 @@
 	"sync"
 	"time"
 
-	"peatpost/internal/emulator/control"
-	"peatpost/internal/emulator/fleet"
-	"peatpost/internal/emulator/registry"
-	"peatpost/internal/emulator/result"
-	"peatpost/internal/emulator/worker"
+	"oakproxy/internal/emulator/control"
+	"oakproxy/internal/emulator/fleet"
+	"oakproxy/internal/emulator/registry"
+	"oakproxy/internal/emulator/result"
+	"oakproxy/internal/emulator/worker"
 )
 
 const (
--- a/internal/emulator/play/worker.go
+++ b/internal/emulator/play/worker.go
@@ -5,9 +5,9 @@
 	"errors"
 	"sync"
 
-	"peatpost/internal/emulator/control"
-	"peatpost/internal/emulator/process"
-	"peatpost/internal/emulator/worker"
+	"oakproxy/internal/emulator/control"
+	"oakproxy/internal/emulator/process"
+	"oakproxy/internal/emulator/worker"
 )
 
 // workerProcess is a worker and the way to talk to it.
--- a/internal/emulator/play/zone.go
+++ b/internal/emulator/play/zone.go
@@ -4,10 +4,10 @@
 	"context"
 	"time"
 
-	"peatpost/internal/emulator/fleet"
-	"peatpost/internal/emulator/registry"
-	"peatpost/internal/emulator/result"
-	"peatpost/internal/emulator/worker"
+	"oakproxy/internal/emulator/fleet"
+	"oakproxy/internal/emulator/registry"
+	"oakproxy/internal/emulator/result"
+	"oakproxy/internal/emulator/worker"
 )
 
 // lostZone is the zone that goes.
--- a/internal/emulator/registry/call.go
+++ b/internal/emulator/registry/call.go
@@ -8,7 +8,7 @@
 	"strconv"
 	"time"
 
-	"peatpost/internal/emulator/httpconn"
+	"oakproxy/internal/emulator/httpconn"
 )
 
 const (
--- a/internal/emulator/registry/counts.go
+++ b/internal/emulator/registry/counts.go
@@ -7,7 +7,7 @@
 
 	"golang.org/x/sys/unix"
 
-	"peatpost/internal/emulator/httpconn"
+	"oakproxy/internal/emulator/httpconn"
 )
 
 // Counts are the figures of a Server since New.
--- a/internal/emulator/registry/list.go
+++ b/internal/emulator/registry/list.go
@@ -4,7 +4,7 @@
 	"encoding/json"
 	"net/http"
 
-	"peatpost/internal/emulator/httpconn"
+	"oakproxy/internal/emulator/httpconn"
 )
 
 // Health values of an Instance.
--- a/internal/emulator/registry/server.go
+++ b/internal/emulator/registry/server.go
@@ -11,7 +11,7 @@
 
 	"golang.org/x/time/rate"
 
-	"peatpost/internal/emulator/httpconn"
+	"oakproxy/internal/emulator/httpconn"
 )
 
 const (
--- a/internal/emulator/result/delta.go
+++ b/internal/emulator/result/delta.go
@@ -1,9 +1,9 @@
 package result
 
 import (
-	"peatpost/internal/emulator/endpoint"
-	"peatpost/internal/emulator/registry"
-	"peatpost/internal/emulator/worker"
+	"oakproxy/internal/emulator/endpoint"
+	"oakproxy/internal/emulator/registry"
+	"oakproxy/internal/emulator/worker"
 )
 
 // DiscoverySince returns what discovery counted since an earlier reading. Connections
--- a/internal/emulator/result/result.go
+++ b/internal/emulator/result/result.go
@@ -5,11 +5,11 @@
 import (
 	"time"
 
-	"peatpost/internal/emulator/endpoint"
-	"peatpost/internal/emulator/load"
-	"peatpost/internal/emulator/registry"
-	"peatpost/internal/emulator/spec"
-	"peatpost/internal/emulator/worker"
+	"oakproxy/internal/emulator/endpoint"
+	"oakproxy/internal/emulator/load"
+	"oakproxy/internal/emulator/registry"
+	"oakproxy/internal/emulator/spec"
+	"oakproxy/internal/emulator/worker"
 )
 
 // Version is that of the form of result files.
--- a/internal/emulator/result/result_test.go
+++ b/internal/emulator/result/result_test.go
@@ -9,7 +9,7 @@
 	"testing"
 	"time"
 
-	"peatpost/internal/emulator/spec"
+	"oakproxy/internal/emulator/spec"
 )
 
 // runsOf makes runs of a sweep in which discovery's start takes bytes as given.
--- a/internal/emulator/worker/endpoints.go
+++ b/internal/emulator/worker/endpoints.go
@@ -7,8 +7,8 @@
 	"slices"
 	"sync"
 
-	"peatpost/internal/emulator/control"
-	"peatpost/internal/emulator/endpoint"
+	"oakproxy/internal/emulator/control"
+	"oakproxy/internal/emulator/endpoint"
 )
 
 // endpointsPlayer plays the endpoints of one zone.
--- a/internal/emulator/worker/hollow.go
+++ b/internal/emulator/worker/hollow.go
@@ -10,9 +10,9 @@
 	"sync"
 	"time"
 
-	"peatpost/internal/emulator/control"
-	"peatpost/internal/emulator/sidecarlog"
-	"peatpost/internal/sidecar"
+	"oakproxy/internal/emulator/control"
+	"oakproxy/internal/emulator/sidecarlog"
+	"oakproxy/internal/sidecar"
 )
 
 // errRunning is returned for a sidecar that is to be started and runs.
--- a/internal/emulator/worker/load.go
+++ b/internal/emulator/worker/load.go
@@ -5,8 +5,8 @@
 	"errors"
 	"sync"
 
-	"peatpost/internal/emulator/control"
-	"peatpost/internal/emulator/load"
+	"oakproxy/internal/emulator/control"
+	"oakproxy/internal/emulator/load"
 )
 
 // loadPlayer sends requests as applications do.
--- a/internal/emulator/worker/messages.go
+++ b/internal/emulator/worker/messages.go
@@ -5,11 +5,11 @@
 import (
 	"time"
 
-	"peatpost/internal/emulator/control"
-	"peatpost/internal/emulator/endpoint"
-	"peatpost/internal/emulator/load"
-	"peatpost/internal/emulator/registry"
-	"peatpost/internal/emulator/sidecarlog"
+	"oakproxy/internal/emulator/control"
+	"oakproxy/internal/emulator/endpoint"
+	"oakproxy/internal/emulator/load"
+	"oakproxy/internal/emulator/registry"
+	"oakproxy/internal/emulator/sidecarlog"
 )
 
 // Role names what a worker process plays.
--- a/internal/emulator/worker/registry.go
+++ b/internal/emulator/worker/registry.go
@@ -6,9 +6,9 @@
 	"sync"
 	"time"
 
-	"peatpost/internal/emulator/control"
-	"peatpost/internal/emulator/registry"
-	"peatpost/internal/emulator/spec"
+	"oakproxy/internal/emulator/control"
+	"oakproxy/internal/emulator/registry"
+	"oakproxy/internal/emulator/spec"
 )
 
 const anyLoopbackPort = "127.0.0.1:0"
--- a/internal/emulator/worker/worker.go
+++ b/internal/emulator/worker/worker.go
@@ -5,8 +5,8 @@
 	"io"
 	"slices"
 
-	"peatpost/internal/emulator/control"
-	"peatpost/internal/emulator/spec"
+	"oakproxy/internal/emulator/control"
+	"oakproxy/internal/emulator/spec"
 )
 
 // player is what one role does.
--- a/internal/faults/host.go
+++ b/internal/faults/host.go
@@ -6,7 +6,7 @@
 	"syscall"
 	"time"
 
-	"peatpost/internal/sidecar"
+	"oakproxy/internal/sidecar"
 )
 
 // Order is what a test orders of the shims of a process: the text of a file that they read at each call, in JSON.
--- a/internal/sidecar/admin.go
+++ b/internal/sidecar/admin.go
@@ -10,7 +10,7 @@
 	"net/url"
 	"time"
 
-	"peatpost/balancer"
+	"oakproxy/balancer"
 )
 
 const (
--- a/internal/sidecar/config.go
+++ b/internal/sidecar/config.go
@@ -15,8 +15,8 @@
 	"strings"
 	"time"
 
-	"peatpost/balancer"
-	"peatpost/internal/wire"
+	"oakproxy/balancer"
+	"oakproxy/internal/wire"
 )
 
 // Config is what a sidecar is told at its start, and anew while it runs. Make one with LoadConfig. It does not
--- a/internal/sidecar/config_test.go
+++ b/internal/sidecar/config_test.go
@@ -6,7 +6,7 @@
 	"strings"
 	"testing"
 
-	"peatpost/balancer"
+	"oakproxy/balancer"
 )
 
 // A configuration that makes no sense stops the program with the key at fault.
--- a/internal/sidecar/discovery.go
+++ b/internal/sidecar/discovery.go
@@ -12,7 +12,7 @@
 	"slices"
 	"time"
 
-	"peatpost/balancer"
+	"oakproxy/balancer"
 )
 
 const (
--- a/internal/sidecar/discovery_test.go
+++ b/internal/sidecar/discovery_test.go
@@ -13,7 +13,7 @@
 	"testing"
 	"time"
 
-	"peatpost/balancer"
+	"oakproxy/balancer"
 )
 
 // count says how often the balancer was told a list of a kind.
--- a/internal/sidecar/durability_test.go
+++ b/internal/sidecar/durability_test.go
@@ -12,7 +12,7 @@
 	"testing"
 	"time"
 
-	"peatpost/balancer"
+	"oakproxy/balancer"
 )
 
 // faultyDisk fails the operations that a test names, until it is mended.
--- a/internal/sidecar/fleet.go
+++ b/internal/sidecar/fleet.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"peatpost/balancer"
+	"oakproxy/balancer"
 )
 
 // member is what the loop holds of an endpoint until it is gone and nothing is
--- a/internal/sidecar/gate_test.go
+++ b/internal/sidecar/gate_test.go
@@ -14,7 +14,7 @@
 	"testing"
 	"time"
 
-	"peatpost/balancer"
+	"oakproxy/balancer"
 )
 
 // held stops dials to an address until they are let go.
--- a/internal/sidecar/handler.go
+++ b/internal/sidecar/handler.go
@@ -9,7 +9,7 @@
 	"strconv"
 	"time"
 
-	"peatpost/balancer"
+	"oakproxy/balancer"
 )
 
 // turnAway answers a request whose body may not be read yet, and ends its
--- a/internal/sidecar/loop.go
+++ b/internal/sidecar/loop.go
@@ -7,7 +7,7 @@
 	"sync/atomic"
 	"time"
 
-	"peatpost/balancer"
+	"oakproxy/balancer"
 )
 
 const (
--- a/internal/sidecar/memory.go
+++ b/internal/sidecar/memory.go
@@ -9,7 +9,7 @@
 	"path/filepath"
 	"time"
 
-	"peatpost/balancer"
+	"oakproxy/balancer"
 )
 
 const (
--- a/internal/sidecar/memory_test.go
+++ b/internal/sidecar/memory_test.go
@@ -8,7 +8,7 @@
 	"strings"
 	"testing"
 
-	"peatpost/balancer"
+	"oakproxy/balancer"
 )
 
 // What a process keeps the next one loads; a file that is old, damaged or another
--- a/internal/sidecar/parse.go
+++ b/internal/sidecar/parse.go
@@ -8,7 +8,7 @@
 	"strconv"
 	"strings"
 
-	"peatpost/balancer"
+	"oakproxy/balancer"
 )
 
 // badRequest is what a client did wrong.
--- a/internal/sidecar/reload.go
+++ b/internal/sidecar/reload.go
@@ -9,7 +9,7 @@
 	"slices"
 	"time"
 
-	"peatpost/balancer"
+	"oakproxy/balancer"
 )
 
 const (
--- a/internal/sidecar/reload_test.go
+++ b/internal/sidecar/reload_test.go
@@ -17,7 +17,7 @@
 	"testing"
 	"time"
 
-	"peatpost/balancer"
+	"oakproxy/balancer"
 )
 
 // classes returns the settings' list of classes.
--- a/internal/sidecar/server.go
+++ b/internal/sidecar/server.go
@@ -10,7 +10,7 @@
 	"sync/atomic"
 	"time"
 
-	"peatpost/balancer"
+	"oakproxy/balancer"
 )
 
 const (
--- a/internal/sidecar/sidecar_test.go
+++ b/internal/sidecar/sidecar_test.go
@@ -13,7 +13,7 @@
 	"testing"
 	"time"
 
-	"peatpost/balancer"
+	"oakproxy/balancer"
 )
 
 func TestServesAndReusesConnections(t *testing.T) {
--- a/internal/sidecar/stream_test.go
+++ b/internal/sidecar/stream_test.go
@@ -10,7 +10,7 @@
 	"testing"
 	"time"
 
-	"peatpost/balancer"
+	"oakproxy/balancer"
 )
 
 const large = 3 << 20 // bytes: more than is held, and than sockets take
--- a/internal/sidecar/syscalls_test.go
+++ b/internal/sidecar/syscalls_test.go
@@ -16,7 +16,7 @@
 	"testing"
 	"time"
 
-	"peatpost/balancer"
+	"oakproxy/balancer"
 )
 
 // faultyListener fails accepts with these errors, one after another, and then accepts.
--- a/internal/sidecar/upload_test.go
+++ b/internal/sidecar/upload_test.go
@@ -12,7 +12,7 @@
 	"testing"
 	"time"
 
-	"peatpost/balancer"
+	"oakproxy/balancer"
 )
 
 // sum answers each request with the length of its body.
--- a/internal/sidecar/upstream.go
+++ b/internal/sidecar/upstream.go
@@ -11,7 +11,7 @@
 	"sync/atomic"
 	"time"
 
-	"peatpost/balancer"
+	"oakproxy/balancer"
 )
 
 const (
--- a/internal/sidecar/upstream_test.go
+++ b/internal/sidecar/upstream_test.go
@@ -17,7 +17,7 @@
 	"time"
 	"weak"
 
-	"peatpost/balancer"
+	"oakproxy/balancer"
 )
 
 func newTestUpstream(t *testing.T, most int) *upstream {
--- a/internal/sidecar/watch.go
+++ b/internal/sidecar/watch.go
@@ -5,7 +5,7 @@
 	"errors"
 	"fmt"
 
-	"peatpost/balancer"
+	"oakproxy/balancer"
 )
 
 // Watch begins to watch discovery's list, from the last version on, or ends it.
--- a/internal/sidecar/world_test.go
+++ b/internal/sidecar/world_test.go
@@ -16,7 +16,7 @@
 	"testing"
 	"time"
 
-	"peatpost/balancer"
+	"oakproxy/balancer"
 )
 
 // patience is how long a test waits for what must come.
--- a/internal/wire/frozen_test.go
+++ b/internal/wire/frozen_test.go
@@ -6,7 +6,7 @@
 	"os"
 	"testing"
 
-	"peatpost/balancer"
+	"oakproxy/balancer"
 )
 
 // The numbers and names of records are the simulator's.
--- a/internal/wire/settings.go
+++ b/internal/wire/settings.go
@@ -7,7 +7,7 @@
 	"strconv"
 	"strings"
 
-	"peatpost/balancer"
+	"oakproxy/balancer"
 )
 
 // settingsText holds the pairs of a config text and the first error met.
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -9,7 +9,7 @@
 	"io"
 	"math"
 
-	"peatpost/balancer"
+	"oakproxy/balancer"
 )
 
 // Code numbers an event or an action; the two have separate code spaces.
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -11,7 +11,7 @@
 	"strings"
 	"testing"
 
-	"peatpost/balancer"
+	"oakproxy/balancer"
 )
 
 func unhex(t testing.TB, parts ...string) []byte {
