--- a/balancer/admission.go
+++ b/balancer/admission.go
@@ -84,8 +84,9 @@
 		if !first || c.since < b.passOf || now-c.passed < forcedPass {
 			b.stats.TooLate++
 			b.log(now, "refuse", "requests rejected, %.0f%% recently: the best endpoint, %d, would take %.0f ms, "+
-				"limit %.0f ms; work %.0f ms, service time ratio %.2f, load %.1f, ours %d, value %.2f", 100*b.refused.v, e.ID, x/1000,
-				most/1000, r.work/1000, e.paceNow(now, b), b.load(now, e), e.inflight, r.value)
+				"limit %.0f ms; work %.0f ms, service time ratio %.2f, load %.1f, ours %d, value %.2f",
+				100*b.refused.v, e.ID, x/1000, most/1000, r.work/1000, e.paceNow(now, b), b.load(now, e),
+				e.inflight, r.value)
 			return false
 		}
 		c.passed, c.since = now, 0
