--- a/internal/sidecar/clientconn.go
+++ b/internal/sidecar/clientconn.go
@@ -248,7 +248,7 @@
 		c.owner.closed(reason)
 	}
 	if partial {
-		c.Conn.SetWriteDeadline(time.Now().Add(sweepEvery))
+		c.Conn.SetWriteDeadline(time.Now().Add(rejectionTimeout))
 		io.WriteString(c.Conn, rejection)
 	}
 	half, ok := c.Conn.(interface{ CloseWrite() error })
--- a/internal/sidecar/config.go
+++ b/internal/sidecar/config.go
@@ -57,6 +57,10 @@
 // sidecar while all else is the same.
 const adminVar = "BALANCER_ADMIN_ADDR"
 
+// passedVar names the descriptor of the clients' listening socket, where the
+// platform holds that and every process of the sidecar inherits it.
+const passedVar = "BALANCER_PASSED_SOCKET"
+
 // LoadConfig reads a configuration file, and what the environment adds to it. Its
 // errors name the key or variable at fault.
 func LoadConfig(path string) (*Config, error) {
--- a/internal/sidecar/discovery.go
+++ b/internal/sidecar/discovery.go
@@ -9,7 +9,6 @@
 	"math/rand/v2"
 	"net"
 	"net/http"
-	"slices"
 	"time"
 
 	"oakproxy/balancer"
@@ -133,16 +132,6 @@
 	return nil
 }
 
-// unknownName numbers a zone or kind that the settings do not list.
-const unknownName = 255
-
-func number(names []string, name string) uint8 {
-	if i := slices.Index(names, name); i >= 0 && i < unknownName {
-		return uint8(i)
-	}
-	return unknownName
-}
-
 // discovery calls the service that lists endpoints.
 type discovery struct {
 	url      string
@@ -258,12 +247,17 @@
 // jittered is d, half of it to one and a half, so that sidecars do not go in step.
 func jittered(d time.Duration) time.Duration { return d/2 + rand.N(max(1, d)) }
 
-// pause waits for a while, but not beyond ctx.
-func pause(ctx context.Context, d time.Duration) {
-	timer := time.NewTimer(d)
-	defer timer.Stop()
-	select {
-	case <-timer.C:
-	case <-ctx.Done():
+// minSkew is how far the clocks of discovery and of this process must be apart to be told so: discovery's date is cut to
+// the second, and its answer takes a while.
+const minSkew = 2 * time.Second
+
+// skew is how far the clock by which a list tells starts is ahead of the loop's, as far as the list lets it be known.
+func (r *registry) skew(now balancer.Micros) balancer.Micros {
+	if r.date.IsZero() {
+		return 0
+	}
+	if skew := r.date.UnixMicro() - now; skew > minSkew.Microseconds() || skew < -minSkew.Microseconds() {
+		return skew
 	}
+	return 0
 }
--- a/internal/sidecar/exchange.go
+++ b/internal/sidecar/exchange.go
@@ -13,7 +13,6 @@
 // One exchange on a connection: the request written, the answer read and found whole.
 
 const (
-	maxBodyBytes       = 64 << 20               // bytes of a request's or an answer's body
 	maxAnswerHeadBytes = 8 << 10                // bytes of an answer's head: each connection has a buffer of this size
 	answerRest         = 100 * time.Millisecond // without a byte of an answer that has begun: four round trips between sites
 	maxInterimAnswers  = 10                     // interim answers ahead of one that counts
--- a/internal/sidecar/files.go
+++ b/internal/sidecar/files.go
@@ -37,8 +37,8 @@
 	return o
 }
 
-// readFile reads a small file, and tells which one it was.
-func (o FileOps) readFile(path string) ([]byte, os.FileInfo, error) {
+// readFile reads a file, up to maxBytes of it, and returns which one it was.
+func (o FileOps) readFile(path string, maxBytes int64) ([]byte, os.FileInfo, error) {
 	file, err := os.Open(path)
 	if err != nil {
 		return nil, nil, err
@@ -48,7 +48,7 @@
 	if err != nil {
 		return nil, nil, err
 	}
-	text, err := o.Read(file, maxStateBytes)
+	text, err := o.Read(file, maxBytes)
 	return text, info, err
 }
 
--- a/internal/sidecar/fleet.go
+++ b/internal/sidecar/fleet.go
@@ -1,8 +1,6 @@
 package sidecar
 
 import (
-	"time"
-
 	"oakproxy/balancer"
 )
 
@@ -17,21 +15,6 @@
 	gone   bool
 }
 
-// minSkew is how far the clocks of discovery and of this process must be apart to be told so: discovery's date is cut to
-// the second, and its answer takes a while.
-const minSkew = 2 * time.Second
-
-// skew is how far the clock by which a list tells starts is ahead of the loop's, as far as the list lets it be known.
-func (r *registry) skew(now balancer.Micros) balancer.Micros {
-	if r.date.IsZero() {
-		return 0
-	}
-	if skew := r.date.UnixMicro() - now; skew > minSkew.Microseconds() || skew < -minSkew.Microseconds() {
-		return skew
-	}
-	return 0
-}
-
 // startOf returns when an endpoint's process started, by the loop's clock. It stays as it was first made out for each.
 func (m *member) startOf(h host, skew balancer.Micros) balancer.Micros {
 	switch {
--- a/internal/sidecar/handler.go
+++ b/internal/sidecar/handler.go
@@ -2,7 +2,6 @@
 
 import (
 	"errors"
-	"fmt"
 	"io"
 	"net/http"
 	"os"
@@ -20,7 +19,7 @@
 	if http.NewResponseController(w).Flush() != nil {
 		return // the client is gone
 	}
-	linger(newPaced(in.Context().Value(connKey{}).(*clientConn), in.Body), maxLinger)
+	newPaced(in.Context().Value(connKey{}).(*clientConn), in.Body).linger(maxLinger)
 }
 
 // readyPath is where the application asks whether it may send requests.
@@ -88,8 +87,6 @@
 	s.request(w, in, c, c.take(alone), req, m, times)
 }
 
-var tooLarge = fmt.Sprintf("the body is over %d bytes", maxBodyBytes)
-
 // readHead checks a request's head and reads what the balancer has to know of it.
 func (s *server) readHead(in *http.Request, c *clientConn, arrived balancer.Micros) (req balancer.Request, err error) {
 	if c.ambiguous() {
@@ -233,7 +230,7 @@
 	if s.ending.Load() {
 		most = maxLinger
 	}
-	linger(u.body, most)
+	u.body.linger(most)
 }
 
 func writeAnswer(w http.ResponseWriter, a answer) {
--- a/internal/sidecar/handover.go
+++ b/internal/sidecar/handover.go
@@ -1,7 +1,6 @@
 package sidecar
 
 import (
-	"context"
 	"errors"
 	"fmt"
 	"io"
@@ -10,14 +9,11 @@
 	"path/filepath"
 	"sync"
 	"syscall"
-	"time"
 )
 
 const (
 	maxProcesses = 4 // processes of one sidecar that are told apart
-	seatPoll     = 100 * time.Millisecond
 	seatReady    = "ready"
-	heapPart     = 8 // tenths of the memory limit: the runtime does not count all
 )
 
 // seat is a process's place among those of one sidecar: a locked file in the folder
@@ -111,74 +107,3 @@
 	}
 	return neighbour{alive: true, ready: string(text[:n]) == seatReady}, nil
 }
-
-// sit takes a place among the processes of this sidecar; where none is to be had for now, company goes on trying.
-func (s *server) sit(ctx context.Context, dir string) {
-	var own *seat
-	err := retryAtStart(ctx, func() (err error) {
-		own, err = takeSeat(dir)
-		return err
-	})
-	if err != nil {
-		s.log.Warn("process slot not acquired", "error", err)
-		return
-	}
-	s.seat.Store(own)
-}
-
-// company has the server live with other processes of its sidecar until ctx ends:
-// it takes its part of what the platform grants them together.
-func (s *server) company(ctx context.Context, dir string) {
-	tick := time.NewTicker(seatPoll)
-	defer tick.Stop()
-	notified, of := false, 1
-	for {
-		if s.seat.Load() == nil {
-			if own, err := takeSeat(dir); err == nil {
-				s.seat.Store(own)
-			}
-		}
-		if own := s.seat.Load(); own != nil {
-			if alive, _ := own.count(); alive+1 != of {
-				of = alive + 1
-				s.share(of)
-				s.log.Info("processes of this sidecar", "count", of)
-			}
-			if !notified && s.loop.listed.Load() {
-				notified = own.ready() == nil // a full disk may take it later
-			}
-		}
-		select {
-		case <-tick.C:
-		case <-ctx.Done():
-			return
-		}
-	}
-}
-
-// share limits this process to one of n equal parts of the sidecar's limits.
-func (s *server) share(n int) {
-	s.limits.Lock()
-	defer s.limits.Unlock()
-	s.processes = n
-	s.limit()
-}
-
-// relimit has limits that have changed hold.
-func (s *server) relimit() {
-	s.limits.Lock()
-	defer s.limits.Unlock()
-	s.limit()
-}
-
-// limit sets this process's part of the limits. It holds s.limits.
-func (s *server) limit() {
-	cfg, n := s.loop.current.Load(), s.processes
-	most := max(minConnections, (cfg.Limits.Sockets/n-socketSpare)/2)
-	s.clients.limit(most, cfg.Limits.Sockets/crowdPart/n)
-	s.loop.up.limit(most)
-	s.loop.up.room.most.Store(int64(cfg.Limits.MemoryMB) << 20 / bodiesPart / int64(n))
-	if limit := cfg.Host.LimitMemory; limit != nil {
-		limit(int64(cfg.Limits.MemoryMB) << 20 / 10 * heapPart / int64(n))
-	}
-}
--- a/internal/sidecar/loop.go
+++ b/internal/sidecar/loop.go
@@ -404,3 +404,13 @@
 
 // Log records a line of the balancer's.
 func (l *loop) Log(line string) { l.log.Info(line) }
+
+// close ends what an answer holds. It comes once for each, also where nobody takes it.
+func (a *answer) close() {
+	if a.rest != nil {
+		a.rest.Close()
+	}
+	if a.held != nil {
+		a.held()
+	}
+}
--- a/internal/sidecar/memory.go
+++ b/internal/sidecar/memory.go
@@ -90,7 +90,7 @@
 
 // load returns what the process before this one knew, by the balancer's clock of now, or nil.
 func (m *memory) load(now balancer.Micros) *balancer.Estimates {
-	text, _, err := m.files.readFile(m.path)
+	text, _, err := m.files.readFile(m.path, maxStateBytes)
 	if err != nil {
 		return nil
 	}
--- a/internal/sidecar/message.go
+++ b/internal/sidecar/message.go
@@ -6,7 +6,6 @@
 	"fmt"
 	"net/http"
 	"net/url"
-	"slices"
 	"strconv"
 	"time"
 )
@@ -50,16 +49,3 @@
 	}
 	return data.Bytes(), nil
 }
-
-// hopByHop headers concern one connection only.
-var hopByHop = []string{"Connection", "Keep-Alive", "Proxy-Connection", "Te", "Trailer",
-	"Transfer-Encoding", "Upgrade", "Content-Length", "Expect"}
-
-// endToEnd copies the headers that are to be passed on.
-func endToEnd(to, from http.Header) {
-	for name, values := range from {
-		if !slices.Contains(hopByHop, name) {
-			to[name] = values
-		}
-	}
-}
--- a/internal/sidecar/paced.go
+++ b/internal/sidecar/paced.go
@@ -49,7 +49,7 @@
 // linger reads on from a client that has its answer and is still writing: closed
 // with something unread, the connection would be reset, and the client would find
 // that and not its answer.
-func linger(p *paced, most time.Duration) {
+func (p *paced) linger(most time.Duration) {
 	piece := pieces.Get().(*[maxPieceBytes]byte)
 	defer pieces.Put(piece)
 	for end := time.Now().Add(most); time.Now().Before(end); {
@@ -58,3 +58,9 @@
 		}
 	}
 }
+
+// lastDataAge returns how long ago the latest bytes came to this machine.
+func (p *paced) lastDataAge() time.Duration { return dataAge(p.conn.Conn) }
+
+// clientLeft reports whether the client has ended its side of the connection.
+func (p *paced) clientLeft() bool { return p.conn.hasLeft() }
--- a/internal/sidecar/parse.go
+++ b/internal/sidecar/parse.go
@@ -11,18 +11,6 @@
 	"oakproxy/balancer"
 )
 
-// badRequest is what a client did wrong.
-type badRequest struct {
-	code   int
-	reason string
-}
-
-func (e *badRequest) Error() string { return e.reason }
-
-func bad(format string, args ...any) error {
-	return &badRequest{http.StatusBadRequest, fmt.Sprintf(format, args...)}
-}
-
 // reject turns a request away, with its connection: what else a client sends
 // that gets this much wrong is not worth reading.
 func reject(w http.ResponseWriter, in *http.Request, err error) {
--- a/internal/sidecar/passed.go
+++ b/internal/sidecar/passed.go
@@ -9,10 +9,6 @@
 	"syscall"
 )
 
-// passedVar names the descriptor of the clients' listening socket, where the
-// platform holds that and every process of the sidecar inherits it.
-const passedVar = "BALANCER_PASSED_SOCKET"
-
 // listen returns the clients' listener: the inherited one, or one at an address
 // of its own where none is passed.
 func listen(ctx context.Context, address, passed string) (net.Listener, error) {
--- a/internal/sidecar/peek.go
+++ b/internal/sidecar/peek.go
@@ -73,7 +73,7 @@
 }
 
 // maxDataAge is the most that is believed of the system's word on when something came.
-const maxDataAge = maxTimeLeft
+const maxDataAge = time.Minute
 
 // dataAge returns how long ago the latest bytes of a connection came to this machine, also where nobody has read them
 // since: the process may have been held up, or the connection not been accepted. 0 where that is not known.
--- /dev/null
+++ b/internal/sidecar/relay.go
@@ -0,0 +1,38 @@
+package sidecar
+
+import (
+	"io"
+	"net/http"
+	"time"
+)
+
+// sendBuffer is as much of an answer as the socket takes ahead of the client: it must not take longer than pieceTime to leave.
+const sendBuffer = 128 << 10
+
+// pass writes an answer's rest as it comes. An error says that the client has less
+// than the whole.
+func pass(w http.ResponseWriter, c *clientConn, from io.Reader) error {
+	c.boundBuffer(sendBuffer)
+	control, piece := http.NewResponseController(w), pieces.Get().(*[maxPieceBytes]byte)
+	defer pieces.Put(piece)
+	if err := control.Flush(); err != nil {
+		return err
+	}
+	for {
+		n, err := from.Read(piece[:])
+		if n > 0 {
+			c.SetWriteDeadline(time.Now().Add(pieceTime))
+			if _, err := w.Write(piece[:n]); err != nil {
+				return err
+			}
+			if err := control.Flush(); err != nil {
+				return err
+			}
+		}
+		if err == io.EOF {
+			return nil
+		} else if err != nil {
+			return err
+		}
+	}
+}
--- a/internal/sidecar/store.go
+++ b/internal/sidecar/store.go
@@ -153,7 +153,7 @@
 
 func (s *store) load() (state, os.FileInfo, error) {
 	var st state
-	text, info, err := s.files.OrSystem().readFile(s.path())
+	text, info, err := s.files.OrSystem().readFile(s.path(), maxStateBytes)
 	if err != nil {
 		return st, info, err
 	}
--- a/internal/sidecar/transient.go
+++ b/internal/sidecar/transient.go
@@ -53,3 +53,13 @@
 	passes := func(err error) bool { return isOneOf(err, passingAtStart) }
 	return retry(ctx, startPatience, startPause, passes, f)
 }
+
+// pause waits for a while, but not beyond ctx.
+func pause(ctx context.Context, d time.Duration) {
+	timer := time.NewTimer(d)
+	defer timer.Stop()
+	select {
+	case <-timer.C:
+	case <-ctx.Done():
+	}
+}
--- a/internal/sidecar/upload.go
+++ b/internal/sidecar/upload.go
@@ -12,6 +12,17 @@
 // maxUploadTime is for a body to come, where it is passed on meanwhile.
 const maxUploadTime = 10 * time.Minute
 
+// clientBody is the part of a request's body that its client has yet to send.
+type clientBody interface {
+	io.Reader
+	// lastDataAge returns how long ago the latest bytes came to this machine.
+	lastDataAge() time.Duration
+	// clientLeft reports whether the client has ended its side of the connection.
+	clientLeft() bool
+	// linger discards what the client still sends, for so long at most.
+	linger(most time.Duration)
+}
+
 // upload is what a request's body has beyond the part that is held. It is passed on
 // while it comes, to one attempt, and is the handler's again once that is over.
 type upload struct {
@@ -25,7 +36,7 @@
 	finished atomic.Bool  // its end was read
 
 	mu   sync.Mutex // held by whoever reads
-	body *paced
+	body clientBody
 	at   time.Time // its last byte was passed on
 	came time.Time // the bytes read last came to this machine
 }
@@ -54,7 +65,7 @@
 	}
 	u.spent.Store(true)
 	n, err := u.body.Read(p)
-	u.came = time.Now().Add(-dataAge(u.body.conn.Conn))
+	u.came = time.Now().Add(-u.body.lastDataAge())
 	if err == io.EOF {
 		u.finished.Store(true)
 	} else if err != nil {
@@ -84,7 +95,7 @@
 // close comes before the last bytes are written. The endpoint was told the client's time as if it counted from then:
 // where the last bytes have waited for long, or the client for nothing, the request must not run.
 func (u *upload) close() error {
-	if time.Since(u.came) > maxWriteLag || u.body.conn.hasLeft() {
+	if time.Since(u.came) > maxWriteLag || u.body.clientLeft() {
 		u.halt()
 	}
 	if !u.phase.CompareAndSwap(passing, closing) {
