--- /dev/null
+++ b/internal/sidecar/attempt_test.go
@@ -0,0 +1,173 @@
+package sidecar
+
+import (
+	"bufio"
+	"bytes"
+	"context"
+	"errors"
+	"io"
+	"net"
+	"oakproxy/balancer"
+	"os"
+	"slices"
+	"syscall"
+	"testing"
+	"time"
+)
+
+// A shortage of this machine's is waited out for a moment, and never held against the endpoint.
+func TestShortageAtADial(t *testing.T) {
+	e := newEndpoint(t, always(served))
+	for what, c := range map[string]struct {
+		errors []error
+		want   balancer.Status
+	}{
+		"passes":         {[]error{syscall.ENFILE, syscall.ENOBUFS, syscall.EADDRNOTAVAIL, syscall.EINTR}, balancer.OK},
+		"stays":          {slices.Repeat([]error{syscall.ENOBUFS}, 1000), balancer.NotSent},
+		"is no shortage": {slices.Repeat([]error{syscall.ENETUNREACH}, 1000), balancer.ConnectFailed},
+	} {
+		u := newTestUpstream(t, 1)
+		u.dialer.Control = func(string, string, syscall.RawConn) error {
+			if len(c.errors) == 0 {
+				return nil
+			}
+			err := c.errors[0]
+			c.errors = c.errors[1:]
+			return err
+		}
+		ctx, cancel := context.WithTimeout(t.Context(), patience)
+		r := u.attempt(ctx, &target{address: e.address}, get("/"), &gate{})
+		cancel()
+		if r.status != c.want {
+			t.Errorf("%s: %v (%v), want %v", what, r.status, r.err, c.want)
+		}
+		if open := u.counts().open; c.want != balancer.OK && open != 0 {
+			t.Errorf("%s: %d connections are counted open", what, open)
+		}
+	}
+}
+
+// failingRead is a connection to an endpoint that takes a request and then breaks.
+type failingRead struct {
+	net.Conn
+	err error
+}
+
+func (c *failingRead) Write(p []byte) (int, error) { return len(p), nil }
+
+func (c *failingRead) Read([]byte) (int, error) { return 0, c.err }
+
+func (c *failingRead) SetDeadline(time.Time) error { return nil }
+
+func (c *failingRead) SetReadDeadline(time.Time) error { return nil }
+
+func (c *failingRead) SetWriteDeadline(time.Time) error { return nil }
+
+func (c *failingRead) Close() error { return nil }
+
+// A connection to an endpoint that breaks after the request's last byte is a reset, by whatever name: with time left,
+// ETIMEDOUT is no time-out of the request.
+func TestBrokenEndpointConnectionsAreResets(t *testing.T) {
+	for _, errno := range []syscall.Errno{syscall.ETIMEDOUT, syscall.EHOSTUNREACH, syscall.ENETUNREACH, syscall.ECONNRESET, syscall.EPIPE} {
+		u, at := newTestUpstream(t, 1), &target{address: "127.0.0.1:1"}
+		err := &net.OpError{Op: "read", Net: "tcp", Err: os.NewSyscallError("read", errno)}
+		u.open = 1
+		ctx, cancel := context.WithTimeout(t.Context(), patience)
+		_, got := u.exchange(ctx, newConn(&failingRead{err: err}, at), get("/"), &gate{})
+		if status := failure(ctx, got); status != balancer.Reset || !errors.Is(got, errno) || u.counts().open != 0 {
+			t.Errorf("%v: %v (%v), %d connections open; want a reset", errno, status, got, u.counts().open)
+		}
+		cancel()
+	}
+}
+
+// What an attempt waits for its connection may undo its decision: then it never begins,
+// and proves that it never ran.
+func TestGateShutsWhileDialling(t *testing.T) {
+	for why, shut := range map[string]func(u *upstream, at *target, g *gate, cancel func()){
+		"the endpoint drains":      func(u *upstream, at *target, _ *gate, _ func()) { u.retire(at) },
+		"the client leaves":        func(_ *upstream, _ *target, g *gate, _ func()) { g.gone = func() bool { return true } },
+		"a repeat comes too late":  func(_ *upstream, _ *target, g *gate, _ func()) { g.latest = time.Now() },
+		"the request is over":      func(_ *upstream, _ *target, g *gate, _ func()) { g.close() },
+		"the attempt is cancelled": func(_ *upstream, _ *target, _ *gate, cancel func()) { cancel() },
+	} {
+		t.Run(why, func(t *testing.T) {
+			e := newEndpoint(t, always(served))
+			u, at, g := newTestUpstream(t, 1), &target{address: e.address}, &gate{}
+			dial := hold(&u.dialer, e.address)
+			ctx, cancel := context.WithCancel(context.Background())
+			defer cancel()
+			done := make(chan result)
+			go func() { done <- u.attempt(ctx, at, get("/"), g) }()
+			<-dial.begun
+			shut(u, at, g, cancel)
+			close(dial.go_)
+			if r := <-done; r.status != balancer.NotSent {
+				t.Errorf("status %v, want Moot", r.status)
+			}
+			if n, _ := e.seen(); n != 0 {
+				t.Errorf("the endpoint got %d requests", n)
+			}
+		})
+	}
+}
+
+// A request that its endpoint takes slowly is not finished: what it was told that the client has left would be wrong.
+func TestRequestThatIsTakenSlowlyNeverRuns(t *testing.T) {
+	ours, theirs := net.Pipe()
+	defer theirs.Close()
+	c := &conn{Conn: ours}
+	got := make(chan []byte)
+	go func() {
+		in := make([]byte, 2*maxWriteAtOnce)
+		n, _ := theirs.Read(in[:maxWriteAtOnce])
+		time.Sleep(2 * maxWriteLag)
+		rest, _ := io.ReadAll(theirs)
+		got <- append(in[:n], rest...)
+	}()
+	data := bytes.Repeat([]byte("x"), 2*maxWriteAtOnce)
+	if err := c.writeRequest(data); !errors.Is(err, errLate) {
+		t.Errorf("the write ended with %v", err)
+	}
+	ours.Close()
+	if n := len(<-got); n >= len(data) {
+		t.Errorf("all %d bytes came", n)
+	}
+}
+
+// An endpoint that writes in pieces is heard to the end, though that takes longer
+// than one may be silent.
+func TestAnswerInPiecesIsAwaited(t *testing.T) {
+	e := newEndpoint(t, func(e *endpoint, conn net.Conn, in *bufio.Reader) {
+		for e.next(in) != nil {
+			for _, b := range []byte(served) {
+				conn.Write([]byte{b})
+				time.Sleep(2 * answerRest / time.Duration(len(served)))
+			}
+		}
+	})
+	u := newTestUpstream(t, 4)
+	for range 2 {
+		if r := u.attempt(t.Context(), &target{address: e.address}, get("/"), &gate{}); r.status != balancer.OK || string(r.body) != "done" {
+			t.Errorf("status %v, body %q", r.status, r.body)
+		}
+	}
+}
+
+// Where there is no room to hold an answer, it is passed on as it comes.
+func TestAnswerWithoutRoomPasses(t *testing.T) {
+	e := newEndpoint(t, always(served))
+	u := newTestUpstream(t, 4)
+	u.room.used.Store(u.room.most.Load())
+	r := u.attempt(t.Context(), &target{address: e.address}, get("/"), &gate{})
+	if r.status != balancer.OK || len(r.body) != 0 || r.rest == nil {
+		t.Fatalf("status %v, %d bytes held", r.status, len(r.body))
+	}
+	if got, err := io.ReadAll(r.rest); err != nil || string(got) != "done" {
+		t.Errorf("%q, %v", got, err)
+	}
+	(&answer{rest: r.rest, held: r.held}).close()
+	if u.room.used.Load() != u.room.most.Load() || u.open != 1 || len(u.idle) != 1 {
+		t.Errorf("%d of %d held, %d connections open", u.room.used.Load(), u.room.most.Load(), u.open)
+	}
+}
--- a/internal/sidecar/budget.go
+++ b/internal/sidecar/budget.go
@@ -7,10 +7,10 @@
 // budget bounds the memory that bodies may take, over all requests and answers.
 type budget struct{ most, used atomic.Int64 }
 
-// newBudget grants bodies their part of the memory.
-func newBudget(cfg *Config) *budget {
+// newBudget returns a budget of so many bytes.
+func newBudget(maxBytes int64) *budget {
 	b := &budget{}
-	b.most.Store(int64(cfg.Limits.MemoryMB) << 20 / bodiesPart)
+	b.most.Store(maxBytes)
 	return b
 }
 
--- a/internal/sidecar/clients_test.go
+++ b/internal/sidecar/clients_test.go
@@ -3,12 +3,10 @@
 import (
 	"bufio"
 	"context"
-	"errors"
 	"fmt"
 	"io"
 	"net"
 	"net/http"
-	"os"
 	"strings"
 	"testing"
 	"time"
@@ -37,9 +35,6 @@
 	return string(got)
 }
 
-const payHead = "POST /pay HTTP/1.1\r\nHost: api\r\nX-Service-Class: pay\r\nX-Time-Left-Ms: 3000\r\nIdempotency-Key: k\r\n"
-const readHead = "GET /read HTTP/1.1\r\nHost: api\r\nX-Service-Class: read\r\nX-Time-Left-Ms: 3000\r\n"
-
 // A request can hide in the body of one whose length is stated in two ways. The
 // head that decides is turned away, and nothing behind it is ever read as a
 // request. net/http shows its handlers no trace of the second length.
@@ -304,54 +299,6 @@
 	}
 }
 
-// Where every connection has a request open, one more is told so and closed.
-func TestNoRoomForAConnection(t *testing.T) {
-	listener, err := net.Listen("tcp", "127.0.0.1:0")
-	if err != nil {
-		t.Fatal(err)
-	}
-	l := &clients{Listener: listener, most: 1}
-	defer l.Close()
-	accepted := make(chan *clientConn, 2)
-	go func() {
-		for {
-			c, err := l.Accept()
-			if err != nil {
-				return
-			}
-			accepted <- c.(*clientConn)
-		}
-	}()
-	dial := func() net.Conn {
-		conn, err := net.Dial("tcp", listener.Addr().String())
-		if err != nil {
-			t.Fatal(err)
-		}
-		conn.SetDeadline(time.Now().Add(patience))
-		return conn
-	}
-	defer dial().Close()
-	c := <-accepted
-	if !c.begin() {
-		t.Fatal("the first connection is gone")
-	}
-	second := dial()
-	defer second.Close()
-	if got, err := io.ReadAll(second); err != nil || string(got) != rejection {
-		t.Errorf("the second connection: %q, %v; want 503 and its end", got, err)
-	}
-	c.done()
-	defer dial().Close()
-	<-accepted
-	if c.begin() {
-		t.Error("the first connection takes requests after making room")
-	}
-	c.Close()
-	if n := l.count(); n != 1 {
-		t.Errorf("%d connections are counted, want 1", n)
-	}
-}
-
 // Bodies are bounded together: what is too much is refused before it is read.
 func TestBodiesAreBounded(t *testing.T) {
 	e := newEndpoint(t, always(served))
@@ -366,105 +313,3 @@
 	}
 	w.until("the bodies to be given back", func() bool { return w.loop.up.room.used.Load() == 0 })
 }
-
-// A request that crosses the end of its idle connection is read; the connection
-// ends where nothing has come.
-func TestRequestThatCrossesTheEndIsTaken(t *testing.T) {
-	listener, err := net.Listen("tcp", "127.0.0.1:0")
-	if err != nil {
-		t.Fatal(err)
-	}
-	l := &clients{Listener: listener, most: 4}
-	defer l.Close()
-	pair := func() (net.Conn, *clientConn) {
-		client, err := net.Dial("tcp", listener.Addr().String())
-		if err != nil {
-			t.Fatal(err)
-		}
-		t.Cleanup(func() { client.Close() })
-		c, err := l.Accept()
-		if err != nil {
-			t.Fatal(err)
-		}
-		return client, c.(*clientConn)
-	}
-	read := func(c *clientConn) (string, error) {
-		p := make([]byte, 100)
-		n, err := c.Read(p)
-		return string(p[:n]), err
-	}
-	client, c := pair()
-	io.WriteString(client, "GET")
-	await(t, "the bytes", func() bool { return readable(c.Conn) })
-	l.sweep(0, 0)
-	if got, err := read(c); got != "GET" || err != nil {
-		t.Errorf("read %q, %v", got, err)
-	}
-	l.sweep(0, 0) // half a request has come
-	io.WriteString(client, " /")
-	if got, err := read(c); got != " /" || err != nil {
-		t.Errorf("the rest: read %q, %v", got, err)
-	}
-	_, c = pair()
-	l.sweep(0, time.Hour)
-	if c.expired {
-		t.Error("a new connection ends before its time")
-	}
-	l.sweep(time.Hour, 0)
-	if got, err := read(c); got != "" || !errors.Is(err, os.ErrDeadlineExceeded) {
-		t.Errorf("with nothing there: read %q, %v", got, err)
-	}
-	// net/http wakes its own read in the same way, and must have it back.
-	client, c = pair()
-	io.WriteString(client, "GET")
-	await(t, "the bytes", func() bool { return readable(c.Conn) })
-	l.sweep(0, 0)
-	c.SetReadDeadline(time.Unix(1, 0))
-	if got, err := read(c); got != "" || !errors.Is(err, os.ErrDeadlineExceeded) {
-		t.Errorf("woken by net/http: read %q, %v", got, err)
-	}
-}
-
-// Beyond the limit it is silence that makes room: a client that writes slowly goes
-// on, though it came before the others.
-func TestSlowClientOutlastsSilentOnes(t *testing.T) {
-	listener, err := net.Listen("tcp", "127.0.0.1:0")
-	if err != nil {
-		t.Fatal(err)
-	}
-	l := &clients{Listener: listener, most: 3}
-	defer l.Close()
-	pair := func() (net.Conn, net.Conn) {
-		client, err := net.Dial("tcp", listener.Addr().String())
-		if err != nil {
-			t.Fatal(err)
-		}
-		t.Cleanup(func() { client.Close() })
-		client.SetDeadline(time.Now().Add(patience))
-		c, err := l.Accept()
-		if err != nil {
-			t.Fatal(err)
-		}
-		return client, c
-	}
-	write := func(client, c net.Conn) error {
-		io.WriteString(client, "GET")
-		_, err := c.Read(make([]byte, 3))
-		return err
-	}
-	slow, c := pair()
-	half, h := pair()
-	silent, _ := pair()
-	if err := write(half, h); err != nil {
-		t.Fatal(err)
-	}
-	for i, goes := range []net.Conn{silent, half} {
-		if err := write(slow, c); err != nil {
-			t.Fatalf("the slow client, piece %d: %v", i, err)
-		}
-		pair()
-		if _, err := goes.Read(make([]byte, 1)); err == nil || errors.Is(err, os.ErrDeadlineExceeded) {
-			t.Errorf("connection %d that should make room: %v", i, err)
-		}
-	}
-}
--- a/internal/sidecar/ending_test.go
+++ b/internal/sidecar/ending_test.go
@@ -30,7 +30,7 @@
 			e := newEndpoint(t, always(served))
 			w := start(t, nil, ready("s-1", e.address))
 			w.server.acceptFor = 3 * time.Second // a busy machine may be slow to connect
-			dial := hold(w.loop.up, e.address)
+			dial := hold(&w.loop.up.dialer, e.address)
 			text := head + "1\r\n\r\n0123456789"
 			conn := w.dial()
 			io.WriteString(conn, text[:split])
--- a/internal/sidecar/loop.go
+++ b/internal/sidecar/loop.go
@@ -150,7 +150,7 @@
 	times := cfg.Host.Time.OrSystem()
 	l := &loop{
 		log: log, clock: newClock(times.Wall), time: times, ctx: ctx,
-		up: newUpstream(cfg, connections(cfg), newBudget(cfg)), disc: newDiscovery(cfg),
+		up: newUpstream(cfg, connections(cfg), newBudget(bodyMemory(cfg))), disc: newDiscoveryFor(cfg),
 		events:   make(chan func(balancer.Micros), maxEvents),
 		urgent:   make(chan func(balancer.Micros), maxPriorityEvents),
 		requests: map[uint64]*request{}, ids: map[string]uint32{}, fleet: map[uint32]*member{}, marks: map[string]mark{},
--- a/internal/sidecar/memory.go
+++ b/internal/sidecar/memory.go
@@ -14,6 +14,8 @@
 
 const (
 	memoryFile    = "oakproxy-learned.json"
+	fileVersion   = 1
+	maxFileBytes  = 1 << 20
 	maxLearnedAge = 30 * time.Second // an older one tells nothing of the fleet as it is
 )
 
@@ -63,7 +65,7 @@
 func (m *memory) keep(now balancer.Micros, known balancer.Estimates) {
 	at := m.time.now()
 	select {
-	case m.latest <- learned{stateVersion, m.sidecar, at.UnixMS, at.UpMS, now, known}:
+	case m.latest <- learned{fileVersion, m.sidecar, at.UnixMS, at.UpMS, now, known}:
 	default:
 	}
 }
@@ -90,14 +92,14 @@
 
 // load returns what the process before this one knew, by the balancer's clock of now, or nil.
 func (m *memory) load(now balancer.Micros) *balancer.Estimates {
-	text, _, err := m.files.readFile(m.path, maxStateBytes)
+	text, _, err := m.files.readFile(m.path, maxFileBytes)
 	if err != nil {
 		return nil
 	}
 	var l learned
 	err = json.Unmarshal(text, &l)
 	age, known := m.time.age(stamp{l.AtMS, l.UpMS})
-	if err == nil && (l.Version != stateVersion || l.Sidecar != m.sidecar || !known || age > maxLearnedAge) {
+	if err == nil && (l.Version != fileVersion || l.Sidecar != m.sidecar || !known || age > maxLearnedAge) {
 		err = fmt.Errorf("version %d of sidecar %q, %v old", l.Version, l.Sidecar, age)
 	}
 	if err != nil {
--- a/internal/sidecar/reload.go
+++ b/internal/sidecar/reload.go
@@ -78,7 +78,7 @@
 // service's.
 func (l *loop) restartWatch() {
 	old := l.disc
-	l.disc = newDiscovery(l.cfg)
+	l.disc = newDiscoveryFor(l.cfg)
 	l.from.after, l.from.settle = nil, time.Now().Add(olderMoved)
 	l.Watch(true)
 	old.client.CloseIdleConnections()
--- a/internal/sidecar/server.go
+++ b/internal/sidecar/server.go
@@ -209,3 +209,6 @@
 		w.WriteHeader(http.StatusServiceUnavailable)
 	}
 }
+
+// bodyMemory is the memory, in bytes, that a configuration grants to the bodies of requests and answers.
+func bodyMemory(cfg *Config) int64 { return int64(cfg.Limits.MemoryMB) << 20 / bodiesPart }
--- /dev/null
+++ b/internal/sidecar/store_test.go
@@ -0,0 +1,186 @@
+package sidecar
+
+import (
+	"context"
+	"log/slog"
+	"oakproxy/balancer"
+	"os"
+	"path/filepath"
+	"sync"
+	"syscall"
+	"testing"
+	"time"
+)
+
+// newStore returns a store on a disk, and what it made hold last.
+func newStore(dir string, files FileOps, times TimeSource) (s *store, held func() state) {
+	var mu sync.Mutex
+	var last state
+	s = &store{dir: dir, sidecar: "n0", log: slog.New(slog.DiscardHandler), files: files, time: times.OrSystem(),
+		keep: func() time.Duration { return time.Minute }, hold: func(st state) {
+			mu.Lock()
+			defer mu.Unlock()
+			last = st
+		}}
+	return s, func() state {
+		mu.Lock()
+		defer mu.Unlock()
+		return last
+	}
+}
+
+func isOut(st state, name string) bool {
+	for _, m := range st.Hosts {
+		if m.Name == name {
+			return m.Out
+		}
+	}
+	return false
+}
+
+func (s *store) mark(name string, out bool) error {
+	return s.update(func(st *state) { st.set(name, out, s.time.now()) })
+}
+
+// While the disk fails, a call is a no, and nothing that was taken on before is lost; once it is well, the next call
+// is a yes, and both processes hold all that was ever said yes to.
+func TestStateOverDiskFaults(t *testing.T) {
+	for operation, errs := range map[string][]error{
+		"write": {syscall.ENOSPC, syscall.EIO}, "sync": {syscall.ENOSPC, syscall.EIO},
+		"rename": {syscall.ENOSPC, syscall.EIO}, "read": {syscall.EIO, syscall.ENFILE},
+	} {
+		for _, err := range errs {
+			t.Run(operation+" "+err.Error(), func(t *testing.T) {
+				dir, disk := t.TempDir(), &faultyDisk{}
+				s, held := newStore(dir, disk.ops(), TimeSource{})
+				other, otherHeld := newStore(dir, FileOps{}, TimeSource{})
+				if err := s.mark("a", true); err != nil {
+					t.Fatal(err)
+				}
+				if err := other.mark("b", true); err != nil { // not seen here yet
+					t.Fatal(err)
+				}
+				disk.fail(operation, err)
+				if err := s.mark("c", true); err == nil {
+					t.Error("a call is a yes while the disk fails")
+				}
+				s.refresh()
+				other.refresh()
+				if !isOut(held(), "a") || isOut(held(), "c") || isOut(otherHeld(), "c") {
+					t.Errorf("during the fault %+v and %+v hold", held(), otherHeld())
+				}
+				disk.mend()
+				s.refresh()
+				if !isOut(held(), "b") {
+					t.Errorf("what the other process was told is not taken up: %+v", held())
+				}
+				if err := s.mark("d", true); err != nil {
+					t.Fatal(err)
+				}
+				other.refresh()
+				for _, name := range []string{"a", "b", "d"} {
+					if !isOut(held(), name) || !isOut(otherHeld(), name) {
+						t.Errorf("%s: %+v and %+v hold", name, held(), otherHeld())
+					}
+				}
+				left, _ := filepath.Glob(filepath.Join(dir, "*.new*"))
+				if len(left) > 0 {
+					t.Errorf("left behind: %v", left)
+				}
+			})
+		}
+	}
+}
+
+// A start that can't read its folder waits for it; a fault that lasts longer is followed up, and what the process
+// before was told holds as soon as it can be read.
+func TestStartWithAFaultyDisk(t *testing.T) {
+	dir, disk := t.TempDir(), &faultyDisk{}
+	before, _ := newStore(dir, FileOps{}, TimeSource{})
+	if err := before.mark("a", true); err != nil {
+		t.Fatal(err)
+	}
+	disk.fail("read", syscall.EIO)
+	waits, _ := newStore(dir, disk.ops(), TimeSource{})
+	time.AfterFunc(3*startPause, disk.mend)
+	if st := waits.begin(t.Context()); !isOut(st, "a") {
+		t.Errorf("a start that waited holds %+v", st)
+	}
+	disk.fail("read", syscall.EIO)
+	ended, end := context.WithCancel(t.Context())
+	end()
+	s, held := newStore(dir, disk.ops(), TimeSource{})
+	s.begin(ended)
+	s.refresh()
+	disk.mend()
+	if s.refresh(); !isOut(held(), "a") {
+		t.Errorf("once the disk is well, %+v holds", held())
+	}
+}
+
+// What a process that was killed in the middle of a write left behind costs nothing.
+func TestHalfAWriteIsIgnored(t *testing.T) {
+	dir := t.TempDir()
+	before, _ := newStore(dir, FileOps{}, TimeSource{})
+	if err := before.mark("a", true); err != nil {
+		t.Fatal(err)
+	}
+	for _, path := range []string{before.path() + ".new", filepath.Join(dir, memoryFile) + ".77"} {
+		if err := os.WriteFile(path, []byte(`{"version":1,"sidec`), 0o600); err != nil {
+			t.Fatal(err)
+		}
+	}
+	s, held := newStore(dir, FileOps{}, TimeSource{})
+	if st := s.begin(t.Context()); !isOut(st, "a") {
+		t.Errorf("%+v holds", st)
+	}
+	if err := s.mark("b", true); err != nil || !isOut(held(), "a") || !isOut(held(), "b") {
+		t.Errorf("%v; %+v holds", err, held())
+	}
+	newMemory(t.Context(), "n0", Host{Directory: dir}, slog.New(slog.DiscardHandler))
+	if left, _ := filepath.Glob(filepath.Join(dir, "*.[n7]*")); len(left) > 0 {
+		t.Errorf("left behind: %v", left)
+	}
+}
+
+// The time since an endpoint was put back is real time, in this process and in others, whatever the wall clock says.
+func TestSpansOverStepsOfTheWallClock(t *testing.T) {
+	for _, step := range []time.Duration{-time.Hour, -5 * time.Second, 5 * time.Second, time.Hour} {
+		t.Run(step.String(), func(t *testing.T) {
+			dir, times := t.TempDir(), &steppedTime{}
+			s, held := newStore(dir, FileOps{}, times.source())
+			for _, out := range []bool{true, false} {
+				if err := s.mark("a", out); err != nil {
+					t.Fatal(err)
+				}
+			}
+			times.by(step)
+			if err := s.mark("b", true); err != nil {
+				t.Fatal(err)
+			}
+			if hosts := held().Hosts; len(hosts) != 2 {
+				t.Fatalf("%+v holds: what was put back just now is forgotten", hosts)
+			}
+			later, _ := newStore(dir, FileOps{}, times.source())
+			back := later.begin(t.Context()).Hosts[0]
+			if age, known := later.time.age(back.since()); !known || age < -time.Millisecond || age > patience {
+				t.Errorf("put back %v ago, known %v", age, known)
+			}
+
+			host := Host{Directory: dir, Time: times.source()}
+			m := newMemory(t.Context(), "n0", host, slog.New(slog.DiscardHandler))
+			const clock = 1_000_000_000
+			m.keep(clock, balancer.Estimates{ServiceTimeRatio: 1, Endpoints: []balancer.EndpointEstimate{{Name: 1, MeasuredAt: clock - 5}}})
+			await(t, "the file", func() bool { return m.load(1) != nil })
+			times.by(0)
+			const other = clock + 77_000_000 // the clock of the next process
+			got := m.load(other)
+			if got == nil {
+				t.Fatal("what was learned just now is taken for old")
+			}
+			if at := got.Endpoints[0].MeasuredAt; at > other-5 || at < other-5-patience.Microseconds() {
+				t.Errorf("learned at %d by a clock that shows %d", at, other)
+			}
+		})
+	}
+}
--- a/internal/sidecar/stream_test.go
+++ b/internal/sidecar/stream_test.go
@@ -9,8 +9,6 @@
 	"strings"
 	"testing"
 	"time"
-
-	"oakproxy/balancer"
 )
 
 const large = 3 << 20 // bytes: more than is held, and than sockets take
@@ -138,40 +136,3 @@
 		})
 	}
 }
-
-// An endpoint that writes in pieces is heard to the end, though that takes longer
-// than one may be silent.
-func TestAnswerInPiecesIsAwaited(t *testing.T) {
-	e := newEndpoint(t, func(e *endpoint, conn net.Conn, in *bufio.Reader) {
-		for e.next(in) != nil {
-			for _, b := range []byte(served) {
-				conn.Write([]byte{b})
-				time.Sleep(2 * answerRest / time.Duration(len(served)))
-			}
-		}
-	})
-	u := newTestUpstream(t, 4)
-	for range 2 {
-		if r := u.attempt(t.Context(), &target{address: e.address}, get("/"), &gate{}); r.status != balancer.OK || string(r.body) != "done" {
-			t.Errorf("status %v, body %q", r.status, r.body)
-		}
-	}
-}
-
-// Where there is no room to hold an answer, it is passed on as it comes.
-func TestAnswerWithoutRoomPasses(t *testing.T) {
-	e := newEndpoint(t, always(served))
-	u := newTestUpstream(t, 4)
-	u.room.used.Store(u.room.most.Load())
-	r := u.attempt(t.Context(), &target{address: e.address}, get("/"), &gate{})
-	if r.status != balancer.OK || len(r.body) != 0 || r.rest == nil {
-		t.Fatalf("status %v, %d bytes held", r.status, len(r.body))
-	}
-	if got, err := io.ReadAll(r.rest); err != nil || string(got) != "done" {
-		t.Errorf("%q, %v", got, err)
-	}
-	(&answer{rest: r.rest, held: r.held}).close()
-	if u.room.used.Load() != u.room.most.Load() || u.open != 1 || len(u.idle) != 1 {
-		t.Errorf("%d of %d held, %d connections open", u.room.used.Load(), u.room.most.Load(), u.open)
-	}
-}
--- a/internal/sidecar/upstream_test.go
+++ b/internal/sidecar/upstream_test.go
@@ -21,8 +21,13 @@
 )
 
 func newTestUpstream(t *testing.T, most int) *upstream {
-	cfg := configure(t, "127.0.0.1:1", nil)
-	u := newUpstream(cfg, most, newBudget(cfg))
+	t.Helper()
+	cfg, err := ParseConfig([]byte(`{"name":"n0","listen":"127.0.0.1:0","discovery":"127.0.0.1:1","seed":"1f",` +
+		`"limits":{"memory_mb":192,"sockets":256},"settings":` + settingsText + `}`))
+	if err != nil {
+		t.Fatal(err)
+	}
+	u := newUpstream(cfg, most, newBudget(24<<20))
 	u.rest = 0 // most tests use a connection again at once
 	return u
 }
@@ -32,25 +37,6 @@
 		"X-Correlation-Id": {"1"}, "Idempotency-Key": {"k"}}}
 }
 
-// closedAddress is one that refuses connections. Its port stays bound until the test ends: a port given back
-// may become another test's listener, which would then get requests that are not its own.
-func closedAddress(t *testing.T) string {
-	t.Helper()
-	fd, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM|syscall.SOCK_CLOEXEC, 0)
-	if err != nil {
-		t.Fatal(err)
-	}
-	t.Cleanup(func() { syscall.Close(fd) })
-	if err := syscall.Bind(fd, &syscall.SockaddrInet4{Addr: [4]byte{127, 0, 0, 1}}); err != nil {
-		t.Fatal(err)
-	}
-	name, err := syscall.Getsockname(fd)
-	if err != nil {
-		t.Fatal(err)
-	}
-	return fmt.Sprintf("127.0.0.1:%d", name.(*syscall.SockaddrInet4).Port)
-}
-
 // Each row of the table of outcomes, on a new connection.
 func TestOutcomes(t *testing.T) {
 	hangUp := func(answer string) func(*endpoint, net.Conn, *bufio.Reader) {
--- a/internal/sidecar/watch.go
+++ b/internal/sidecar/watch.go
@@ -4,6 +4,7 @@
 	"context"
 	"errors"
 	"fmt"
+	"time"
 
 	"oakproxy/balancer"
 )
@@ -97,3 +98,12 @@
 	}
 	l.unheard = true
 }
+
+// newDiscoveryFor returns the client of the discovery that a configuration names.
+func newDiscoveryFor(cfg *Config) *discovery {
+	c := &cfg.Settings.Contract
+	return newDiscovery(discoveryOptions{address: cfg.Discovery, wait: cfg.wait, dial: cfg.dial,
+		subscribe:    cfg.Settings.SubscribeToDiscovery,
+		pollInterval: time.Duration(c.PollInterval) * time.Microsecond,
+		drainGrace:   time.Duration(c.DrainGrace) * time.Microsecond})
+}
--- a/internal/sidecar/world_test.go
+++ b/internal/sidecar/world_test.go
@@ -1,7 +1,6 @@
 package sidecar
 
 import (
-	"bufio"
 	"context"
 	"encoding/json"
 	"fmt"
@@ -19,132 +18,6 @@
 	"oakproxy/balancer"
 )
 
-// patience is how long a test waits for what must come.
-const patience = 20 * time.Second
-
-const settingsText = `{"areas":["a","b"],"skus":["m1"],"stages":["s"],"tenants":[],"discovery":"subscribe",
- "classes":[
- {"name":"read","repeat":"pure","target":600000,"give-up":3000000,"credit":1},
- {"name":"pay","repeat":"token","group":"all","window":5000000,"target":600000,"give-up":3000000,"credit":1},
- {"name":"close","repeat":"token","group":"cell","window":5000000,"target":600000,"give-up":3000000,"credit":1},
- {"name":"order","repeat":"side_effect","target":600000,"give-up":3000000,"credit":1}],
- "contract":{"answer-slack":20000,"ask-within":1000000,"cold-from":0.3,"drain-grace":1000000,"fall-multiple":2.5,"overload-for":1000000,"ramp-time":0},
- "limits":{"cancel":true,"dial-timeout":2000000,"keepalive":5000000,"max-retry-after":1500000,"most-held":1000,"most-tries":3,"multiplex":1,"probes":false,"retry-after":true,"second-copies":true},
- "reporting":{"how":"probe","fields":["failed_ps","pending"]},"peers-total":1,"position":0,"zone":0}`
-
-// endpoint is a TCP server whose answers a test writes byte by byte.
-type endpoint struct {
-	address string
-
-	mu       sync.Mutex
-	conns    int
-	requests []*http.Request // read by next
-}
-
-func newEndpoint(t *testing.T, serve func(e *endpoint, conn net.Conn, in *bufio.Reader)) *endpoint {
-	t.Helper()
-	listener, err := net.Listen("tcp", "127.0.0.1:0")
-	if err != nil {
-		t.Fatal(err)
-	}
-	t.Cleanup(func() { listener.Close() })
-	e := &endpoint{address: listener.Addr().String()}
-	go func() {
-		for {
-			conn, err := listener.Accept()
-			if err != nil {
-				return
-			}
-			e.mu.Lock()
-			e.conns++
-			e.mu.Unlock()
-			go func() {
-				defer conn.Close()
-				serve(e, conn, bufio.NewReader(conn))
-			}()
-		}
-	}()
-	return e
-}
-
-// next reads a whole request, or returns nil when the connection has ended.
-func (e *endpoint) next(in *bufio.Reader) *http.Request {
-	r, err := http.ReadRequest(in)
-	if err != nil {
-		return nil
-	}
-	body, err := io.ReadAll(r.Body)
-	if err != nil {
-		return nil
-	}
-	r.Body = io.NopCloser(strings.NewReader(string(body)))
-	e.mu.Lock()
-	e.requests = append(e.requests, r)
-	e.mu.Unlock()
-	return r
-}
-
-// seen counts the requests read and the connections accepted.
-func (e *endpoint) seen() (requests, conns int) {
-	e.mu.Lock()
-	defer e.mu.Unlock()
-	return len(e.requests), e.conns
-}
-
-// request returns one of the requests read.
-func (e *endpoint) request(i int) *http.Request {
-	e.mu.Lock()
-	defer e.mu.Unlock()
-	return e.requests[i]
-}
-
-// always answers every request with the same bytes.
-func always(answer string) func(*endpoint, net.Conn, *bufio.Reader) {
-	return func(e *endpoint, conn net.Conn, in *bufio.Reader) {
-		for e.next(in) != nil {
-			io.WriteString(conn, answer)
-		}
-	}
-}
-
-const (
-	served  = "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\ndone"
-	failing = "HTTP/1.1 500 Internal Server Error\r\nContent-Length: 0\r\n\r\n"
-	full    = "HTTP/1.1 503 Service Unavailable\r\nX-Unprocessed: 1\r\nContent-Length: 0\r\n\r\n"
-)
-
-// payWaits serves every request, those of class pay only once answer yields.
-func payWaits(answer <-chan struct{}) func(*endpoint, net.Conn, *bufio.Reader) {
-	return func(e *endpoint, conn net.Conn, in *bufio.Reader) {
-		for r := e.next(in); r != nil; r = e.next(in) {
-			if strings.HasPrefix(r.RequestURI, "/pay") {
-				<-answer
-			}
-			io.WriteString(conn, served)
-		}
-	}
-}
-
-// silent takes requests and never answers.
-func silent(e *endpoint, conn net.Conn, in *bufio.Reader) {
-	for e.next(in) != nil {
-	}
-}
-
-// then answers the first request in one way and all others in another, over
-// all connections.
-func then(first, rest string) func(*endpoint, net.Conn, *bufio.Reader) {
-	return func(e *endpoint, conn net.Conn, in *bufio.Reader) {
-		for e.next(in) != nil {
-			if n, _ := e.seen(); n == 1 {
-				io.WriteString(conn, first)
-			} else {
-				io.WriteString(conn, rest)
-			}
-		}
-	}
-}
-
 // directory is a discovery service with one list.
 type directory struct {
 	address string
@@ -410,15 +283,6 @@
 	await(w.t, what, is)
 }
 
-func await(t *testing.T, what string, is func() bool) {
-	t.Helper()
-	for end := time.Now().Add(patience); !is(); time.Sleep(2 * time.Millisecond) {
-		if time.Now().After(end) {
-			t.Fatalf("waited in vain for: %s", what)
-		}
-	}
-}
-
 // do runs f in the loop and waits for it.
 func (w *world) do(f func()) {
 	w.t.Helper()
