--- a/cmd/sidecar/main.go
+++ b/cmd/sidecar/main.go
@@ -50,7 +50,7 @@
 	if path == "" {
 		return fmt.Errorf("environment: BALANCER_CONFIG is not set")
 	}
-	cfg, err := sidecar.LoadConfig(path)
+	cfg, err := sidecar.Load(path)
 	if err != nil {
 		return fmt.Errorf("configuration: %w", err)
 	}
@@ -66,5 +66,5 @@
 	lines := asynclog.New(os.Stderr)
 	defer lines.Close(logPatience)
 	log := slog.New(slog.NewTextHandler(lines, &slog.HandlerOptions{Level: level})).With("sidecar", cfg.Name)
-	return sidecar.Run(ctx, cfg, sidecar.Rereads(path, hangup), log)
+	return sidecar.Run(ctx, cfg, sidecar.ReloadOnSignal(path, hangup), log)
 }
--- a/internal/emulator/play/changes.go
+++ b/internal/emulator/play/changes.go
@@ -188,7 +188,7 @@
 	ctx, cancel := context.WithTimeout(ctx, inForceWithin)
 	defer cancel()
 	for _, s := range r.real {
-		cfg, err := sidecar.LoadConfig(s.path)
+		cfg, err := sidecar.Load(s.path)
 		if err != nil {
 			return err
 		}
--- a/internal/emulator/worker/hollow.go
+++ b/internal/emulator/worker/hollow.go
@@ -207,7 +207,7 @@
 	if err != nil {
 		return nil, err
 	}
-	return sidecar.ParseConfig(text)
+	return sidecar.Parse(text)
 }
 
 // host starts a sidecar by its configuration file.
@@ -221,7 +221,7 @@
 	go func() {
 		defer close(s.ended)
 		defer s.endHangups()
-		s.err = sidecar.Run(ctx, cfg, sidecar.Rereads(file.Path, s.hangups), s.events.Logger())
+		s.err = sidecar.Run(ctx, cfg, sidecar.ReloadOnSignal(file.Path, s.hangups), s.events.Logger())
 	}()
 	return s, nil
 }
--- a/internal/sidecar/paced.go
+++ b/internal/sidecar/body.go
@@ -46,10 +46,10 @@
 	return n, err
 }
 
-// linger reads on from a client that has its answer and is still writing: closed
+// Discard reads on from a client that has its answer and is still writing: closed
 // with something unread, the connection would be reset, and the client would find
 // that and not its answer.
-func (p *paced) linger(most time.Duration) {
+func (p *paced) Discard(most time.Duration) {
 	piece := pieces.Get().(*[maxPieceBytes]byte)
 	defer pieces.Put(piece)
 	for end := time.Now().Add(most); time.Now().Before(end); {
@@ -59,8 +59,8 @@
 	}
 }
 
-// lastDataAge returns how long ago the latest bytes came to this machine.
-func (p *paced) lastDataAge() time.Duration { return dataAge(p.conn.Conn) }
+// LastDataAge returns how long ago the latest bytes came to this machine.
+func (p *paced) LastDataAge() time.Duration { return dataAge(p.conn.Conn) }
 
-// clientLeft reports whether the client has ended its side of the connection.
-func (p *paced) clientLeft() bool { return p.conn.hasLeft() }
+// ClientLeft reports whether the client has ended its side of the connection.
+func (p *paced) ClientLeft() bool { return p.conn.hasLeft() }
--- a/internal/sidecar/clientconn.go
+++ b/internal/sidecar/clientconn.go
@@ -160,10 +160,10 @@
 		return true
 	}
 	switch peek(c.Conn) {
-	case ended:
+	case PeekClosed:
 		return true
-	case unread:
-		return hungUp(c.Conn)
+	case PeekData:
+		return PeerClosed(c.Conn)
 	}
 	return false
 }
@@ -257,7 +257,7 @@
 	}
 	go func() {
 		c.Conn.SetReadDeadline(time.Now().Add(closeDrain))
-		awaitHangUp(c.Conn)
+		AwaitPeerClosed(c.Conn)
 		c.finish()
 	}()
 	return nil
--- a/internal/sidecar/timesource.go
+++ b/internal/sidecar/clock.go
@@ -6,14 +6,14 @@
 	"unsafe"
 )
 
-// TimeSource tells the time to what outlives a process. The zero value is that of the system.
-type TimeSource struct {
+// Clock tells the time to what outlives a process. The zero value is that of the system.
+type Clock struct {
 	Wall   func() time.Time     // may be stepped, either way
 	Uptime func() time.Duration // runs on evenly, for all processes of a machine, from its start on
 }
 
 // OrSystem returns the source with the system's clocks in place of those that are not set.
-func (s TimeSource) OrSystem() TimeSource {
+func (s Clock) OrSystem() Clock {
 	if s.Wall == nil {
 		s.Wall = time.Now
 	}
@@ -30,11 +30,11 @@
 }
 
 // now returns the present instant.
-func (s TimeSource) now() stamp { return stamp{s.Wall().UnixMilli(), s.Uptime().Milliseconds()} }
+func (s Clock) now() stamp { return stamp{s.Wall().UnixMilli(), s.Uptime().Milliseconds()} }
 
 // age returns how long ago an instant was. It is not known of one that is ahead of the machine's uptime, which is
 // that of an earlier start of the machine.
-func (s TimeSource) age(at stamp) (age time.Duration, known bool) {
+func (s Clock) age(at stamp) (age time.Duration, known bool) {
 	if at.UpMS > 0 {
 		age = s.Uptime() - time.Duration(at.UpMS)*time.Millisecond
 	} else {
--- a/internal/sidecar/config.go
+++ b/internal/sidecar/config.go
@@ -19,7 +19,7 @@
 	"oakproxy/internal/wire"
 )
 
-// Config is what a sidecar is told at its start, and anew while it runs. Make one with LoadConfig. It does not
+// Config is what a sidecar is told at its start, and anew while it runs. Make one with Load. It does not
 // change once it is made.
 type Config struct {
 	Name      string
@@ -61,9 +61,9 @@
 // platform holds that and every process of the sidecar inherits it.
 const passedVar = "BALANCER_PASSED_SOCKET"
 
-// LoadConfig reads a configuration file, and what the environment adds to it. Its
+// Load reads a configuration file, and what the environment adds to it. Its
 // errors name the key or variable at fault.
-func LoadConfig(path string) (*Config, error) {
+func Load(path string) (*Config, error) {
 	var data []byte
 	err := retryAtStart(context.Background(), func() (err error) {
 		data, err = os.ReadFile(path)
@@ -72,7 +72,7 @@
 	if err != nil {
 		return nil, err
 	}
-	cfg, err := ParseConfig(data)
+	cfg, err := Parse(data)
 	if err != nil {
 		return nil, fmt.Errorf("%s: %w", path, err)
 	}
@@ -107,9 +107,9 @@
 	Settings  json.RawMessage `json:"settings"`
 }
 
-// ParseConfig reads the text of a configuration file. Its errors name the key at fault. The environment adds
+// Parse reads the text of a configuration file. Its errors name the key at fault. The environment adds
 // nothing to it, and its Host is the zero one.
-func ParseConfig(data []byte) (*Config, error) {
+func Parse(data []byte) (*Config, error) {
 	var file configFile
 	if err := json.Unmarshal(data, &file); err != nil {
 		return nil, err
--- a/internal/sidecar/memory.go
+++ b/internal/sidecar/estimates.go
@@ -25,26 +25,26 @@
 	path, temporary string
 	sidecar         string
 	files           FileOps
-	time            TimeSource
+	time            Clock
 	log             *slog.Logger
-	latest          chan learned // to be written
+	latest          chan fileContents // to be written
 }
 
-// learned is the file's text.
-type learned struct {
-	Version int                `json:"version"`
-	Sidecar string             `json:"sidecar"`
-	AtMS    int64              `json:"at_ms"`    // Unix time
-	UpMS    int64              `json:"up_ms"`    // the same by the machine's uptime
-	Clock   balancer.Micros    `json:"clock_us"` // the same by the clock of the balancer that knew it
-	Learned balancer.Estimates `json:"learned"`
+// fileContents is the file's text.
+type fileContents struct {
+	Version   int                `json:"version"`
+	Sidecar   string             `json:"sidecar"`
+	AtMS      int64              `json:"at_ms"`    // Unix time
+	UpMS      int64              `json:"up_ms"`    // the same by the machine's uptime
+	Clock     balancer.Micros    `json:"clock_us"` // the same by the clock of the balancer that knew it
+	Estimates balancer.Estimates `json:"learned"`
 }
 
 // newMemory writes what it is given until ctx ends.
 func newMemory(ctx context.Context, sidecar string, host Host, log *slog.Logger) *memory {
 	path := filepath.Join(host.Directory, memoryFile)
 	m := &memory{path: path, temporary: fmt.Sprintf("%s.%d", path, os.Getpid()), sidecar: sidecar,
-		files: host.Files.OrSystem(), time: host.Time.OrSystem(), log: log, latest: make(chan learned, 1)}
+		files: host.Files.OrSystem(), time: host.Time.OrSystem(), log: log, latest: make(chan fileContents, 1)}
 	m.removeLeftovers()
 	go func() {
 		for {
@@ -65,12 +65,12 @@
 func (m *memory) keep(now balancer.Micros, known balancer.Estimates) {
 	at := m.time.now()
 	select {
-	case m.latest <- learned{fileVersion, m.sidecar, at.UnixMS, at.UpMS, now, known}:
+	case m.latest <- fileContents{fileVersion, m.sidecar, at.UnixMS, at.UpMS, now, known}:
 	default:
 	}
 }
 
-func (m *memory) write(l learned) error {
+func (m *memory) write(l fileContents) error {
 	text, err := json.Marshal(l)
 	if err != nil {
 		return err
@@ -96,7 +96,7 @@
 	if err != nil {
 		return nil
 	}
-	var l learned
+	var l fileContents
 	err = json.Unmarshal(text, &l)
 	age, known := m.time.age(stamp{l.AtMS, l.UpMS})
 	if err == nil && (l.Version != fileVersion || l.Sidecar != m.sidecar || !known || age > maxLearnedAge) {
@@ -108,9 +108,9 @@
 	}
 	if l.Clock > 0 {
 		shift := now - age.Microseconds() - l.Clock // the clocks of two processes may be a step apart
-		for i := range l.Learned.Endpoints {
-			l.Learned.Endpoints[i].MeasuredAt += shift
+		for i := range l.Estimates.Endpoints {
+			l.Estimates.Endpoints[i].MeasuredAt += shift
 		}
 	}
-	return &l.Learned
+	return &l.Estimates
 }
--- a/internal/sidecar/fakes.go
+++ b/internal/sidecar/fakes.go
@@ -281,8 +281,8 @@
 	s.step = step
 }
 
-func (s *steppedTime) source() TimeSource {
-	return TimeSource{Wall: func() time.Time {
+func (s *steppedTime) source() Clock {
+	return Clock{Wall: func() time.Time {
 		s.mu.Lock()
 		defer s.mu.Unlock()
 		return time.Now().Add(s.step)
--- a/internal/sidecar/fleet.go
+++ b/internal/sidecar/fleet.go
@@ -72,7 +72,7 @@
 func (l *loop) aim(id uint32, h host) {
 	e, state := l.fleet[id], states[h.Health]
 	e.last, e.gone = h, state == balancer.Removed
-	if l.marks[e.name].Out {
+	if l.marks[e.name].Cordoned {
 		state = balancer.Draining // as good as that
 	}
 	if t := e.target; t != nil && (state != balancer.Ready || t.address != h.Dial || t.born != h.BornMS) {
@@ -86,7 +86,7 @@
 }
 
 // knows says whether operators may speak of an endpoint of this name.
-func (l *loop) knows(name string) bool { return l.ids[name] != 0 || l.marks[name].Out }
+func (l *loop) knows(name string) bool { return l.ids[name] != 0 || l.marks[name].Cordoned }
 
 // mark makes what operators set hold: what they leave out has no target, so that
 // a send on its way does not start.
@@ -96,7 +96,7 @@
 		next[m.Name] = m
 	}
 	for name, m := range l.marks {
-		if _, ok := next[name]; !ok && m.Out {
+		if _, ok := next[name]; !ok && m.Cordoned {
 			present := l.time.now()
 			next[name] = mark{Name: name, SinceMS: present.UnixMS, UpMS: present.UpMS}
 		}
@@ -110,12 +110,12 @@
 		if id := l.ids[name]; id != 0 {
 			l.aim(id, l.fleet[id].last)
 		}
-		l.log.Info("operator override", "host", name, "cordoned", m.Out)
+		l.log.Info("operator override", "host", name, "cordoned", m.Cordoned)
 		since := now // at the latest
 		if age, known := l.time.age(m.since()); known {
 			since = now - max(0, age.Microseconds())
 		}
-		l.balancer.Cordon(now, hashed(name), m.Out, since)
+		l.balancer.Cordon(now, hashed(name), m.Cordoned, since)
 	}
 }
 
--- a/internal/sidecar/handler.go
+++ b/internal/sidecar/handler.go
@@ -19,7 +19,7 @@
 	if http.NewResponseController(w).Flush() != nil {
 		return // the client is gone
 	}
-	newPaced(in.Context().Value(connKey{}).(*clientConn), in.Body).linger(maxLinger)
+	newPaced(in.Context().Value(connKey{}).(*clientConn), in.Body).Discard(maxLinger)
 }
 
 // readyPath is where the application asks whether it may send requests.
@@ -230,7 +230,7 @@
 	if s.ending.Load() {
 		most = maxLinger
 	}
-	u.body.linger(most)
+	u.body.Discard(most)
 }
 
 func writeAnswer(w http.ResponseWriter, a answer) {
--- a/internal/sidecar/handover_test.go
+++ b/internal/sidecar/handover_test.go
@@ -45,3 +45,14 @@
 		t.Errorf("without a folder: %v", err)
 	}
 }
+
+// A place that can't be looked at is an error, not an empty place.
+func TestPlaceThatCannotBeLookedAt(t *testing.T) {
+	path := seatPath(t.TempDir(), 0)
+	if err := os.Symlink(path, path); err != nil { // ELOOP
+		t.Fatal(err)
+	}
+	if _, err := lookAtSeat(path); err == nil || !strings.Contains(err.Error(), "symbolic") {
+		t.Errorf("the look ended with %v", err)
+	}
+}
--- a/internal/sidecar/host.go
+++ b/internal/sidecar/host.go
@@ -12,14 +12,11 @@
 	Directory   string            // of the files that the processes of one sidecar share
 	LimitMemory func(bytes int64) // sets the memory limit of the process; may be nil
 
-	Files FileOps    // may fail
-	Time  TimeSource // may be stepped
+	Files FileOps // may fail
+	Time  Clock   // may be stepped
 }
 
 // ownProcess is the host of a sidecar that has its process to itself.
 func ownProcess() Host {
 	return Host{Directory: os.TempDir(), LimitMemory: func(bytes int64) { debug.SetMemoryLimit(bytes) }}
 }
-
-// Hash returns the hash that a sidecar logs with this configuration in force. It is the same over a fleet.
-func (c *Config) Hash() string { return c.hash() }
--- /dev/null
+++ b/internal/sidecar/listen_test.go
@@ -0,0 +1,41 @@
+package sidecar
+
+import (
+	"context"
+	"errors"
+	"net"
+	"syscall"
+	"testing"
+	"time"
+)
+
+// An address that is not free at once is waited for; one that can't be had is an error.
+func TestStartWaitsForItsAddress(t *testing.T) {
+	held, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	address := held.Addr().String()
+	got := make(chan error, 1)
+	go func() {
+		listener, err := listenAt(t.Context(), address)
+		if err == nil {
+			listener.Close()
+		}
+		got <- err
+	}()
+	time.AfterFunc(3*startPause, func() { held.Close() })
+	if err := <-got; err != nil {
+		t.Error(err)
+	}
+	ctx, cancel := context.WithCancel(t.Context())
+	cancel()
+	again, err := net.Listen("tcp", address)
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer again.Close()
+	if _, err := listenAt(ctx, address); !errors.Is(err, syscall.EADDRINUSE) {
+		t.Errorf("with SIGTERM during the start: %v", err)
+	}
+}
--- a/internal/sidecar/clients.go
+++ b/internal/sidecar/listener.go
@@ -217,3 +217,23 @@
 	c.drained = l.closing.PushBack(c)
 	return true
 }
+
+// limits returns the bounds in force: on connections, and on those that a request has come on.
+func (l *clients) limits() (most, maxAsked int) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	return l.most, l.maxAsked
+}
+
+// partialBytes returns how many bytes have come of requests that are not whole yet.
+func (l *clients) partialBytes() (bytes int64) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	for e := l.waiting.Front(); e != nil; e = e.Next() {
+		c := e.Value.(*clientConn)
+		c.mu.Lock()
+		bytes += c.head.size
+		c.mu.Unlock()
+	}
+	return bytes
+}
--- a/internal/sidecar/loop.go
+++ b/internal/sidecar/loop.go
@@ -57,7 +57,7 @@
 type loop struct {
 	log    *slog.Logger
 	clock  clock
-	time   TimeSource // of what outlives the process
+	time   Clock // of what outlives the process
 	up     *upstream
 	disc   *discovery
 	events chan func(now balancer.Micros)
--- a/internal/sidecar/pool.go
+++ b/internal/sidecar/pool.go
@@ -223,3 +223,34 @@
 // close it at any time, and a request written after that is lost as a reset
 // that may have run.
 func (c *conn) alive() bool { return !readable(c.Conn) }
+
+// idleConnections returns how many connections carry no request.
+func (u *upstream) idleConnections() (n int) {
+	u.mu.Lock()
+	defer u.mu.Unlock()
+	for _, list := range u.idle {
+		n += len(list)
+	}
+	return n
+}
+
+// retired reports whether nothing may be sent to t any more.
+func (u *upstream) retired(t *target) bool {
+	u.mu.Lock()
+	defer u.mu.Unlock()
+	return t.closed
+}
+
+// limits are the bounds on connections to endpoints that are in force.
+type limits struct {
+	dialTimeout    time.Duration
+	maxIdle        time.Duration // a connection is used again at most so long after its last response
+	maxConnections int
+}
+
+// limits returns the bounds in force.
+func (u *upstream) limits() limits {
+	u.mu.Lock()
+	defer u.mu.Unlock()
+	return limits{u.dialer.Timeout, u.maxIdle, u.most}
+}
--- a/internal/sidecar/reload.go
+++ b/internal/sidecar/reload.go
@@ -32,7 +32,7 @@
 		l.refuse(err)
 		return
 	}
-	l.activate(l.current.Load().replacedBy(merged, next.hash()))
+	l.activate(l.current.Load().replacedBy(merged, next.Hash()))
 	l.withdraw(withdrawn)
 	l.up.configure(merged)
 	if old.Limits != merged.Limits && l.relimit != nil {
--- a/internal/sidecar/handover.go
+++ b/internal/sidecar/slot.go
@@ -24,11 +24,11 @@
 	file *os.File
 
 	mu     sync.Mutex
-	others [maxProcesses]neighbour // by place, as last seen
+	others [maxProcesses]peerState // by place, as last seen
 }
 
-// neighbour is another process of the sidecar.
-type neighbour struct{ alive, ready bool }
+// peerState is another process of the sidecar.
+type peerState struct{ alive, ready bool }
 
 func seatPath(dir string, i int) string {
 	return filepath.Join(dir, fmt.Sprintf("oakproxy-process.%d", i))
@@ -84,26 +84,29 @@
 }
 
 // lookAtSeat tells who sits at a place. An error says that this can't be told for the moment.
-func lookAtSeat(path string) (neighbour, error) {
+func lookAtSeat(path string) (peerState, error) {
 	file, err := os.Open(path)
 	if errors.Is(err, fs.ErrNotExist) {
-		return neighbour{}, nil // nobody ever sat there
+		return peerState{}, nil // nobody ever sat there
 	}
 	if err != nil {
-		return neighbour{}, err
+		return peerState{}, err
 	}
 	defer file.Close()
 	switch err := lockFile(file, syscall.LOCK_SH); err {
 	case nil:
-		return neighbour{}, nil
+		return peerState{}, nil
 	case syscall.EWOULDBLOCK:
 	default:
-		return neighbour{}, err
+		return peerState{}, err
 	}
 	text := make([]byte, len(seatReady))
 	n, err := file.ReadAt(text, 0)
 	if err != nil && err != io.EOF {
-		return neighbour{}, err
+		return peerState{}, err
 	}
-	return neighbour{alive: true, ready: string(text[:n]) == seatReady}, nil
+	return peerState{alive: true, ready: string(text[:n]) == seatReady}, nil
 }
+
+// release gives the place up, as the end of the process would.
+func (s *seat) release() { s.file.Close() }
--- a/internal/sidecar/configdiff.go
+++ b/internal/sidecar/snapshot.go
@@ -28,7 +28,7 @@
 
 // newSnapshot returns the first configuration of a sidecar.
 func newSnapshot(cfg *Config) *snapshot {
-	s := &snapshot{Config: cfg, generation: firstGeneration, hash: cfg.hash(),
+	s := &snapshot{Config: cfg, generation: firstGeneration, hash: cfg.Hash(),
 		classes: map[string]uint8{}, tenants: map[string]uint16{}}
 	for i, c := range cfg.Settings.Classes {
 		s.classes[c.Name] = uint8(i)
@@ -70,9 +70,9 @@
 	return shared{c.Settings, c.Limits.Sockets, c.zones, c.kinds, c.fields, c.idle}
 }
 
-// hash is a short hash of what holds at the whole fleet: sidecars that show the same one have the same settings,
+// Hash returns a short hash of what holds at the whole fleet: sidecars that show the same one have the same settings,
 // however their files are written.
-func (c *Config) hash() string {
+func (c *Config) Hash() string {
 	fleet := c.shared()
 	fleet.Settings.Zone, fleet.Settings.Index = 0, 0
 	fleet.Zones, fleet.Kinds = slices.Sorted(slices.Values(c.zones)), slices.Sorted(slices.Values(c.kinds))
--- a/internal/sidecar/peek.go
+++ b/internal/sidecar/sockets.go
@@ -8,35 +8,35 @@
 
 // readable says whether anything can be read of a connection: bytes, its end, or
 // an error.
-func readable(c net.Conn) bool { return peek(c) != nothing }
+func readable(c net.Conn) bool { return peek(c) != PeekNothing }
 
-// look is what a connection has to read.
-type look uint8
+// PeekResult is what a connection has to read.
+type PeekResult uint8
 
 // A connection has nothing to read, some bytes, or its end or an error.
 const (
-	nothing look = iota
-	unread
-	ended
+	PeekNothing PeekResult = iota
+	PeekData
+	PeekClosed
 )
 
 // peek looks at a connection without reading of it.
-func peek(c net.Conn) look {
-	found := ended
+func peek(c net.Conn) PeekResult {
+	found := PeekClosed
 	err := control(c, func(fd int) {
-		found = lookWith(func(b []byte) (int, error) {
+		found = peekWith(func(b []byte) (int, error) {
 			n, _, err := syscall.Recvfrom(fd, b, syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
 			return n, err
 		})
 	})
 	if err != nil {
-		return ended
+		return PeekClosed
 	}
 	return found
 }
 
-// lookWith tells what receive finds. That the system lacks something for a moment says nothing of the connection.
-func lookWith(receive func([]byte) (int, error)) look {
+// peekWith tells what receive finds. That the system lacks something for a moment says nothing of the connection.
+func peekWith(receive func([]byte) (int, error)) PeekResult {
 	var b [1]byte
 	for {
 		n, err := receive(b[:])
@@ -44,31 +44,31 @@
 		case err == syscall.EINTR:
 			continue
 		case err == nil && n > 0:
-			return unread
+			return PeekData
 		case err == syscall.EAGAIN, err == syscall.ENOMEM, err == syscall.ENOBUFS:
-			return nothing
+			return PeekNothing
 		}
-		return ended
+		return PeekClosed
 	}
 }
 
-// hungUp reports whether the peer has ended its side or the connection is broken, also behind bytes that are still to
+// PeerClosed reports whether the peer has ended its side or the connection is broken, also behind bytes that are still to
 // be read.
-func hungUp(c net.Conn) bool {
+func PeerClosed(c net.Conn) bool {
 	up := false
-	err := control(c, func(fd int) { up = pollHungUp(fd) })
+	err := control(c, func(fd int) { up = pollPeerClosed(fd) })
 	return up || err != nil
 }
 
-// awaitHangUp waits until the peer has ended its side or the connection is broken, or its read deadline has passed. It
+// AwaitPeerClosed waits until the peer has ended its side or the connection is broken, or its read deadline has passed. It
 // reads nothing.
-func awaitHangUp(c net.Conn) {
+func AwaitPeerClosed(c net.Conn) {
 	source, ok := c.(syscall.Conn)
 	if !ok {
 		return
 	}
 	if raw, err := source.SyscallConn(); err == nil {
-		raw.Read(func(fd uintptr) (hungUp bool) { return pollHungUp(int(fd)) })
+		raw.Read(func(fd uintptr) (hungUp bool) { return pollPeerClosed(int(fd)) })
 	}
 }
 
--- a/internal/sidecar/stages.go
+++ b/internal/sidecar/stages.go
@@ -14,15 +14,15 @@
 // The stages of a request that its first attempt served, in their order. All but
 // stageEndpoint are time that the sidecar adds.
 const (
-	stageRead     stage = iota // the request's body, after its head
-	stageQueue                 // until the loop takes the request
-	stageHold                  // until the balancer sends it: probes may be awaited first
-	stageConnect               // until a connection to the endpoint is at hand
-	stageWrite                 // until the request's last byte is written
-	stageEndpoint              // until the answer, or its beginning, is read
-	stageReturn                // through the loop, back to the client's connection
-	stageReply                 // until the answer is with net/http, which writes it when the handler returns
-	stageOwn                   // all of the above but stageEndpoint
+	stageRead      stage = iota // the request's body, after its head
+	stageQueue                  // until the loop takes the request
+	stageProbeWait              // until the balancer sends it: probes may be awaited first
+	stageConnect                // until a connection to the endpoint is at hand
+	stageWrite                  // until the request's last byte is written
+	stageEndpoint               // until the answer, or its beginning, is read
+	stageReturn                 // through the loop, back to the client's connection
+	stageReply                  // until the answer is with net/http, which writes it when the handler returns
+	stageOverhead               // all of the above but stageEndpoint
 	stageCount
 )
 
@@ -48,7 +48,7 @@
 	for i := range marks[1:] {
 		took[i] = marks[i+1].Sub(marks[i])
 	}
-	took[stageOwn] = t.replied.Sub(t.arrived) - took[stageEndpoint]
+	took[stageOverhead] = t.replied.Sub(t.arrived) - took[stageEndpoint]
 	return took
 }
 
--- a/internal/sidecar/store.go
+++ b/internal/sidecar/store.go
@@ -36,10 +36,10 @@
 
 // mark tells that an endpoint was left out, or put back, and since when.
 type mark struct {
-	Name    string `json:"host"`
-	Out     bool   `json:"out"`
-	SinceMS int64  `json:"since_ms"` // Unix time
-	UpMS    int64  `json:"up_ms"`    // the same by the machine's uptime: steps of the wall clock change no span
+	Name     string `json:"host"`
+	Cordoned bool   `json:"out"`
+	SinceMS  int64  `json:"since_ms"` // Unix time
+	UpMS     int64  `json:"up_ms"`    // the same by the machine's uptime: steps of the wall clock change no span
 }
 
 func (m *mark) since() stamp { return stamp{m.SinceMS, m.UpMS} }
@@ -50,7 +50,7 @@
 	dir, sidecar string
 	log          *slog.Logger
 	files        FileOps
-	time         TimeSource
+	time         Clock
 	keep         func() time.Duration // how long it matters that an endpoint was put back
 	hold         func(state)          // makes a state hold in this process, before it returns
 
@@ -81,7 +81,7 @@
 	next := stored
 	next.Hosts = slices.Clone(stored.Hosts)
 	change(&next)
-	next.Hosts = slices.DeleteFunc(next.Hosts, func(m mark) bool { return !m.Out && s.expired(&m) })
+	next.Hosts = slices.DeleteFunc(next.Hosts, func(m mark) bool { return !m.Cordoned && s.expired(&m) })
 	if err := s.write(next); err != nil {
 		s.take(stored) // the other process's, perhaps, and read just now: refresh would pass over it
 		return err
@@ -205,12 +205,12 @@
 
 // set marks an endpoint as left out or put back. A call repeated changes nothing.
 func (st *state) set(name string, out bool, now stamp) {
-	next := mark{Name: strings.Clone(name), Out: out, SinceMS: now.UnixMS, UpMS: now.UpMS}
+	next := mark{Name: strings.Clone(name), Cordoned: out, SinceMS: now.UnixMS, UpMS: now.UpMS}
 	i := slices.IndexFunc(st.Hosts, func(m mark) bool { return m.Name == name })
 	switch {
 	case i < 0 && out:
 		st.Hosts = append(st.Hosts, next)
-	case i >= 0 && st.Hosts[i].Out != out:
+	case i >= 0 && st.Hosts[i].Cordoned != out:
 		st.Hosts[i] = next
 	}
 }
--- a/internal/sidecar/socketcalls.go
+++ b/internal/sidecar/syscalls.go
@@ -20,9 +20,9 @@
 	pollRdHup = 0x2000
 )
 
-// pollHungUp reports whether poll(2) tells at once that the peer of a socket has ended its side, or that its connection
+// pollPeerClosed reports whether poll(2) tells at once that the peer of a socket has ended its side, or that its connection
 // is broken. Where the call fails nothing is known.
-func pollHungUp(fd int) bool {
+func pollPeerClosed(fd int) bool {
 	polled := pollFD{fd: int32(fd), events: pollRdHup}
 	var noWait syscall.Timespec
 	for {
--- a/internal/sidecar/upload.go
+++ b/internal/sidecar/upload.go
@@ -15,12 +15,12 @@
 // clientBody is the part of a request's body that its client has yet to send.
 type clientBody interface {
 	io.Reader
-	// lastDataAge returns how long ago the latest bytes came to this machine.
-	lastDataAge() time.Duration
-	// clientLeft reports whether the client has ended its side of the connection.
-	clientLeft() bool
-	// linger discards what the client still sends, for so long at most.
-	linger(most time.Duration)
+	// LastDataAge returns how long ago the latest bytes came to this machine.
+	LastDataAge() time.Duration
+	// ClientLeft reports whether the client has ended its side of the connection.
+	ClientLeft() bool
+	// Discard discards what the client still sends, for so long at most.
+	Discard(most time.Duration)
 }
 
 // upload is what a request's body has beyond the part that is held. It is passed on
@@ -65,7 +65,7 @@
 	}
 	u.spent.Store(true)
 	n, err := u.body.Read(p)
-	u.came = time.Now().Add(-u.body.lastDataAge())
+	u.came = time.Now().Add(-u.body.LastDataAge())
 	if err == io.EOF {
 		u.finished.Store(true)
 	} else if err != nil {
@@ -95,7 +95,7 @@
 // close comes before the last bytes are written. The endpoint was told the client's time as if it counted from then:
 // where the last bytes have waited for long, or the client for nothing, the request must not run.
 func (u *upload) close() error {
-	if time.Since(u.came) > maxWriteLag || u.body.clientLeft() {
+	if time.Since(u.came) > maxWriteLag || u.body.ClientLeft() {
 		u.halt()
 	}
 	if !u.phase.CompareAndSwap(passing, closing) {
--- a/internal/sidecar/upstream.go
+++ b/internal/sidecar/upstream.go
@@ -166,7 +166,17 @@
 	r := u.attempt(ctx, t, m, &gate{})
 	if r.status == balancer.OK {
 		r.load, r.report = u.loadReport(string(r.body))
-		(&answer{rest: r.rest, held: r.held}).close()
+		r.close()
 	}
 	return r
 }
+
+// close gives back what a result holds, where nobody takes its body.
+func (r *result) close() {
+	if r.rest != nil {
+		r.rest.Close()
+	}
+	if r.held != nil {
+		r.held()
+	}
+}
