--- a/cmd/sidecar/log_test.go
+++ b/cmd/sidecar/log_test.go
@@ -18,7 +18,7 @@
 	for what, gone := range map[string]bool{"stalled": false, "gone": true} {
 		t.Run(what, func(t *testing.T) {
 			listen := freeAddress(t)
-			cmd := command(t, withEndpoint(t, config(listen)))
+			cmd := command(t, withEndpoint(t, configText(listen)))
 			cmd.Env = append(cmd.Env, levelVar+"=debug")
 			in, out, err := os.Pipe()
 			if err != nil {
--- a/cmd/sidecar/main.go
+++ b/cmd/sidecar/main.go
@@ -13,11 +13,12 @@
 	"time"
 
 	"oakproxy/internal/asynclog"
+	"oakproxy/internal/config"
 	"oakproxy/internal/sidecar"
 )
 
 func main() {
-	if err := run(func(*sidecar.Host) {}); err != nil {
+	if err := run(func(*config.Host) {}); err != nil {
 		fmt.Fprintln(os.Stderr, "sidecar:", err)
 		os.Exit(1)
 	}
@@ -42,7 +43,7 @@
 }
 
 // run is one sidecar. adjust may put shims into its host.
-func run(adjust func(*sidecar.Host)) error {
+func run(adjust func(*config.Host)) error {
 	// Unhandled, SIGHUP would end the process.
 	hangup := make(chan os.Signal, 1)
 	signal.Notify(hangup, syscall.SIGHUP)
@@ -50,7 +51,7 @@
 	if path == "" {
 		return fmt.Errorf("environment: BALANCER_CONFIG is not set")
 	}
-	cfg, err := sidecar.Load(path)
+	cfg, err := config.Load(path)
 	if err != nil {
 		return fmt.Errorf("configuration: %w", err)
 	}
@@ -66,5 +67,5 @@
 	lines := asynclog.New(os.Stderr)
 	defer lines.Close(logPatience)
 	log := slog.New(slog.NewTextHandler(lines, &slog.HandlerOptions{Level: level})).With("sidecar", cfg.Name)
-	return sidecar.Run(ctx, cfg, sidecar.ReloadOnSignal(path, hangup), log)
+	return sidecar.Run(ctx, cfg, config.ReloadOnSignal(path, hangup), log)
 }
--- a/cmd/sidecar/main_test.go
+++ b/cmd/sidecar/main_test.go
@@ -17,8 +17,8 @@
 	"testing"
 	"time"
 
+	"oakproxy/internal/config"
 	"oakproxy/internal/faults"
-	"oakproxy/internal/sidecar"
 )
 
 // TestMain lets the test binary stand in for the program.
@@ -38,7 +38,7 @@
 
 // runWithShims is main with shims of the disk and the wall clock.
 func runWithShims(orders string) {
-	if err := run(func(host *sidecar.Host) { faults.Shim(host, orders) }); err != nil {
+	if err := run(func(host *config.Host) { faults.Shim(host, orders) }); err != nil {
 		fmt.Fprintln(os.Stderr, "sidecar:", err)
 		os.Exit(1)
 	}
@@ -67,7 +67,7 @@
 	return listener.Addr().String()
 }
 
-func config(listen string) string {
+func configText(listen string) string {
 	return fmt.Sprintf(`{"name":"n0","listen":%q,"discovery":"127.0.0.1:1","seed":"1f",
 "limits":{"cores":1,"memory_mb":192,"sockets":1024},
 "known":{"seq":1,"whole":true,"hosts":[{"host":"s-1","dial":"127.0.0.1:1","site":"a","health":"Ready","share":1}]},
@@ -76,7 +76,7 @@
 }
 
 func TestBadConfigurationStopsWithOneLine(t *testing.T) {
-	good := config("127.0.0.1:0")
+	good := configText("127.0.0.1:0")
 	for name, c := range map[string]struct{ text, key string }{
 		"no seed":         {strings.Replace(good, `"seed"`, `"sed"`, 1), "seed"},
 		"not JSON":        {good[:40], "JSON"},
@@ -130,7 +130,7 @@
 // changes nothing. SIGTERM ends the program, also with SIGHUP on its heels.
 func TestSignals(t *testing.T) {
 	listen := freeAddress(t)
-	cmd := command(t, config(listen))
+	cmd := command(t, configText(listen))
 	path := strings.TrimPrefix(cmd.Env[len(cmd.Env)-1], "BALANCER_CONFIG=")
 	var log lines
 	cmd.Stderr = &log
@@ -168,7 +168,7 @@
 		io.WriteString(w, `{"seq":1,"whole":true,"hosts":[{"host":"s-1","dial":"127.0.0.1:1","site":"a","health":"Ready","share":1}]}`)
 	}))
 	defer discovery.Close()
-	replace(strings.Replace(config(listen), "127.0.0.1:1", discovery.Listener.Addr().String(), 1))
+	replace(strings.Replace(configText(listen), "127.0.0.1:1", discovery.Listener.Addr().String(), 1))
 	signal(syscall.SIGHUP)
 	select {
 	case call := <-registry:
@@ -233,7 +233,7 @@
 	socket := newPassedSocket(t)
 	http.DefaultTransport.(*http.Transport).CloseIdleConnections()
 	launch := func() (*exec.Cmd, func() bool) {
-		cmd, health := socket.launch(t, config("127.0.0.1:1")) // an address that it could not listen on
+		cmd, health := socket.launch(t, configText("127.0.0.1:1")) // an address that it could not listen on
 		return cmd, func() bool { return health() == http.StatusOK }
 	}
 	clients := func() bool { // over a connection that is kept, unlike code's
@@ -269,9 +269,9 @@
 // A second process that never becomes ready takes no client from the first.
 func TestProcessThatIsNeverReadyTakesNobody(t *testing.T) {
 	socket := newPassedSocket(t)
-	_, first := socket.launch(t, config("127.0.0.1:1"))
+	_, first := socket.launch(t, configText("127.0.0.1:1"))
 	await(t, "the first process to be ready", func() bool { return first() == http.StatusOK })
-	known := config("127.0.0.1:1")
+	known := configText("127.0.0.1:1")
 	from, to := strings.Index(known, `[{"host"`), strings.Index(known, `]},`)
 	cmd, second := socket.launch(t, known[:from+1]+known[to:])
 	await(t, "the second process to answer", func() bool { return second() == http.StatusServiceUnavailable })
--- a/cmd/sidecar/reload_test.go
+++ b/cmd/sidecar/reload_test.go
@@ -104,7 +104,7 @@
 // A class that is added to the file is answered after SIGHUP; a file cut short changes nothing.
 func TestReloadedClassIsAnswered(t *testing.T) {
 	listen := freeAddress(t)
-	text := withEndpoint(t, config(listen))
+	text := withEndpoint(t, configText(listen))
 	p := launch(t, command(t, text))
 	await(t, "the program to be ready", func() bool { return code("http://"+listen+"/health/ready") == http.StatusOK })
 	if n := p.log.count("generation=1"); n != 1 || ask(t, listen, "search") != http.StatusBadRequest {
@@ -128,7 +128,7 @@
 // SIGHUP during the start leads to the file as it is by then.
 func TestSignalDuringTheStart(t *testing.T) {
 	listen := freeAddress(t)
-	text := withEndpoint(t, config(listen))
+	text := withEndpoint(t, configText(listen))
 	cmd := command(t, text)
 	path := filepath.Join(t.TempDir(), "pipe")
 	if err := syscall.Mkfifo(path, 0o600); err != nil {
@@ -161,7 +161,7 @@
 		t.Fatal(err)
 	}
 	defer file.Close()
-	shared, text := t.TempDir(), withEndpoint(t, config("127.0.0.1:1"))
+	shared, text := t.TempDir(), withEndpoint(t, configText("127.0.0.1:1"))
 	begin := func() *program {
 		second := freeAddress(t)
 		cmd := command(t, text)
--- a/cmd/sidecar/termination_test.go
+++ b/cmd/sidecar/termination_test.go
@@ -49,7 +49,7 @@
 	for i := range hosts {
 		hosts[i] = fmt.Sprintf(`{"host":"s-%d","dial":%q,"site":"a","health":"Ready","share":1}`, i, endpoint)
 	}
-	text := config(listen)
+	text := configText(listen)
 	from, to := strings.Index(text, `[{"host"`), strings.Index(text, `]},`)
 	text = text[:from+1] + strings.Join(hosts, ",") + text[to:]
 	return strings.Replace(text, `"classes":[{"name":"read","repeat":"pure","target":600000,"give-up":1000000}]`,
--- a/internal/sidecar/config.go
+++ b/internal/config/config.go
@@ -1,8 +1,6 @@
-// Package sidecar runs a balancer.Balancer on real sockets: one HTTP server
-// for the application, connections to endpoints, and a watch of discovery.
-// Every decision is the balancer's; this package carries it out and reports
-// what came of it.
-package sidecar
+// Package config reads the configuration of a sidecar from its file and the environment, compares configurations,
+// and numbers the one in force. It opens no sockets and takes no decisions.
+package config
 
 import (
 	"bytes"
@@ -16,6 +14,8 @@
 	"time"
 
 	"oakproxy/balancer"
+	"oakproxy/internal/discovery"
+	"oakproxy/internal/system"
 	"oakproxy/internal/wire"
 )
 
@@ -32,16 +32,16 @@
 	Settings  balancer.Settings
 	Host      Host
 
-	known  registry
-	zones  []string // names, by the numbers that the balancer uses
-	kinds  []string
-	fields []string      // of a load report, in the order of Settings.Fields
-	idle   time.Duration // after which an endpoint may close a connection
+	KnownEndpoints discovery.List
+	Zones          []string // names, by the numbers that the balancer uses
+	MachineKinds   []string
+	ReportFields   []string      // of a load report, in the order of Settings.Fields
+	IdleTimeout    time.Duration // after which an endpoint may close a connection
 
-	wait time.Duration                                                        // that a call of discovery waits for news; 0: by the settings
-	dial func(ctx context.Context, network, address string) (net.Conn, error) // discovery; nil: by the network
+	DiscoveryWait time.Duration                                                        // that a call of discovery waits for news; 0: by the settings
+	DiscoveryDial func(ctx context.Context, network, address string) (net.Conn, error) // discovery; nil: by the network
 
-	fault error // why it could not be read; nil where it could
+	Err error // why it could not be read; nil where it could
 }
 
 // Limits is what the platform grants a sidecar.
@@ -57,15 +57,15 @@
 // sidecar while all else is the same.
 const adminVar = "BALANCER_ADMIN_ADDR"
 
-// passedVar names the descriptor of the clients' listening socket, where the
+// InheritedSocketVariable names the descriptor of the clients' listening socket, where the
 // platform holds that and every process of the sidecar inherits it.
-const passedVar = "BALANCER_PASSED_SOCKET"
+const InheritedSocketVariable = "BALANCER_PASSED_SOCKET"
 
 // Load reads a configuration file, and what the environment adds to it. Its
 // errors name the key or variable at fault.
 func Load(path string) (*Config, error) {
 	var data []byte
-	err := retryAtStart(context.Background(), func() (err error) {
+	err := system.RetryAtStart(context.Background(), func() (err error) {
 		data, err = os.ReadFile(path)
 		return err
 	})
@@ -79,16 +79,16 @@
 	if own := os.Getenv(adminVar); own != "" {
 		cfg.Admin = own
 	}
-	if err := checkAdmin(cfg.Admin); err != nil {
+	if err := CheckAdminAddress(cfg.Admin); err != nil {
 		return nil, err
 	}
-	cfg.Passed = os.Getenv(passedVar)
-	cfg.Host = ownProcess()
+	cfg.Passed = os.Getenv(InheritedSocketVariable)
+	cfg.Host = OwnProcessHost()
 	return cfg, nil
 }
 
-// checkAdmin accepts an address to listen on, or none.
-func checkAdmin(address string) error {
+// CheckAdminAddress accepts an address to listen on, or none.
+func CheckAdminAddress(address string) error {
 	if _, _, err := net.SplitHostPort(address); err != nil && address != "" {
 		return fmt.Errorf("admin_addr: %q is not host:port", address)
 	}
@@ -132,7 +132,7 @@
 	cfg := &Config{Name: file.Name, Listen: file.Listen, Discovery: file.Discovery, Admin: file.Admin,
 		Seed: seed, Limits: file.Limits}
 	if len(file.Known) > 0 && string(file.Known) != "null" {
-		if err := json.Unmarshal(file.Known, &cfg.known); err != nil {
+		if err := json.Unmarshal(file.Known, &cfg.KnownEndpoints); err != nil {
 			return nil, fmt.Errorf("known: %w", err)
 		}
 	}
@@ -185,8 +185,8 @@
 	if c.Settings.Limits.DialTimeout <= 0 {
 		return fmt.Errorf("limits.dial-timeout: %d is not positive", c.Settings.Limits.DialTimeout)
 	}
-	c.zones, c.kinds, c.fields = own.Areas, own.Skus, own.Reporting.Fields
-	c.idle = time.Duration(own.Limits.Keepalive) * time.Microsecond
+	c.Zones, c.MachineKinds, c.ReportFields = own.Areas, own.Skus, own.Reporting.Fields
+	c.IdleTimeout = time.Duration(own.Limits.Keepalive) * time.Microsecond
 	return nil
 }
 
--- a/internal/sidecar/config_test.go
+++ b/internal/config/config_test.go
@@ -1,4 +1,4 @@
-package sidecar
+package config
 
 import (
 	"os"
@@ -7,6 +7,7 @@
 	"testing"
 
 	"oakproxy/balancer"
+	"oakproxy/internal/sidecartest"
 )
 
 // A configuration that makes no sense stops the program with the key at fault.
@@ -14,7 +15,7 @@
 	good := `{"name":"n3","listen":"127.0.0.1:1","discovery":"127.0.0.1:2","seed":"8c1f30d27a5be964",` +
 		`"limits":{"cores":1.0,"memory_mb":192,"sockets":1024},` +
 		`"known":{"seq":4,"whole":true,"hosts":[{"host":"s-1","dial":"127.0.0.1:3","health":"Ready"}]},` +
-		`"settings":` + settingsText + `}`
+		`"settings":` + sidecartest.SettingsText + `}`
 	if cfg, err := Parse([]byte(good)); err != nil {
 		t.Fatal(err)
 	} else if cfg.Settings.Limits.MaxRetryAfter != 1_500_000 || len(cfg.Settings.Classes) != 4 ||
--- a/internal/sidecar/host.go
+++ b/internal/config/host.go
@@ -1,8 +1,10 @@
-package sidecar
+package config
 
 import (
 	"os"
 	"runtime/debug"
+
+	"oakproxy/internal/system"
 )
 
 // Host is what a sidecar may use of the process that it runs in. The zero Host is that of a
@@ -12,11 +14,11 @@
 	Directory   string            // of the files that the processes of one sidecar share
 	LimitMemory func(bytes int64) // sets the memory limit of the process; may be nil
 
-	Files FileOps // may fail
-	Time  Clock   // may be stepped
+	Files system.FileOps // may fail
+	Time  system.Clock   // may be stepped
 }
 
-// ownProcess is the host of a sidecar that has its process to itself.
-func ownProcess() Host {
+// OwnProcessHost is the host of a sidecar that has its process to itself.
+func OwnProcessHost() Host {
 	return Host{Directory: os.TempDir(), LimitMemory: func(bytes int64) { debug.SetMemoryLimit(bytes) }}
 }
--- a/internal/sidecar/reread.go
+++ b/internal/config/reread.go
@@ -1,4 +1,4 @@
-package sidecar
+package config
 
 import (
 	"os"
@@ -17,7 +17,7 @@
 		for range signals {
 			cfg, err := Load(path)
 			if err != nil {
-				cfg = &Config{fault: err}
+				cfg = &Config{Err: err}
 			}
 			configs <- cfg
 			time.Sleep(rereadPause)
--- a/internal/sidecar/reread_test.go
+++ b/internal/config/reread_test.go
@@ -1,6 +1,6 @@
 //go:build go1.25
 
-package sidecar
+package config
 
 import (
 	"fmt"
@@ -11,13 +11,15 @@
 	"testing"
 	"testing/synctest"
 	"time"
+
+	"oakproxy/internal/sidecartest"
 )
 
 // Signals in any number lead to a bounded number of readings, and the last file holds.
 func TestManySignalsAreBounded(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "config.json")
 	write := func(memory int) {
-		text := fmt.Sprintf(`{"listen":"127.0.0.1:0","discovery":"127.0.0.1:1","seed":"1","limits":{"memory_mb":%d,"sockets":256},"settings":%s}`, memory, settingsText)
+		text := fmt.Sprintf(`{"listen":"127.0.0.1:0","discovery":"127.0.0.1:1","seed":"1","limits":{"memory_mb":%d,"sockets":256},"settings":%s}`, memory, sidecartest.SettingsText)
 		if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 			t.Fatal(err)
 		}
--- a/internal/sidecar/snapshot.go
+++ b/internal/config/snapshot.go
@@ -1,4 +1,4 @@
-package sidecar
+package config
 
 import (
 	"crypto/sha256"
@@ -12,43 +12,43 @@
 )
 
 const (
-	firstGeneration = 1 // of the configuration that a sidecar starts with
-	hashBytes       = 6 // of the configuration's hash in log lines
+	FirstGeneration = 1 // of the configuration that a sidecar starts with
+	HashBytes       = 6 // of the configuration's hash in log lines
 )
 
-// snapshot is a configuration in force. It does not change: clients' goroutines read it while the loop goes on to
+// Snapshot is a configuration in force. It does not change: clients' goroutines read it while the loop goes on to
 // the next one.
-type snapshot struct {
+type Snapshot struct {
 	*Config
-	generation int
-	hash       string
-	classes    map[string]uint8  // places in the settings, by name
-	tenants    map[string]uint16 // the same
+	Generation int
+	FileHash   string
+	Classes    map[string]uint8  // places in the settings, by name
+	Tenants    map[string]uint16 // the same
 }
 
-// newSnapshot returns the first configuration of a sidecar.
-func newSnapshot(cfg *Config) *snapshot {
-	s := &snapshot{Config: cfg, generation: firstGeneration, hash: cfg.Hash(),
-		classes: map[string]uint8{}, tenants: map[string]uint16{}}
+// NewSnapshot returns the first configuration of a sidecar.
+func NewSnapshot(cfg *Config) *Snapshot {
+	s := &Snapshot{Config: cfg, Generation: FirstGeneration, FileHash: cfg.Hash(),
+		Classes: map[string]uint8{}, Tenants: map[string]uint16{}}
 	for i, c := range cfg.Settings.Classes {
-		s.classes[c.Name] = uint8(i)
+		s.Classes[c.Name] = uint8(i)
 	}
 	for i, t := range cfg.Settings.Tenants {
-		s.tenants[t.Name] = uint16(i)
+		s.Tenants[t.Name] = uint16(i)
 	}
 	return s
 }
 
-// replacedBy returns the configuration that follows s, with the hash of the file that it is from.
-func (s *snapshot) replacedBy(cfg *Config, hash string) *snapshot {
-	next := newSnapshot(cfg)
-	next.hash = hash
-	next.generation = s.generation + 1
+// ReplacedBy returns the configuration that follows s, with the hash of the file that it is from.
+func (s *Snapshot) ReplacedBy(cfg *Config, hash string) *Snapshot {
+	next := NewSnapshot(cfg)
+	next.FileHash = hash
+	next.Generation = s.Generation + 1
 	return next
 }
 
-// longestDeadline is the longest time that a client waits for an answer.
-func (c *Config) longestDeadline() time.Duration {
+// LongestClientTimeout is the longest time that a client waits for an answer.
+func (c *Config) LongestClientTimeout() time.Duration {
 	var longest balancer.Micros
 	for _, class := range c.Settings.Classes {
 		longest = max(longest, class.ClientTimeout)
@@ -67,7 +67,7 @@
 }
 
 func (c *Config) shared() shared {
-	return shared{c.Settings, c.Limits.Sockets, c.zones, c.kinds, c.fields, c.idle}
+	return shared{c.Settings, c.Limits.Sockets, c.Zones, c.MachineKinds, c.ReportFields, c.IdleTimeout}
 }
 
 // Hash returns a short hash of what holds at the whole fleet: sidecars that show the same one have the same settings,
@@ -75,28 +75,28 @@
 func (c *Config) Hash() string {
 	fleet := c.shared()
 	fleet.Settings.Zone, fleet.Settings.Index = 0, 0
-	fleet.Zones, fleet.Kinds = slices.Sorted(slices.Values(c.zones)), slices.Sorted(slices.Values(c.kinds))
+	fleet.Zones, fleet.Kinds = slices.Sorted(slices.Values(c.Zones)), slices.Sorted(slices.Values(c.MachineKinds))
 	text, err := json.Marshal(fleet)
 	if err != nil {
 		return "none: " + err.Error() // a figure that is not finite; no file gives one
 	}
 	sum := sha256.Sum256(text)
-	return hex.EncodeToString(sum[:hashBytes])
+	return hex.EncodeToString(sum[:HashBytes])
 }
 
-// equal says whether a running sidecar has nothing to take up of next.
-func (c *Config) equal(next *Config) bool {
+// Equal says whether a running sidecar has nothing to take up of next.
+func (c *Config) Equal(next *Config) bool {
 	return c.Discovery == next.Discovery && reflect.DeepEqual(c.shared(), next.shared())
 }
 
-// succeededBy returns what a sidecar that runs by c takes up of next.
-func (c *Config) succeededBy(next *Config) *Config {
+// Merge returns what a sidecar that runs by c takes up of next.
+func (c *Config) Merge(next *Config) *Config {
 	merged := *c
 	merged.Discovery, merged.Limits.Sockets = next.Discovery, next.Limits.Sockets
-	merged.Settings, merged.fields, merged.idle = next.Settings, next.fields, next.idle
-	merged.zones, merged.kinds = numbered(c.zones, next.zones), numbered(c.kinds, next.kinds)
-	if own := next.Settings.Zone; own >= 0 && own < len(next.zones) {
-		merged.Settings.Zone = slices.Index(merged.zones, next.zones[own])
+	merged.Settings, merged.ReportFields, merged.IdleTimeout = next.Settings, next.ReportFields, next.IdleTimeout
+	merged.Zones, merged.MachineKinds = numbered(c.Zones, next.Zones), numbered(c.MachineKinds, next.MachineKinds)
+	if own := next.Settings.Zone; own >= 0 && own < len(next.Zones) {
+		merged.Settings.Zone = slices.Index(merged.Zones, next.Zones[own])
 	}
 	return &merged
 }
@@ -105,15 +105,15 @@
 func numbered(old, next []string) []string {
 	all := slices.Clone(old)
 	for _, name := range next {
-		if !slices.Contains(all, name) && len(all) < unknownName {
+		if !slices.Contains(all, name) && len(all) < UnknownName {
 			all = append(all, name)
 		}
 	}
 	return all
 }
 
-// needRestart names the keys that differ in next and can't change in a process that runs.
-func (c *Config) needRestart(next *Config) (keys []string) {
+// RestartKeys names the keys that differ in next and can't change in a process that runs.
+func (c *Config) RestartKeys(next *Config) (keys []string) {
 	for _, k := range [...]struct {
 		key  string
 		same bool
@@ -128,8 +128,8 @@
 	return keys
 }
 
-// changed names the parts of c that differ in next.
-func (c *Config) changed(next *Config) (parts []string) {
+// ChangedParts names the parts of c that differ in next.
+func (c *Config) ChangedParts(next *Config) (parts []string) {
 	was, is := &c.Settings, &next.Settings
 	for _, p := range [...]struct {
 		part    string
@@ -138,9 +138,9 @@
 		{"discovery", c.Discovery, next.Discovery}, {"classes", was.Classes, is.Classes},
 		{"tenants", was.Tenants, is.Tenants}, {"settings.limits", was.Limits, is.Limits},
 		{"contract", was.Contract, is.Contract}, {"prices", was.Prices, is.Prices}, {"goal", was.Goal, is.Goal},
-		{"reporting", c.fields, next.fields}, {"areas", c.zones, next.zones}, {"skus", c.kinds, next.kinds},
+		{"reporting", c.ReportFields, next.ReportFields}, {"areas", c.Zones, next.Zones}, {"skus", c.MachineKinds, next.MachineKinds},
 		{"zone", was.Zone, is.Zone}, {"peers-total", was.Balancers, is.Balancers},
-		{"limits.sockets", c.Limits.Sockets, next.Limits.Sockets}, {"keepalive", c.idle, next.idle},
+		{"limits.sockets", c.Limits.Sockets, next.Limits.Sockets}, {"keepalive", c.IdleTimeout, next.IdleTimeout},
 	} {
 		if !reflect.DeepEqual(p.was, p.is) {
 			parts = append(parts, p.part)
@@ -149,21 +149,21 @@
 	return parts
 }
 
-// restartsWatch says whether discovery has to be asked anew under next: elsewhere, at another pace, or since its words
+// ChangesDiscovery says whether discovery has to be asked anew under next: elsewhere, at another pace, or since its words
 // mean something else.
-func (c *Config) restartsWatch(next *Config) bool {
+func (c *Config) ChangesDiscovery(next *Config) bool {
 	was, is := &c.Settings, &next.Settings
 	return c.Discovery != next.Discovery || was.SubscribeToDiscovery != is.SubscribeToDiscovery ||
 		was.Contract.PollInterval != is.Contract.PollInterval || was.Contract.DrainGrace != is.Contract.DrainGrace ||
-		!slices.Equal(c.zones, next.zones) || !slices.Equal(c.kinds, next.kinds)
+		!slices.Equal(c.Zones, next.Zones) || !slices.Equal(c.MachineKinds, next.MachineKinds)
 }
 
-// unknownName numbers a zone or kind that the settings do not list.
-const unknownName = 255
+// UnknownName numbers a zone or kind that the settings do not list.
+const UnknownName = 255
 
-func number(names []string, name string) uint8 {
-	if i := slices.Index(names, name); i >= 0 && i < unknownName {
+func NameIndex(names []string, name string) uint8 {
+	if i := slices.Index(names, name); i >= 0 && i < UnknownName {
 		return uint8(i)
 	}
-	return unknownName
+	return UnknownName
 }
--- /dev/null
+++ b/internal/discovery/doc.go
@@ -0,0 +1,2 @@
+// Package discovery calls the service that lists endpoints, and reads its lists.
+package discovery
--- a/internal/sidecar/list.go
+++ b/internal/discovery/list.go
@@ -1,4 +1,4 @@
-package sidecar
+package discovery
 
 import (
 	"encoding/json"
@@ -9,18 +9,18 @@
 	"time"
 )
 
-// registry is a list of endpoints, or of changes, in discovery's form.
-type registry struct {
-	Seq   uint64 `json:"seq"`
-	Whole bool   `json:"whole"`
-	Hosts []host `json:"hosts"`
+// List is a list of endpoints, or of changes, in discovery's form.
+type List struct {
+	Seq   uint64  `json:"seq"`
+	Whole bool    `json:"whole"`
+	Hosts []Entry `json:"hosts"`
 
-	lost  int       // entries that could not be used
-	fault error     // of the first of them
-	date  time.Time // by the clock of discovery, to the second; zero where it did not say
+	Unusable   int       // entries that could not be used
+	FirstError error     // of the first of them
+	date       time.Time // by the clock of discovery, to the second; zero where it did not say
 }
 
-type host struct {
+type Entry struct {
 	Name   string  `json:"host"`
 	Dial   string  `json:"dial"`
 	Site   string  `json:"site"`
@@ -31,13 +31,13 @@
 	BornMS int64   `json:"born_ms"`
 }
 
-var states = map[string]balancer.EndpointState{
+var States = map[string]balancer.EndpointState{
 	"Ready": balancer.Ready, "Terminating": balancer.Draining, "Gone": balancer.Removed,
 }
 
 // check finds what keeps an entry from being used.
-func (h *host) check() error {
-	state, ok := states[h.Health]
+func (h *Entry) check() error {
+	state, ok := States[h.Health]
 	switch {
 	case h.Name == "":
 		return errors.New("host is missing")
@@ -54,7 +54,7 @@
 // UnmarshalJSON reads a list entry by entry: one that can't be used does not cost the
 // others. An endpoint that it names is left with what it has, as it may no longer be
 // ready. Where no entry can be used, none of them is worth believing.
-func (r *registry) UnmarshalJSON(data []byte) error {
+func (r *List) UnmarshalJSON(data []byte) error {
 	var list struct {
 		Seq   *uint64           `json:"seq"`
 		Whole bool              `json:"whole"`
@@ -66,40 +66,40 @@
 	if list.Seq == nil {
 		return errors.New("seq is missing")
 	}
-	*r = registry{Seq: *list.Seq, Whole: list.Whole, Hosts: make([]host, 0, len(list.Hosts))}
+	*r = List{Seq: *list.Seq, Whole: list.Whole, Hosts: make([]Entry, 0, len(list.Hosts))}
 	for i, raw := range list.Hosts {
-		var h host
+		var h Entry
 		err := json.Unmarshal(raw, &h)
 		if err == nil {
 			err = h.check()
 		}
 		if err != nil {
-			if r.lost++; r.fault == nil {
-				r.fault = fmt.Errorf("hosts[%d]: %w", i, err)
+			if r.Unusable++; r.FirstError == nil {
+				r.FirstError = fmt.Errorf("hosts[%d]: %w", i, err)
 			}
 			if h.Name == "" {
 				continue
 			}
-			h = host{Name: h.Name, Health: "Terminating"}
+			h = Entry{Name: h.Name, Health: "Terminating"}
 		}
 		r.Hosts = append(r.Hosts, h)
 	}
-	if r.lost > 0 && r.lost == len(list.Hosts) {
-		return fmt.Errorf("no entry can be used: %w", r.fault)
+	if r.Unusable > 0 && r.Unusable == len(list.Hosts) {
+		return fmt.Errorf("no entry can be used: %w", r.FirstError)
 	}
 	return nil
 }
 
-// minSkew is how far the clocks of discovery and of this process must be apart to be told so: discovery's date is cut to
+// MinSkew is how far the clocks of discovery and of this process must be apart to be told so: discovery's date is cut to
 // the second, and its answer takes a while.
-const minSkew = 2 * time.Second
+const MinSkew = 2 * time.Second
 
-// skew is how far the clock by which a list tells starts is ahead of the loop's, as far as the list lets it be known.
-func (r *registry) skew(now balancer.Micros) balancer.Micros {
+// ClockSkew is how far the clock by which a list tells starts is ahead of the loop's, as far as the list lets it be known.
+func (r *List) ClockSkew(now balancer.Micros) balancer.Micros {
 	if r.date.IsZero() {
 		return 0
 	}
-	if skew := r.date.UnixMicro() - now; skew > minSkew.Microseconds() || skew < -minSkew.Microseconds() {
+	if skew := r.date.UnixMicro() - now; skew > MinSkew.Microseconds() || skew < -MinSkew.Microseconds() {
 		return skew
 	}
 	return 0
--- a/internal/sidecar/body.go
+++ b/internal/downstream/body.go
@@ -1,33 +1,35 @@
-package sidecar
+package downstream
 
 import (
 	"io"
-	"net/http"
 	"time"
+
+	"oakproxy/internal/httpmsg"
+	"oakproxy/internal/system"
 )
 
 const (
 	maxSmallRequestTime = 2600 * time.Millisecond // for a request that is small, however slowly it comes; of a larger body,
 	bodyGrace           = 900 * time.Millisecond  // a client may be so far behind minBodyRate
 	minBodyRate         = 32 << 10                // bytes a second: slow ones write twice that
-	maxLinger           = 2 * time.Second         // for a client that is turned away unheard to write on
+	MaxLinger           = 2 * time.Second         // for a client that is turned away unheard to write on
 )
 
 // paced reads a client's body, within a limit on its size and on the time: that for
 // any request, or how far it may fall behind the pace of a slow client, of which only
 // the time spent waiting for it counts.
 type paced struct {
-	conn      *clientConn
+	conn      *Conn
 	body      io.Reader
 	small     time.Time
 	allowance time.Duration
 	left      int64
 }
 
-func newPaced(c *clientConn, body io.Reader) *paced {
+func NewBody(c *Conn, body io.Reader) *paced {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return &paced{c, body, c.begun.Add(maxSmallRequestTime), bodyGrace, maxBodyBytes}
+	return &paced{c, body, c.begun.Add(maxSmallRequestTime), bodyGrace, httpmsg.MaxBodyBytes}
 }
 
 func (p *paced) Read(b []byte) (int, error) {
@@ -41,7 +43,7 @@
 	earned := time.Duration(n) * time.Second / minBodyRate
 	p.allowance = min(bodyGrace, p.allowance-time.Since(began)+earned)
 	if p.left -= int64(n); p.left < 0 {
-		return 0, &badRequest{http.StatusRequestEntityTooLarge, tooLarge}
+		return 0, ErrBodyTooLarge
 	}
 	return n, err
 }
@@ -50,8 +52,8 @@
 // with something unread, the connection would be reset, and the client would find
 // that and not its answer.
 func (p *paced) Discard(most time.Duration) {
-	piece := pieces.Get().(*[maxPieceBytes]byte)
-	defer pieces.Put(piece)
+	piece := httpmsg.ChunkBuffers.Get().(*[httpmsg.ChunkBytes]byte)
+	defer httpmsg.ChunkBuffers.Put(piece)
 	for end := time.Now().Add(most); time.Now().Before(end); {
 		if _, err := p.Read(piece[:]); err != nil {
 			return
@@ -60,7 +62,7 @@
 }
 
 // LastDataAge returns how long ago the latest bytes came to this machine.
-func (p *paced) LastDataAge() time.Duration { return dataAge(p.conn.Conn) }
+func (p *paced) LastDataAge() time.Duration { return system.LastDataAge(p.conn.Conn) }
 
 // ClientLeft reports whether the client has ended its side of the connection.
-func (p *paced) ClientLeft() bool { return p.conn.hasLeft() }
+func (p *paced) ClientLeft() bool { return p.conn.ClientLeft() }
--- a/internal/sidecar/clientconn.go
+++ b/internal/downstream/clientconn.go
@@ -1,4 +1,4 @@
-package sidecar
+package downstream
 
 import (
 	"container/list"
@@ -8,20 +8,23 @@
 	"os"
 	"sync"
 	"time"
+
+	"oakproxy/internal/httpmsg"
+	"oakproxy/internal/system"
 )
 
-// clientConn is one connection of a client. It carries one request at a time.
-type clientConn struct {
+// Conn is one connection of a client. It carries one request at a time.
+type Conn struct {
 	net.Conn
-	owner   *clients
-	place   *list.Element // in owner.waiting; nil while a request is open
-	drained *list.Element // in owner.closing, once half-closed
-	since   time.Time     // it has waited without a byte
-	asked   bool          // a request has come on it
-	served  int           // requests that have come on it
-	gone    bool          // no longer counted
+	owner    *Listener
+	place    *list.Element // in owner.waiting; nil while a request is open
+	drained  *list.Element // in owner.closing, once half-closed
+	since    time.Time     // it has waited without a byte
+	asked    bool          // a request has come on it
+	Requests int           // requests that have come on it
+	gone     bool          // no longer counted
 
-	accepted time.Time
+	AcceptedAt time.Time
 
 	mu      sync.Mutex    // net/http reads on while a handler runs
 	evicted bool          // it had to make room: what comes now is not read
@@ -31,7 +34,7 @@
 	inHand  bool          // a whole request has come and its answer has not begun
 	behind  bool          // something came behind that request, which nobody will answer
 	left    chan struct{} // closed when the client ends its side behind that; nil before
-	head    headScan
+	head    httpmsg.HeadScanner
 	begun   time.Time // of the request that is being read: of the first one with the connection
 	readBy  time.Time // the deadline that net/http has set
 	expired bool      // it is to end unless something has come
@@ -43,20 +46,20 @@
 
 // expire ends a connection on which nothing has come since its last request. It
 // wakes the read that waits there, and Read has the last word.
-func (c *clientConn) expire() {
+func (c *Conn) expire() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.head.size == 0 {
+	if c.head.Size == 0 {
 		c.expired = true
 		c.Conn.SetReadDeadline(time.Unix(1, 0))
 	}
 }
 
 // interrupt ends the read of a request that has come in part.
-func (c *clientConn) interrupt() {
+func (c *Conn) interrupt() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.head.size > 0 {
+	if c.head.Size > 0 {
 		c.interrupted = true
 		c.Conn.SetReadDeadline(time.Unix(1, 0))
 	}
@@ -64,14 +67,14 @@
 
 // spared says that a connection which was to end has got something to read after
 // all: closed now, it would take a request along.
-func (c *clientConn) spared() bool {
+func (c *Conn) spared() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if !c.expired {
 		return false // the deadline was net/http's own
 	}
 	c.expired = false
-	if c.head.size == 0 && !readable(c.Conn) || !c.readBy.IsZero() && !time.Now().Before(c.readBy) {
+	if c.head.Size == 0 && !system.Readable(c.Conn) || !c.readBy.IsZero() && !time.Now().Before(c.readBy) {
 		c.swept = true
 		return false
 	}
@@ -79,7 +82,7 @@
 	return true
 }
 
-func (c *clientConn) SetReadDeadline(t time.Time) error {
+func (c *Conn) SetReadDeadline(t time.Time) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.readBy = t
@@ -89,31 +92,31 @@
 // giveWay says whether a connection carries nothing and may be closed for another: with
 // nothing to read, and less than a head read since its last request.
 // From then on nothing is read of it: a request that crosses is the client's to repeat.
-func (c *clientConn) giveWay() bool {
+func (c *Conn) giveWay() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.head.end > 0 || readable(c.Conn) {
+	if c.head.HeadSize > 0 || system.Readable(c.Conn) {
 		return false
 	}
 	c.evicted = true
 	return true
 }
 
-// take marks that a whole request has come, with something behind it or not. Until its
+// AwaitResponse marks that a whole request has come, with something behind it or not. Until its
 // answer begins, the client's end is looked for behind whatever else comes: it sends one
 // request at a time, and net/http, which would tell of the end, reads but one byte.
-func (c *clientConn) take(alone bool) (left <-chan struct{}) {
+func (c *Conn) AwaitResponse(alone bool) (left <-chan struct{}) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.inHand, c.left = true, make(chan struct{})
-	if !alone || c.head.size > 0 {
+	if !alone || c.head.Size > 0 {
 		c.readBehind()
 	}
 	return c.left
 }
 
-// give marks that the answer begins, and says whether something came behind the request.
-func (c *clientConn) give() (behind bool) {
+// BeginResponse marks that the answer begins, and says whether something came behind the request.
+func (c *Conn) BeginResponse() (behind bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.inHand = false
@@ -122,7 +125,7 @@
 
 // readBehind reads on until the client ends its side or the connection is closed, which
 // it is after the answer. It holds c.mu.
-func (c *clientConn) readBehind() {
+func (c *Conn) readBehind() {
 	if c.behind {
 		return
 	}
@@ -139,7 +142,7 @@
 }
 
 // drain reads so many bytes and forgets them, or returns the error that ended that.
-func (c *clientConn) drain(most int) error {
+func (c *Conn) drain(most int) error {
 	var piece [1 << 10]byte
 	for most > 0 {
 		n, err := c.Conn.Read(piece[:])
@@ -151,34 +154,34 @@
 	return nil
 }
 
-// hasLeft says that the client has ended its side, also behind bytes that were not read yet.
-func (c *clientConn) hasLeft() bool {
+// ClientLeft says that the client has ended its side, also behind bytes that were not read yet.
+func (c *Conn) ClientLeft() bool {
 	c.mu.Lock()
 	known := c.ended
 	c.mu.Unlock()
 	if known {
 		return true
 	}
-	switch peek(c.Conn) {
-	case PeekClosed:
+	switch system.Peek(c.Conn) {
+	case system.PeekClosed:
 		return true
-	case PeekData:
-		return PeerClosed(c.Conn)
+	case system.PeekData:
+		return system.PeerClosed(c.Conn)
 	}
 	return false
 }
 
 // boundBuffer bounds what the system takes of an answer before the client does, so
 // that a write tells in time whether the client still reads.
-func (c *clientConn) boundBuffer(size int) {
+func (c *Conn) boundBuffer(size int) {
 	if t, ok := c.Conn.(*net.TCPConn); ok {
 		t.SetWriteBuffer(size)
 	}
 }
 
-// cut has the connection end in a reset, so that what it carried is not taken for
+// ResetOnClose has the connection end in a reset, so that what it carried is not taken for
 // whole where only its end would tell.
-func (c *clientConn) cut() {
+func (c *Conn) ResetOnClose() {
 	c.mu.Lock()
 	c.resets = true
 	c.mu.Unlock()
@@ -188,7 +191,7 @@
 }
 
 // leave ends the counting of a connection. It holds owner.mu.
-func (c *clientConn) leave() {
+func (c *Conn) leave() {
 	if c.gone {
 		return
 	}
@@ -212,10 +215,10 @@
 // has not read yet would go with it: the sidecar ends its side, waits until the client has
 // ended its own, for a while, and closes then. It reads nothing any more: a request that
 // crosses is not taken, and its client may send it again.
-func (c *clientConn) Close() error { return c.closeFor(c.reason()) }
+func (c *Conn) Close() error { return c.closeFor(c.reason()) }
 
 // reason says why net/http closes the connection now.
-func (c *clientConn) reason() closeReason {
+func (c *Conn) reason() closeReason {
 	c.owner.mu.Lock()
 	waiting := c.place != nil
 	c.owner.mu.Unlock()
@@ -235,10 +238,10 @@
 }
 
 // closeFor closes the connection and counts why.
-func (c *clientConn) closeFor(reason closeReason) error {
+func (c *Conn) closeFor(reason closeReason) error {
 	c.mu.Lock()
 	again, now := c.closed, c.resets || c.ended || c.evicted
-	counted, partial := c.evicted, c.interrupted && c.head.size > 0 && c.head.end == 0 && !c.replied
+	counted, partial := c.evicted, c.interrupted && c.head.Size > 0 && c.head.HeadSize == 0 && !c.replied
 	c.closed = true
 	c.mu.Unlock()
 	if again {
@@ -257,21 +260,21 @@
 	}
 	go func() {
 		c.Conn.SetReadDeadline(time.Now().Add(closeDrain))
-		AwaitPeerClosed(c.Conn)
+		system.AwaitPeerClosed(c.Conn)
 		c.finish()
 	}()
 	return nil
 }
 
 // finish ends the counting of a connection and gives its descriptor back.
-func (c *clientConn) finish() error {
+func (c *Conn) finish() error {
 	c.owner.mu.Lock()
 	c.leave()
 	c.owner.mu.Unlock()
 	return c.Conn.Close()
 }
 
-func (c *clientConn) Read(p []byte) (int, error) {
+func (c *Conn) Read(p []byte) (int, error) {
 	c.mu.Lock()
 	over := c.evicted || c.closed
 	c.mu.Unlock()
@@ -290,8 +293,8 @@
 		if c.begun.IsZero() {
 			c.begun = time.Now()
 		}
-		c.replied = c.replied && c.head.size > 0
-		c.head.scan(p[:n])
+		c.replied = c.replied && c.head.Size > 0
+		c.head.Scan(p[:n])
 		if n > 0 && c.expired { // it came in the very instant
 			c.expired = false
 			c.Conn.SetReadDeadline(c.readBy)
@@ -308,15 +311,15 @@
 	}
 }
 
-func (c *clientConn) Write(p []byte) (int, error) {
+func (c *Conn) Write(p []byte) (int, error) {
 	c.mu.Lock()
 	c.replied = true
 	c.mu.Unlock()
 	return c.Conn.Write(p)
 }
 
-// begin marks that a request is open; false says that its connection is closed already.
-func (c *clientConn) begin() bool {
+// BeginRequest marks that a request is open; false says that its connection is closed already.
+func (c *Conn) BeginRequest() bool {
 	c.owner.mu.Lock()
 	defer c.owner.mu.Unlock()
 	if c.gone || c.place == nil {
@@ -324,7 +327,7 @@
 	}
 	c.owner.waiting.Remove(c.place)
 	c.place = nil
-	c.served++
+	c.Requests++
 	if !c.asked {
 		c.asked = true
 		c.owner.asked++
@@ -332,18 +335,18 @@
 	return true
 }
 
-// alone says that nothing came behind a request, whose body has this length (-1:
+// RequestRead says that nothing came behind a request, whose body has this length (-1:
 // unknown) and has been read. What is read from here on belongs to the next.
-func (c *clientConn) alone(length int64) bool {
+func (c *Conn) RequestRead(length int64) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	alone := length >= 0 && c.head.size == c.head.end+length
-	c.head, c.begun = headScan{}, time.Time{}
+	alone := length >= 0 && c.head.Size == c.head.HeadSize+length
+	c.head, c.begun = httpmsg.HeadScanner{}, time.Time{}
 	return alone
 }
 
-// done marks that the request has its whole answer.
-func (c *clientConn) done() {
+// EndRequest marks that the request has its whole answer.
+func (c *Conn) EndRequest() {
 	c.owner.mu.Lock()
 	defer c.owner.mu.Unlock()
 	if !c.gone && c.place == nil && c.drained == nil {
@@ -352,9 +355,9 @@
 	}
 }
 
-// ambiguous says whether the request's head states its body's length in two ways.
-func (c *clientConn) ambiguous() bool {
+// AmbiguousLength says whether the request's head states its body's length in two ways.
+func (c *Conn) AmbiguousLength() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.head.lengths > 1 || c.head.lengths > 0 && c.head.coding
+	return c.head.ContentLengths > 1 || c.head.ContentLengths > 0 && c.head.TransferEncoding
 }
--- a/internal/sidecar/closereason.go
+++ b/internal/downstream/closereason.go
@@ -1,4 +1,4 @@
-package sidecar
+package downstream
 
 import (
 	"fmt"
@@ -24,11 +24,11 @@
 
 func (r closeReason) String() string { return closeReasonNames[r] }
 
-// closeCounts counts closed connections by reason.
-type closeCounts [closeReasons]uint64
+// CloseCounts counts closed connections by reason.
+type CloseCounts [closeReasons]uint64
 
-// since returns what was counted after old, as text: the reasons that occurred, with their counts.
-func (c closeCounts) since(old closeCounts) string {
+// Since returns what was counted after old, as text: the reasons that occurred, with their counts.
+func (c CloseCounts) Since(old CloseCounts) string {
 	var parts []string
 	for reason, n := range c {
 		if n > old[reason] {
--- a/internal/sidecar/listener.go
+++ b/internal/downstream/listener.go
@@ -1,4 +1,4 @@
-package sidecar
+package downstream
 
 import (
 	"container/list"
@@ -8,23 +8,25 @@
 	"net"
 	"sync"
 	"time"
+
+	"oakproxy/internal/system"
 )
 
-// clients is the listener of the application's side. It bounds the connections
+// Listener is the listener of the application's side. It bounds the connections
 // as they are accepted: a limit that acts when a request comes would let silent
 // connections use up the descriptors that attempts and discovery need.
-type clients struct {
+type Listener struct {
 	net.Listener
-	log      *slog.Logger // may be nil
-	most     int
-	maxAsked int
+	Log            *slog.Logger // may be nil
+	MaxConnections int
+	MaxUsed        int
 
 	mu      sync.Mutex
 	open    int
 	asked   int       // of those, the ones that a request has come on
 	waiting list.List // of *clientConn, with no whole request; the longest without a byte first
 	closing list.List // of *clientConn, half-closed until the client ends its side; oldest first
-	closes  closeCounts
+	closes  CloseCounts
 	failed  uint64    // accepts
 	logged  time.Time // the latest of them that the log has
 }
@@ -33,7 +35,7 @@
 	closeDrain       = 500 * time.Millisecond // for a client to end its side after the sidecar has
 	maxDrainBytes    = 1 << 20                // bytes read behind a request, to find its client's end
 	rejectionTimeout = 20 * time.Millisecond  // for writing a rejection
-	maxRejected      = 4                      // connections beyond the limit that are told so; out of socketSpare
+	MaxRejected      = 4                      // connections beyond the limit that are told so; out of socketSpare
 	rejection        = "HTTP/1.1 503 Service Unavailable\r\nConnection: close\r\nRetry-After: 1\r\nContent-Length: 0\r\n\r\n"
 )
 
@@ -41,19 +43,19 @@
 // room: one that is being closed, or the one that has been silent for longest, whether idle
 // or half-way through a head: a slow client goes on writing. Where all have a request open
 // or something to read, the new one is told that there is no room.
-func (l *clients) Accept() (net.Conn, error) {
+func (l *Listener) Accept() (net.Conn, error) {
 	for {
 		raw, err := l.Listener.Accept()
-		if errors.Is(err, net.ErrClosed) || isOneOf(err, brokenListener) {
+		if errors.Is(err, net.ErrClosed) || system.IsErrno(err, system.FatalAcceptErrors) {
 			return nil, err
 		}
 		if err != nil { // of this moment, or of one connection: net/http would end the service for some of them
 			l.acceptFailed(err)
-			time.Sleep(acceptPause)
+			time.Sleep(system.AcceptRetryDelay)
 			continue
 		}
 		accepted := time.Now()
-		c := &clientConn{Conn: raw, owner: l, accepted: accepted, begun: accepted}
+		c := &Conn{Conn: raw, owner: l, AcceptedAt: accepted, begun: accepted}
 		switch l.admit(c) {
 		case admitted:
 			return c, nil
@@ -77,15 +79,15 @@
 )
 
 // admit counts a new connection in and closes those that must go for it.
-func (l *clients) admit(c *clientConn) admission {
+func (l *Listener) admit(c *Conn) admission {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	for l.open >= l.most && l.evict() {
+	for l.open >= l.MaxConnections && l.evict() {
 	}
-	if l.open >= l.most+maxRejected {
+	if l.open >= l.MaxConnections+MaxRejected {
 		return dropped
 	}
-	room := l.open < l.most
+	room := l.open < l.MaxConnections
 	l.open++
 	c.since = time.Now()
 	if !room {
@@ -96,15 +98,15 @@
 }
 
 // evict closes one connection that carries nothing. It holds l.mu.
-func (l *clients) evict() bool {
+func (l *Listener) evict() bool {
 	if e := l.closing.Front(); e != nil {
-		c := e.Value.(*clientConn)
+		c := e.Value.(*Conn)
 		c.leave()
 		c.Conn.Close()
 		return true
 	}
 	for e := l.waiting.Front(); e != nil; e = e.Next() {
-		if c := e.Value.(*clientConn); c.giveWay() {
+		if c := e.Value.(*Conn); c.giveWay() {
 			l.closes[closedForRoom]++
 			c.leave()
 			c.Conn.Close()
@@ -114,61 +116,61 @@
 	return false
 }
 
-// limit sets the most connections, and has silent ones beyond that end.
-func (l *clients) limit(most, maxAsked int) {
+// SetLimits sets the most connections, and has silent ones beyond that end.
+func (l *Listener) SetLimits(most, maxAsked int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.most, l.maxAsked = most, maxAsked
+	l.MaxConnections, l.MaxUsed = most, maxAsked
 	over := l.open - most
 	for e := l.waiting.Front(); e != nil && over > 0; e = e.Next() {
-		e.Value.(*clientConn).expire()
+		e.Value.(*Conn).expire()
 		over--
 	}
 }
 
-// crowded says that so many connections have been asked on that answers should
+// Crowded says that so many connections have been asked on that answers should
 // end theirs. Some clients ask once and keep the connection for good, and clients
 // may hold only so many: kept here, these would leave none for the next request.
-func (l *clients) crowded() bool {
+func (l *Listener) Crowded() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.asked > l.maxAsked
+	return l.asked > l.MaxUsed
 }
 
-// count returns the number of open connections.
-func (l *clients) count() int {
+// Count returns the number of open connections.
+func (l *Listener) Count() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.open
 }
 
 // acceptFailed counts a failed accept, and records one a second at most.
-func (l *clients) acceptFailed(err error) {
+func (l *Listener) acceptFailed(err error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.failed++
-	if l.log != nil && time.Since(l.logged) >= time.Second {
+	if l.Log != nil && time.Since(l.logged) >= time.Second {
 		l.logged = time.Now()
-		l.log.Warn("accept failed", "error", err, "total_failures", l.failed)
+		l.Log.Warn("accept failed", "error", err, "total_failures", l.failed)
 	}
 }
 
 // closed counts a connection that ended for this reason.
-func (l *clients) closed(reason closeReason) {
+func (l *Listener) closed(reason closeReason) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.closes[reason]++
 }
 
-// closeCounts returns the connections closed so far, by reason.
-func (l *clients) closeCounts() closeCounts {
+// CloseCounts returns the connections closed so far, by reason.
+func (l *Listener) CloseCounts() CloseCounts {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.closes
 }
 
 // heard marks that a connection was not silent just now.
-func (l *clients) heard(c *clientConn) {
+func (l *Listener) heard(c *Conn) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if c.place != nil {
@@ -177,13 +179,13 @@
 	}
 }
 
-// sweep has connections end that have had no request open for so long: those that
+// CloseIdle has connections end that have had no request open for so long: those that
 // requests came on for quiet, others for silent. A request that crosses is taken.
-func (l *clients) sweep(quiet, silent time.Duration) {
+func (l *Listener) CloseIdle(quiet, silent time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for e := l.waiting.Front(); e != nil; e = e.Next() {
-		c := e.Value.(*clientConn)
+		c := e.Value.(*Conn)
 		least := silent
 		if c.asked {
 			least = quiet
@@ -194,17 +196,17 @@
 	}
 }
 
-// refusePartial ends connections on which a request has come in part and no more than that, with a refusal.
-func (l *clients) refusePartial() {
+// RejectPartial ends connections on which a request has come in part and no more than that, with a refusal.
+func (l *Listener) RejectPartial() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for e := l.waiting.Front(); e != nil; e = e.Next() {
-		e.Value.(*clientConn).interrupt()
+		e.Value.(*Conn).interrupt()
 	}
 }
 
 // drainLater marks that a connection is half-closed, unless it is closed already.
-func (l *clients) drainLater(c *clientConn) bool {
+func (l *Listener) drainLater(c *Conn) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if c.gone {
@@ -218,21 +220,21 @@
 	return true
 }
 
-// limits returns the bounds in force: on connections, and on those that a request has come on.
-func (l *clients) limits() (most, maxAsked int) {
+// Limits returns the bounds in force: on connections, and on those that a request has come on.
+func (l *Listener) Limits() (most, maxAsked int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.most, l.maxAsked
+	return l.MaxConnections, l.MaxUsed
 }
 
-// partialBytes returns how many bytes have come of requests that are not whole yet.
-func (l *clients) partialBytes() (bytes int64) {
+// PartialBytes returns how many bytes have come of requests that are not whole yet.
+func (l *Listener) PartialBytes() (bytes int64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for e := l.waiting.Front(); e != nil; e = e.Next() {
-		c := e.Value.(*clientConn)
+		c := e.Value.(*Conn)
 		c.mu.Lock()
-		bytes += c.head.size
+		bytes += c.head.Size
 		c.mu.Unlock()
 	}
 	return bytes
--- a/internal/sidecar/listener_test.go
+++ b/internal/downstream/listener_test.go
@@ -1,4 +1,4 @@
-package sidecar
+package downstream
 
 import (
 	"errors"
@@ -12,6 +12,9 @@
 	"syscall"
 	"testing"
 	"time"
+
+	"oakproxy/internal/sidecartest"
+	"oakproxy/internal/system"
 )
 
 // The errors that accept(2) documents for a moment's trouble end neither the listener of clients nor that of
@@ -26,7 +29,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			l := &clients{Listener: &faultyListener{Listener: inner, errors: slices.Repeat([]error{errno}, 5)}, most: 4, maxAsked: 4}
+			l := &Listener{Listener: &sidecartest.FaultyListener{Listener: inner, Errors: slices.Repeat([]error{errno}, 5)}, MaxConnections: 4, MaxUsed: 4}
 			server := &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {})}
 			ended := make(chan error, 1)
 			go func() { ended <- server.Serve(l) }()
@@ -59,8 +62,8 @@
 			t.Parallel()
 			err := &net.OpError{Op: "read", Net: "tcp", Err: os.NewSyscallError("read", errno)}
 			conn := &brokenConn{err: err}
-			var c clientConn
-			c.Conn, c.owner = conn, &clients{}
+			var c Conn
+			c.Conn, c.owner = conn, &Listener{}
 			if _, got := c.Read(make([]byte, 1)); !errors.Is(got, errno) {
 				t.Errorf("the read ended with %v", got)
 			}
@@ -74,7 +77,7 @@
 // door is a listener of clients, and the two sides of what is accepted.
 type door struct {
 	t *testing.T
-	*clients
+	*Listener
 }
 
 func newDoor(t *testing.T, most int) *door {
@@ -82,31 +85,31 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	d := &door{t, &clients{Listener: listener, most: most}}
+	d := &door{t, &Listener{Listener: listener, MaxConnections: most}}
 	t.Cleanup(func() { d.Close() })
 	return d
 }
 
 // pair opens a connection that is accepted.
-func (d *door) pair() (client *net.TCPConn, c *clientConn) {
+func (d *door) pair() (client *net.TCPConn, c *Conn) {
 	d.t.Helper()
 	conn, err := net.Dial("tcp", d.Addr().String())
 	if err != nil {
 		d.t.Fatal(err)
 	}
 	d.t.Cleanup(func() { conn.Close() })
-	conn.SetDeadline(time.Now().Add(patience))
+	conn.SetDeadline(time.Now().Add(sidecartest.Patience))
 	got, err := d.Accept()
 	if err != nil {
 		d.t.Fatal(err)
 	}
-	return conn.(*net.TCPConn), got.(*clientConn)
+	return conn.(*net.TCPConn), got.(*Conn)
 }
 
 // comes waits until something written by the client can be read.
-func comes(t *testing.T, c *clientConn) {
+func comes(t *testing.T, c *Conn) {
 	t.Helper()
-	await(t, "the client's bytes", func() bool { return readable(c.Conn) })
+	sidecartest.Await(t, "the client's bytes", func() bool { return system.Readable(c.Conn) })
 }
 
 // What a client sends in the instant of a close is not read as a request and takes no
@@ -115,13 +118,13 @@
 	const answer = "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\ndone"
 	for what, sent := range map[string]string{
 		"half a line":        "GET /re",
-		"a whole request":    readHead + "X-Correlation-Id: 2\r\n\r\n",
+		"a whole request":    sidecartest.ReadHead + "X-Correlation-Id: 2\r\n\r\n",
 		"more than a buffer": strings.Repeat("x", 100<<10),
 	} {
 		t.Run(what, func(t *testing.T) {
 			d := newDoor(t, 2)
 			client, c := d.pair()
-			c.begin()
+			c.BeginRequest()
 			io.WriteString(client, sent)
 			comes(t, c)
 			io.WriteString(c, answer)
@@ -135,7 +138,7 @@
 				t.Error("something was read after the close")
 			}
 			client.Close()
-			await(t, "the end of the connection", func() bool { return d.count() == 0 })
+			sidecartest.Await(t, "the end of the connection", func() bool { return d.Count() == 0 })
 			if n := reads.bytes.Load(); n > 0 {
 				t.Errorf("%d bytes that crossed the close were read", n)
 			}
@@ -172,11 +175,11 @@
 func TestRequestsDoNotMakeRoom(t *testing.T) {
 	d := newDoor(t, 3)
 	client, first := d.pair()
-	io.WriteString(client, readHead+"\r\n")
+	io.WriteString(client, sidecartest.ReadHead+"\r\n")
 	comes(t, first)
 	_, idle := d.pair()
 	client, read := d.pair()
-	io.WriteString(client, readHead+"\r\n")
+	io.WriteString(client, sidecartest.ReadHead+"\r\n")
 	comes(t, read)
 	if _, err := read.Read(make([]byte, 1<<10)); err != nil { // whole, and its handler is on the way
 		t.Fatal(err)
@@ -185,10 +188,10 @@
 	if first.gone || !idle.gone || read.gone {
 		t.Fatalf("gone: the unread %v, the idle %v, the read %v", first.gone, idle.gone, read.gone)
 	}
-	if !read.begin() {
+	if !read.BeginRequest() {
 		t.Error("a request that was read whole is not taken")
 	}
-	another.begin()
+	another.BeginRequest()
 	ended := make(chan string)
 	go func() {
 		conn, err := net.Dial("tcp", d.Addr().String())
@@ -197,7 +200,7 @@
 			return
 		}
 		defer conn.Close()
-		conn.SetDeadline(time.Now().Add(patience))
+		conn.SetDeadline(time.Now().Add(sidecartest.Patience))
 		got, _ := io.ReadAll(conn)
 		ended <- string(got)
 	}()
@@ -205,8 +208,8 @@
 	if got := <-ended; got != rejection {
 		t.Errorf("one more read %q", got)
 	}
-	if n := d.count(); n > d.most+maxRejected {
-		t.Errorf("%d connections, limit %d", n, d.most)
+	if n := d.Count(); n > d.MaxConnections+MaxRejected {
+		t.Errorf("%d connections, limit %d", n, d.MaxConnections)
 	}
 }
 
@@ -215,7 +218,7 @@
 func TestBytesInTheInstantOfAnExpiry(t *testing.T) {
 	d := newDoor(t, 2)
 	client, c := d.pair()
-	io.WriteString(client, readHead+"\r\n")
+	io.WriteString(client, sidecartest.ReadHead+"\r\n")
 	comes(t, c)
 	c.mu.Lock()
 	c.expired = true // as by a sweep between the system's read and the look at what it read
@@ -223,8 +226,8 @@
 	if n, err := c.Read(make([]byte, 1<<10)); n == 0 || err != nil {
 		t.Fatalf("%d bytes, %v", n, err)
 	}
-	c.begin()
-	c.alone(0)
+	c.BeginRequest()
+	c.RequestRead(0)
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.expired {
@@ -236,20 +239,20 @@
 // client's end is found behind that all the same.
 func TestTakeLooksBehindWhatWasRead(t *testing.T) {
 	client, c := newDoor(t, 1).pair()
-	io.WriteString(client, readHead+"\r\nx")
+	io.WriteString(client, sidecartest.ReadHead+"\r\nx")
 	comes(t, c)
 	if _, err := c.Read(make([]byte, 1<<10)); err != nil {
 		t.Fatal(err)
 	}
-	c.begin()
-	left := c.take(c.alone(0))
+	c.BeginRequest()
+	left := c.AwaitResponse(c.RequestRead(0))
 	client.Close()
 	select {
 	case <-left:
-	case <-time.After(patience):
+	case <-time.After(sidecartest.Patience):
 		t.Error("that the client has left is not noticed")
 	}
-	if !c.give() {
+	if !c.BeginResponse() {
 		t.Error("the connection would serve on")
 	}
 }
@@ -260,16 +263,16 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	l := &clients{Listener: listener, most: 1}
+	l := &Listener{Listener: listener, MaxConnections: 1}
 	defer l.Close()
-	accepted := make(chan *clientConn, 2)
+	accepted := make(chan *Conn, 2)
 	go func() {
 		for {
 			c, err := l.Accept()
 			if err != nil {
 				return
 			}
-			accepted <- c.(*clientConn)
+			accepted <- c.(*Conn)
 		}
 	}()
 	dial := func() net.Conn {
@@ -277,12 +280,12 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		conn.SetDeadline(time.Now().Add(patience))
+		conn.SetDeadline(time.Now().Add(sidecartest.Patience))
 		return conn
 	}
 	defer dial().Close()
 	c := <-accepted
-	if !c.begin() {
+	if !c.BeginRequest() {
 		t.Fatal("the first connection is gone")
 	}
 	second := dial()
@@ -290,14 +293,14 @@
 	if got, err := io.ReadAll(second); err != nil || string(got) != rejection {
 		t.Errorf("the second connection: %q, %v; want 503 and its end", got, err)
 	}
-	c.done()
+	c.EndRequest()
 	defer dial().Close()
 	<-accepted
-	if c.begin() {
+	if c.BeginRequest() {
 		t.Error("the first connection takes requests after making room")
 	}
 	c.Close()
-	if n := l.count(); n != 1 {
+	if n := l.Count(); n != 1 {
 		t.Errorf("%d connections are counted, want 1", n)
 	}
 }
@@ -309,9 +312,9 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	l := &clients{Listener: listener, most: 4}
+	l := &Listener{Listener: listener, MaxConnections: 4}
 	defer l.Close()
-	pair := func() (net.Conn, *clientConn) {
+	pair := func() (net.Conn, *Conn) {
 		client, err := net.Dial("tcp", listener.Addr().String())
 		if err != nil {
 			t.Fatal(err)
@@ -321,39 +324,39 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		return client, c.(*clientConn)
+		return client, c.(*Conn)
 	}
-	read := func(c *clientConn) (string, error) {
+	read := func(c *Conn) (string, error) {
 		p := make([]byte, 100)
 		n, err := c.Read(p)
 		return string(p[:n]), err
 	}
 	client, c := pair()
 	io.WriteString(client, "GET")
-	await(t, "the bytes", func() bool { return readable(c.Conn) })
-	l.sweep(0, 0)
+	sidecartest.Await(t, "the bytes", func() bool { return system.Readable(c.Conn) })
+	l.CloseIdle(0, 0)
 	if got, err := read(c); got != "GET" || err != nil {
 		t.Errorf("read %q, %v", got, err)
 	}
-	l.sweep(0, 0) // half a request has come
+	l.CloseIdle(0, 0) // half a request has come
 	io.WriteString(client, " /")
 	if got, err := read(c); got != " /" || err != nil {
 		t.Errorf("the rest: read %q, %v", got, err)
 	}
 	_, c = pair()
-	l.sweep(0, time.Hour)
+	l.CloseIdle(0, time.Hour)
 	if c.expired {
 		t.Error("a new connection ends before its time")
 	}
-	l.sweep(time.Hour, 0)
+	l.CloseIdle(time.Hour, 0)
 	if got, err := read(c); got != "" || !errors.Is(err, os.ErrDeadlineExceeded) {
 		t.Errorf("with nothing there: read %q, %v", got, err)
 	}
 	// net/http wakes its own read in the same way, and must have it back.
 	client, c = pair()
 	io.WriteString(client, "GET")
-	await(t, "the bytes", func() bool { return readable(c.Conn) })
-	l.sweep(0, 0)
+	sidecartest.Await(t, "the bytes", func() bool { return system.Readable(c.Conn) })
+	l.CloseIdle(0, 0)
 	c.SetReadDeadline(time.Unix(1, 0))
 	if got, err := read(c); got != "" || !errors.Is(err, os.ErrDeadlineExceeded) {
 		t.Errorf("woken by net/http: read %q, %v", got, err)
@@ -367,7 +370,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	l := &clients{Listener: listener, most: 3}
+	l := &Listener{Listener: listener, MaxConnections: 3}
 	defer l.Close()
 	pair := func() (net.Conn, net.Conn) {
 		client, err := net.Dial("tcp", listener.Addr().String())
@@ -375,7 +378,7 @@
 			t.Fatal(err)
 		}
 		t.Cleanup(func() { client.Close() })
-		client.SetDeadline(time.Now().Add(patience))
+		client.SetDeadline(time.Now().Add(sidecartest.Patience))
 		c, err := l.Accept()
 		if err != nil {
 			t.Fatal(err)
@@ -406,9 +409,9 @@
 
 // A body may not be larger than the limit.
 func TestBodyOverTheLimitIsAnError(t *testing.T) {
-	p := &paced{conn: &clientConn{Conn: quiet{}}, body: strings.NewReader("123456"), allowance: time.Hour, left: 5}
-	var b *badRequest
-	if _, err := io.ReadAll(p); !errors.As(err, &b) || b.code != http.StatusRequestEntityTooLarge {
+	p := &paced{conn: &Conn{Conn: quiet{}}, body: strings.NewReader("123456"), allowance: time.Hour, left: 5}
+	var b *RequestError
+	if _, err := io.ReadAll(p); !errors.As(err, &b) || b.StatusCode != http.StatusRequestEntityTooLarge {
 		t.Errorf("a body beyond the limit: %v", err)
 	}
 }
--- a/internal/sidecar/relay.go
+++ b/internal/downstream/relay.go
@@ -1,27 +1,29 @@
-package sidecar
+package downstream
 
 import (
 	"io"
 	"net/http"
 	"time"
+
+	"oakproxy/internal/httpmsg"
 )
 
 // sendBuffer is as much of an answer as the socket takes ahead of the client: it must not take longer than pieceTime to leave.
 const sendBuffer = 128 << 10
 
-// pass writes an answer's rest as it comes. An error says that the client has less
+// Relay writes an answer's rest as it comes. An error says that the client has less
 // than the whole.
-func pass(w http.ResponseWriter, c *clientConn, from io.Reader) error {
+func Relay(w http.ResponseWriter, c *Conn, from io.Reader) error {
 	c.boundBuffer(sendBuffer)
-	control, piece := http.NewResponseController(w), pieces.Get().(*[maxPieceBytes]byte)
-	defer pieces.Put(piece)
+	control, piece := http.NewResponseController(w), httpmsg.ChunkBuffers.Get().(*[httpmsg.ChunkBytes]byte)
+	defer httpmsg.ChunkBuffers.Put(piece)
 	if err := control.Flush(); err != nil {
 		return err
 	}
 	for {
 		n, err := from.Read(piece[:])
 		if n > 0 {
-			c.SetWriteDeadline(time.Now().Add(pieceTime))
+			c.SetWriteDeadline(time.Now().Add(httpmsg.ChunkTimeout))
 			if _, err := w.Write(piece[:n]); err != nil {
 				return err
 			}
--- a/internal/emulator/fleet/fleet_test.go
+++ b/internal/emulator/fleet/fleet_test.go
@@ -3,8 +3,8 @@
 import (
 	"testing"
 
+	"oakproxy/internal/config"
 	"oakproxy/internal/emulator/spec"
-	"oakproxy/internal/sidecar"
 )
 
 func shipped(t *testing.T) *spec.File {
@@ -48,12 +48,12 @@
 func TestConfigurations(t *testing.T) {
 	file := shipped(t)
 	c := &Configurations{File: file, Layout: New(file, spec.Size{Sidecars: 12, Endpoints: 12}), Discovery: "127.0.0.1:1", Seed: 7}
-	parse := func(number, version int) *sidecar.Config {
+	parse := func(number, version int) *config.Config {
 		text, err := c.Text(c.Layout.Sidecars[number], "127.0.0.1:0", version)
 		if err != nil {
 			t.Fatal(err)
 		}
-		cfg, err := sidecar.Parse(text)
+		cfg, err := config.Parse(text)
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/emulator/play/changes.go
+++ b/internal/emulator/play/changes.go
@@ -8,11 +8,11 @@
 	"syscall"
 	"time"
 
+	"oakproxy/internal/config"
 	"oakproxy/internal/emulator/control"
 	"oakproxy/internal/emulator/result"
 	"oakproxy/internal/emulator/sidecarlog"
 	"oakproxy/internal/emulator/worker"
-	"oakproxy/internal/sidecar"
 )
 
 // inForceWithin is how long a change may take until it counts as missing.
@@ -188,7 +188,7 @@
 	ctx, cancel := context.WithTimeout(ctx, inForceWithin)
 	defer cancel()
 	for _, s := range r.real {
-		cfg, err := sidecar.Load(s.path)
+		cfg, err := config.Load(s.path)
 		if err != nil {
 			return err
 		}
--- a/internal/emulator/worker/hollow.go
+++ b/internal/emulator/worker/hollow.go
@@ -10,6 +10,7 @@
 	"sync"
 	"time"
 
+	"oakproxy/internal/config"
 	"oakproxy/internal/emulator/control"
 	"oakproxy/internal/emulator/sidecarlog"
 	"oakproxy/internal/sidecar"
@@ -202,12 +203,12 @@
 }
 
 // readConfig reads a configuration file for a sidecar that shares its process.
-func readConfig(path string) (*sidecar.Config, error) {
+func readConfig(path string) (*config.Config, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
 		return nil, err
 	}
-	return sidecar.Parse(text)
+	return config.Parse(text)
 }
 
 // host starts a sidecar by its configuration file.
@@ -221,7 +222,7 @@
 	go func() {
 		defer close(s.ended)
 		defer s.endHangups()
-		s.err = sidecar.Run(ctx, cfg, sidecar.ReloadOnSignal(file.Path, s.hangups), s.events.Logger())
+		s.err = sidecar.Run(ctx, cfg, config.ReloadOnSignal(file.Path, s.hangups), s.events.Logger())
 	}()
 	return s, nil
 }
--- a/internal/faults/host.go
+++ b/internal/faults/host.go
@@ -6,7 +6,8 @@
 	"syscall"
 	"time"
 
-	"oakproxy/internal/sidecar"
+	"oakproxy/internal/config"
+	"oakproxy/internal/system"
 )
 
 // Order is what a test orders of the shims of a process: the text of a file that they read at each call, in JSON.
@@ -29,7 +30,7 @@
 }
 
 // Shim puts shims into a host of a sidecar, which obey the orders in a file. Without the file they do nothing.
-func Shim(host *sidecar.Host, path string) {
+func Shim(host *config.Host, path string) {
 	order := func() (o Order) {
 		if text, err := os.ReadFile(path); err == nil {
 			json.Unmarshal(text, &o)
@@ -42,32 +43,32 @@
 		}
 		return nil
 	}
-	system := sidecar.FileOps{}.OrSystem()
-	host.Files = sidecar.FileOps{
+	native := system.FileOps{}.OrSystem()
+	host.Files = system.FileOps{
 		Read: func(file *os.File, most int64) ([]byte, error) {
 			if err := fault("read", file.Name()); err != nil {
 				return nil, err
 			}
-			return system.Read(file, most)
+			return native.Read(file, most)
 		},
 		Write: func(file *os.File, text []byte) error {
 			if err := fault("write", file.Name()); err != nil {
-				system.Write(file, text[:len(text)/2]) // a full disk takes a part
+				native.Write(file, text[:len(text)/2]) // a full disk takes a part
 				return err
 			}
-			return system.Write(file, text)
+			return native.Write(file, text)
 		},
 		Sync: func(file *os.File) error {
 			if err := fault("sync", file.Name()); err != nil {
 				return err
 			}
-			return system.Sync(file)
+			return native.Sync(file)
 		},
 		Rename: func(from, to string) error {
 			if err := fault("rename", from); err != nil {
 				return err
 			}
-			return system.Rename(from, to)
+			return native.Rename(from, to)
 		},
 	}
 	host.Time.Wall = func() time.Time { return time.Now().Add(time.Duration(order().StepMS) * time.Millisecond) }
--- a/internal/sidecar/handover_test.go
+++ b/internal/handover/handover_test.go
@@ -1,4 +1,4 @@
-package sidecar
+package handover
 
 import (
 	"os"
@@ -9,22 +9,22 @@
 // Processes that share a folder see each other, until they end in whatever way.
 func TestProcessesSeeEachOther(t *testing.T) {
 	dir := t.TempDir()
-	take := func() *seat {
-		s, err := takeSeat(dir)
+	take := func() *Slot {
+		s, err := AcquireSlot(dir)
 		if err != nil {
 			t.Fatal(err)
 		}
 		return s
 	}
-	check := func(s *seat, alive, ready int) {
+	check := func(s *Slot, alive, ready int) {
 		t.Helper()
-		if a, r := s.count(); a != alive || r != ready {
+		if a, r := s.Peers(); a != alive || r != ready {
 			t.Errorf("%d others alive, %d ready, want %d and %d", a, r, alive, ready)
 		}
 	}
 	first := take()
 	check(first, 0, 0)
-	if err := first.ready(); err != nil {
+	if err := first.MarkReady(); err != nil {
 		t.Fatal(err)
 	}
 	second := take()
@@ -37,11 +37,11 @@
 	for range maxProcesses - 2 {
 		take()
 	}
-	if _, err := takeSeat(dir); err == nil || !strings.Contains(err.Error(), dir) {
+	if _, err := AcquireSlot(dir); err == nil || !strings.Contains(err.Error(), dir) {
 		t.Errorf("one too many: %v", err)
 	}
 	third.file.Close()
-	if _, err := takeSeat(dir + "/none"); !os.IsNotExist(err) {
+	if _, err := AcquireSlot(dir + "/none"); !os.IsNotExist(err) {
 		t.Errorf("without a folder: %v", err)
 	}
 }
--- a/internal/sidecar/inherit_test.go
+++ b/internal/handover/inherit_test.go
@@ -1,4 +1,4 @@
-package sidecar
+package handover
 
 import (
 	"fmt"
@@ -7,6 +7,8 @@
 	"strings"
 	"syscall"
 	"testing"
+
+	"oakproxy/internal/config"
 )
 
 // A passed socket is taken as it is, and closing it here leaves it open for
@@ -27,7 +29,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		passed, err := listen(t.Context(), "127.0.0.1:1", fmt.Sprint(fd))
+		passed, err := Listen(t.Context(), "127.0.0.1:1", fmt.Sprint(fd))
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -69,8 +71,8 @@
 	for name, passed := range map[string]string{
 		"no number": "three", "negative": "-1", "not open": "1000000", "a file": fmt.Sprint(file.Fd()), "no listener": fmt.Sprint(udp.Fd()),
 	} {
-		if l, err := listen(t.Context(), "127.0.0.1:0", passed); err == nil || !strings.Contains(err.Error(), passedVar) {
-			t.Errorf("%s: %v, %v, want an error that names %s", name, l, err, passedVar)
+		if l, err := Listen(t.Context(), "127.0.0.1:0", passed); err == nil || !strings.Contains(err.Error(), config.InheritedSocketVariable) {
+			t.Errorf("%s: %v, %v, want an error that names %s", name, l, err, config.InheritedSocketVariable)
 		}
 	}
 }
--- a/internal/sidecar/listen.go
+++ b/internal/handover/listen.go
@@ -1,4 +1,4 @@
-package sidecar
+package handover
 
 import (
 	"context"
@@ -7,13 +7,16 @@
 	"os"
 	"strconv"
 	"syscall"
+
+	"oakproxy/internal/config"
+	"oakproxy/internal/system"
 )
 
-// listen returns the clients' listener: the inherited one, or one at an address
+// Listen returns the clients' listener: the inherited one, or one at an address
 // of its own where none is passed.
-func listen(ctx context.Context, address, passed string) (net.Listener, error) {
+func Listen(ctx context.Context, address, passed string) (net.Listener, error) {
 	if passed == "" {
-		listener, err := listenAt(ctx, address)
+		listener, err := ListenAt(ctx, address)
 		if err != nil {
 			return nil, fmt.Errorf("listen: %w", err)
 		}
@@ -21,14 +24,14 @@
 	}
 	listener, err := inherit(ctx, passed)
 	if err != nil {
-		return nil, fmt.Errorf("%s: %w", passedVar, err)
+		return nil, fmt.Errorf("%s: %w", config.InheritedSocketVariable, err)
 	}
 	return listener, nil
 }
 
-// listenAt listens at an address, once the system lets it.
-func listenAt(ctx context.Context, address string) (listener net.Listener, err error) {
-	err = retryAtStart(ctx, func() error {
+// ListenAt listens at an address, once the system lets it.
+func ListenAt(ctx context.Context, address string) (listener net.Listener, err error) {
+	err = system.RetryAtStart(ctx, func() error {
 		listener, err = net.Listen("tcp", address)
 		return err
 	})
@@ -51,7 +54,7 @@
 	}
 	file := os.NewFile(uintptr(fd), "passed")
 	var listener net.Listener
-	err = retryAtStart(ctx, func() error {
+	err = system.RetryAtStart(ctx, func() error {
 		listener, err = net.FileListener(file) // has a descriptor of its own
 		return err
 	})
--- a/internal/sidecar/listen_test.go
+++ b/internal/handover/listen_test.go
@@ -1,4 +1,4 @@
-package sidecar
+package handover
 
 import (
 	"context"
@@ -7,6 +7,8 @@
 	"syscall"
 	"testing"
 	"time"
+
+	"oakproxy/internal/system"
 )
 
 // An address that is not free at once is waited for; one that can't be had is an error.
@@ -18,13 +20,13 @@
 	address := held.Addr().String()
 	got := make(chan error, 1)
 	go func() {
-		listener, err := listenAt(t.Context(), address)
+		listener, err := ListenAt(t.Context(), address)
 		if err == nil {
 			listener.Close()
 		}
 		got <- err
 	}()
-	time.AfterFunc(3*startPause, func() { held.Close() })
+	time.AfterFunc(3*system.StartRetryDelay, func() { held.Close() })
 	if err := <-got; err != nil {
 		t.Error(err)
 	}
@@ -35,7 +37,7 @@
 		t.Fatal(err)
 	}
 	defer again.Close()
-	if _, err := listenAt(ctx, address); !errors.Is(err, syscall.EADDRINUSE) {
+	if _, err := ListenAt(ctx, address); !errors.Is(err, syscall.EADDRINUSE) {
 		t.Errorf("with SIGTERM during the start: %v", err)
 	}
 }
--- a/internal/sidecar/slot.go
+++ b/internal/handover/slot.go
@@ -1,4 +1,4 @@
-package sidecar
+package handover
 
 import (
 	"errors"
@@ -9,6 +9,8 @@
 	"path/filepath"
 	"sync"
 	"syscall"
+
+	"oakproxy/internal/system"
 )
 
 const (
@@ -16,9 +18,9 @@
 	seatReady    = "ready"
 )
 
-// seat is a process's place among those of one sidecar: a locked file in the folder
+// Slot is a process's place among those of one sidecar: a locked file in the folder
 // that they share. The lock ends with the process, however that ends.
-type seat struct {
+type Slot struct {
 	dir  string
 	own  int
 	file *os.File
@@ -34,19 +36,19 @@
 	return filepath.Join(dir, fmt.Sprintf("oakproxy-process.%d", i))
 }
 
-// takeSeat takes the first place that is free.
-func takeSeat(dir string) (*seat, error) {
+// AcquireSlot takes the first place that is free.
+func AcquireSlot(dir string) (*Slot, error) {
 	for i := range maxProcesses {
 		file, err := os.OpenFile(seatPath(dir, i), os.O_CREATE|os.O_RDWR, 0o600)
 		if err != nil {
 			return nil, err
 		}
-		err = lockFile(file, syscall.LOCK_EX)
+		err = system.LockFile(file, syscall.LOCK_EX)
 		if err == nil {
 			err = file.Truncate(0) // the process before may have said that it was ready
 		}
 		if err == nil {
-			return &seat{dir: dir, own: i, file: file}, nil
+			return &Slot{dir: dir, own: i, file: file}, nil
 		}
 		file.Close()
 		if err != syscall.EWOULDBLOCK {
@@ -56,14 +58,14 @@
 	return nil, fmt.Errorf("%d processes share %s already", maxProcesses, dir)
 }
 
-// ready tells the others that this process serves.
-func (s *seat) ready() error {
+// MarkReady tells the others that this process serves.
+func (s *Slot) MarkReady() error {
 	_, err := s.file.WriteAt([]byte(seatReady), 0)
 	return err
 }
 
-// count counts the other processes, and those of them that serve.
-func (s *seat) count() (alive, ready int) {
+// Peers counts the other processes, and those of them that serve.
+func (s *Slot) Peers() (alive, ready int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for i := range maxProcesses {
@@ -93,7 +95,7 @@
 		return peerState{}, err
 	}
 	defer file.Close()
-	switch err := lockFile(file, syscall.LOCK_SH); err {
+	switch err := system.LockFile(file, syscall.LOCK_SH); err {
 	case nil:
 		return peerState{}, nil
 	case syscall.EWOULDBLOCK:
@@ -108,5 +110,5 @@
 	return peerState{alive: true, ready: string(text[:n]) == seatReady}, nil
 }
 
-// release gives the place up, as the end of the process would.
-func (s *seat) release() { s.file.Close() }
+// Release gives the place up, as the end of the process would.
+func (s *Slot) Release() { s.file.Close() }
--- a/internal/sidecar/headers.go
+++ b/internal/httpmsg/headers.go
@@ -1,4 +1,4 @@
-package sidecar
+package httpmsg
 
 import (
 	"net/http"
@@ -9,8 +9,8 @@
 var hopByHop = []string{"Connection", "Keep-Alive", "Proxy-Connection", "Te", "Trailer",
 	"Transfer-Encoding", "Upgrade", "Content-Length", "Expect"}
 
-// endToEnd copies the headers that are to be passed on.
-func endToEnd(to, from http.Header) {
+// CopyEndToEnd copies the headers that are to be passed on.
+func CopyEndToEnd(to, from http.Header) {
 	for name, values := range from {
 		if !slices.Contains(hopByHop, name) {
 			to[name] = values
--- a/internal/sidecar/headscan.go
+++ b/internal/httpmsg/headscan.go
@@ -1,18 +1,18 @@
-package sidecar
+package httpmsg
 
 import "bytes"
 
-// headScan looks at the bytes of a message for what net/http hides: where a head
+// HeadScanner looks at the bytes of a message for what net/http hides: where a head
 // has both Content-Length and Transfer-Encoding, the former is dropped without a
 // word, and what one reader takes for the body another takes for a request.
-type headScan struct {
-	line    []byte // start of the current line
-	started bool   // a line with something on it has come
-	lengths int    // Content-Length was there so often
-	coding  bool   // Transfer-Encoding was there
-	closing bool   // Connection: close was there
-	size    int64  // of all that came
-	end     int64  // size at the end of the head; 0 before
+type HeadScanner struct {
+	line             []byte // start of the current line
+	started          bool   // a line with something on it has come
+	ContentLengths   int    // Content-Length was there so often
+	TransferEncoding bool   // Transfer-Encoding was there
+	ConnectionClose  bool   // Connection: close was there
+	Size             int64  // of all that came
+	HeadSize         int64  // size at the end of the head; 0 before
 }
 
 var (
@@ -24,10 +24,10 @@
 // lineKept is as much of a line as is looked at.
 const lineKept = 64
 
-func (h *headScan) scan(p []byte) {
-	start := h.size
-	h.size += int64(len(p))
-	for rest := p; h.end == 0 && len(rest) > 0; {
+func (h *HeadScanner) Scan(p []byte) {
+	start := h.Size
+	h.Size += int64(len(p))
+	for rest := p; h.HeadSize == 0 && len(rest) > 0; {
 		line, after, ended := bytes.Cut(rest, []byte("\n"))
 		if room := lineKept - len(h.line); room > 0 {
 			h.line = append(h.line, line[:min(room, len(line))]...)
@@ -37,17 +37,17 @@
 		}
 		lower := bytes.ToLower(bytes.TrimSuffix(h.line, []byte("\r")))
 		if bytes.HasPrefix(lower, lengthName) {
-			h.lengths++
+			h.ContentLengths++
 		}
-		h.coding = h.coding || bytes.HasPrefix(lower, codingName)
+		h.TransferEncoding = h.TransferEncoding || bytes.HasPrefix(lower, codingName)
 		if value, ok := bytes.CutPrefix(lower, endName); ok {
-			h.closing = h.closing || bytes.Contains(value, []byte("close"))
+			h.ConnectionClose = h.ConnectionClose || bytes.Contains(value, []byte("close"))
 		}
 		// net/http skips empty lines ahead of a request.
 		if len(lower) > 0 {
 			h.started = true
 		} else if h.started {
-			h.end = start + int64(len(p)-len(rest))
+			h.HeadSize = start + int64(len(p)-len(rest))
 		}
 		h.line = h.line[:0]
 	}
--- a/internal/sidecar/store.go
+++ b/internal/operatorstate/store.go
@@ -1,4 +1,4 @@
-package sidecar
+package operatorstate
 
 import (
 	"context"
@@ -14,48 +14,50 @@
 	"sync"
 	"syscall"
 	"time"
+
+	"oakproxy/internal/system"
 )
 
 const (
 	stateVersion  = 1
-	stateFile     = "oakproxy-state.json"
+	FileName      = "oakproxy-state.json"
 	stateLock     = "oakproxy-state.lock"
 	maxStateBytes = 1 << 20                // bytes of a state file
-	statePoll     = 50 * time.Millisecond  // between two looks for what the other process stored
+	PollInterval  = 50 * time.Millisecond  // between two looks for what the other process stored
 	lockPatience  = 500 * time.Millisecond // for the other process to let go of the lock: an answer is owed in 1 s
 	lockPause     = 5 * time.Millisecond
 )
 
-// state is what operators have set by hand. It outlives a process.
-type state struct {
-	Version int    `json:"version"`
-	Sidecar string `json:"sidecar"`
-	Drained bool   `json:"drained"`
-	Hosts   []mark `json:"hosts"`
+// State is what operators have set by hand. It outlives a process.
+type State struct {
+	Version int        `json:"version"`
+	Sidecar string     `json:"sidecar"`
+	Drained bool       `json:"drained"`
+	Hosts   []Override `json:"hosts"`
 }
 
-// mark tells that an endpoint was left out, or put back, and since when.
-type mark struct {
+// Override tells that an endpoint was left out, or put back, and since when.
+type Override struct {
 	Name     string `json:"host"`
 	Cordoned bool   `json:"out"`
 	SinceMS  int64  `json:"since_ms"` // Unix time
 	UpMS     int64  `json:"up_ms"`    // the same by the machine's uptime: steps of the wall clock change no span
 }
 
-func (m *mark) since() stamp { return stamp{m.SinceMS, m.UpMS} }
+func (m *Override) Since() system.Timestamp { return system.Timestamp{UnixMS: m.SinceMS, UpMS: m.UpMS} }
 
-// store keeps the state in a file that the processes of one sidecar share while
+// Store keeps the state in a file that the processes of one sidecar share while
 // one replaces the other, and sees to it that what either is told holds in both.
-type store struct {
-	dir, sidecar string
-	log          *slog.Logger
-	files        FileOps
-	time         Clock
-	keep         func() time.Duration // how long it matters that an endpoint was put back
-	hold         func(state)          // makes a state hold in this process, before it returns
+type Store struct {
+	Directory, Sidecar string
+	Log                *slog.Logger
+	Files              system.FileOps
+	Time               system.Clock
+	Retention          func() time.Duration // how long it matters that an endpoint was put back
+	Apply              func(State)          // makes a state hold in this process, before it returns
 
 	mu     sync.Mutex
-	last   state       // what holds
+	last   State       // what holds
 	file   os.FileInfo // of the file that it was read from, if there was one
 	warned time.Time   // of a file that can't be read
 }
@@ -63,10 +65,10 @@
 // readWarnPause is between two lines on a file that can't be read.
 const readWarnPause = time.Second
 
-func (s *store) path() string { return filepath.Join(s.dir, stateFile) }
+func (s *Store) path() string { return filepath.Join(s.Directory, FileName) }
 
-// update changes the state. When it returns nil, the new one is stored and holds here.
-func (s *store) update(change func(*state)) error {
+// Update changes the state. When it returns nil, the new one is stored and holds here.
+func (s *Store) Update(change func(*State)) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	unlock, err := s.lock()
@@ -81,7 +83,7 @@
 	next := stored
 	next.Hosts = slices.Clone(stored.Hosts)
 	change(&next)
-	next.Hosts = slices.DeleteFunc(next.Hosts, func(m mark) bool { return !m.Cordoned && s.expired(&m) })
+	next.Hosts = slices.DeleteFunc(next.Hosts, func(m Override) bool { return !m.Cordoned && s.expired(&m) })
 	if err := s.write(next); err != nil {
 		s.take(stored) // the other process's, perhaps, and read just now: refresh would pass over it
 		return err
@@ -90,8 +92,8 @@
 	return nil
 }
 
-// refresh takes up what the other process has stored.
-func (s *store) refresh() {
+// Refresh takes up what the other process has stored.
+func (s *Store) Refresh() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	info, err := os.Stat(s.path())
@@ -104,18 +106,18 @@
 }
 
 // expired reports whether it no longer matters that an endpoint was put back.
-func (s *store) expired(m *mark) bool {
-	age, known := s.time.age(m.since())
-	return known && age > s.keep()
+func (s *Store) expired(m *Override) bool {
+	age, known := s.Time.Age(m.Since())
+	return known && age > s.Retention()
 }
 
-// begin takes up what the process before this one was told. It comes before anything is sent; a file that can't be
+// Load takes up what the process before this one was told. It comes before anything is sent; a file that can't be
 // read for the moment is waited for, and followed later on.
-func (s *store) begin(ctx context.Context) state {
+func (s *Store) Load(ctx context.Context) State {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	var st state
-	retry(ctx, startPatience, startPause, isReadFault, func() (err error) {
+	var st State
+	system.Retry(ctx, system.StartTimeout, system.StartRetryDelay, system.IsReadError, func() (err error) {
 		st, err = s.read()
 		return err
 	})
@@ -123,37 +125,37 @@
 	return st
 }
 
-func (s *store) take(next state) {
+func (s *Store) take(next State) {
 	s.last = next
-	s.hold(next)
+	s.Apply(next)
 }
 
 // read returns the stored state, or the one that holds where there is no file that
 // makes sense: then it says so. A file that can't be read for the moment is an error, and read again later.
-func (s *store) read() (state, error) {
+func (s *Store) read() (State, error) {
 	next, info, err := s.load()
 	switch {
 	case err == nil:
 		s.file = info
 		return next, nil
-	case isReadFault(err):
+	case system.IsReadError(err):
 		s.file = nil
 		if time.Since(s.warned) >= readWarnPause {
 			s.warned = time.Now()
-			s.log.Warn("operator state not readable", "error", err)
+			s.Log.Warn("operator state not readable", "error", err)
 		}
 		return s.last, err
 	}
 	s.file = info
 	if !errors.Is(err, fs.ErrNotExist) {
-		s.log.Warn("operator state ignored", "error", err)
+		s.Log.Warn("operator state ignored", "error", err)
 	}
 	return s.last, nil
 }
 
-func (s *store) load() (state, os.FileInfo, error) {
-	var st state
-	text, info, err := s.files.OrSystem().readFile(s.path(), maxStateBytes)
+func (s *Store) load() (State, os.FileInfo, error) {
+	var st State
+	text, info, err := s.Files.OrSystem().ReadFile(s.path(), maxStateBytes)
 	if err != nil {
 		return st, info, err
 	}
@@ -163,21 +165,21 @@
 	switch {
 	case st.Version != stateVersion:
 		err = fmt.Errorf("version %d, not %d", st.Version, stateVersion)
-	case st.Sidecar != s.sidecar:
-		err = fmt.Errorf("of sidecar %q, not %q", st.Sidecar, s.sidecar)
-	case slices.ContainsFunc(st.Hosts, func(m mark) bool { return m.Name == "" }):
+	case st.Sidecar != s.Sidecar:
+		err = fmt.Errorf("of sidecar %q, not %q", st.Sidecar, s.Sidecar)
+	case slices.ContainsFunc(st.Hosts, func(m Override) bool { return m.Name == "" }):
 		err = errors.New("an endpoint without a name")
 	}
 	return st, info, err
 }
 
-func (s *store) write(st state) error {
-	st.Version, st.Sidecar = stateVersion, s.sidecar
+func (s *Store) write(st State) error {
+	st.Version, st.Sidecar = stateVersion, s.Sidecar
 	text, err := json.Marshal(st)
 	if err != nil {
 		return fmt.Errorf("state: %w", err)
 	}
-	if err := s.files.OrSystem().replaceFile(s.path(), s.path()+".new", text, true); err != nil {
+	if err := s.Files.OrSystem().ReplaceFile(s.path(), s.path()+".new", text, true); err != nil {
 		return fmt.Errorf("state: %w", err)
 	}
 	s.file, _ = os.Stat(s.path()) // unknown, it is read once more
@@ -186,13 +188,13 @@
 
 // lock keeps the other process from writing until the function that it returns is
 // called. What is locked is a file of its own, since the state's is replaced.
-func (s *store) lock() (unlock func(), err error) {
-	file, err := os.OpenFile(filepath.Join(s.dir, stateLock), os.O_CREATE|os.O_RDWR, 0o600)
+func (s *Store) lock() (unlock func(), err error) {
+	file, err := os.OpenFile(filepath.Join(s.Directory, stateLock), os.O_CREATE|os.O_RDWR, 0o600)
 	if err != nil {
 		return nil, fmt.Errorf("state: %w", err)
 	}
 	for end := time.Now().Add(lockPatience); ; time.Sleep(lockPause) {
-		err = lockFile(file, syscall.LOCK_EX)
+		err = system.LockFile(file, syscall.LOCK_EX)
 		if err == nil {
 			return func() { file.Close() }, nil
 		}
@@ -203,10 +205,10 @@
 	}
 }
 
-// set marks an endpoint as left out or put back. A call repeated changes nothing.
-func (st *state) set(name string, out bool, now stamp) {
-	next := mark{Name: strings.Clone(name), Cordoned: out, SinceMS: now.UnixMS, UpMS: now.UpMS}
-	i := slices.IndexFunc(st.Hosts, func(m mark) bool { return m.Name == name })
+// SetCordon marks an endpoint as left out or put back. A call repeated changes nothing.
+func (st *State) SetCordon(name string, out bool, now system.Timestamp) {
+	next := Override{Name: strings.Clone(name), Cordoned: out, SinceMS: now.UnixMS, UpMS: now.UpMS}
+	i := slices.IndexFunc(st.Hosts, func(m Override) bool { return m.Name == name })
 	switch {
 	case i < 0 && out:
 		st.Hosts = append(st.Hosts, next)
--- a/internal/sidecar/admin.go
+++ b/internal/sidecar/admin.go
@@ -11,6 +11,9 @@
 	"time"
 
 	"oakproxy/balancer"
+	"oakproxy/internal/downstream"
+	"oakproxy/internal/handover"
+	"oakproxy/internal/operatorstate"
 )
 
 const (
@@ -25,7 +28,7 @@
 // must be heard when the sidecar is at its worst.
 type admin struct {
 	server *server
-	store  *store
+	store  *operatorstate.Store
 	http   http.Server
 	calls  map[string]call
 }
@@ -46,8 +49,8 @@
 
 func newAdmin(s *server) *admin {
 	cfg := s.loop.current.Load()
-	a := &admin{server: s, store: &store{dir: cfg.Host.Directory, sidecar: cfg.Name, log: s.loop.log,
-		files: cfg.Host.Files, time: s.loop.time, keep: s.loop.rampTime, hold: s.hold}}
+	a := &admin{server: s, store: &operatorstate.Store{Directory: cfg.Host.Directory, Sidecar: cfg.Name, Log: s.loop.log,
+		Files: cfg.Host.Files, Time: s.loop.time, Retention: s.loop.rampTime, Apply: s.hold}}
 	a.calls = map[string]call{
 		"/admin/health":   {http.MethodGet, a.health},
 		"/admin/cordon":   {http.MethodPost, func(in *http.Request) error { return a.cordon(in, true) }},
@@ -67,7 +70,7 @@
 // load takes up what the process before this one was told. It comes before the loop
 // runs, so that nothing is sent to an endpoint that is left out.
 func (a *admin) load() {
-	st := a.store.begin(a.server.loop.ctx)
+	st := a.store.Load(a.server.loop.ctx)
 	a.server.drained.Store(st.Drained)
 	a.server.loop.mark(a.server.loop.clock.now(), st.Hosts)
 }
@@ -76,25 +79,25 @@
 // this sidecar is told. Beyond its few connections the one that has waited longest
 // for its call makes room.
 func (a *admin) serve(listener net.Listener) {
-	a.store.refresh()
+	a.store.Refresh()
 	go func() {
-		poll := time.NewTicker(statePoll)
+		poll := time.NewTicker(operatorstate.PollInterval)
 		defer poll.Stop()
 		for {
 			select {
 			case <-poll.C:
-				a.store.refresh()
+				a.store.Refresh()
 			case <-a.server.loop.ctx.Done():
 				a.http.Close()
 				return
 			}
 		}
 	}()
-	a.http.Serve(&clients{Listener: listener, log: a.server.log, most: maxAdminCalls, maxAsked: maxAdminCalls})
+	a.http.Serve(&downstream.Listener{Listener: listener, Log: a.server.log, MaxConnections: maxAdminCalls, MaxUsed: maxAdminCalls})
 }
 
 func (a *admin) handle(w http.ResponseWriter, in *http.Request) {
-	if ok := in.Context().Value(connKey{}).(*clientConn).begin(); !ok {
+	if ok := in.Context().Value(connKey{}).(*downstream.Conn).BeginRequest(); !ok {
 		panic(http.ErrAbortHandler) // it has just made room
 	}
 	w.Header().Set("Content-Type", "text/plain; charset=utf-8")
@@ -147,17 +150,17 @@
 	if !known {
 		return &refusal{http.StatusNotFound, "no endpoint has this name"}
 	}
-	return a.store.update(func(st *state) { st.set(name, out, a.store.time.now()) })
+	return a.store.Update(func(st *operatorstate.State) { st.SetCordon(name, out, a.store.Time.Now()) })
 }
 
 // drain has clients leave this sidecar, or lets them come again.
 func (a *admin) drain(on bool) error {
-	return a.store.update(func(st *state) { st.Drained = on })
+	return a.store.Update(func(st *operatorstate.State) { st.Drained = on })
 }
 
 // listenAdmin opens the second address.
 func listenAdmin(ctx context.Context, address string) (net.Listener, error) {
-	listener, err := listenAt(ctx, address)
+	listener, err := handover.ListenAt(ctx, address)
 	if err != nil {
 		return nil, fmt.Errorf("admin_addr: %w", err)
 	}
--- a/internal/sidecar/admin_test.go
+++ b/internal/sidecar/admin_test.go
@@ -10,6 +10,11 @@
 	"strings"
 	"testing"
 	"time"
+
+	"oakproxy/internal/config"
+	"oakproxy/internal/discovery"
+	"oakproxy/internal/operatorstate"
+	"oakproxy/internal/sidecartest"
 )
 
 // second gives a running sidecar its second address, and a folder for its state.
@@ -21,7 +26,7 @@
 	}
 	w.t.Cleanup(func() { listener.Close() })
 	a := newAdmin(w.server)
-	a.store.dir = dir
+	a.store.Directory = dir
 	go a.serve(listener)
 	return listener.Addr().String()
 }
@@ -35,7 +40,7 @@
 		t.Fatal(err)
 	}
 	defer conn.Close()
-	conn.SetDeadline(time.Now().Add(patience))
+	conn.SetDeadline(time.Now().Add(sidecartest.Patience))
 	io.WriteString(conn, text)
 	got, err := io.ReadAll(conn)
 	if e, ok := err.(net.Error); ok && e.Timeout() {
@@ -51,7 +56,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	client := http.Client{Timeout: patience, Transport: &http.Transport{DisableKeepAlives: true}}
+	client := http.Client{Timeout: sidecartest.Patience, Transport: &http.Transport{DisableKeepAlives: true}}
 	response, err := client.Do(r)
 	if err != nil {
 		t.Fatal(err)
@@ -63,8 +68,8 @@
 
 // What is no call gets a no that says why, one answer to a connection.
 func TestAdminBadCalls(t *testing.T) {
-	e := newEndpoint(t, always(served))
-	w := start(t, nil, ready("s-1", e.address))
+	e := sidecartest.NewEndpoint(t, sidecartest.Always(sidecartest.Served))
+	w := start(t, nil, ready("s-1", e.Address))
 	address := w.second(t.TempDir())
 	for name, c := range map[string]struct{ text, want string }{
 		"health":         {"GET /admin/health HTTP/1.1\r\nHost: a\r\n\r\n", "HTTP/1.1 200"},
@@ -95,8 +100,8 @@
 // Callers that hold connections and say nothing delay nobody: the one that has
 // waited longest makes room.
 func TestAdminAnswersBesideSilentCallers(t *testing.T) {
-	e := newEndpoint(t, always(served))
-	w := start(t, nil, ready("s-1", e.address))
+	e := sidecartest.NewEndpoint(t, sidecartest.Always(sidecartest.Served))
+	w := start(t, nil, ready("s-1", e.Address))
 	address := w.second(t.TempDir())
 	for range 3 * maxAdminCalls {
 		conn, err := net.Dial("tcp", address)
@@ -116,7 +121,7 @@
 
 // Before the sidecar knows endpoints, and once it is ending, health is a no.
 func TestAdminHealthFollowsReadiness(t *testing.T) {
-	e := newEndpoint(t, always(served))
+	e := sidecartest.NewEndpoint(t, sidecartest.Always(sidecartest.Served))
 	w := &world{t: t, dir: newDirectory(t)}
 	w.launch(configure(t, w.dir.address, nil))
 	address := w.second(t.TempDir())
@@ -124,7 +129,9 @@
 	if got := health(); got != http.StatusServiceUnavailable {
 		t.Errorf("without endpoints: %d", got)
 	}
-	w.dir.change(func() { w.dir.list = registry{Seq: 1, Whole: true, Hosts: []host{ready("s-1", e.address)}} })
+	w.dir.change(func() {
+		w.dir.list = discovery.List{Seq: 1, Whole: true, Hosts: []discovery.Entry{ready("s-1", e.Address)}}
+	})
 	w.until("health", func() bool { return health() == http.StatusOK })
 	w.stop()
 	w.until("the end of health", func() bool { return health() == http.StatusServiceUnavailable })
@@ -132,7 +139,7 @@
 
 func TestBadAdminAddress(t *testing.T) {
 	for _, address := range []string{"9100", "127.0.0.1"} {
-		if err := checkAdmin(address); err == nil || !strings.Contains(err.Error(), "admin_addr") {
+		if err := config.CheckAdminAddress(address); err == nil || !strings.Contains(err.Error(), "admin_addr") {
 			t.Errorf("%q: %v, want an error that names admin_addr", address, err)
 		}
 	}
@@ -144,8 +151,8 @@
 // What operators leave out gets nothing from the yes on, whatever discovery says
 // of it, and is used again after the call back.
 func TestCordonOverCalls(t *testing.T) {
-	e := newEndpoint(t, always(served))
-	w := start(t, nil, ready("s-1", e.address))
+	e := sidecartest.NewEndpoint(t, sidecartest.Always(sidecartest.Served))
+	w := start(t, nil, ready("s-1", e.Address))
 	dir := t.TempDir()
 	address := w.second(dir)
 	read := func() int { return w.send(w.request("read", "", time.Minute)).code }
@@ -172,9 +179,9 @@
 	if got := read(); got != 503 {
 		t.Errorf("with the only endpoint out: %d", got)
 	}
-	again := ready("s-1", e.address)
+	again := ready("s-1", e.Address)
 	again.BornMS = time.Now().UnixMilli()
-	w.dir.change(func() { w.dir.list = registry{Seq: 1, Whole: true, Hosts: []host{again}} })
+	w.dir.change(func() { w.dir.list = discovery.List{Seq: 1, Whole: true, Hosts: []discovery.Entry{again}} })
 	w.until("the news", func() bool {
 		var born int64
 		w.do(func() { born = w.loop.fleet[w.loop.ids["s-1"]].last.BornMS })
@@ -184,13 +191,13 @@
 		t.Errorf("after discovery told of its restart: %d", got)
 	}
 	// Neither a list without it nor one that has it again is a call back.
-	for seq, hosts := range map[uint64][]host{2: {}, 3: {again}} {
-		w.dir.change(func() { w.dir.list = registry{Seq: seq, Whole: true, Hosts: hosts} })
+	for seq, hosts := range map[uint64][]discovery.Entry{2: {}, 3: {again}} {
+		w.dir.change(func() { w.dir.list = discovery.List{Seq: seq, Whole: true, Hosts: hosts} })
 	}
 	if got := status(t, "POST", address, "/admin/cordon?name=s-1"); got != 200 {
 		t.Errorf("a call for one that is out and may be gone: %d", got)
 	}
-	w.dir.change(func() { w.dir.list = registry{Seq: 4, Whole: true, Hosts: []host{again}} })
+	w.dir.change(func() { w.dir.list = discovery.List{Seq: 4, Whole: true, Hosts: []discovery.Entry{again}} })
 	w.until("the endpoint to be listed", func() bool {
 		var listed bool
 		w.do(func() { listed = w.loop.ids["s-1"] != 0 })
@@ -199,7 +206,7 @@
 	if got := read(); got != 503 {
 		t.Errorf("after it was gone and came back: %d", got)
 	}
-	if n, _ := e.seen(); n != 1 {
+	if n, _ := e.Seen(); n != 1 {
 		t.Errorf("the endpoint that is out got %d requests, want the first alone", n)
 	}
 	if got := status(t, "POST", address, "/admin/uncordon?name=s-1"); got != 200 {
@@ -210,9 +217,9 @@
 
 // What one process is told holds in the other, and in one that starts later.
 func TestStateIsSharedAndOutlivesAProcess(t *testing.T) {
-	e := newEndpoint(t, always(served))
+	e := sidecartest.NewEndpoint(t, sidecartest.Always(sidecartest.Served))
 	dir := t.TempDir()
-	first, second := start(t, nil, ready("s-1", e.address)), start(t, nil, ready("s-1", e.address))
+	first, second := start(t, nil, ready("s-1", e.Address)), start(t, nil, ready("s-1", e.Address))
 	one, two := first.second(dir), second.second(dir)
 	out := func(w *world) (out bool) {
 		w.do(func() { out = w.loop.marks["s-1"].Cordoned })
@@ -226,7 +233,7 @@
 	}
 	first.until("the other process to follow", func() bool { return out(second) })
 	third := &world{t: t, dir: first.dir}
-	third.launch(configure(t, first.dir.address, nil, ready("s-1", e.address)))
+	third.launch(configure(t, first.dir.address, nil, ready("s-1", e.Address)))
 	third.second(dir)
 	first.until("the third process to follow", func() bool { return out(third) })
 	if got := status(t, "POST", two, "/admin/uncordon?name=s-1"); got != 200 {
@@ -237,18 +244,18 @@
 
 // The state of before the start holds before the first request.
 func TestStateIsLoadedBeforeTheStart(t *testing.T) {
-	e := newEndpoint(t, always(served))
+	e := sidecartest.NewEndpoint(t, sidecartest.Always(sidecartest.Served))
 	dir := t.TempDir()
-	w := start(t, nil, ready("s-1", e.address))
+	w := start(t, nil, ready("s-1", e.Address))
 	if got := status(t, "POST", w.second(dir), "/admin/cordon?name=s-1"); got != 200 {
 		t.Fatal(got)
 	}
-	l, err := newLoop(t.Context(), configure(t, w.dir.address, nil, ready("s-1", e.address)), w.loop.log)
+	l, err := newLoop(t.Context(), configure(t, w.dir.address, nil, ready("s-1", e.Address)), w.loop.log)
 	if err != nil {
 		t.Fatal(err)
 	}
 	a := newAdmin(newServer(l))
-	a.store.dir = dir
+	a.store.Directory = dir
 	a.load()
 	if !l.marks["s-1"].Cordoned {
 		t.Error("the stored state does not hold")
@@ -258,10 +265,10 @@
 // A file that makes no sense is ignored, and the next call makes a good one. One
 // that can't be written makes the call a no, and nothing of it holds.
 func TestDamagedAndUnwritableState(t *testing.T) {
-	e := newEndpoint(t, always(served))
-	w := start(t, nil, ready("s-1", e.address))
+	e := sidecartest.NewEndpoint(t, sidecartest.Always(sidecartest.Served))
+	w := start(t, nil, ready("s-1", e.Address))
 	dir := t.TempDir()
-	path := filepath.Join(dir, stateFile)
+	path := filepath.Join(dir, operatorstate.FileName)
 	address := w.second(dir)
 	good := `{"version":1,"sidecar":"n0","hosts":[{"host":"s-1","out":true}]}`
 	out := func() (out bool) {
@@ -298,8 +305,8 @@
 // all of it. Calls repeated change nothing.
 func TestDrainByHand(t *testing.T) {
 	answer := make(chan struct{})
-	e := newEndpoint(t, payWaits(answer))
-	w := start(t, nil, ready("s-1", e.address))
+	e := sidecartest.NewEndpoint(t, sidecartest.PayWaits(answer))
+	w := start(t, nil, ready("s-1", e.Address))
 	address := w.second(t.TempDir())
 	front := func() int { return status(t, "GET", strings.TrimPrefix(w.url, "http://"), "/health/ready") }
 	ask := func(conn net.Conn, in *bufio.Reader) *http.Response {
@@ -319,7 +326,7 @@
 	}
 	held := make(chan reply)
 	go func() { held <- w.send(w.request("pay", "x", time.Minute)) }()
-	w.until("the request in hand", func() bool { n, _ := e.seen(); return n == 2 })
+	w.until("the request in hand", func() bool { n, _ := e.Seen(); return n == 2 })
 	for range 2 {
 		if got := status(t, "POST", address, "/admin/quiesce"); got != 200 {
 			t.Fatalf("quiesce: %d", got)
--- a/internal/sidecar/clients_test.go
+++ b/internal/sidecar/clients_test.go
@@ -10,6 +10,9 @@
 	"strings"
 	"testing"
 	"time"
+
+	"oakproxy/internal/httpmsg"
+	"oakproxy/internal/sidecartest"
 )
 
 func (w *world) dial() net.Conn {
@@ -19,7 +22,7 @@
 		w.t.Fatal(err)
 	}
 	w.t.Cleanup(func() { conn.Close() })
-	conn.SetDeadline(time.Now().Add(patience))
+	conn.SetDeadline(time.Now().Add(sidecartest.Patience))
 	return conn
 }
 
@@ -39,16 +42,16 @@
 // head that decides is turned away, and nothing behind it is ever read as a
 // request. net/http shows its handlers no trace of the second length.
 func TestNoRequestHidesInABody(t *testing.T) {
-	e := newEndpoint(t, always(served))
-	w := start(t, nil, ready("s-1", e.address))
-	hidden := readHead + "X-Correlation-Id: 2\r\n\r\n"
+	e := sidecartest.NewEndpoint(t, sidecartest.Always(sidecartest.Served))
+	w := start(t, nil, ready("s-1", e.Address))
+	hidden := sidecartest.ReadHead + "X-Correlation-Id: 2\r\n\r\n"
 	body := "0\r\n\r\n" + hidden
 	for name, head := range map[string]string{
 		"length first":   fmt.Sprintf("Content-Length: %d\r\nTransfer-Encoding: chunked\r\n", len(body)),
 		"coding first":   fmt.Sprintf("Transfer-Encoding: chunked\r\nContent-Length: %d\r\n", len(body)),
 		"in small print": fmt.Sprintf("transfer-encoding:chunked\ncontent-length:%d\n", len(body)),
 	} {
-		got := w.raw(payHead + "X-Correlation-Id: 1\r\n" + head + "\r\n" + body)
+		got := w.raw(sidecartest.PayHead + "X-Correlation-Id: 1\r\n" + head + "\r\n" + body)
 		if strings.Count(got, "HTTP/1.1") != 1 || !strings.HasPrefix(got, "HTTP/1.1 400") || !strings.Contains(got, "Transfer-Encoding") {
 			t.Errorf("%s: got %q", name, got)
 		}
@@ -56,18 +59,18 @@
 	// The same after a request, where net/http skips empty lines.
 	conn := w.dial()
 	in := bufio.NewReader(conn)
-	io.WriteString(conn, payHead+"X-Correlation-Id: 3\r\nContent-Length: 2\r\n\r\nok")
+	io.WriteString(conn, sidecartest.PayHead+"X-Correlation-Id: 3\r\nContent-Length: 2\r\n\r\nok")
 	if response, err := http.ReadResponse(in, nil); err != nil || response.StatusCode != http.StatusOK {
 		t.Fatalf("a good request: %v, %v", response, err)
 	} else {
 		io.Copy(io.Discard, response.Body)
 	}
-	io.WriteString(conn, fmt.Sprintf("\r\n%sX-Correlation-Id: 4\r\nContent-Length: %d\r\nTransfer-Encoding: chunked\r\n\r\n%s", payHead, len(body), body))
+	io.WriteString(conn, fmt.Sprintf("\r\n%sX-Correlation-Id: 4\r\nContent-Length: %d\r\nTransfer-Encoding: chunked\r\n\r\n%s", sidecartest.PayHead, len(body), body))
 	rest, _ := io.ReadAll(in)
 	if strings.Count(string(rest), "HTTP/1.1") != 1 || !strings.HasPrefix(string(rest), "HTTP/1.1 400") {
 		t.Errorf("after an empty line: got %q", rest)
 	}
-	if n, _ := e.seen(); n != 1 {
+	if n, _ := e.Seen(); n != 1 {
 		t.Errorf("%d requests reached the endpoint, want the good one", n)
 	}
 }
@@ -75,23 +78,23 @@
 // A body in chunks alone is good HTTP/1.1 and is served. Its connection ends
 // with it, as it does where more came than the one request.
 func TestChunkedAndCrowdedRequests(t *testing.T) {
-	e := newEndpoint(t, always(served))
-	w := start(t, nil, ready("s-1", e.address))
+	e := sidecartest.NewEndpoint(t, sidecartest.Always(sidecartest.Served))
+	w := start(t, nil, ready("s-1", e.Address))
 	for name, text := range map[string]string{
-		"chunked": payHead + "X-Correlation-Id: 1\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nbody\r\n0\r\n\r\n",
-		"more behind": payHead + "X-Correlation-Id: 2\r\nContent-Length: 4\r\n\r\nbody" +
-			readHead + "X-Correlation-Id: 3\r\n\r\n",
+		"chunked": sidecartest.PayHead + "X-Correlation-Id: 1\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nbody\r\n0\r\n\r\n",
+		"more behind": sidecartest.PayHead + "X-Correlation-Id: 2\r\nContent-Length: 4\r\n\r\nbody" +
+			sidecartest.ReadHead + "X-Correlation-Id: 3\r\n\r\n",
 	} {
 		got := w.raw(text)
 		if strings.Count(got, "HTTP/1.1") != 1 || !strings.HasPrefix(got, "HTTP/1.1 200") {
 			t.Errorf("%s: got %q", name, got)
 		}
 	}
-	if n, _ := e.seen(); n != 2 {
+	if n, _ := e.Seen(); n != 2 {
 		t.Errorf("%d requests reached the endpoint, want 2", n)
 	}
 	for i := range 2 {
-		if body, _ := io.ReadAll(e.request(i).Body); string(body) != "body" {
+		if body, _ := io.ReadAll(e.Request(i).Body); string(body) != "body" {
 			t.Errorf("the endpoint got the body %q", body)
 		}
 	}
@@ -99,16 +102,16 @@
 
 // What can't be a request is turned away before its body is read, or closed on.
 func TestRubbish(t *testing.T) {
-	e := newEndpoint(t, always(served))
-	w := start(t, nil, ready("s-1", e.address))
+	e := sidecartest.NewEndpoint(t, sidecartest.Always(sidecartest.Served))
+	w := start(t, nil, ready("s-1", e.Address))
 	for name, c := range map[string]struct{ text, want string }{
-		"a length beyond the limit": {payHead + "X-Correlation-Id: 1\r\nContent-Length: 3000000000\r\n\r\n", "HTTP/1.1 413"},
-		"a negative length":         {payHead + "X-Correlation-Id: 1\r\nContent-Length: -3\r\n\r\nabc", "HTTP/1.1 400"},
-		"two lengths":               {payHead + "X-Correlation-Id: 1\r\nContent-Length: 3\r\nContent-Length: 4\r\n\r\nabc", "HTTP/1.1 400"},
-		"a broken chunk":            {payHead + "X-Correlation-Id: 1\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\nabc", "HTTP/1.1 400"},
-		"a GET with a body":         {readHead + "X-Correlation-Id: 1\r\nContent-Length: 3\r\n\r\nabc", "HTTP/1.1 400"},
+		"a length beyond the limit": {sidecartest.PayHead + "X-Correlation-Id: 1\r\nContent-Length: 3000000000\r\n\r\n", "HTTP/1.1 413"},
+		"a negative length":         {sidecartest.PayHead + "X-Correlation-Id: 1\r\nContent-Length: -3\r\n\r\nabc", "HTTP/1.1 400"},
+		"two lengths":               {sidecartest.PayHead + "X-Correlation-Id: 1\r\nContent-Length: 3\r\nContent-Length: 4\r\n\r\nabc", "HTTP/1.1 400"},
+		"a broken chunk":            {sidecartest.PayHead + "X-Correlation-Id: 1\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\nabc", "HTTP/1.1 400"},
+		"a GET with a body":         {sidecartest.ReadHead + "X-Correlation-Id: 1\r\nContent-Length: 3\r\n\r\nabc", "HTTP/1.1 400"},
 		"noise":                     {"\x16\x03\x01\x02\r\n\r\n", "HTTP/1.1 400"},
-		"a head without end":        {payHead + "X-Pad: " + strings.Repeat("p", 100<<10), "HTTP/1.1 431"},
+		"a head without end":        {sidecartest.PayHead + "X-Pad: " + strings.Repeat("p", 100<<10), "HTTP/1.1 431"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -118,7 +121,7 @@
 		})
 	}
 	t.Cleanup(func() {
-		if n, _ := e.seen(); n != 0 {
+		if n, _ := e.Seen(); n != 0 {
 			t.Errorf("%d of them reached the endpoint", n)
 		}
 	})
@@ -128,20 +131,20 @@
 // the end, within the limit, and then finds its answer and not a reset. Asking
 // for its connection to be closed changes nothing of that.
 func TestTurnedAwayWhileSending(t *testing.T) {
-	e := newEndpoint(t, always(served))
-	w := start(t, nil, ready("s-1", e.address))
+	e := sidecartest.NewEndpoint(t, sidecartest.Always(sidecartest.Served))
+	w := start(t, nil, ready("s-1", e.Address))
 	for _, c := range []struct {
 		name, head string
 		size, code int
 		full       bool
 	}{
-		{"too large", payHead + "X-Correlation-Id: 1\r\n", maxBodyBytes + 1, http.StatusRequestEntityTooLarge, false},
-		{"bad hint", payHead + "X-Correlation-Id: 2\r\nX-Weight-Hint: -1\r\n", maxBufferedBytes, http.StatusBadRequest, false},
-		{"no room", payHead + "X-Correlation-Id: 3\r\n", maxBufferedBytes, http.StatusServiceUnavailable, true},
+		{"too large", sidecartest.PayHead + "X-Correlation-Id: 1\r\n", httpmsg.MaxBodyBytes + 1, http.StatusRequestEntityTooLarge, false},
+		{"bad hint", sidecartest.PayHead + "X-Correlation-Id: 2\r\nX-Weight-Hint: -1\r\n", httpmsg.MaxBufferedBytes, http.StatusBadRequest, false},
+		{"no room", sidecartest.PayHead + "X-Correlation-Id: 3\r\n", httpmsg.MaxBufferedBytes, http.StatusServiceUnavailable, true},
 	} {
-		taken := w.loop.up.room.used.Load()
+		taken := w.loop.up.Bodies.Used.Load()
 		if c.full {
-			w.loop.up.room.used.Add(int64(w.loop.cfg.Limits.MemoryMB) << 20)
+			w.loop.up.Bodies.Used.Add(int64(w.loop.cfg.Limits.MemoryMB) << 20)
 		}
 		conn := w.dial()
 		in := bufio.NewReader(conn)
@@ -161,13 +164,13 @@
 			t.Errorf("%s: the end of the connection: %v", c.name, err)
 		}
 		if c.full {
-			w.loop.up.room.used.Add(-int64(w.loop.cfg.Limits.MemoryMB) << 20)
+			w.loop.up.Bodies.Used.Add(-int64(w.loop.cfg.Limits.MemoryMB) << 20)
 		}
-		if held := w.loop.up.room.used.Load(); held != taken {
+		if held := w.loop.up.Bodies.Used.Load(); held != taken {
 			t.Errorf("%s: %d bytes are still held", c.name, held-taken)
 		}
 	}
-	if n, _ := e.seen(); n != 0 {
+	if n, _ := e.Seen(); n != 0 {
 		t.Errorf("%d of them reached the endpoint", n)
 	}
 }
@@ -180,13 +183,13 @@
 			t.Errorf("limit of %v", limit)
 		}
 	}
-	e := newEndpoint(t, always(served))
-	w := start(t, nil, ready("s-1", e.address))
+	e := sidecartest.NewEndpoint(t, sidecartest.Always(sidecartest.Served))
+	w := start(t, nil, ready("s-1", e.Address))
 	for name, c := range map[string]struct{ text, want string }{
 		"nothing":          {"", ""},
-		"half a head":      {payHead, ""},
-		"half a body":      {payHead + "X-Correlation-Id: 1\r\nContent-Length: 9\r\n\r\nabc", "HTTP/1.1 400"},
-		"one request only": {readHead + "X-Correlation-Id: 2\r\n\r\n", "HTTP/1.1 200"},
+		"half a head":      {sidecartest.PayHead, ""},
+		"half a body":      {sidecartest.PayHead + "X-Correlation-Id: 1\r\nContent-Length: 9\r\n\r\nabc", "HTTP/1.1 400"},
+		"one request only": {sidecartest.ReadHead + "X-Correlation-Id: 2\r\n\r\n", "HTTP/1.1 200"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -201,13 +204,13 @@
 // takes its passing for the client's going and ends the request's context.
 func TestAnswerLaterThanTheReadTimeout(t *testing.T) {
 	t.Parallel()
-	e := newEndpoint(t, func(e *endpoint, conn net.Conn, in *bufio.Reader) {
-		for e.next(in) != nil {
+	e := sidecartest.NewEndpoint(t, func(e *sidecartest.Endpoint, conn net.Conn, in *bufio.Reader) {
+		for e.Next(in) != nil {
 			time.Sleep(readTimeout + 300*time.Millisecond)
-			io.WriteString(conn, served)
+			io.WriteString(conn, sidecartest.Served)
 		}
 	})
-	w := start(t, nil, ready("s-1", e.address))
+	w := start(t, nil, ready("s-1", e.Address))
 	for class, body := range map[string]string{"read": "", "pay": "x"} {
 		if got := w.send(w.request(class, body, time.Minute)); got.code != http.StatusOK {
 			t.Errorf("%s: got %+v", class, got)
@@ -218,16 +221,16 @@
 // An id that is open here belongs to that request alone.
 func TestSecondRequestWithAnOpenID(t *testing.T) {
 	answer := make(chan struct{})
-	e := newEndpoint(t, func(e *endpoint, conn net.Conn, in *bufio.Reader) {
-		for e.next(in) != nil {
+	e := sidecartest.NewEndpoint(t, func(e *sidecartest.Endpoint, conn net.Conn, in *bufio.Reader) {
+		for e.Next(in) != nil {
 			<-answer
-			io.WriteString(conn, served)
+			io.WriteString(conn, sidecartest.Served)
 		}
 	})
-	w := start(t, nil, ready("s-1", e.address))
+	w := start(t, nil, ready("s-1", e.Address))
 	first, same := make(chan reply), w.request("pay", "", time.Minute)
 	go func() { first <- w.send(same.Clone(context.Background())) }()
-	w.until("the first to be taken", func() bool { n, _ := e.seen(); return n == 1 })
+	w.until("the first to be taken", func() bool { n, _ := e.Seen(); return n == 1 })
 	if got := w.send(same.Clone(context.Background())); got.code != http.StatusConflict {
 		t.Errorf("the second: %+v", got)
 	}
@@ -245,18 +248,18 @@
 // request open is not.
 func TestConnectionsOfClientsAreBounded(t *testing.T) {
 	answer := make(chan struct{})
-	e := newEndpoint(t, payWaits(answer))
-	w := start(t, nil, ready("s-1", e.address))
+	e := sidecartest.NewEndpoint(t, sidecartest.PayWaits(answer))
+	w := start(t, nil, ready("s-1", e.Address))
 	first := make(chan reply)
 	go func() { first <- w.send(w.request("pay", "x", time.Minute)) }()
-	w.until("the first to be taken", func() bool { n, _ := e.seen(); return n == 1 })
-	w.until("other connections to end", func() bool { return w.server.clients.count() == 1 })
+	w.until("the first to be taken", func() bool { n, _ := e.Seen(); return n == 1 })
+	w.until("other connections to end", func() bool { return w.server.clients.Count() == 1 })
 	oldest := w.dial()
-	w.until("the oldest", func() bool { return w.server.clients.count() == 2 })
-	for range w.server.clients.most - 2 {
+	w.until("the oldest", func() bool { return w.server.clients.Count() == 2 })
+	for range w.server.clients.MaxConnections - 2 {
 		w.dial()
 	}
-	w.until("all room to be taken", func() bool { return w.server.clients.count() == w.server.clients.most })
+	w.until("all room to be taken", func() bool { return w.server.clients.Count() == w.server.clients.MaxConnections })
 	if got := w.send(w.request("read", "", 3*time.Second)); got.code != http.StatusOK {
 		t.Errorf("beyond the limit: %+v", got)
 	}
@@ -265,8 +268,8 @@
 	} else if e, ok := err.(net.Error); ok && e.Timeout() {
 		t.Error("the longest silent connection stays open")
 	}
-	if n := w.server.clients.count(); n > w.server.clients.most {
-		t.Errorf("%d connections, limit %d", n, w.server.clients.most)
+	if n := w.server.clients.Count(); n > w.server.clients.MaxConnections {
+		t.Errorf("%d connections, limit %d", n, w.server.clients.MaxConnections)
 	}
 	close(answer)
 	if got := <-first; got.code != http.StatusOK {
@@ -277,12 +280,12 @@
 // Clients that ask once and keep the connection must not hold all that clients
 // may have: beyond a part of it, an answer ends its connection.
 func TestAnswersEndConnectionsWhenCrowded(t *testing.T) {
-	e := newEndpoint(t, always(served))
-	w := start(t, nil, ready("s-1", e.address))
-	w.until("other connections to end", func() bool { return w.server.clients.count() == 0 })
+	e := sidecartest.NewEndpoint(t, sidecartest.Always(sidecartest.Served))
+	w := start(t, nil, ready("s-1", e.Address))
+	w.until("other connections to end", func() bool { return w.server.clients.Count() == 0 })
 	const maxAsked = 3 // few enough for all requests to come before a connection has been idle for long
-	most, _ := w.server.clients.limits()
-	w.server.clients.limit(most, maxAsked)
+	most, _ := w.server.clients.Limits()
+	w.server.clients.SetLimits(most, maxAsked)
 	for i := range maxAsked + 3 {
 		conn := w.dial()
 		w.request("read", "", time.Minute).Write(conn)
@@ -290,26 +293,26 @@
 		if err != nil || response.StatusCode != http.StatusOK {
 			t.Fatalf("request %d: %v, %v", i, response, err)
 		}
-		if want := i >= w.server.clients.maxAsked; response.Close != want {
+		if want := i >= w.server.clients.MaxUsed; response.Close != want {
 			t.Fatalf("request %d: Connection: close %v, want %v", i, response.Close, want)
 		}
 		if response.Close {
-			w.until("the end of the connection", func() bool { return w.server.clients.count() == w.server.clients.maxAsked })
+			w.until("the end of the connection", func() bool { return w.server.clients.Count() == w.server.clients.MaxUsed })
 		}
 	}
 }
 
 // Bodies are bounded together: what is too much is refused before it is read.
 func TestBodiesAreBounded(t *testing.T) {
-	e := newEndpoint(t, always(served))
-	w := start(t, nil, ready("s-1", e.address))
-	w.loop.up.room.used.Add(int64(w.loop.cfg.Limits.MemoryMB) << 20 / bodiesPart)
+	e := sidecartest.NewEndpoint(t, sidecartest.Always(sidecartest.Served))
+	w := start(t, nil, ready("s-1", e.Address))
+	w.loop.up.Bodies.Used.Add(int64(w.loop.cfg.Limits.MemoryMB) << 20 / bodiesPart)
 	if got := w.send(w.request("pay", "x", 3*time.Second)); got.code != http.StatusServiceUnavailable || got.header.Get("Retry-After") == "" {
 		t.Errorf("beyond the limit: %+v", got)
 	}
-	w.loop.up.room.used.Store(0)
+	w.loop.up.Bodies.Used.Store(0)
 	if got := w.send(w.request("pay", "x", 3*time.Second)); got.code != http.StatusOK {
 		t.Errorf("with room again: %+v", got)
 	}
-	w.until("the bodies to be given back", func() bool { return w.loop.up.room.used.Load() == 0 })
+	w.until("the bodies to be given back", func() bool { return w.loop.up.Bodies.Used.Load() == 0 })
 }
--- a/internal/sidecar/close_test.go
+++ b/internal/sidecar/close_test.go
@@ -7,6 +7,8 @@
 	"strings"
 	"testing"
 	"time"
+
+	"oakproxy/internal/sidecartest"
 )
 
 // A client that sends something behind its request and leaves has gone, however much that
@@ -14,20 +16,20 @@
 func TestClientThatLeavesBehindMoreBytes(t *testing.T) {
 	for what, c := range map[string]struct{ with, later string }{
 		"one byte with the request":        {"x", ""},
-		"a request with the request":       {readHead + "X-Correlation-Id: 99\r\n\r\n", ""},
+		"a request with the request":       {sidecartest.ReadHead + "X-Correlation-Id: 99\r\n\r\n", ""},
 		"a lot with the request":           {strings.Repeat("x", 50<<10), ""},
 		"half a line after it":             {"", "GET /re"},
 		"something with it and more after": {"x", strings.Repeat("y", 5000)},
 	} {
 		t.Run(what, func(t *testing.T) {
-			e := newEndpoint(t, always(served))
-			w := start(t, nil, ready("s-1", e.address))
-			dial := hold(&w.loop.up.dialer, e.address)
+			e := sidecartest.NewEndpoint(t, sidecartest.Always(sidecartest.Served))
+			w := start(t, nil, ready("s-1", e.Address))
+			dial := sidecartest.BlockDials(&w.loop.up.Dialer, e.Address)
 			conn := w.dial()
 			var text strings.Builder
 			w.request("pay", "x", time.Minute).Write(&text)
 			io.WriteString(conn, text.String()+c.with)
-			<-dial.begun
+			<-dial.Begun
 			io.WriteString(conn, c.later)
 			conn.Close()
 			w.until("the client's going", func() bool {
@@ -35,9 +37,9 @@
 				defer w.spy.mu.Unlock()
 				return slices.Contains(w.spy.events, "gone")
 			})
-			close(dial.go_)
+			close(dial.Unblock)
 			w.until("the outcome", func() bool { return len(w.spy.statuses()) == 1 })
-			if n, _ := e.seen(); n != 0 {
+			if n, _ := e.Seen(); n != 0 {
 				t.Errorf("the endpoint got %d requests", n)
 			}
 		})
@@ -47,17 +49,17 @@
 // A client that sends something behind its request and stays has its answer, and the end of
 // the connection; what it sent is no request.
 func TestBytesBehindARequestCostNoAnswer(t *testing.T) {
-	e := newEndpoint(t, always(served))
-	w := start(t, nil, ready("s-1", e.address))
+	e := sidecartest.NewEndpoint(t, sidecartest.Always(sidecartest.Served))
+	w := start(t, nil, ready("s-1", e.Address))
 	for what, behind := range map[string]string{
-		"a byte": "x", "a request": readHead + "X-Correlation-Id: 99\r\n\r\n", "a lot": strings.Repeat("x", 200<<10),
+		"a byte": "x", "a request": sidecartest.ReadHead + "X-Correlation-Id: 99\r\n\r\n", "a lot": strings.Repeat("x", 200<<10),
 	} {
-		got := w.raw(readHead + "X-Correlation-Id: " + strings.ReplaceAll(what, " ", "") + "\r\n\r\n" + behind)
+		got := w.raw(sidecartest.ReadHead + "X-Correlation-Id: " + strings.ReplaceAll(what, " ", "") + "\r\n\r\n" + behind)
 		if strings.Count(got, "HTTP/1.1") != 1 || !strings.HasPrefix(got, "HTTP/1.1 200") || !strings.HasSuffix(got, "done") {
 			t.Errorf("%s: got %q", what, got)
 		}
 	}
-	if n, _ := e.seen(); n != 3 {
+	if n, _ := e.Seen(); n != 3 {
 		t.Errorf("the endpoint got %d requests, want 3", n)
 	}
 	if got := w.send(w.request("read", "", time.Minute)); got.code != http.StatusOK {
--- a/internal/sidecar/discovery_test.go
+++ b/internal/sidecar/discovery_test.go
@@ -14,6 +14,10 @@
 	"time"
 
 	"oakproxy/balancer"
+	"oakproxy/internal/config"
+	"oakproxy/internal/discovery"
+	"oakproxy/internal/sidecartest"
+	"oakproxy/internal/upstream"
 )
 
 // count says how often the balancer was told a list of a kind.
@@ -29,13 +33,13 @@
 }
 
 // longWaits has calls wait for news for longer than a test takes: 11 to 15 s.
-func longWaits(cfg *Config) { cfg.wait = 15 * time.Second }
+func longWaits(cfg *config.Config) { cfg.DiscoveryWait = 15 * time.Second }
 
 // The watch goes on from the version known, 0 included: asked without one,
 // discovery would answer with the whole list each time and never wait.
 func TestWatchGoesOnFromTheVersionKnown(t *testing.T) {
-	e := newEndpoint(t, always(served))
-	w := startWith(t, nil, longWaits, ready("s-1", e.address))
+	e := sidecartest.NewEndpoint(t, sidecartest.Always(sidecartest.Served))
+	w := startWith(t, nil, longWaits, ready("s-1", e.Address))
 	w.until("the waiting call", func() bool { return w.dir.count() == 2 })
 	w.dir.mu.Lock()
 	calls := slices.Clone(w.dir.calls)
@@ -44,16 +48,16 @@
 		t.Errorf("calls %q", calls)
 	}
 	// A change reaches the balancer; the next call asks for what is newer.
-	second := newEndpoint(t, always(served))
+	second := sidecartest.NewEndpoint(t, sidecartest.Always(sidecartest.Served))
 	w.dir.change(func() {
-		w.dir.list = registry{Seq: 7, Whole: true, Hosts: []host{ready("s-2", second.address)}}
+		w.dir.list = discovery.List{Seq: 7, Whole: true, Hosts: []discovery.Entry{ready("s-2", second.Address)}}
 	})
 	w.until("the call after the change", func() bool { return w.dir.count() == 3 })
 	w.until("the change", func() bool { return w.spy.count(balancer.ListFull) == 1 })
 	if got := w.send(w.request("pay", "x", 3*time.Second)); got.code != http.StatusOK {
 		t.Errorf("answer %+v", got)
 	}
-	if n, _ := second.seen(); n != 1 {
+	if n, _ := second.Seen(); n != 1 {
 		t.Errorf("the endpoint of the new list got %d requests, want 1", n)
 	}
 	w.dir.mu.Lock()
@@ -72,8 +76,8 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			e, second := newEndpoint(t, always(served)), newEndpoint(t, always(served))
-			w := start(t, nil, ready("s-1", e.address))
+			e, second := sidecartest.NewEndpoint(t, sidecartest.Always(sidecartest.Served)), sidecartest.NewEndpoint(t, sidecartest.Always(sidecartest.Served))
+			w := start(t, nil, ready("s-1", e.Address))
 			w.until("the watch", func() bool { return w.dir.count() >= 2 })
 			w.dir.change(func() { w.dir.down, w.dir.broken = broken == "", broken })
 			// The change itself is answered with the news that there is none; calls after it fail.
@@ -83,13 +87,13 @@
 			}
 			w.dir.change(func() {
 				w.dir.down, w.dir.broken = false, ""
-				w.dir.list = registry{Seq: 1, Whole: true, Hosts: []host{ready("s-2", second.address)}}
+				w.dir.list = discovery.List{Seq: 1, Whole: true, Hosts: []discovery.Entry{ready("s-2", second.Address)}}
 			})
 			w.until("the new list", func() bool { return w.spy.count(balancer.ListFull) >= 1 })
 			if got := w.send(w.request("pay", "x", 3*time.Second)); got.code != http.StatusOK {
 				t.Errorf("with discovery back: %+v", got)
 			}
-			if n, _ := second.seen(); n != 1 {
+			if n, _ := second.Seen(); n != 1 {
 				t.Errorf("the endpoint of the new list got %d requests, want 1", n)
 			}
 		})
@@ -99,25 +103,25 @@
 // An entry that can't be used costs neither the rest of its list nor the drains in it,
 // and nothing goes on to an endpoint that it names: that may no longer be ready.
 func TestOneBadEntryDoesNotCostTheList(t *testing.T) {
-	e := newEndpoint(t, always(served))
-	good, drains := entry("s-1", "Ready", e.address), entry("s-2", "Terminating", e.address)
+	e := sidecartest.NewEndpoint(t, sidecartest.Always(sidecartest.Served))
+	good, drains := entry("s-1", "Ready", e.Address), entry("s-2", "Terminating", e.Address)
 	for name, c := range map[string]struct {
 		text string
 		lost int
 		aims string // endpoints that something may go to, of s-1, s-2 and s-3, all ready before
 	}{
-		"unknown state":      {entry("s-3", "Paused", e.address), 1, "s-1"},
+		"unknown state":      {entry("s-3", "Paused", e.Address), 1, "s-1"},
 		"no address":         {entry("s-3", "Ready", "nowhere"), 1, "s-1"},
-		"another type":       {`{"host":"s-3","dial":"` + e.address + `","health":"Ready","born_ms":"noon"}`, 1, "s-1"},
-		"beyond its range":   {`{"host":"s-3","dial":"` + e.address + `","health":"Ready","block":70000}`, 1, "s-1"},
+		"another type":       {`{"host":"s-3","dial":"` + e.Address + `","health":"Ready","born_ms":"noon"}`, 1, "s-1"},
+		"beyond its range":   {`{"host":"s-3","dial":"` + e.Address + `","health":"Ready","block":70000}`, 1, "s-1"},
 		"no object":          {`"s-3"`, 1, "s-1 s-3"},
-		"no name":            {`{"dial":"` + e.address + `","health":"Ready"}`, 1, "s-1 s-3"},
-		"name of wrong type": {`{"host":3,"dial":"` + e.address + `","health":"Ready"}`, 1, "s-1 s-3"},
+		"no name":            {`{"dial":"` + e.Address + `","health":"Ready"}`, 1, "s-1 s-3"},
+		"name of wrong type": {`{"host":3,"dial":"` + e.Address + `","health":"Ready"}`, 1, "s-1 s-3"},
 		"two of them":        {entry("s-3", "Paused", "") + `,null`, 2, "s-1"},
 	} {
 		for _, whole := range []bool{false, true} {
 			t.Run(fmt.Sprintf("%s, whole %v", name, whole), func(t *testing.T) {
-				w := start(t, nil, ready("s-1", e.address), ready("s-2", e.address), ready("s-3", e.address))
+				w := start(t, nil, ready("s-1", e.Address), ready("s-2", e.Address), ready("s-3", e.Address))
 				w.until("the watch", func() bool { return w.dir.count() >= 2 })
 				w.dir.change(func() {
 					w.dir.list.Seq = 9
@@ -127,7 +131,7 @@
 				var seq uint64
 				w.until("the list", func() bool {
 					w.do(func() {
-						aims, seq = nil, w.loop.from.newest
+						aims, seq = nil, w.loop.from.Newest
 						for name, id := range w.loop.ids {
 							if w.loop.fleet[id].target != nil {
 								aims = append(aims, name)
@@ -144,9 +148,9 @@
 				if got := strings.Join(aims, " "); got != want {
 					t.Errorf("something may go to %q, want %q", got, want)
 				}
-				var list registry
-				if err := json.Unmarshal([]byte(w.dir.broken), &list); err != nil || list.lost != c.lost || list.fault == nil {
-					t.Errorf("lost %d (%v, %v), want %d", list.lost, list.fault, err, c.lost)
+				var list discovery.List
+				if err := json.Unmarshal([]byte(w.dir.broken), &list); err != nil || list.Unusable != c.lost || list.FirstError == nil {
+					t.Errorf("lost %d (%v, %v), want %d", list.Unusable, list.FirstError, err, c.lost)
 				}
 			})
 		}
@@ -160,21 +164,21 @@
 // Where lists are pushed the balancer never asks: the sidecar watches its agent
 // by itself, and begins again after a failure.
 func TestPushedLists(t *testing.T) {
-	e, second := newEndpoint(t, always(served)), newEndpoint(t, always(served))
-	w := start(t, func(s map[string]any) { s["discovery"] = "automatic" }, ready("s-1", e.address))
+	e, second := sidecartest.NewEndpoint(t, sidecartest.Always(sidecartest.Served)), sidecartest.NewEndpoint(t, sidecartest.Always(sidecartest.Served))
+	w := start(t, func(s map[string]any) { s["discovery"] = "automatic" }, ready("s-1", e.Address))
 	w.until("the watch", func() bool { return w.dir.count() >= 2 })
 	w.dir.change(func() { w.dir.down = true })
 	w.until("the failure", func() bool { return w.spy.count(balancer.ListFailed) >= 1 })
 	w.dir.change(func() {
 		w.dir.down = false
-		w.dir.list = registry{Seq: 3, Whole: true, Hosts: []host{ready("s-2", second.address)}}
+		w.dir.list = discovery.List{Seq: 3, Whole: true, Hosts: []discovery.Entry{ready("s-2", second.Address)}}
 	})
 	w.until("the new list", func() bool { return w.spy.count(balancer.ListFull) >= 1 })
 }
 
 // A sidecar that knows no endpoint is not ready until discovery has named one.
 func TestReadyWithTheFirstList(t *testing.T) {
-	e := newEndpoint(t, always(served))
+	e := sidecartest.NewEndpoint(t, sidecartest.Always(sidecartest.Served))
 	w := &world{t: t, dir: newDirectory(t)}
 	w.dir.down = true
 	w.launch(configure(t, w.dir.address, nil))
@@ -192,7 +196,7 @@
 	}
 	w.dir.change(func() {
 		w.dir.down = false
-		w.dir.list = registry{Seq: 1, Whole: true, Hosts: []host{ready("s-1", e.address)}}
+		w.dir.list = discovery.List{Seq: 1, Whole: true, Hosts: []discovery.Entry{ready("s-1", e.Address)}}
 	})
 	w.until("ready", func() bool { return status() == http.StatusOK })
 	if last := w.dir.calls[0]; last != "" {
@@ -203,29 +207,29 @@
 // What discovery says of an endpoint reaches the balancer, and an endpoint keeps
 // its id across lists; one that has restarted is a new target.
 func TestMembers(t *testing.T) {
-	e := newEndpoint(t, always(served))
-	w := start(t, nil, ready("s-1", e.address))
-	var before, after *target
+	e := sidecartest.NewEndpoint(t, sidecartest.Always(sidecartest.Served))
+	w := start(t, nil, ready("s-1", e.Address))
+	var before, after *upstream.Endpoint
 	w.do(func() { before = w.loop.fleet[1].target })
 	born := time.Now().UnixMilli() - 500
-	restarted := ready("s-1", e.address)
+	restarted := ready("s-1", e.Address)
 	restarted.BornMS = born
-	strange := host{Name: "s-9", Dial: "127.0.0.1:1", Site: "nowhere", Class: "odd", Block: 4, Health: "Terminating"}
+	strange := discovery.Entry{Name: "s-9", Dial: "127.0.0.1:1", Site: "nowhere", Class: "odd", Block: 4, Health: "Terminating"}
 	got := make(chan []balancer.Endpoint, 1)
 	w.do(func() {
 		w.loop.balancer = &listSpy{decider: w.spy, got: got}
-		w.loop.members(w.loop.clock.now(), balancer.ListDelta, registry{Seq: 2, Hosts: []host{restarted, strange}})
+		w.loop.members(w.loop.clock.now(), balancer.ListDelta, discovery.List{Seq: 2, Hosts: []discovery.Entry{restarted, strange}})
 		w.loop.balancer = w.spy
 		after = w.loop.fleet[1].target
 	})
 	entries := <-got
 	want := []balancer.Endpoint{
 		{ID: 1, Name: hashed("s-1"), Zone: 0, MachineKind: 0, State: balancer.Ready, Weight: 1, StartTime: born * 1000},
-		{ID: 2, Name: hashed("s-9"), Zone: unknownName, MachineKind: unknownName, Cell: 4, State: balancer.Draining}}
+		{ID: 2, Name: hashed("s-9"), Zone: config.UnknownName, MachineKind: config.UnknownName, Cell: 4, State: balancer.Draining}}
 	if !slices.Equal(entries, want) {
 		t.Errorf("entries %+v, want %+v", entries, want)
 	}
-	if before == after || !w.loop.up.retired(before) || w.loop.up.retired(after) {
+	if before == after || !w.loop.up.Retired(before) || w.loop.up.Retired(after) {
 		t.Error("the endpoint that restarted kept its old target")
 	}
 	if now := w.loop.clock.now(); entries[0].StartTime > now || now-entries[0].StartTime > time.Minute.Microseconds() {
@@ -247,22 +251,22 @@
 // list, and nothing that the old one says later counts. A request in hand stays.
 func TestReloadMovesTheWatch(t *testing.T) {
 	answer := make(chan struct{})
-	e := newEndpoint(t, func(e *endpoint, conn net.Conn, in *bufio.Reader) {
-		for e.next(in) != nil {
+	e := sidecartest.NewEndpoint(t, func(e *sidecartest.Endpoint, conn net.Conn, in *bufio.Reader) {
+		for e.Next(in) != nil {
 			<-answer
-			io.WriteString(conn, served)
+			io.WriteString(conn, sidecartest.Served)
 		}
 	})
-	second := newEndpoint(t, always(served))
-	w := startWith(t, nil, longWaits, ready("s-1", e.address))
+	second := sidecartest.NewEndpoint(t, sidecartest.Always(sidecartest.Served))
+	w := startWith(t, nil, longWaits, ready("s-1", e.Address))
 	w.until("the watch", func() bool { return w.dir.count() == 2 })
 	held := make(chan reply)
 	go func() { held <- w.send(w.request("pay", "x", time.Minute)) }()
-	w.until("the request in hand", func() bool { n, _ := e.seen(); return n == 1 })
+	w.until("the request in hand", func() bool { n, _ := e.Seen(); return n == 1 })
 
 	old := w.dir
 	for range 2 { // it may come again
-		moved := newDirectory(t, ready("s-2", second.address))
+		moved := newDirectory(t, ready("s-2", second.Address))
 		next := *w.loop.cfg
 		next.Discovery = moved.address
 		lists := w.spy.count(balancer.ListFull)
@@ -286,7 +290,7 @@
 	if got := w.send(w.request("read", "", time.Minute)); got.code != http.StatusOK {
 		t.Errorf("through the new list: %+v", got)
 	}
-	if n, _ := second.seen(); n != 1 {
+	if n, _ := second.Seen(); n != 1 {
 		t.Errorf("the endpoint of the new list got %d requests, want 1", n)
 	}
 	close(answer)
@@ -300,27 +304,27 @@
 // late is not taken for another's.
 func TestGoneEndpointsAreForgotten(t *testing.T) {
 	answer := make(chan struct{})
-	e := newEndpoint(t, func(e *endpoint, conn net.Conn, in *bufio.Reader) {
-		for e.next(in) != nil {
+	e := sidecartest.NewEndpoint(t, func(e *sidecartest.Endpoint, conn net.Conn, in *bufio.Reader) {
+		for e.Next(in) != nil {
 			<-answer
-			io.WriteString(conn, served)
+			io.WriteString(conn, sidecartest.Served)
 		}
 	})
-	w := start(t, nil, ready("s-1", e.address))
+	w := start(t, nil, ready("s-1", e.Address))
 	held := make(chan reply)
 	go func() { held <- w.send(w.request("pay", "x", time.Minute)) }()
-	w.until("the request in hand", func() bool { n, _ := e.seen(); return n == 1 })
-	list := func(whole bool, hosts ...host) {
+	w.until("the request in hand", func() bool { n, _ := e.Seen(); return n == 1 })
+	list := func(whole bool, hosts ...discovery.Entry) {
 		w.do(func() {
 			kind := balancer.ListDelta
 			if whole {
 				kind = balancer.ListFull
 			}
-			w.loop.members(w.loop.clock.now(), kind, registry{Whole: whole, Hosts: hosts})
+			w.loop.members(w.loop.clock.now(), kind, discovery.List{Whole: whole, Hosts: hosts})
 		})
 	}
 	for i := range 50 {
-		list(true, ready(fmt.Sprintf("t-%d", i), e.address))
+		list(true, ready(fmt.Sprintf("t-%d", i), e.Address))
 	}
 	gone := ready("t-49", "")
 	gone.Health = "Gone"
@@ -340,7 +344,7 @@
 			t.Errorf("%d endpoints and %d names are kept, want none", len(w.loop.fleet), len(w.loop.ids))
 		}
 	})
-	list(true, ready("s-1", e.address))
+	list(true, ready("s-1", e.Address))
 	w.do(func() {
 		if id := w.loop.ids["s-1"]; id != 52 {
 			t.Errorf("the endpoint that is back has number %d, want a new one, 52", id)
--- a/internal/sidecar/durability_test.go
+++ b/internal/sidecar/durability_test.go
@@ -7,24 +7,29 @@
 	"syscall"
 	"testing"
 	"time"
+
+	"oakproxy/internal/config"
+	"oakproxy/internal/discovery"
+	"oakproxy/internal/handover"
+	"oakproxy/internal/sidecartest"
 )
 
 // A fault of the folder costs no request and no connection: only what staff ask for is a no meanwhile.
 func TestServingOverDiskFaults(t *testing.T) {
-	e, disk := newEndpoint(t, always(served)), &faultyDisk{}
-	w := startWith(t, nil, func(c *Config) { c.Host.Files = disk.ops() }, ready("s-1", e.address))
+	e, disk := sidecartest.NewEndpoint(t, sidecartest.Always(sidecartest.Served)), &sidecartest.FaultyDisk{}
+	w := startWith(t, nil, func(c *config.Config) { c.Host.Files = disk.FileOps() }, ready("s-1", e.Address))
 	address := w.second(t.TempDir())
 	if got := status(t, "POST", address, "/admin/quiesce"); got != http.StatusOK {
 		t.Fatal(got)
 	}
-	disk.fail("sync", syscall.EIO)
+	disk.Fail("sync", syscall.EIO)
 	if got := status(t, "POST", address, "/admin/resume"); got != http.StatusInternalServerError {
 		t.Errorf("a call that can't be stored: %d", got)
 	}
 	if got := w.send(w.request("read", "", time.Minute)); got.code != http.StatusOK || w.server.isReady() {
 		t.Errorf("a request meanwhile: %+v", got)
 	}
-	disk.mend()
+	disk.Mend()
 	if got := status(t, "POST", address, "/admin/resume"); got != http.StatusOK || !w.server.isReady() {
 		t.Errorf("the call afterwards: %d", got)
 	}
@@ -33,8 +38,8 @@
 // A place among the processes is taken once the folder lets it be, and who was seen there stays seen while it can't
 // be looked at.
 func TestSeatsOverFaults(t *testing.T) {
-	e := newEndpoint(t, always(served))
-	w := start(t, nil, ready("s-1", e.address))
+	e := sidecartest.NewEndpoint(t, sidecartest.Always(sidecartest.Served))
+	w := start(t, nil, ready("s-1", e.Address))
 	dir := filepath.Join(t.TempDir(), "later")
 	w.server.sit(t.Context(), dir)
 	if w.server.seat.Load() != nil {
@@ -45,11 +50,11 @@
 		t.Fatal(err)
 	}
 	w.until("a place", func() bool { return w.server.seat.Load() != nil })
-	other, err := takeSeat(dir)
+	other, err := handover.AcquireSlot(dir)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := other.ready(); err != nil {
+	if err := other.MarkReady(); err != nil {
 		t.Fatal(err)
 	}
 	w.until("the other process", w.server.relieved)
@@ -67,15 +72,15 @@
 
 // A process that starts with its clock off by an hour tells by discovery's date which endpoints have just started.
 func TestStartsByAnotherClockThanDiscoverys(t *testing.T) {
-	e := newEndpoint(t, always(served))
+	e := sidecartest.NewEndpoint(t, sidecartest.Always(sidecartest.Served))
 	for _, step := range []time.Duration{-time.Hour, 0, time.Hour} {
-		times := &steppedTime{}
-		times.by(step)
-		young, old := ready("s-1", e.address), ready("s-2", e.address)
+		times := &sidecartest.SteppedClock{}
+		times.Step(step)
+		young, old := ready("s-1", e.Address), ready("s-2", e.Address)
 		young.BornMS, old.BornMS = time.Now().UnixMilli(), time.Now().Add(-2*time.Hour).UnixMilli()
 		w := &world{t: t, dir: newDirectory(t, young, old)}
 		cfg := configure(t, w.dir.address, nil) // it knows no list but discovery's
-		cfg.Host.Time = times.source()
+		cfg.Host.Time = times.Clock()
 		w.launch(cfg)
 		w.untilReady()
 		var ages []time.Duration
@@ -84,10 +89,10 @@
 				ages = append(ages, time.Duration(w.loop.clock.now()-w.loop.fleet[w.loop.ids[name]].start)*time.Microsecond)
 			}
 		})
-		if ages[0] > patience || ages[0] < -2*minSkew {
+		if ages[0] > sidecartest.Patience || ages[0] < -2*discovery.MinSkew {
 			t.Errorf("step %v: one that has just started is %v old", step, ages[0])
 		}
-		if off := ages[1] - 2*time.Hour; off > patience || off < -2*minSkew {
+		if off := ages[1] - 2*time.Hour; off > sidecartest.Patience || off < -2*discovery.MinSkew {
 			t.Errorf("step %v: one that started two hours ago is %v old", step, ages[1])
 		}
 	}
--- a/internal/sidecar/ending_test.go
+++ b/internal/sidecar/ending_test.go
@@ -8,13 +8,18 @@
 	"strings"
 	"testing"
 	"time"
+
+	"oakproxy/internal/discovery"
+	"oakproxy/internal/downstream"
+	"oakproxy/internal/httpmsg"
+	"oakproxy/internal/sidecartest"
 )
 
 // At SIGTERM a request may be in hand, half written or still to come on a connection that is
 // open, and a new configuration may arrive in the middle: each has its answer, which ends its
 // connection, and the sidecar ends once all are out.
 func TestTerminationWithRequestsOnTheWay(t *testing.T) {
-	head := payHead + "Content-Length: 10\r\nX-Correlation-Id: "
+	head := sidecartest.PayHead + "Content-Length: 10\r\nX-Correlation-Id: "
 	for what, split := range map[string]int{
 		"connected":         0,
 		"half a line":       7,
@@ -27,16 +32,16 @@
 	} {
 		t.Run(what, func(t *testing.T) {
 			t.Parallel()
-			e := newEndpoint(t, always(served))
-			w := start(t, nil, ready("s-1", e.address))
+			e := sidecartest.NewEndpoint(t, sidecartest.Always(sidecartest.Served))
+			w := start(t, nil, ready("s-1", e.Address))
 			w.server.acceptFor = 3 * time.Second // a busy machine may be slow to connect
-			dial := hold(&w.loop.up.dialer, e.address)
+			dial := sidecartest.BlockDials(&w.loop.up.Dialer, e.Address)
 			text := head + "1\r\n\r\n0123456789"
 			conn := w.dial()
 			io.WriteString(conn, text[:split])
-			w.until("the connection", func() bool { return w.server.clients.count() > 0 })
+			w.until("the connection", func() bool { return w.server.clients.Count() > 0 })
 			if split == len(text) {
-				<-dial.begun
+				<-dial.Begun
 			}
 			w.stop()
 			w.until("the end of service", w.server.leaving)
@@ -45,7 +50,7 @@
 				w.do(func() { w.loop.reload(&next) })
 			}
 			io.WriteString(conn, text[split:])
-			close(dial.go_)
+			close(dial.Unblock)
 			in := bufio.NewReader(conn)
 			response, err := http.ReadResponse(in, nil)
 			if err != nil || response.StatusCode != http.StatusOK || !response.Close {
@@ -63,10 +68,10 @@
 				if err != nil {
 					t.Errorf("the sidecar ended with %v", err)
 				}
-			case <-time.After(patience):
+			case <-time.After(sidecartest.Patience):
 				t.Error("the sidecar does not end")
 			}
-			if n, _ := e.seen(); n != 1 {
+			if n, _ := e.Seen(); n != 1 {
 				t.Errorf("the endpoint got %d requests, want 1", n)
 			}
 		})
@@ -76,13 +81,13 @@
 // Idle clients may take all connections that clients may have while discovery is down: when
 // it is back its list is heard, and requests go to what it names.
 func TestIdleClientsLeaveRoomForDiscovery(t *testing.T) {
-	first, second := newEndpoint(t, always(served)), newEndpoint(t, always(served))
-	w := start(t, nil, ready("s-1", first.address))
+	first, second := sidecartest.NewEndpoint(t, sidecartest.Always(sidecartest.Served)), sidecartest.NewEndpoint(t, sidecartest.Always(sidecartest.Served))
+	w := start(t, nil, ready("s-1", first.Address))
 	w.until("the watch", func() bool { return w.dir.count() >= 2 })
 	w.dir.change(func() { w.dir.down = true })
 	// Clients that come again at once when they are closed.
 	end, ended := make(chan struct{}), make(chan struct{})
-	n := w.server.clients.most + 2*maxRejected
+	n := w.server.clients.MaxConnections + 2*downstream.MaxRejected
 	for range n {
 		go func() {
 			defer func() { ended <- struct{}{} }()
@@ -110,22 +115,22 @@
 			}
 		}()
 	}
-	w.until("all connections to be taken", func() bool { return w.server.clients.count() >= w.server.clients.most })
+	w.until("all connections to be taken", func() bool { return w.server.clients.Count() >= w.server.clients.MaxConnections })
 	w.dir.change(func() {
 		w.dir.down = false
-		w.dir.list = registry{Seq: 1, Whole: true, Hosts: []host{ready("s-2", second.address)}}
+		w.dir.list = discovery.List{Seq: 1, Whole: true, Hosts: []discovery.Entry{ready("s-2", second.Address)}}
 	})
 	w.until("a request at the new endpoint", func() bool {
 		w.send(w.request("read", "", 3*time.Second))
-		requests, _ := second.seen()
+		requests, _ := second.Seen()
 		return requests > 0
 	})
 	limit := w.loop.cfg.Limits.Sockets
-	if own := 2*w.server.clients.most + maxRejected + maxAdminCalls + 4; own > limit {
+	if own := 2*w.server.clients.MaxConnections + downstream.MaxRejected + maxAdminCalls + 4; own > limit {
 		t.Errorf("clients, endpoints and operators may take %d descriptors of %d", own, limit)
 	}
-	if open := w.server.clients.count(); open > w.server.clients.most+maxRejected {
-		t.Errorf("%d connections of clients, limit %d", open, w.server.clients.most)
+	if open := w.server.clients.Count(); open > w.server.clients.MaxConnections+downstream.MaxRejected {
+		t.Errorf("%d connections of clients, limit %d", open, w.server.clients.MaxConnections)
 	}
 	close(end)
 	for range n {
@@ -143,17 +148,17 @@
 		"a head alone":         "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\n",
 		"a body cut short":     "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\npart",
 		"chunks, no last one":  "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\npart\r\n",
-		"a large one, no size": "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n" + strings.Repeat("x", maxBufferedBytes+100),
+		"a large one, no size": "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n" + strings.Repeat("x", httpmsg.MaxBufferedBytes+100),
 	} {
 		t.Run(what, func(t *testing.T) {
 			t.Parallel()
-			e := newEndpoint(t, resetAfter(begin))
-			w := start(t, nil, ready("s-1", e.address))
+			e := sidecartest.NewEndpoint(t, resetAfter(begin))
+			w := start(t, nil, ready("s-1", e.Address))
 			got := w.send(w.request("order", "x", 3*time.Second))
 			if got.err == nil && got.code == http.StatusOK {
 				t.Errorf("the client has %d bytes as a whole answer", len(got.body))
 			}
-			if n, _ := e.seen(); n != 1 {
+			if n, _ := e.Seen(); n != 1 {
 				t.Errorf("an unsafe request was sent %d times", n)
 			}
 		})
@@ -161,9 +166,9 @@
 }
 
 // resetAfter begins an answer and resets the connection.
-func resetAfter(begin string) func(*endpoint, net.Conn, *bufio.Reader) {
-	return func(e *endpoint, conn net.Conn, in *bufio.Reader) {
-		e.next(in)
+func resetAfter(begin string) func(*sidecartest.Endpoint, net.Conn, *bufio.Reader) {
+	return func(e *sidecartest.Endpoint, conn net.Conn, in *bufio.Reader) {
+		e.Next(in)
 		io.WriteString(conn, begin)
 		conn.(*net.TCPConn).SetLinger(0)
 	}
--- a/internal/sidecar/gate_test.go
+++ b/internal/sidecar/gate_test.go
@@ -9,6 +9,8 @@
 	"time"
 
 	"oakproxy/balancer"
+	"oakproxy/internal/discovery"
+	"oakproxy/internal/sidecartest"
 )
 
 // A repeat of a keyed request is decided within the window and waits for its connection
@@ -16,21 +18,21 @@
 func TestRepeatIsNotSentAfterItsWindow(t *testing.T) {
 	const window = 2 * time.Second // long enough to decide on the repeat within it
 	reset := make(chan struct{})
-	broken := newEndpoint(t, func(e *endpoint, conn net.Conn, in *bufio.Reader) {
-		e.next(in)
+	broken := sidecartest.NewEndpoint(t, func(e *sidecartest.Endpoint, conn net.Conn, in *bufio.Reader) {
+		e.Next(in)
 		<-reset
 	})
-	slow := newEndpoint(t, always(served))
+	slow := sidecartest.NewEndpoint(t, sidecartest.Always(sidecartest.Served))
 	w := start(t, func(s map[string]any) {
 		s["classes"].([]any)[1].(map[string]any)["window"] = window.Microseconds()
-		s["limits"].(map[string]any)["dial-timeout"] = patience.Microseconds()
-	}, ready("s-1", broken.address))
-	dial := hold(&w.loop.up.dialer, slow.address)
+		s["limits"].(map[string]any)["dial-timeout"] = sidecartest.Patience.Microseconds()
+	}, ready("s-1", broken.Address))
+	dial := sidecartest.BlockDials(&w.loop.up.Dialer, slow.Address)
 	answer := make(chan reply, 1)
 	go func() { answer <- w.send(w.request("pay", "x", time.Minute)) }()
-	w.until("the first attempt", func() bool { n, _ := broken.seen(); return n == 1 })
+	w.until("the first attempt", func() bool { n, _ := broken.Seen(); return n == 1 })
 	w.dir.change(func() {
-		w.dir.list = registry{Seq: 1, Whole: true, Hosts: []host{ready("s-1", broken.address), ready("s-2", slow.address)}}
+		w.dir.list = discovery.List{Seq: 1, Whole: true, Hosts: []discovery.Entry{ready("s-1", broken.Address), ready("s-2", slow.Address)}}
 	})
 	w.until("the news", func() bool {
 		var n int
@@ -38,14 +40,14 @@
 		return n == 2
 	})
 	close(reset)
-	<-dial.begun
+	<-dial.Begun
 	began := time.Now()
-	await(t, "the end of the window", func() bool { return time.Since(began) > window })
-	close(dial.go_)
+	sidecartest.Await(t, "the end of the window", func() bool { return time.Since(began) > window })
+	close(dial.Unblock)
 	if got := <-answer; got.code != http.StatusServiceUnavailable {
 		t.Errorf("got %+v, want 503", got)
 	}
-	if n, _ := slow.seen(); n != 0 {
+	if n, _ := slow.Seen(); n != 0 {
 		t.Error("the repeat was sent after its window")
 	}
 }
@@ -55,19 +57,19 @@
 func TestNothingIsSentForAClientThatLeft(t *testing.T) {
 	for name, may := range map[string]bool{"may cancel": true, "may not cancel": false} {
 		t.Run(name, func(t *testing.T) {
-			e := newEndpoint(t, always(served))
-			w := start(t, func(s map[string]any) { s["limits"].(map[string]any)["cancel"] = may }, ready("s-1", e.address))
-			dial := hold(&w.loop.up.dialer, e.address)
+			e := sidecartest.NewEndpoint(t, sidecartest.Always(sidecartest.Served))
+			w := start(t, func(s map[string]any) { s["limits"].(map[string]any)["cancel"] = may }, ready("s-1", e.Address))
+			dial := sidecartest.BlockDials(&w.loop.up.Dialer, e.Address)
 			conn := w.dial()
 			w.request("pay", "x", time.Minute).Write(conn)
-			<-dial.begun
+			<-dial.Begun
 			conn.Close()
-			close(dial.go_) // at once: that it has left need not have been heard by then
+			close(dial.Unblock) // at once: that it has left need not have been heard by then
 			w.until("the outcome", func() bool { return len(w.spy.statuses()) == 1 })
 			if all := w.spy.statuses(); !slices.Equal(all, []balancer.Status{balancer.NotSent}) {
 				t.Errorf("outcomes %v, want moot", all)
 			}
-			if n, _ := e.seen(); n != 0 {
+			if n, _ := e.Seen(); n != 0 {
 				t.Errorf("the endpoint got %d requests", n)
 			}
 		})
--- a/internal/sidecar/handler.go
+++ b/internal/sidecar/handler.go
@@ -9,6 +9,11 @@
 	"time"
 
 	"oakproxy/balancer"
+	"oakproxy/internal/downstream"
+	"oakproxy/internal/httpmsg"
+	"oakproxy/internal/stages"
+	"oakproxy/internal/system"
+	"oakproxy/internal/upstream"
 )
 
 // turnAway answers a request whose body may not be read yet, and ends its
@@ -19,7 +24,7 @@
 	if http.NewResponseController(w).Flush() != nil {
 		return // the client is gone
 	}
-	newPaced(in.Context().Value(connKey{}).(*clientConn), in.Body).Discard(maxLinger)
+	downstream.NewBody(in.Context().Value(connKey{}).(*downstream.Conn), in.Body).Discard(downstream.MaxLinger)
 }
 
 // readyPath is where the application asks whether it may send requests.
@@ -27,25 +32,25 @@
 
 // handle reads a request, whole or as much as is held, and answers it.
 func (s *server) handle(w http.ResponseWriter, in *http.Request) {
-	c := in.Context().Value(connKey{}).(*clientConn)
-	age := dataAge(c.Conn) // it may have waited for this process
+	c := in.Context().Value(connKey{}).(*downstream.Conn)
+	age := system.LastDataAge(c.Conn) // it may have waited for this process
 	arrived := s.loop.clock.now() - age.Microseconds()
-	times := requestTimes{arrived: time.Now()}
+	times := stages.RequestTimes{Arrived: time.Now()}
 	req, err := s.readHead(in, c, arrived)
 	if err != nil {
 		reject(w, in, err)
 		return
 	}
-	held := int64(maxBufferedBytes)
+	held := int64(httpmsg.MaxBufferedBytes)
 	if in.ContentLength >= 0 {
 		held = min(held, in.ContentLength)
 	}
-	if !s.loop.up.room.take(held) {
+	if !s.loop.up.Bodies.Reserve(held) {
 		turnAway(w, in, answer{code: http.StatusServiceUnavailable, retryAfter: busyRetry.Microseconds()})
 		return
 	}
-	defer s.loop.up.room.give(held)
-	from := newPaced(c, in.Body)
+	defer s.loop.up.Bodies.Release(held)
+	from := downstream.NewBody(c, in.Body)
 	body, whole, err := readBody(from, held, in.ContentLength)
 	switch {
 	case (err != nil || !whole) && s.admission.isClosed():
@@ -54,24 +59,24 @@
 	case err != nil:
 		reject(w, in, err)
 		return
-	case !c.begin(): // it has just made room for another
+	case !c.BeginRequest(): // it has just made room for another
 		panic(http.ErrAbortHandler)
 	}
-	m := &message{method: in.Method, url: in.URL, host: in.Host, header: in.Header, body: body}
+	m := &upstream.Request{Method: in.Method, URL: in.URL, Host: in.Host, Header: in.Header, Body: body}
 	if !whole {
 		left := time.Duration(req.Deadline-arrived) * time.Microsecond
-		m.upload = &upload{length: in.ContentLength, left: left, body: from, failed: make(chan error, 1)}
-		req.StreamingBody, req.Deadline = true, arrived+maxUploadTime.Microseconds()
+		m.Upload = &upstream.Upload{Length: in.ContentLength, TimeLeft: left, Body: from, Failed: make(chan error, 1)}
+		req.StreamingBody, req.Deadline = true, arrived+upstream.MaxUploadTime.Microseconds()
 		s.request(w, in, c, nil, req, m, times)
 		return
 	}
 	if req.Deadline > 0 { // its time counts from its last byte
-		req.Deadline += max(0, s.loop.clock.now()-dataAge(c.Conn).Microseconds()-arrived)
+		req.Deadline += max(0, s.loop.clock.now()-system.LastDataAge(c.Conn).Microseconds()-arrived)
 	}
 	// The deadline for reading the request would otherwise end its context
 	// while the answer is still awaited.
 	c.SetReadDeadline(time.Time{})
-	alone := c.alone(in.ContentLength)
+	alone := c.RequestRead(in.ContentLength)
 	if in.URL.Path == readyPath {
 		if !alone {
 			w.Header().Set("Connection", "close")
@@ -83,23 +88,23 @@
 		refuseTerminating(w)
 		return
 	}
-	times.read = time.Now()
-	s.request(w, in, c, c.take(alone), req, m, times)
+	times.BodyRead = time.Now()
+	s.request(w, in, c, c.AwaitResponse(alone), req, m, times)
 }
 
 // readHead checks a request's head and reads what the balancer has to know of it.
-func (s *server) readHead(in *http.Request, c *clientConn, arrived balancer.Micros) (req balancer.Request, err error) {
-	if c.ambiguous() {
+func (s *server) readHead(in *http.Request, c *downstream.Conn, arrived balancer.Micros) (req balancer.Request, err error) {
+	if c.AmbiguousLength() {
 		// What follows the head may hide another request: the connection ends here.
-		return req, bad("Content-Length beside another, or beside Transfer-Encoding")
+		return req, downstream.NewBadRequest("Content-Length beside another, or beside Transfer-Encoding")
 	}
 	if in.URL.Path != readyPath {
 		if req, err = s.parse(in, arrived); err != nil {
 			return req, err
 		}
 	}
-	if in.ContentLength > maxBodyBytes {
-		return req, &badRequest{http.StatusRequestEntityTooLarge, tooLarge}
+	if in.ContentLength > httpmsg.MaxBodyBytes {
+		return req, downstream.ErrBodyTooLarge
 	}
 	return req, nil
 }
@@ -115,7 +120,7 @@
 		more, err = from.Read(body[n:])
 		n += more
 	}
-	var b *badRequest
+	var b *downstream.RequestError
 	switch {
 	case err == io.EOF && (length < 0 || int64(n) == length):
 		return body[:n], true, nil
@@ -124,48 +129,48 @@
 	case errors.As(err, &b):
 		return nil, false, err
 	}
-	return nil, false, bad("the body could not be read")
+	return nil, false, downstream.NewBadRequest("the body could not be read")
 }
 
 // request takes one request and gives its one final answer. left is closed when its client
 // leaves and net/http can't tell; it may be nil.
-func (s *server) request(w http.ResponseWriter, in *http.Request, c *clientConn, left <-chan struct{},
-	req balancer.Request, m *message, times requestTimes) {
-	open := newOpenRequest(in, c, times.arrived, s.loop.clock.time(req.Deadline))
+func (s *server) request(w http.ResponseWriter, in *http.Request, c *downstream.Conn, left <-chan struct{},
+	req balancer.Request, m *upstream.Request, times stages.RequestTimes) {
+	open := newOpenRequest(in, c, times.Arrived, s.loop.clock.time(req.Deadline))
 	var failed <-chan error
 	var stop <-chan struct{}
-	if m.upload != nil {
-		failed, stop = m.upload.failed, s.admission.closed
-		open.upload, open.timeLeft = true, m.upload.left
+	if m.Upload != nil {
+		failed, stop = m.Upload.Failed, s.admission.closed
+		open.upload, open.timeLeft = true, m.Upload.TimeLeft
 	}
 	if !s.inHand.add(open) {
-		reject(w, in, &badRequest{http.StatusConflict, "a request with this X-Correlation-Id is open"})
+		reject(w, in, downstream.NewRequestError(http.StatusConflict, "a request with this X-Correlation-Id is open"))
 		return
 	}
 	defer s.inHand.remove(open)
-	if m.upload != nil {
-		defer m.upload.end()
+	if m.Upload != nil {
+		defer m.Upload.Finish()
 	}
-	r := &request{answer: make(chan answer, 1), message: m, gone: c.hasLeft, times: times}
+	r := &request{answer: make(chan answer, 1), message: m, gone: c.ClientLeft, times: times}
 	s.loop.post(func(now balancer.Micros) { s.loop.take(now, r, req) })
 	abandon := func() { s.loop.post(func(now balancer.Micros) { s.loop.gone(now, r) }) }
 	for {
 		select {
 		case a := <-r.answer:
 			defer a.close()
-			if m.upload != nil {
-				defer s.hearOut(w, c, m.upload)
+			if m.Upload != nil {
+				defer s.hearOut(w, c, m.Upload)
 			}
 			s.reply(w, c, r, a)
 			s.inHand.remove(open)
 			return
 		case <-stop:
 			stop = nil
-			if m.upload.halt() { // else its last byte may be out, and its answer is awaited
+			if m.Upload.Stop() { // else its last byte may be out, and its answer is awaited
 				abandon()
 				refuseTerminating(w)
 				s.inHand.remove(open)
-				s.hearOut(w, c, m.upload)
+				s.hearOut(w, c, m.Upload)
 				return
 			}
 		case err := <-failed:
@@ -173,7 +178,7 @@
 			if errors.Is(err, os.ErrDeadlineExceeded) {
 				panic(http.ErrAbortHandler)
 			}
-			reject(w, in, bad("the body could not be read"))
+			reject(w, in, downstream.NewBadRequest("the body could not be read"))
 			return
 		case <-left:
 			abandon()
@@ -188,14 +193,14 @@
 }
 
 // reply writes the final answer.
-func (s *server) reply(w http.ResponseWriter, c *clientConn, r *request, a answer) {
-	r.times.answer = time.Now()
-	upload := r.message.upload
+func (s *server) reply(w http.ResponseWriter, c *downstream.Conn, r *request, a answer) {
+	r.times.Answered = time.Now()
+	upload := r.message.Upload
 	// Clients send one request at a time. What came behind this one is no request:
 	// only the client's own word says that it is one.
-	behind := c.give()
-	late := upload != nil && !(upload.finished.Load() && c.alone(upload.length))
-	if behind || late || s.clients.crowded() || s.leaving() {
+	behind := c.BeginResponse()
+	late := upload != nil && !(upload.ReachedEOF.Load() && c.RequestRead(upload.Length))
+	if behind || late || s.clients.Crowded() || s.leaving() {
 		w.Header().Set("Connection", "close")
 	}
 	writeAnswer(w, a)
@@ -203,38 +208,38 @@
 		s.record(r)
 		return
 	}
-	if err := pass(w, c, a.rest); err != nil {
-		c.cut()
+	if err := downstream.Relay(w, c, a.rest); err != nil {
+		c.ResetOnClose()
 		panic(http.ErrAbortHandler)
 	}
 }
 
 // record counts the stages of a request that is answered, if its attempt's times are known.
 func (s *server) record(r *request) {
-	if r.times.attempt.received.IsZero() {
+	if r.times.Attempt.Received.IsZero() {
 		return
 	}
-	r.times.replied = time.Now()
-	s.loop.stages.record(&r.times)
+	r.times.Replied = time.Now()
+	s.loop.stages.Record(&r.times)
 }
 
 // hearOut lets a client that has its answer write its body to the end.
-func (s *server) hearOut(w http.ResponseWriter, c *clientConn, u *upload) {
-	if u.finished.Load() {
+func (s *server) hearOut(w http.ResponseWriter, c *downstream.Conn, u *upstream.Upload) {
+	if u.ReachedEOF.Load() {
 		c.SetReadDeadline(time.Time{})
 		return
 	}
 	http.NewResponseController(w).Flush()
-	u.end()
-	most := maxUploadTime
+	u.Finish()
+	most := upstream.MaxUploadTime
 	if s.ending.Load() {
-		most = maxLinger
+		most = downstream.MaxLinger
 	}
-	u.body.Discard(most)
+	u.Body.Discard(most)
 }
 
 func writeAnswer(w http.ResponseWriter, a answer) {
-	endToEnd(w.Header(), a.header)
+	httpmsg.CopyEndToEnd(w.Header(), a.header)
 	if a.retryAfter > 0 {
 		w.Header().Set("Retry-After", strconv.FormatFloat(float64(a.retryAfter)/1e6, 'f', 3, 64))
 	}
--- a/internal/sidecar/hear_test.go
+++ b/internal/sidecar/hear_test.go
@@ -7,6 +7,9 @@
 	"testing"
 	"testing/synctest"
 	"time"
+
+	"oakproxy/internal/config"
+	"oakproxy/internal/discovery"
 )
 
 // outage is a way in which discovery can be out of reach, and back.
@@ -144,9 +147,9 @@
 							dir.turn = 0 // an agent has its list at hand
 						}
 						began := time.Now()
-						l := watchingWith(t, dial, func(cfg *Config) {
+						l := watchingWith(t, dial, func(cfg *config.Config) {
 							if cfg.Seed = seed; !c.known {
-								cfg.known = registry{}
+								cfg.KnownEndpoints = discovery.List{}
 							}
 						}, alter)
 						time.AfterFunc(c.after, func() {
--- a/internal/sidecar/host_test.go
+++ b/internal/sidecar/host_test.go
@@ -7,6 +7,9 @@
 	"os"
 	"runtime/debug"
 	"testing"
+
+	"oakproxy/internal/config"
+	"oakproxy/internal/sidecartest"
 )
 
 // A sidecar that shares its process leaves that process's memory limit and files alone;
@@ -17,7 +20,7 @@
 	defer debug.SetMemoryLimit(before)
 	debug.SetMemoryLimit(math.MaxInt64)
 
-	w := start(t, nil, ready("s-1", newEndpoint(t, always(served)).address))
+	w := start(t, nil, ready("s-1", sidecartest.NewEndpoint(t, sidecartest.Always(sidecartest.Served)).Address))
 	shared := configure(t, w.dir.address, nil)
 	runOnce(t, shared)
 	if limit := debug.SetMemoryLimit(-1); limit != math.MaxInt64 {
@@ -28,7 +31,7 @@
 	}
 
 	own := configure(t, w.dir.address, nil)
-	own.Host = ownProcess()
+	own.Host = config.OwnProcessHost()
 	runOnce(t, own)
 	if limit, want := debug.SetMemoryLimit(-1), int64(own.Limits.MemoryMB)<<20/10*heapPart; limit != want {
 		t.Errorf("the memory limit is %d after a sidecar with a process of its own, want %d", limit, want)
@@ -36,9 +39,9 @@
 }
 
 // runOnce runs a sidecar until it has asked discovery.
-func runOnce(t *testing.T, cfg *Config) {
+func runOnce(t *testing.T, cfg *config.Config) {
 	t.Helper()
-	heard, reloads := make(chan struct{}, 1), make(chan *Config)
+	heard, reloads := make(chan struct{}, 1), make(chan *config.Config)
 	close(reloads)
 	ctx, stop := context.WithCancel(t.Context())
 	defer stop()
--- a/internal/sidecar/inhand.go
+++ b/internal/sidecar/inhand.go
@@ -4,13 +4,15 @@
 	"net/http"
 	"sync"
 	"time"
+
+	"oakproxy/internal/downstream"
 )
 
 // openRequest is a client's request from the moment it was read until the last byte of its answer was written.
 type openRequest struct {
 	id    string // X-Correlation-Id
 	class string
-	conn  *clientConn
+	conn  *downstream.Conn
 	since time.Time
 	until time.Time // when its client's time is up; of an upload, when it is given up
 
@@ -18,7 +20,7 @@
 	timeLeft time.Duration // of an upload, from then on
 }
 
-func newOpenRequest(in *http.Request, c *clientConn, since, until time.Time) *openRequest {
+func newOpenRequest(in *http.Request, c *downstream.Conn, since, until time.Time) *openRequest {
 	return &openRequest{id: in.Header.Get("X-Correlation-Id"), class: in.Header.Get("X-Service-Class"), conn: c,
 		since: since, until: until}
 }
--- a/internal/sidecar/limits_test.go
+++ b/internal/sidecar/limits_test.go
@@ -1,16 +1,21 @@
 package sidecar
 
-import "testing"
+import (
+	"testing"
+
+	"oakproxy/internal/handover"
+	"oakproxy/internal/sidecartest"
+)
 
 // Two processes have the limits of one sidecar between them, and the one that stays
 // has them whole again. What is idle beyond its part is closed.
 func TestProcessesShareTheLimits(t *testing.T) {
-	e := newEndpoint(t, always(served))
-	w := start(t, nil, ready("s-1", e.address))
-	w.until("other connections to end", func() bool { return w.server.clients.count() == 0 })
-	whole, room := w.server.clients.most, w.loop.up.room.most.Load()
+	e := sidecartest.NewEndpoint(t, sidecartest.Always(sidecartest.Served))
+	w := start(t, nil, ready("s-1", e.Address))
+	w.until("other connections to end", func() bool { return w.server.clients.Count() == 0 })
+	whole, room := w.server.clients.MaxConnections, w.loop.up.Bodies.Limit.Load()
 	dir := t.TempDir()
-	own, err := takeSeat(dir)
+	own, err := handover.AcquireSlot(dir)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -18,27 +23,27 @@
 	for range whole {
 		w.dial()
 	}
-	w.until("all room to be taken", func() bool { return w.server.clients.count() == whole })
-	other, err := takeSeat(dir)
+	w.until("all room to be taken", func() bool { return w.server.clients.Count() == whole })
+	other, err := handover.AcquireSlot(dir)
 	if err != nil {
 		t.Fatal(err)
 	}
 	go w.server.company(t.Context(), dir)
 	half := (w.loop.cfg.Limits.Sockets/2 - socketSpare) / 2
-	w.until("connections beyond its part to end", func() bool { return w.server.clients.count() == half })
-	w.until("the part", func() bool { return w.loop.up.room.most.Load() == room/2 })
+	w.until("connections beyond its part to end", func() bool { return w.server.clients.Count() == half })
+	w.until("the part", func() bool { return w.loop.up.Bodies.Limit.Load() == room/2 })
 	if !w.server.accompanied() || w.server.relieved() {
 		t.Error("the other process is not seen, or taken for ready")
 	}
-	if err := other.ready(); err != nil {
+	if err := other.MarkReady(); err != nil {
 		t.Fatal(err)
 	}
 	if !w.server.relieved() {
 		t.Error("the other process is not seen to be ready")
 	}
-	other.release()
+	other.Release()
 	w.until("the limits to be whole again", func() bool {
-		most, _ := w.server.clients.limits()
-		return most == whole && w.loop.up.room.most.Load() == room
+		most, _ := w.server.clients.Limits()
+		return most == whole && w.loop.up.Bodies.Limit.Load() == room
 	})
 }
--- a/internal/sidecar/loop.go
+++ b/internal/sidecar/loop.go
@@ -8,6 +8,14 @@
 	"time"
 
 	"oakproxy/balancer"
+	"oakproxy/internal/config"
+	"oakproxy/internal/discovery"
+	"oakproxy/internal/downstream"
+	"oakproxy/internal/httpmsg"
+	"oakproxy/internal/operatorstate"
+	"oakproxy/internal/stages"
+	"oakproxy/internal/system"
+	"oakproxy/internal/upstream"
 )
 
 const (
@@ -57,63 +65,63 @@
 type loop struct {
 	log    *slog.Logger
 	clock  clock
-	time   Clock // of what outlives the process
-	up     *upstream
-	disc   *discovery
+	time   system.Clock // of what outlives the process
+	up     *upstream.Client
+	disc   *discovery.Client
 	events chan func(now balancer.Micros)
 	urgent chan func(now balancer.Micros) // goes ahead of events
 	ctx    context.Context                // ends with the loop
 	listed atomic.Bool                    // endpoints are known
-	stages stageTimes                     // of requests served
+	stages stages.Recorder                // of requests served
 
-	current atomic.Pointer[snapshot] // the configuration in force
-	relimit func()                   // has its limits hold when they have changed; may be nil
-	closes  func() closeCounts       // of clients' connections; may be nil
+	current atomic.Pointer[config.Snapshot] // the configuration in force
+	relimit func()                          // has its limits hold when they have changed; may be nil
+	closes  func() downstream.CloseCounts   // of clients' connections; may be nil
 
 	// Below: the loop's goroutine alone.
-	cfg       *Config // that of current
-	refused   int     // configurations that were not taken
+	cfg       *config.Config // that of current
+	refused   int            // configurations that were not taken
 	balancer  decider
 	requests  map[uint64]*request
 	lastID    uint64
 	ids       map[string]uint32 // of endpoints, by host name
 	lastEP    uint32            // the latest id given; none is given twice
 	fleet     map[uint32]*member
-	marks     map[string]mark                                     // what operators set, by host name
+	marks     map[string]operatorstate.Override                   // what operators set, by host name
 	learned   *balancer.Estimates                                 // to begin with; may be nil
 	keep      func(now balancer.Micros, known balancer.Estimates) // takes what is known once a second; may be nil
-	from      position                                            // of the watch
+	from      discovery.Position                                  // of the watch
 	heard     balancer.Micros                                     // when discovery answered last, or the start
 	calls     callCounts                                          // of discovery
 	unheard   bool                                                // the last call failed
 	warned    balancer.Micros                                     // of such a failure
 	stopWatch context.CancelFunc
 	stats     balancer.Stats // when last recorded, as are dials and asked
-	dials     upCounts
+	dials     upstream.Counts
 	asked     callCounts
 	lag       time.Duration // longest wait of an event since then
-	staged    stageSums     // when last recorded, as are closed
-	closed    closeCounts
+	staged    stages.Totals // when last recorded, as are closed
+	closed    downstream.CloseCounts
 }
 
 // request is the ledger's entry for a request that the balancer may still
 // speak of: no final answer is out, or attempts are.
 type request struct {
 	id       uint64
-	message  *message
+	message  *upstream.Request
 	deadline balancer.Micros
 	answer   chan answer // takes the one final answer
 	over     bool        // the final answer is out, or the client is gone
 	attempts []started
 	out      int         // attempts without outcome
 	gone     func() bool // whether the client has left, by a look at its connection; may be nil
-	times    requestTimes
+	times    stages.RequestTimes
 }
 
 // started is an attempt that is under way.
 type started struct {
 	cancel context.CancelFunc
-	gate   *gate
+	gate   *upstream.Gate
 }
 
 // end marks that nothing new may begin for the request. An attempt that has not begun is
@@ -121,7 +129,7 @@
 func (r *request) end() {
 	r.over = true
 	for _, a := range r.attempts {
-		if a.gate.close() {
+		if a.gate.Close() {
 			a.cancel()
 		}
 	}
@@ -129,9 +137,9 @@
 
 // timed takes the times of the attempt that was answered, where those of the request are whole: its
 // first and only attempt, with nothing to pass on while it came.
-func (r *request) timed(times attemptTimes) {
-	if !r.over && len(r.attempts) == 1 && r.message.upload == nil {
-		r.times.attempt = times
+func (r *request) timed(times stages.AttemptTimes) {
+	if !r.over && len(r.attempts) == 1 && r.message.Upload == nil {
+		r.times.Attempt = times
 	}
 }
 
@@ -141,22 +149,22 @@
 	retryAfter balancer.Micros
 	header     http.Header
 	body       []byte
-	rest       *rest  // what follows body, while it comes
-	length     int64  // of the whole, where there is a rest; -1 if unknown
-	held       func() // gives back the room for body
+	rest       *upstream.BodyStream // what follows body, while it comes
+	length     int64                // of the whole, where there is a rest; -1 if unknown
+	held       func()               // gives back the room for body
 }
 
-func newLoop(ctx context.Context, cfg *Config, log *slog.Logger) (*loop, error) {
+func newLoop(ctx context.Context, cfg *config.Config, log *slog.Logger) (*loop, error) {
 	times := cfg.Host.Time.OrSystem()
 	l := &loop{
 		log: log, clock: newClock(times.Wall), time: times, ctx: ctx,
-		up: newUpstream(cfg, connections(cfg), newBudget(bodyMemory(cfg))), disc: newDiscoveryFor(cfg),
+		up: upstream.NewClient(cfg, connections(cfg), httpmsg.NewMemoryBudget(bodyMemory(cfg))), disc: newDiscoveryFor(cfg),
 		events:   make(chan func(balancer.Micros), maxEvents),
 		urgent:   make(chan func(balancer.Micros), maxPriorityEvents),
-		requests: map[uint64]*request{}, ids: map[string]uint32{}, fleet: map[uint32]*member{}, marks: map[string]mark{},
+		requests: map[uint64]*request{}, ids: map[string]uint32{}, fleet: map[uint32]*member{}, marks: map[string]operatorstate.Override{},
 		stopWatch: func() {},
 	}
-	l.activate(newSnapshot(cfg))
+	l.activate(config.NewSnapshot(cfg))
 	var err error
 	l.balancer, err = balancer.New(cfg.Settings, cfg.Seed, l)
 	return l, err
@@ -171,8 +179,8 @@
 	if l.learned != nil {
 		l.balancer.Restore(l.learned)
 	}
-	if len(l.cfg.known.Hosts) > 0 {
-		l.members(now, balancer.ListCached, l.cfg.known)
+	if len(l.cfg.KnownEndpoints.Hosts) > 0 {
+		l.members(now, balancer.ListCached, l.cfg.KnownEndpoints)
 	}
 	if !l.cfg.Settings.SubscribeToDiscovery {
 		l.Watch(true)
@@ -194,7 +202,7 @@
 		case event := <-l.events:
 			event(l.clock.now())
 		case <-prune.C:
-			l.up.prune()
+			l.up.Prune()
 			if l.keep != nil {
 				l.keep(l.clock.now(), l.balancer.Estimates())
 			}
@@ -208,19 +216,19 @@
 
 // logStats records what was counted since the last such line; a quiet time leaves none.
 func (l *loop) logStats(now balancer.Micros) {
-	stats, up := l.balancer.Stats(now), l.up.counts()
-	staged := l.stages.totals()
-	var closed closeCounts
+	stats, up := l.balancer.Stats(now), l.up.Counts()
+	staged := l.stages.Totals()
+	var closed downstream.CloseCounts
 	if l.closes != nil {
 		closed = l.closes()
 	}
 	if stats.Requests != l.stats.Requests {
 		inForce := l.current.Load()
-		l.log.Info("statistics", "balancer", stats.Since(&l.stats), "list_age_ms", (now-l.heard)/1000, "list_seq", l.from.newest, "discovery_calls", l.calls.since(l.asked), "dials", up.dials-l.dials.dials,
-			"dial_ms", (up.dialTime-l.dials.dialTime).Milliseconds()/int64(max(1, up.dials-l.dials.dials)),
-			"dial_failed", up.failed-l.dials.failed, "connection_limit", up.full-l.dials.full, "connections", up.open, "event_wait_ms", float64(l.lag.Microseconds())/1000,
-			"stages_us", staged.since(l.staged), "client_closes", closed.since(l.closed),
-			"generation", inForce.generation, "hash", inForce.hash, "reloads", inForce.generation-firstGeneration, "reloads_rejected", l.refused)
+		l.log.Info("statistics", "balancer", stats.Since(&l.stats), "list_age_ms", (now-l.heard)/1000, "list_seq", l.from.Newest, "discovery_calls", l.calls.since(l.asked), "dials", up.Dials-l.dials.Dials,
+			"dial_ms", (up.DialTime-l.dials.DialTime).Milliseconds()/int64(max(1, up.Dials-l.dials.Dials)),
+			"dial_failed", up.Failed-l.dials.Failed, "connection_limit", up.LimitReached-l.dials.LimitReached, "connections", up.Open, "event_wait_ms", float64(l.lag.Microseconds())/1000,
+			"stages_us", staged.MeansSince(l.staged), "client_closes", closed.Since(l.closed),
+			"generation", inForce.Generation, "hash", inForce.FileHash, "reloads", inForce.Generation-config.FirstGeneration, "reloads_rejected", l.refused)
 	}
 	l.staged, l.closed = staged, closed
 	l.stats, l.dials, l.asked, l.lag = stats, up, l.calls, 0
@@ -259,15 +267,15 @@
 	l.lastID++
 	r.id, in.ID, r.deadline = l.lastID, l.lastID, in.Deadline
 	l.requests[r.id] = r
-	r.times.taken = time.Now()
+	r.times.Dequeued = time.Now()
 	if in.ReceivedUnder == &l.cfg.Settings {
 		in.ReceivedUnder = nil // nothing has changed since it was read
 	}
-	if up := r.message.upload; up != nil {
-		up.written = func() {
+	if up := r.message.Upload; up != nil {
+		up.OnWritten = func() {
 			l.post(func(at balancer.Micros) {
 				if !r.over {
-					r.deadline = at + time.Until(up.due()).Microseconds()
+					r.deadline = at + time.Until(up.Deadline()).Microseconds()
 					l.balancer.HandleBodyWritten(at, r.id, r.deadline)
 				}
 			})
@@ -292,13 +300,13 @@
 
 // outcome tells how an attempt ended: exactly once for each, also after the
 // request's end, when the balancer still learns from it.
-func (l *loop) outcome(now balancer.Micros, r *request, o balancer.Outcome, res result) {
+func (l *loop) outcome(now balancer.Micros, r *request, o balancer.Outcome, res upstream.Result) {
 	r.out--
-	l.trace(r, "attempt finished", "number", o.Attempt, "status", o.Status, "error", res.err, "after_us", o.Latency, "over", r.over)
-	if res.status == balancer.OK {
-		r.timed(res.times)
-		l.finish(r, answer{code: http.StatusOK, header: res.header, body: res.body,
-			rest: res.rest, length: res.length, held: res.held})
+	l.trace(r, "attempt finished", "number", o.Attempt, "status", o.Status, "error", res.Err, "after_us", o.Latency, "over", r.over)
+	if res.Status == balancer.OK {
+		r.timed(res.Times)
+		l.finish(r, answer{code: http.StatusOK, header: res.Header, body: res.Body,
+			rest: res.Rest, length: res.Length, held: res.Release})
 	}
 	o.Answered, o.LoadReport = r.over, l.loadOf(res)
 	l.balancer.HandleOutcome(now, o)
@@ -325,29 +333,29 @@
 // Send starts an attempt.
 func (l *loop) Send(id uint64, endpoint uint32, latest balancer.Micros) {
 	r, t := l.requests[id], l.acquire(endpoint)
-	now, g := l.clock.now(), &gate{gone: r.gone}
+	now, g := l.clock.now(), &upstream.Gate{ClientGone: r.gone}
 	if latest > 0 {
-		g.latest = l.clock.time(latest)
+		g.NotAfter = l.clock.time(latest)
 	}
 	ctx, cancel := context.WithDeadline(l.ctx, l.clock.time(r.deadline))
 	o := balancer.Outcome{ID: id, Attempt: len(r.attempts), Endpoint: endpoint}
 	l.trace(r, "attempt started", "number", o.Attempt, "endpoint", endpoint, "known", t != nil)
 	if len(r.attempts) == 0 {
-		r.times.sent = time.Now()
+		r.times.Sent = time.Now()
 	}
 	r.attempts = append(r.attempts, started{cancel, g})
 	r.out++
 	go func() {
-		res := result{status: balancer.NotSent}
+		res := upstream.Result{Status: balancer.NotSent}
 		if t != nil {
-			res = l.up.attempt(ctx, t, r.message, g)
+			res = l.up.Attempt(ctx, t, r.message, g)
 		}
 		cancel()
 		l.post(func(at balancer.Micros) {
-			o.Status, o.Latency = res.status, at-now
-			if up := r.message.upload; up != nil {
-				if o.BodyConsumed = up.spent.Load() || up.phase.Load() != passing; !up.at.IsZero() {
-					o.Latency = time.Since(up.at).Microseconds()
+			o.Status, o.Latency = res.Status, at-now
+			if up := r.message.Upload; up != nil {
+				if o.BodyConsumed = up.Consumed.Load() || up.Phase.Load() != upstream.UploadStreaming; !up.WrittenAt.IsZero() {
+					o.Latency = time.Since(up.WrittenAt).Microseconds()
 				}
 			}
 			l.outcome(at, r, o, res)
@@ -384,12 +392,12 @@
 func (l *loop) Probe(endpoint uint32) {
 	t := l.acquire(endpoint)
 	go func() {
-		res := result{status: balancer.NotSent}
+		res := upstream.Result{Status: balancer.NotSent}
 		if t != nil {
-			res = l.up.probe(l.ctx, t)
+			res = l.up.Probe(l.ctx, t)
 		}
 		l.post(func(now balancer.Micros) {
-			l.balancer.HandleProbe(now, endpoint, res.status, res.took.Microseconds(), l.loadOf(res))
+			l.balancer.HandleProbe(now, endpoint, res.Status, res.Took.Microseconds(), l.loadOf(res))
 			l.release(endpoint)
 		})
 	}()
@@ -398,7 +406,7 @@
 // trace records what becomes of one request, where the log has lines of level debug.
 func (l *loop) trace(r *request, event string, attributes ...any) {
 	if l.log.Enabled(l.ctx, slog.LevelDebug) {
-		l.log.Debug(event, append([]any{"id", r.message.header.Get("X-Correlation-Id")}, attributes...)...)
+		l.log.Debug(event, append([]any{"id", r.message.Header.Get("X-Correlation-Id")}, attributes...)...)
 	}
 }
 
--- a/internal/sidecar/parse.go
+++ b/internal/sidecar/parse.go
@@ -2,22 +2,22 @@
 
 import (
 	"errors"
-	"fmt"
 	"hash/fnv"
 	"net/http"
 	"strconv"
 	"strings"
 
 	"oakproxy/balancer"
+	"oakproxy/internal/downstream"
 )
 
 // reject turns a request away, with its connection: what else a client sends
 // that gets this much wrong is not worth reading.
 func reject(w http.ResponseWriter, in *http.Request, err error) {
 	code := http.StatusBadRequest
-	var b *badRequest
+	var b *downstream.RequestError
 	if errors.As(err, &b) {
-		code = b.code
+		code = b.StatusCode
 	}
 	reason := err.Error() + "\n"
 	turnAway(w, in, answer{code: code, body: []byte(reason),
@@ -43,19 +43,19 @@
 	h := in.Header
 	for _, name := range single {
 		if len(h[name]) > 1 {
-			return req, bad("%s is there %d times", name, len(h[name]))
+			return req, downstream.NewBadRequest("%s is there %d times", name, len(h[name]))
 		}
 	}
 	if id := h.Get("X-Correlation-Id"); id == "" || len(id) > maxIDLength {
-		return req, bad("X-Correlation-Id: %d characters, must be 1 to %d", len(id), maxIDLength)
+		return req, downstream.NewBadRequest("X-Correlation-Id: %d characters, must be 1 to %d", len(id), maxIDLength)
 	}
 	name := h.Get("X-Service-Class")
-	class, ok := inForce.classes[name]
+	class, ok := inForce.Classes[name]
 	if !ok {
-		return req, bad("X-Service-Class: %q is not a known class", name)
+		return req, downstream.NewBadRequest("X-Service-Class: %q is not a known class", name)
 	}
 	if first, _, _ := strings.Cut(strings.TrimPrefix(in.URL.Path, "/"), "/"); first != name {
-		return req, bad("the path is not of X-Service-Class %q", name)
+		return req, downstream.NewBadRequest("the path is not of X-Service-Class %q", name)
 	}
 	req.Class = class
 	method, keyed := http.MethodPost, h.Get("Idempotency-Key") != ""
@@ -64,24 +64,24 @@
 		method = http.MethodGet
 	case balancer.IdempotentWithKey:
 		if !keyed {
-			return req, bad("Idempotency-Key is missing")
+			return req, downstream.NewBadRequest("Idempotency-Key is missing")
 		}
 	}
 	if in.Method != method {
-		return req, &badRequest{http.StatusMethodNotAllowed, fmt.Sprintf("requests of this class are %s", method)}
+		return req, downstream.NewRequestError(http.StatusMethodNotAllowed, "requests of this class are %s", method)
 	}
 	if method == http.MethodGet && in.ContentLength != 0 {
-		return req, bad("a GET has no body")
+		return req, downstream.NewBadRequest("a GET has no body")
 	}
 	left, err := strconv.ParseUint(h.Get("X-Time-Left-Ms"), 10, 63)
 	if err != nil {
-		return req, bad("X-Time-Left-Ms: %q is not a whole number of milliseconds", h.Get("X-Time-Left-Ms"))
+		return req, downstream.NewBadRequest("X-Time-Left-Ms: %q is not a whole number of milliseconds", h.Get("X-Time-Left-Ms"))
 	}
 	left = min(left, uint64(maxTimeLeft.Milliseconds()))
 	req.Deadline = arrived + int64(left)*1000 - answerMargin.Microseconds()
-	if len(inForce.tenants) > 0 {
-		if req.Tenant, ok = inForce.tenants[h.Get("X-Account")]; !ok {
-			return req, bad("X-Account: %q is not a known tenant", h.Get("X-Account"))
+	if len(inForce.Tenants) > 0 {
+		if req.Tenant, ok = inForce.Tenants[h.Get("X-Account")]; !ok {
+			return req, downstream.NewBadRequest("X-Account: %q is not a known tenant", h.Get("X-Account"))
 		}
 	}
 	if key := h.Get("X-Session-Key"); key != "" {
@@ -90,7 +90,7 @@
 	if hint := h.Get("X-Weight-Hint"); hint != "" {
 		micros, err := strconv.ParseUint(hint, 10, 63)
 		if err != nil {
-			return req, bad("X-Weight-Hint: %q is not a whole number of microseconds", hint)
+			return req, downstream.NewBadRequest("X-Weight-Hint: %q is not a whole number of microseconds", hint)
 		}
 		req.WorkHint, req.HasWorkHint = int64(micros), true
 	}
@@ -99,7 +99,7 @@
 		req.ClientRetry = true
 	case "", "0":
 	default:
-		return req, bad("X-Repeat: %q is neither 0 nor 1", h.Get("X-Repeat"))
+		return req, downstream.NewBadRequest("X-Repeat: %q is neither 0 nor 1", h.Get("X-Repeat"))
 	}
 	return req, nil
 }
--- a/internal/sidecar/processes.go
+++ b/internal/sidecar/processes.go
@@ -3,6 +3,9 @@
 import (
 	"context"
 	"time"
+
+	"oakproxy/internal/handover"
+	"oakproxy/internal/system"
 )
 
 const (
@@ -12,9 +15,9 @@
 
 // sit takes a place among the processes of this sidecar; where none is to be had for now, company goes on trying.
 func (s *server) sit(ctx context.Context, dir string) {
-	var own *seat
-	err := retryAtStart(ctx, func() (err error) {
-		own, err = takeSeat(dir)
+	var own *handover.Slot
+	err := system.RetryAtStart(ctx, func() (err error) {
+		own, err = handover.AcquireSlot(dir)
 		return err
 	})
 	if err != nil {
@@ -32,18 +35,18 @@
 	notified, of := false, 1
 	for {
 		if s.seat.Load() == nil {
-			if own, err := takeSeat(dir); err == nil {
+			if own, err := handover.AcquireSlot(dir); err == nil {
 				s.seat.Store(own)
 			}
 		}
 		if own := s.seat.Load(); own != nil {
-			if alive, _ := own.count(); alive+1 != of {
+			if alive, _ := own.Peers(); alive+1 != of {
 				of = alive + 1
 				s.share(of)
 				s.log.Info("processes of this sidecar", "count", of)
 			}
 			if !notified && s.loop.listed.Load() {
-				notified = own.ready() == nil // a full disk may take it later
+				notified = own.MarkReady() == nil // a full disk may take it later
 			}
 		}
 		select {
@@ -73,9 +76,9 @@
 func (s *server) limit() {
 	cfg, n := s.loop.current.Load(), s.processes
 	most := max(minConnections, (cfg.Limits.Sockets/n-socketSpare)/2)
-	s.clients.limit(most, cfg.Limits.Sockets/crowdPart/n)
-	s.loop.up.limit(most)
-	s.loop.up.room.most.Store(int64(cfg.Limits.MemoryMB) << 20 / bodiesPart / int64(n))
+	s.clients.SetLimits(most, cfg.Limits.Sockets/crowdPart/n)
+	s.loop.up.SetMaxConnections(most)
+	s.loop.up.Bodies.Limit.Store(int64(cfg.Limits.MemoryMB) << 20 / bodiesPart / int64(n))
 	if limit := cfg.Host.LimitMemory; limit != nil {
 		limit(int64(cfg.Limits.MemoryMB) << 20 / 10 * heapPart / int64(n))
 	}
--- a/internal/sidecar/reload.go
+++ b/internal/sidecar/reload.go
@@ -4,24 +4,27 @@
 	"time"
 
 	"oakproxy/balancer"
+	"oakproxy/internal/config"
+	"oakproxy/internal/discovery"
+	"oakproxy/internal/upstream"
 )
 
 // activate puts a configuration in force.
-func (l *loop) activate(s *snapshot) {
+func (l *loop) activate(s *config.Snapshot) {
 	l.cfg = s.Config
 	l.current.Store(s)
 }
 
 // reload takes up a new configuration in one step, or refuses it and changes nothing. Requests in hand, the list of
 // endpoints and what is known of them stay.
-func (l *loop) reload(next *Config) {
-	if next.fault != nil {
-		l.refuse(next.fault)
+func (l *loop) reload(next *config.Config) {
+	if next.Err != nil {
+		l.refuse(next.Err)
 		return
 	}
-	old, merged := l.cfg, l.cfg.succeededBy(next)
-	restart := old.needRestart(next)
-	if old.equal(merged) {
+	old, merged := l.cfg, l.cfg.Merge(next)
+	restart := old.RestartKeys(next)
+	if old.Equal(merged) {
 		if len(restart) > 0 {
 			l.log.Warn("configuration needs a restart", "needs_restart", restart)
 		}
@@ -32,16 +35,16 @@
 		l.refuse(err)
 		return
 	}
-	l.activate(l.current.Load().replacedBy(merged, next.Hash()))
+	l.activate(l.current.Load().ReplacedBy(merged, next.Hash()))
 	l.withdraw(withdrawn)
-	l.up.configure(merged)
+	l.up.Configure(merged)
 	if old.Limits != merged.Limits && l.relimit != nil {
 		l.relimit()
 	}
-	if old.restartsWatch(merged) {
+	if old.ChangesDiscovery(merged) {
 		l.restartWatch()
 	}
-	l.logConfiguration(old.changed(merged), restart)
+	l.logConfiguration(old.ChangedParts(merged), restart)
 }
 
 // refuse records that a configuration can't be taken.
@@ -49,13 +52,13 @@
 	l.refused++
 	inForce := l.current.Load()
 	l.log.Error("configuration not reloaded", "error", err, "reloads_rejected", l.refused,
-		"generation", inForce.generation, "hash", inForce.hash)
+		"generation", inForce.Generation, "hash", inForce.FileHash)
 }
 
 // logConfiguration records what is in force from now on, what has changed with it, and what has not.
 func (l *loop) logConfiguration(changed, restart []string) {
 	inForce := l.current.Load()
-	attributes := []any{"generation", inForce.generation, "hash", inForce.hash, "discovery", inForce.Discovery}
+	attributes := []any{"generation", inForce.Generation, "hash", inForce.FileHash, "discovery", inForce.Discovery}
 	if len(changed) > 0 {
 		attributes = append(attributes, "changed", changed)
 	}
@@ -68,7 +71,7 @@
 // withdraw keeps attempts from beginning. Those that have begun go on.
 func (l *loop) withdraw(attempts []balancer.AttemptID) {
 	for _, a := range attempts {
-		if started := l.requests[a.Request].attempts[a.Attempt]; started.gate.close() {
+		if started := l.requests[a.Request].attempts[a.Attempt]; started.gate.Close() {
 			started.cancel()
 		}
 	}
@@ -79,17 +82,17 @@
 func (l *loop) restartWatch() {
 	old := l.disc
 	l.disc = newDiscoveryFor(l.cfg)
-	l.from.after, l.from.settle = nil, time.Now().Add(olderMoved)
+	l.from.After, l.from.VersionResetAt = nil, time.Now().Add(discovery.MovedVersionGrace)
 	l.Watch(true)
-	old.client.CloseIdleConnections()
+	old.HTTP.CloseIdleConnections()
 }
 
 // loadOf returns a result's load report, unless reports have come to name other figures since it was read.
-func (l *loop) loadOf(res result) []float32 {
-	if res.report != l.up.report.Load() {
+func (l *loop) loadOf(res upstream.Result) []float32 {
+	if res.Report != l.up.Report.Load() {
 		return nil
 	}
-	return res.load
+	return res.Load
 }
 
 // rampTime is how long an endpoint takes to be warm.
--- a/internal/sidecar/reload_test.go
+++ b/internal/sidecar/reload_test.go
@@ -18,6 +18,11 @@
 	"time"
 
 	"oakproxy/balancer"
+	"oakproxy/internal/config"
+	"oakproxy/internal/discovery"
+	"oakproxy/internal/operatorstate"
+	"oakproxy/internal/sidecartest"
+	"oakproxy/internal/upstream"
 )
 
 // classes returns the settings' list of classes.
@@ -69,8 +74,8 @@
 // A class is answered from the reload on that adds it, and no more from the one that takes it away; the others are
 // served under their own rules wherever they stand. So with tenants.
 func TestReloadedClassesAndTenants(t *testing.T) {
-	e := newEndpoint(t, always(served))
-	w := start(t, nil, ready("s-1", e.address))
+	e := sidecartest.NewEndpoint(t, sidecartest.Always(sidecartest.Served))
+	w := start(t, nil, ready("s-1", e.Address))
 	check := func(when string, want map[string]int) {
 		t.Helper()
 		for name, code := range want {
@@ -115,18 +120,18 @@
 			t.Parallel()
 			answer := make(chan struct{})
 			var seen atomic.Int32
-			serve := func(e *endpoint, conn net.Conn, in *bufio.Reader) {
-				for e.next(in) != nil {
+			serve := func(e *sidecartest.Endpoint, conn net.Conn, in *bufio.Reader) {
+				for e.Next(in) != nil {
 					if seen.Add(1) > 1 {
-						io.WriteString(conn, served)
+						io.WriteString(conn, sidecartest.Served)
 						continue
 					}
 					<-answer
-					io.WriteString(conn, failing)
+					io.WriteString(conn, sidecartest.Failing)
 				}
 			}
-			first, second := newEndpoint(t, serve), newEndpoint(t, serve)
-			w := start(t, nil, ready("s-1", first.address), ready("s-2", second.address))
+			first, second := sidecartest.NewEndpoint(t, serve), sidecartest.NewEndpoint(t, serve)
+			w := start(t, nil, ready("s-1", first.Address), ready("s-2", second.Address))
 			held := make(chan reply)
 			go func() { held <- w.send(w.request("pay", "x", time.Minute)) }()
 			w.until("the request in hand", func() bool { return seen.Load() == 1 })
@@ -135,8 +140,8 @@
 			if got := <-held; got.code != http.StatusOK || got.body != "done" {
 				t.Errorf("answer %+v", got)
 			}
-			for _, e := range []*endpoint{first, second} {
-				if n, _ := e.seen(); n != 1 || e.request(0).URL.Path != "/pay/x/y" {
+			for _, e := range []*sidecartest.Endpoint{first, second} {
+				if n, _ := e.Seen(); n != 1 || e.Request(0).URL.Path != "/pay/x/y" {
 					t.Errorf("an endpoint got %d requests, want 1 of the class", n)
 				}
 			}
@@ -171,8 +176,8 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			e := newEndpoint(t, then(failing, served))
-			w := start(t, nil, ready("s-1", e.address), ready("s-2", e.address))
+			e := sidecartest.NewEndpoint(t, sidecartest.FirstThen(sidecartest.Failing, sidecartest.Served))
+			w := start(t, nil, ready("s-1", e.Address), ready("s-2", e.Address))
 			next := configure(t, w.dir.address, c.alter)
 			busy := make(chan struct{})
 			w.loop.post(func(balancer.Micros) { <-busy })
@@ -185,8 +190,8 @@
 			if got := <-answer; got.code != c.code {
 				t.Errorf("answer %+v, want %d", got, c.code)
 			}
-			if n, _ := e.seen(); n != c.attempts || w.loop.current.Load().generation != 2 {
-				t.Errorf("%d attempts, want %d; generation %d", n, c.attempts, w.loop.current.Load().generation)
+			if n, _ := e.Seen(); n != c.attempts || w.loop.current.Load().Generation != 2 {
+				t.Errorf("%d attempts, want %d; generation %d", n, c.attempts, w.loop.current.Load().Generation)
 			}
 		})
 	}
@@ -202,20 +207,20 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			var dials, seen atomic.Int32
-			serve := func(e *endpoint, conn net.Conn, in *bufio.Reader) {
-				for e.next(in) != nil {
+			serve := func(e *sidecartest.Endpoint, conn net.Conn, in *bufio.Reader) {
+				for e.Next(in) != nil {
 					seen.Add(1)
 					if c.code == http.StatusOK {
-						io.WriteString(conn, served)
+						io.WriteString(conn, sidecartest.Served)
 					} else {
-						io.WriteString(conn, failing)
+						io.WriteString(conn, sidecartest.Failing)
 					}
 				}
 			}
-			w := start(t, nil, ready("s-1", newEndpoint(t, serve).address), ready("s-2", newEndpoint(t, serve).address))
+			w := start(t, nil, ready("s-1", sidecartest.NewEndpoint(t, serve).Address), ready("s-2", sidecartest.NewEndpoint(t, serve).Address))
 			dialling, goOn := make(chan struct{}), make(chan struct{})
 			w.do(func() {
-				w.loop.up.dialer.Control = func(string, string, syscall.RawConn) error {
+				w.loop.up.Dialer.Control = func(string, string, syscall.RawConn) error {
 					if dials.Add(1) == c.held {
 						close(dialling)
 						<-goOn
@@ -241,11 +246,11 @@
 // The hash goes by what is in force, not by how the file is written or which sidecar reads it. A file that equals
 // what is in force does nothing; what can't change in a process is named.
 func TestEqualConfigurationDoesNothing(t *testing.T) {
-	e := newEndpoint(t, always(served))
-	w := start(t, nil, ready("s-1", e.address))
+	e := sidecartest.NewEndpoint(t, sidecartest.Always(sidecartest.Served))
+	w := start(t, nil, ready("s-1", e.Address))
 	first := w.loop.current.Load()
 	if log := w.reload(nil); log != "" || w.loop.current.Load() != first {
-		t.Errorf("logged %q, generation %d", log, w.loop.current.Load().generation)
+		t.Errorf("logged %q, generation %d", log, w.loop.current.Load().Generation)
 	}
 	log := w.logged(func() {
 		next := *configure(t, w.dir.address, nil)
@@ -268,33 +273,33 @@
 		"another place": {`"position":0,"zone":0`, `"position":3,"zone":1`, true},
 		"a target":      {`"target":600000`, `"target":600001`, false}, "a limit": {`"keepalive":5000000`, `"keepalive":5000001`, false},
 	} {
-		cfg, err := Parse([]byte(text(strings.Replace(settingsText, c.old, c.new, 1))))
-		if err != nil || (cfg.Hash() == first.hash) != c.same || len(cfg.Hash()) != 2*hashBytes {
-			t.Errorf("%s: %v, hash %s beside %s", what, err, cfg.Hash(), first.hash)
+		cfg, err := config.Parse([]byte(text(strings.Replace(sidecartest.SettingsText, c.old, c.new, 1))))
+		if err != nil || (cfg.Hash() == first.FileHash) != c.same || len(cfg.Hash()) != 2*config.HashBytes {
+			t.Errorf("%s: %v, hash %s beside %s", what, err, cfg.Hash(), first.FileHash)
 		}
 	}
 }
 
 // What can't be taken changes nothing: one line names the key, and it is counted.
 func TestUnusableFileChangesNothing(t *testing.T) {
-	e := newEndpoint(t, always(served))
-	w := start(t, nil, ready("s-1", e.address))
+	e := sidecartest.NewEndpoint(t, sidecartest.Always(sidecartest.Served))
+	w := start(t, nil, ready("s-1", e.Address))
 	first := w.loop.current.Load()
 	path := filepath.Join(t.TempDir(), "config.json")
 	signals := make(chan os.Signal, 1)
 	defer close(signals)
-	configs := ReloadOnSignal(path, signals)
+	configs := config.ReloadOnSignal(path, signals)
 	good := `{"name":"n0","listen":"127.0.0.1:0","discovery":"` + w.dir.address + `","seed":"8c1f30d27a5be964",` +
-		`"limits":{"memory_mb":192,"sockets":256},"settings":` + settingsText + `}`
+		`"limits":{"memory_mb":192,"sockets":256},"settings":` + sidecartest.SettingsText + `}`
 	tried := 0
 	for _, c := range []struct{ old, new, key string }{
-		{good, "", "config.json"}, {good, good[:200], "JSON"}, {good, "[" + good + "]", "array into Go value of type sidecar.configFile"},
+		{good, "", "config.json"}, {good, good[:200], "JSON"}, {good, "[" + good + "]", "array into Go value of type config.configFile"},
 		{`"sockets":256`, `"sockets":1`, "limits.sockets"}, {`"sockets":256`, `"sockets":"x"`, "limits.sockets"},
 		{`"seed":"8`, `"seed":"x`, "seed"}, {`"name":"pay"`, `"name":"read"`, "classes.1.name"},
 		{`"target":600000`, `"target":0`, "Classes[0].LatencyObjective"}, {`"window":5000000`, `"window":-1`, "DeduplicationWindow"},
 		{`"target":600000`, `"target":1e400`, "classes.0.target"}, {`"most-tries":3`, `"most-tries":0`, "MaxAttempts"},
 		{`"cold-from":0.3`, `"cold-from":2`, "SlowStartInitialFraction"}, {`"tenants":[]`, `"tenants":[{"name":"a"},{"name":"a"}]`, "tenants.1.name"},
-		{`"dial-timeout":2000000`, `"dial-timeout":0`, "limits.dial-timeout"}, {settingsText, "{}", "classes"},
+		{`"dial-timeout":2000000`, `"dial-timeout":0`, "limits.dial-timeout"}, {sidecartest.SettingsText, "{}", "classes"},
 	} {
 		text := strings.Replace(good, c.old, c.new, 1)
 		if text == good {
@@ -316,13 +321,13 @@
 		}
 	}
 	if now := w.loop.current.Load(); now != first || w.loop.cfg != first.Config {
-		t.Errorf("generation %d is in force, want the first", now.generation)
+		t.Errorf("generation %d is in force, want the first", now.Generation)
 	}
 	if got := w.send(w.request("pay", "x", time.Minute)); got.code != http.StatusOK {
 		t.Errorf("answer %+v", got)
 	}
 	counts := w.logged(func() { w.loop.logStats(w.loop.clock.now()) })
-	if want := fmt.Sprintf("generation=1 hash=%s reloads=0 reloads_rejected=%d", first.hash, tried); !strings.Contains(counts, want) {
+	if want := fmt.Sprintf("generation=1 hash=%s reloads=0 reloads_rejected=%d", first.FileHash, tried); !strings.Contains(counts, want) {
 		t.Errorf("counts %q, want %q", counts, want)
 	}
 }
@@ -330,13 +335,13 @@
 // What operators and discovery have told of endpoints stays over a change of settings, which does not ask
 // discovery again; limits hold at once, for connections, too.
 func TestReloadKeepsEndpointsAndTakesLimits(t *testing.T) {
-	e := newEndpoint(t, always(served))
-	w := startWith(t, nil, longWaits, ready("s-1", e.address), ready("s-2", e.address))
+	e := sidecartest.NewEndpoint(t, sidecartest.Always(sidecartest.Served))
+	w := startWith(t, nil, longWaits, ready("s-1", e.Address), ready("s-2", e.Address))
 	w.until("the watch", func() bool { return w.dir.count() == 2 })
-	drained := ready("s-1", e.address)
+	drained := ready("s-1", e.Address)
 	drained.Health = "Terminating"
 	var before, after map[uint32]member
-	var watch, same *discovery
+	var watch, same *discovery.Client
 	members := func() map[uint32]member {
 		all := map[uint32]member{}
 		for id, m := range w.loop.fleet {
@@ -346,8 +351,8 @@
 	}
 	w.do(func() {
 		now := w.loop.clock.now()
-		w.loop.members(now, balancer.ListDelta, registry{Hosts: []host{drained}})
-		w.loop.mark(now, []mark{{Name: "s-2", Cordoned: true}})
+		w.loop.members(now, balancer.ListDelta, discovery.List{Hosts: []discovery.Entry{drained}})
+		w.loop.mark(now, []operatorstate.Override{{Name: "s-2", Cordoned: true}})
 		before, watch = members(), w.loop.disc
 	})
 	next := *configure(t, w.dir.address, func(s map[string]any) {
@@ -356,12 +361,12 @@
 		s["reporting"] = map[string]any{"how": "probe", "fields": []string{"pending"}}
 	})
 	next.Limits.Sockets = 128
-	var old, read result
-	old.load, old.report = w.loop.up.loadReport("failed_ps=1,pending=2")
+	var old, read upstream.Result
+	old.Load, old.Report = w.loop.up.LoadReport("failed_ps=1,pending=2")
 	w.do(func() {
 		w.loop.reload(&next)
 		after, same = members(), w.loop.disc
-		read.load, read.report = w.loop.up.loadReport("failed_ps=1,pending=2")
+		read.Load, read.Report = w.loop.up.LoadReport("failed_ps=1,pending=2")
 		if load := w.loop.loadOf(read); len(load) != 1 || load[0] != 2 {
 			t.Errorf("a report by the new fields: %v", load)
 		}
@@ -375,10 +380,10 @@
 	if watch != same || w.dir.count() != 2 {
 		t.Error("a change of settings asks discovery again")
 	}
-	if got, want := w.loop.up.limits(), (limits{7 * time.Millisecond, 3 * time.Millisecond, connections(&next)}); got != want {
+	if got, want := w.loop.up.Limits(), (upstream.ConnectionLimits{DialTimeout: 7 * time.Millisecond, MaxIdle: 3 * time.Millisecond, MaxConnections: connections(&next)}); got != want {
 		t.Errorf("limits %+v, want %+v", got, want)
 	}
-	if most, maxAsked := w.server.clients.limits(); most != connections(&next) || maxAsked != 128/crowdPart {
+	if most, maxAsked := w.server.clients.Limits(); most != connections(&next) || maxAsked != 128/crowdPart {
 		t.Errorf("%d connections of clients, %d asked on", most, maxAsked)
 	}
 }
@@ -386,9 +391,9 @@
 // Before the first event, in a drain by hand and after SIGTERM a reload holds like at any other time, and ends
 // nothing early: requests of before have the time that they began with.
 func TestReloadAtTheEdges(t *testing.T) {
-	e := newEndpoint(t, always(served))
-	w := &world{t: t, dir: newDirectory(t, ready("s-1", e.address))}
-	cfg := configure(t, w.dir.address, nil, ready("s-1", e.address))
+	e := sidecartest.NewEndpoint(t, sidecartest.Always(sidecartest.Served))
+	w := &world{t: t, dir: newDirectory(t, ready("s-1", e.Address))}
+	cfg := configure(t, w.dir.address, nil, ready("s-1", e.Address))
 	l, err := newLoop(t.Context(), cfg, slog.New(slog.DiscardHandler))
 	if err != nil {
 		t.Fatal(err)
@@ -398,15 +403,15 @@
 		l.runUrgent(func(balancer.Micros) { l.reload(configure(t, w.dir.address, searching)) })
 		close(done)
 	}()
-	await(t, "the reload to wait", func() bool { return len(l.urgent) == 1 })
+	sidecartest.Await(t, "the reload to wait", func() bool { return len(l.urgent) == 1 })
 	go l.run()
 	<-done
-	if now := l.current.Load(); now.generation != 2 || len(now.classes) != 5 {
-		t.Errorf("during the start: generation %d, classes %v", now.generation, now.classes)
+	if now := l.current.Load(); now.Generation != 2 || len(now.Classes) != 5 {
+		t.Errorf("during the start: generation %d, classes %v", now.Generation, now.Classes)
 	}
 
-	w = start(t, nil, ready("s-1", e.address))
-	w.server.acceptFor = patience
+	w = start(t, nil, ready("s-1", e.Address))
+	w.server.acceptFor = sidecartest.Patience
 	w.server.drained.Store(true)
 	w.reload(searching)
 	got := w.send(w.request("search", "x", time.Minute))
