--- a/internal/sidecar/servedstages_test.go
+++ b/internal/sidecar/servedstages_test.go
@@ -3,24 +3,26 @@
 import (
 	"net/http"
 	"testing"
+
+	"oakproxy/internal/sidecartest"
 )
 
 // A request that its first attempt served has its stages counted; one that took two has not.
 func TestStagesOfServedRequests(t *testing.T) {
-	served, turnsAway := newEndpoint(t, always(served)), newEndpoint(t, then(full, served))
+	served, turnsAway := sidecartest.NewEndpoint(t, sidecartest.Always(sidecartest.Served)), sidecartest.NewEndpoint(t, sidecartest.FirstThen(sidecartest.TurnedAway, sidecartest.Served))
 	for _, test := range []struct {
-		endpoint *endpoint
+		endpoint *sidecartest.Endpoint
 		counted  uint64
 	}{{served, 1}, {turnsAway, 0}} {
-		w := start(t, nil, ready("e0", test.endpoint.address), ready("e1", test.endpoint.address))
-		if got := w.send(w.request("read", "", patience)); got.code != http.StatusOK {
+		w := start(t, nil, ready("e0", test.endpoint.Address), ready("e1", test.endpoint.Address))
+		if got := w.send(w.request("read", "", sidecartest.Patience)); got.code != http.StatusOK {
 			t.Fatalf("answered %d (%v)", got.code, got.err)
 		}
 		w.stop()
 		if err := <-w.ended; err != nil { // the handler has returned by then
 			t.Fatal(err)
 		}
-		if requests, text := w.loop.stages.summary(); requests != test.counted {
+		if requests, text := w.loop.stages.Summary(); requests != test.counted {
 			t.Errorf("%d requests counted, want %d: %s", requests, test.counted, text)
 		}
 	}
--- a/internal/sidecar/server.go
+++ b/internal/sidecar/server.go
@@ -11,6 +11,12 @@
 	"time"
 
 	"oakproxy/balancer"
+	"oakproxy/internal/config"
+	"oakproxy/internal/downstream"
+	"oakproxy/internal/handover"
+	"oakproxy/internal/operatorstate"
+	"oakproxy/internal/upstream"
+	"oakproxy/internal/warmstart"
 )
 
 const (
@@ -37,7 +43,7 @@
 	loop      *loop
 	log       *slog.Logger
 	http      http.Server
-	clients   *clients
+	clients   *downstream.Listener
 	ending    atomic.Bool
 	admission *requestAdmission
 	drained   atomic.Bool // by hand
@@ -47,14 +53,14 @@
 	limits    sync.Mutex // held while they are set
 	processes int        // of this sidecar, among which the limits are shared
 
-	acceptFor time.Duration        // after SIGTERM
-	seat      atomic.Pointer[seat] // among the processes of this sidecar; nil where there can be no other
+	acceptFor time.Duration                 // after SIGTERM
+	seat      atomic.Pointer[handover.Slot] // among the processes of this sidecar; nil where there can be no other
 }
 
 // Run serves until ctx ends, then answers what it has taken and returns. Any number of new configurations may come
 // at any time; each is in force, or refused, by the time that the next one is received.
-func Run(ctx context.Context, cfg *Config, reloads <-chan *Config, log *slog.Logger) error {
-	listener, err := listen(ctx, cfg.Listen, cfg.Passed)
+func Run(ctx context.Context, cfg *config.Config, reloads <-chan *config.Config, log *slog.Logger) error {
+	listener, err := handover.Listen(ctx, cfg.Listen, cfg.Passed)
 	if err != nil {
 		return err
 	}
@@ -80,8 +86,8 @@
 		}
 	}()
 	if cfg.Passed != "" { // another process may take over
-		m := newMemory(loopCtx, cfg.Name, cfg.Host, log)
-		l.learned, l.keep = m.load(l.clock.now()), m.keep
+		m := warmstart.NewStore(loopCtx, cfg.Name, cfg.Host, log)
+		l.learned, l.keep = m.Load(l.clock.now()), m.Save
 	}
 	s := newServer(l)
 	s.share(1)
@@ -94,13 +100,13 @@
 		a.load()
 		go a.serve(second)
 	}
-	defer l.up.limit(0) // the process may live on: idle connections end with the sidecar
+	defer l.up.SetMaxConnections(0) // the process may live on: idle connections end with the sidecar
 	return s.serve(ctx, listener)
 }
 
 // connections is the most that clients may hold, and the most to endpoints:
 // every client's request has one attempt at a time.
-func connections(cfg *Config) int { return (cfg.Limits.Sockets - socketSpare) / 2 }
+func connections(cfg *config.Config) int { return (cfg.Limits.Sockets - socketSpare) / 2 }
 
 // minConnections are left to each of two processes, however few descriptors there are.
 const minConnections = 12
@@ -135,14 +141,14 @@
 
 func newServer(l *loop) *server {
 	s := &server{loop: l, log: l.log, processes: 1, admission: newRequestAdmission(),
-		clients: &clients{log: l.log, most: connections(l.cfg), maxAsked: l.cfg.Limits.Sockets / crowdPart}, acceptFor: acceptAfter}
-	l.relimit, l.closes = s.relimit, s.clients.closeCounts
+		clients: &downstream.Listener{Log: l.log, MaxConnections: connections(l.cfg), MaxUsed: l.cfg.Limits.Sockets / crowdPart}, acceptFor: acceptAfter}
+	l.relimit, l.closes = s.relimit, s.clients.CloseCounts
 	// Not a ServeMux: it would redirect paths that endpoints are to see as they are.
 	s.http = http.Server{Handler: http.HandlerFunc(s.handle),
 		ReadHeaderTimeout: readTimeout, WriteTimeout: maxTimeLeft + writeTimeout, IdleTimeout: idleTimeout,
-		MaxHeaderBytes: maxHeadBytes, ConnState: func(c net.Conn, state http.ConnState) {
+		MaxHeaderBytes: upstream.MaxHeadBytes, ConnState: func(c net.Conn, state http.ConnState) {
 			if state == http.StateIdle {
-				c.(*clientConn).done()
+				c.(*downstream.Conn).EndRequest()
 			}
 		}, ErrorLog: slog.NewLogLogger(l.log.Handler(), slog.LevelWarn),
 		ConnContext: func(ctx context.Context, c net.Conn) context.Context {
@@ -157,7 +163,7 @@
 	if seat == nil {
 		return false
 	}
-	alive, _ := seat.count()
+	alive, _ := seat.Peers()
 	return alive > 0
 }
 
@@ -167,7 +173,7 @@
 	if seat == nil {
 		return false
 	}
-	_, ready := seat.count()
+	_, ready := seat.Peers()
 	return ready > 0
 }
 
@@ -182,7 +188,7 @@
 		select {
 		case <-tick.C:
 			if s.leaving() {
-				s.clients.sweep(minQuiet, minSilent)
+				s.clients.CloseIdle(minQuiet, minSilent)
 			}
 		case <-s.loop.ctx.Done():
 			return
@@ -191,7 +197,7 @@
 }
 
 // hold makes what operators have set hold.
-func (s *server) hold(st state) {
+func (s *server) hold(st operatorstate.State) {
 	if s.drained.Swap(st.Drained) != st.Drained {
 		s.log.Info("operator override", "drained", st.Drained)
 	}
@@ -211,4 +217,4 @@
 }
 
 // bodyMemory is the memory, in bytes, that a configuration grants to the bodies of requests and answers.
-func bodyMemory(cfg *Config) int64 { return int64(cfg.Limits.MemoryMB) << 20 / bodiesPart }
+func bodyMemory(cfg *config.Config) int64 { return int64(cfg.Limits.MemoryMB) << 20 / bodiesPart }
--- a/internal/sidecar/sidecar_test.go
+++ b/internal/sidecar/sidecar_test.go
@@ -14,11 +14,14 @@
 	"time"
 
 	"oakproxy/balancer"
+	"oakproxy/internal/discovery"
+	"oakproxy/internal/httpmsg"
+	"oakproxy/internal/sidecartest"
 )
 
 func TestServesAndReusesConnections(t *testing.T) {
-	e := newEndpoint(t, always(served))
-	w := start(t, nil, ready("s-1", e.address))
+	e := sidecartest.NewEndpoint(t, sidecartest.Always(sidecartest.Served))
+	w := start(t, nil, ready("s-1", e.Address))
 	for _, class := range []string{"read", "pay", "close", "order"} {
 		body := "body of " + class
 		if class == "read" {
@@ -28,7 +31,7 @@
 			t.Errorf("%s: got %+v", class, got)
 		}
 	}
-	if requests, conns := e.seen(); requests != 4 || conns != 1 {
+	if requests, conns := e.Seen(); requests != 4 || conns != 1 {
 		t.Errorf("%d requests on %d connections, want 4 on 1", requests, conns)
 	}
 }
@@ -36,46 +39,46 @@
 // How far a request is sent again follows from its class and from what is known
 // of the attempt before. All are seen by the client as one final answer.
 func TestResendLimits(t *testing.T) {
-	reset := func(e *endpoint, conn net.Conn, in *bufio.Reader) {
-		for e.next(in) != nil {
-			if n, _ := e.seen(); n == 1 {
+	reset := func(e *sidecartest.Endpoint, conn net.Conn, in *bufio.Reader) {
+		for e.Next(in) != nil {
+			if n, _ := e.Seen(); n == 1 {
 				return
 			}
-			io.WriteString(conn, served)
+			io.WriteString(conn, sidecartest.Served)
 		}
 	}
-	other := func(h host) host {
+	other := func(h discovery.Entry) discovery.Entry {
 		h.Block = 2
 		return h
 	}
 	for _, c := range []struct {
 		name, class string
-		first       func(*endpoint, net.Conn, *bufio.Reader)
-		move        func(host) host // of the second endpoint
+		first       func(*sidecartest.Endpoint, net.Conn, *bufio.Reader)
+		move        func(discovery.Entry) discovery.Entry // of the second endpoint
 		code        int
 		attempts    int
 	}{
 		{"safe after a reset", "read", reset, nil, 200, 2},
-		{"safe after an error", "read", then(failing, served), nil, 200, 2},
+		{"safe after an error", "read", sidecartest.FirstThen(sidecartest.Failing, sidecartest.Served), nil, 200, 2},
 		{"keyed after a reset", "pay", reset, nil, 200, 2},
 		{"keyed in its cell", "close", reset, nil, 200, 2},
 		{"keyed out of its cell", "close", reset, other, 502, 1},
-		{"keyed out of its cell, never ran", "close", then(full, served), other, 200, 2},
+		{"keyed out of its cell, never ran", "close", sidecartest.FirstThen(sidecartest.TurnedAway, sidecartest.Served), other, 200, 2},
 		{"unsafe after a reset", "order", reset, nil, 502, 1},
-		{"unsafe after an error", "order", then(failing, served), nil, 502, 1},
-		{"unsafe, never ran", "order", then(full, served), nil, 200, 2},
+		{"unsafe after an error", "order", sidecartest.FirstThen(sidecartest.Failing, sidecartest.Served), nil, 502, 1},
+		{"unsafe, never ran", "order", sidecartest.FirstThen(sidecartest.TurnedAway, sidecartest.Served), nil, 200, 2},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
 			// Both names lead to one endpoint: whichever is chosen first, the first attempt ends as scripted.
-			e := newEndpoint(t, c.first)
-			second := ready("s-2", e.address)
+			e := sidecartest.NewEndpoint(t, c.first)
+			second := ready("s-2", e.Address)
 			if c.move != nil {
 				second = c.move(second)
 			}
-			w := start(t, nil, ready("s-1", e.address), second)
+			w := start(t, nil, ready("s-1", e.Address), second)
 			got := w.send(w.request(c.class, "x", 3*time.Second))
-			if n, _ := e.seen(); got.code != c.code || n != c.attempts || got.err != nil {
+			if n, _ := e.Seen(); got.code != c.code || n != c.attempts || got.err != nil {
 				t.Errorf("answer %d (%v) after %d attempts, want %d after %d", got.code, got.err, n, c.code, c.attempts)
 			}
 			if got.code == http.StatusOK && got.body != "done" {
@@ -88,8 +91,8 @@
 // Each attempt has one outcome, told in order, and the last says that the
 // request is settled.
 func TestOutcomesAreToldOnceAndInOrder(t *testing.T) {
-	e := newEndpoint(t, then(full, served))
-	w := start(t, nil, ready("s-1", e.address), ready("s-2", e.address))
+	e := sidecartest.NewEndpoint(t, sidecartest.FirstThen(sidecartest.TurnedAway, sidecartest.Served))
+	w := start(t, nil, ready("s-1", e.Address), ready("s-2", e.Address))
 	w.send(w.request("order", "x", 3*time.Second))
 	w.until("two outcomes", func() bool { return len(w.spy.statuses()) >= 2 })
 	w.spy.mu.Lock()
@@ -111,8 +114,8 @@
 func TestDeadlineAnswer(t *testing.T) {
 	for class, code := range map[string]int{"read": 503, "pay": 503, "close": 502, "order": 502} {
 		t.Run(class, func(t *testing.T) {
-			e := newEndpoint(t, silent)
-			w := start(t, nil, ready("s-1", e.address))
+			e := sidecartest.NewEndpoint(t, sidecartest.Silent)
+			w := start(t, nil, ready("s-1", e.Address))
 			const left = 400 * time.Millisecond
 			sent := w.loop.clock.now()
 			got := w.send(w.request(class, "x", left))
@@ -134,7 +137,7 @@
 				}
 			})
 			var given int64
-			given, _ = strconv.ParseInt(e.request(0).Header.Get("X-Time-Left-Ms"), 10, 64)
+			given, _ = strconv.ParseInt(e.Request(0).Header.Get("X-Time-Left-Ms"), 10, 64)
 			if most := left - answerMargin; given <= 0 || given > most.Milliseconds() {
 				t.Errorf("the endpoint was given %d ms of %v, want at most %v", given, left, most)
 			}
@@ -148,8 +151,8 @@
 // What the balancer gives up is answered at once, and the client is told when to
 // come back.
 func TestRefusedAtOnceWithRetryAfter(t *testing.T) {
-	e := newEndpoint(t, always(full))
-	w := start(t, nil, ready("s-1", e.address))
+	e := sidecartest.NewEndpoint(t, sidecartest.Always(sidecartest.TurnedAway))
+	w := start(t, nil, ready("s-1", e.Address))
 	began := time.Now()
 	got := w.send(w.request("read", "", time.Minute))
 	after, err := strconv.ParseFloat(got.header.Get("Retry-After"), 64)
@@ -165,19 +168,19 @@
 // its connection, and its outcome is still told, settled.
 func TestClientGone(t *testing.T) {
 	closed := make(chan struct{})
-	e := newEndpoint(t, func(e *endpoint, conn net.Conn, in *bufio.Reader) {
-		e.next(in)
+	e := sidecartest.NewEndpoint(t, func(e *sidecartest.Endpoint, conn net.Conn, in *bufio.Reader) {
+		e.Next(in)
 		in.ReadByte() // until the sidecar closes the connection
 		close(closed)
 	})
-	w := start(t, nil, ready("s-1", e.address))
+	w := start(t, nil, ready("s-1", e.Address))
 	ctx, cancel := context.WithCancel(context.Background())
 	go w.send(w.request("pay", "x", time.Minute).WithContext(ctx))
-	w.until("the attempt", func() bool { n, _ := e.seen(); return n == 1 })
+	w.until("the attempt", func() bool { n, _ := e.Seen(); return n == 1 })
 	cancel()
 	select {
 	case <-closed:
-	case <-time.After(patience):
+	case <-time.After(sidecartest.Patience):
 		t.Fatal("the attempt's connection stays open")
 	}
 	w.until("the outcome", func() bool { return len(w.spy.statuses()) == 1 })
@@ -194,17 +197,17 @@
 // A client that has only stopped sending has gone away, too, and must not read
 // a whole answer that no endpoint made.
 func TestHalfClosedClientGetsNoAnswer(t *testing.T) {
-	e := newEndpoint(t, silent)
-	w := start(t, nil, ready("s-1", e.address))
+	e := sidecartest.NewEndpoint(t, sidecartest.Silent)
+	w := start(t, nil, ready("s-1", e.Address))
 	conn, err := net.Dial("tcp", strings.TrimPrefix(w.url, "http://"))
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer conn.Close()
 	w.request("pay", "x", time.Minute).Write(conn)
-	w.until("the attempt", func() bool { n, _ := e.seen(); return n == 1 })
+	w.until("the attempt", func() bool { n, _ := e.Seen(); return n == 1 })
 	conn.(*net.TCPConn).CloseWrite()
-	conn.SetReadDeadline(time.Now().Add(patience))
+	conn.SetReadDeadline(time.Now().Add(sidecartest.Patience))
 	if got, err := io.ReadAll(conn); len(got) > 0 {
 		t.Errorf("the client read %q (%v)", got, err)
 	}
@@ -214,16 +217,16 @@
 // and reaches nobody.
 func TestLateOutcome(t *testing.T) {
 	answer := make(chan struct{})
-	e := newEndpoint(t, func(e *endpoint, conn net.Conn, in *bufio.Reader) {
-		e.next(in)
+	e := sidecartest.NewEndpoint(t, func(e *sidecartest.Endpoint, conn net.Conn, in *bufio.Reader) {
+		e.Next(in)
 		<-answer
-		io.WriteString(conn, served)
+		io.WriteString(conn, sidecartest.Served)
 	})
 	// Without leave to cancel, the attempt goes on after its request's end.
-	w := start(t, func(s map[string]any) { s["limits"].(map[string]any)["cancel"] = false }, ready("s-1", e.address))
+	w := start(t, func(s map[string]any) { s["limits"].(map[string]any)["cancel"] = false }, ready("s-1", e.Address))
 	ctx, cancel := context.WithCancel(context.Background())
 	go w.send(w.request("pay", "x", time.Minute).WithContext(ctx))
-	w.until("the attempt", func() bool { n, _ := e.seen(); return n == 1 })
+	w.until("the attempt", func() bool { n, _ := e.Seen(); return n == 1 })
 	cancel()
 	w.until("the client's going", func() bool {
 		w.spy.mu.Lock()
@@ -241,10 +244,10 @@
 
 // Malformed requests are answered with what is wrong, and reach no endpoint.
 func TestMalformedRequests(t *testing.T) {
-	e := newEndpoint(t, always(served))
+	e := sidecartest.NewEndpoint(t, sidecartest.Always(sidecartest.Served))
 	w := start(t, func(s map[string]any) {
 		s["tenants"] = []any{map[string]any{"name": "acme", "share": 1, "allowance-per-s": 10}}
-	}, ready("s-1", e.address))
+	}, ready("s-1", e.Address))
 	for _, c := range []struct {
 		name  string
 		alter func(*http.Request)
@@ -280,10 +283,10 @@
 			t.Errorf("%s: got %+v, want %d with %q", c.name, got, c.code, c.says)
 		}
 	}
-	if n, _ := e.seen(); n != 0 {
+	if n, _ := e.Seen(); n != 0 {
 		t.Errorf("%d malformed requests reached the endpoint", n)
 	}
-	r := w.request("pay", strings.Repeat("x", maxBufferedBytes), 3*time.Second)
+	r := w.request("pay", strings.Repeat("x", httpmsg.MaxBufferedBytes), 3*time.Second)
 	r.Header.Set("X-Account", "acme")
 	r.Header.Set("X-Weight-Hint", "90000")
 	r.Header.Set("X-Session-Key", "7f3a9c21e0b4d655")
@@ -295,11 +298,11 @@
 // An endpoint told draining while a send to it waits for its connection gets
 // nothing, and the request goes elsewhere.
 func TestDrainDuringDialGoesElsewhere(t *testing.T) {
-	first, second := newEndpoint(t, always(served)), newEndpoint(t, always(served))
-	w := start(t, nil, ready("s-1", first.address))
+	first, second := sidecartest.NewEndpoint(t, sidecartest.Always(sidecartest.Served)), sidecartest.NewEndpoint(t, sidecartest.Always(sidecartest.Served))
+	w := start(t, nil, ready("s-1", first.Address))
 	dialling, go_ := make(chan struct{}), make(chan struct{})
-	w.loop.up.dialer.Control = func(_, address string, _ syscall.RawConn) error {
-		if address == first.address {
+	w.loop.up.Dialer.Control = func(_, address string, _ syscall.RawConn) error {
+		if address == first.Address {
 			close(dialling)
 			<-go_
 		}
@@ -308,10 +311,10 @@
 	answer := make(chan reply)
 	go func() { answer <- w.send(w.request("order", "x", time.Minute)) }()
 	<-dialling
-	draining := ready("s-1", first.address)
+	draining := ready("s-1", first.Address)
 	draining.Health = "Terminating"
 	w.dir.change(func() {
-		w.dir.list = registry{Seq: 1, Whole: true, Hosts: []host{draining, ready("s-2", second.address)}}
+		w.dir.list = discovery.List{Seq: 1, Whole: true, Hosts: []discovery.Entry{draining, ready("s-2", second.Address)}}
 	})
 	w.until("the news", func() bool {
 		moved := false
@@ -322,7 +325,7 @@
 	if got := <-answer; got.code != http.StatusOK {
 		t.Errorf("answer %+v", got)
 	}
-	if n, _ := first.seen(); n != 0 {
+	if n, _ := first.Seen(); n != 0 {
 		t.Errorf("the draining endpoint got %d requests", n)
 	}
 	if all := w.spy.statuses(); !slices.Equal(all, []balancer.Status{balancer.NotSent, balancer.OK}) {
@@ -334,8 +337,8 @@
 // ones still come for a while, and the sidecar ends without error.
 func TestTermination(t *testing.T) {
 	answer := make(chan struct{})
-	e := newEndpoint(t, payWaits(answer))
-	w := start(t, nil, ready("s-1", e.address))
+	e := sidecartest.NewEndpoint(t, sidecartest.PayWaits(answer))
+	w := start(t, nil, ready("s-1", e.Address))
 	w.server.acceptFor = 3 * time.Second // a busy machine may be slow to connect
 	idle, err := net.Dial("tcp", strings.TrimPrefix(w.url, "http://"))
 	if err != nil {
@@ -352,9 +355,9 @@
 
 	held := make(chan reply)
 	go func() { held <- w.send(w.request("pay", "x", time.Minute)) }()
-	w.until("the request in hand", func() bool { n, _ := e.seen(); return n == 2 })
+	w.until("the request in hand", func() bool { n, _ := e.Seen(); return n == 2 })
 	w.stop()
-	idle.SetReadDeadline(time.Now().Add(patience))
+	idle.SetReadDeadline(time.Now().Add(sidecartest.Patience))
 	if _, err := in.ReadByte(); err != io.EOF {
 		t.Errorf("the idle connection: %v, want its end", err)
 	}
@@ -365,7 +368,7 @@
 	}
 	defer conn.Close()
 	w.request("read", "", time.Minute).Write(conn)
-	conn.SetReadDeadline(time.Now().Add(patience))
+	conn.SetReadDeadline(time.Now().Add(sidecartest.Patience))
 	if late, err := http.ReadResponse(bufio.NewReader(conn), nil); err != nil || late.StatusCode != 200 || !late.Close {
 		t.Errorf("a request after SIGTERM: %v, %v; want 200 and Connection: close", late, err)
 	}
@@ -385,7 +388,7 @@
 		if err != nil {
 			t.Errorf("the sidecar ended with %v", err)
 		}
-	case <-time.After(patience):
+	case <-time.After(sidecartest.Patience):
 		t.Error("the sidecar does not end")
 	}
 }
--- a/internal/sidecar/silence_test.go
+++ b/internal/sidecar/silence_test.go
@@ -17,6 +17,10 @@
 	"testing"
 	"testing/synctest"
 	"time"
+
+	"oakproxy/internal/config"
+	"oakproxy/internal/discovery"
+	"oakproxy/internal/system"
 )
 
 // The tests here run on a fake clock, with pipes in place of sockets.
@@ -74,7 +78,7 @@
 // silence is a registry whose open calls fall silent when a test says so.
 type silence struct {
 	mu    sync.Mutex
-	list  registry
+	list  discovery.List
 	calls []asked
 	open  int           // calls that wait for news, and have not fallen silent
 	mute  chan struct{} // closed: calls open then are never answered
@@ -100,7 +104,7 @@
 	}
 	s.mu.Unlock()
 	if turn > 0 { // a timer of no time at all, in a bubble with -race, now and then crashes Go 1.26's runtime
-		pause(r.Context(), turn)
+		system.Sleep(r.Context(), turn)
 	}
 	if down {
 		w.WriteHeader(http.StatusServiceUnavailable)
@@ -148,7 +152,7 @@
 		s.reply = ""
 		return
 	}
-	answer := registry{Seq: s.list.Seq, Hosts: []host{}}
+	answer := discovery.List{Seq: s.list.Seq, Hosts: []discovery.Entry{}}
 	if r.FormValue("after") != strconv.FormatUint(s.list.Seq, 10) {
 		answer = s.list
 	}
@@ -161,7 +165,7 @@
 	defer s.mu.Unlock()
 	draining := ready("s-1", "127.0.0.1:1")
 	draining.Health = "Terminating"
-	s.list = registry{Seq: s.list.Seq + 1, Whole: true, Hosts: []host{draining}}
+	s.list = discovery.List{Seq: s.list.Seq + 1, Whole: true, Hosts: []discovery.Entry{draining}}
 	close(s.fresh)
 	s.fresh = make(chan struct{})
 }
@@ -239,7 +243,7 @@
 // newSilence starts a registry that lists one endpoint, and says how to reach it.
 func newSilence(t *testing.T) (*silence, dialer) {
 	listener := newPipes()
-	dir := &silence{list: registry{Seq: 1, Whole: true, Hosts: []host{ready("s-1", "127.0.0.1:1")}},
+	dir := &silence{list: discovery.List{Seq: 1, Whole: true, Hosts: []discovery.Entry{ready("s-1", "127.0.0.1:1")}},
 		mute: make(chan struct{}), cut: make(chan struct{}), fresh: make(chan struct{})}
 	server := &http.Server{Handler: dir, ErrorLog: slog.NewLogLogger(slog.DiscardHandler, slog.LevelError)}
 	go server.Serve(listener)
@@ -256,7 +260,7 @@
 // where one is given.
 func watching(t *testing.T, dial dialer, alter func(settings map[string]any), seed ...uint64) *loop {
 	t.Helper()
-	return watchingWith(t, dial, func(cfg *Config) {
+	return watchingWith(t, dial, func(cfg *config.Config) {
 		for _, own := range seed {
 			cfg.Seed = own
 		}
@@ -264,10 +268,10 @@
 }
 
 // watchingWith does that with a configuration that a test has changed.
-func watchingWith(t *testing.T, dial dialer, change func(*Config), alter func(settings map[string]any)) *loop {
+func watchingWith(t *testing.T, dial dialer, change func(*config.Config), alter func(settings map[string]any)) *loop {
 	t.Helper()
 	cfg := configure(t, "127.0.0.1:1", alter, ready("s-1", "127.0.0.1:1"))
-	cfg.known.Seq, cfg.dial = 1, dial
+	cfg.KnownEndpoints.Seq, cfg.DiscoveryDial = 1, dial
 	change(cfg)
 	ctx, stop := context.WithCancel(context.Background())
 	l, err := newLoop(ctx, cfg, slog.New(slog.DiscardHandler))
@@ -277,7 +281,7 @@
 	go l.run()
 	t.Cleanup(func() {
 		stop()
-		l.disc.client.CloseIdleConnections()
+		l.disc.HTTP.CloseIdleConnections()
 		synctest.Wait()
 	})
 	return l
@@ -359,7 +363,7 @@
 				calls := slices.Clone(dir.calls)
 				dir.mu.Unlock()
 				for _, c := range calls[1:] {
-					if waits[c.wait] = true; c.wait < 1500*time.Millisecond || c.wait > 2*time.Second || c.wait+watchPatience > within {
+					if waits[c.wait] = true; c.wait < 1500*time.Millisecond || c.wait > 2*time.Second || c.wait+discovery.WatchGrace > within {
 						t.Errorf("a call waits %v where a list may be %v old", c.wait, within)
 					}
 				}
@@ -452,7 +456,7 @@
 		"not JSON":  "<html>", "no list": `{}`, "another form": `{"seq":2,"whole":true,"hosts":{"s-1":"Terminating"}}`,
 		"unusable":  `{"seq":2,"whole":true,"hosts":[{"host":"s-1","health":"Leaving"}]}`,
 		"older":     `{"seq":0,"whole":true,"hosts":[]}`,
-		"too large": `{"seq":2,"whole":true,"hosts":[],"` + strings.Repeat("x", maxListBytes) + `":1}`,
+		"too large": `{"seq":2,"whole":true,"hosts":[],"` + strings.Repeat("x", discovery.MaxListBytes) + `":1}`,
 	} {
 		for name, alter := range deployments {
 			t.Run(what+", "+name, func(t *testing.T) {
--- a/internal/sidecar/stream_test.go
+++ b/internal/sidecar/stream_test.go
@@ -9,6 +9,8 @@
 	"strings"
 	"testing"
 	"time"
+
+	"oakproxy/internal/sidecartest"
 )
 
 const large = 3 << 20 // bytes: more than is held, and than sockets take
@@ -35,28 +37,28 @@
 		"until the end": {"HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n" + body, false},
 	} {
 		t.Run(name, func(t *testing.T) {
-			e := newEndpoint(t, func(e *endpoint, conn net.Conn, in *bufio.Reader) {
-				for e.next(in) != nil {
+			e := sidecartest.NewEndpoint(t, func(e *sidecartest.Endpoint, conn net.Conn, in *bufio.Reader) {
+				for e.Next(in) != nil {
 					if io.WriteString(conn, c.answer); !c.reused {
 						return
 					}
 				}
 			})
-			w := start(t, nil, ready("s-1", e.address))
+			w := start(t, nil, ready("s-1", e.Address))
 			for range 2 {
 				if got := w.send(w.request("read", "", time.Minute)); got.code != 200 || got.body != body || got.err != nil {
 					t.Errorf("answer %d of %d bytes, %v", got.code, len(got.body), got.err)
 				}
 				// The client has the last byte a little sooner than the endpoint's connection is given back.
 				w.until("the connection to be given back", func() bool {
-					idle := w.loop.up.idleConnections()
-					return w.loop.up.counts().open == idle && (idle == 1) == c.reused
+					idle := w.loop.up.IdleConnections()
+					return w.loop.up.Counts().Open == idle && (idle == 1) == c.reused
 				})
 			}
-			if _, conns := e.seen(); (conns == 1) != c.reused {
+			if _, conns := e.Seen(); (conns == 1) != c.reused {
 				t.Errorf("%d connections", conns)
 			}
-			w.until("the room to be given back", func() bool { return w.loop.up.room.used.Load() == 0 })
+			w.until("the room to be given back", func() bool { return w.loop.up.Bodies.Used.Load() == 0 })
 		})
 	}
 }
@@ -66,14 +68,14 @@
 func TestLargeAnswerIsPassedOnAtOnce(t *testing.T) {
 	const first = "the first bytes"
 	read, left := make(chan struct{}), 500*time.Millisecond
-	e := newEndpoint(t, func(e *endpoint, conn net.Conn, in *bufio.Reader) {
-		e.next(in)
+	e := sidecartest.NewEndpoint(t, func(e *sidecartest.Endpoint, conn net.Conn, in *bufio.Reader) {
+		e.Next(in)
 		fmt.Fprintf(conn, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", large, first)
 		<-read
 		time.Sleep(left)
 		io.WriteString(conn, strings.Repeat("x", large-len(first)))
 	})
-	w := start(t, nil, ready("s-1", e.address))
+	w := start(t, nil, ready("s-1", e.Address))
 	conn := w.dial()
 	w.request("read", "", left).Write(conn)
 	response, err := http.ReadResponse(bufio.NewReader(conn), nil)
@@ -106,14 +108,14 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			taken := make(chan struct{})
-			e := newEndpoint(t, func(e *endpoint, conn net.Conn, in *bufio.Reader) {
-				e.next(in)
+			e := sidecartest.NewEndpoint(t, func(e *sidecartest.Endpoint, conn net.Conn, in *bufio.Reader) {
+				e.Next(in)
 				io.WriteString(conn, c.answer)
 				if <-taken; c.reset {
 					conn.(*net.TCPConn).SetLinger(0)
 				}
 			})
-			w := start(t, nil, ready("s-1", e.address))
+			w := start(t, nil, ready("s-1", e.Address))
 			conn := w.dial()
 			fmt.Fprintf(conn, "GET /read HTTP/%s\r\nHost: a\r\nX-Service-Class: read\r\nX-Time-Left-Ms: 9000\r\nX-Correlation-Id: 1\r\n\r\n", c.version)
 			response, err := http.ReadResponse(bufio.NewReader(conn), nil)
@@ -125,7 +127,7 @@
 			if n, err := io.Copy(io.Discard, response.Body); err == nil {
 				t.Errorf("%d bytes read as whole", n)
 			}
-			if n, _ := e.seen(); n != 1 {
+			if n, _ := e.Seen(); n != 1 {
 				t.Errorf("%d requests reached the endpoint, want 1", n)
 			}
 		})
--- a/internal/sidecar/syscalls_test.go
+++ b/internal/sidecar/syscalls_test.go
@@ -11,37 +11,41 @@
 	"syscall"
 	"testing"
 	"time"
+
+	"oakproxy/internal/httpmsg"
+	"oakproxy/internal/sidecartest"
+	"oakproxy/internal/system"
 )
 
 // A connection that waited while accepts failed may hold a request for so long: its endpoint is told no more time
 // than its client has left.
 func TestTimeSpentInTheBacklogCounts(t *testing.T) {
 	var came time.Time
-	e := newEndpoint(t, func(e *endpoint, conn net.Conn, in *bufio.Reader) {
-		for e.next(in) != nil {
+	e := sidecartest.NewEndpoint(t, func(e *sidecartest.Endpoint, conn net.Conn, in *bufio.Reader) {
+		for e.Next(in) != nil {
 			came = time.Now()
-			io.WriteString(conn, served)
+			io.WriteString(conn, sidecartest.Served)
 		}
 	})
-	listener := &faultyListener{}
-	w := startBehind(t, func(inner net.Listener) net.Listener { listener.Listener = inner; return listener }, ready("s-1", e.address))
+	listener := &sidecartest.FaultyListener{}
+	w := startBehind(t, func(inner net.Listener) net.Listener { listener.Listener = inner; return listener }, ready("s-1", e.Address))
 	const failures = 100 // with acceptPause after each, over 0.5 s
-	listener.fail(slices.Repeat([]error{syscall.ENFILE}, failures))
+	listener.Fail(slices.Repeat([]error{syscall.ENFILE}, failures))
 	w.dial() // may still be taken by the accept that is under way
 	conn := w.dial()
-	fmt.Fprint(conn, readHead+"X-Correlation-Id: 1\r\n\r\n")
+	fmt.Fprint(conn, sidecartest.ReadHead+"X-Correlation-Id: 1\r\n\r\n")
 	written := time.Now()
 	response, err := http.ReadResponse(bufio.NewReader(conn), nil)
 	if err != nil || response.StatusCode != http.StatusOK {
 		t.Fatalf("%v, %v", response, err)
 	}
 	var ms int
-	fmt.Sscan(e.request(0).Header.Get("X-Time-Left-Ms"), &ms)
+	fmt.Sscan(e.Request(0).Header.Get("X-Time-Left-Ms"), &ms)
 	waited := came.Sub(written)
 	if told, left := time.Duration(ms)*time.Millisecond, 3*time.Second-waited; told > left+toldSlack {
 		t.Errorf("the endpoint is told %v, its client has %v", told, left)
 	}
-	if waited < failures*acceptPause/2 {
+	if waited < failures*system.AcceptRetryDelay/2 {
 		t.Errorf("the request waited %v only", waited)
 	}
 }
@@ -52,26 +56,26 @@
 // A client that has written a whole long body and left is gone, though its bytes are still to be read: no attempt begins
 // for it.
 func TestClientThatLeavesBehindItsBody(t *testing.T) {
-	e := newEndpoint(t, always(served))
-	w := start(t, nil, ready("s-1", e.address))
-	dial := hold(&w.loop.up.dialer, e.address)
+	e := sidecartest.NewEndpoint(t, sidecartest.Always(sidecartest.Served))
+	w := start(t, nil, ready("s-1", e.Address))
+	dial := sidecartest.BlockDials(&w.loop.up.Dialer, e.Address)
 	conn := w.dial()
 	go func() {
-		fmt.Fprintf(conn, "%sX-Correlation-Id: 1\r\nContent-Length: %d\r\n\r\n%s", payHead, 2*maxBufferedBytes, strings.Repeat("x", 2*maxBufferedBytes))
+		fmt.Fprintf(conn, "%sX-Correlation-Id: 1\r\nContent-Length: %d\r\n\r\n%s", sidecartest.PayHead, 2*httpmsg.MaxBufferedBytes, strings.Repeat("x", 2*httpmsg.MaxBufferedBytes))
 		conn.Close()
 	}()
-	<-dial.begun
-	await(t, "the client's end", func() bool {
+	<-dial.Begun
+	sidecartest.Await(t, "the client's end", func() bool {
 		for _, r := range w.server.inHand.all() {
-			if r.conn.hasLeft() {
+			if r.conn.ClientLeft() {
 				return true
 			}
 		}
 		return false
 	})
-	close(dial.go_)
+	close(dial.Unblock)
 	w.until("the outcome", func() bool { return len(w.spy.statuses()) == 1 })
-	if n, conns := e.seen(); n != 0 {
+	if n, conns := e.Seen(); n != 0 {
 		t.Errorf("the endpoint got %d requests on %d connections", n, conns)
 	}
 }
--- a/internal/sidecar/termination.go
+++ b/internal/sidecar/termination.go
@@ -75,21 +75,21 @@
 	s.answerAll(begun, time.Now())
 	s.logPhase("shutdown complete", begun)
 	s.http.Close()
-	requests, stages := s.loop.stages.summary()
+	requests, stages := s.loop.stages.Summary()
 	s.log.Info("stage latencies", "requests", requests, "median/p99_us", stages)
 }
 
 // answerAll waits until every request in hand has its answer and every connection has ended. What clients leave
 // half written is refused shortly before SIGKILL may come, counted from begun.
 func (s *server) answerAll(begun, closed time.Time) {
-	partialUntil := begun.Add(min(s.loop.current.Load().longestDeadline(), maxKillDeadline) + killAfter - killMargin)
+	partialUntil := begun.Add(min(s.loop.current.Load().LongestClientTimeout(), maxKillDeadline) + killAfter - killMargin)
 	idle := time.Time{} // since when nothing is in hand
 	// The first wait is for a connection that is being accepted just now.
-	for time.Sleep(sweepEvery); s.clients.count() > 0; time.Sleep(sweepEvery) {
+	for time.Sleep(sweepEvery); s.clients.Count() > 0; time.Sleep(sweepEvery) {
 		now := time.Now()
-		s.clients.sweep(0, 0)
+		s.clients.CloseIdle(0, 0)
 		if now.After(partialUntil) {
-			s.clients.refusePartial()
+			s.clients.RejectPartial()
 		}
 		if due, any := s.inHand.latest(closed); any {
 			idle = time.Time{}
@@ -110,7 +110,7 @@
 
 // logPhase records that a phase of termination begins, and what there is at that moment.
 func (s *server) logPhase(phase string, begun time.Time) {
-	s.log.Info(phase, "after_ms", time.Since(begun).Milliseconds(), "connections", s.clients.count(),
+	s.log.Info(phase, "after_ms", time.Since(begun).Milliseconds(), "connections", s.clients.Count(),
 		"requests", s.inHand.count(), "replaced", s.relieved())
 }
 
@@ -118,9 +118,9 @@
 // it is not whole.
 func (s *server) cutOff() {
 	for _, r := range s.inHand.all() {
-		r.conn.cut()
+		r.conn.ResetOnClose()
 		s.log.Error("request aborted by shutdown", "id", r.id, "class", r.class,
 			"age_ms", time.Since(r.since).Milliseconds(), "remaining_ms", time.Until(r.until).Milliseconds(),
-			"connection_age_ms", time.Since(r.conn.accepted).Milliseconds(), "requests_on_connection", r.conn.served)
+			"connection_age_ms", time.Since(r.conn.AcceptedAt).Milliseconds(), "requests_on_connection", r.conn.Requests)
 	}
 }
--- a/internal/sidecar/termination_test.go
+++ b/internal/sidecar/termination_test.go
@@ -11,19 +11,22 @@
 	"syscall"
 	"testing"
 	"time"
+
+	"oakproxy/internal/httpmsg"
+	"oakproxy/internal/sidecartest"
 )
 
 const usualGiveUp = 3 * time.Second
 
 // terminating starts a sidecar before an endpoint, and returns what closes its admission and waits for that.
-func terminating(t *testing.T, serve func(*endpoint, net.Conn, *bufio.Reader), giveUp time.Duration) (w *world, e *endpoint, close func()) {
+func terminating(t *testing.T, serve func(*sidecartest.Endpoint, net.Conn, *bufio.Reader), giveUp time.Duration) (w *world, e *sidecartest.Endpoint, close func()) {
 	t.Helper()
-	e = newEndpoint(t, serve)
+	e = sidecartest.NewEndpoint(t, serve)
 	w = start(t, func(s map[string]any) {
 		for _, c := range s["classes"].([]any) {
 			c.(map[string]any)["give-up"] = giveUp.Microseconds()
 		}
-	}, ready("s-1", e.address))
+	}, ready("s-1", e.Address))
 	w.server.acceptFor = 0
 	return w, e, func() {
 		w.stop()
@@ -39,7 +42,7 @@
 		if err != nil {
 			w.t.Errorf("the sidecar ended with %v", err)
 		}
-	case <-time.After(patience):
+	case <-time.After(sidecartest.Patience):
 		w.t.Error("the sidecar does not end")
 	}
 }
@@ -61,11 +64,11 @@
 // What comes to its last byte once admission is closed is refused before any attempt, wherever the close found it.
 func TestRequestsAreRefusedOnceAdmissionIsClosed(t *testing.T) {
 	body := "0123456789"
-	text := payHead + fmt.Sprintf("X-Correlation-Id: 1\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
+	text := sidecartest.PayHead + fmt.Sprintf("X-Correlation-Id: 1\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
 	for split := 1; split < len(text); split += 9 {
 		t.Run(fmt.Sprintf("after %d bytes", split), func(t *testing.T) {
 			t.Parallel()
-			w, e, closeAdmission := terminating(t, always(served), usualGiveUp)
+			w, e, closeAdmission := terminating(t, sidecartest.Always(sidecartest.Served), usualGiveUp)
 			conn := w.dial()
 			io.WriteString(conn, text[:split])
 			w.until("the bytes to be read", func() bool { return w.read() >= int64(split) })
@@ -74,7 +77,7 @@
 			endsWith(t, conn, http.StatusServiceUnavailable)
 			conn.Close()
 			w.finished()
-			if n, _ := e.seen(); n != 0 {
+			if n, _ := e.Seen(); n != 0 {
 				t.Errorf("the endpoint got %d requests", n)
 			}
 		})
@@ -82,7 +85,7 @@
 }
 
 // read counts the bytes of requests that are being read.
-func (w *world) read() (bytes int64) { return w.server.clients.partialBytes() }
+func (w *world) read() (bytes int64) { return w.server.clients.PartialBytes() }
 
 // A request that stays half written is refused, too, ahead of SIGKILL; a connection on which nothing came is closed.
 func TestHalfARequestIsRefusedAtTheEnd(t *testing.T) {
@@ -92,13 +95,13 @@
 		code int
 	}{
 		"half a line":    {"GET /re", http.StatusBadRequest}, // net/http answers that by itself
-		"half a head":    {readHead, refused},
-		"a head, no end": {readHead + "X-Correlation-Id: 1\r\n", refused},
-		"half a body":    {payHead + "X-Correlation-Id: 1\r\nContent-Length: 10\r\n\r\n01234", refused},
+		"half a head":    {sidecartest.ReadHead, refused},
+		"a head, no end": {sidecartest.ReadHead + "X-Correlation-Id: 1\r\n", refused},
+		"half a body":    {sidecartest.PayHead + "X-Correlation-Id: 1\r\nContent-Length: 10\r\n\r\n01234", refused},
 	} {
 		t.Run(what, func(t *testing.T) {
 			t.Parallel()
-			w, e, closeAdmission := terminating(t, always(served), 100*time.Millisecond)
+			w, e, closeAdmission := terminating(t, sidecartest.Always(sidecartest.Served), 100*time.Millisecond)
 			idle, conn := w.dial(), w.dial()
 			io.WriteString(conn, c.text)
 			w.until("the bytes to be read", func() bool { return w.read() == int64(len(c.text)) })
@@ -110,7 +113,7 @@
 			endsWith(t, conn, c.code)
 			conn.Close()
 			w.finished()
-			if n, _ := e.seen(); n != 0 {
+			if n, _ := e.Seen(); n != 0 {
 				t.Errorf("the endpoint got %d requests", n)
 			}
 		})
@@ -120,27 +123,27 @@
 // A body that is passed on when admission closes never comes to its last byte, and its client is refused. One whose
 // last byte was out before that has its answer.
 func TestUploadsAtTermination(t *testing.T) {
-	const size = 2 * maxBufferedBytes
-	head := payHead + fmt.Sprintf("X-Correlation-Id: 1\r\nContent-Length: %d\r\n\r\n", size)
+	const size = 2 * httpmsg.MaxBufferedBytes
+	head := sidecartest.PayHead + fmt.Sprintf("X-Correlation-Id: 1\r\nContent-Length: %d\r\n\r\n", size)
 	t.Run("on its way", func(t *testing.T) {
-		w, e, closeAdmission := terminating(t, always(served), usualGiveUp)
+		w, e, closeAdmission := terminating(t, sidecartest.Always(sidecartest.Served), usualGiveUp)
 		conn := w.dial()
 		io.WriteString(conn, head+strings.Repeat("x", size-1))
-		w.until("the attempt", func() bool { _, conns := e.seen(); return conns == 1 })
+		w.until("the attempt", func() bool { _, conns := e.Seen(); return conns == 1 })
 		closeAdmission()
 		endsWith(t, conn, http.StatusServiceUnavailable)
 		conn.Close()
 		w.finished()
-		if n, _ := e.seen(); n != 0 {
+		if n, _ := e.Seen(); n != 0 {
 			t.Errorf("the endpoint got %d whole requests", n)
 		}
 	})
 	t.Run("written", func(t *testing.T) {
 		answer := make(chan struct{})
-		w, e, closeAdmission := terminating(t, payWaits(answer), usualGiveUp)
+		w, e, closeAdmission := terminating(t, sidecartest.PayWaits(answer), usualGiveUp)
 		conn := w.dial()
 		io.WriteString(conn, head+strings.Repeat("x", size))
-		w.until("the whole request at the endpoint", func() bool { n, _ := e.seen(); return n == 1 })
+		w.until("the whole request at the endpoint", func() bool { n, _ := e.Seen(); return n == 1 })
 		closeAdmission()
 		close(answer)
 		response, err := http.ReadResponse(bufio.NewReader(conn), nil)
@@ -156,10 +159,10 @@
 // of the process takes any of it.
 func TestRequestInHandKeepsItsTime(t *testing.T) {
 	answer := make(chan struct{})
-	w, e, closeAdmission := terminating(t, payWaits(answer), usualGiveUp)
+	w, e, closeAdmission := terminating(t, sidecartest.PayWaits(answer), usualGiveUp)
 	got := make(chan reply)
 	go func() { got <- w.send(w.request("pay", "x", time.Minute)) }()
-	w.until("the attempt", func() bool { n, _ := e.seen(); return n == 1 })
+	w.until("the attempt", func() bool { n, _ := e.Seen(); return n == 1 })
 	w.reload(func(s map[string]any) {
 		s["classes"] = []any{map[string]any{"name": "find", "repeat": "side_effect", "target": 1, "give-up": 1}}
 	})
@@ -198,14 +201,14 @@
 // A listener that is broken for good ends the process, and what is in hand has its answer first.
 func TestBrokenListenerEndsWithAnswers(t *testing.T) {
 	answer := make(chan struct{})
-	e := newEndpoint(t, payWaits(answer))
-	listener := &faultyListener{}
-	w := startBehind(t, func(inner net.Listener) net.Listener { listener.Listener = inner; return listener }, ready("s-1", e.address))
+	e := sidecartest.NewEndpoint(t, sidecartest.PayWaits(answer))
+	listener := &sidecartest.FaultyListener{}
+	w := startBehind(t, func(inner net.Listener) net.Listener { listener.Listener = inner; return listener }, ready("s-1", e.Address))
 	w.server.acceptFor = 0
 	got := make(chan reply)
 	go func() { got <- w.send(w.request("pay", "x", time.Minute)) }()
-	w.until("the attempt", func() bool { n, _ := e.seen(); return n == 1 })
-	listener.fail([]error{syscall.EBADF})
+	w.until("the attempt", func() bool { n, _ := e.Seen(); return n == 1 })
+	listener.Fail([]error{syscall.EBADF})
 	w.dial() // ends the accept that is under way
 	w.until("admission to be closed", w.server.admission.isClosed)
 	close(answer)
@@ -217,7 +220,7 @@
 		if !errors.Is(err, syscall.EBADF) {
 			t.Errorf("the sidecar ended with %v", err)
 		}
-	case <-time.After(patience):
+	case <-time.After(sidecartest.Patience):
 		t.Error("the sidecar does not end")
 	}
 }
--- a/internal/sidecar/upload_test.go
+++ b/internal/sidecar/upload_test.go
@@ -12,11 +12,13 @@
 	"time"
 
 	"oakproxy/balancer"
+	"oakproxy/internal/httpmsg"
+	"oakproxy/internal/sidecartest"
 )
 
 // sum answers each request with the length of its body.
-func sum(e *endpoint, conn net.Conn, in *bufio.Reader) {
-	for r := e.next(in); r != nil; r = e.next(in) {
+func sum(e *sidecartest.Endpoint, conn net.Conn, in *bufio.Reader) {
+	for r := e.Next(in); r != nil; r = e.Next(in) {
 		body, _ := io.ReadAll(r.Body)
 		text := fmt.Sprint(len(body))
 		fmt.Fprintf(conn, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(text), text)
@@ -27,12 +29,12 @@
 // connection and on a used one, and its client's connection serves on.
 func TestLargeBodiesPass(t *testing.T) {
 	body := strings.Repeat("0123456789abcdef", large/16)
-	e := newEndpoint(t, sum)
-	w := start(t, nil, ready("s-1", e.address))
+	e := sidecartest.NewEndpoint(t, sum)
+	w := start(t, nil, ready("s-1", e.Address))
 	for name, framed := range map[string]string{
 		"by length": fmt.Sprintf("Content-Length: %d\r\n\r\n%s", len(body), body),
 		"in chunks": "Transfer-Encoding: chunked\r\n\r\n" + inChunks(body, 10_000) + "0\r\n\r\n",
-		"held":      fmt.Sprintf("Content-Length: %d\r\n\r\n%s", maxBufferedBytes, body[:maxBufferedBytes]),
+		"held":      fmt.Sprintf("Content-Length: %d\r\n\r\n%s", httpmsg.MaxBufferedBytes, body[:httpmsg.MaxBufferedBytes]),
 		"asked for": "Expect: 100-continue\r\n" + fmt.Sprintf("Content-Length: %d\r\n\r\n%s", len(body), body),
 	} {
 		conn := w.dial()
@@ -40,9 +42,9 @@
 		for i := range 2 {
 			want, size := "200 OK", len(body)
 			if name == "held" {
-				size = maxBufferedBytes
+				size = httpmsg.MaxBufferedBytes
 			}
-			fmt.Fprintf(conn, "%sX-Correlation-Id: %s%d\r\n%s", payHead, name[:1], i, framed)
+			fmt.Fprintf(conn, "%sX-Correlation-Id: %s%d\r\n%s", sidecartest.PayHead, name[:1], i, framed)
 			response, err := http.ReadResponse(in, nil)
 			if err == nil && response.StatusCode == http.StatusContinue {
 				response, err = http.ReadResponse(in, nil)
@@ -58,24 +60,24 @@
 			}
 		}
 	}
-	if n, conns := e.seen(); n != 7 || conns != 1 {
+	if n, conns := e.Seen(); n != 7 || conns != 1 {
 		t.Errorf("%d requests on %d connections, want 7 on 1", n, conns)
 	}
-	w.until("the room to be given back", func() bool { return w.loop.up.room.used.Load() == 0 })
+	w.until("the room to be given back", func() bool { return w.loop.up.Bodies.Used.Load() == 0 })
 }
 
 // A client may write slowly, and its time counts from the last byte.
 func TestSlowBodyIsAwaited(t *testing.T) {
 	t.Parallel()
-	e := newEndpoint(t, sum)
-	w := start(t, nil, ready("s-1", e.address))
+	e := sidecartest.NewEndpoint(t, sum)
+	w := start(t, nil, ready("s-1", e.Address))
 	const piece = 8 << 10 // an eighth of a second each: 64 kB a second, or a few bytes in all of 2 s
 	for name, size := range map[string]int{"tiny": 16, "held": 48 << 10, "passed on": 192 << 10} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			conn := w.dial()
 			fmt.Fprintf(conn, "%sX-Correlation-Id: %d\r\nContent-Length: %d\r\n\r\n",
-				strings.Replace(payHead, "3000", "600", 1), size, size)
+				strings.Replace(sidecartest.PayHead, "3000", "600", 1), size, size)
 			for left := size; left > 0; {
 				n := min(piece, max(1, size/piece*piece))
 				time.Sleep(time.Second / 8)
@@ -104,22 +106,22 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			e := newEndpoint(t, sum)
-			w := start(t, nil, ready("s-1", e.address))
+			e := sidecartest.NewEndpoint(t, sum)
+			w := start(t, nil, ready("s-1", e.Address))
 			began := time.Now()
-			if got := w.raw(payHead + "X-Correlation-Id: 1\r\n" + c.framed); !strings.HasPrefix(got, c.want) || strings.Contains(got, " 200 ") {
+			if got := w.raw(sidecartest.PayHead + "X-Correlation-Id: 1\r\n" + c.framed); !strings.HasPrefix(got, c.want) || strings.Contains(got, " 200 ") {
 				t.Errorf("got %q, want %q", got, c.want)
 			}
-			if took := time.Since(began); took > patience/2 {
+			if took := time.Since(began); took > sidecartest.Patience/2 {
 				t.Errorf("it took %v", took)
 			}
-			w.until("the room to be given back", func() bool { return w.loop.up.room.used.Load() == 0 })
+			w.until("the room to be given back", func() bool { return w.loop.up.Bodies.Used.Load() == 0 })
 			w.until("the request to be forgotten", func() bool {
 				var n int
 				w.do(func() { n = len(w.loop.requests) })
 				return n == 0
 			})
-			if n, _ := e.seen(); n != 0 {
+			if n, _ := e.Seen(); n != 0 {
 				t.Errorf("the endpoint read %d whole requests", n)
 			}
 		})
@@ -129,11 +131,13 @@
 // A client that goes while its body comes in chunks has sent no request: what it leaves
 // must not reach an endpoint as if it were one, however little of it there is.
 func TestChunkedBodyThatBreaksOffIsNoRequest(t *testing.T) {
-	e := newEndpoint(t, sum)
-	w := start(t, nil, ready("s-1", e.address))
+	e := sidecartest.NewEndpoint(t, sum)
+	w := start(t, nil, ready("s-1", e.Address))
 	// That the client is gone is heard as late as can be, once an endpoint would have the request.
 	w.do(func() {
-		w.spy.beforeGone = func() { await(t, "the request at the endpoint", func() bool { n, _ := e.seen(); return n > 0 }) }
+		w.spy.beforeGone = func() {
+			sidecartest.Await(t, "the request at the endpoint", func() bool { n, _ := e.Seen(); return n > 0 })
+		}
 	})
 	framed := inChunks(strings.Repeat("x", 3000), 1000) + "0\r\n\r\n"
 	id := 0
@@ -151,40 +155,40 @@
 		} {
 			id++
 			conn := w.dial().(*net.TCPConn)
-			fmt.Fprintf(conn, "%sX-Correlation-Id: %d\r\nTransfer-Encoding: chunked\r\n\r\n%s", payHead, id, part)
+			fmt.Fprintf(conn, "%sX-Correlation-Id: %d\r\nTransfer-Encoding: chunked\r\n\r\n%s", sidecartest.PayHead, id, part)
 			leave(conn)
 			if got, _ := io.ReadAll(conn); len(got) > 0 && !strings.HasPrefix(string(got), "HTTP/1.1 400") {
 				t.Errorf("a client that %s %s got %q", end, what, got)
 			}
-			w.until("the connection to be over", func() bool { return w.server.clients.count() == 0 })
+			w.until("the connection to be over", func() bool { return w.server.clients.Count() == 0 })
 		}
 	}
-	if n, _ := e.seen(); n != 0 {
-		t.Errorf("the endpoint read %d requests that no client sent, one of %d bytes", n, e.request(0).ContentLength)
+	if n, _ := e.Seen(); n != 0 {
+		t.Errorf("the endpoint read %d requests that no client sent, one of %d bytes", n, e.Request(0).ContentLength)
 	}
 }
 
 // An endpoint that gives up a large body that it has only begun to read never ran
 // it. The client is refused at once, and may write to the end before it reads that.
 func TestEndpointThatTurnsALargeBodyAway(t *testing.T) {
-	for name, answer := range map[string]string{"with an answer": full, "by closing": ""} {
+	for name, answer := range map[string]string{"with an answer": sidecartest.TurnedAway, "by closing": ""} {
 		t.Run(name, func(t *testing.T) {
-			e := newEndpoint(t, func(_ *endpoint, conn net.Conn, in *bufio.Reader) {
-				in.Discard(maxBufferedBytes)
+			e := sidecartest.NewEndpoint(t, func(_ *sidecartest.Endpoint, conn net.Conn, in *bufio.Reader) {
+				in.Discard(httpmsg.MaxBufferedBytes)
 				io.WriteString(conn, answer)
 				if answer != "" {
 					io.Copy(io.Discard, in)
 				}
 			})
-			w := start(t, nil, ready("s-1", e.address))
+			w := start(t, nil, ready("s-1", e.Address))
 			conn := w.dial()
-			fmt.Fprintf(conn, "%sX-Correlation-Id: 1\r\nContent-Length: %d\r\n\r\n%s", payHead, large, strings.Repeat("x", 2*maxBufferedBytes))
+			fmt.Fprintf(conn, "%sX-Correlation-Id: 1\r\nContent-Length: %d\r\n\r\n%s", sidecartest.PayHead, large, strings.Repeat("x", 2*httpmsg.MaxBufferedBytes))
 			in := bufio.NewReader(conn)
 			response, err := http.ReadResponse(in, nil)
 			if err != nil || response.StatusCode != 503 || response.Header.Get("Retry-After") == "" || !response.Close {
 				t.Fatalf("%v, %v", response, err)
 			}
-			if _, err := io.WriteString(conn, strings.Repeat("x", large-2*maxBufferedBytes)); err != nil {
+			if _, err := io.WriteString(conn, strings.Repeat("x", large-2*httpmsg.MaxBufferedBytes)); err != nil {
 				t.Errorf("the rest of the body: %v", err)
 			}
 			if _, err := io.Copy(io.Discard, in); err != nil {
@@ -200,13 +204,13 @@
 // While nothing beyond the held part of a body was read, the request goes on to
 // another endpoint.
 func TestLargeBodyGoesElsewhere(t *testing.T) {
-	e := newEndpoint(t, sum)
-	w := start(t, nil, ready("s-1", closedAddress(t)), ready("s-2", e.address))
+	e := sidecartest.NewEndpoint(t, sum)
+	w := start(t, nil, ready("s-1", sidecartest.ClosedAddress(t)), ready("s-2", e.Address))
 	body := strings.Repeat("x", large)
 	refused := func() bool { return slices.Contains(w.spy.statuses(), balancer.ConnectFailed) }
 	const least = 8
 	// Which endpoint is drawn first is chance: on until one request met the one that refuses connections.
-	for sent, end := 0, time.Now().Add(patience); sent < least || !refused(); sent++ {
+	for sent, end := 0, time.Now().Add(sidecartest.Patience); sent < least || !refused(); sent++ {
 		if time.Now().After(end) {
 			t.Fatal("no connection failed: the test shows nothing")
 		}
--- a/internal/sidecar/watch.go
+++ b/internal/sidecar/watch.go
@@ -7,6 +7,9 @@
 	"time"
 
 	"oakproxy/balancer"
+	"oakproxy/internal/config"
+	"oakproxy/internal/discovery"
+	"oakproxy/internal/system"
 )
 
 // Watch begins to watch discovery's list, from the last version on, or ends it.
@@ -25,7 +28,7 @@
 			}
 		})
 	}
-	heard := func(list registry) {
+	heard := func(list discovery.List) {
 		tell(func(now balancer.Micros) { l.hear(now, list) })
 	}
 	malformed := func(err error) {
@@ -33,8 +36,8 @@
 	}
 	go func() {
 		for ctx.Err() == nil {
-			err := disc.watch(ctx, from, heard, malformed)
-			next := make(chan position, 1)
+			err := disc.Watch(ctx, from, heard, malformed)
+			next := make(chan discovery.Position, 1)
 			tell(func(now balancer.Micros) {
 				l.miss(now, err)
 				l.balancer.HandleEndpoints(now, balancer.ListFailed, nil)
@@ -43,7 +46,7 @@
 			if subscribe {
 				return // when to ask again is the balancer's decision
 			}
-			pause(ctx, jittered(disc.rest)) // the balancer never asks: the watch begins again by itself
+			system.Sleep(ctx, discovery.Jitter(disc.RetryDelay)) // the balancer never asks: the watch begins again by itself
 			select {
 			case from = <-next:
 			case <-ctx.Done():
@@ -63,14 +66,14 @@
 }
 
 // hear takes an answer of discovery.
-func (l *loop) hear(now balancer.Micros, list registry) {
+func (l *loop) hear(now balancer.Micros, list discovery.List) {
 	if l.unheard {
 		l.log.Info("discovery recovered", "list_age_ms", (now-l.heard)/1000, "seq", list.Seq)
 	}
 	l.unheard, l.heard = false, now
 	l.calls.answered++
 	l.log.Debug("endpoint list received", "seq", list.Seq, "whole", list.Whole, "hosts", len(list.Hosts))
-	l.calls.lost += uint64(list.lost)
+	l.calls.lost += uint64(list.Unusable)
 	kind := balancer.ListDelta
 	if list.Whole {
 		kind = balancer.ListFull
@@ -80,7 +83,7 @@
 
 // miss takes the failure of a call of discovery.
 func (l *loop) miss(now balancer.Micros, err error) {
-	var bad *malformedError
+	var bad *discovery.MalformedError
 	switch {
 	case errors.As(err, &bad):
 		l.calls.malformed++
@@ -89,8 +92,8 @@
 	default:
 		l.calls.failed++
 	}
-	if errors.Is(err, errOlder) {
-		l.from.after = nil // its changes since another numbering's version mean nothing
+	if errors.Is(err, discovery.ErrOutdated) {
+		l.from.After = nil // its changes since another numbering's version mean nothing
 	}
 	if !l.unheard || now-l.warned >= missEvery.Microseconds() {
 		l.warned = now
@@ -100,10 +103,10 @@
 }
 
 // newDiscoveryFor returns the client of the discovery that a configuration names.
-func newDiscoveryFor(cfg *Config) *discovery {
+func newDiscoveryFor(cfg *config.Config) *discovery.Client {
 	c := &cfg.Settings.Contract
-	return newDiscovery(discoveryOptions{address: cfg.Discovery, wait: cfg.wait, dial: cfg.dial,
-		subscribe:    cfg.Settings.SubscribeToDiscovery,
-		pollInterval: time.Duration(c.PollInterval) * time.Microsecond,
-		drainGrace:   time.Duration(c.DrainGrace) * time.Microsecond})
+	return discovery.NewClient(discovery.Options{Address: cfg.Discovery, Wait: cfg.DiscoveryWait, Dial: cfg.DiscoveryDial,
+		Subscribe:    cfg.Settings.SubscribeToDiscovery,
+		PollInterval: time.Duration(c.PollInterval) * time.Microsecond,
+		DrainGrace:   time.Duration(c.DrainGrace) * time.Microsecond})
 }
--- a/internal/sidecar/world_test.go
+++ b/internal/sidecar/world_test.go
@@ -16,6 +16,9 @@
 	"time"
 
 	"oakproxy/balancer"
+	"oakproxy/internal/config"
+	"oakproxy/internal/discovery"
+	"oakproxy/internal/sidecartest"
 )
 
 // directory is a discovery service with one list.
@@ -23,7 +26,7 @@
 	address string
 
 	mu     sync.Mutex
-	list   registry
+	list   discovery.List
 	down   bool
 	broken string // an answer to give in place of the list
 	calls  []string
@@ -31,9 +34,9 @@
 	conns  atomic.Int32  // open connections
 }
 
-func newDirectory(t *testing.T, hosts ...host) *directory {
+func newDirectory(t *testing.T, hosts ...discovery.Entry) *directory {
 	t.Helper()
-	d := &directory{list: registry{Whole: true, Hosts: hosts}, news: make(chan struct{})}
+	d := &directory{list: discovery.List{Whole: true, Hosts: hosts}, news: make(chan struct{})}
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -76,7 +79,7 @@
 	case d.broken != "":
 		io.WriteString(w, d.broken)
 	case after == fmt.Sprint(d.list.Seq):
-		json.NewEncoder(w).Encode(registry{Seq: d.list.Seq, Hosts: []host{}})
+		json.NewEncoder(w).Encode(discovery.List{Seq: d.list.Seq, Hosts: []discovery.Entry{}})
 	default:
 		json.NewEncoder(w).Encode(d.list)
 	}
@@ -98,8 +101,8 @@
 }
 
 // ready is discovery's entry for an endpoint.
-func ready(name, address string) host {
-	return host{Name: name, Dial: address, Site: "a", Class: "m1", Health: "Ready", Share: 1}
+func ready(name, address string) discovery.Entry {
+	return discovery.Entry{Name: name, Dial: address, Site: "a", Class: "m1", Health: "Ready", Share: 1}
 }
 
 // spy passes everything on to the balancer and keeps what it was told.
@@ -179,23 +182,23 @@
 }
 
 // configure returns a configuration that knows the given list.
-func configure(t *testing.T, discovery string, alter func(settings map[string]any), hosts ...host) *Config {
+func configure(t *testing.T, discoveryAddress string, alter func(settings map[string]any), hosts ...discovery.Entry) *config.Config {
 	t.Helper()
 	var settings map[string]any
-	if err := json.Unmarshal([]byte(settingsText), &settings); err != nil {
+	if err := json.Unmarshal([]byte(sidecartest.SettingsText), &settings); err != nil {
 		t.Fatal(err)
 	}
 	if alter != nil {
 		alter(settings)
 	}
 	text, err := json.Marshal(map[string]any{
-		"name": "n0", "listen": "127.0.0.1:0", "discovery": discovery, "seed": "8c1f30d27a5be964",
+		"name": "n0", "listen": "127.0.0.1:0", "discovery": discoveryAddress, "seed": "8c1f30d27a5be964",
 		"limits": map[string]any{"cores": 1.0, "memory_mb": 192, "sockets": 256},
-		"known":  registry{Whole: true, Hosts: hosts}, "settings": settings})
+		"known":  discovery.List{Whole: true, Hosts: hosts}, "settings": settings})
 	if err != nil {
 		t.Fatal(err)
 	}
-	cfg, err := Parse(text)
+	cfg, err := config.Parse(text)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -203,13 +206,13 @@
 }
 
 // start runs a sidecar that knows these endpoints, and waits until it is ready.
-func start(t *testing.T, alter func(settings map[string]any), hosts ...host) *world {
+func start(t *testing.T, alter func(settings map[string]any), hosts ...discovery.Entry) *world {
 	t.Helper()
 	return startWith(t, alter, nil, hosts...)
 }
 
 // startWith does that with a configuration that a test has changed.
-func startWith(t *testing.T, alter func(settings map[string]any), change func(*Config), hosts ...host) *world {
+func startWith(t *testing.T, alter func(settings map[string]any), change func(*config.Config), hosts ...discovery.Entry) *world {
 	t.Helper()
 	w := &world{t: t, dir: newDirectory(t, hosts...)}
 	cfg := configure(t, w.dir.address, alter, hosts...)
@@ -222,7 +225,7 @@
 }
 
 // startBehind does that with a listener of clients that a test has wrapped.
-func startBehind(t *testing.T, wrap func(net.Listener) net.Listener, hosts ...host) *world {
+func startBehind(t *testing.T, wrap func(net.Listener) net.Listener, hosts ...discovery.Entry) *world {
 	t.Helper()
 	w := &world{t: t, dir: newDirectory(t, hosts...), wrap: wrap}
 	w.launch(configure(t, w.dir.address, nil, hosts...))
@@ -243,7 +246,7 @@
 }
 
 // launch runs a sidecar until the test ends.
-func (w *world) launch(cfg *Config) {
+func (w *world) launch(cfg *config.Config) {
 	w.t.Helper()
 	listener, err := net.Listen("tcp", cfg.Listen)
 	if err != nil {
@@ -259,7 +262,7 @@
 	if err != nil {
 		w.t.Fatal(err)
 	}
-	w.loop.up.rest = 0 // most tests use a connection again at once
+	w.loop.up.ReuseDelay = 0 // most tests use a connection again at once
 	w.spy = &spy{decider: w.loop.balancer}
 	w.loop.balancer = w.spy
 	w.server = newServer(w.loop)
@@ -280,7 +283,7 @@
 // until waits for something to become true.
 func (w *world) until(what string, is func() bool) {
 	w.t.Helper()
-	await(w.t, what, is)
+	sidecartest.Await(w.t, what, is)
 }
 
 // do runs f in the loop and waits for it.
@@ -326,7 +329,7 @@
 
 func (w *world) send(r *http.Request) reply {
 	transport := &http.Transport{DisableKeepAlives: true}
-	response, err := (&http.Client{Transport: transport, Timeout: patience}).Do(r)
+	response, err := (&http.Client{Transport: transport, Timeout: sidecartest.Patience}).Do(r)
 	if err != nil {
 		return reply{err: err}
 	}
--- a/internal/sidecar/stages.go
+++ b/internal/stages/stages.go
@@ -1,4 +1,4 @@
-package sidecar
+package stages
 
 import (
 	"fmt"
@@ -28,27 +28,27 @@
 
 var stageNames = [stageCount]string{"read", "queue", "probe_wait", "connect", "write", "endpoint", "return", "reply", "overhead"}
 
-// attemptTimes tells when an attempt got on.
-type attemptTimes struct{ connected, written, received time.Time }
+// AttemptTimes tells when an attempt got on.
+type AttemptTimes struct{ Connected, Written, Received time.Time }
 
-// requestTimes tells when a request got on. The handler owns the first two and the
+// RequestTimes tells when a request got on. The handler owns the first two and the
 // last two; the loop sets the others before it gives the final answer.
-type requestTimes struct {
-	arrived, read   time.Time
-	taken, sent     time.Time
-	attempt         attemptTimes
-	answer, replied time.Time
+type RequestTimes struct {
+	Arrived, BodyRead time.Time
+	Dequeued, Sent    time.Time
+	Attempt           AttemptTimes
+	Answered, Replied time.Time
 }
 
 // durations returns the time of each stage.
-func (t *requestTimes) durations() [stageCount]time.Duration {
-	marks := [...]time.Time{t.arrived, t.read, t.taken, t.sent, t.attempt.connected, t.attempt.written,
-		t.attempt.received, t.answer, t.replied}
+func (t *RequestTimes) durations() [stageCount]time.Duration {
+	marks := [...]time.Time{t.Arrived, t.BodyRead, t.Dequeued, t.Sent, t.Attempt.Connected, t.Attempt.Written,
+		t.Attempt.Received, t.Answered, t.Replied}
 	var took [stageCount]time.Duration
 	for i := range marks[1:] {
 		took[i] = marks[i+1].Sub(marks[i])
 	}
-	took[stageOverhead] = t.replied.Sub(t.arrived) - took[stageEndpoint]
+	took[stageOverhead] = t.Replied.Sub(t.Arrived) - took[stageEndpoint]
 	return took
 }
 
@@ -99,15 +99,15 @@
 	return 0
 }
 
-// stageTimes collects the stages of all requests since the start.
-type stageTimes struct {
+// Recorder collects the stages of all requests since the start.
+type Recorder struct {
 	mu       sync.Mutex
 	requests uint64
 	sums     [stageCount]time.Duration
 	spread   [stageCount]histogram
 }
 
-func (s *stageTimes) record(t *requestTimes) {
+func (s *Recorder) Record(t *RequestTimes) {
 	took := t.durations()
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -118,20 +118,20 @@
 	}
 }
 
-// stageSums is what counts lines are made of.
-type stageSums struct {
+// Totals is what counts lines are made of.
+type Totals struct {
 	requests uint64
 	sums     [stageCount]time.Duration
 }
 
-func (s *stageTimes) totals() stageSums {
+func (s *Recorder) Totals() Totals {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return stageSums{s.requests, s.sums}
+	return Totals{s.requests, s.sums}
 }
 
-// since tells the mean of each stage, in microseconds, over the requests since old.
-func (s stageSums) since(old stageSums) string {
+// MeansSince tells the mean of each stage, in microseconds, over the requests since old.
+func (s Totals) MeansSince(old Totals) string {
 	requests := max(1, int64(s.requests-old.requests))
 	var text strings.Builder
 	for i, name := range stageNames {
@@ -140,9 +140,9 @@
 	return "[" + text.String()[1:] + "]"
 }
 
-// summary tells the median and the 99th percentile of each stage, in microseconds,
+// Summary tells the median and the 99th percentile of each stage, in microseconds,
 // since the start.
-func (s *stageTimes) summary() (requests uint64, text string) {
+func (s *Recorder) Summary() (requests uint64, text string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	var parts []string
--- a/internal/sidecar/stages_test.go
+++ b/internal/stages/stages_test.go
@@ -1,4 +1,4 @@
-package sidecar
+package stages
 
 import (
 	"testing"
@@ -30,13 +30,13 @@
 func TestStagesAddUp(t *testing.T) {
 	start := time.Unix(1000, 0)
 	at := func(ms int) time.Time { return start.Add(time.Duration(ms) * time.Millisecond) }
-	times := requestTimes{arrived: at(0), read: at(1), taken: at(3), sent: at(6),
-		attempt: attemptTimes{connected: at(10), written: at(15), received: at(115)}, answer: at(121), replied: at(128)}
-	var all stageTimes
-	before := all.totals()
-	all.record(&times)
+	times := RequestTimes{Arrived: at(0), BodyRead: at(1), Dequeued: at(3), Sent: at(6),
+		Attempt: AttemptTimes{Connected: at(10), Written: at(15), Received: at(115)}, Answered: at(121), Replied: at(128)}
+	var all Recorder
+	before := all.Totals()
+	all.Record(&times)
 	want := "[read:1000 queue:2000 probe_wait:3000 connect:4000 write:5000 endpoint:100000 return:6000 reply:7000 overhead:28000]"
-	if got := all.totals().since(before); got != want {
+	if got := all.Totals().MeansSince(before); got != want {
 		t.Errorf("got %s, want %s", got, want)
 	}
 }
--- a/internal/sidecar/clock.go
+++ b/internal/system/clock.go
@@ -1,4 +1,4 @@
-package sidecar
+package system
 
 import (
 	"syscall"
@@ -23,18 +23,18 @@
 	return s
 }
 
-// stamp is an instant that another process can read.
-type stamp struct {
+// Timestamp is an instant that another process can read.
+type Timestamp struct {
 	UnixMS int64 // by the wall clock
 	UpMS   int64 // by the machine's uptime; 0 where a process of an earlier version wrote it
 }
 
-// now returns the present instant.
-func (s Clock) now() stamp { return stamp{s.Wall().UnixMilli(), s.Uptime().Milliseconds()} }
+// Now returns the present instant.
+func (s Clock) Now() Timestamp { return Timestamp{s.Wall().UnixMilli(), s.Uptime().Milliseconds()} }
 
-// age returns how long ago an instant was. It is not known of one that is ahead of the machine's uptime, which is
+// Age returns how long ago an instant was. It is not known of one that is ahead of the machine's uptime, which is
 // that of an earlier start of the machine.
-func (s Clock) age(at stamp) (age time.Duration, known bool) {
+func (s Clock) Age(at Timestamp) (age time.Duration, known bool) {
 	if at.UpMS > 0 {
 		age = s.Uptime() - time.Duration(at.UpMS)*time.Millisecond
 	} else {
--- a/internal/sidecar/files.go
+++ b/internal/system/files.go
@@ -1,4 +1,4 @@
-package sidecar
+package system
 
 import (
 	"errors"
@@ -37,8 +37,8 @@
 	return o
 }
 
-// readFile reads a file, up to maxBytes of it, and returns which one it was.
-func (o FileOps) readFile(path string, maxBytes int64) ([]byte, os.FileInfo, error) {
+// ReadFile reads a file, up to maxBytes of it, and returns which one it was.
+func (o FileOps) ReadFile(path string, maxBytes int64) ([]byte, os.FileInfo, error) {
 	file, err := os.Open(path)
 	if err != nil {
 		return nil, nil, err
@@ -52,10 +52,10 @@
 	return text, info, err
 }
 
-// replaceFile puts a file in place of another at once: nobody reads a part of it, whenever this process is ended. It
+// ReplaceFile puts a file in place of another at once: nobody reads a part of it, whenever this process is ended. It
 // is on the disk by then where it is to be durable. One process at a time may write by way of a temporary name; what
 // one that was killed has left there is written over.
-func (o FileOps) replaceFile(path, temporary string, text []byte, durable bool) error {
+func (o FileOps) ReplaceFile(path, temporary string, text []byte, durable bool) error {
 	file, err := os.OpenFile(temporary, os.O_CREATE|os.O_WRONLY|os.O_TRUNC, 0o600)
 	if err != nil {
 		return err
@@ -73,15 +73,15 @@
 	return err
 }
 
-// isReadFault reports whether a file could not be read, though it may be there and whole.
-func isReadFault(err error) bool {
+// IsReadError reports whether a file could not be read, though it may be there and whole.
+func IsReadError(err error) bool {
 	var path *fs.PathError
 	var errno syscall.Errno
 	return err != nil && !errors.Is(err, fs.ErrNotExist) && (errors.As(err, &path) || errors.As(err, &errno))
 }
 
-// lockFile locks a file without waiting, for as long as it is open.
-func lockFile(file *os.File, how int) error {
+// LockFile locks a file without waiting, for as long as it is open.
+func LockFile(file *os.File, how int) error {
 	for {
 		err := syscall.Flock(int(file.Fd()), how|syscall.LOCK_NB)
 		if err != syscall.EINTR {
--- a/internal/sidecar/sockets.go
+++ b/internal/system/sockets.go
@@ -1,4 +1,4 @@
-package sidecar
+package system
 
 import (
 	"net"
@@ -6,9 +6,9 @@
 	"time"
 )
 
-// readable says whether anything can be read of a connection: bytes, its end, or
+// Readable says whether anything can be read of a connection: bytes, its end, or
 // an error.
-func readable(c net.Conn) bool { return peek(c) != PeekNothing }
+func Readable(c net.Conn) bool { return Peek(c) != PeekNothing }
 
 // PeekResult is what a connection has to read.
 type PeekResult uint8
@@ -20,8 +20,8 @@
 	PeekClosed
 )
 
-// peek looks at a connection without reading of it.
-func peek(c net.Conn) PeekResult {
+// Peek looks at a connection without reading of it.
+func Peek(c net.Conn) PeekResult {
 	found := PeekClosed
 	err := control(c, func(fd int) {
 		found = peekWith(func(b []byte) (int, error) {
@@ -75,9 +75,9 @@
 // maxDataAge is the most that is believed of the system's word on when something came.
 const maxDataAge = time.Minute
 
-// dataAge returns how long ago the latest bytes of a connection came to this machine, also where nobody has read them
+// LastDataAge returns how long ago the latest bytes of a connection came to this machine, also where nobody has read them
 // since: the process may have been held up, or the connection not been accepted. 0 where that is not known.
-func dataAge(c net.Conn) time.Duration {
+func LastDataAge(c net.Conn) time.Duration {
 	var age time.Duration
 	control(c, func(fd int) {
 		info, err := tcpInfo(fd)
--- a/internal/sidecar/syscalls.go
+++ b/internal/system/syscalls.go
@@ -1,4 +1,4 @@
-package sidecar
+package system
 
 import (
 	"syscall"
--- a/internal/sidecar/attempt_test.go
+++ b/internal/upstream/attempt_test.go
@@ -1,4 +1,4 @@
-package sidecar
+package upstream
 
 import (
 	"bufio"
@@ -8,6 +8,7 @@
 	"io"
 	"net"
 	"oakproxy/balancer"
+	"oakproxy/internal/sidecartest"
 	"os"
 	"slices"
 	"syscall"
@@ -17,7 +18,7 @@
 
 // A shortage of this machine's is waited out for a moment, and never held against the endpoint.
 func TestShortageAtADial(t *testing.T) {
-	e := newEndpoint(t, always(served))
+	e := sidecartest.NewEndpoint(t, sidecartest.Always(sidecartest.Served))
 	for what, c := range map[string]struct {
 		errors []error
 		want   balancer.Status
@@ -27,7 +28,7 @@
 		"is no shortage": {slices.Repeat([]error{syscall.ENETUNREACH}, 1000), balancer.ConnectFailed},
 	} {
 		u := newTestUpstream(t, 1)
-		u.dialer.Control = func(string, string, syscall.RawConn) error {
+		u.Dialer.Control = func(string, string, syscall.RawConn) error {
 			if len(c.errors) == 0 {
 				return nil
 			}
@@ -35,13 +36,13 @@
 			c.errors = c.errors[1:]
 			return err
 		}
-		ctx, cancel := context.WithTimeout(t.Context(), patience)
-		r := u.attempt(ctx, &target{address: e.address}, get("/"), &gate{})
+		ctx, cancel := context.WithTimeout(t.Context(), sidecartest.Patience)
+		r := u.Attempt(ctx, &Endpoint{Address: e.Address}, get("/"), &Gate{})
 		cancel()
-		if r.status != c.want {
-			t.Errorf("%s: %v (%v), want %v", what, r.status, r.err, c.want)
+		if r.Status != c.want {
+			t.Errorf("%s: %v (%v), want %v", what, r.Status, r.Err, c.want)
 		}
-		if open := u.counts().open; c.want != balancer.OK && open != 0 {
+		if open := u.Counts().Open; c.want != balancer.OK && open != 0 {
 			t.Errorf("%s: %d connections are counted open", what, open)
 		}
 	}
@@ -69,13 +70,13 @@
 // ETIMEDOUT is no time-out of the request.
 func TestBrokenEndpointConnectionsAreResets(t *testing.T) {
 	for _, errno := range []syscall.Errno{syscall.ETIMEDOUT, syscall.EHOSTUNREACH, syscall.ENETUNREACH, syscall.ECONNRESET, syscall.EPIPE} {
-		u, at := newTestUpstream(t, 1), &target{address: "127.0.0.1:1"}
+		u, at := newTestUpstream(t, 1), &Endpoint{Address: "127.0.0.1:1"}
 		err := &net.OpError{Op: "read", Net: "tcp", Err: os.NewSyscallError("read", errno)}
 		u.open = 1
-		ctx, cancel := context.WithTimeout(t.Context(), patience)
-		_, got := u.exchange(ctx, newConn(&failingRead{err: err}, at), get("/"), &gate{})
-		if status := failure(ctx, got); status != balancer.Reset || !errors.Is(got, errno) || u.counts().open != 0 {
-			t.Errorf("%v: %v (%v), %d connections open; want a reset", errno, status, got, u.counts().open)
+		ctx, cancel := context.WithTimeout(t.Context(), sidecartest.Patience)
+		_, got := u.exchange(ctx, newConn(&failingRead{err: err}, at), get("/"), &Gate{})
+		if status := failure(ctx, got); status != balancer.Reset || !errors.Is(got, errno) || u.Counts().Open != 0 {
+			t.Errorf("%v: %v (%v), %d connections open; want a reset", errno, status, got, u.Counts().Open)
 		}
 		cancel()
 	}
@@ -84,28 +85,28 @@
 // What an attempt waits for its connection may undo its decision: then it never begins,
 // and proves that it never ran.
 func TestGateShutsWhileDialling(t *testing.T) {
-	for why, shut := range map[string]func(u *upstream, at *target, g *gate, cancel func()){
-		"the endpoint drains":      func(u *upstream, at *target, _ *gate, _ func()) { u.retire(at) },
-		"the client leaves":        func(_ *upstream, _ *target, g *gate, _ func()) { g.gone = func() bool { return true } },
-		"a repeat comes too late":  func(_ *upstream, _ *target, g *gate, _ func()) { g.latest = time.Now() },
-		"the request is over":      func(_ *upstream, _ *target, g *gate, _ func()) { g.close() },
-		"the attempt is cancelled": func(_ *upstream, _ *target, _ *gate, cancel func()) { cancel() },
+	for why, shut := range map[string]func(u *Client, at *Endpoint, g *Gate, cancel func()){
+		"the endpoint drains":      func(u *Client, at *Endpoint, _ *Gate, _ func()) { u.Retire(at) },
+		"the client leaves":        func(_ *Client, _ *Endpoint, g *Gate, _ func()) { g.ClientGone = func() bool { return true } },
+		"a repeat comes too late":  func(_ *Client, _ *Endpoint, g *Gate, _ func()) { g.NotAfter = time.Now() },
+		"the request is over":      func(_ *Client, _ *Endpoint, g *Gate, _ func()) { g.Close() },
+		"the attempt is cancelled": func(_ *Client, _ *Endpoint, _ *Gate, cancel func()) { cancel() },
 	} {
 		t.Run(why, func(t *testing.T) {
-			e := newEndpoint(t, always(served))
-			u, at, g := newTestUpstream(t, 1), &target{address: e.address}, &gate{}
-			dial := hold(&u.dialer, e.address)
+			e := sidecartest.NewEndpoint(t, sidecartest.Always(sidecartest.Served))
+			u, at, g := newTestUpstream(t, 1), &Endpoint{Address: e.Address}, &Gate{}
+			dial := sidecartest.BlockDials(&u.Dialer, e.Address)
 			ctx, cancel := context.WithCancel(context.Background())
 			defer cancel()
-			done := make(chan result)
-			go func() { done <- u.attempt(ctx, at, get("/"), g) }()
-			<-dial.begun
+			done := make(chan Result)
+			go func() { done <- u.Attempt(ctx, at, get("/"), g) }()
+			<-dial.Begun
 			shut(u, at, g, cancel)
-			close(dial.go_)
-			if r := <-done; r.status != balancer.NotSent {
-				t.Errorf("status %v, want Moot", r.status)
+			close(dial.Unblock)
+			if r := <-done; r.Status != balancer.NotSent {
+				t.Errorf("status %v, want Moot", r.Status)
 			}
-			if n, _ := e.seen(); n != 0 {
+			if n, _ := e.Seen(); n != 0 {
 				t.Errorf("the endpoint got %d requests", n)
 			}
 		})
@@ -138,36 +139,36 @@
 // An endpoint that writes in pieces is heard to the end, though that takes longer
 // than one may be silent.
 func TestAnswerInPiecesIsAwaited(t *testing.T) {
-	e := newEndpoint(t, func(e *endpoint, conn net.Conn, in *bufio.Reader) {
-		for e.next(in) != nil {
-			for _, b := range []byte(served) {
+	e := sidecartest.NewEndpoint(t, func(e *sidecartest.Endpoint, conn net.Conn, in *bufio.Reader) {
+		for e.Next(in) != nil {
+			for _, b := range []byte(sidecartest.Served) {
 				conn.Write([]byte{b})
-				time.Sleep(2 * answerRest / time.Duration(len(served)))
+				time.Sleep(2 * answerRest / time.Duration(len(sidecartest.Served)))
 			}
 		}
 	})
 	u := newTestUpstream(t, 4)
 	for range 2 {
-		if r := u.attempt(t.Context(), &target{address: e.address}, get("/"), &gate{}); r.status != balancer.OK || string(r.body) != "done" {
-			t.Errorf("status %v, body %q", r.status, r.body)
+		if r := u.Attempt(t.Context(), &Endpoint{Address: e.Address}, get("/"), &Gate{}); r.Status != balancer.OK || string(r.Body) != "done" {
+			t.Errorf("status %v, body %q", r.Status, r.Body)
 		}
 	}
 }
 
 // Where there is no room to hold an answer, it is passed on as it comes.
 func TestAnswerWithoutRoomPasses(t *testing.T) {
-	e := newEndpoint(t, always(served))
+	e := sidecartest.NewEndpoint(t, sidecartest.Always(sidecartest.Served))
 	u := newTestUpstream(t, 4)
-	u.room.used.Store(u.room.most.Load())
-	r := u.attempt(t.Context(), &target{address: e.address}, get("/"), &gate{})
-	if r.status != balancer.OK || len(r.body) != 0 || r.rest == nil {
-		t.Fatalf("status %v, %d bytes held", r.status, len(r.body))
+	u.Bodies.Used.Store(u.Bodies.Limit.Load())
+	r := u.Attempt(t.Context(), &Endpoint{Address: e.Address}, get("/"), &Gate{})
+	if r.Status != balancer.OK || len(r.Body) != 0 || r.Rest == nil {
+		t.Fatalf("status %v, %d bytes held", r.Status, len(r.Body))
 	}
-	if got, err := io.ReadAll(r.rest); err != nil || string(got) != "done" {
+	if got, err := io.ReadAll(r.Rest); err != nil || string(got) != "done" {
 		t.Errorf("%q, %v", got, err)
 	}
 	r.close()
-	if u.room.used.Load() != u.room.most.Load() || u.open != 1 || len(u.idle) != 1 {
-		t.Errorf("%d of %d held, %d connections open", u.room.used.Load(), u.room.most.Load(), u.open)
+	if u.Bodies.Used.Load() != u.Bodies.Limit.Load() || u.open != 1 || len(u.idle) != 1 {
+		t.Errorf("%d of %d held, %d connections open", u.Bodies.Used.Load(), u.Bodies.Limit.Load(), u.open)
 	}
 }
--- a/internal/sidecar/exchange.go
+++ b/internal/upstream/exchange.go
@@ -1,4 +1,4 @@
-package sidecar
+package upstream
 
 import (
 	"context"
@@ -8,6 +8,8 @@
 	"math"
 	"net/http"
 	"time"
+
+	"oakproxy/internal/httpmsg"
 )
 
 // One exchange on a connection: the request written, the answer read and found whole.
@@ -33,16 +35,16 @@
 type received struct {
 	response *http.Response
 	body     []byte
-	rest     *rest
+	rest     *BodyStream
 	held     func()
 	written  time.Time // when the request's last byte was
 }
 
 // exchange writes one request on a connection and reads the answer, or its
 // beginning. It gives the connection back unless there is a rest.
-func (u *upstream) exchange(ctx context.Context, c *conn, m *message, g *gate) (got *received, err error) {
+func (u *Client) exchange(ctx context.Context, c *conn, m *Request, g *Gate) (got *received, err error) {
 	keep := false
-	c.ctx, c.limit.N = ctx, maxAnswerHeadBytes+maxBufferedBytes
+	c.ctx, c.limit.N = ctx, maxAnswerHeadBytes+httpmsg.MaxBufferedBytes
 	stop := context.AfterFunc(ctx, func() { c.SetDeadline(time.Unix(1, 0)) }) // wakes a read or write
 	defer func() {
 		c.stall = 0
@@ -78,14 +80,14 @@
 		return nil, &unsentError{err}
 	}
 	written := time.Now()
-	if m.upload != nil {
+	if m.Upload != nil {
 		if err := u.send(c, m); err != nil {
 			return nil, err
 		}
 		// From here on the request's time runs.
-		m.upload.at = time.Now()
-		m.upload.written()
-		timed, cancel := context.WithDeadline(ctx, m.upload.due())
+		m.Upload.WrittenAt = time.Now()
+		m.Upload.OnWritten()
+		timed, cancel := context.WithDeadline(ctx, m.Upload.Deadline())
 		defer cancel()
 		c.ctx = timed
 		wake := context.AfterFunc(timed, func() { c.SetDeadline(time.Unix(1, 0)) })
@@ -98,7 +100,7 @@
 			}
 		}()
 	}
-	if got, err = u.receive(c, m.method); err != nil {
+	if got, err = u.receive(c, m.Method); err != nil {
 		return nil, err
 	}
 	got.written = written
@@ -135,7 +137,7 @@
 // send passes a request's body on while it comes. Until its last byte is written
 // the request never ran; an endpoint that answers before that, or ends the
 // connection, has done with it.
-func (u *upstream) send(c *conn, m *message) error {
+func (u *Client) send(c *conn, m *Request) error {
 	sent := make(chan error, 1)
 	go func() {
 		err := m.passOn(c)
@@ -143,7 +145,7 @@
 		sent <- err
 	}()
 	_, early := c.reader.Peek(1)
-	if m.upload.phase.CompareAndSwap(passing, stopped) {
+	if m.Upload.Phase.CompareAndSwap(UploadStreaming, stopped) {
 		select {
 		case err := <-sent:
 			return &unsentError{err}
@@ -165,7 +167,7 @@
 // or complete chunks, or by an end of the connection that it has announced; not by
 // two of them, of which http.ReadResponse hides one. Of a large one, or one that
 // there is no room for, the rest is left to be read.
-func (u *upstream) receive(c *conn, method string) (*received, error) {
+func (u *Client) receive(c *conn, method string) (*received, error) {
 	for range maxInterimAnswers {
 		c.stall = 0
 		if _, err := c.reader.Peek(1); err != nil {
@@ -186,18 +188,18 @@
 			c.SetReadDeadline(time.Time{})
 			continue
 		}
-		if response.ContentLength > maxBodyBytes {
+		if response.ContentLength > httpmsg.MaxBodyBytes {
 			return nil, errLarge
 		}
 		if response.StatusCode != http.StatusOK {
-			n, err := io.Copy(io.Discard, io.LimitReader(response.Body, maxBufferedBytes+1))
-			if err == nil && n > maxBufferedBytes {
+			n, err := io.Copy(io.Discard, io.LimitReader(response.Body, httpmsg.MaxBufferedBytes+1))
+			if err == nil && n > httpmsg.MaxBufferedBytes {
 				err = errLarge
 			}
 			return &received{response: response}, err
 		}
-		closes := response.ProtoMinor == 0 || head.closing
-		if head.lengths > 1 || head.lengths == 1 && head.coding || head.lengths == 0 && !head.coding && !closes {
+		closes := response.ProtoMinor == 0 || head.ConnectionClose
+		if head.ContentLengths > 1 || head.ContentLengths == 1 && head.TransferEncoding || head.ContentLengths == 0 && !head.TransferEncoding && !closes {
 			return nil, errors.New("the answer's length is not stated in one way")
 		}
 		c.limit.N = math.MaxInt64
@@ -207,16 +209,16 @@
 }
 
 // hold reads an answer's body whole where that is small, and else its beginning.
-func (u *upstream) hold(c *conn, response *http.Response) (*received, error) {
+func (u *Client) hold(c *conn, response *http.Response) (*received, error) {
 	got := &received{response: response}
 	begin := func() {
-		got.rest = &rest{up: u, conn: c, body: response.Body, left: maxBodyBytes - int64(len(got.body))}
+		got.rest = &BodyStream{up: u, conn: c, body: response.Body, left: httpmsg.MaxBodyBytes - int64(len(got.body))}
 	}
 	size := response.ContentLength
 	if size < 0 {
-		size = maxBufferedBytes
+		size = httpmsg.MaxBufferedBytes
 	}
-	if size > maxBufferedBytes || !u.room.take(size) {
+	if size > httpmsg.MaxBufferedBytes || !u.Bodies.Reserve(size) {
 		// Its first byte is worth waiting for: an endpoint that fails here may still be replaced.
 		if _, err := c.reader.Peek(1); err != nil {
 			return nil, err
@@ -224,7 +226,7 @@
 		begin()
 		return got, nil
 	}
-	got.held = func() { u.room.give(size) }
+	got.held = func() { u.Bodies.Release(size) }
 	began := time.Now()
 	got.body = make([]byte, 0, size)
 	for {
@@ -243,21 +245,21 @@
 	}
 }
 
-var errLarge = fmt.Errorf("the answer's body is over %d bytes", maxBodyBytes)
+var errLarge = fmt.Errorf("the answer's body is over %d bytes", httpmsg.MaxBodyBytes)
 
 // head waits for the whole head of the next answer and looks at its bytes, which
 // are left to be read.
-func (c *conn) head() (headScan, error) {
-	var h headScan
-	for h.end == 0 {
-		if _, err := c.reader.Peek(int(h.size) + 1); err != nil {
+func (c *conn) head() (httpmsg.HeadScanner, error) {
+	var h httpmsg.HeadScanner
+	for h.HeadSize == 0 {
+		if _, err := c.reader.Peek(int(h.Size) + 1); err != nil {
 			return h, err
 		}
 		all, err := c.reader.Peek(c.reader.Buffered())
 		if err != nil {
 			return h, err
 		}
-		h.scan(all[h.size:])
+		h.Scan(all[h.Size:])
 	}
 	return h, nil
 }
--- a/internal/sidecar/gate.go
+++ b/internal/upstream/gate.go
@@ -1,4 +1,4 @@
-package sidecar
+package upstream
 
 import (
 	"context"
@@ -7,13 +7,13 @@
 	"time"
 )
 
-// gate is what every attempt and probe passes right before its first byte, whether it is
+// Gate is what every attempt and probe passes right before its first byte, whether it is
 // the first or a further one, on a connection that was idle or dialled for it, however long
 // that took. What the balancer decided may no longer hold by then.
-type gate struct {
-	latest time.Time   // after which a repeat may run twice; zero where that is no matter
-	gone   func() bool // whether the client has left, by a look at its connection; nil: there is none
-	phase  atomic.Int32
+type Gate struct {
+	NotAfter   time.Time   // after which a repeat may run twice; zero where that is no matter
+	ClientGone func() bool // whether the client has left, by a look at its connection; nil: there is none
+	phase      atomic.Int32
 }
 
 // maxWriteLag is the most that the last bytes of a request may wait for its endpoint to take what is ahead of them. An
@@ -33,11 +33,11 @@
 	errLate = errors.New("it may no longer be sent")
 )
 
-// close keeps an attempt from beginning and says whether that came in time.
-func (g *gate) close() bool { return g.phase.CompareAndSwap(waiting, shut) }
+// Close keeps an attempt from beginning and says whether that came in time.
+func (g *Gate) Close() bool { return g.phase.CompareAndSwap(waiting, shut) }
 
 // pass says whether the first byte may go out on a connection to t, or why not.
-func (u *upstream) pass(ctx context.Context, g *gate, t *target) error {
+func (u *Client) pass(ctx context.Context, g *Gate, t *Endpoint) error {
 	u.mu.Lock()
 	closed := t.closed
 	u.mu.Unlock()
@@ -48,9 +48,9 @@
 		return ctx.Err()
 	case over(ctx):
 		return context.DeadlineExceeded
-	case !g.latest.IsZero() && !time.Now().Before(g.latest):
+	case !g.NotAfter.IsZero() && !time.Now().Before(g.NotAfter):
 		return errLate
-	case g.gone != nil && g.gone():
+	case g.ClientGone != nil && g.ClientGone():
 		return errGone
 	case !g.phase.CompareAndSwap(waiting, passed):
 		return errGone
--- a/internal/sidecar/loadreport.go
+++ b/internal/upstream/loadreport.go
@@ -1,4 +1,4 @@
-package sidecar
+package upstream
 
 import (
 	"math"
@@ -10,11 +10,11 @@
 // maxReportFigure bounds a figure in a load report: a larger one is an error.
 const maxReportFigure = 1e6
 
-// loadReport reads name=value pairs into the order of the settings. A figure
+// LoadReport reads name=value pairs into the order of the settings. A figure
 // that is missing, repeated, malformed or beyond all sense is not a number,
 // which the balancer skips: it keeps what it knew.
-func (u *upstream) loadReport(text string) ([]float32, *reportFormat) {
-	report := u.report.Load()
+func (u *Client) LoadReport(text string) ([]float32, *reportFormat) {
+	report := u.Report.Load()
 	if text == "" || len(report.fields) == 0 {
 		return nil, report
 	}
--- a/internal/sidecar/pool.go
+++ b/internal/upstream/pool.go
@@ -1,4 +1,4 @@
-package sidecar
+package upstream
 
 import (
 	"bufio"
@@ -7,6 +7,8 @@
 	"net"
 	"slices"
 	"time"
+
+	"oakproxy/internal/system"
 )
 
 // The connections to endpoints: how many there are, and which one a request or a probe takes.
@@ -16,32 +18,32 @@
 	probeSpares = 4                     // one in so many connections is left to requests
 )
 
-// upCounts tells of connections to endpoints: those open now and, since the start, those dialled, those that
+// Counts tells of connections to endpoints: those open now and, since the start, those dialled, those that
 // never came up, and the attempts and probes that found no room for one.
-type upCounts struct {
-	open                int
-	dialTime            time.Duration
-	dials, failed, full uint64
+type Counts struct {
+	Open                        int
+	DialTime                    time.Duration
+	Dials, Failed, LimitReached uint64
 }
 
-func (u *upstream) counts() upCounts {
+func (u *Client) Counts() Counts {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	return upCounts{u.open, u.dialTime, u.dials, u.failed, u.full}
+	return Counts{u.open, u.dialTime, u.dials, u.failed, u.full}
 }
 
-// target is one life of an endpoint at one address. It is closed for good once
+// Endpoint is one life of an endpoint at one address. It is closed for good once
 // the endpoint is told draining or gone, or has restarted.
-type target struct {
-	address string
-	born    int64
-	closed  bool // under upstream.mu
+type Endpoint struct {
+	Address   string
+	StartedMS int64
+	closed    bool // under upstream.mu
 }
 
 // conn is a connection that carries one request at a time.
 type conn struct {
 	net.Conn
-	target *target
+	target *Endpoint
 	reader *bufio.Reader
 	limit  io.LimitedReader // of an answer
 	ctx    context.Context  // of the attempt
@@ -51,7 +53,7 @@
 }
 
 // connect returns the connection to t that was used last, or opens one.
-func (u *upstream) connect(ctx context.Context, t *target, probe bool) (*conn, error) {
+func (u *Client) connect(ctx context.Context, t *Endpoint, probe bool) (*conn, error) {
 	c, err := u.reserve(t, probe)
 	if c != nil || err != nil {
 		return c, err
@@ -59,8 +61,8 @@
 	start := time.Now()
 	dialer := u.currentDialer()
 	var raw net.Conn
-	err = retry(ctx, dialPatience, dialPause, isShortage, func() error {
-		raw, err = dialer.DialContext(ctx, "tcp", t.address)
+	err = system.Retry(ctx, system.DialRetryTimeout, system.DialRetryDelay, system.IsShortage, func() error {
+		raw, err = dialer.DialContext(ctx, "tcp", t.Address)
 		return err
 	})
 	u.mu.Lock()
@@ -76,7 +78,7 @@
 	return newConn(raw, t), nil
 }
 
-func newConn(raw net.Conn, t *target) *conn {
+func newConn(raw net.Conn, t *Endpoint) *conn {
 	c := &conn{Conn: raw, target: t}
 	c.limit.R = c
 	c.reader = bufio.NewReaderSize(&c.limit, maxAnswerHeadBytes)
@@ -84,15 +86,15 @@
 }
 
 // currentDialer returns the dialer with the time-out in force.
-func (u *upstream) currentDialer() net.Dialer {
+func (u *Client) currentDialer() net.Dialer {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	return u.dialer
+	return u.Dialer
 }
 
 // reserve returns an idle connection, or none with the right to open one. Where lists
 // are long, probes alone could hold all that may be open: they leave some to requests.
-func (u *upstream) reserve(t *target, probe bool) (*conn, error) {
+func (u *Client) reserve(t *Endpoint, probe bool) (*conn, error) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	if t.closed {
@@ -120,11 +122,11 @@
 // takeIdle returns the connection to t that was used last of those that have rested, or nil, and closes those
 // that are of no more use. What was answered just now may get a second answer, which would be taken for that of
 // the next request: it rests. It holds u.mu.
-func (u *upstream) takeIdle(t *target) *conn {
+func (u *Client) takeIdle(t *Endpoint) *conn {
 	for {
 		list := u.idle[t]
 		latest := len(list) - 1
-		for latest >= 0 && time.Since(list[latest].idleAt) < u.rest {
+		for latest >= 0 && time.Since(list[latest].idleAt) < u.ReuseDelay {
 			latest--
 		}
 		if latest < 0 {
@@ -140,15 +142,15 @@
 }
 
 // dropAnyIdle closes an idle connection, if there is one, to make room for another. It holds u.mu.
-func (u *upstream) dropAnyIdle() {
+func (u *Client) dropAnyIdle() {
 	for t := range u.idle {
 		u.dropOldest(t, 1)
 		return
 	}
 }
 
-// limit sets the most connections, and closes idle ones beyond that.
-func (u *upstream) limit(most int) {
+// SetMaxConnections sets the most connections, and closes idle ones beyond that.
+func (u *Client) SetMaxConnections(most int) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	u.most = most
@@ -158,13 +160,13 @@
 }
 
 // drop closes a connection. It holds u.mu.
-func (u *upstream) drop(c *conn) {
+func (u *Client) drop(c *conn) {
 	c.Close()
 	u.open--
 }
 
 // dropOldest closes the connections to t that have been idle for longest, so many of them. It holds u.mu.
-func (u *upstream) dropOldest(t *target, count int) {
+func (u *Client) dropOldest(t *Endpoint, count int) {
 	list := u.idle[t]
 	for _, c := range list[:count] {
 		u.drop(c)
@@ -174,7 +176,7 @@
 }
 
 // setIdle keeps the idle connections to t; none takes no room. It holds u.mu.
-func (u *upstream) setIdle(t *target, list []*conn) {
+func (u *Client) setIdle(t *Endpoint, list []*conn) {
 	if len(list) == 0 {
 		delete(u.idle, t)
 		return
@@ -183,7 +185,7 @@
 }
 
 // release keeps a connection for the next request, or closes it.
-func (u *upstream) release(c *conn, keep bool) {
+func (u *Client) release(c *conn, keep bool) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	if !keep || c.target.closed {
@@ -194,9 +196,9 @@
 	u.idle[c.target] = append(u.idle[c.target], c)
 }
 
-// retire closes a target for good, and its idle connections. What is out there
+// Retire closes a target for good, and its idle connections. What is out there
 // goes on.
-func (u *upstream) retire(t *target) {
+func (u *Client) Retire(t *Endpoint) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	t.closed = true
@@ -206,8 +208,8 @@
 	delete(u.idle, t)
 }
 
-// prune closes connections that have been idle for too long.
-func (u *upstream) prune() {
+// Prune closes connections that have been idle for too long.
+func (u *Client) Prune() {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	for t, list := range u.idle {
@@ -222,10 +224,10 @@
 // alive says whether an idle connection is open and silent. An endpoint may
 // close it at any time, and a request written after that is lost as a reset
 // that may have run.
-func (c *conn) alive() bool { return !readable(c.Conn) }
+func (c *conn) alive() bool { return !system.Readable(c.Conn) }
 
-// idleConnections returns how many connections carry no request.
-func (u *upstream) idleConnections() (n int) {
+// IdleConnections returns how many connections carry no request.
+func (u *Client) IdleConnections() (n int) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	for _, list := range u.idle {
@@ -234,23 +236,23 @@
 	return n
 }
 
-// retired reports whether nothing may be sent to t any more.
-func (u *upstream) retired(t *target) bool {
+// Retired reports whether nothing may be sent to t any more.
+func (u *Client) Retired(t *Endpoint) bool {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	return t.closed
 }
 
-// limits are the bounds on connections to endpoints that are in force.
-type limits struct {
-	dialTimeout    time.Duration
-	maxIdle        time.Duration // a connection is used again at most so long after its last response
-	maxConnections int
+// ConnectionLimits are the bounds on connections to endpoints that are in force.
+type ConnectionLimits struct {
+	DialTimeout    time.Duration
+	MaxIdle        time.Duration // a connection is used again at most so long after its last response
+	MaxConnections int
 }
 
-// limits returns the bounds in force.
-func (u *upstream) limits() limits {
+// ConnectionLimits returns the bounds in force.
+func (u *Client) Limits() ConnectionLimits {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	return limits{u.dialer.Timeout, u.maxIdle, u.most}
+	return ConnectionLimits{u.Dialer.Timeout, u.maxIdle, u.most}
 }
--- a/internal/sidecar/stream.go
+++ b/internal/upstream/stream.go
@@ -1,4 +1,4 @@
-package sidecar
+package upstream
 
 import (
 	"io"
@@ -10,10 +10,10 @@
 	restStall = 5 * time.Second       // without a byte of an answer that is passed on, until it is given up
 )
 
-// rest is what is still to come of an answer that is passed on while it comes.
+// BodyStream is what is still to come of an answer that is passed on while it comes.
 // Whoever reads it closes it.
-type rest struct {
-	up    *upstream
+type BodyStream struct {
+	up    *Client
 	conn  *conn
 	body  io.Reader
 	left  int64 // of what an answer may have
@@ -21,7 +21,7 @@
 	whole bool
 }
 
-func (r *rest) Read(p []byte) (int, error) {
+func (r *BodyStream) Read(p []byte) (int, error) {
 	n, err := r.body.Read(p)
 	if r.left -= int64(n); r.left < 0 {
 		return 0, errLarge
@@ -31,7 +31,7 @@
 }
 
 // Close gives the connection back, or closes it with what was not read.
-func (r *rest) Close() {
+func (r *BodyStream) Close() {
 	r.conn.stall = 0
 	r.conn.SetReadDeadline(time.Time{})
 	r.up.release(r.conn, r.whole && r.keep && r.conn.reader.Buffered() == 0)
--- a/internal/sidecar/upload.go
+++ b/internal/upstream/upload.go
@@ -1,4 +1,4 @@
-package sidecar
+package upstream
 
 import (
 	"errors"
@@ -7,10 +7,12 @@
 	"sync"
 	"sync/atomic"
 	"time"
+
+	"oakproxy/internal/httpmsg"
 )
 
-// maxUploadTime is for a body to come, where it is passed on meanwhile.
-const maxUploadTime = 10 * time.Minute
+// MaxUploadTime is for a body to come, where it is passed on meanwhile.
+const MaxUploadTime = 10 * time.Minute
 
 // clientBody is the part of a request's body that its client has yet to send.
 type clientBody interface {
@@ -23,28 +25,28 @@
 	Discard(most time.Duration)
 }
 
-// upload is what a request's body has beyond the part that is held. It is passed on
+// Upload is what a request's body has beyond the part that is held. It is passed on
 // while it comes, to one attempt, and is the handler's again once that is over.
-type upload struct {
-	length  int64         // of the whole body, -1 if unknown
-	left    time.Duration // the client's time, from the last byte on
-	written func()        // tells that the last byte was passed on
-	failed  chan error    // takes the one error of the client's side
-
-	phase    atomic.Int32 // see below
-	spent    atomic.Bool  // some of it was read
-	finished atomic.Bool  // its end was read
-
-	mu   sync.Mutex // held by whoever reads
-	body clientBody
-	at   time.Time // its last byte was passed on
-	came time.Time // the bytes read last came to this machine
+type Upload struct {
+	Length    int64         // of the whole body, -1 if unknown
+	TimeLeft  time.Duration // the client's time, from the last byte on
+	OnWritten func()        // tells that the last byte was passed on
+	Failed    chan error    // takes the one error of the client's side
+
+	Phase      atomic.Int32 // see below
+	Consumed   atomic.Bool  // some of it was read
+	ReachedEOF atomic.Bool  // its end was read
+
+	mu        sync.Mutex // held by whoever reads
+	Body      clientBody
+	WrittenAt time.Time // its last byte was passed on
+	came      time.Time // the bytes read last came to this machine
 }
 
 // The phases of an upload. Once the last bytes may be out, the request may run; an
 // upload that was stopped before will never get there.
 const (
-	passing int32 = iota
+	UploadStreaming int32 = iota
 	closing
 	stopped
 )
@@ -57,48 +59,48 @@
 var errStopped = errors.New("the request is over")
 
 // Read reads for the attempt.
-func (u *upload) Read(p []byte) (int, error) {
+func (u *Upload) Read(p []byte) (int, error) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	if u.phase.Load() == stopped {
+	if u.Phase.Load() == stopped {
 		return 0, errStopped
 	}
-	u.spent.Store(true)
-	n, err := u.body.Read(p)
-	u.came = time.Now().Add(-u.body.LastDataAge())
+	u.Consumed.Store(true)
+	n, err := u.Body.Read(p)
+	u.came = time.Now().Add(-u.Body.LastDataAge())
 	if err == io.EOF {
-		u.finished.Store(true)
+		u.ReachedEOF.Store(true)
 	} else if err != nil {
 		err = &clientError{err}
 		select {
-		case u.failed <- err:
+		case u.Failed <- err:
 		default:
 		}
 	}
 	return n, err
 }
 
-// halt keeps the last bytes from being written, so that the request never runs, and reports whether that came in time.
-func (u *upload) halt() bool { return u.phase.CompareAndSwap(passing, stopped) }
+// Stop keeps the last bytes from being written, so that the request never runs, and reports whether that came in time.
+func (u *Upload) Stop() bool { return u.Phase.CompareAndSwap(UploadStreaming, stopped) }
 
-// due is when the client's time is up, once the last byte is written.
-func (u *upload) due() time.Time { return u.came.Add(u.left) }
+// Deadline is when the client's time is up, once the last byte is written.
+func (u *Upload) Deadline() time.Time { return u.came.Add(u.TimeLeft) }
 
-// end takes the body back from the attempt: nothing may read it once the handler is
+// Finish takes the body back from the attempt: nothing may read it once the handler is
 // done. It waits for a read that is on its way, which the client's pace bounds.
-func (u *upload) end() {
-	u.halt()
+func (u *Upload) Finish() {
+	u.Stop()
 	u.mu.Lock()
 	defer u.mu.Unlock()
 }
 
 // close comes before the last bytes are written. The endpoint was told the client's time as if it counted from then:
 // where the last bytes have waited for long, or the client for nothing, the request must not run.
-func (u *upload) close() error {
-	if time.Since(u.came) > maxWriteLag || u.body.ClientLeft() {
-		u.halt()
+func (u *Upload) close() error {
+	if time.Since(u.came) > maxWriteLag || u.Body.ClientLeft() {
+		u.Stop()
 	}
-	if !u.phase.CompareAndSwap(passing, closing) {
+	if !u.Phase.CompareAndSwap(UploadStreaming, closing) {
 		return errStopped
 	}
 	return nil
@@ -108,7 +110,7 @@
 // given up.
 type progress struct {
 	*conn
-	upload *upload
+	upload *Upload
 	left   int64 // until the last byte; below 0 if unknown
 }
 
@@ -118,7 +120,7 @@
 			return 0, err
 		}
 	}
-	w.conn.SetWriteDeadline(time.Now().Add(pieceTime))
+	w.conn.SetWriteDeadline(time.Now().Add(httpmsg.ChunkTimeout))
 	if err := w.conn.ctx.Err(); err != nil {
 		return 0, err // the deadline that tells so may have been overwritten
 	}
@@ -126,18 +128,18 @@
 }
 
 // passOn writes the body to the endpoint: what is held, then what comes.
-func (m *message) passOn(c *conn) error {
-	piece := pieces.Get().(*[maxPieceBytes]byte)
-	defer pieces.Put(piece)
-	to := &progress{conn: c, upload: m.upload, left: m.upload.length}
+func (m *Request) passOn(c *conn) error {
+	piece := httpmsg.ChunkBuffers.Get().(*[httpmsg.ChunkBytes]byte)
+	defer httpmsg.ChunkBuffers.Put(piece)
+	to := &progress{conn: c, upload: m.Upload, left: m.Upload.Length}
 	copied := func(to io.Writer) error {
-		if _, err := to.Write(m.body); err != nil {
+		if _, err := to.Write(m.Body); err != nil {
 			return err
 		}
-		_, err := io.CopyBuffer(struct{ io.Writer }{to}, m.upload, piece[:])
+		_, err := io.CopyBuffer(struct{ io.Writer }{to}, m.Upload, piece[:])
 		return err
 	}
-	if m.upload.length >= 0 {
+	if m.Upload.Length >= 0 {
 		err := copied(to)
 		if err == nil && to.left > 0 {
 			err = &clientError{io.ErrUnexpectedEOF}
@@ -148,7 +150,7 @@
 	if err := copied(chunks); err != nil {
 		return err
 	}
-	if err := m.upload.close(); err != nil {
+	if err := m.Upload.close(); err != nil {
 		return err
 	}
 	if err := chunks.Close(); err != nil {
--- a/internal/sidecar/upstream.go
+++ b/internal/upstream/upstream.go
@@ -1,4 +1,4 @@
-package sidecar
+package upstream
 
 import (
 	"context"
@@ -12,44 +12,48 @@
 	"time"
 
 	"oakproxy/balancer"
+	"oakproxy/internal/config"
+	"oakproxy/internal/httpmsg"
+	"oakproxy/internal/stages"
+	"oakproxy/internal/system"
 )
 
 const (
-	maxHeadBytes = 32 << 10 // bytes of a request's head
+	MaxHeadBytes = 32 << 10 // bytes of a request's head
 	probeTimeout = 400 * time.Millisecond
 )
 
-// upstream sends requests to endpoints. It does not use http.Transport, which
+// Client sends requests to endpoints. It does not use http.Transport, which
 // by itself repeats what it finds safe to repeat on a dead idle connection:
 // each such repetition would be an attempt that the balancer never decided.
-type upstream struct {
-	dialer  net.Dialer
-	maxIdle time.Duration // idle connections are not used for longer,
-	rest    time.Duration // nor for so long after an answer
-	report  atomic.Pointer[reportFormat]
-	room    *budget // for the bodies of answers
+type Client struct {
+	Dialer     net.Dialer
+	maxIdle    time.Duration // idle connections are not used for longer,
+	ReuseDelay time.Duration // nor for so long after an answer
+	Report     atomic.Pointer[reportFormat]
+	Bodies     *httpmsg.MemoryBudget // for the bodies of answers
 
 	mu                  sync.Mutex
 	open                int // connections, those being dialled included
 	most                int
-	idle                map[*target][]*conn // by endpoint, the latest used last
+	idle                map[*Endpoint][]*conn // by endpoint, the latest used last
 	dialTime            time.Duration
 	dials, failed, full uint64
 }
 
-// result is what came of an attempt or a probe.
-type result struct {
-	status balancer.Status
-	err    error       // why it is not OK, where that was no answer
-	header http.Header // of a whole answer 200, as is body
-	body   []byte
-	rest   *rest  // what follows body, of an answer that is passed on while it comes
-	length int64  // of the whole, -1 if unknown
-	held   func() // gives back the room for body
-	load   []float32
-	report *reportFormat // that load is in
-	took   time.Duration // from the write to the end, without the time to connect
-	times  attemptTimes
+// Result is what came of an attempt or a probe.
+type Result struct {
+	Status  balancer.Status
+	Err     error       // why it is not OK, where that was no answer
+	Header  http.Header // of a whole answer 200, as is body
+	Body    []byte
+	Rest    *BodyStream // what follows body, of an answer that is passed on while it comes
+	Length  int64       // of the whole, -1 if unknown
+	Release func()      // gives back the room for body
+	Load    []float32
+	Report  *reportFormat // that load is in
+	Took    time.Duration // from the write to the end, without the time to connect
+	Times   stages.AttemptTimes
 }
 
 // Reasons for which the sidecar itself sends nothing.
@@ -64,59 +68,59 @@
 // unsentError says that the last byte of a request was never written.
 type unsentError struct{ error }
 
-func newUpstream(cfg *Config, connections int, room *budget) *upstream {
-	u := &upstream{rest: answerPause, room: room, most: connections, idle: map[*target][]*conn{}}
-	u.configure(cfg)
+func NewClient(cfg *config.Config, connections int, room *httpmsg.MemoryBudget) *Client {
+	u := &Client{ReuseDelay: answerPause, Bodies: room, most: connections, idle: map[*Endpoint][]*conn{}}
+	u.Configure(cfg)
 	return u
 }
 
 // reportFormat names the figures of a load report, in the order of Settings.Fields.
 type reportFormat struct{ fields []string }
 
-// configure takes up what a configuration says of endpoints and connections to them.
-func (u *upstream) configure(cfg *Config) {
+// Configure takes up what a configuration says of endpoints and connections to them.
+func (u *Client) Configure(cfg *config.Config) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	u.dialer.Timeout = time.Duration(cfg.Settings.Limits.DialTimeout) * time.Microsecond
+	u.Dialer.Timeout = time.Duration(cfg.Settings.Limits.DialTimeout) * time.Microsecond
 	// An endpoint closes an idle connection when its time is over at the
 	// latest, and what is written to it from then on is lost.
-	u.maxIdle = cfg.idle * 3 / 4
-	if old := u.report.Load(); old == nil || !slices.Equal(old.fields, cfg.fields) {
-		u.report.Store(&reportFormat{cfg.fields})
+	u.maxIdle = cfg.IdleTimeout * 3 / 4
+	if old := u.Report.Load(); old == nil || !slices.Equal(old.fields, cfg.ReportFields) {
+		u.Report.Store(&reportFormat{cfg.ReportFields})
 	}
 }
 
-// attempt sends a request once and tells what came of it. Its outcome claims
+// Attempt sends a request once and tells what came of it. Its outcome claims
 // that the request never ran only where the last byte was not written, or the
 // endpoint says so; in doubt it may have run.
-func (u *upstream) attempt(ctx context.Context, t *target, m *message, g *gate) result {
+func (u *Client) Attempt(ctx context.Context, t *Endpoint, m *Request, g *Gate) Result {
 	var got *received
 	var start time.Time
 	err := error(errStale)
 	for err == errStale { // nothing has been sent on that connection
 		c, unable := u.connect(ctx, t, m.probe)
 		if unable != nil {
-			return result{status: unsent(ctx, unable), err: unable}
+			return Result{Status: unsent(ctx, unable), Err: unable}
 		}
 		start = time.Now()
 		got, err = u.exchange(ctx, c, m, g)
 	}
-	r := result{status: balancer.EndpointError, err: err, took: time.Since(start)}
-	r.times = attemptTimes{connected: start, received: start.Add(r.took)}
+	r := Result{Status: balancer.EndpointError, Err: err, Took: time.Since(start)}
+	r.Times = stages.AttemptTimes{Connected: start, Received: start.Add(r.Took)}
 	if err != nil {
-		r.status = failure(ctx, err)
+		r.Status = failure(ctx, err)
 		return r
 	}
 	response := got.response
-	r.times.written = got.written
-	r.load, r.report = u.loadReport(response.Header.Get("X-Backend-Load"))
+	r.Times.Written = got.written
+	r.Load, r.Report = u.LoadReport(response.Header.Get("X-Backend-Load"))
 	switch code := response.StatusCode; {
 	case code == http.StatusOK:
-		r.status, r.header, r.body = balancer.OK, response.Header, got.body
-		r.rest, r.length, r.held = got.rest, response.ContentLength, got.held
+		r.Status, r.Header, r.Body = balancer.OK, response.Header, got.body
+		r.Rest, r.Length, r.Release = got.rest, response.ContentLength, got.held
 	case (code == http.StatusServiceUnavailable || code == http.StatusGatewayTimeout) &&
 		response.Header.Get("X-Unprocessed") == "1":
-		r.status = balancer.Rejected
+		r.Status = balancer.Rejected
 	}
 	return r
 }
@@ -148,35 +152,35 @@
 func unsent(ctx context.Context, err error) balancer.Status {
 	var client *clientError
 	own := slices.ContainsFunc([]error{errClosed, errFull, errStopped, errGone, errLate}, func(e error) bool { return errors.Is(err, e) })
-	if own || isShortage(err) || ctx.Err() != nil || over(ctx) || errors.As(err, &client) {
+	if own || system.IsShortage(err) || ctx.Err() != nil || over(ctx) || errors.As(err, &client) {
 		return balancer.NotSent
 	}
 	return balancer.ConnectFailed
 }
 
-// probe asks an endpoint for its load report, or for its health where the
+// Probe asks an endpoint for its load report, or for its health where the
 // deployment has no reports.
-func (u *upstream) probe(ctx context.Context, t *target) result {
+func (u *Client) Probe(ctx context.Context, t *Endpoint) Result {
 	ctx, cancel := context.WithTimeout(ctx, probeTimeout)
 	defer cancel()
-	m := &message{method: http.MethodGet, url: &url.URL{Path: "/health/live"}, host: t.address, probe: true}
-	if len(u.report.Load().fields) > 0 {
-		m.url.Path = "/stats"
+	m := &Request{Method: http.MethodGet, URL: &url.URL{Path: "/health/live"}, Host: t.Address, probe: true}
+	if len(u.Report.Load().fields) > 0 {
+		m.URL.Path = "/stats"
 	}
-	r := u.attempt(ctx, t, m, &gate{})
-	if r.status == balancer.OK {
-		r.load, r.report = u.loadReport(string(r.body))
+	r := u.Attempt(ctx, t, m, &Gate{})
+	if r.Status == balancer.OK {
+		r.Load, r.Report = u.LoadReport(string(r.Body))
 		r.close()
 	}
 	return r
 }
 
 // close gives back what a result holds, where nobody takes its body.
-func (r *result) close() {
-	if r.rest != nil {
-		r.rest.Close()
+func (r *Result) close() {
+	if r.Rest != nil {
+		r.Rest.Close()
 	}
-	if r.held != nil {
-		r.held()
+	if r.Release != nil {
+		r.Release()
 	}
 }
--- a/internal/sidecar/estimates.go
+++ b/internal/warmstart/estimates.go
@@ -1,4 +1,4 @@
-package sidecar
+package warmstart
 
 import (
 	"context"
@@ -10,10 +10,12 @@
 	"time"
 
 	"oakproxy/balancer"
+	"oakproxy/internal/config"
+	"oakproxy/internal/system"
 )
 
 const (
-	memoryFile    = "oakproxy-learned.json"
+	FileName      = "oakproxy-learned.json"
 	fileVersion   = 1
 	maxFileBytes  = 1 << 20
 	maxLearnedAge = 30 * time.Second // an older one tells nothing of the fleet as it is
@@ -24,8 +26,8 @@
 type memory struct {
 	path, temporary string
 	sidecar         string
-	files           FileOps
-	time            Clock
+	files           system.FileOps
+	time            system.Clock
 	log             *slog.Logger
 	latest          chan fileContents // to be written
 }
@@ -40,9 +42,9 @@
 	Estimates balancer.Estimates `json:"learned"`
 }
 
-// newMemory writes what it is given until ctx ends.
-func newMemory(ctx context.Context, sidecar string, host Host, log *slog.Logger) *memory {
-	path := filepath.Join(host.Directory, memoryFile)
+// NewStore writes what it is given until ctx ends.
+func NewStore(ctx context.Context, sidecar string, host config.Host, log *slog.Logger) *memory {
+	path := filepath.Join(host.Directory, FileName)
 	m := &memory{path: path, temporary: fmt.Sprintf("%s.%d", path, os.Getpid()), sidecar: sidecar,
 		files: host.Files.OrSystem(), time: host.Time.OrSystem(), log: log, latest: make(chan fileContents, 1)}
 	m.removeLeftovers()
@@ -61,9 +63,9 @@
 	return m
 }
 
-// keep has it written soon, unless the last is still being written.
-func (m *memory) keep(now balancer.Micros, known balancer.Estimates) {
-	at := m.time.now()
+// Save has it written soon, unless the last is still being written.
+func (m *memory) Save(now balancer.Micros, known balancer.Estimates) {
+	at := m.time.Now()
 	select {
 	case m.latest <- fileContents{fileVersion, m.sidecar, at.UnixMS, at.UpMS, now, known}:
 	default:
@@ -75,7 +77,7 @@
 	if err != nil {
 		return err
 	}
-	return m.files.replaceFile(m.path, m.temporary, text, false)
+	return m.files.ReplaceFile(m.path, m.temporary, text, false)
 }
 
 // removeLeftovers removes what processes that were killed while they wrote have left. One that is about to be renamed
@@ -90,15 +92,15 @@
 	}
 }
 
-// load returns what the process before this one knew, by the balancer's clock of now, or nil.
-func (m *memory) load(now balancer.Micros) *balancer.Estimates {
-	text, _, err := m.files.readFile(m.path, maxFileBytes)
+// Load returns what the process before this one knew, by the balancer's clock of now, or nil.
+func (m *memory) Load(now balancer.Micros) *balancer.Estimates {
+	text, _, err := m.files.ReadFile(m.path, maxFileBytes)
 	if err != nil {
 		return nil
 	}
 	var l fileContents
 	err = json.Unmarshal(text, &l)
-	age, known := m.time.age(stamp{l.AtMS, l.UpMS})
+	age, known := m.time.Age(system.Timestamp{UnixMS: l.AtMS, UpMS: l.UpMS})
 	if err == nil && (l.Version != fileVersion || l.Sidecar != m.sidecar || !known || age > maxLearnedAge) {
 		err = fmt.Errorf("version %d of sidecar %q, %v old", l.Version, l.Sidecar, age)
 	}
--- a/internal/sidecar/estimates_test.go
+++ b/internal/warmstart/estimates_test.go
@@ -1,4 +1,4 @@
-package sidecar
+package warmstart
 
 import (
 	"log/slog"
@@ -9,22 +9,24 @@
 	"testing"
 
 	"oakproxy/balancer"
+	"oakproxy/internal/config"
+	"oakproxy/internal/sidecartest"
 )
 
 // What a process keeps the next one loads; a file that is old, damaged or another
 // sidecar's is as good as none.
 func TestWhatWasLearnedIsKept(t *testing.T) {
 	dir := t.TempDir()
-	m := newMemory(t.Context(), "n0", Host{Directory: dir}, slog.New(slog.DiscardHandler))
-	if l := m.load(0); l != nil {
+	m := NewStore(t.Context(), "n0", config.Host{Directory: dir}, slog.New(slog.DiscardHandler))
+	if l := m.Load(0); l != nil {
 		t.Errorf("without a file: %+v", l)
 	}
-	m.keep(1, balancer.Estimates{ServiceTimeRatio: 1.5, ClassWork: []balancer.ClassWorkEstimate{{Class: "read", Work: 2}}})
-	await(t, "the file", func() bool { return m.load(0) != nil })
-	if l := m.load(0); l.ServiceTimeRatio != 1.5 || len(l.ClassWork) != 1 {
+	m.Save(1, balancer.Estimates{ServiceTimeRatio: 1.5, ClassWork: []balancer.ClassWorkEstimate{{Class: "read", Work: 2}}})
+	sidecartest.Await(t, "the file", func() bool { return m.Load(0) != nil })
+	if l := m.Load(0); l.ServiceTimeRatio != 1.5 || len(l.ClassWork) != 1 {
 		t.Errorf("loaded %+v", l)
 	}
-	path := filepath.Join(dir, memoryFile)
+	path := filepath.Join(dir, FileName)
 	good, err := os.ReadFile(path)
 	if err != nil {
 		t.Fatal(err)
@@ -39,7 +41,7 @@
 		if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 			t.Fatal(err)
 		}
-		if l := m.load(0); l != nil {
+		if l := m.Load(0); l != nil {
 			t.Errorf("%s: loaded %+v", name, l)
 		}
 	}
