--- a/cmd/emulator/commands.go
+++ b/cmd/emulator/commands.go
@@ -10,15 +10,15 @@
 
 	"github.com/spf13/cobra"
 
-	"peatpost/internal/emulator/play"
-	"peatpost/internal/emulator/result"
-	"peatpost/internal/emulator/spec"
-	"peatpost/internal/emulator/worker"
+	"oakproxy/internal/emulator/play"
+	"oakproxy/internal/emulator/result"
+	"oakproxy/internal/emulator/spec"
+	"oakproxy/internal/emulator/worker"
 )
 
 const (
 	defaultFile      = "deploy/emulator.toml"
-	sidecarProgram   = "pinedale"
+	sidecarProgram   = "sidecar"
 	workerCommand    = "worker"
 	defaultSidecars  = 54
 	defaultReal      = 8
--- a/internal/sidecar/config.go
+++ b/internal/config/config.go
@@ -1,8 +1,6 @@
-// Package sidecar runs a balancer.Balancer on real sockets: one HTTP server
-// for the application, connections to endpoints, and a watch of discovery.
-// Every decision is the balancer's; this package carries it out and reports
-// what came of it.
-package sidecar
+// Package config reads the configuration of a sidecar from its file and the environment, compares configurations,
+// and numbers the one in force. It opens no sockets and takes no decisions.
+package config
 
 import (
 	"bytes"
@@ -15,11 +13,13 @@
 	"strings"
 	"time"
 
-	"peatpost/balancer"
-	"peatpost/internal/wire"
+	"oakproxy/balancer"
+	"oakproxy/internal/discovery"
+	"oakproxy/internal/system"
+	"oakproxy/internal/wire"
 )
 
-// Config is what a sidecar is told at its start, and anew while it runs. Make one with LoadConfig. It does not
+// Config is what a sidecar is told at its start, and anew while it runs. Make one with Load. It does not
 // change once it is made.
 type Config struct {
 	Name      string
@@ -32,16 +32,16 @@
 	Settings  balancer.Settings
 	Host      Host
 
-	known  registry
-	zones  []string // names, by the numbers that the balancer uses
-	kinds  []string
-	fields []string      // of a load report, in the order of Settings.Fields
-	idle   time.Duration // after which an endpoint may close a connection
+	KnownEndpoints discovery.List
+	Zones          []string // names, by the numbers that the balancer uses
+	MachineKinds   []string
+	ReportFields   []string      // of a load report, in the order of Settings.Fields
+	IdleTimeout    time.Duration // after which an endpoint may close a connection
 
-	wait time.Duration                                                        // that a call of discovery waits for news; 0: by the settings
-	dial func(ctx context.Context, network, address string) (net.Conn, error) // discovery; nil: by the network
+	DiscoveryWait time.Duration                                                        // that a call of discovery waits for news; 0: by the settings
+	DiscoveryDial func(ctx context.Context, network, address string) (net.Conn, error) // discovery; nil: by the network
 
-	fault error // why it could not be read; nil where it could
+	Err error // why it could not be read; nil where it could
 }
 
 // Limits is what the platform grants a sidecar.
@@ -57,34 +57,38 @@
 // sidecar while all else is the same.
 const adminVar = "BALANCER_ADMIN_ADDR"
 
-// LoadConfig reads a configuration file, and what the environment adds to it. Its
+// InheritedSocketVariable names the descriptor of the clients' listening socket, where the
+// platform holds that and every process of the sidecar inherits it.
+const InheritedSocketVariable = "BALANCER_PASSED_SOCKET"
+
+// Load reads a configuration file, and what the environment adds to it. Its
 // errors name the key or variable at fault.
-func LoadConfig(path string) (*Config, error) {
+func Load(path string) (*Config, error) {
 	var data []byte
-	err := retryAtStart(context.Background(), func() (err error) {
+	err := system.RetryAtStart(context.Background(), func() (err error) {
 		data, err = os.ReadFile(path)
 		return err
 	})
 	if err != nil {
 		return nil, err
 	}
-	cfg, err := ParseConfig(data)
+	cfg, err := Parse(data)
 	if err != nil {
 		return nil, fmt.Errorf("%s: %w", path, err)
 	}
 	if own := os.Getenv(adminVar); own != "" {
 		cfg.Admin = own
 	}
-	if err := checkAdmin(cfg.Admin); err != nil {
+	if err := CheckAdminAddress(cfg.Admin); err != nil {
 		return nil, err
 	}
-	cfg.Passed = os.Getenv(passedVar)
-	cfg.Host = ownProcess()
+	cfg.Passed = os.Getenv(InheritedSocketVariable)
+	cfg.Host = OwnProcessHost()
 	return cfg, nil
 }
 
-// checkAdmin accepts an address to listen on, or none.
-func checkAdmin(address string) error {
+// CheckAdminAddress accepts an address to listen on, or none.
+func CheckAdminAddress(address string) error {
 	if _, _, err := net.SplitHostPort(address); err != nil && address != "" {
 		return fmt.Errorf("admin_addr: %q is not host:port", address)
 	}
@@ -103,9 +107,9 @@
 	Settings  json.RawMessage `json:"settings"`
 }
 
-// ParseConfig reads the text of a configuration file. Its errors name the key at fault. The environment adds
+// Parse reads the text of a configuration file. Its errors name the key at fault. The environment adds
 // nothing to it, and its Host is the zero one.
-func ParseConfig(data []byte) (*Config, error) {
+func Parse(data []byte) (*Config, error) {
 	var file configFile
 	if err := json.Unmarshal(data, &file); err != nil {
 		return nil, err
@@ -128,7 +132,7 @@
 	cfg := &Config{Name: file.Name, Listen: file.Listen, Discovery: file.Discovery, Admin: file.Admin,
 		Seed: seed, Limits: file.Limits}
 	if len(file.Known) > 0 && string(file.Known) != "null" {
-		if err := json.Unmarshal(file.Known, &cfg.known); err != nil {
+		if err := json.Unmarshal(file.Known, &cfg.KnownEndpoints); err != nil {
 			return nil, fmt.Errorf("known: %w", err)
 		}
 	}
@@ -181,8 +185,8 @@
 	if c.Settings.Limits.DialTimeout <= 0 {
 		return fmt.Errorf("limits.dial-timeout: %d is not positive", c.Settings.Limits.DialTimeout)
 	}
-	c.zones, c.kinds, c.fields = own.Areas, own.Skus, own.Reporting.Fields
-	c.idle = time.Duration(own.Limits.Keepalive) * time.Microsecond
+	c.Zones, c.MachineKinds, c.ReportFields = own.Areas, own.Skus, own.Reporting.Fields
+	c.IdleTimeout = time.Duration(own.Limits.Keepalive) * time.Microsecond
 	return nil
 }
 
--- a/internal/emulator/play/changes.go
+++ b/internal/emulator/play/changes.go
@@ -8,11 +8,11 @@
 	"syscall"
 	"time"
 
-	"peatpost/internal/emulator/control"
-	"peatpost/internal/emulator/result"
-	"peatpost/internal/emulator/sidecarlog"
-	"peatpost/internal/emulator/worker"
-	"peatpost/internal/sidecar"
+	"oakproxy/internal/config"
+	"oakproxy/internal/emulator/control"
+	"oakproxy/internal/emulator/result"
+	"oakproxy/internal/emulator/sidecarlog"
+	"oakproxy/internal/emulator/worker"
 )
 
 // inForceWithin is how long a change may take until it counts as missing.
@@ -188,7 +188,7 @@
 	ctx, cancel := context.WithTimeout(ctx, inForceWithin)
 	defer cancel()
 	for _, s := range r.real {
-		cfg, err := sidecar.LoadConfig(s.path)
+		cfg, err := config.Load(s.path)
 		if err != nil {
 			return err
 		}
--- a/internal/sidecar/loop.go
+++ b/internal/sidecar/loop.go
@@ -7,7 +7,15 @@
 	"sync/atomic"
 	"time"
 
-	"peatpost/balancer"
+	"oakproxy/balancer"
+	"oakproxy/internal/config"
+	"oakproxy/internal/discovery"
+	"oakproxy/internal/downstream"
+	"oakproxy/internal/httpmsg"
+	"oakproxy/internal/operatorstate"
+	"oakproxy/internal/stages"
+	"oakproxy/internal/system"
+	"oakproxy/internal/upstream"
 )
 
 const (
@@ -37,17 +45,17 @@
 // decider is what the loop needs of a *balancer.Balancer.
 type decider interface {
 	Start(now balancer.Micros)
-	Members(now balancer.Micros, kind balancer.ListKind, entries []balancer.Endpoint)
-	Request(now balancer.Micros, in balancer.Request)
-	Written(now balancer.Micros, id uint64, deadline balancer.Micros)
-	Outcome(now balancer.Micros, o balancer.Outcome)
-	ClientGone(now balancer.Micros, id uint64)
-	Timer(now balancer.Micros, token uint32)
+	HandleEndpoints(now balancer.Micros, kind balancer.ListUpdate, entries []balancer.Endpoint)
+	HandleRequest(now balancer.Micros, in balancer.Request)
+	HandleBodyWritten(now balancer.Micros, id uint64, deadline balancer.Micros)
+	HandleOutcome(now balancer.Micros, o balancer.Outcome)
+	HandleClientGone(now balancer.Micros, id uint64)
+	HandleTimer(now balancer.Micros, token uint32)
 	Reconfigure(s balancer.Settings) ([]balancer.AttemptID, error)
-	Learned() balancer.Learned
-	Learn(l *balancer.Learned)
+	Estimates() balancer.Estimates
+	Restore(l *balancer.Estimates)
 	Cordon(now balancer.Micros, name uint64, out bool, since balancer.Micros)
-	Probed(now balancer.Micros, endpoint uint32, status balancer.Status, latency balancer.Micros, load []float32)
+	HandleProbe(now balancer.Micros, endpoint uint32, status balancer.Status, latency balancer.Micros, load []float32)
 	Stats(now balancer.Micros) balancer.Stats
 }
 
@@ -57,63 +65,63 @@
 type loop struct {
 	log    *slog.Logger
 	clock  clock
-	time   TimeSource // of what outlives the process
-	up     *upstream
-	disc   *discovery
+	time   system.Clock // of what outlives the process
+	up     *upstream.Client
+	disc   *discovery.Client
 	events chan func(now balancer.Micros)
 	urgent chan func(now balancer.Micros) // goes ahead of events
 	ctx    context.Context                // ends with the loop
 	listed atomic.Bool                    // endpoints are known
-	stages stageTimes                     // of requests served
+	stages stages.Recorder                // of requests served
 
-	current atomic.Pointer[snapshot] // the configuration in force
-	relimit func()                   // has its limits hold when they have changed; may be nil
-	closes  func() closeCounts       // of clients' connections; may be nil
+	current atomic.Pointer[config.Snapshot] // the configuration in force
+	relimit func()                          // has its limits hold when they have changed; may be nil
+	closes  func() downstream.CloseCounts   // of clients' connections; may be nil
 
 	// Below: the loop's goroutine alone.
-	cfg       *Config // that of current
-	refused   int     // configurations that were not taken
+	cfg       *config.Config // that of current
+	refused   int            // configurations that were not taken
 	balancer  decider
 	requests  map[uint64]*request
 	lastID    uint64
 	ids       map[string]uint32 // of endpoints, by host name
 	lastEP    uint32            // the latest id given; none is given twice
 	fleet     map[uint32]*member
-	marks     map[string]mark                                   // what operators set, by host name
-	learned   *balancer.Learned                                 // to begin with; may be nil
-	keep      func(now balancer.Micros, known balancer.Learned) // takes what is known once a second; may be nil
-	from      position                                          // of the watch
-	heard     balancer.Micros                                   // when discovery answered last, or the start
-	calls     callCounts                                        // of discovery
-	unheard   bool                                              // the last call failed
-	warned    balancer.Micros                                   // of such a failure
+	marks     map[string]operatorstate.Override                   // what operators set, by host name
+	learned   *balancer.Estimates                                 // to begin with; may be nil
+	keep      func(now balancer.Micros, known balancer.Estimates) // takes what is known once a second; may be nil
+	from      discovery.Position                                  // of the watch
+	heard     balancer.Micros                                     // when discovery answered last, or the start
+	calls     callCounts                                          // of discovery
+	unheard   bool                                                // the last call failed
+	warned    balancer.Micros                                     // of such a failure
 	stopWatch context.CancelFunc
 	stats     balancer.Stats // when last recorded, as are dials and asked
-	dials     upCounts
+	dials     upstream.Counts
 	asked     callCounts
 	lag       time.Duration // longest wait of an event since then
-	staged    stageSums     // when last recorded, as are closed
-	closed    closeCounts
+	staged    stages.Totals // when last recorded, as are closed
+	closed    downstream.CloseCounts
 }
 
 // request is the ledger's entry for a request that the balancer may still
 // speak of: no final answer is out, or attempts are.
 type request struct {
 	id       uint64
-	message  *message
+	message  *upstream.Request
 	deadline balancer.Micros
 	answer   chan answer // takes the one final answer
 	over     bool        // the final answer is out, or the client is gone
 	attempts []started
 	out      int         // attempts without outcome
 	gone     func() bool // whether the client has left, by a look at its connection; may be nil
-	times    requestTimes
+	times    stages.RequestTimes
 }
 
 // started is an attempt that is under way.
 type started struct {
 	cancel context.CancelFunc
-	gate   *gate
+	gate   *upstream.Gate
 }
 
 // end marks that nothing new may begin for the request. An attempt that has not begun is
@@ -121,7 +129,7 @@
 func (r *request) end() {
 	r.over = true
 	for _, a := range r.attempts {
-		if a.gate.close() {
+		if a.gate.Close() {
 			a.cancel()
 		}
 	}
@@ -129,9 +137,9 @@
 
 // timed takes the times of the attempt that was answered, where those of the request are whole: its
 // first and only attempt, with nothing to pass on while it came.
-func (r *request) timed(times attemptTimes) {
-	if !r.over && len(r.attempts) == 1 && r.message.upload == nil {
-		r.times.attempt = times
+func (r *request) timed(times stages.AttemptTimes) {
+	if !r.over && len(r.attempts) == 1 && r.message.Upload == nil {
+		r.times.Attempt = times
 	}
 }
 
@@ -141,22 +149,22 @@
 	retryAfter balancer.Micros
 	header     http.Header
 	body       []byte
-	rest       *rest  // what follows body, while it comes
-	length     int64  // of the whole, where there is a rest; -1 if unknown
-	held       func() // gives back the room for body
+	rest       *upstream.BodyStream // what follows body, while it comes
+	length     int64                // of the whole, where there is a rest; -1 if unknown
+	held       func()               // gives back the room for body
 }
 
-func newLoop(ctx context.Context, cfg *Config, log *slog.Logger) (*loop, error) {
+func newLoop(ctx context.Context, cfg *config.Config, log *slog.Logger) (*loop, error) {
 	times := cfg.Host.Time.OrSystem()
 	l := &loop{
 		log: log, clock: newClock(times.Wall), time: times, ctx: ctx,
-		up: newUpstream(cfg, connections(cfg), newBudget(cfg)), disc: newDiscovery(cfg),
+		up: upstream.NewClient(cfg, connections(cfg), httpmsg.NewMemoryBudget(bodyMemory(cfg))), disc: newDiscoveryFor(cfg),
 		events:   make(chan func(balancer.Micros), maxEvents),
 		urgent:   make(chan func(balancer.Micros), maxPriorityEvents),
-		requests: map[uint64]*request{}, ids: map[string]uint32{}, fleet: map[uint32]*member{}, marks: map[string]mark{},
+		requests: map[uint64]*request{}, ids: map[string]uint32{}, fleet: map[uint32]*member{}, marks: map[string]operatorstate.Override{},
 		stopWatch: func() {},
 	}
-	l.activate(newSnapshot(cfg))
+	l.activate(config.NewSnapshot(cfg))
 	var err error
 	l.balancer, err = balancer.New(cfg.Settings, cfg.Seed, l)
 	return l, err
@@ -169,12 +177,12 @@
 	l.logConfiguration(nil, nil)
 	l.balancer.Start(now)
 	if l.learned != nil {
-		l.balancer.Learn(l.learned)
+		l.balancer.Restore(l.learned)
 	}
-	if len(l.cfg.known.Hosts) > 0 {
-		l.members(now, balancer.ListCached, l.cfg.known)
+	if len(l.cfg.KnownEndpoints.Hosts) > 0 {
+		l.members(now, balancer.ListCached, l.cfg.KnownEndpoints)
 	}
-	if !l.cfg.Settings.Subscribe {
+	if !l.cfg.Settings.SubscribeToDiscovery {
 		l.Watch(true)
 	}
 	prune := time.NewTicker(pruneEvery)
@@ -194,9 +202,9 @@
 		case event := <-l.events:
 			event(l.clock.now())
 		case <-prune.C:
-			l.up.prune()
+			l.up.Prune()
 			if l.keep != nil {
-				l.keep(l.clock.now(), l.balancer.Learned())
+				l.keep(l.clock.now(), l.balancer.Estimates())
 			}
 		case <-stats.C:
 			l.logStats(l.clock.now())
@@ -208,19 +216,19 @@
 
 // logStats records what was counted since the last such line; a quiet time leaves none.
 func (l *loop) logStats(now balancer.Micros) {
-	stats, up := l.balancer.Stats(now), l.up.counts()
-	staged := l.stages.totals()
-	var closed closeCounts
+	stats, up := l.balancer.Stats(now), l.up.Counts()
+	staged := l.stages.Totals()
+	var closed downstream.CloseCounts
 	if l.closes != nil {
 		closed = l.closes()
 	}
 	if stats.Requests != l.stats.Requests {
 		inForce := l.current.Load()
-		l.log.Info("counts", "of", stats.Since(&l.stats), "list_age_ms", (now-l.heard)/1000, "list_seq", l.from.newest, "calls", l.calls.since(l.asked), "dials", up.dials-l.dials.dials,
-			"dial_ms", (up.dialTime-l.dials.dialTime).Milliseconds()/int64(max(1, up.dials-l.dials.dials)),
-			"dial_failed", up.failed-l.dials.failed, "no_connection", up.full-l.dials.full, "connections", up.open, "lag_ms", float64(l.lag.Microseconds())/1000,
-			"stages_us", staged.since(l.staged), "closed", closed.since(l.closed),
-			"generation", inForce.generation, "hash", inForce.hash, "reloads", inForce.generation-firstGeneration, "reloads_refused", l.refused)
+		l.log.Info("statistics", "balancer", stats.Since(&l.stats), "list_age_ms", (now-l.heard)/1000, "list_seq", l.from.Newest, "discovery_calls", l.calls.since(l.asked), "dials", up.Dials-l.dials.Dials,
+			"dial_ms", (up.DialTime-l.dials.DialTime).Milliseconds()/int64(max(1, up.Dials-l.dials.Dials)),
+			"dial_failed", up.Failed-l.dials.Failed, "connection_limit", up.LimitReached-l.dials.LimitReached, "connections", up.Open, "event_wait_ms", float64(l.lag.Microseconds())/1000,
+			"stages_us", staged.MeansSince(l.staged), "client_closes", closed.Since(l.closed),
+			"generation", inForce.Generation, "hash", inForce.FileHash, "reloads", inForce.Generation-config.FirstGeneration, "reloads_rejected", l.refused)
 	}
 	l.staged, l.closed = staged, closed
 	l.stats, l.dials, l.asked, l.lag = stats, up, l.calls, 0
@@ -259,21 +267,21 @@
 	l.lastID++
 	r.id, in.ID, r.deadline = l.lastID, l.lastID, in.Deadline
 	l.requests[r.id] = r
-	r.times.taken = time.Now()
-	if in.Under == &l.cfg.Settings {
-		in.Under = nil // nothing has changed since it was read
+	r.times.Dequeued = time.Now()
+	if in.ReceivedUnder == &l.cfg.Settings {
+		in.ReceivedUnder = nil // nothing has changed since it was read
 	}
-	if up := r.message.upload; up != nil {
-		up.written = func() {
+	if up := r.message.Upload; up != nil {
+		up.OnWritten = func() {
 			l.post(func(at balancer.Micros) {
 				if !r.over {
-					r.deadline = at + time.Until(up.due()).Microseconds()
-					l.balancer.Written(at, r.id, r.deadline)
+					r.deadline = at + time.Until(up.Deadline()).Microseconds()
+					l.balancer.HandleBodyWritten(at, r.id, r.deadline)
 				}
 			})
 		}
 	}
-	l.balancer.Request(now, in)
+	l.balancer.HandleRequest(now, in)
 	l.forget(r)
 }
 
@@ -284,31 +292,31 @@
 		unread.close()
 		return
 	}
-	l.trace(r, "client gone", "attempts", len(r.attempts))
+	l.trace(r, "client disconnected", "attempts", len(r.attempts))
 	r.end()
-	l.balancer.ClientGone(now, r.id)
+	l.balancer.HandleClientGone(now, r.id)
 	l.forget(r)
 }
 
 // outcome tells how an attempt ended: exactly once for each, also after the
 // request's end, when the balancer still learns from it.
-func (l *loop) outcome(now balancer.Micros, r *request, o balancer.Outcome, res result) {
+func (l *loop) outcome(now balancer.Micros, r *request, o balancer.Outcome, res upstream.Result) {
 	r.out--
-	l.trace(r, "attempt ended", "number", o.Attempt, "status", o.Status, "error", res.err, "after_us", o.Latency, "over", r.over)
-	if res.status == balancer.OK {
-		r.timed(res.times)
-		l.finish(r, answer{code: http.StatusOK, header: res.header, body: res.body,
-			rest: res.rest, length: res.length, held: res.held})
+	l.trace(r, "attempt finished", "number", o.Attempt, "status", o.Status, "error", res.Err, "after_us", o.Latency, "over", r.over)
+	if res.Status == balancer.OK {
+		r.timed(res.Times)
+		l.finish(r, answer{code: http.StatusOK, header: res.Header, body: res.Body,
+			rest: res.Rest, length: res.Length, held: res.Release})
 	}
-	o.Settled, o.Load = r.over, l.loadOf(res)
-	l.balancer.Outcome(now, o)
+	o.Answered, o.LoadReport = r.over, l.loadOf(res)
+	l.balancer.HandleOutcome(now, o)
 	l.forget(r)
 }
 
 // finish gives the final answer, unless one is out already.
 func (l *loop) finish(r *request, a answer) {
 	if r != nil && !r.over {
-		l.trace(r, "final answer", "code", a.code, "attempts", len(r.attempts))
+		l.trace(r, "final response", "code", a.code, "attempts", len(r.attempts))
 		r.end()
 		r.answer <- a // it has room for the one
 		return
@@ -325,29 +333,29 @@
 // Send starts an attempt.
 func (l *loop) Send(id uint64, endpoint uint32, latest balancer.Micros) {
 	r, t := l.requests[id], l.acquire(endpoint)
-	now, g := l.clock.now(), &gate{gone: r.gone}
+	now, g := l.clock.now(), &upstream.Gate{ClientGone: r.gone}
 	if latest > 0 {
-		g.latest = l.clock.time(latest)
+		g.NotAfter = l.clock.time(latest)
 	}
 	ctx, cancel := context.WithDeadline(l.ctx, l.clock.time(r.deadline))
 	o := balancer.Outcome{ID: id, Attempt: len(r.attempts), Endpoint: endpoint}
-	l.trace(r, "attempt", "number", o.Attempt, "endpoint", endpoint, "known", t != nil)
+	l.trace(r, "attempt started", "number", o.Attempt, "endpoint", endpoint, "known", t != nil)
 	if len(r.attempts) == 0 {
-		r.times.sent = time.Now()
+		r.times.Sent = time.Now()
 	}
 	r.attempts = append(r.attempts, started{cancel, g})
 	r.out++
 	go func() {
-		res := result{status: balancer.Moot}
+		res := upstream.Result{Status: balancer.NotSent}
 		if t != nil {
-			res = l.up.attempt(ctx, t, r.message, g)
+			res = l.up.Attempt(ctx, t, r.message, g)
 		}
 		cancel()
 		l.post(func(at balancer.Micros) {
-			o.Status, o.Latency = res.status, at-now
-			if up := r.message.upload; up != nil {
-				if o.Spent = up.spent.Load() || up.phase.Load() != passing; !up.at.IsZero() {
-					o.Latency = time.Since(up.at).Microseconds()
+			o.Status, o.Latency = res.Status, at-now
+			if up := r.message.Upload; up != nil {
+				if o.BodyConsumed = up.Consumed.Load() || up.Phase.Load() != upstream.UploadStreaming; !up.WrittenAt.IsZero() {
+					o.Latency = time.Since(up.WrittenAt).Microseconds()
 				}
 			}
 			l.outcome(at, r, o, res)
@@ -356,8 +364,8 @@
 	}()
 }
 
-// Refuse answers that a retry is harmless, and when it is welcome.
-func (l *loop) Refuse(id uint64, retryAfter balancer.Micros) {
+// Reject answers that a retry is harmless, and when it is welcome.
+func (l *loop) Reject(id uint64, retryAfter balancer.Micros) {
 	l.finish(l.requests[id], answer{code: http.StatusServiceUnavailable, retryAfter: retryAfter})
 }
 
@@ -373,10 +381,10 @@
 	}
 }
 
-// Timer gives a token back after a while.
-func (l *loop) Timer(delay balancer.Micros, token uint32) {
+// StartTimer gives a token back after a while.
+func (l *loop) StartTimer(delay balancer.Micros, token uint32) {
 	time.AfterFunc(time.Duration(delay)*time.Microsecond, func() {
-		l.post(func(now balancer.Micros) { l.balancer.Timer(now, token) })
+		l.post(func(now balancer.Micros) { l.balancer.HandleTimer(now, token) })
 	})
 }
 
@@ -384,12 +392,12 @@
 func (l *loop) Probe(endpoint uint32) {
 	t := l.acquire(endpoint)
 	go func() {
-		res := result{status: balancer.Moot}
+		res := upstream.Result{Status: balancer.NotSent}
 		if t != nil {
-			res = l.up.probe(l.ctx, t)
+			res = l.up.Probe(l.ctx, t)
 		}
 		l.post(func(now balancer.Micros) {
-			l.balancer.Probed(now, endpoint, res.status, res.took.Microseconds(), l.loadOf(res))
+			l.balancer.HandleProbe(now, endpoint, res.Status, res.Took.Microseconds(), l.loadOf(res))
 			l.release(endpoint)
 		})
 	}()
@@ -398,9 +406,19 @@
 // trace records what becomes of one request, where the log has lines of level debug.
 func (l *loop) trace(r *request, event string, attributes ...any) {
 	if l.log.Enabled(l.ctx, slog.LevelDebug) {
-		l.log.Debug(event, append([]any{"id", r.message.header.Get("X-Correlation-Id")}, attributes...)...)
+		l.log.Debug(event, append([]any{"id", r.message.Header.Get("X-Correlation-Id")}, attributes...)...)
 	}
 }
 
 // Log records a line of the balancer's.
 func (l *loop) Log(line string) { l.log.Info(line) }
+
+// close ends what an answer holds. It comes once for each, also where nobody takes it.
+func (a *answer) close() {
+	if a.rest != nil {
+		a.rest.Close()
+	}
+	if a.held != nil {
+		a.held()
+	}
+}
