--- a/internal/wire/config_text.go
+++ b/internal/wire/config_text.go
@@ -10,89 +10,132 @@
 	"oakproxy/balancer"
 )
 
-// settingsText holds the pairs of a config text and the first error met.
-type settingsText struct {
-	pairs map[string]string
-	err   error
+// configText holds the pairs of a settings text and the first error met while reading them. Reading goes on after an
+// error, with the default value, so that the callers need no check after each key.
+type configText struct {
+	values map[string]string
+	err    error
 }
 
-// get returns the value of a key, parsed; a key that is absent gives def.
-func get[T any](t *settingsText, key string, def T, what string, parse func(string) (T, error)) T {
-	text, ok := t.pairs[key]
+// splitConfigText splits a settings text into its pairs, one a line. Empty lines are skipped.
+func splitConfigText(text string) (*configText, error) {
+	t := &configText{values: map[string]string{}}
+	for i, line := range strings.Split(text, "\n") {
+		line = strings.TrimSuffix(line, "\r")
+		if line == "" {
+			continue
+		}
+		key, value, ok := strings.Cut(line, "=")
+		if !ok {
+			return nil, &balancer.SettingError{Key: fmt.Sprintf("line %d", i+1), Value: line,
+				Reason: "not of the form path=value"}
+		}
+		t.values[key] = value
+	}
+	return t, nil
+}
+
+// fail records an error, unless one came before.
+func (t *configText) fail(key, value, reason string) {
+	if t.err == nil {
+		t.err = &balancer.SettingError{Key: key, Value: value, Reason: reason}
+	}
+}
+
+// require fails if a key is absent.
+func (t *configText) require(key string) {
+	if _, ok := t.values[key]; !ok {
+		t.fail(key, "", "is missing")
+	}
+}
+
+// valueOf returns the parsed value of a key, or the default if the key is absent. A value that does not parse fails,
+// with the description of those that would.
+func valueOf[T any](
+	t *configText, key string, defaultValue T, description string, parse func(string) (T, error),
+) T {
+	text, ok := t.values[key]
 	if !ok {
-		return def
+		return defaultValue
 	}
-	v, err := parse(text)
+	value, err := parse(text)
 	if err != nil {
-		if t.err == nil {
-			t.err = &balancer.SettingError{Key: key, Value: text, Reason: "not " + what}
-		}
-		return def
+		t.fail(key, text, "not "+description)
+		return defaultValue
 	}
-	return v
+	return value
 }
 
-func (t *settingsText) number(key string, def float64) float64 {
-	return get(t, key, def, "a finite number", func(s string) (float64, error) {
-		v, err := strconv.ParseFloat(s, 64)
-		if err == nil && (math.IsNaN(v) || math.IsInf(v, 0)) {
+// text returns the value of a key as it stands, or nothing if the key is absent.
+func (t *configText) text(key string) string { return t.values[key] }
+
+func (t *configText) number(key string, defaultValue float64) float64 {
+	return valueOf(t, key, defaultValue, "a finite number", func(text string) (float64, error) {
+		value, err := strconv.ParseFloat(text, 64)
+		if err == nil && (math.IsNaN(value) || math.IsInf(value, 0)) {
 			err = strconv.ErrRange
 		}
-		return v, err
+		return value, err
 	})
 }
 
-func (t *settingsText) whole(key string, def int64) int64 {
-	return get(t, key, def, "a whole number", func(s string) (int64, error) {
-		return strconv.ParseInt(s, 10, 64)
+func (t *configText) integer(key string, defaultValue int64) int64 {
+	return valueOf(t, key, defaultValue, "a whole number", func(text string) (int64, error) {
+		return strconv.ParseInt(text, 10, 64)
 	})
 }
 
-func (t *settingsText) flag(key string, def bool) bool {
-	return get(t, key, def, "true or false", strconv.ParseBool)
+// flag returns a truth value, which is false if the key is absent.
+func (t *configText) flag(key string) bool {
+	return valueOf(t, key, false, "true or false", strconv.ParseBool)
 }
 
-// word returns the meaning of a word; what an unlisted word means is an error.
-func word[T any](t *settingsText, key string, def T, words map[string]T) T {
-	return get(t, key, def, "a known word", func(s string) (T, error) {
-		if v, ok := words[s]; ok {
-			return v, nil
+// enum returns the meaning of a name. A name that is not among meanings fails.
+func enum[T any](t *configText, key string, defaultValue T, meanings map[string]T) T {
+	return valueOf(t, key, defaultValue, "a known word", func(name string) (T, error) {
+		if value, ok := meanings[name]; ok {
+			return value, nil
 		}
-		return def, strconv.ErrSyntax
+		return defaultValue, strconv.ErrSyntax
 	})
 }
 
-// What requests name by a number is bounded by that number's size.
-const (
-	maxClasses = math.MaxUint8 + 1
-	maxTenants = math.MaxUint16 + 1
-)
-
-// count returns the length of a list of objects, each of which must be there.
-func (t *settingsText) count(key string, required bool, most int64) int {
-	if _, ok := t.pairs[key+".count"]; !ok && required && t.err == nil {
-		t.err = &balancer.SettingError{Key: key + ".count", Value: "", Reason: "is missing"}
+// items returns the number of comma-separated items of a list of plain values.
+func (t *configText) items(key string) int {
+	text := t.values[key]
+	if text == "" {
+		return 0
 	}
-	n := t.whole(key+".count", 0)
-	if n < 0 || n > most {
-		if t.err == nil {
-			t.err = &balancer.SettingError{Key: key + ".count", Value: strconv.FormatInt(n, 10),
-				Reason: fmt.Sprintf("out of range, 0 to %d", most)}
-		}
+	return strings.Count(text, ",") + 1
+}
+
+// objects returns the length of a list of objects, which is at most limit. Each object must have a key at least.
+func (t *configText) objects(list string, limit int64) int {
+	key := list + ".count"
+	length := t.integer(key, 0)
+	text := strconv.FormatInt(length, 10)
+	if length < 0 || length > limit {
+		t.fail(key, text, fmt.Sprintf("out of range, 0 to %d", limit))
 		return 0
 	}
-	there := make([]bool, n)
-	for k := range t.pairs {
-		if below, ok := strings.CutPrefix(k, key+"."); ok {
-			number, _, object := strings.Cut(below, ".")
-			if i, err := strconv.ParseUint(number, 10, 32); err == nil && object && int64(i) < n {
-				there[i] = true
-			}
-		}
+	if i := slices.Index(t.present(list, length), false); i >= 0 {
+		t.fail(key, text, fmt.Sprintf("%s.%d is missing", list, i))
 	}
-	if i := slices.Index(there, false); i >= 0 && t.err == nil {
-		t.err = &balancer.SettingError{Key: key + ".count", Value: strconv.FormatInt(n, 10),
-			Reason: fmt.Sprintf("%s.%d is missing", key, i)}
+	return int(length)
+}
+
+// present returns which objects of a list of this length have a key.
+func (t *configText) present(list string, length int64) []bool {
+	present := make([]bool, length)
+	for key := range t.values {
+		path, ok := strings.CutPrefix(key, list+".")
+		if !ok {
+			continue
+		}
+		number, _, isObject := strings.Cut(path, ".")
+		if i, err := strconv.ParseUint(number, 10, 32); err == nil && isObject && int64(i) < length {
+			present[i] = true
+		}
 	}
-	return int(n)
+	return present
 }
--- a/internal/wire/settings.go
+++ b/internal/wire/settings.go
@@ -8,114 +8,155 @@
 	"oakproxy/balancer"
 )
 
-// items counts the comma-separated items of a list of plain values.
-func items(text string) int {
-	if text == "" {
-		return 0
+// Bounds on the lists of objects: a request record names its class and its tenant by a number of this size.
+const (
+	maxClasses = math.MaxUint8 + 1
+	maxTenants = math.MaxUint16 + 1
+)
+
+const defaultPollInterval balancer.Micros = 10_000_000
+
+// Meanings of the protocol's names in values.
+var (
+	reportFields = map[string]balancer.ReportField{
+		"busy_reqs": balancer.FieldInFlight, "pending": balancer.FieldQueue, "cpu_share": balancer.FieldUtilization,
+		"svc_ms": balancer.FieldLatency, "served_ps": balancer.FieldServedRate, "failed_ps": balancer.FieldErrorRate,
+	}
+	idempotencies = map[string]balancer.Idempotency{
+		"pure": balancer.Idempotent, "token": balancer.IdempotentWithKey, "side_effect": balancer.NonIdempotent,
+	}
+	deduplicationScopes = map[string]balancer.DeduplicationScope{
+		"all": balancer.ScopeAll, "zone": balancer.ScopeZone, "cell": balancer.ScopeCell,
+	}
+	reportingModes = map[string]bool{"answers": true, "probe": true, "none": false} // whether there are load reports
+	discoveryModes = map[string]bool{"automatic": false, "subscribe": true}         // whether to subscribe
+	weightModes    = map[string]bool{"request": false, "work": true}                // whether to weight by work
+)
+
+// ParseSettings reads the settings text of a begin record. Keys that it does not know are skipped. Times are in
+// microseconds. Errors are *balancer.SettingError and name the key on the wire; whether the values make sense together
+// is for Settings.Validate to say.
+func ParseSettings(text string) (balancer.Settings, error) {
+	t, err := splitConfigText(text)
+	if err != nil {
+		return balancer.Settings{}, err
+	}
+	s := balancer.Settings{
+		Balancers:            int(t.integer("peers-total", 1)),
+		Index:                int(t.integer("position", 0)),
+		Zone:                 int(t.integer("zone", 0)),
+		Zones:                t.items("areas"),
+		MachineKinds:         t.items("skus"),
+		SubscribeToDiscovery: enum(t, "discovery", false, discoveryModes),
+		Tick:                 t.integer("tick", 0),
+		Limits:               t.limits(),
+		Contract:             t.contract(),
+		Prices:               t.prices(),
+		Goal:                 t.goal(),
+		OverQuotaWeight:      t.number("over-share-worth", 1),
+		KeyAffinity:          t.flag("family-info.warm-keys"),
+		WeightByWork:         enum(t, "value-by", false, weightModes),
+		ReportFields:         t.reportFields(),
+		Classes:              t.classes(),
+		Tenants:              t.tenants(),
 	}
-	return strings.Count(text, ",") + 1
+	return s, t.err
 }
 
-var fieldNames = map[string]balancer.ReportField{
-	"busy_reqs": balancer.FieldInFlight, "pending": balancer.FieldQueue, "cpu_share": balancer.FieldUtilization,
-	"svc_ms": balancer.FieldLatency, "served_ps": balancer.FieldServedRate, "failed_ps": balancer.FieldErrorRate,
+func (t *configText) limits() balancer.Limits {
+	return balancer.Limits{
+		CancelAttempts:  t.flag("limits.cancel"),
+		Probes:          t.flag("limits.probes"),
+		HedgedRequests:  t.flag("limits.second-copies"),
+		RetryAfter:      t.flag("limits.retry-after"),
+		PeerMessages:    t.flag("limits.may-tell"),
+		MaxAttempts:     int(t.integer("limits.most-tries", 1)),
+		MaxOpenRequests: int(t.integer("limits.most-held", math.MaxInt32)),
+		MaxRetryAfter:   t.integer("limits.max-retry-after", 0),
+		DialTimeout:     t.integer("limits.dial-timeout", 0),
+	}
 }
 
-// ParseSettings reads the config text of a begin record. Keys that it does not
-// know are skipped. Errors are *balancer.SettingError and name the key on the wire.
-func ParseSettings(text string) (balancer.Settings, error) {
-	t := &settingsText{pairs: map[string]string{}}
-	for i, line := range strings.Split(text, "\n") {
-		line = strings.TrimSuffix(line, "\r")
-		if line == "" {
-			continue
-		}
-		key, value, ok := strings.Cut(line, "=")
-		if !ok {
-			return balancer.Settings{}, &balancer.SettingError{Key: fmt.Sprintf("line %d", i+1), Value: line,
-				Reason: "not of the form path=value"}
-		}
-		t.pairs[key] = value
+func (t *configText) contract() balancer.Contract {
+	return balancer.Contract{
+		DrainGrace:               t.integer("contract.drain-grace", 0),
+		SlowStartInitialFraction: t.number("contract.cold-from", 1),
+		SlowStartDuration:        t.integer("contract.ramp-time", 0),
+		OverloadFactor:           t.number("contract.fall-multiple", 1),
+		OverloadWindow:           t.integer("contract.overload-for", 0),
+		PollInterval:             t.integer("contract.ask-within", defaultPollInterval),
+		AnswerGrace:              t.integer("contract.answer-slack", 0),
 	}
-	s := balancer.Settings{
-		Balancers:            int(t.whole("peers-total", 1)),
-		Index:                int(t.whole("position", 0)),
-		Zone:                 int(t.whole("zone", 0)),
-		Zones:                items(t.pairs["areas"]),
-		MachineKinds:         items(t.pairs["skus"]),
-		SubscribeToDiscovery: word(t, "discovery", false, map[string]bool{"automatic": false, "subscribe": true}),
-		Tick:                 t.whole("tick", 0),
-		Limits: balancer.Limits{
-			CancelAttempts:  t.flag("limits.cancel", false),
-			Probes:          t.flag("limits.probes", false),
-			HedgedRequests:  t.flag("limits.second-copies", false),
-			RetryAfter:      t.flag("limits.retry-after", false),
-			PeerMessages:    t.flag("limits.may-tell", false),
-			MaxAttempts:     int(t.whole("limits.most-tries", 1)),
-			MaxOpenRequests: int(t.whole("limits.most-held", math.MaxInt32)),
-			MaxRetryAfter:   t.whole("limits.max-retry-after", 0),
-			DialTimeout:     t.whole("limits.dial-timeout", 0),
-		},
-		Contract: balancer.Contract{
-			DrainGrace:               t.whole("contract.drain-grace", 0),
-			SlowStartInitialFraction: t.number("contract.cold-from", 1),
-			SlowStartDuration:        t.whole("contract.ramp-time", 0),
-			OverloadFactor:           t.number("contract.fall-multiple", 1),
-			OverloadWindow:           t.whole("contract.overload-for", 0),
-			PollInterval:             t.whole("contract.ask-within", 10_000_000),
-			AnswerGrace:              t.whole("contract.answer-slack", 0),
-		},
-		Prices: balancer.Prices{
-			CrossZone:     t.number("prices.cross-zone", 0),
-			Probe:         t.number("prices.probe", 0),
-			WastedAttempt: t.number("prices.waste", 0),
-			LateFailure:   t.number("prices.late-fail", 0),
-		},
-		Goal: balancer.Goal{
-			Overall:     t.number("goal.whole", 1),
-			WorstWindow: t.number("goal.worst-window", 0),
-			WorstClass:  t.number("goal.worst-class", 0),
-			WorstTenant: t.number("goal.worst-tenant", 0),
-		},
-		OverQuotaWeight: t.number("over-share-worth", 1),
-		KeyAffinity:     t.flag("family-info.warm-keys", false),
-		WeightByWork: word(t, "value-by", false,
-			map[string]bool{"request": false, "work": true}),
+}
+
+func (t *configText) prices() balancer.Prices {
+	return balancer.Prices{
+		CrossZone:     t.number("prices.cross-zone", 0),
+		Probe:         t.number("prices.probe", 0),
+		WastedAttempt: t.number("prices.waste", 0),
+		LateFailure:   t.number("prices.late-fail", 0),
 	}
-	how := word(t, "reporting.how", "none", map[string]string{"answers": "answers", "probe": "probe", "none": "none"})
-	if fields := t.pairs["reporting.fields"]; how != "none" && fields != "" {
-		for _, f := range strings.Split(fields, ",") {
-			s.ReportFields = append(s.ReportFields, fieldNames[f])
-		}
+}
+
+func (t *configText) goal() balancer.Goal {
+	return balancer.Goal{
+		Overall:     t.number("goal.whole", 1),
+		WorstWindow: t.number("goal.worst-window", 0),
+		WorstClass:  t.number("goal.worst-class", 0),
+		WorstTenant: t.number("goal.worst-tenant", 0),
 	}
-	for i := range t.count("classes", true, maxClasses) {
-		at := fmt.Sprintf("classes.%d.", i)
-		for _, key := range [...]string{"target", "give-up", "repeat"} {
-			if _, ok := t.pairs[at+key]; !ok && t.err == nil {
-				t.err = &balancer.SettingError{Key: at + key, Value: "", Reason: "is missing"}
-			}
-		}
-		s.Classes = append(s.Classes, balancer.Class{
-			Name: t.pairs[at+"name"],
-			Idempotency: word(t, at+"repeat", balancer.NonIdempotent, map[string]balancer.Idempotency{
-				"pure": balancer.Idempotent, "token": balancer.IdempotentWithKey, "side_effect": balancer.NonIdempotent}),
-			DeduplicationScope: word(t, at+"group", balancer.ScopeCell, map[string]balancer.DeduplicationScope{
-				"all": balancer.ScopeAll, "zone": balancer.ScopeZone, "cell": balancer.ScopeCell}),
-			DeduplicationWindow: t.whole(at+"window", 0),
-			LatencyObjective:    t.whole(at+"target", 0),
-			ClientTimeout:       t.whole(at+"give-up", 0),
-			PriorityWeight:      t.number(at+"credit", 1),
-			LateWeight:          t.number(at+"late-value", 0),
-			Streaming:           t.flag(at+"stream", false),
-		})
+}
+
+// reportFields returns the fields of load reports, or nil where there are no reports. An unknown name stands for
+// balancer.FieldUnknown, so that the others keep their places.
+func (t *configText) reportFields() []balancer.ReportField {
+	reported := enum(t, "reporting.how", false, reportingModes)
+	names := t.text("reporting.fields")
+	if !reported || names == "" {
+		return nil
+	}
+	var fields []balancer.ReportField
+	for name := range strings.SplitSeq(names, ",") {
+		fields = append(fields, reportFields[name])
+	}
+	return fields
+}
+
+func (t *configText) classes() []balancer.Class {
+	t.require("classes.count")
+	var classes []balancer.Class
+	for i := range t.objects("classes", maxClasses) {
+		classes = append(classes, t.class(fmt.Sprintf("classes.%d.", i)))
+	}
+	return classes
+}
+
+func (t *configText) class(prefix string) balancer.Class {
+	t.require(prefix + "target")
+	t.require(prefix + "give-up")
+	t.require(prefix + "repeat")
+	return balancer.Class{
+		Name:                t.text(prefix + "name"),
+		Idempotency:         enum(t, prefix+"repeat", balancer.NonIdempotent, idempotencies),
+		DeduplicationScope:  enum(t, prefix+"group", balancer.ScopeCell, deduplicationScopes),
+		DeduplicationWindow: t.integer(prefix+"window", 0),
+		LatencyObjective:    t.integer(prefix+"target", 0),
+		ClientTimeout:       t.integer(prefix+"give-up", 0),
+		PriorityWeight:      t.number(prefix+"credit", 1),
+		LateWeight:          t.number(prefix+"late-value", 0),
+		Streaming:           t.flag(prefix + "stream"),
 	}
-	for i := range t.count("tenants", false, maxTenants) {
-		at := fmt.Sprintf("tenants.%d.", i)
-		s.Tenants = append(s.Tenants, balancer.Tenant{
-			Name:          t.pairs[at+"name"],
-			QuotaRate:     t.number(at+"allowance-per-s", 0),
-			CapacityShare: t.number(at+"share", 0),
+}
+
+func (t *configText) tenants() []balancer.Tenant {
+	var tenants []balancer.Tenant
+	for i := range t.objects("tenants", maxTenants) {
+		prefix := fmt.Sprintf("tenants.%d.", i)
+		tenants = append(tenants, balancer.Tenant{
+			Name:          t.text(prefix + "name"),
+			QuotaRate:     t.number(prefix+"allowance-per-s", 0),
+			CapacityShare: t.number(prefix+"share", 0),
 		})
 	}
-	return s, t.err
+	return tenants
 }
