--- a/cmd/simhost/instance.go
+++ b/cmd/simhost/instance.go
@@ -35,7 +35,7 @@
 	}
 	switch e.Code {
 	case wire.Membership:
-		b.HandleEndpoints(now, e.Kind, e.Entries)
+		b.HandleEndpoints(now, e.Update, e.Endpoints)
 	case wire.Request:
 		b.HandleRequest(now, e.Request)
 	case wire.Headers:
@@ -45,9 +45,9 @@
 	case wire.CancelledByClient:
 		b.HandleClientGone(now, e.Outcome.ID)
 	case wire.TimeoutFired:
-		b.HandleTimer(now, e.Token)
+		b.HandleTimer(now, e.TimerToken)
 	case wire.HealthResult:
-		b.HandleProbe(now, e.Endpoint, e.Status, e.Latency, e.Load)
+		b.HandleProbe(now, e.Endpoint, e.Status, e.Latency, e.LoadReport)
 	}
 }
 
--- a/internal/wire/codes.go
+++ b/internal/wire/codes.go
@@ -2,53 +2,59 @@
 
 import "fmt"
 
-// Code numbers an event or an action; the two have separate code spaces.
-type Code uint8
+// EventCode numbers the kind of an event record. Events and actions have separate code spaces.
+type EventCode uint8
 
-// Codes of events.
+// Codes of events, by the protocol's names.
 const (
-	Begin             Code = 16
-	Membership        Code = 17
-	Request           Code = 18
-	Headers           Code = 19
-	Answer            Code = 20
-	CancelledByClient Code = 21
-	TimeoutFired      Code = 22
-	HealthResult      Code = 23
-	Whisper           Code = 24
-	Stop              Code = 25
-	Manifest          Code = 26
-	Instance          Code = 27
+	Begin             EventCode = 16 // starts an instance with its settings
+	Membership        EventCode = 17 // names an endpoint list, or says that discovery failed
+	Request           EventCode = 18 // a client's request
+	Headers           EventCode = 19 // an attempt's response headers
+	Answer            EventCode = 20 // the outcome of an attempt
+	CancelledByClient EventCode = 21 // the client withdrew its request
+	TimeoutFired      EventCode = 22 // a timer fired
+	HealthResult      EventCode = 23 // the outcome of a probe
+	Whisper           EventCode = 24 // a peer's message
+	Stop              EventCode = 25 // ends an instance
+	Manifest          EventCode = 26 // conveys an endpoint list
+	Instance          EventCode = 27 // addresses the following events to an instance
 )
 
-// Codes of actions.
-const (
-	Deliver   Code = 80
-	Decline   Code = 81
-	Fail      Code = 82
-	Revoke    Code = 83
-	Arm       Code = 84
-	SoundOut  Code = 85
-	LetGo     Code = 86
-	WritePeer Code = 87
-	Trace     Code = 88
-	Exception Code = 89
-	Track     Code = 90
-	ListAll   Code = 91
-	As        Code = 92
-)
-
-var eventNames = map[Code]string{
+var eventNames = [...]string{
 	Begin: "begin", Membership: "membership", Request: "request", Headers: "headers",
 	Answer: "answer", CancelledByClient: "cancelled_by_client", TimeoutFired: "timeout_fired",
 	HealthResult: "health_result", Whisper: "whisper", Stop: "stop", Manifest: "manifest",
 	Instance: "instance",
 }
 
-// String returns the event's name on the wire.
-func (c Code) String() string {
-	if name, ok := eventNames[c]; ok {
-		return name
+// Known reports whether the code is one of this version's protocol.
+func (c EventCode) Known() bool { return c >= Begin && c <= Instance }
+
+// String returns the protocol's name of the event.
+func (c EventCode) String() string {
+	if c.Known() {
+		return eventNames[c]
 	}
 	return fmt.Sprintf("event %d", uint8(c))
 }
+
+// ActionCode numbers the kind of an action record.
+type ActionCode uint8
+
+// Codes of actions, by the protocol's names. The method of Reply with the same name writes the record.
+const (
+	Deliver   ActionCode = 80
+	Decline   ActionCode = 81
+	Fail      ActionCode = 82
+	Revoke    ActionCode = 83
+	Arm       ActionCode = 84
+	SoundOut  ActionCode = 85
+	LetGo     ActionCode = 86
+	WritePeer ActionCode = 87
+	Trace     ActionCode = 88
+	Exception ActionCode = 89
+	Track     ActionCode = 90
+	ListAll   ActionCode = 91
+	As        ActionCode = 92
+)
--- a/internal/wire/decoder.go
+++ b/internal/wire/decoder.go
@@ -8,104 +8,96 @@
 	"oakproxy/balancer"
 )
 
-// Decoder reads the records of batches. It keeps the numbered lists, which
-// outlive a batch.
+// Decoder reads the records of batches. It caches the numbered endpoint lists, which outlive a batch. A Decoder is for
+// one goroutine.
 type Decoder struct {
-	frame   []byte
-	at      int
-	rec     []byte
-	recAt   int
-	recName string
-	off     int
-	err     error
-
-	lists [lists][]balancer.Endpoint
-	known [lists]bool
-	load  []float32
+	frame        []byte
+	pos          int // in frame, of the next record
+	record       recordReader
+	lists        endpointLists
+	reportBuffer []float32 // backs the load report of the event decoded last
 }
 
-// Reset starts on a frame from ReadFrame and returns its number and clock.
+// Reset starts on a frame from ReadFrame and returns its batch number and clock. Events refer to the frame's bytes.
 func (d *Decoder) Reset(frame []byte) (batch uint32, now balancer.Micros, err error) {
-	if len(frame) < batchHeader {
-		return 0, 0, &FrameError{"batch header", len(frame), "shorter than a header"}
+	if len(frame) < batchHeaderSize {
+		return 0, 0, headerError(len(frame), "shorter than a header")
 	}
-	if size := int(binary.BigEndian.Uint32(frame[4:])); size != len(frame) {
-		return 0, 0, &FrameError{"batch header", 4, fmt.Sprintf("size %d but %d bytes", size, len(frame))}
+	if size := int(binary.BigEndian.Uint32(frame[frameSizeOffset:])); size != len(frame) {
+		return 0, 0, headerError(frameSizeOffset, fmt.Sprintf("size %d but %d bytes", size, len(frame)))
 	}
-	d.frame, d.at = frame, batchHeader
-	return binary.BigEndian.Uint32(frame), balancer.Micros(binary.BigEndian.Uint64(frame[8:])), nil
+	d.frame, d.pos = frame, batchHeaderSize
+	return binary.BigEndian.Uint32(frame), balancer.Micros(binary.BigEndian.Uint64(frame[clockOffset:])), nil
 }
 
-func (d *Decoder) fail(reason string) {
-	if d.err == nil {
-		d.err = &FrameError{d.recName, d.recAt + d.off, reason}
-	}
-}
-
-// Next decodes one record into e. It returns io.EOF after the last one. A
-// record of an unknown code is returned with its code alone.
+// Next decodes one record into e. It returns io.EOF after the last one, and a *FrameError for a malformed one: the
+// frame is then of no more use. A record of an unknown code is returned with its code and offset alone.
 func (d *Decoder) Next(e *Event) error {
-	left := len(d.frame) - d.at
-	if left == 0 {
+	if d.pos == len(d.frame) {
 		return io.EOF
 	}
-	d.recAt, d.recName, d.off, d.err = d.at, "record", 0, nil
-	if left < recHeader {
-		d.fail(fmt.Sprintf("a record header needs %d bytes, has %d", recHeader, left))
-		return d.err
+	code, err := d.nextRecord()
+	if err != nil {
+		return err
+	}
+	e.Code, e.Offset = code, d.record.offset
+	d.decodeFields(e)
+	return d.record.finish()
+}
+
+// nextRecord moves on to the next record and reads its header.
+func (d *Decoder) nextRecord() (EventCode, error) {
+	d.record = recordReader{name: "record", offset: d.pos}
+	remaining := len(d.frame) - d.pos
+	if remaining < recordHeaderSize {
+		d.record.fail(fmt.Sprintf("a record header needs %d bytes, has %d", recordHeaderSize, remaining))
+		return 0, d.record.err
 	}
-	code := Code(d.frame[d.at])
-	d.recName = code.String()
-	size := int(binary.BigEndian.Uint32(d.frame[d.at+1:]))
-	if size > left-recHeader {
-		d.off = 1
-		d.fail(fmt.Sprintf("fields of %d bytes overrun the frame, which has %d left", size, left-recHeader))
-		return d.err
+	code := EventCode(d.frame[d.pos])
+	d.record.name = code.String()
+	size := int(binary.BigEndian.Uint32(d.frame[d.pos+recordSizeOffset:]))
+	if size > remaining-recordHeaderSize {
+		d.record.pos = recordSizeOffset
+		d.record.fail(fmt.Sprintf("fields of %d bytes overrun the frame, which has %d left",
+			size, remaining-recordHeaderSize))
+		return 0, d.record.err
 	}
-	d.rec, d.off = d.frame[d.at:d.at+recHeader+size], recHeader
-	e.Code, e.Offset = code, d.at
-	switch code {
+	end := d.pos + recordHeaderSize + size
+	d.record.data, d.record.pos = d.frame[d.pos:end], recordHeaderSize
+	d.pos = end
+	return code, nil
+}
+
+// decodeFields reads the fields of the current record. It calls the methods directly: were they called through a table
+// of functions, the callers' events would escape to the heap.
+func (d *Decoder) decodeFields(e *Event) {
+	switch r := &d.record; e.Code {
 	case Begin:
-		e.Seed = d.u64()
-		e.Config = string(d.take(int(d.u32())))
+		r.begin(e)
 	case Manifest:
-		d.manifest()
+		d.lists.manifest(r)
 	case Membership:
-		d.u32()
-		d.membership(e)
+		d.lists.membership(r, e)
 	case Request:
-		r := &e.Request
-		r.ID, r.Key, r.Deadline, r.WorkHint = d.u64(), d.u64(), balancer.Micros(d.u64()), balancer.Micros(d.u32())
-		opts := d.u8()
-		r.HasWorkHint, r.ClientRetry, r.IsWrite = opts&1 != 0, opts&2 != 0, opts&4 != 0
-		r.Tenant, r.Class = d.u16(), d.u8()
+		r.request(&e.Request)
 	case Headers:
-		o := &e.Outcome
-		o.ID, o.Attempt, o.Endpoint, o.Latency = d.u64(), int(d.u16()), d.u32(), balancer.Micros(d.u32())
+		r.headers(&e.Outcome)
 	case Answer:
-		o := &e.Outcome
-		o.ID, o.Attempt, o.Endpoint = d.u64(), int(d.u16()), d.u32()
-		o.Status, o.Latency, o.Answered = d.status(), balancer.Micros(d.u32()), d.u8() != 0
-		o.LoadReport = d.loads()
+		r.answer(&e.Outcome, d.reportBuffer)
+		d.reportBuffer = e.Outcome.LoadReport
 	case CancelledByClient:
-		e.Outcome.ID = d.u64()
+		e.Outcome.ID = r.u64()
 	case TimeoutFired:
-		e.Token = d.u32()
+		e.TimerToken = r.u32()
 	case HealthResult:
-		e.Endpoint, e.Status, e.Latency = d.u32(), d.status(), balancer.Micros(d.u32())
-		e.Load = d.loads()
+		r.healthResult(e, d.reportBuffer)
+		d.reportBuffer = e.LoadReport
 	case Whisper:
-		e.From = d.u16()
-		e.Data = d.take(int(d.u16()))
+		r.whisper(e)
 	case Stop:
 	case Instance:
-		e.Instance = d.u32()
+		e.Instance = r.u32()
 	default:
-		d.off = len(d.rec)
-	}
-	if d.err == nil && d.off < len(d.rec) {
-		d.fail(fmt.Sprintf("%d bytes too many", len(d.rec)-d.off))
+		r.pos = len(r.data)
 	}
-	d.at += len(d.rec)
-	return d.err
 }
--- a/internal/wire/decoder_test.go
+++ b/internal/wire/decoder_test.go
@@ -25,7 +25,7 @@
 func frame(records ...[]byte) []byte {
 	body := bytes.Join(records, nil)
 	f := binary.BigEndian.AppendUint32(nil, 12)
-	f = binary.BigEndian.AppendUint32(f, uint32(batchHeader+len(body)))
+	f = binary.BigEndian.AppendUint32(f, uint32(batchHeaderSize+len(body)))
 	f = binary.BigEndian.AppendUint64(f, 0x805c5a)
 	return append(f, body...)
 }
@@ -54,14 +54,14 @@
 	for {
 		var e Event
 		err := d.Next(&e)
-		if err == io.EOF {
+		if errors.Is(err, io.EOF) {
 			return all
 		}
 		if err != nil {
 			t.Fatal(err)
 		}
-		e.Load = append([]float32(nil), e.Load...)
-		e.Entries = append([]balancer.Endpoint(nil), e.Entries...)
+		e.LoadReport = append([]float32(nil), e.LoadReport...)
+		e.Endpoints = append([]balancer.Endpoint(nil), e.Endpoints...)
 		all = append(all, e)
 	}
 }
@@ -74,7 +74,7 @@
 	}
 	e := decode(t, new(Decoder), f)
 	want := balancer.Request{ID: 0x5bf975d3a91c4, Key: 0x91f03b7c55d20a64, Deadline: 0x8405da, WorkHint: 12000, HasWorkHint: true}
-	if len(e) != 5 || e[0].Instance != 3 || e[1].Request != want || e[2].Token != 77 || e[3].Instance != 5 ||
+	if len(e) != 5 || e[0].Instance != 3 || e[1].Request != want || e[2].TimerToken != 77 || e[3].Instance != 5 ||
 		e[4].Outcome.ID != 0xbf5a10e6f2b19 {
 		t.Errorf("decoded %+v", e)
 	}
@@ -85,14 +85,14 @@
 	if o := e[1].Outcome; o.Status != balancer.OK || o.Latency != 0x4844 || !o.Answered || len(o.LoadReport) != 0 {
 		t.Errorf("answer %+v", o)
 	}
-	if h := e[2]; h.Endpoint != 0x2c9011f2 || h.Latency != 1400 || len(h.Load) != 3 || h.Load[0] != 7 || h.Load[1] != 140 {
+	if h := e[2]; h.Endpoint != 0x2c9011f2 || h.Latency != 1400 || len(h.LoadReport) != 3 || h.LoadReport[0] != 7 || h.LoadReport[1] != 140 {
 		t.Errorf("health_result %+v", h)
 	}
-	if w := e[3]; w.From != 2 || string(w.Data) != "hi 7" {
+	if w := e[3]; w.Peer != 2 || string(w.Message) != "hi 7" {
 		t.Errorf("whisper %+v", w)
 	}
-	if m := e[5]; m.Kind != balancer.ListCached || len(m.Entries) != 2 || m.Entries[1].Weight != 1.5 ||
-		m.Entries[1].Zone != 1 || m.Entries[1].StartTime != 0x5d1420 {
+	if m := e[5]; m.Update != balancer.ListCached || len(m.Endpoints) != 2 || m.Endpoints[1].Weight != 1.5 ||
+		m.Endpoints[1].Zone != 1 || m.Endpoints[1].StartTime != 0x5d1420 {
 		t.Errorf("membership %+v", m)
 	}
 }
@@ -103,14 +103,14 @@
 	two := "1a 0000001a 00 00000001 00000002 00 00 0000 01 3f800000 0000000000000000"
 	d := new(Decoder)
 	e := decode(t, d, frame(unhex(t, one, exMembers, two, exMembers)))
-	if e[1].Entries[0].ID != 1 || e[3].Entries[0].ID != 2 || e[3].Entries[0].State != balancer.Draining {
+	if e[1].Endpoints[0].ID != 1 || e[3].Endpoints[0].ID != 2 || e[3].Endpoints[0].State != balancer.Draining {
 		t.Errorf("%+v", e)
 	}
 	e = decode(t, d, frame(unhex(t, "11 00000006 00000029 00 04", "11 00000006 00000029 09 02")))
-	if e[0].Kind != balancer.ListFull || e[0].Entries[0].ID != 2 {
+	if e[0].Update != balancer.ListFull || e[0].Endpoints[0].ID != 2 {
 		t.Error("the list does not outlive its batch")
 	}
-	if e[1].Kind != balancer.ListFailed || e[1].Entries != nil {
+	if e[1].Update != balancer.ListFailed || e[1].Endpoints != nil {
 		t.Error("a failed call must not need a list")
 	}
 }
@@ -138,7 +138,7 @@
 		var e Event
 		err := d.Next(&e)
 		var bad *FrameError
-		if !errors.As(err, &bad) || bad.Record != c.record || !strings.Contains(bad.Reason, c.reason) || bad.Offset < batchHeader {
+		if !errors.As(err, &bad) || bad.Record != c.record || !strings.Contains(bad.Reason, c.reason) || bad.Offset < batchHeaderSize {
 			t.Errorf("%s: %v", c.name, err)
 		}
 	}
@@ -159,7 +159,7 @@
 			err := d.Next(&e)
 			if err != nil {
 				var bad *FrameError
-				if err != io.EOF && !errors.As(err, &bad) {
+				if !errors.Is(err, io.EOF) && !errors.As(err, &bad) {
 					t.Fatalf("error of another kind: %v", err)
 				}
 				return
--- a/internal/wire/frame.go
+++ b/internal/wire/frame.go
@@ -7,19 +7,37 @@
 	"io"
 )
 
+// Sizes of fields and headers in bytes.
 const (
-	batchHeader = 16
-	replyHeader = 12
-	recHeader   = 5
-	entrySize   = 21
-	lists       = 16
-	maxFrame    = 1 << 30
+	sizeU8  = 1
+	sizeU16 = 2
+	sizeU32 = 4
+	sizeU64 = 8
+
+	batchHeaderSize  = sizeU32 + sizeU32 + sizeU64 // batch number, frame size, clock
+	replyHeaderSize  = sizeU32 + sizeU32 + sizeU32 // batch number, frame size, number of records
+	recordHeaderSize = sizeU8 + sizeU32            // code, size of the fields
+)
+
+// Offsets of header fields.
+const (
+	frameSizeOffset  = 4 // in a batch header and in a reply header
+	clockOffset      = 8 // in a batch header
+	countOffset      = 8 // in a reply header
+	recordSizeOffset = 1 // in a record header
+)
+
+// Bounds on the memory that a frame may claim, in bytes.
+const (
+	maxFrameSize      = 1 << 30
+	initialBufferSize = 1 << 16
+	readStep          = 1 << 20 // read at once, so that a size alone claims no memory
 )
 
 // FrameError says which record is malformed and at which byte of its frame.
 type FrameError struct {
-	Record string
-	Offset int
+	Record string // the protocol's name of the record, or the part of the frame
+	Offset int    // in bytes from the start of the frame
 	Reason string
 }
 
@@ -28,37 +46,46 @@
 	return fmt.Sprintf("%s at byte %d: %s", e.Record, e.Offset, e.Reason)
 }
 
-// ReadFrame reads one batch into buf, growing it as needed. It returns io.EOF
-// only at a clean end of input.
+func headerError(offset int, reason string) error {
+	return &FrameError{Record: "batch header", Offset: offset, Reason: reason}
+}
+
+// ReadFrame reads the frame of one batch and returns it, in buf or, if buf is too small, in a larger buffer.
+// ReadFrame returns io.EOF only at a clean end of input, and a *FrameError for a frame that is cut off or whose size is
+// out of range.
 func ReadFrame(r io.Reader, buf []byte) ([]byte, error) {
-	if cap(buf) < batchHeader {
-		buf = make([]byte, 1<<16)
+	if cap(buf) < batchHeaderSize {
+		buf = make([]byte, initialBufferSize)
 	}
-	buf = buf[:batchHeader]
+	buf = buf[:batchHeaderSize]
 	if n, err := io.ReadFull(r, buf); err != nil {
 		if errors.Is(err, io.EOF) {
 			return nil, io.EOF
 		}
-		return nil, &FrameError{"batch header", n, "input ends inside it"}
+		return nil, headerError(n, "input ends inside it")
 	}
-	size := int(binary.BigEndian.Uint32(buf[4:]))
-	if size < batchHeader || size > maxFrame {
-		return nil, &FrameError{"batch header", 4, fmt.Sprintf("frame size %d is out of range", size)}
+	size := int(binary.BigEndian.Uint32(buf[frameSizeOffset:]))
+	if size < batchHeaderSize || size > maxFrameSize {
+		return nil, headerError(frameSizeOffset, fmt.Sprintf("frame size %d is out of range", size))
 	}
-	for have := batchHeader; have < size; {
-		// Grow as bytes arrive: a size alone must not take memory.
-		step := min(size-have, 1<<20)
-		if cap(buf) < have+step {
-			grown := make([]byte, have, max(have+step, 2*cap(buf)))
+	return readBody(r, buf, size)
+}
+
+// readBody reads what follows the header in buf until the frame has size bytes. The buffer grows as bytes arrive.
+func readBody(r io.Reader, buf []byte, size int) ([]byte, error) {
+	for len(buf) < size {
+		read := len(buf)
+		end := read + min(size-read, readStep)
+		if cap(buf) < end {
+			grown := make([]byte, read, max(end, 2*cap(buf)))
 			copy(grown, buf)
 			buf = grown
 		}
-		buf = buf[:have+step]
-		n, err := io.ReadFull(r, buf[have:])
-		if err != nil {
-			return nil, &FrameError{"batch", have + n, fmt.Sprintf("input ends inside a frame of %d bytes", size)}
+		buf = buf[:end]
+		if n, err := io.ReadFull(r, buf[read:]); err != nil {
+			return nil, &FrameError{Record: "batch", Offset: read + n,
+				Reason: fmt.Sprintf("input ends inside a frame of %d bytes", size)}
 		}
-		have += step
 	}
 	return buf, nil
 }
--- a/internal/wire/frame_test.go
+++ b/internal/wire/frame_test.go
@@ -20,7 +20,7 @@
 			t.Errorf("%s: %v", name, err)
 		}
 	}
-	if _, err := ReadFrame(bytes.NewReader(nil), nil); err != io.EOF {
+	if _, err := ReadFrame(bytes.NewReader(nil), nil); !errors.Is(err, io.EOF) {
 		t.Errorf("clean end: %v", err)
 	}
 }
--- a/internal/wire/frozen_test.go
+++ b/internal/wire/frozen_test.go
@@ -15,7 +15,7 @@
 		16: "begin", 17: "membership", 18: "request", 19: "headers", 20: "answer", 21: "cancelled_by_client",
 		22: "timeout_fired", 23: "health_result", 24: "whisper", 25: "stop", 26: "manifest", 27: "instance",
 	} {
-		if got := Code(number).String(); got != name {
+		if got := EventCode(number).String(); got != name {
 			t.Errorf("event %d is %q, want %q", number, got, name)
 		}
 	}
@@ -66,9 +66,9 @@
 func TestStatusesAreThoseOfTheWire(t *testing.T) {
 	for code, want := range map[uint16]balancer.Status{200: balancer.OK, 500: balancer.EndpointError, 503: balancer.Rejected,
 		504: balancer.Timeout, 502: balancer.ConnectFailed, 598: balancer.Reset, 499: balancer.Cancelled, 410: balancer.NotSent} {
-		d := Decoder{rec: []byte{byte(code >> 8), byte(code)}}
-		if got := d.status(); got != want || d.err != nil {
-			t.Errorf("status %d is %v (%v), want %v", code, got, d.err, want)
+		r := recordReader{data: []byte{byte(code >> 8), byte(code)}}
+		if got := r.status(); got != want || r.err != nil {
+			t.Errorf("status %d is %v (%v), want %v", code, got, r.err, want)
 		}
 	}
 }
--- a/internal/wire/lists.go
+++ b/internal/wire/lists.go
@@ -2,78 +2,112 @@
 
 import (
 	"fmt"
-	"math"
 
 	"oakproxy/balancer"
 )
 
-func (d *Decoder) listNumber() int {
-	n := int(d.u8())
-	if n >= lists && d.err == nil {
-		d.off--
-		d.fail(fmt.Sprintf("list number %d is over %d", n, lists-1))
-		return 0
-	}
-	return n
+// maxLists bounds the numbers of endpoint lists, which count from 0.
+const maxLists = 16
+
+// Size of an entry of a manifest record in bytes: endpoint ID (4), zone (1), kind of machine (1), cell (2), state (1),
+// weight (4), start time (8).
+const manifestEntrySize = sizeU32 + sizeU8 + sizeU8 + sizeU16 + sizeU8 + sizeU32 + sizeU64
+
+// endpointStates maps the protocol's codes of endpoint states.
+var endpointStates = [...]struct {
+	code  uint8
+	state balancer.EndpointState
+}{
+	{0, balancer.Ready},
+	{1, balancer.Draining},
+	{3, balancer.Removed},
+}
+
+// listUpdates maps the protocol's kinds of membership record.
+var listUpdates = [...]struct {
+	code   uint8
+	update balancer.ListUpdate
+}{
+	{0, balancer.ListDelta},
+	{2, balancer.ListFailed},
+	{3, balancer.ListCached},
+	{4, balancer.ListFull},
 }
 
-func (d *Decoder) manifest() {
-	id := d.listNumber()
-	n := int(d.u32())
-	if d.err == nil && n*entrySize > len(d.rec)-d.off {
-		d.off -= 4
-		d.fail(fmt.Sprintf("%d entries overrun the record", n))
+// endpointLists caches the endpoint lists of manifest records by number. A list belongs to no instance and stands until
+// a later manifest replaces it, which may be in the same batch: numbers are resolved in the order of events.
+type endpointLists struct {
+	lists    [maxLists][]balancer.Endpoint
+	conveyed [maxLists]bool
+}
+
+// manifest reads a list and caches it under its number: 5 list number (1), 6 number of entries (4), 10 entries.
+func (l *endpointLists) manifest(r *recordReader) {
+	number := r.u8()
+	if number >= maxLists {
+		r.failBack(sizeU8, fmt.Sprintf("list number %d is over %d", number, maxLists-1))
 	}
-	if d.err != nil {
+	count := int(r.u32())
+	if count*manifestEntrySize > r.remaining() {
+		r.failBack(sizeU32, fmt.Sprintf("%d entries overrun the record", count))
+	}
+	if r.err != nil {
 		return
 	}
-	list := d.lists[id][:0]
-	for i := 0; i < n && d.err == nil; i++ {
-		var e balancer.Endpoint
-		e.ID, e.Zone, e.MachineKind, e.Cell = d.u32(), d.u8(), d.u8(), d.u16()
-		e.Name = uint64(e.ID) // every instance knows an endpoint by the same id
-		switch state := d.u8(); state {
-		case 0:
-			e.State = balancer.Ready
-		case 1:
-			e.State = balancer.Draining
-		case 3:
-			e.State = balancer.Removed
-		default:
-			d.off--
-			d.fail(fmt.Sprintf("unknown endpoint status %d", state))
+	list := l.lists[number][:0]
+	for i := 0; i < count && r.err == nil; i++ {
+		list = append(list, r.manifestEntry())
+	}
+	l.lists[number], l.conveyed[number] = list, true
+}
+
+func (r *recordReader) manifestEntry() balancer.Endpoint {
+	var e balancer.Endpoint
+	e.ID = r.u32()
+	e.Name = uint64(e.ID) // every instance knows an endpoint by the same ID
+	e.Zone = r.u8()
+	e.MachineKind = r.u8()
+	e.Cell = r.u16()
+	e.State = r.endpointState()
+	e.Weight = r.f32()
+	e.StartTime = balancer.Micros(r.u64())
+	return e
+}
+
+func (r *recordReader) endpointState() balancer.EndpointState {
+	code := r.u8()
+	for _, s := range &endpointStates {
+		if s.code == code {
+			return s.state
 		}
-		e.Weight = math.Float32frombits(d.u32())
-		e.StartTime = balancer.Micros(d.u64())
-		list = append(list, e)
 	}
-	d.lists[id], d.known[id] = list, true
+	r.failBack(sizeU8, fmt.Sprintf("unknown endpoint status %d", code))
+	return balancer.Ready
 }
 
-func (d *Decoder) membership(e *Event) {
-	id := d.u8()
-	e.Entries = nil
-	switch kind := d.u8(); kind {
-	case 0:
-		e.Kind = balancer.ListDelta
-	case 4:
-		e.Kind = balancer.ListFull
-	case 3:
-		e.Kind = balancer.ListCached
-	case 2:
-		e.Kind = balancer.ListFailed
-		return
-	default:
-		d.off--
-		d.fail(fmt.Sprintf("unknown kind %d", kind))
+func (r *recordReader) listUpdate() balancer.ListUpdate {
+	code := r.u8()
+	for _, u := range &listUpdates {
+		if u.code == code {
+			return u.update
+		}
 	}
-	if d.err != nil {
+	r.failBack(sizeU8, fmt.Sprintf("unknown kind %d", code))
+	return balancer.ListDelta
+}
+
+// membership reads which list an instance is notified of, and looks it up: 5 version (4), 9 list number (1),
+// 10 kind (1). A failed call of discovery comes without a list.
+func (l *endpointLists) membership(r *recordReader, e *Event) {
+	r.u32() // the list's version, which no decision reads
+	number := r.u8()
+	e.Update, e.Endpoints = r.listUpdate(), nil
+	if r.err != nil || e.Update == balancer.ListFailed {
 		return
 	}
-	if id >= lists || !d.known[id] {
-		d.off -= 2
-		d.fail(fmt.Sprintf("list number %d has not been conveyed", id))
+	if number >= maxLists || !l.conveyed[number] {
+		r.failBack(sizeU8+sizeU8, fmt.Sprintf("list number %d has not been conveyed", number))
 		return
 	}
-	e.Entries = d.lists[id]
+	e.Endpoints = l.lists[number]
 }
--- a/internal/wire/reply.go
+++ b/internal/wire/reply.go
@@ -7,113 +7,136 @@
 	"oakproxy/balancer"
 )
 
-// Reply builds the answer to one batch. It reuses its buffer.
+// AllPeers addresses WritePeer to every peer.
+const AllPeers uint32 = math.MaxUint32
+
+// Bounds on the variable parts of records, in bytes. What is longer is cut off.
+const (
+	maxPeerMessageSize = 256
+	maxTextSize        = math.MaxUint16
+)
+
+// Reply builds the reply to one batch: Reset, then a method per action, then Bytes. It reuses its buffer. A Reply is
+// for one goroutine.
 type Reply struct {
 	buf   []byte
-	count uint32
+	count uint32 // of records
 }
 
 // Reset starts the reply to a batch.
-func (w *Reply) Reset(batch uint32) {
-	w.buf = binary.BigEndian.AppendUint32(w.buf[:0], batch)
-	w.buf = append(w.buf, 0, 0, 0, 0, 0, 0, 0, 0)
-	w.count = 0
+func (r *Reply) Reset(batch uint32) {
+	var header [replyHeaderSize]byte // Bytes sets the size and the count
+	binary.BigEndian.PutUint32(header[:], batch)
+	r.buf = append(r.buf[:0], header[:]...)
+	r.count = 0
 }
 
-// Bytes completes the frame.
-func (w *Reply) Bytes() []byte {
-	binary.BigEndian.PutUint32(w.buf[4:], uint32(len(w.buf)))
-	binary.BigEndian.PutUint32(w.buf[8:], w.count)
-	return w.buf
+// Bytes completes the frame and returns it. It is valid until the next call of Reset.
+func (r *Reply) Bytes() []byte {
+	binary.BigEndian.PutUint32(r.buf[frameSizeOffset:], uint32(len(r.buf)))
+	binary.BigEndian.PutUint32(r.buf[countOffset:], r.count)
+	return r.buf
 }
 
-func (w *Reply) rec(c Code, size int) {
-	w.count++
-	w.buf = append(w.buf, byte(c))
-	w.u32(uint32(size))
+// As says which instance takes the following actions.
+func (r *Reply) As(instance uint32) {
+	r.record(As, sizeU32)
+	r.u32(instance)
 }
 
-func (w *Reply) u16(v uint16) { w.buf = binary.BigEndian.AppendUint16(w.buf, v) }
-func (w *Reply) u32(v uint32) { w.buf = binary.BigEndian.AppendUint32(w.buf, v) }
-func (w *Reply) u64(v uint64) { w.buf = binary.BigEndian.AppendUint64(w.buf, v) }
-
-func (w *Reply) micros(v balancer.Micros) { w.u32(uint32(min(max(v, 0), math.MaxUint32))) }
-
-// As names the instance that issues the following actions.
-func (w *Reply) As(instance uint32) { w.rec(As, 4); w.u32(instance) }
+// Deliver starts an attempt of a request. A timeout of 0 leaves it the time until the request's deadline.
+func (r *Reply) Deliver(id uint64, endpoint uint32, timeout balancer.Micros) {
+	r.record(Deliver, sizeU64+sizeU32+sizeU32)
+	r.u64(id)
+	r.u32(endpoint)
+	r.micros(timeout)
+}
 
-// Deliver writes a deliver record.
-func (w *Reply) Deliver(id uint64, endpoint uint32, timeout balancer.Micros) {
-	w.rec(Deliver, 16)
-	w.u64(id)
-	w.u32(endpoint)
-	w.micros(timeout)
+// Decline rejects a request: a retry is harmless. A retryAfter of 0 gives no advice on when to retry.
+func (r *Reply) Decline(id uint64, retryAfter balancer.Micros) {
+	r.record(Decline, sizeU64+sizeU32)
+	r.u64(id)
+	r.micros(retryAfter)
 }
 
-// Decline writes a decline record.
-func (w *Reply) Decline(id uint64, retryIn balancer.Micros) {
-	w.rec(Decline, 12)
-	w.u64(id)
-	w.micros(retryIn)
+// Fail ends a request with a failure, which promises nothing about its effect.
+func (r *Reply) Fail(id uint64) {
+	r.record(Fail, sizeU64)
+	r.u64(id)
 }
 
-// Fail writes a fail record.
-func (w *Reply) Fail(id uint64) { w.rec(Fail, 8); w.u64(id) }
+// Revoke cancels an attempt; the attempts of a request count from 0.
+func (r *Reply) Revoke(id uint64, attempt int) {
+	r.record(Revoke, sizeU64+sizeU16)
+	r.u64(id)
+	r.u16(uint16(attempt))
+}
 
-// Revoke writes a revoke record.
-func (w *Reply) Revoke(id uint64, attempt int) {
-	w.rec(Revoke, 10)
-	w.u64(id)
-	w.u16(uint16(attempt))
+// Arm starts a timer that fires after delay and returns the token.
+func (r *Reply) Arm(delay balancer.Micros, token uint32) {
+	r.record(Arm, sizeU32+sizeU32)
+	r.micros(delay)
+	r.u32(token)
 }
 
-// Arm writes an arm record.
-func (w *Reply) Arm(delay balancer.Micros, token uint32) {
-	w.rec(Arm, 8)
-	w.micros(delay)
-	w.u32(token)
+// SoundOut probes an endpoint for its load.
+func (r *Reply) SoundOut(endpoint uint32) {
+	r.record(SoundOut, sizeU32)
+	r.u32(endpoint)
 }
 
-// SoundOut writes a sound_out record.
-func (w *Reply) SoundOut(endpoint uint32) { w.rec(SoundOut, 4); w.u32(endpoint) }
+// LetGo closes the idle connections to an endpoint.
+func (r *Reply) LetGo(endpoint uint32) {
+	r.record(LetGo, sizeU32)
+	r.u32(endpoint)
+}
 
-// LetGo writes a let_go record.
-func (w *Reply) LetGo(endpoint uint32) { w.rec(LetGo, 4); w.u32(endpoint) }
+// WritePeer sends a message to a peer, or to AllPeers. Bytes beyond 256 are cut off.
+func (r *Reply) WritePeer(peer uint32, message []byte) {
+	message = message[:min(len(message), maxPeerMessageSize)]
+	r.record(WritePeer, sizeU32+sizeU16+len(message))
+	r.u32(peer)
+	r.u16(uint16(len(message)))
+	r.buf = append(r.buf, message...)
+}
 
-// AllPeers addresses WritePeer to every peer.
-const AllPeers uint32 = math.MaxUint32
+// Trace adds a line to the simulation's report. Bytes beyond 65535 are cut off.
+func (r *Reply) Trace(line string) { r.text(Trace, line) }
 
-// WritePeer writes a write_peer record; data beyond 256 bytes is cut off.
-func (w *Reply) WritePeer(peer uint32, data []byte) {
-	data = data[:min(len(data), 256)]
-	w.rec(WritePeer, 6+len(data))
-	w.u32(peer)
-	w.u16(uint16(len(data)))
-	w.buf = append(w.buf, data...)
-}
+// Exception reports that the decision code has failed, which ends the simulation. Bytes beyond 65535 are cut off.
+func (r *Reply) Exception(line string) { r.text(Exception, line) }
 
-func (w *Reply) text(c Code, line string) {
-	line = line[:min(len(line), math.MaxUint16)]
-	w.rec(c, 2+len(line))
-	w.u16(uint16(len(line)))
-	w.buf = append(w.buf, line...)
+// Track subscribes to changes of the endpoint list, or ends that.
+func (r *Reply) Track(subscribe bool) {
+	var flag byte
+	if subscribe {
+		flag = 1
+	}
+	r.record(Track, sizeU8)
+	r.buf = append(r.buf, flag)
 }
 
-// Trace writes a trace record.
-func (w *Reply) Trace(line string) { w.text(Trace, line) }
+// ListAll polls discovery for the complete endpoint list.
+func (r *Reply) ListAll() { r.record(ListAll, 0) }
 
-// Exception writes an exception record.
-func (w *Reply) Exception(line string) { w.text(Exception, line) }
+// record writes a record's header; size bytes of fields must follow.
+func (r *Reply) record(code ActionCode, size int) {
+	r.count++
+	r.buf = append(r.buf, byte(code))
+	r.u32(uint32(size))
+}
 
-// Track writes a track record.
-func (w *Reply) Track(on bool) {
-	w.rec(Track, 1)
-	if on {
-		w.buf = append(w.buf, 1)
-	} else {
-		w.buf = append(w.buf, 0)
-	}
+// text writes a record with one text, preceded by its length.
+func (r *Reply) text(code ActionCode, line string) {
+	line = line[:min(len(line), maxTextSize)]
+	r.record(code, sizeU16+len(line))
+	r.u16(uint16(len(line)))
+	r.buf = append(r.buf, line...)
 }
 
-// ListAll writes a list_all record.
-func (w *Reply) ListAll() { w.rec(ListAll, 0) }
+func (r *Reply) u16(v uint16) { r.buf = binary.BigEndian.AppendUint16(r.buf, v) }
+func (r *Reply) u32(v uint32) { r.buf = binary.BigEndian.AppendUint32(r.buf, v) }
+func (r *Reply) u64(v uint64) { r.buf = binary.BigEndian.AppendUint64(r.buf, v) }
+
+// micros writes a duration in 4 bytes. One that is out of range becomes the nearest that is not.
+func (r *Reply) micros(v balancer.Micros) { r.u32(uint32(min(max(v, 0), math.MaxUint32))) }
--- a/internal/wire/reply_test.go
+++ b/internal/wire/reply_test.go
@@ -39,7 +39,7 @@
 		"53 0000000a 0005bf975d3a91c4 0000 55 00000004 2c9011f2 56 00000004 2c9011f2",
 		"57 0000000a ffffffff 0004 68692037 59 00000014 0012 696e646578206f7574206f662072616e6765",
 		"5a 00000001 01 5b 00000000")
-	if got := w.Bytes()[replyHeader:]; !bytes.Equal(got, want) {
+	if got := w.Bytes()[replyHeaderSize:]; !bytes.Equal(got, want) {
 		t.Errorf("got  %x\nwant %x", got, want)
 	}
 }
@@ -49,7 +49,7 @@
 	w.Reset(0)
 	w.Arm(-5, 1)
 	w.Arm(math.MaxInt64, 1)
-	b := w.Bytes()[replyHeader:]
+	b := w.Bytes()[replyHeaderSize:]
 	if binary.BigEndian.Uint32(b[5:]) != 0 || binary.BigEndian.Uint32(b[18:]) != math.MaxUint32 {
 		t.Errorf("%x", b)
 	}
