--- a/cmd/simhost/instance.go
+++ b/cmd/simhost/instance.go
@@ -7,55 +7,39 @@
 	"oakproxy/internal/wire"
 )
 
-// instance is one balancer with its number, and the Actions given to it.
+// instance is one balancer and the Actions given to it, which write to the host's reply. An instance that has stopped
+// or failed ignores events until it begins anew.
 type instance struct {
-	*host
-	number   uint32
-	balancer *balancer.Balancer // nil once stopped or faulty
+	reply    *wire.Reply
+	balancer *balancer.Balancer // nil once stopped or failed
 }
 
-// handle passes an event on. A panic becomes an exception on the wire.
-func (i *instance) handle(now balancer.Micros, e *wire.Event) {
+var _ balancer.Actions = (*instance)(nil)
+
+// handle passes an event to the balancer. A panic becomes an exception on the wire.
+func (i *instance) handle(now balancer.Micros, event *wire.Event) {
 	defer func() {
 		if p := recover(); p != nil {
 			i.balancer = nil
-			i.reply.Exception(fmt.Sprintf("panic in %v: %v", e.Code, p))
+			i.reply.Exception(fmt.Sprintf("panic in %v: %v", event.Code, p))
 		}
 	}()
-	switch e.Code {
-	case wire.Begin:
-		i.begin(now, e)
-		return
-	case wire.Stop:
+	switch {
+	case event.Code == wire.Begin:
+		i.begin(now, event)
+	case event.Code == wire.Stop:
 		i.balancer = nil
-	}
-	b := i.balancer
-	if b == nil {
-		return
-	}
-	switch e.Code {
-	case wire.Membership:
-		b.HandleEndpoints(now, e.Update, e.Endpoints)
-	case wire.Request:
-		b.HandleRequest(now, e.Request)
-	case wire.Headers:
-		b.HandleHeaders(now, e.Outcome.ID, e.Outcome.Attempt, e.Outcome.Latency)
-	case wire.Answer:
-		b.HandleOutcome(now, e.Outcome)
-	case wire.CancelledByClient:
-		b.HandleClientGone(now, e.Outcome.ID)
-	case wire.TimeoutFired:
-		b.HandleTimer(now, e.TimerToken)
-	case wire.HealthResult:
-		b.HandleProbe(now, e.Endpoint, e.Status, e.Latency, e.LoadReport)
+	case i.balancer != nil:
+		i.dispatch(now, event)
 	}
 }
 
-func (i *instance) begin(now balancer.Micros, e *wire.Event) {
+// begin starts a new balancer, which replaces one that runs. Bad settings become an exception on the wire.
+func (i *instance) begin(now balancer.Micros, event *wire.Event) {
 	i.balancer = nil
-	s, err := wire.ParseSettings(e.Config)
+	settings, err := wire.ParseSettings(event.Config)
 	if err == nil {
-		i.balancer, err = balancer.New(s, e.Seed, i)
+		i.balancer, err = balancer.New(settings, event.Seed, i)
 	}
 	if err != nil {
 		i.reply.Exception(err.Error())
@@ -64,7 +48,28 @@
 	i.balancer.Start(now)
 }
 
-// Send writes a deliver record. The simulator's rules go by the instant of that.
+// dispatch calls the balancer's handler of an event. Peers' messages have none.
+func (i *instance) dispatch(now balancer.Micros, event *wire.Event) {
+	switch event.Code {
+	case wire.Membership:
+		i.balancer.HandleEndpoints(now, event.Update, event.Endpoints)
+	case wire.Request:
+		i.balancer.HandleRequest(now, event.Request)
+	case wire.Headers:
+		i.balancer.HandleHeaders(now, event.Outcome.ID, event.Outcome.Attempt, event.Outcome.Latency)
+	case wire.Answer:
+		i.balancer.HandleOutcome(now, event.Outcome)
+	case wire.CancelledByClient:
+		i.balancer.HandleClientGone(now, event.Outcome.ID)
+	case wire.TimeoutFired:
+		i.balancer.HandleTimer(now, event.TimerToken)
+	case wire.HealthResult:
+		i.balancer.HandleProbe(now, event.Endpoint, event.Status, event.Latency, event.LoadReport)
+	}
+}
+
+// Send writes a deliver record. The simulator's rules go by the instant of the record, so the latest time to connect is
+// not passed on: the attempt has the time until the client's deadline.
 func (i *instance) Send(id uint64, endpoint uint32, _ balancer.Micros) {
 	i.reply.Deliver(id, endpoint, 0)
 }
