--- /dev/null
+++ b/cmd/simhost/helpers_test.go
@@ -0,0 +1,138 @@
+package main
+
+import (
+	"bytes"
+	"encoding/binary"
+	"testing"
+)
+
+// Codes of the protocol.
+const (
+	codeBegin        = 16
+	codeMembership   = 17
+	codeRequest      = 18
+	codeAnswer       = 20
+	codeTimeoutFired = 22
+	codeStop         = 25
+	codeManifest     = 26
+	codeInstance     = 27
+
+	codeDeliver   = 80
+	codeDecline   = 81
+	codeFail      = 82
+	codeException = 89
+	codeAs        = 92
+)
+
+// Values of fields.
+const (
+	listCached          = 3   // the kind of a membership record
+	statusEndpointError = 500 // of an answer record
+	notSettled          = 0   // of an answer record: the request has no final answer yet
+)
+
+const (
+	batchHeaderSize  = 16
+	replyHeaderSize  = 12
+	recordHeaderSize = 5
+)
+
+const validSettings = `classes.count=1
+classes.0.give-up=500000
+classes.0.repeat=pure
+classes.0.target=250000
+contract.cold-from=0.2
+contract.ramp-time=1000000
+limits.most-tries=3
+limits.probes=true
+limits.cancel=true
+reporting.fields=busy_reqs
+reporting.how=probe
+`
+
+// record returns a record of fixed-size values and strings.
+func record(code byte, fields ...any) []byte {
+	var body bytes.Buffer
+	for _, field := range fields {
+		if text, ok := field.(string); ok {
+			field = []byte(text)
+		}
+		if err := binary.Write(&body, binary.BigEndian, field); err != nil {
+			panic(err)
+		}
+	}
+	header := binary.BigEndian.AppendUint32([]byte{code}, uint32(body.Len()))
+	return append(header, body.Bytes()...)
+}
+
+func batch(number uint32, now uint64, records ...[]byte) []byte {
+	body := bytes.Join(records, nil)
+	b := binary.BigEndian.AppendUint32(nil, number)
+	b = binary.BigEndian.AppendUint32(b, uint32(batchHeaderSize+len(body)))
+	b = binary.BigEndian.AppendUint64(b, now)
+	return append(b, body...)
+}
+
+func instanceRecord(number uint32) []byte { return record(codeInstance, number) }
+
+func begin(settings string) []byte {
+	return record(codeBegin, uint64(5), uint32(len(settings)), settings)
+}
+
+func manifest(list uint8, ids ...uint32) []byte {
+	fields := []any{list, uint32(len(ids))}
+	for _, id := range ids {
+		fields = append(fields, id, uint8(0), uint8(0), uint16(0), uint8(0), float32(1), uint64(0))
+	}
+	return record(codeManifest, fields...)
+}
+
+func membership(list, kind uint8) []byte { return record(codeMembership, uint32(1), list, kind) }
+
+func request(id uint64, deadline uint64) []byte {
+	return record(codeRequest, id, uint64(0), deadline, uint32(0), uint8(0), uint16(0), uint8(0))
+}
+
+func answer(id uint64, endpoint uint32, status uint16, settled uint8) []byte {
+	return record(codeAnswer, id, uint16(0), endpoint, status, uint32(3000), settled, uint8(0))
+}
+
+func timeoutFired(token uint32) []byte { return record(codeTimeoutFired, token) }
+
+// runBatches runs the command on batches until the end of input.
+func runBatches(batches ...[]byte) (replies, stderr string, err error) {
+	var out, log bytes.Buffer
+	err = run(bytes.NewReader(bytes.Join(batches, nil)), &out, &log)
+	return out.String(), log.String(), err
+}
+
+// readReply checks the sizes in a reply, and returns its batch number and the codes of its records.
+func readReply(t *testing.T, reply []byte) (number uint32, codes []byte) {
+	t.Helper()
+	if int(binary.BigEndian.Uint32(reply[4:])) != len(reply) {
+		t.Fatalf("reply of %d bytes says %d", len(reply), binary.BigEndian.Uint32(reply[4:]))
+	}
+	for at := replyHeaderSize; at < len(reply); {
+		codes = append(codes, reply[at])
+		at += recordHeaderSize + int(binary.BigEndian.Uint32(reply[at+1:]))
+	}
+	if int(binary.BigEndian.Uint32(reply[8:])) != len(codes) {
+		t.Fatalf("%d records, header says %d", len(codes), binary.BigEndian.Uint32(reply[8:]))
+	}
+	return binary.BigEndian.Uint32(reply), codes
+}
+
+// countRecords returns how often each record occurs in a run of replies.
+func countRecords(replies string) map[string]int {
+	counts := map[string]int{}
+	for remaining := []byte(replies); len(remaining) > 0; {
+		size := int(binary.BigEndian.Uint32(remaining[4:]))
+		for at := replyHeaderSize; at < size; {
+			recordSize := recordHeaderSize + int(binary.BigEndian.Uint32(remaining[at+1:]))
+			counts[string(remaining[at:at+recordSize])]++
+			at += recordSize
+		}
+		remaining = remaining[size:]
+	}
+	return counts
+}
--- a/internal/wire/frame_test.go
+++ b/internal/wire/frame_test.go
@@ -7,20 +7,39 @@
 	"testing"
 )
 
-func TestMalformedFrames(t *testing.T) {
+func TestReadFrameReportsMalformedFrames(t *testing.T) {
 	for name, text := range map[string]string{
 		"header cut":            "0000000c 000000",
 		"size under the header": "0000000c 0000000f 0000000000805c5a",
 		"frame cut":             "0000000c 00000020 0000000000805c5a 00",
 		"size of gigabytes":     "0000000c ffffffff 0000000000805c5a 00",
 	} {
-		_, err := ReadFrame(bytes.NewReader(unhex(t, text)), nil)
-		var bad *FrameError
-		if !errors.As(err, &bad) {
-			t.Errorf("%s: %v", name, err)
-		}
+		t.Run(name, func(t *testing.T) {
+			_, err := ReadFrame(bytes.NewReader(unhex(t, text)), nil)
+			var malformed *FrameError
+			if !errors.As(err, &malformed) {
+				t.Error(err)
+			}
+		})
 	}
+}
+
+func TestReadFrameReturnsEOFAtCleanEnd(t *testing.T) {
 	if _, err := ReadFrame(bytes.NewReader(nil), nil); !errors.Is(err, io.EOF) {
 		t.Errorf("clean end: %v", err)
 	}
 }
+
+// A frame larger than the buffer and than one step of reading arrives complete, and its buffer serves the next one.
+func TestReadFrameGrowsItsBuffer(t *testing.T) {
+	large := frame(bytes.Repeat([]byte{7}, 2*readStep+5))
+	buffer, err := ReadFrame(bytes.NewReader(large), nil)
+	if err != nil || !bytes.Equal(buffer, large) {
+		t.Fatalf("%d of %d bytes: %v", len(buffer), len(large), err)
+	}
+	small := frame([]byte{25, 0, 0, 0, 0})
+	next, err := ReadFrame(bytes.NewReader(small), buffer)
+	if err != nil || !bytes.Equal(next, small) || &next[0] != &buffer[0] {
+		t.Errorf("%x: %v", next, err)
+	}
+}
--- a/internal/wire/frozen_test.go
+++ b/internal/wire/frozen_test.go
@@ -10,7 +10,7 @@
 )
 
 // The numbers and names of records are the simulator's.
-func TestCodesAreThoseOfTheWire(t *testing.T) {
+func TestCodesMatchProtocol(t *testing.T) {
 	for number, name := range map[uint8]string{
 		16: "begin", 17: "membership", 18: "request", 19: "headers", 20: "answer", 21: "cancelled_by_client",
 		22: "timeout_fired", 23: "health_result", 24: "whisper", 25: "stop", 26: "manifest", 27: "instance",
@@ -40,7 +40,7 @@
 
 // Every key of the settings is read as by the release before. The names in testdata/settings.json are those under
 // which a configuration's hash counts a setting: sidecars of both releases must show the same hash.
-func TestSettingsKeysAreThoseOfTheWire(t *testing.T) {
+func TestSettingsKeysMatchProtocol(t *testing.T) {
 	text, err := os.ReadFile("testdata/settings.txt")
 	if err != nil {
 		t.Fatal(err)
@@ -62,10 +62,12 @@
 	}
 }
 
-// How an attempt ended, by the codes of the wire.
-func TestStatusesAreThoseOfTheWire(t *testing.T) {
-	for code, want := range map[uint16]balancer.Status{200: balancer.OK, 500: balancer.EndpointError, 503: balancer.Rejected,
-		504: balancer.Timeout, 502: balancer.ConnectFailed, 598: balancer.Reset, 499: balancer.Cancelled, 410: balancer.NotSent} {
+// The status codes are the simulator's.
+func TestStatusesMatchProtocol(t *testing.T) {
+	for code, want := range map[uint16]balancer.Status{
+		200: balancer.OK, 500: balancer.EndpointError, 503: balancer.Rejected, 504: balancer.Timeout,
+		502: balancer.ConnectFailed, 598: balancer.Reset, 499: balancer.Cancelled, 410: balancer.NotSent,
+	} {
 		r := recordReader{data: []byte{byte(code >> 8), byte(code)}}
 		if got := r.status(); got != want || r.err != nil {
 			t.Errorf("status %d is %v (%v), want %v", code, got, r.err, want)
--- a/internal/wire/settings_test.go
+++ b/internal/wire/settings_test.go
@@ -9,7 +9,7 @@
 	"oakproxy/balancer"
 )
 
-const goodSettings = `areas=a,b
+const validSettings = `areas=a,b
 classes.count=2
 classes.0.name=x
 classes.0.give-up=500000
@@ -36,34 +36,42 @@
 value-by=work
 `
 
-func TestSettings(t *testing.T) {
-	s, err := ParseSettings(goodSettings)
+func TestParseSettings(t *testing.T) {
+	s, err := ParseSettings(validSettings)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if len(s.Classes) != 2 || s.Classes[1].Idempotency != balancer.IdempotentWithKey || s.Classes[1].DeduplicationScope != balancer.ScopeZone ||
-		s.Classes[1].DeduplicationWindow != 400000 || !s.SubscribeToDiscovery || !s.WeightByWork || s.Zones != 2 || s.Limits.MaxAttempts != 3 ||
+	if len(s.Classes) != 2 || s.Classes[1].Idempotency != balancer.IdempotentWithKey ||
+		s.Classes[1].DeduplicationScope != balancer.ScopeZone || s.Classes[1].DeduplicationWindow != 400000 ||
+		!s.SubscribeToDiscovery || !s.WeightByWork || s.Zones != 2 || s.Limits.MaxAttempts != 3 ||
 		s.Goal.Overall != 0.6 || s.Tenants[0].QuotaRate != 137 || s.Prices.Probe != 0.002 {
 		t.Errorf("%+v", s)
 	}
-	if len(s.ReportFields) != 3 || s.ReportFields[0] != balancer.FieldInFlight || s.ReportFields[2] != balancer.FieldUnknown {
+	if len(s.ReportFields) != 3 || s.ReportFields[0] != balancer.FieldInFlight ||
+		s.ReportFields[2] != balancer.FieldUnknown {
 		t.Errorf("fields %v", s.ReportFields)
 	}
 	if _, err := balancer.New(s, 1, nil); err != nil {
-		t.Errorf("the constructor refuses them: %v", err)
+		t.Errorf("the constructor rejects them: %v", err)
 	}
-	if s, err = ParseSettings(strings.Replace(goodSettings, "how=probe", "how=none", 1)); err != nil || s.ReportFields != nil {
-		t.Errorf("no reports: %v %v", s.ReportFields, err)
+}
+
+func TestParseSettingsWithoutLoadReports(t *testing.T) {
+	s, err := ParseSettings(strings.Replace(validSettings, "how=probe", "how=none", 1))
+	if err != nil || s.ReportFields != nil {
+		t.Errorf("fields %v, error %v", s.ReportFields, err)
 	}
 }
 
-// Lists are as long as the numbers allow by which requests name their items.
-func TestLongSettings(t *testing.T) {
+// Lists are at most as long as the numbers allow by which requests name their items.
+func TestParseSettingsLimitsLists(t *testing.T) {
 	const tenants, classes, sidecars = 1 << 16, 1 << 8, 1 << 16
 	var text strings.Builder
-	fmt.Fprintf(&text, "peers-total=%d\nposition=%d\nclasses.count=%d\ntenants.count=%d\n", sidecars, sidecars-1, classes, tenants)
+	fmt.Fprintf(&text, "peers-total=%d\nposition=%d\n", sidecars, sidecars-1)
+	fmt.Fprintf(&text, "classes.count=%d\ntenants.count=%d\n", classes, tenants)
 	for i := range classes {
-		fmt.Fprintf(&text, "classes.%d.name=c%d\nclasses.%d.target=1000\nclasses.%d.give-up=2000\nclasses.%d.repeat=pure\n", i, i, i, i, i)
+		fmt.Fprintf(&text, "classes.%[1]d.name=c%[1]d\nclasses.%[1]d.target=1000\nclasses.%[1]d.give-up=2000\n"+
+			"classes.%[1]d.repeat=pure\n", i)
 	}
 	for i := range tenants {
 		fmt.Fprintf(&text, "tenants.%d.name=t%d\ntenants.%d.share=0.25\n", i, i, i)
@@ -77,19 +85,20 @@
 		t.Errorf("%d tenants, %d classes, %d sidecars", len(s.Tenants), len(s.Classes), s.Balancers)
 	}
 	if _, err := balancer.New(s, 1, nil); err != nil {
-		t.Errorf("the constructor refuses them: %v", err)
+		t.Errorf("the constructor rejects them: %v", err)
 	}
-	for key, most := range map[string]int{"tenants": tenants, "classes": classes} {
-		short := strings.Replace(text.String(), fmt.Sprintf("%s.count=%d", key, most), fmt.Sprintf("%s.count=%d", key, most+1), 1)
-		var bad *balancer.SettingError
-		if _, err := ParseSettings(short); !errors.As(err, &bad) || bad.Key != key+".count" {
-			t.Errorf("%d %s: %v", most+1, key, err)
+	for list, limit := range map[string]int{"tenants": tenants, "classes": classes} {
+		count, beyond := fmt.Sprintf("%s.count=%d", list, limit), fmt.Sprintf("%s.count=%d", list, limit+1)
+		var invalid *balancer.SettingError
+		_, err := ParseSettings(strings.Replace(text.String(), count, beyond, 1))
+		if !errors.As(err, &invalid) || invalid.Key != list+".count" {
+			t.Errorf("%d %s: %v", limit+1, list, err)
 		}
 	}
 }
 
-func TestBadSettings(t *testing.T) {
-	for _, c := range []struct{ old, new, key string }{
+func TestParseSettingsNamesTheInvalidKey(t *testing.T) {
+	for _, test := range []struct{ old, new, key string }{
 		{"classes.count=2", "classes.count=3", "classes.count"},
 		{"classes.count=2\n", "", "classes.count"},
 		{"classes.count=2", "classes.count=-1", "classes.count"},
@@ -101,15 +110,19 @@
 		{"discovery=subscribe", "discovery=magic", "discovery"},
 		{"value-by=work", "no pair", "line 25"},
 	} {
-		text := strings.Replace(goodSettings, c.old, c.new, 1)
-		_, err := ParseSettings(text)
-		var bad *balancer.SettingError
-		if !errors.As(err, &bad) || bad.Key != c.key {
-			t.Errorf("%s -> %s: %v", c.old, c.new, err)
-		}
+		t.Run(test.key+" "+test.new, func(t *testing.T) {
+			_, err := ParseSettings(strings.Replace(validSettings, test.old, test.new, 1))
+			var invalid *balancer.SettingError
+			if !errors.As(err, &invalid) || invalid.Key != test.key {
+				t.Error(err)
+			}
+		})
 	}
-	// Values that parse but make no sense are the constructor's to refuse.
-	s, err := ParseSettings(strings.Replace(goodSettings, "window=400000", "window=-1", 1))
+}
+
+// Values that parse but make no sense are left to the balancer's constructor to reject.
+func TestParseSettingsLeavesMeaningToTheBalancer(t *testing.T) {
+	s, err := ParseSettings(strings.Replace(validSettings, "window=400000", "window=-1", 1))
 	if err != nil {
 		t.Fatal(err)
 	}
