--- a/internal/wire/lists.go
+++ b/internal/wire/lists.go
@@ -13,27 +13,6 @@
 // weight (4), start time (8).
 const manifestEntrySize = sizeU32 + sizeU8 + sizeU8 + sizeU16 + sizeU8 + sizeU32 + sizeU64
 
-// endpointStates maps the protocol's codes of endpoint states.
-var endpointStates = [...]struct {
-	code  uint8
-	state balancer.EndpointState
-}{
-	{0, balancer.Ready},
-	{1, balancer.Draining},
-	{3, balancer.Removed},
-}
-
-// listUpdates maps the protocol's kinds of membership record.
-var listUpdates = [...]struct {
-	code   uint8
-	update balancer.ListUpdate
-}{
-	{0, balancer.ListDelta},
-	{2, balancer.ListFailed},
-	{3, balancer.ListCached},
-	{4, balancer.ListFull},
-}
-
 // endpointLists caches the endpoint lists of manifest records by number. A list belongs to no instance and stands until
 // a later manifest replaces it, which may be in the same batch: numbers are resolved in the order of events.
 type endpointLists struct {
@@ -76,24 +55,20 @@
 
 func (r *recordReader) endpointState() balancer.EndpointState {
 	code := r.u8()
-	for _, s := range &endpointStates {
-		if s.code == code {
-			return s.state
-		}
+	state, known := endpointStates.find(code)
+	if !known {
+		r.failBack(sizeU8, fmt.Sprintf("unknown endpoint status %d", code))
 	}
-	r.failBack(sizeU8, fmt.Sprintf("unknown endpoint status %d", code))
-	return balancer.Ready
+	return state
 }
 
 func (r *recordReader) listUpdate() balancer.ListUpdate {
 	code := r.u8()
-	for _, u := range &listUpdates {
-		if u.code == code {
-			return u.update
-		}
+	update, known := listUpdates.find(code)
+	if !known {
+		r.failBack(sizeU8, fmt.Sprintf("unknown kind %d", code))
 	}
-	r.failBack(sizeU8, fmt.Sprintf("unknown kind %d", code))
-	return balancer.ListDelta
+	return update
 }
 
 // membership reads which list an instance is notified of, and looks it up: 5 version (4), 9 list number (1),
--- a/internal/wire/record.go
+++ b/internal/wire/record.go
@@ -86,12 +86,13 @@
 // micros reads a duration of 4 bytes.
 func (r *recordReader) micros() balancer.Micros { return balancer.Micros(r.u32()) }
 
-// status reads how an attempt or a probe ended.
+// status reads how an attempt or a probe ended; an unknown status is no success.
 func (r *recordReader) status() balancer.Status {
 	code := r.u16()
-	status, ok := statusOf(code)
-	if !ok {
+	status, known := statuses.find(code)
+	if !known {
 		r.failBack(sizeU16, fmt.Sprintf("unknown status %d", code))
+		return balancer.EndpointError
 	}
 	return status
 }
