--- a/internal/httpmsg/headscan.go
+++ b/internal/httpmsg/headscan.go
@@ -16,31 +16,31 @@
 }
 
 var (
-	lengthName = []byte("content-length:")
-	codingName = []byte("transfer-encoding:")
-	endName    = []byte("connection:")
+	contentLengthName    = []byte("content-length:")
+	transferEncodingName = []byte("transfer-encoding:")
+	connectionName       = []byte("connection:")
 )
 
-// lineKept is as much of a line as is looked at.
-const lineKept = 64
+// maxLinePrefix is as much of a line as is looked at.
+const maxLinePrefix = 64
 
 func (h *HeadScanner) Scan(p []byte) {
 	start := h.Size
 	h.Size += int64(len(p))
 	for rest := p; h.HeadSize == 0 && len(rest) > 0; {
 		line, after, ended := bytes.Cut(rest, []byte("\n"))
-		if room := lineKept - len(h.line); room > 0 {
+		if room := maxLinePrefix - len(h.line); room > 0 {
 			h.line = append(h.line, line[:min(room, len(line))]...)
 		}
 		if rest = after; !ended {
 			return
 		}
 		lower := bytes.ToLower(bytes.TrimSuffix(h.line, []byte("\r")))
-		if bytes.HasPrefix(lower, lengthName) {
+		if bytes.HasPrefix(lower, contentLengthName) {
 			h.ContentLengths++
 		}
-		h.TransferEncoding = h.TransferEncoding || bytes.HasPrefix(lower, codingName)
-		if value, ok := bytes.CutPrefix(lower, endName); ok {
+		h.TransferEncoding = h.TransferEncoding || bytes.HasPrefix(lower, transferEncodingName)
+		if value, ok := bytes.CutPrefix(lower, connectionName); ok {
 			h.ConnectionClose = h.ConnectionClose || bytes.Contains(value, []byte("close"))
 		}
 		// net/http skips empty lines ahead of a request.
--- a/internal/upstream/attempt_test.go
+++ b/internal/upstream/attempt_test.go
@@ -75,7 +75,7 @@
 		u.open = 1
 		ctx, cancel := context.WithTimeout(t.Context(), sidecartest.Patience)
 		_, got := u.exchange(ctx, newConn(&failingRead{err: err}, at), get("/"), &Gate{})
-		if status := failure(ctx, got); status != balancer.Reset || !errors.Is(got, errno) || u.Counts().Open != 0 {
+		if status := failureStatus(ctx, got); status != balancer.Reset || !errors.Is(got, errno) || u.Counts().Open != 0 {
 			t.Errorf("%v: %v (%v), %d connections open; want a reset", errno, status, got, u.Counts().Open)
 		}
 		cancel()
@@ -120,14 +120,14 @@
 	c := &conn{Conn: ours}
 	got := make(chan []byte)
 	go func() {
-		in := make([]byte, 2*maxWriteAtOnce)
-		n, _ := theirs.Read(in[:maxWriteAtOnce])
+		in := make([]byte, 2*maxBufferedWrite)
+		n, _ := theirs.Read(in[:maxBufferedWrite])
 		time.Sleep(2 * maxWriteLag)
 		rest, _ := io.ReadAll(theirs)
 		got <- append(in[:n], rest...)
 	}()
-	data := bytes.Repeat([]byte("x"), 2*maxWriteAtOnce)
-	if err := c.writeRequest(data); !errors.Is(err, errLate) {
+	data := bytes.Repeat([]byte("x"), 2*maxBufferedWrite)
+	if err := c.writeRequest(data); !errors.Is(err, errTooLate) {
 		t.Errorf("the write ended with %v", err)
 	}
 	ours.Close()
@@ -143,7 +143,7 @@
 		for e.Next(in) != nil {
 			for _, b := range []byte(sidecartest.Served) {
 				conn.Write([]byte{b})
-				time.Sleep(2 * answerRest / time.Duration(len(sidecartest.Served)))
+				time.Sleep(2 * responseStallTimeout / time.Duration(len(sidecartest.Served)))
 			}
 		}
 	})
--- a/internal/upstream/client.go
+++ b/internal/upstream/client.go
@@ -30,15 +30,15 @@
 	Dialer     net.Dialer
 	maxIdle    time.Duration // idle connections are not used for longer,
 	ReuseDelay time.Duration // nor for so long after an answer
-	Report     atomic.Pointer[reportFormat]
+	Report     atomic.Pointer[ReportFormat]
 	Bodies     *httpmsg.MemoryBudget // for the bodies of answers
 
-	mu                  sync.Mutex
-	open                int // connections, those being dialled included
-	most                int
-	idle                map[*Endpoint][]*conn // by endpoint, the latest used last
-	dialTime            time.Duration
-	dials, failed, full uint64
+	mu                               sync.Mutex
+	open                             int // connections, those being dialled included
+	maxOpen                          int
+	idle                             map[*Endpoint][]*conn // by endpoint, the latest used last
+	dialTime                         time.Duration
+	dials, failedDials, limitReached uint64
 }
 
 // Result is what came of an attempt or a probe.
@@ -51,31 +51,31 @@
 	Length  int64       // of the whole, -1 if unknown
 	Release func()      // gives back the room for body
 	Load    []float32
-	Report  *reportFormat // that load is in
+	Report  *ReportFormat // that load is in
 	Took    time.Duration // from the write to the end, without the time to connect
 	Times   stages.AttemptTimes
 }
 
 // Reasons for which the sidecar itself sends nothing.
 var (
-	errClosed = errors.New("the endpoint is draining or gone")
-	errFull   = errors.New("no connection is left")
-	errStale  = errors.New("the idle connection is of no more use")
-	errOver   = errors.New("the time of a request that was passed on is up")
-	errEarly  = errors.New("an answer came before the request was written")
+	errEndpointClosed  = errors.New("the endpoint is draining or gone")
+	errConnectionLimit = errors.New("no connection is left")
+	errStaleConnection = errors.New("the idle connection is of no more use")
+	errResponseTimeout = errors.New("the time of a request that was passed on is up")
+	errEarlyResponse   = errors.New("an answer came before the request was written")
 )
 
 // unsentError says that the last byte of a request was never written.
 type unsentError struct{ error }
 
 func NewClient(cfg *config.Config, connections int, room *httpmsg.MemoryBudget) *Client {
-	u := &Client{ReuseDelay: answerPause, Bodies: room, most: connections, idle: map[*Endpoint][]*conn{}}
+	u := &Client{ReuseDelay: defaultReuseDelay, Bodies: room, maxOpen: connections, idle: map[*Endpoint][]*conn{}}
 	u.Configure(cfg)
 	return u
 }
 
-// reportFormat names the figures of a load report, in the order of Settings.Fields.
-type reportFormat struct{ fields []string }
+// ReportFormat names the figures of a load report, in the order of Settings.Fields.
+type ReportFormat struct{ fields []string }
 
 // Configure takes up what a configuration says of endpoints and connections to them.
 func (u *Client) Configure(cfg *config.Config) {
@@ -86,7 +86,7 @@
 	// latest, and what is written to it from then on is lost.
 	u.maxIdle = cfg.IdleTimeout * 3 / 4
 	if old := u.Report.Load(); old == nil || !slices.Equal(old.fields, cfg.ReportFields) {
-		u.Report.Store(&reportFormat{cfg.ReportFields})
+		u.Report.Store(&ReportFormat{cfg.ReportFields})
 	}
 }
 
@@ -94,13 +94,13 @@
 // that the request never ran only where the last byte was not written, or the
 // endpoint says so; in doubt it may have run.
 func (u *Client) Attempt(ctx context.Context, t *Endpoint, m *Request, g *Gate) Result {
-	var got *received
+	var got *exchangeResult
 	var start time.Time
-	err := error(errStale)
-	for err == errStale { // nothing has been sent on that connection
-		c, unable := u.connect(ctx, t, m.probe)
+	err := error(errStaleConnection)
+	for err == errStaleConnection { // nothing has been sent on that connection
+		c, unable := u.connect(ctx, t, m.isProbe)
 		if unable != nil {
-			return Result{Status: unsent(ctx, unable), Err: unable}
+			return Result{Status: unsentStatus(ctx, unable), Err: unable}
 		}
 		start = time.Now()
 		got, err = u.exchange(ctx, c, m, g)
@@ -108,16 +108,16 @@
 	r := Result{Status: balancer.EndpointError, Err: err, Took: time.Since(start)}
 	r.Times = stages.AttemptTimes{Connected: start, Received: start.Add(r.Took)}
 	if err != nil {
-		r.Status = failure(ctx, err)
+		r.Status = failureStatus(ctx, err)
 		return r
 	}
 	response := got.response
-	r.Times.Written = got.written
+	r.Times.Written = got.writtenAt
 	r.Load, r.Report = u.LoadReport(response.Header.Get("X-Backend-Load"))
 	switch code := response.StatusCode; {
 	case code == http.StatusOK:
 		r.Status, r.Header, r.Body = balancer.OK, response.Header, got.body
-		r.Rest, r.Length, r.Release = got.rest, response.ContentLength, got.held
+		r.Rest, r.Length, r.Release = got.stream, response.ContentLength, got.release
 	case (code == http.StatusServiceUnavailable || code == http.StatusGatewayTimeout) &&
 		response.Header.Get("X-Unprocessed") == "1":
 		r.Status = balancer.Rejected
@@ -125,13 +125,13 @@
 	return r
 }
 
-// failure is the outcome of an exchange that ended with an error.
-func failure(ctx context.Context, err error) balancer.Status {
+// failureStatus is the outcome of an exchange that ended with an error.
+func failureStatus(ctx context.Context, err error) balancer.Status {
 	var never *unsentError
 	switch {
 	case errors.As(err, &never):
-		return unsent(ctx, never.error)
-	case err == errOver || over(ctx):
+		return unsentStatus(ctx, never.error)
+	case err == errResponseTimeout || deadlinePassed(ctx):
 		return balancer.Timeout
 	case ctx.Err() != nil:
 		return balancer.Cancelled
@@ -139,20 +139,20 @@
 	return balancer.Reset // a broken, cut or malformed answer: the connection is of no more use
 }
 
-// over says that an attempt's time is up, by the clock: the balancer's own timer
+// deadlinePassed says that an attempt's time is up, by the clock: the balancer's own timer
 // for that instant may have called the attempt off already, but to be told of a
 // cancellation in place of a time-out would hide the endpoint's silence from it.
-func over(ctx context.Context) bool {
+func deadlinePassed(ctx context.Context) bool {
 	until, ok := ctx.Deadline()
 	return ok && !time.Now().Before(until)
 }
 
-// unsent is the outcome of a request that was not written: the endpoint's
+// unsentStatus is the outcome of a request that was not written: the endpoint's
 // fault, unless this machine lacked something, the sidecar no longer wanted to send it, or the client to write it.
-func unsent(ctx context.Context, err error) balancer.Status {
+func unsentStatus(ctx context.Context, err error) balancer.Status {
 	var client *clientError
-	own := slices.ContainsFunc([]error{errClosed, errFull, errStopped, errGone, errLate}, func(e error) bool { return errors.Is(err, e) })
-	if own || system.IsShortage(err) || ctx.Err() != nil || over(ctx) || errors.As(err, &client) {
+	own := slices.ContainsFunc([]error{errEndpointClosed, errConnectionLimit, errUploadStopped, errClientGone, errTooLate}, func(e error) bool { return errors.Is(err, e) })
+	if own || system.IsShortage(err) || ctx.Err() != nil || deadlinePassed(ctx) || errors.As(err, &client) {
 		return balancer.NotSent
 	}
 	return balancer.ConnectFailed
@@ -163,7 +163,7 @@
 func (u *Client) Probe(ctx context.Context, t *Endpoint) Result {
 	ctx, cancel := context.WithTimeout(ctx, probeTimeout)
 	defer cancel()
-	m := &Request{Method: http.MethodGet, URL: &url.URL{Path: "/health/live"}, Host: t.Address, probe: true}
+	m := &Request{Method: http.MethodGet, URL: &url.URL{Path: "/health/live"}, Host: t.Address, isProbe: true}
 	if len(u.Report.Load().fields) > 0 {
 		m.URL.Path = "/stats"
 	}
--- a/internal/upstream/client_test.go
+++ b/internal/upstream/client_test.go
@@ -254,7 +254,7 @@
 		}
 	}
 	attempt()
-	u.idle[at][0].idleAt = time.Now().Add(-u.maxIdle)
+	u.idle[at][0].idleSince = time.Now().Add(-u.maxIdle)
 	attempt()
 	if _, conns := e.Seen(); conns != 2 {
 		t.Errorf("%d connections, want a second one after the idle time", conns)
@@ -263,7 +263,7 @@
 	if u.open != 1 {
 		t.Errorf("the sweep left %d connections open, want the one in use lately", u.open)
 	}
-	u.idle[at][0].idleAt = time.Now().Add(-u.maxIdle)
+	u.idle[at][0].idleSince = time.Now().Add(-u.maxIdle)
 	u.Prune()
 	if u.open != 0 || len(u.idle[at]) != 0 {
 		t.Errorf("the sweep left %d open connections", u.open)
@@ -310,7 +310,7 @@
 				t.Fatalf("%d connections are open, no other one can be: %v", u.open, err)
 			}
 		}
-		if _, err := u.reserve(at, c.probe); err != errFull {
+		if _, err := u.reserve(at, c.probe); err != errConnectionLimit {
 			t.Errorf("case %d: %d of 8 connections are open, and one more: %v", i, u.open, err)
 		}
 		if r := u.Probe(t.Context(), at); r.Status != balancer.NotSent {
@@ -492,7 +492,7 @@
 		e := sidecartest.NewEndpoint(t, func(e *sidecartest.Endpoint, conn net.Conn, in *bufio.Reader) {
 			for e.Next(in) != nil {
 				io.WriteString(conn, first)
-				time.Sleep(2 * answerRest)
+				time.Sleep(2 * responseStallTimeout)
 				io.WriteString(conn, sidecartest.Served)
 			}
 		})
--- a/internal/upstream/gate.go
+++ b/internal/upstream/gate.go
@@ -22,38 +22,38 @@
 
 // The phases of a gate: it is passed or shut once, and for good.
 const (
-	waiting int32 = iota
-	passed
-	shut
+	gateWaiting int32 = iota
+	gatePassed
+	gateClosed
 )
 
 // Reasons for which nothing may begin.
 var (
-	errGone = errors.New("the client has left, or its request is over")
-	errLate = errors.New("it may no longer be sent")
+	errClientGone = errors.New("the client has left, or its request is over")
+	errTooLate    = errors.New("it may no longer be sent")
 )
 
 // Close keeps an attempt from beginning and says whether that came in time.
-func (g *Gate) Close() bool { return g.phase.CompareAndSwap(waiting, shut) }
+func (g *Gate) Close() bool { return g.phase.CompareAndSwap(gateWaiting, gateClosed) }
 
-// pass says whether the first byte may go out on a connection to t, or why not.
-func (u *Client) pass(ctx context.Context, g *Gate, t *Endpoint) error {
+// passGate says whether the first byte may go out on a connection to t, or why not.
+func (u *Client) passGate(ctx context.Context, g *Gate, t *Endpoint) error {
 	u.mu.Lock()
 	closed := t.closed
 	u.mu.Unlock()
 	switch {
 	case closed:
-		return errClosed
+		return errEndpointClosed
 	case ctx.Err() != nil:
 		return ctx.Err()
-	case over(ctx):
+	case deadlinePassed(ctx):
 		return context.DeadlineExceeded
 	case !g.NotAfter.IsZero() && !time.Now().Before(g.NotAfter):
-		return errLate
+		return errTooLate
 	case g.ClientGone != nil && g.ClientGone():
-		return errGone
-	case !g.phase.CompareAndSwap(waiting, passed):
-		return errGone
+		return errClientGone
+	case !g.phase.CompareAndSwap(gateWaiting, gatePassed):
+		return errClientGone
 	}
 	return nil
 }
--- a/internal/upstream/loadreport.go
+++ b/internal/upstream/loadreport.go
@@ -13,7 +13,7 @@
 // LoadReport reads name=value pairs into the order of the settings. A figure
 // that is missing, repeated, malformed or beyond all sense is not a number,
 // which the balancer skips: it keeps what it knew.
-func (u *Client) LoadReport(text string) ([]float32, *reportFormat) {
+func (u *Client) LoadReport(text string) ([]float32, *ReportFormat) {
 	report := u.Report.Load()
 	if text == "" || len(report.fields) == 0 {
 		return nil, report
--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -14,8 +14,8 @@
 // The connections to endpoints: how many there are, and which one a request or a probe takes.
 
 const (
-	answerPause = 20 * time.Millisecond // a connection rests after an answer: a second one comes some milliseconds late
-	probeSpares = 4                     // one in so many connections is left to requests
+	defaultReuseDelay   = 20 * time.Millisecond // a connection rests after an answer: a second one comes some milliseconds late
+	probeReserveDivisor = 4                     // one in so many connections is left to requests
 )
 
 // Counts tells of connections to endpoints: those open now and, since the start, those dialled, those that
@@ -29,7 +29,7 @@
 func (u *Client) Counts() Counts {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	return Counts{u.open, u.dialTime, u.dials, u.failed, u.full}
+	return Counts{u.open, u.dialTime, u.dials, u.failedDials, u.limitReached}
 }
 
 // Endpoint is one life of an endpoint at one address. It is closed for good once
@@ -43,13 +43,13 @@
 // conn is a connection that carries one request at a time.
 type conn struct {
 	net.Conn
-	target *Endpoint
-	reader *bufio.Reader
-	limit  io.LimitedReader // of an answer
-	ctx    context.Context  // of the attempt
-	stall  time.Duration    // without a byte, until a read is given up; 0: no limit
-	idleAt time.Time
-	used   bool // it has carried a request before
+	endpoint     *Endpoint
+	reader       *bufio.Reader
+	limit        io.LimitedReader // of an answer
+	ctx          context.Context  // of the attempt
+	stallTimeout time.Duration    // without a byte, until a read is given up; 0: no limit
+	idleSince    time.Time
+	used         bool // it has carried a request before
 }
 
 // connect returns the connection to t that was used last, or opens one.
@@ -69,7 +69,7 @@
 	u.dialTime += time.Since(start)
 	if err != nil {
 		u.open--
-		u.failed++
+		u.failedDials++
 	}
 	u.mu.Unlock()
 	if err != nil {
@@ -79,9 +79,9 @@
 }
 
 func newConn(raw net.Conn, t *Endpoint) *conn {
-	c := &conn{Conn: raw, target: t}
+	c := &conn{Conn: raw, endpoint: t}
 	c.limit.R = c
-	c.reader = bufio.NewReaderSize(&c.limit, maxAnswerHeadBytes)
+	c.reader = bufio.NewReaderSize(&c.limit, maxResponseHeadBytes)
 	return c
 }
 
@@ -98,35 +98,35 @@
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	if t.closed {
-		return nil, errClosed
+		return nil, errEndpointClosed
 	}
-	if c := u.takeIdle(t); c != nil {
+	if c := u.popIdle(t); c != nil {
 		return c, nil
 	}
-	maxOpen := u.most
+	maxOpen := u.maxOpen
 	if probe {
-		maxOpen -= maxOpen / probeSpares
+		maxOpen -= maxOpen / probeReserveDivisor
 	}
 	if u.open >= maxOpen {
-		u.dropAnyIdle()
+		u.closeAnyIdle()
 	}
 	if u.open >= maxOpen {
-		u.full++
-		return nil, errFull
+		u.limitReached++
+		return nil, errConnectionLimit
 	}
 	u.open++
 	u.dials++
 	return nil, nil
 }
 
-// takeIdle returns the connection to t that was used last of those that have rested, or nil, and closes those
+// popIdle returns the connection to t that was used last of those that have rested, or nil, and closes those
 // that are of no more use. What was answered just now may get a second answer, which would be taken for that of
 // the next request: it rests. It holds u.mu.
-func (u *Client) takeIdle(t *Endpoint) *conn {
+func (u *Client) popIdle(t *Endpoint) *conn {
 	for {
 		list := u.idle[t]
 		latest := len(list) - 1
-		for latest >= 0 && time.Since(list[latest].idleAt) < u.ReuseDelay {
+		for latest >= 0 && time.Since(list[latest].idleSince) < u.ReuseDelay {
 			latest--
 		}
 		if latest < 0 {
@@ -134,17 +134,17 @@
 		}
 		c := list[latest]
 		u.setIdle(t, slices.Delete(list, latest, latest+1))
-		if time.Since(c.idleAt) < u.maxIdle && c.alive() {
+		if time.Since(c.idleSince) < u.maxIdle && c.alive() {
 			return c
 		}
-		u.drop(c)
+		u.closeConn(c)
 	}
 }
 
-// dropAnyIdle closes an idle connection, if there is one, to make room for another. It holds u.mu.
-func (u *Client) dropAnyIdle() {
+// closeAnyIdle closes an idle connection, if there is one, to make room for another. It holds u.mu.
+func (u *Client) closeAnyIdle() {
 	for t := range u.idle {
-		u.dropOldest(t, 1)
+		u.closeOldest(t, 1)
 		return
 	}
 }
@@ -153,23 +153,23 @@
 func (u *Client) SetMaxConnections(most int) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	u.most = most
+	u.maxOpen = most
 	for t, list := range u.idle {
-		u.dropOldest(t, max(0, min(len(list), u.open-most)))
+		u.closeOldest(t, max(0, min(len(list), u.open-most)))
 	}
 }
 
-// drop closes a connection. It holds u.mu.
-func (u *Client) drop(c *conn) {
+// closeConn closes a connection. It holds u.mu.
+func (u *Client) closeConn(c *conn) {
 	c.Close()
 	u.open--
 }
 
-// dropOldest closes the connections to t that have been idle for longest, so many of them. It holds u.mu.
-func (u *Client) dropOldest(t *Endpoint, count int) {
+// closeOldest closes the connections to t that have been idle for longest, so many of them. It holds u.mu.
+func (u *Client) closeOldest(t *Endpoint, count int) {
 	list := u.idle[t]
 	for _, c := range list[:count] {
-		u.drop(c)
+		u.closeConn(c)
 	}
 	// Not list[count:]: the array would keep the closed connections and their buffers.
 	u.setIdle(t, slices.Delete(list, 0, count))
@@ -188,12 +188,12 @@
 func (u *Client) release(c *conn, keep bool) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	if !keep || c.target.closed {
-		u.drop(c)
+	if !keep || c.endpoint.closed {
+		u.closeConn(c)
 		return
 	}
-	c.idleAt, c.used = time.Now(), true
-	u.idle[c.target] = append(u.idle[c.target], c)
+	c.idleSince, c.used = time.Now(), true
+	u.idle[c.endpoint] = append(u.idle[c.endpoint], c)
 }
 
 // Retire closes a target for good, and its idle connections. What is out there
@@ -203,7 +203,7 @@
 	defer u.mu.Unlock()
 	t.closed = true
 	for _, c := range u.idle[t] {
-		u.drop(c)
+		u.closeConn(c)
 	}
 	delete(u.idle, t)
 }
@@ -214,10 +214,10 @@
 	defer u.mu.Unlock()
 	for t, list := range u.idle {
 		old := 0 // the longest idle come first
-		for old < len(list) && time.Since(list[old].idleAt) >= u.maxIdle {
+		for old < len(list) && time.Since(list[old].idleSince) >= u.maxIdle {
 			old++
 		}
-		u.dropOldest(t, old)
+		u.closeOldest(t, old)
 	}
 }
 
@@ -254,5 +254,5 @@
 func (u *Client) Limits() ConnectionLimits {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	return ConnectionLimits{u.Dialer.Timeout, u.maxIdle, u.most}
+	return ConnectionLimits{u.Dialer.Timeout, u.maxIdle, u.maxOpen}
 }
--- a/internal/upstream/request.go
+++ b/internal/upstream/request.go
@@ -14,13 +14,13 @@
 
 // Request is a request as it goes to endpoints, any number of times.
 type Request struct {
-	Method string
-	URL    *url.URL
-	Host   string
-	Header http.Header // X-Time-Left-Ms is written for each attempt
-	Body   []byte
-	Upload *Upload // what follows body while it comes; nil where that is all
-	probe  bool    // the sidecar's own
+	Method  string
+	URL     *url.URL
+	Host    string
+	Header  http.Header // X-Time-Left-Ms is written for each attempt
+	Body    []byte
+	Upload  *Upload // what follows body while it comes; nil where that is all
+	isProbe bool    // the sidecar's own
 }
 
 // encode writes the request with the time that this attempt has left, up to the
--- a/internal/upstream/upload.go
+++ b/internal/upstream/upload.go
@@ -37,18 +37,18 @@
 	Consumed   atomic.Bool  // some of it was read
 	ReachedEOF atomic.Bool  // its end was read
 
-	mu        sync.Mutex // held by whoever reads
-	Body      clientBody
-	WrittenAt time.Time // its last byte was passed on
-	came      time.Time // the bytes read last came to this machine
+	mu         sync.Mutex // held by whoever reads
+	Body       clientBody
+	WrittenAt  time.Time // its last byte was passed on
+	lastDataAt time.Time // the bytes read last came to this machine
 }
 
 // The phases of an upload. Once the last bytes may be out, the request may run; an
 // upload that was stopped before will never get there.
 const (
 	UploadStreaming int32 = iota
-	closing
-	stopped
+	uploadFinishing
+	uploadStopped
 )
 
 // clientError is an upload's end that is the client's doing.
@@ -56,18 +56,18 @@
 
 func (e *clientError) Unwrap() error { return e.error }
 
-var errStopped = errors.New("the request is over")
+var errUploadStopped = errors.New("the request is over")
 
 // Read reads for the attempt.
 func (u *Upload) Read(p []byte) (int, error) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	if u.Phase.Load() == stopped {
-		return 0, errStopped
+	if u.Phase.Load() == uploadStopped {
+		return 0, errUploadStopped
 	}
 	u.Consumed.Store(true)
 	n, err := u.Body.Read(p)
-	u.came = time.Now().Add(-u.Body.LastDataAge())
+	u.lastDataAt = time.Now().Add(-u.Body.LastDataAge())
 	if err == io.EOF {
 		u.ReachedEOF.Store(true)
 	} else if err != nil {
@@ -81,10 +81,10 @@
 }
 
 // Stop keeps the last bytes from being written, so that the request never runs, and reports whether that came in time.
-func (u *Upload) Stop() bool { return u.Phase.CompareAndSwap(UploadStreaming, stopped) }
+func (u *Upload) Stop() bool { return u.Phase.CompareAndSwap(UploadStreaming, uploadStopped) }
 
 // Deadline is when the client's time is up, once the last byte is written.
-func (u *Upload) Deadline() time.Time { return u.came.Add(u.TimeLeft) }
+func (u *Upload) Deadline() time.Time { return u.lastDataAt.Add(u.TimeLeft) }
 
 // Finish takes the body back from the attempt: nothing may read it once the handler is
 // done. It waits for a read that is on its way, which the client's pace bounds.
@@ -94,29 +94,29 @@
 	defer u.mu.Unlock()
 }
 
-// close comes before the last bytes are written. The endpoint was told the client's time as if it counted from then:
+// beginLastWrite comes before the last bytes are written. The endpoint was told the client's time as if it counted from then:
 // where the last bytes have waited for long, or the client for nothing, the request must not run.
-func (u *Upload) close() error {
-	if time.Since(u.came) > maxWriteLag || u.Body.ClientLeft() {
+func (u *Upload) beginLastWrite() error {
+	if time.Since(u.lastDataAt) > maxWriteLag || u.Body.ClientLeft() {
 		u.Stop()
 	}
-	if !u.Phase.CompareAndSwap(UploadStreaming, closing) {
-		return errStopped
+	if !u.Phase.CompareAndSwap(UploadStreaming, uploadFinishing) {
+		return errUploadStopped
 	}
 	return nil
 }
 
-// progress writes an upload to an endpoint, which takes each piece in time or is
+// uploadWriter writes an upload to an endpoint, which takes each piece in time or is
 // given up.
-type progress struct {
+type uploadWriter struct {
 	*conn
-	upload *Upload
-	left   int64 // until the last byte; below 0 if unknown
+	upload    *Upload
+	remaining int64 // until the last byte; below 0 if unknown
 }
 
-func (w *progress) Write(p []byte) (int, error) {
-	if w.left -= int64(len(p)); w.left == 0 {
-		if err := w.upload.close(); err != nil {
+func (w *uploadWriter) Write(p []byte) (int, error) {
+	if w.remaining -= int64(len(p)); w.remaining == 0 {
+		if err := w.upload.beginLastWrite(); err != nil {
 			return 0, err
 		}
 	}
@@ -127,11 +127,11 @@
 	return w.conn.Conn.Write(p)
 }
 
-// passOn writes the body to the endpoint: what is held, then what comes.
-func (m *Request) passOn(c *conn) error {
+// writeUpload writes the body to the endpoint: what is held, then what comes.
+func (m *Request) writeUpload(c *conn) error {
 	piece := httpmsg.ChunkBuffers.Get().(*[httpmsg.ChunkBytes]byte)
 	defer httpmsg.ChunkBuffers.Put(piece)
-	to := &progress{conn: c, upload: m.Upload, left: m.Upload.Length}
+	to := &uploadWriter{conn: c, upload: m.Upload, remaining: m.Upload.Length}
 	copied := func(to io.Writer) error {
 		if _, err := to.Write(m.Body); err != nil {
 			return err
@@ -141,7 +141,7 @@
 	}
 	if m.Upload.Length >= 0 {
 		err := copied(to)
-		if err == nil && to.left > 0 {
+		if err == nil && to.remaining > 0 {
 			err = &clientError{io.ErrUnexpectedEOF}
 		}
 		return err
@@ -150,7 +150,7 @@
 	if err := copied(chunks); err != nil {
 		return err
 	}
-	if err := m.Upload.close(); err != nil {
+	if err := m.Upload.beginLastWrite(); err != nil {
 		return err
 	}
 	if err := chunks.Close(); err != nil {
