--- a/internal/httpmsg/buffers.go
+++ b/internal/httpmsg/buffers.go
@@ -5,13 +5,18 @@
 	"time"
 )
 
-// Limits on messages that hold for requests and answers alike.
+// Limits on messages that hold for requests and responses alike.
 const (
-	MaxBodyBytes     = 64 << 20         // bytes of a request's or an answer's body
-	MaxBufferedBytes = 64 << 10         // bytes of a body that is held whole; of a larger one, the first
-	ChunkBytes       = 32 << 10         // bytes passed on at a time
-	ChunkTimeout     = 10 * time.Second // for a peer to take one: a client may read 64 kB a second
+	// MaxBodyBytes is the maximum size of a body.
+	MaxBodyBytes = 64 << 20
+	// MaxBufferedBytes is the maximum size of a body that is buffered completely. Of a larger one, as much of its
+	// beginning may be buffered.
+	MaxBufferedBytes = 64 << 10
+	// ChunkBytes is the maximum number of bytes that are forwarded at a time.
+	ChunkBytes = 32 << 10
+	// ChunkTimeout bounds the time for a peer to take one chunk: a client may read as little as 64 kB a second.
+	ChunkTimeout = 10 * time.Second
 )
 
-// ChunkBuffers are the buffers in which bodies are passed on.
+// ChunkBuffers holds the buffers through which bodies are forwarded, as *[ChunkBytes]byte.
 var ChunkBuffers = sync.Pool{New: func() any { return new([ChunkBytes]byte) }}
