--- a/internal/upstream/bodystream.go
+++ b/internal/upstream/bodystream.go
@@ -3,36 +3,43 @@
 import (
 	"io"
 	"time"
-)
 
-const (
-	maxBufferingTime   = 20 * time.Millisecond // an answer of unknown length is held at most, once it has begun
-	streamStallTimeout = 5 * time.Second       // without a byte of an answer that is passed on, until it is given up
+	"oakproxy/internal/httpmsg"
 )
 
-// BodyStream is what is still to come of an answer that is passed on while it comes.
-// Whoever reads it closes it.
+// streamStallTimeout bounds the time without a byte of a response that is streamed.
+const streamStallTimeout = 5 * time.Second
+
+// BodyStream is the remainder of a response body, which is forwarded while it comes. It owns the connection until it is
+// closed. Whoever reads it closes it, once.
 type BodyStream struct {
 	client    *Client
 	conn      *conn
 	body      io.Reader
-	remaining int64 // of what an answer may have
-	reusable  bool  // the connection may be used again after a whole answer
-	complete  bool
+	remaining int64 // bytes until the limit on a body
+	reusable  bool  // the connection may carry another request once the body is complete
+	complete  bool  // the end of the body was read
+}
+
+// newBodyStream returns the stream of what follows the buffered beginning of a body.
+func newBodyStream(client *Client, c *conn, result *exchangeResult) *BodyStream {
+	remaining := httpmsg.MaxBodyBytes - int64(len(result.body))
+	return &BodyStream{client: client, conn: c, body: result.response.Body, remaining: remaining}
 }
 
-func (r *BodyStream) Read(p []byte) (int, error) {
-	n, err := r.body.Read(p)
-	if r.remaining -= int64(n); r.remaining < 0 {
+// Read reads from the body. It fails where the body exceeds httpmsg.MaxBodyBytes or the endpoint stalls.
+func (s *BodyStream) Read(p []byte) (int, error) {
+	n, err := s.body.Read(p)
+	if s.remaining -= int64(n); s.remaining < 0 {
 		return 0, errBodyTooLarge
 	}
-	r.complete = r.complete || err == io.EOF
+	s.complete = s.complete || err == io.EOF
 	return n, err
 }
 
-// Close gives the connection back, or closes it with what was not read.
-func (r *BodyStream) Close() {
-	r.conn.stallTimeout = 0
-	r.conn.SetReadDeadline(time.Time{})
-	r.client.release(r.conn, r.complete && r.reusable && r.conn.reader.Buffered() == 0)
+// Close releases the connection, or closes it if part of the body was not read.
+func (s *BodyStream) Close() {
+	s.conn.stallTimeout = 0
+	s.conn.SetReadDeadline(time.Time{})
+	s.client.release(s.conn, s.complete && s.reusable && s.conn.reader.Buffered() == 0)
 }
--- a/internal/upstream/client.go
+++ b/internal/upstream/client.go
@@ -15,95 +15,106 @@
 	"oakproxy/internal/config"
 	"oakproxy/internal/httpmsg"
 	"oakproxy/internal/stages"
-	"oakproxy/internal/system"
 )
 
-const (
-	MaxHeadBytes = 32 << 10 // bytes of a request's head
-	probeTimeout = 400 * time.Millisecond
-)
+// MaxHeadBytes is the maximum size of the head of a request that is forwarded to endpoints, in bytes.
+const MaxHeadBytes = 32 << 10
 
-// Client sends requests to endpoints. It does not use http.Transport, which
-// by itself repeats what it finds safe to repeat on a dead idle connection:
-// each such repetition would be an attempt that the balancer never decided.
-type Client struct {
-	Dialer     net.Dialer
-	maxIdle    time.Duration // idle connections are not used for longer,
-	ReuseDelay time.Duration // nor for so long after an answer
-	Report     atomic.Pointer[ReportFormat]
-	Bodies     *httpmsg.MemoryBudget // for the bodies of answers
+// probeTimeout bounds a probe, the time to connect included.
+const probeTimeout = 400 * time.Millisecond
 
-	mu                               sync.Mutex
-	open                             int // connections, those being dialled included
-	maxOpen                          int
-	idle                             map[*Endpoint][]*conn // by endpoint, the latest used last
+// Client sends requests to endpoints. It does not use http.Transport, which by itself repeats an idempotent request
+// on a dead idle connection: each such repetition would be an attempt that the balancer never decided.
+//
+// Its methods may be called concurrently.
+type Client struct {
+	// Dialer opens connections. Its Timeout changes with the configuration, under mu.
+	Dialer net.Dialer
+	// ReuseDelay is how long a connection stays unused after a response. It is set before the first attempt.
+	ReuseDelay time.Duration
+	// Report is the format of load reports in force.
+	Report atomic.Pointer[ReportFormat]
+	// Bodies is the memory budget for the bodies of responses.
+	Bodies *httpmsg.MemoryBudget
+
+	mu      sync.Mutex
+	maxIdle time.Duration         // idle connections are not used for longer
+	maxOpen int                   // limit on open
+	open    int                   // connections that are not closed, including those being dialled
+	idle    map[*Endpoint][]*conn // by endpoint, the most recently used last
+
+	// Totals since the start.
 	dialTime                         time.Duration
 	dials, failedDials, limitReached uint64
 }
 
-// Result is what came of an attempt or a probe.
+// Result is the outcome of an attempt or a probe.
 type Result struct {
-	Status  balancer.Status
-	Err     error       // why it is not OK, where that was no answer
-	Header  http.Header // of a whole answer 200, as is body
-	Body    []byte
-	Rest    *BodyStream // what follows body, of an answer that is passed on while it comes
-	Length  int64       // of the whole, -1 if unknown
-	Release func()      // gives back the room for body
-	Load    []float32
-	Report  *ReportFormat // that load is in
-	Took    time.Duration // from the write to the end, without the time to connect
-	Times   stages.AttemptTimes
+	Status balancer.Status
+	// Err is why Status is not OK. It is nil where a complete response decided the status.
+	Err error
+	// Header and Body are those of a 200 response. Body is complete if Rest is nil, and else its buffered beginning.
+	Header http.Header
+	Body   []byte
+	// Rest is the remainder of the body, or nil. Whoever has the result closes it.
+	Rest *BodyStream
+	// Length is the length of the complete body in bytes, -1 if unknown.
+	Length int64
+	// Release returns the memory that was reserved for Body. It is nil where none was.
+	Release func()
+	// Load is the load report of the response, in the format Report; nil if there is none.
+	Load   []float32
+	Report *ReportFormat
+	// Took is the time from the first write to the end of the exchange, without the time to connect.
+	Took time.Duration
+	// Times are the instants of the stages of the attempt.
+	Times stages.AttemptTimes
 }
 
-// Reasons for which the sidecar itself sends nothing.
-var (
-	errEndpointClosed  = errors.New("the endpoint is draining or gone")
-	errConnectionLimit = errors.New("no connection is left")
-	errStaleConnection = errors.New("the idle connection is of no more use")
-	errResponseTimeout = errors.New("the time of a request that was passed on is up")
-	errEarlyResponse   = errors.New("an answer came before the request was written")
-)
-
-// unsentError says that the last byte of a request was never written.
-type unsentError struct{ error }
+// close releases what a result holds, where its body is not used.
+func (r *Result) close() {
+	if r.Rest != nil {
+		r.Rest.Close()
+	}
+	if r.Release != nil {
+		r.Release()
+	}
+}
 
-func NewClient(cfg *config.Config, connections int, room *httpmsg.MemoryBudget) *Client {
-	u := &Client{ReuseDelay: defaultReuseDelay, Bodies: room, maxOpen: connections, idle: map[*Endpoint][]*conn{}}
+// NewClient returns a client that opens at most maxConnections connections and reserves the memory for response
+// bodies from bodies.
+func NewClient(cfg *config.Config, maxConnections int, bodies *httpmsg.MemoryBudget) *Client {
+	u := &Client{ReuseDelay: defaultReuseDelay, Bodies: bodies, maxOpen: maxConnections, idle: map[*Endpoint][]*conn{}}
 	u.Configure(cfg)
 	return u
 }
 
-// ReportFormat names the figures of a load report, in the order of Settings.Fields.
-type ReportFormat struct{ fields []string }
-
-// Configure takes up what a configuration says of endpoints and connections to them.
+// Configure applies a configuration. Open connections stay as they are.
 func (u *Client) Configure(cfg *config.Config) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	u.Dialer.Timeout = time.Duration(cfg.Settings.Limits.DialTimeout) * time.Microsecond
-	// An endpoint closes an idle connection when its time is over at the
-	// latest, and what is written to it from then on is lost.
+	// An endpoint closes an idle connection after its idle timeout at the latest,
+	// and what is written to it from then on is lost.
 	u.maxIdle = cfg.IdleTimeout * 3 / 4
 	if old := u.Report.Load(); old == nil || !slices.Equal(old.fields, cfg.ReportFields) {
 		u.Report.Store(&ReportFormat{cfg.ReportFields})
 	}
 }
 
-// Attempt sends a request once and tells what came of it. Its outcome claims
-// that the request never ran only where the last byte was not written, or the
-// endpoint says so; in doubt it may have run.
-func (u *Client) Attempt(ctx context.Context, t *Endpoint, m *Request, g *Gate) Result {
-	var got *exchangeResult
+// Attempt sends a request once and returns the outcome. The outcome claims that the request never ran only where the
+// last byte was not written or the endpoint says so; in doubt the request may have run.
+func (u *Client) Attempt(ctx context.Context, endpoint *Endpoint, request *Request, gate *Gate) Result {
+	var exchanged *exchangeResult
 	var start time.Time
-	err := error(errStaleConnection)
-	for err == errStaleConnection { // nothing has been sent on that connection
-		c, unable := u.connect(ctx, t, m.isProbe)
-		if unable != nil {
-			return Result{Status: unsentStatus(ctx, unable), Err: unable}
+	err := errStaleConnection
+	for errors.Is(err, errStaleConnection) { // nothing has been sent on that connection
+		c, connectErr := u.connect(ctx, endpoint, request.isProbe)
+		if connectErr != nil {
+			return Result{Status: unsentStatus(ctx, connectErr), Err: connectErr}
 		}
 		start = time.Now()
-		got, err = u.exchange(ctx, c, m, g)
+		exchanged, err = u.exchange(ctx, c, request, gate)
 	}
 	r := Result{Status: balancer.EndpointError, Err: err, Took: time.Since(start)}
 	r.Times = stages.AttemptTimes{Connected: start, Received: start.Add(r.Took)}
@@ -111,13 +122,13 @@
 		r.Status = failureStatus(ctx, err)
 		return r
 	}
-	response := got.response
-	r.Times.Written = got.writtenAt
+	response := exchanged.response
+	r.Times.Written = exchanged.writtenAt
 	r.Load, r.Report = u.LoadReport(response.Header.Get("X-Backend-Load"))
 	switch code := response.StatusCode; {
 	case code == http.StatusOK:
-		r.Status, r.Header, r.Body = balancer.OK, response.Header, got.body
-		r.Rest, r.Length, r.Release = got.stream, response.ContentLength, got.release
+		r.Status, r.Header, r.Body = balancer.OK, response.Header, exchanged.body
+		r.Rest, r.Length, r.Release = exchanged.stream, response.ContentLength, exchanged.release
 	case (code == http.StatusServiceUnavailable || code == http.StatusGatewayTimeout) &&
 		response.Header.Get("X-Unprocessed") == "1":
 		r.Status = balancer.Rejected
@@ -125,62 +136,18 @@
 	return r
 }
 
-// failureStatus is the outcome of an exchange that ended with an error.
-func failureStatus(ctx context.Context, err error) balancer.Status {
-	var never *unsentError
-	switch {
-	case errors.As(err, &never):
-		return unsentStatus(ctx, never.error)
-	case err == errResponseTimeout || deadlinePassed(ctx):
-		return balancer.Timeout
-	case ctx.Err() != nil:
-		return balancer.Cancelled
-	}
-	return balancer.Reset // a broken, cut or malformed answer: the connection is of no more use
-}
-
-// deadlinePassed says that an attempt's time is up, by the clock: the balancer's own timer
-// for that instant may have called the attempt off already, but to be told of a
-// cancellation in place of a time-out would hide the endpoint's silence from it.
-func deadlinePassed(ctx context.Context) bool {
-	until, ok := ctx.Deadline()
-	return ok && !time.Now().Before(until)
-}
-
-// unsentStatus is the outcome of a request that was not written: the endpoint's
-// fault, unless this machine lacked something, the sidecar no longer wanted to send it, or the client to write it.
-func unsentStatus(ctx context.Context, err error) balancer.Status {
-	var client *clientError
-	own := slices.ContainsFunc([]error{errEndpointClosed, errConnectionLimit, errUploadStopped, errClientGone, errTooLate}, func(e error) bool { return errors.Is(err, e) })
-	if own || system.IsShortage(err) || ctx.Err() != nil || deadlinePassed(ctx) || errors.As(err, &client) {
-		return balancer.NotSent
-	}
-	return balancer.ConnectFailed
-}
-
-// Probe asks an endpoint for its load report, or for its health where the
-// deployment has no reports.
-func (u *Client) Probe(ctx context.Context, t *Endpoint) Result {
+// Probe requests an endpoint's load report, or its health where the configuration has no load reports.
+func (u *Client) Probe(ctx context.Context, endpoint *Endpoint) Result {
 	ctx, cancel := context.WithTimeout(ctx, probeTimeout)
 	defer cancel()
-	m := &Request{Method: http.MethodGet, URL: &url.URL{Path: "/health/live"}, Host: t.Address, isProbe: true}
+	request := &Request{Method: http.MethodGet, URL: &url.URL{Path: "/health/live"}, Host: endpoint.Address, isProbe: true}
 	if len(u.Report.Load().fields) > 0 {
-		m.URL.Path = "/stats"
+		request.URL.Path = "/stats"
 	}
-	r := u.Attempt(ctx, t, m, &Gate{})
+	r := u.Attempt(ctx, endpoint, request, &Gate{})
 	if r.Status == balancer.OK {
 		r.Load, r.Report = u.LoadReport(string(r.Body))
 		r.close()
 	}
 	return r
 }
-
-// close gives back what a result holds, where nobody takes its body.
-func (r *Result) close() {
-	if r.Rest != nil {
-		r.Rest.Close()
-	}
-	if r.Release != nil {
-		r.Release()
-	}
-}
--- a/internal/upstream/client_test.go
+++ b/internal/upstream/client_test.go
@@ -3,6 +3,7 @@
 import (
 	"bufio"
 	"context"
+	"errors"
 	"fmt"
 	"io"
 	"net"
@@ -310,7 +311,7 @@
 				t.Fatalf("%d connections are open, no other one can be: %v", u.open, err)
 			}
 		}
-		if _, err := u.reserve(at, c.probe); err != errConnectionLimit {
+		if _, err := u.reserve(at, c.probe); !errors.Is(err, errConnectionLimit) {
 			t.Errorf("case %d: %d of 8 connections are open, and one more: %v", i, u.open, err)
 		}
 		if r := u.Probe(t.Context(), at); r.Status != balancer.NotSent {
@@ -364,17 +365,17 @@
 func TestDrainDuringDial(t *testing.T) {
 	e := sidecartest.NewEndpoint(t, sidecartest.Always(sidecartest.Served))
 	u, at := newTestUpstream(t, 1), &Endpoint{Address: e.Address}
-	dialling, go_ := make(chan struct{}), make(chan struct{})
+	dialling, unblock := make(chan struct{}), make(chan struct{})
 	u.Dialer.Control = func(_, _ string, _ syscall.RawConn) error {
 		close(dialling)
-		<-go_
+		<-unblock
 		return nil
 	}
 	done := make(chan Result)
 	go func() { done <- u.Attempt(context.Background(), at, get("/"), &Gate{}) }()
 	<-dialling
 	u.Retire(at)
-	close(go_)
+	close(unblock)
 	if r := <-done; r.Status != balancer.NotSent {
 		t.Errorf("status %v, want Moot", r.Status)
 	}
--- a/internal/upstream/gate.go
+++ b/internal/upstream/gate.go
@@ -2,57 +2,47 @@
 
 import (
 	"context"
-	"errors"
 	"sync/atomic"
 	"time"
 )
 
-// Gate is what every attempt and probe passes right before its first byte, whether it is
-// the first or a further one, on a connection that was idle or dialled for it, however long
-// that took. What the balancer decided may no longer hold by then.
+// Gate is what each attempt and probe passes right before its first byte, whether it is a first attempt or a retry, on
+// an idle connection or a new one, however long it waited for that. What the balancer decided may no longer hold then.
+//
+// The zero value is open. A gate serves one attempt.
 type Gate struct {
-	NotAfter   time.Time   // after which a repeat may run twice; zero where that is no matter
-	ClientGone func() bool // whether the client has left, by a look at its connection; nil: there is none
-	phase      atomic.Int32
-}
+	// NotAfter is the time after which a retry could run the request twice; zero where that does not matter.
+	NotAfter time.Time
+	// ClientGone reports whether the client has left, by a look at its connection; nil: there is no client.
+	ClientGone func() bool
 
-// maxWriteLag is the most that the last bytes of a request may wait for its endpoint to take what is ahead of them. An
-// endpoint may be told 0.15 s more than the client has left.
-const maxWriteLag = 100 * time.Millisecond
+	phase atomic.Int32 // a gate phase
+}
 
-// The phases of a gate: it is passed or shut once, and for good.
+// The phases of a gate. A gate is passed or closed once, and for good.
 const (
-	gateWaiting int32 = iota
+	gateOpen int32 = iota
 	gatePassed
 	gateClosed
 )
 
-// Reasons for which nothing may begin.
-var (
-	errClientGone = errors.New("the client has left, or its request is over")
-	errTooLate    = errors.New("it may no longer be sent")
-)
-
-// Close keeps an attempt from beginning and says whether that came in time.
-func (g *Gate) Close() bool { return g.phase.CompareAndSwap(gateWaiting, gateClosed) }
+// Close prevents the attempt from beginning and reports whether that came in time.
+func (g *Gate) Close() bool { return g.phase.CompareAndSwap(gateOpen, gateClosed) }
 
-// passGate says whether the first byte may go out on a connection to t, or why not.
-func (u *Client) passGate(ctx context.Context, g *Gate, t *Endpoint) error {
-	u.mu.Lock()
-	closed := t.closed
-	u.mu.Unlock()
+// passGate returns nil if the first byte may be written on a connection to an endpoint, and else why not.
+func (u *Client) passGate(ctx context.Context, gate *Gate, endpoint *Endpoint) error {
 	switch {
-	case closed:
+	case u.Retired(endpoint):
 		return errEndpointClosed
 	case ctx.Err() != nil:
 		return ctx.Err()
 	case deadlinePassed(ctx):
 		return context.DeadlineExceeded
-	case !g.NotAfter.IsZero() && !time.Now().Before(g.NotAfter):
+	case !gate.NotAfter.IsZero() && !time.Now().Before(gate.NotAfter):
 		return errTooLate
-	case g.ClientGone != nil && g.ClientGone():
+	case gate.ClientGone != nil && gate.ClientGone():
 		return errClientGone
-	case !g.phase.CompareAndSwap(gateWaiting, gatePassed):
+	case !gate.phase.CompareAndSwap(gateOpen, gatePassed):
 		return errClientGone
 	}
 	return nil
--- a/internal/upstream/loadreport.go
+++ b/internal/upstream/loadreport.go
@@ -7,32 +7,36 @@
 	"strings"
 )
 
-// maxReportFigure bounds a figure in a load report: a larger one is an error.
+// maxReportFigure bounds a figure in a load report: a larger one counts as malformed.
 const maxReportFigure = 1e6
 
-// LoadReport reads name=value pairs into the order of the settings. A figure
-// that is missing, repeated, malformed or beyond all sense is not a number,
-// which the balancer skips: it keeps what it knew.
+// ReportFormat names the figures of a load report, in the order of config.Config.ReportFields. Reports in the same
+// format have the same pointer.
+type ReportFormat struct{ fields []string }
+
+// LoadReport parses a load report, a list name=value,name=value, into the order of the format in force, which it
+// returns too. A figure that is missing, repeated, malformed or out of range is NaN, which the balancer skips in favour
+// of what it knew. The load of an empty report is nil.
 func (u *Client) LoadReport(text string) ([]float32, *ReportFormat) {
-	report := u.Report.Load()
-	if text == "" || len(report.fields) == 0 {
-		return nil, report
+	format := u.Report.Load()
+	if text == "" || len(format.fields) == 0 {
+		return nil, format
 	}
-	load, seen := make([]float32, len(report.fields)), make([]bool, len(report.fields))
+	load, seen := make([]float32, len(format.fields)), make([]bool, len(format.fields))
 	for i := range load {
 		load[i] = float32(math.NaN())
 	}
 	for pair := range strings.SplitSeq(strings.TrimSpace(text), ",") {
 		name, value, _ := strings.Cut(pair, "=")
-		i := slices.Index(report.fields, name)
+		i := slices.Index(format.fields, name)
 		if i < 0 {
 			continue
 		}
-		v, err := strconv.ParseFloat(value, 32)
-		if seen[i] || err != nil || !(v >= 0 && v <= maxReportFigure) {
-			v = math.NaN()
+		figure, err := strconv.ParseFloat(value, 32)
+		if seen[i] || err != nil || !(figure >= 0 && figure <= maxReportFigure) {
+			figure = math.NaN()
 		}
-		load[i], seen[i] = float32(v), true
+		load[i], seen[i] = float32(figure), true
 	}
-	return load, report
+	return load, format
 }
--- a/internal/upstream/request.go
+++ b/internal/upstream/request.go
@@ -12,28 +12,35 @@
 	"oakproxy/internal/httpmsg"
 )
 
-// Request is a request as it goes to endpoints, any number of times.
+// timeLeftHeader tells an endpoint the client's remaining time in milliseconds.
+const timeLeftHeader = "X-Time-Left-Ms"
+
+// Request is a request as it is sent to endpoints, by any number of attempts. Only one attempt may have the upload.
 type Request struct {
-	Method  string
-	URL     *url.URL
-	Host    string
-	Header  http.Header // X-Time-Left-Ms is written for each attempt
-	Body    []byte
-	Upload  *Upload // what follows body while it comes; nil where that is all
-	isProbe bool    // the sidecar's own
+	Method string
+	URL    *url.URL
+	Host   string
+	// Header is the client's. X-Time-Left-Ms and the headers of the connection are written for each attempt.
+	Header http.Header
+	// Body is the complete body, or its buffered beginning where there is an upload.
+	Body []byte
+	// Upload is the remainder of the body; nil if Body is complete.
+	Upload *Upload
+
+	isProbe bool // the sidecar's own, which leaves connections to requests
 }
 
-// encode writes the request with the time that this attempt has left, up to the
-// end of what is held of its body or, where more follows, of its head.
+// encode returns the request with the remaining time of this attempt. It ends with the buffered body or, where there
+// is an upload, with the head.
 func (m *Request) encode(ctx context.Context) ([]byte, error) {
 	header := http.Header{}
 	httpmsg.CopyEndToEnd(header, m.Header)
 	length := int64(len(m.Body))
-	if m.Upload != nil { // its time counts from its last byte
+	if m.Upload != nil { // the time counts from its last byte
 		length = m.Upload.Length
-		header.Set("X-Time-Left-Ms", strconv.FormatInt(m.Upload.TimeLeft.Milliseconds(), 10))
-	} else if until, ok := ctx.Deadline(); ok {
-		header.Set("X-Time-Left-Ms", strconv.FormatInt(max(0, time.Until(until).Milliseconds()), 10))
+		header.Set(timeLeftHeader, strconv.FormatInt(m.Upload.TimeLeft.Milliseconds(), 10))
+	} else if deadline, ok := ctx.Deadline(); ok {
+		header.Set(timeLeftHeader, strconv.FormatInt(max(0, time.Until(deadline).Milliseconds()), 10))
 	}
 	if length < 0 {
 		header.Set("Transfer-Encoding", "chunked")
--- a/internal/upstream/upload.go
+++ b/internal/upstream/upload.go
@@ -1,6 +1,7 @@
 package upstream
 
 import (
+	"context"
 	"errors"
 	"io"
 	"net/http/httputil"
@@ -11,7 +12,7 @@
 	"oakproxy/internal/httpmsg"
 )
 
-// MaxUploadTime is for a body to come, where it is passed on meanwhile.
+// MaxUploadTime bounds the time for a request body to come while it is forwarded.
 const MaxUploadTime = 10 * time.Minute
 
 // clientBody is the part of a request's body that its client has yet to send.
@@ -21,43 +22,45 @@
 	LastDataAge() time.Duration
 	// ClientLeft reports whether the client has ended its side of the connection.
 	ClientLeft() bool
-	// Discard discards what the client still sends, for so long at most.
-	Discard(most time.Duration)
+	// Discard discards what the client still sends, for at most maxDuration.
+	Discard(maxDuration time.Duration)
 }
 
-// Upload is what a request's body has beyond the part that is held. It is passed on
-// while it comes, to one attempt, and is the handler's again once that is over.
+// Upload is the part of a request's body beyond the one that is buffered. It is forwarded while it comes, to one
+// attempt. The handler owns it again once Finish has returned.
 type Upload struct {
-	Length    int64         // of the whole body, -1 if unknown
-	TimeLeft  time.Duration // the client's time, from the last byte on
-	OnWritten func()        // tells that the last byte was passed on
-	Failed    chan error    // takes the one error of the client's side
-
-	Phase      atomic.Int32 // see below
-	Consumed   atomic.Bool  // some of it was read
-	ReachedEOF atomic.Bool  // its end was read
-
-	mu         sync.Mutex // held by whoever reads
-	Body       clientBody
-	WrittenAt  time.Time // its last byte was passed on
-	lastDataAt time.Time // the bytes read last came to this machine
+	// Length is the length of the complete body in bytes, -1 if unknown.
+	Length int64
+	// TimeLeft is the client's remaining time, counted from the last byte on.
+	TimeLeft time.Duration
+	// OnWritten is called once, when the last byte was forwarded.
+	OnWritten func()
+	// Failed receives the first failure of the client's side. It has room for one error.
+	Failed chan error
+
+	// Phase is UploadStreaming until the last bytes are about to be written, or the upload is stopped.
+	Phase atomic.Int32
+	// Consumed is set once part of the body was read.
+	Consumed atomic.Bool
+	// ReachedEOF is set once the end of the body was read.
+	ReachedEOF atomic.Bool
+
+	mu sync.Mutex // held during a read
+	// Body is the client's side. Between the start of the attempt and Finish only the attempt reads it.
+	Body clientBody
+	// WrittenAt is when the last byte was forwarded; zero before.
+	WrittenAt  time.Time
+	lastDataAt time.Time // when the bytes read last came to this machine
 }
 
 // The phases of an upload. Once the last bytes may be out, the request may run; an
-// upload that was stopped before will never get there.
+// upload that was stopped before never gets there.
 const (
-	UploadStreaming int32 = iota
-	uploadFinishing
-	uploadStopped
+	UploadStreaming int32 = iota // all but the last bytes may be out
+	uploadFinishing              // the last bytes may be out
+	uploadStopped                // the last bytes are never written
 )
 
-// clientError is an upload's end that is the client's doing.
-type clientError struct{ error }
-
-func (e *clientError) Unwrap() error { return e.error }
-
-var errUploadStopped = errors.New("the request is over")
-
 // Read reads for the attempt.
 func (u *Upload) Read(p []byte) (int, error) {
 	u.mu.Lock()
@@ -68,7 +71,7 @@
 	u.Consumed.Store(true)
 	n, err := u.Body.Read(p)
 	u.lastDataAt = time.Now().Add(-u.Body.LastDataAge())
-	if err == io.EOF {
+	if errors.Is(err, io.EOF) {
 		u.ReachedEOF.Store(true)
 	} else if err != nil {
 		err = &clientError{err}
@@ -80,22 +83,23 @@
 	return n, err
 }
 
-// Stop keeps the last bytes from being written, so that the request never runs, and reports whether that came in time.
+// Stop prevents the last bytes from being written, so that the request never runs, and reports whether that came in
+// time.
 func (u *Upload) Stop() bool { return u.Phase.CompareAndSwap(UploadStreaming, uploadStopped) }
 
-// Deadline is when the client's time is up, once the last byte is written.
+// Deadline returns when the client's time is up, once the last byte is written.
 func (u *Upload) Deadline() time.Time { return u.lastDataAt.Add(u.TimeLeft) }
 
-// Finish takes the body back from the attempt: nothing may read it once the handler is
-// done. It waits for a read that is on its way, which the client's pace bounds.
+// Finish ends the attempt's use of the body: nothing may read it once the handler is done. It waits for a read that
+// is under way, which the limit on the client's pace bounds.
 func (u *Upload) Finish() {
 	u.Stop()
 	u.mu.Lock()
 	defer u.mu.Unlock()
 }
 
-// beginLastWrite comes before the last bytes are written. The endpoint was told the client's time as if it counted from then:
-// where the last bytes have waited for long, or the client for nothing, the request must not run.
+// beginLastWrite is the gate ahead of the last bytes. X-Time-Left-Ms was sent as if it counted from then: where the
+// last bytes have waited for too long, or the client has left, the request must not run.
 func (u *Upload) beginLastWrite() error {
 	if time.Since(u.lastDataAt) > maxWriteLag || u.Body.ClientLeft() {
 		u.Stop()
@@ -106,14 +110,42 @@
 	return nil
 }
 
-// uploadWriter writes an upload to an endpoint, which takes each piece in time or is
-// given up.
+// sendUpload forwards a request's body while it comes. Until its last byte is written the request never ran. An
+// endpoint that responds before that, or ends the connection, wants no more of it.
+func (u *Client) sendUpload(ctx context.Context, c *conn, request *Request) error {
+	sent := make(chan error, 1)
+	go func() {
+		err := request.writeUpload(c)
+		c.SetReadDeadline(time.Unix(1, 0)) // ends the Peek below
+		sent <- err
+	}()
+	_, early := c.reader.Peek(1)
+	if request.Upload.Stop() {
+		select {
+		case err := <-sent:
+			return &unsentError{err}
+		default:
+		}
+		if early == nil {
+			early = errEarlyResponse
+		}
+		return &unsentError{early}
+	}
+	if err := <-sent; err != nil {
+		return &unsentError{err}
+	}
+	c.SetDeadline(time.Time{})
+	return ctx.Err() // the deadline that interrupt has set may have been overwritten
+}
+
+// uploadWriter writes an upload to an endpoint, which must take each piece within httpmsg.ChunkTimeout.
 type uploadWriter struct {
 	*conn
 	upload    *Upload
-	remaining int64 // until the last byte; below 0 if unknown
+	remaining int64 // bytes until the end of the body; below 0 if unknown
 }
 
+// Write writes one piece. It passes the gate of the last bytes ahead of the last piece of a body of known length.
 func (w *uploadWriter) Write(p []byte) (int, error) {
 	if w.remaining -= int64(len(p)); w.remaining == 0 {
 		if err := w.upload.beginLastWrite(); err != nil {
@@ -122,32 +154,25 @@
 	}
 	w.conn.SetWriteDeadline(time.Now().Add(httpmsg.ChunkTimeout))
 	if err := w.conn.ctx.Err(); err != nil {
-		return 0, err // the deadline that tells so may have been overwritten
+		return 0, err // the deadline that interrupt has set may have been overwritten
 	}
 	return w.conn.Conn.Write(p)
 }
 
-// writeUpload writes the body to the endpoint: what is held, then what comes.
+// writeUpload writes the body to the endpoint: first what is buffered, then what comes.
 func (m *Request) writeUpload(c *conn) error {
-	piece := httpmsg.ChunkBuffers.Get().(*[httpmsg.ChunkBytes]byte)
-	defer httpmsg.ChunkBuffers.Put(piece)
+	chunk := httpmsg.ChunkBuffers.Get().(*[httpmsg.ChunkBytes]byte)
+	defer httpmsg.ChunkBuffers.Put(chunk)
 	to := &uploadWriter{conn: c, upload: m.Upload, remaining: m.Upload.Length}
-	copied := func(to io.Writer) error {
-		if _, err := to.Write(m.Body); err != nil {
-			return err
-		}
-		_, err := io.CopyBuffer(struct{ io.Writer }{to}, m.Upload, piece[:])
-		return err
-	}
 	if m.Upload.Length >= 0 {
-		err := copied(to)
+		err := m.copyBody(to, chunk[:])
 		if err == nil && to.remaining > 0 {
 			err = &clientError{io.ErrUnexpectedEOF}
 		}
 		return err
 	}
 	chunks := httputil.NewChunkedWriter(to)
-	if err := copied(chunks); err != nil {
+	if err := m.copyBody(chunks, chunk[:]); err != nil {
 		return err
 	}
 	if err := m.Upload.beginLastWrite(); err != nil {
@@ -159,3 +184,13 @@
 	_, err := io.WriteString(to, "\r\n")
 	return err
 }
+
+// copyBody copies the buffered part of the body and the upload through a buffer.
+func (m *Request) copyBody(to io.Writer, buffer []byte) error {
+	if _, err := to.Write(m.Body); err != nil {
+		return err
+	}
+	// io.CopyBuffer would bypass the buffer for a writer that is an io.ReaderFrom.
+	_, err := io.CopyBuffer(struct{ io.Writer }{to}, m.Upload, buffer)
+	return err
+}
