--- a/internal/upstream/bodystream.go
+++ b/internal/upstream/bodystream.go
@@ -13,7 +13,7 @@
 // BodyStream is the remainder of a response body, which is forwarded while it comes. It owns the connection until it is
 // closed. Whoever reads it closes it, once.
 type BodyStream struct {
-	client    *Client
+	pool      *pool
 	conn      *conn
 	body      io.Reader
 	remaining int64 // bytes until the limit on a body
@@ -22,9 +22,9 @@
 }
 
 // newBodyStream returns the stream of what follows the buffered beginning of a body.
-func newBodyStream(client *Client, c *conn, result *exchangeResult) *BodyStream {
+func newBodyStream(p *pool, c *conn, result *exchangeResult) *BodyStream {
 	remaining := httpmsg.MaxBodyBytes - int64(len(result.body))
-	return &BodyStream{client: client, conn: c, body: result.response.Body, remaining: remaining}
+	return &BodyStream{pool: p, conn: c, body: result.response.Body, remaining: remaining}
 }
 
 // Read reads from the body. It fails where the body exceeds httpmsg.MaxBodyBytes or the endpoint stalls.
@@ -41,5 +41,5 @@
 func (s *BodyStream) Close() {
 	s.conn.stallTimeout = 0
 	s.conn.SetReadDeadline(time.Time{})
-	s.client.release(s.conn, s.complete && s.reusable && s.conn.reader.Buffered() == 0)
+	s.pool.release(s.conn, s.complete && s.reusable && s.conn.reader.Buffered() == 0)
 }
--- a/internal/upstream/client.go
+++ b/internal/upstream/client.go
@@ -3,11 +3,9 @@
 import (
 	"context"
 	"errors"
-	"net"
 	"net/http"
 	"net/url"
 	"slices"
-	"sync"
 	"sync/atomic"
 	"time"
 
@@ -28,24 +26,13 @@
 //
 // Its methods may be called concurrently.
 type Client struct {
-	// Dialer opens connections. Its Timeout changes with the configuration, under mu.
-	Dialer net.Dialer
-	// ReuseDelay is how long a connection stays unused after a response. It is set before the first attempt.
-	ReuseDelay time.Duration
+	// The pool has the connections, and the exported fields Dialer and ReuseDelay.
+	*pool
+
 	// Report is the format of load reports in force.
 	Report atomic.Pointer[ReportFormat]
 	// Bodies is the memory budget for the bodies of responses.
 	Bodies *httpmsg.MemoryBudget
-
-	mu      sync.Mutex
-	maxIdle time.Duration         // idle connections are not used for longer
-	maxOpen int                   // limit on open
-	open    int                   // connections that are not closed, including those being dialled
-	idle    map[*Endpoint][]*conn // by endpoint, the most recently used last
-
-	// Totals since the start.
-	dialTime                         time.Duration
-	dials, failedDials, limitReached uint64
 }
 
 // Result is the outcome of an attempt or a probe.
@@ -84,19 +71,14 @@
 // NewClient returns a client that opens at most maxConnections connections and reserves the memory for response
 // bodies from bodies.
 func NewClient(cfg *config.Config, maxConnections int, bodies *httpmsg.MemoryBudget) *Client {
-	u := &Client{ReuseDelay: defaultReuseDelay, Bodies: bodies, maxOpen: maxConnections, idle: map[*Endpoint][]*conn{}}
+	u := &Client{pool: newPool(maxConnections), Bodies: bodies}
 	u.Configure(cfg)
 	return u
 }
 
 // Configure applies a configuration. Open connections stay as they are.
 func (u *Client) Configure(cfg *config.Config) {
-	u.mu.Lock()
-	defer u.mu.Unlock()
-	u.Dialer.Timeout = time.Duration(cfg.Settings.Limits.DialTimeout) * time.Microsecond
-	// An endpoint closes an idle connection after its idle timeout at the latest,
-	// and what is written to it from then on is lost.
-	u.maxIdle = cfg.IdleTimeout * 3 / 4
+	u.setTimeouts(time.Duration(cfg.Settings.Limits.DialTimeout)*time.Microsecond, cfg.IdleTimeout)
 	if old := u.Report.Load(); old == nil || !slices.Equal(old.fields, cfg.ReportFields) {
 		u.Report.Store(&ReportFormat{cfg.ReportFields})
 	}
--- a/internal/upstream/doc.go
+++ b/internal/upstream/doc.go
@@ -18,7 +18,7 @@
 // # Ownership of connections
 //
 // A connection has one owner at a time: the pool while it is idle, an exchange from the moment the pool hands it out
-// or it is dialled, and a [BodyStream] from the end of the exchange until the stream is closed. Client.release is the
-// one way back from an owner to the pool, and Client.closeConn is the one place where an established connection is
-// closed. Both keep the number of open connections, which the pool bounds.
+// or it is dialled, and a [BodyStream] from the end of the exchange until the stream is closed. pool.release is the one
+// way back from an owner to the pool, and pool.closeConn is the one place where an established connection is closed.
+// It keeps the number of open connections, which the pool bounds.
 package upstream
--- a/internal/upstream/gate.go
+++ b/internal/upstream/gate.go
@@ -30,9 +30,9 @@
 func (g *Gate) Close() bool { return g.phase.CompareAndSwap(gateOpen, gateClosed) }
 
 // passGate returns nil if the first byte may be written on a connection to an endpoint, and else why not.
-func (u *Client) passGate(ctx context.Context, gate *Gate, endpoint *Endpoint) error {
+func (p *pool) passGate(ctx context.Context, gate *Gate, endpoint *Endpoint) error {
 	switch {
-	case u.Retired(endpoint):
+	case p.Retired(endpoint):
 		return errEndpointClosed
 	case ctx.Err() != nil:
 		return ctx.Err()
--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -4,6 +4,7 @@
 	"context"
 	"net"
 	"slices"
+	"sync"
 	"time"
 
 	"oakproxy/internal/system"
@@ -23,7 +24,40 @@
 type Endpoint struct {
 	Address   string // host:port
 	StartedMS int64  // when the incarnation started, in Unix milliseconds
-	closed    bool   // guarded by Client.mu
+	closed    bool   // guarded by pool.mu
+}
+
+// pool owns the idle connections to endpoints and bounds the number of open ones, those in use included. Its exported
+// methods are those of [Client], and may be called concurrently.
+type pool struct {
+	// Dialer opens connections. Its Timeout changes with the configuration.
+	Dialer net.Dialer
+	// ReuseDelay is how long a connection stays unused after a response. It is set before the first attempt.
+	ReuseDelay time.Duration
+
+	mu      sync.Mutex            // guards Dialer.Timeout, Endpoint.closed and what follows
+	maxIdle time.Duration         // idle connections are not used for longer
+	maxOpen int                   // limit on open
+	open    int                   // connections that are not closed, including those being dialled
+	idle    map[*Endpoint][]*conn // by endpoint, the most recently used last
+
+	// Totals since the start.
+	dialTime                         time.Duration
+	dials, failedDials, limitReached uint64
+}
+
+func newPool(maxOpen int) *pool {
+	return &pool{ReuseDelay: defaultReuseDelay, maxOpen: maxOpen, idle: map[*Endpoint][]*conn{}}
+}
+
+// setTimeouts sets the time limit of a dial, and that after which endpoints close an idle connection.
+func (p *pool) setTimeouts(dial, idle time.Duration) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.Dialer.Timeout = dial
+	// An endpoint closes an idle connection after its idle timeout at the latest,
+	// and what is written to it from then on is lost.
+	p.maxIdle = idle * 3 / 4
 }
 
 // Counts are the numbers of connections to endpoints. Except for Open they are totals since the start.
@@ -36,10 +70,10 @@
 }
 
 // Counts returns the numbers of connections.
-func (u *Client) Counts() Counts {
-	u.mu.Lock()
-	defer u.mu.Unlock()
-	return Counts{u.open, u.dialTime, u.dials, u.failedDials, u.limitReached}
+func (p *pool) Counts() Counts {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	return Counts{p.open, p.dialTime, p.dials, p.failedDials, p.limitReached}
 }
 
 // ConnectionLimits are the bounds on connections to endpoints.
@@ -50,83 +84,83 @@
 }
 
 // Limits returns the bounds in force.
-func (u *Client) Limits() ConnectionLimits {
-	u.mu.Lock()
-	defer u.mu.Unlock()
-	return ConnectionLimits{u.Dialer.Timeout, u.maxIdle, u.maxOpen}
+func (p *pool) Limits() ConnectionLimits {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	return ConnectionLimits{p.Dialer.Timeout, p.maxIdle, p.maxOpen}
 }
 
 // SetMaxConnections sets the limit on open connections, and closes idle ones beyond it.
-func (u *Client) SetMaxConnections(maxOpen int) {
-	u.mu.Lock()
-	defer u.mu.Unlock()
-	u.maxOpen = maxOpen
-	for endpoint, list := range u.idle {
-		u.closeOldest(endpoint, max(0, min(len(list), u.open-maxOpen)))
+func (p *pool) SetMaxConnections(maxOpen int) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.maxOpen = maxOpen
+	for endpoint, list := range p.idle {
+		p.closeOldest(endpoint, max(0, min(len(list), p.open-maxOpen)))
 	}
 }
 
 // IdleConnections returns the number of idle connections.
-func (u *Client) IdleConnections() (n int) {
-	u.mu.Lock()
-	defer u.mu.Unlock()
-	for _, list := range u.idle {
+func (p *pool) IdleConnections() (n int) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	for _, list := range p.idle {
 		n += len(list)
 	}
 	return n
 }
 
 // Retire closes an endpoint for good, and its idle connections. Exchanges that have begun go on.
-func (u *Client) Retire(endpoint *Endpoint) {
-	u.mu.Lock()
-	defer u.mu.Unlock()
+func (p *pool) Retire(endpoint *Endpoint) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
 	endpoint.closed = true
-	for _, c := range u.idle[endpoint] {
-		u.closeConn(c)
+	for _, c := range p.idle[endpoint] {
+		p.closeConn(c)
 	}
-	delete(u.idle, endpoint)
+	delete(p.idle, endpoint)
 }
 
 // Retired reports whether [Client.Retire] has closed an endpoint.
-func (u *Client) Retired(endpoint *Endpoint) bool {
-	u.mu.Lock()
-	defer u.mu.Unlock()
+func (p *pool) Retired(endpoint *Endpoint) bool {
+	p.mu.Lock()
+	defer p.mu.Unlock()
 	return endpoint.closed
 }
 
 // Prune closes connections that have been idle for too long.
-func (u *Client) Prune() {
-	u.mu.Lock()
-	defer u.mu.Unlock()
-	for endpoint, list := range u.idle {
+func (p *pool) Prune() {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	for endpoint, list := range p.idle {
 		expired := 0 // the longest idle come first
-		for expired < len(list) && time.Since(list[expired].idleSince) >= u.maxIdle {
+		for expired < len(list) && time.Since(list[expired].idleSince) >= p.maxIdle {
 			expired++
 		}
-		u.closeOldest(endpoint, expired)
+		p.closeOldest(endpoint, expired)
 	}
 }
 
 // connect returns the most recently used idle connection to an endpoint, or opens one.
-func (u *Client) connect(ctx context.Context, endpoint *Endpoint, isProbe bool) (*conn, error) {
-	c, err := u.reserve(endpoint, isProbe)
+func (p *pool) connect(ctx context.Context, endpoint *Endpoint, isProbe bool) (*conn, error) {
+	c, err := p.reserve(endpoint, isProbe)
 	if c != nil || err != nil {
 		return c, err
 	}
 	start := time.Now()
-	dialer := u.currentDialer()
+	dialer := p.currentDialer()
 	var raw net.Conn
 	err = system.Retry(ctx, system.DialRetryTimeout, system.DialRetryDelay, system.IsShortage, func() error {
 		raw, err = dialer.DialContext(ctx, "tcp", endpoint.Address)
 		return err
 	})
-	u.mu.Lock()
-	u.dialTime += time.Since(start)
+	p.mu.Lock()
+	p.dialTime += time.Since(start)
 	if err != nil {
-		u.open--
-		u.failedDials++
+		p.open--
+		p.failedDials++
 	}
-	u.mu.Unlock()
+	p.mu.Unlock()
 	if err != nil {
 		return nil, err
 	}
@@ -134,102 +168,102 @@
 }
 
 // currentDialer returns the dialer with the timeout in force.
-func (u *Client) currentDialer() net.Dialer {
-	u.mu.Lock()
-	defer u.mu.Unlock()
-	return u.Dialer
+func (p *pool) currentDialer() net.Dialer {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	return p.Dialer
 }
 
 // reserve returns an idle connection, or nil with the right to open one. Where endpoint lists are long, probes alone
 // could hold all connections that may be open: they leave some to requests.
-func (u *Client) reserve(endpoint *Endpoint, isProbe bool) (*conn, error) {
-	u.mu.Lock()
-	defer u.mu.Unlock()
+func (p *pool) reserve(endpoint *Endpoint, isProbe bool) (*conn, error) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
 	if endpoint.closed {
 		return nil, errEndpointClosed
 	}
-	if c := u.popIdle(endpoint); c != nil {
+	if c := p.popIdle(endpoint); c != nil {
 		return c, nil
 	}
-	maxOpen := u.maxOpen
+	maxOpen := p.maxOpen
 	if isProbe {
 		maxOpen -= maxOpen / probeReserveDivisor
 	}
-	if u.open >= maxOpen {
-		u.closeAnyIdle()
+	if p.open >= maxOpen {
+		p.closeAnyIdle()
 	}
-	if u.open >= maxOpen {
-		u.limitReached++
+	if p.open >= maxOpen {
+		p.limitReached++
 		return nil, errConnectionLimit
 	}
-	u.open++
-	u.dials++
+	p.open++
+	p.dials++
 	return nil, nil
 }
 
 // release returns a connection from its owner to the pool, or closes it.
-func (u *Client) release(c *conn, reusable bool) {
-	u.mu.Lock()
-	defer u.mu.Unlock()
+func (p *pool) release(c *conn, reusable bool) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
 	if !reusable || c.endpoint.closed {
-		u.closeConn(c)
+		p.closeConn(c)
 		return
 	}
 	c.idleSince, c.used = time.Now(), true
-	u.idle[c.endpoint] = append(u.idle[c.endpoint], c)
+	p.idle[c.endpoint] = append(p.idle[c.endpoint], c)
 }
 
 // popIdle returns the most recently used idle connection to an endpoint of those whose reuse delay is over, or nil. It
 // closes those that it finds unusable. The reuse delay is there because a duplicate of the last response may follow
-// it, which would be taken for the response to the next request. The caller holds u.mu.
-func (u *Client) popIdle(endpoint *Endpoint) *conn {
+// it, which would be taken for the response to the next request. The caller holds p.mu.
+func (p *pool) popIdle(endpoint *Endpoint) *conn {
 	for {
-		list := u.idle[endpoint]
+		list := p.idle[endpoint]
 		latest := len(list) - 1
-		for latest >= 0 && time.Since(list[latest].idleSince) < u.ReuseDelay {
+		for latest >= 0 && time.Since(list[latest].idleSince) < p.ReuseDelay {
 			latest--
 		}
 		if latest < 0 {
 			return nil
 		}
 		c := list[latest]
-		u.setIdle(endpoint, slices.Delete(list, latest, latest+1))
-		if time.Since(c.idleSince) < u.maxIdle && c.alive() {
+		p.setIdle(endpoint, slices.Delete(list, latest, latest+1))
+		if time.Since(c.idleSince) < p.maxIdle && c.alive() {
 			return c
 		}
-		u.closeConn(c)
+		p.closeConn(c)
 	}
 }
 
-// setIdle replaces the list of idle connections to an endpoint. An empty list is removed. The caller holds u.mu.
-func (u *Client) setIdle(endpoint *Endpoint, list []*conn) {
+// setIdle replaces the list of idle connections to an endpoint. An empty list is removed. The caller holds p.mu.
+func (p *pool) setIdle(endpoint *Endpoint, list []*conn) {
 	if len(list) == 0 {
-		delete(u.idle, endpoint)
+		delete(p.idle, endpoint)
 		return
 	}
-	u.idle[endpoint] = list
+	p.idle[endpoint] = list
 }
 
-// closeAnyIdle closes one idle connection, if there is one, so that another can be opened. The caller holds u.mu.
-func (u *Client) closeAnyIdle() {
-	for endpoint := range u.idle {
-		u.closeOldest(endpoint, 1)
+// closeAnyIdle closes one idle connection, if there is one, so that another can be opened. The caller holds p.mu.
+func (p *pool) closeAnyIdle() {
+	for endpoint := range p.idle {
+		p.closeOldest(endpoint, 1)
 		return
 	}
 }
 
-// closeOldest closes the count longest idle connections to an endpoint. The caller holds u.mu.
-func (u *Client) closeOldest(endpoint *Endpoint, count int) {
-	list := u.idle[endpoint]
+// closeOldest closes the count longest idle connections to an endpoint. The caller holds p.mu.
+func (p *pool) closeOldest(endpoint *Endpoint, count int) {
+	list := p.idle[endpoint]
 	for _, c := range list[:count] {
-		u.closeConn(c)
+		p.closeConn(c)
 	}
 	// Not list[count:]: the array would keep the closed connections and their buffers.
-	u.setIdle(endpoint, slices.Delete(list, 0, count))
+	p.setIdle(endpoint, slices.Delete(list, 0, count))
 }
 
-// closeConn closes a connection. It is the only place that does. The caller holds u.mu.
-func (u *Client) closeConn(c *conn) {
+// closeConn closes a connection. It is the only place that does. The caller holds p.mu.
+func (p *pool) closeConn(c *conn) {
 	c.Close()
-	u.open--
+	p.open--
 }
--- a/internal/upstream/response.go
+++ b/internal/upstream/response.go
@@ -135,7 +135,7 @@
 		if _, err := c.reader.Peek(1); err != nil {
 			return err
 		}
-		result.stream = newBodyStream(u, c, result)
+		result.stream = newBodyStream(u.pool, c, result)
 		return nil
 	}
 	result.release = func() { u.Bodies.Release(size) }
@@ -152,7 +152,7 @@
 			result.release()
 			return err
 		case length < 0 && (int64(len(body)) == size || time.Since(start) >= maxBufferingTime):
-			result.stream = newBodyStream(u, c, result)
+			result.stream = newBodyStream(u.pool, c, result)
 			return nil
 		}
 	}
