--- a/internal/upstream/client_test.go
+++ b/internal/upstream/client_test.go
@@ -17,38 +17,39 @@
 	"oakproxy/internal/sidecartest"
 )
 
-func newTestUpstream(t *testing.T, most int) *Client {
+// newTestClient returns a client with a limit on open connections and no reuse delay.
+func newTestClient(t *testing.T, maxOpen int) *Client {
 	t.Helper()
 	cfg, err := config.Parse([]byte(`{"name":"n0","listen":"127.0.0.1:0","discovery":"127.0.0.1:1","seed":"1f",` +
 		`"limits":{"memory_mb":192,"sockets":256},"settings":` + sidecartest.SettingsText + `}`))
 	if err != nil {
 		t.Fatal(err)
 	}
-	u := NewClient(cfg, most, httpmsg.NewMemoryBudget(24<<20))
+	u := NewClient(cfg, maxOpen, httpmsg.NewMemoryBudget(24<<20))
 	u.ReuseDelay = 0 // most tests use a connection again at once
 	return u
 }
 
-func get(path string) *Request {
+// newGetRequest returns an idempotent request.
+func newGetRequest(path string) *Request {
 	return &Request{Method: http.MethodGet, URL: &url.URL{Path: path}, Host: "api", Header: http.Header{
 		"X-Correlation-Id": {"1"}, "Idempotency-Key": {"k"}}}
 }
 
-// A connection is used again, and one that broke while a request was out is no
-// reason to send that request again: http.Transport would, for a GET or with an
-// Idempotency-Key, on a connection that had been idle.
-func TestNoHiddenResend(t *testing.T) {
+// A connection is reused, and a request on one that breaks is not repeated: http.Transport would do so, for a GET or
+// with an Idempotency-Key, on a connection that had been idle.
+func TestAttemptIsNeverRepeated(t *testing.T) {
 	e := sidecartest.NewEndpoint(t, func(e *sidecartest.Endpoint, conn net.Conn, in *bufio.Reader) {
 		if e.Next(in) != nil {
 			io.WriteString(conn, sidecartest.Served)
-			e.Next(in) // and end without an answer
+			e.Next(in) // and close without a response
 		}
 	})
-	u, at := newTestUpstream(t, 4), &Endpoint{Address: e.Address}
-	if r := u.Attempt(context.Background(), at, get("/1"), &Gate{}); r.Status != balancer.OK {
+	u, at := newTestClient(t, 4), &Endpoint{Address: e.Address}
+	if r := u.Attempt(context.Background(), at, newGetRequest("/1"), &Gate{}); r.Status != balancer.OK {
 		t.Fatalf("first: status %v", r.Status)
 	}
-	if r := u.Attempt(context.Background(), at, get("/2"), &Gate{}); r.Status != balancer.Reset {
+	if r := u.Attempt(context.Background(), at, newGetRequest("/2"), &Gate{}); r.Status != balancer.Reset {
 		t.Errorf("second: status %v, want Reset", r.Status)
 	}
 	if requests, conns := e.Seen(); requests != 2 || conns != 1 {
@@ -56,27 +57,28 @@
 	}
 }
 
-func TestProbe(t *testing.T) {
+// A probe returns the figures of a load report in the order of the settings, and NaN for each that is unusable.
+func TestProbeParsesLoadReport(t *testing.T) {
 	report := func(text string) string {
 		return fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(text), text)
 	}
 	for _, c := range []struct {
-		name, answer string
-		status       balancer.Status
-		load         []float32 // -1: not a number
+		name, response string
+		status         balancer.Status
+		load           []float32 // -1: not a number
 	}{
 		{"both figures, in any order", report("pending=7,failed_ps=0.5\n"), balancer.OK, []float32{0.5, 7}},
 		{"one figure and others", report("util=0.3,pending=2"), balancer.OK, []float32{-1, 2}},
 		{"a malformed figure", report("pending=many,failed_ps=1,,=,x"), balancer.OK, []float32{1, -1}},
 		{"a repeated figure", report("pending=1,failed_ps=2,pending=3"), balancer.OK, []float32{2, -1}},
-		{"figures beyond sense", report("pending=1e30,failed_ps=-1"), balancer.OK, []float32{-1, -1}},
-		{"figures that are none", report("pending=NaN,failed_ps=+Inf"), balancer.OK, []float32{-1, -1}},
+		{"figures out of range", report("pending=1e30,failed_ps=-1"), balancer.OK, []float32{-1, -1}},
+		{"figures that are no numbers", report("pending=NaN,failed_ps=+Inf"), balancer.OK, []float32{-1, -1}},
 		{"no report yet", report(""), balancer.OK, nil},
-		{"turned away", "HTTP/1.1 503 x\r\nContent-Length: 0\r\n\r\n", balancer.EndpointError, nil},
+		{"rejected", "HTTP/1.1 503 x\r\nContent-Length: 0\r\n\r\n", balancer.EndpointError, nil},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			e := sidecartest.NewEndpoint(t, sidecartest.Always(c.answer))
-			r := newTestUpstream(t, 1).Probe(context.Background(), &Endpoint{Address: e.Address})
+			e := sidecartest.NewEndpoint(t, sidecartest.Always(c.response))
+			r := newTestClient(t, 1).Probe(context.Background(), &Endpoint{Address: e.Address})
 			for i, v := range r.Load {
 				if v != v {
 					r.Load[i] = -1
@@ -86,7 +88,7 @@
 				t.Errorf("status %v, load %v; want %v, %v", r.Status, r.Load, c.status, c.load)
 			}
 			if path := e.Request(0).RequestURI; path != "/stats" {
-				t.Errorf("asked %s", path)
+				t.Errorf("requested %s", path)
 			}
 		})
 	}
--- a/internal/upstream/gate_test.go
+++ b/internal/upstream/gate_test.go
@@ -10,41 +10,41 @@
 	"oakproxy/internal/sidecartest"
 )
 
-// What an attempt waits for its connection may undo its decision: then it never begins,
-// and proves that it never ran.
-func TestGateShutsWhileDialling(t *testing.T) {
-	for why, shut := range map[string]func(u *Client, at *Endpoint, g *Gate, cancel func()){
-		"the endpoint drains":      func(u *Client, at *Endpoint, _ *Gate, _ func()) { u.Retire(at) },
-		"the client leaves":        func(_ *Client, _ *Endpoint, g *Gate, _ func()) { g.ClientGone = func() bool { return true } },
-		"a repeat comes too late":  func(_ *Client, _ *Endpoint, g *Gate, _ func()) { g.NotAfter = time.Now() },
-		"the request is over":      func(_ *Client, _ *Endpoint, g *Gate, _ func()) { g.Close() },
-		"the attempt is cancelled": func(_ *Client, _ *Endpoint, _ *Gate, cancel func()) { cancel() },
+// The time that an attempt waits for its connection may invalidate its decision: then the attempt never begins, which
+// proves that it never ran.
+func TestGateClosedDuringDialPreventsAttempt(t *testing.T) {
+	for name, closeGate := range map[string]func(u *Client, at *Endpoint, g *Gate, cancel func()){
+		"endpoint retired":  func(u *Client, at *Endpoint, _ *Gate, _ func()) { u.Retire(at) },
+		"client left":       func(_ *Client, _ *Endpoint, g *Gate, _ func()) { g.ClientGone = func() bool { return true } },
+		"retry too late":    func(_ *Client, _ *Endpoint, g *Gate, _ func()) { g.NotAfter = time.Now() },
+		"gate closed":       func(_ *Client, _ *Endpoint, g *Gate, _ func()) { g.Close() },
+		"attempt cancelled": func(_ *Client, _ *Endpoint, _ *Gate, cancel func()) { cancel() },
 	} {
-		t.Run(why, func(t *testing.T) {
+		t.Run(name, func(t *testing.T) {
 			e := sidecartest.NewEndpoint(t, sidecartest.Always(sidecartest.Served))
-			u, at, g := newTestUpstream(t, 1), &Endpoint{Address: e.Address}, &Gate{}
+			u, at, g := newTestClient(t, 1), &Endpoint{Address: e.Address}, &Gate{}
 			dial := sidecartest.BlockDials(&u.Dialer, e.Address)
 			ctx, cancel := context.WithCancel(context.Background())
 			defer cancel()
 			done := make(chan Result)
-			go func() { done <- u.Attempt(ctx, at, get("/"), g) }()
+			go func() { done <- u.Attempt(ctx, at, newGetRequest("/"), g) }()
 			<-dial.Begun
-			shut(u, at, g, cancel)
+			closeGate(u, at, g, cancel)
 			close(dial.Unblock)
 			if r := <-done; r.Status != balancer.NotSent {
-				t.Errorf("status %v, want Moot", r.Status)
+				t.Errorf("status %v, want NotSent", r.Status)
 			}
 			if n, _ := e.Seen(); n != 0 {
-				t.Errorf("the endpoint got %d requests", n)
+				t.Errorf("the endpoint received %d requests, want none", n)
 			}
 		})
 	}
 }
 
-// A send that waited for its connection must not start once its endpoint drains.
-func TestDrainDuringDial(t *testing.T) {
+// An attempt that waited for its connection must not begin once its endpoint is draining. No later one begins either.
+func TestRetireDuringDialPreventsAttempt(t *testing.T) {
 	e := sidecartest.NewEndpoint(t, sidecartest.Always(sidecartest.Served))
-	u, at := newTestUpstream(t, 1), &Endpoint{Address: e.Address}
+	u, at := newTestClient(t, 1), &Endpoint{Address: e.Address}
 	dialling, unblock := make(chan struct{}), make(chan struct{})
 	u.Dialer.Control = func(_, _ string, _ syscall.RawConn) error {
 		close(dialling)
@@ -52,17 +52,17 @@
 		return nil
 	}
 	done := make(chan Result)
-	go func() { done <- u.Attempt(context.Background(), at, get("/"), &Gate{}) }()
+	go func() { done <- u.Attempt(context.Background(), at, newGetRequest("/"), &Gate{}) }()
 	<-dialling
 	u.Retire(at)
 	close(unblock)
 	if r := <-done; r.Status != balancer.NotSent {
-		t.Errorf("status %v, want Moot", r.Status)
+		t.Errorf("status %v, want NotSent", r.Status)
 	}
 	if n, _ := e.Seen(); n != 0 {
-		t.Errorf("the draining endpoint got %d requests", n)
+		t.Errorf("the draining endpoint received %d requests, want none", n)
 	}
-	if r := u.Attempt(context.Background(), at, get("/"), &Gate{}); r.Status != balancer.NotSent || u.open != 0 {
-		t.Errorf("later: status %v, want Moot; %d connections open", r.Status, u.open)
+	if r := u.Attempt(context.Background(), at, newGetRequest("/"), &Gate{}); r.Status != balancer.NotSent || u.open != 0 {
+		t.Errorf("later: status %v, want NotSent; %d connections open", r.Status, u.open)
 	}
 }
