--- /dev/null
+++ b/internal/httpmsg/budget_test.go
@@ -0,0 +1,29 @@
+package httpmsg
+
+import "testing"
+
+// A reservation that does not fit changes nothing, also after the limit was lowered below what is reserved.
+func TestMemoryBudgetAdmitsUpToItsLimit(t *testing.T) {
+	b := NewMemoryBudget(10)
+	for _, step := range []struct {
+		limit, reserve int64
+		want           bool
+		used           int64
+	}{
+		{10, 6, true, 6},
+		{10, 5, false, 6},
+		{10, 4, true, 10},
+		{8, 1, false, 10},
+		{11, 1, true, 11},
+	} {
+		b.Limit.Store(step.limit)
+		if got := b.Reserve(step.reserve); got != step.want || b.Used.Load() != step.used {
+			t.Errorf("%d bytes of %d: admitted %v with %d reserved, want %v with %d",
+				step.reserve, step.limit, got, b.Used.Load(), step.want, step.used)
+		}
+	}
+	b.Release(11)
+	if used := b.Used.Load(); used != 0 {
+		t.Errorf("%d bytes are reserved after all were released", used)
+	}
+}
--- a/internal/upstream/client_test.go
+++ b/internal/upstream/client_test.go
@@ -36,6 +36,11 @@
 		"X-Correlation-Id": {"1"}, "Idempotency-Key": {"k"}}}
 }
 
+// getOnce attempts a GET request.
+func getOnce(ctx context.Context, u *Client, endpoint *Endpoint, path string) Result {
+	return u.Attempt(ctx, endpoint, newGetRequest(path), &Gate{})
+}
+
 // A connection is reused, and a request on one that breaks is not repeated: http.Transport would do so, for a GET or
 // with an Idempotency-Key, on a connection that had been idle.
 func TestAttemptIsNeverRepeated(t *testing.T) {
@@ -46,10 +51,10 @@
 		}
 	})
 	u, at := newTestClient(t, 4), &Endpoint{Address: e.Address}
-	if r := u.Attempt(context.Background(), at, newGetRequest("/1"), &Gate{}); r.Status != balancer.OK {
+	if r := getOnce(context.Background(), u, at, "/1"); r.Status != balancer.OK {
 		t.Fatalf("first: status %v", r.Status)
 	}
-	if r := u.Attempt(context.Background(), at, newGetRequest("/2"), &Gate{}); r.Status != balancer.Reset {
+	if r := getOnce(context.Background(), u, at, "/2"); r.Status != balancer.Reset {
 		t.Errorf("second: status %v, want Reset", r.Status)
 	}
 	if requests, conns := e.Seen(); requests != 2 || conns != 1 {
--- a/internal/upstream/gate_test.go
+++ b/internal/upstream/gate_test.go
@@ -52,7 +52,7 @@
 		return nil
 	}
 	done := make(chan Result)
-	go func() { done <- u.Attempt(context.Background(), at, newGetRequest("/"), &Gate{}) }()
+	go func() { done <- getOnce(context.Background(), u, at, "/") }()
 	<-dialling
 	u.Retire(at)
 	close(unblock)
@@ -62,7 +62,7 @@
 	if n, _ := e.Seen(); n != 0 {
 		t.Errorf("the draining endpoint received %d requests, want none", n)
 	}
-	if r := u.Attempt(context.Background(), at, newGetRequest("/"), &Gate{}); r.Status != balancer.NotSent || u.open != 0 {
+	if r := getOnce(context.Background(), u, at, "/"); r.Status != balancer.NotSent || u.open != 0 {
 		t.Errorf("later: status %v, want NotSent; %d connections open", r.Status, u.open)
 	}
 }
--- a/internal/upstream/outcome_test.go
+++ b/internal/upstream/outcome_test.go
@@ -21,6 +21,8 @@
 
 // Each kind of response has its outcome, on a new connection.
 func TestAttemptReportsOutcomeOfEachResponse(t *testing.T) {
+	const ok = "HTTP/1.1 200 OK\r\n"
+	always := sidecartest.Always
 	closeAfter := func(response string) func(*sidecartest.Endpoint, net.Conn, *bufio.Reader) {
 		return func(e *sidecartest.Endpoint, conn net.Conn, in *bufio.Reader) {
 			e.Next(in)
@@ -32,40 +34,49 @@
 		serve func(*sidecartest.Endpoint, net.Conn, *bufio.Reader)
 		want  balancer.Status
 	}{
-		{"served", sidecartest.Always(sidecartest.Served), balancer.OK},
-		{"served after an interim response", sidecartest.Always("HTTP/1.1 103 Early Hints\r\n\r\n" + sidecartest.Served), balancer.OK},
-		{"served in chunks", sidecartest.Always("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\ndone\r\n0\r\n\r\n"), balancer.OK},
-		{"served with a duplicate", sidecartest.Always(sidecartest.Served + sidecartest.Served), balancer.OK},
-		{"length only by an unannounced close", closeAfter("HTTP/1.1 200 OK\r\n\r\ndone"), balancer.Reset},
-		{"length stated in two ways", sidecartest.Always("HTTP/1.1 200 OK\r\nContent-Length: 4\r\nTransfer-Encoding: chunked\r\n\r\n4\r\ndone\r\n0\r\n\r\n"), balancer.Reset},
-		{"the same length twice", sidecartest.Always("HTTP/1.1 200 OK\r\nContent-Length: 4\r\nContent-Length: 4\r\n\r\ndone"), balancer.Reset},
-		{"two lengths", sidecartest.Always("HTTP/1.1 200 OK\r\nContent-Length: 4\r\nContent-Length: 9\r\n\r\ndone"), balancer.Reset},
-		{"length stated in two ways after interim responses", sidecartest.Always("HTTP/1.1 102 Processing\r\n\r\nHTTP/1.1 103 Early Hints\r\nLink: </a>\r\n\r\n" +
-			"HTTP/1.1 200 OK\r\nContent-Length: 4\r\nTransfer-Encoding: chunked\r\n\r\n4\r\ndone\r\n0\r\n\r\n"), balancer.Reset},
-		{"too many interim responses", sidecartest.Always(strings.Repeat("HTTP/1.1 102 Processing\r\n\r\n", 1000)), balancer.Reset},
-		{"length beyond the limit", sidecartest.Always("HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\ndone"), balancer.Reset},
-		{"stalled in its body", sidecartest.Always("HTTP/1.1 200 OK\r\nContent-Length: 40\r\n\r\ndone"), balancer.Reset},
-		{"stalled in its head", sidecartest.Always("HTTP/1.1 200 OK\r\nContent-"), balancer.Reset},
-		{"a broken chunk", sidecartest.Always("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\ndone\r\nzz\r\n"), balancer.Reset},
-		{"a broken status line", sidecartest.Always("HTTP/1.1 2x0 OK\r\nContent-Length: 4\r\n\r\ndone"), balancer.Reset},
-		{"another protocol", sidecartest.Always("ICY 200 OK\r\nContent-Length: 4\r\n\r\ndone"), balancer.Reset},
-		{"error", sidecartest.Always(sidecartest.Failing), balancer.EndpointError},
-		{"unexpected status", sidecartest.Always("HTTP/1.1 404 Not Found\r\nContent-Length: 0\r\n\r\n"), balancer.EndpointError},
-		{"rejected with 503", sidecartest.Always(sidecartest.TurnedAway), balancer.Rejected},
-		{"rejected with 504", sidecartest.Always("HTTP/1.1 504 Gateway Timeout\r\nX-Unprocessed: 1\r\nContent-Length: 0\r\n\r\n"), balancer.Rejected},
-		{"503 without X-Unprocessed", sidecartest.Always("HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n"), balancer.EndpointError},
-		{"500 with X-Unprocessed", sidecartest.Always("HTTP/1.1 500 x\r\nX-Unprocessed: 1\r\nContent-Length: 0\r\n\r\n"), balancer.EndpointError},
+		{"served", always(sidecartest.Served), balancer.OK},
+		{"served after an interim response",
+			always("HTTP/1.1 103 Early Hints\r\n\r\n" + sidecartest.Served), balancer.OK},
+		{"served in chunks", always(ok + "Transfer-Encoding: chunked\r\n\r\n4\r\ndone\r\n0\r\n\r\n"), balancer.OK},
+		{"served with a duplicate", always(sidecartest.Served + sidecartest.Served), balancer.OK},
+		{"length only by an unannounced close", closeAfter(ok + "\r\ndone"), balancer.Reset},
+		{"length stated in two ways",
+			always(ok + "Content-Length: 4\r\nTransfer-Encoding: chunked\r\n\r\n4\r\ndone\r\n0\r\n\r\n"), balancer.Reset},
+		{"the same length twice", always(ok + "Content-Length: 4\r\nContent-Length: 4\r\n\r\ndone"), balancer.Reset},
+		{"two lengths", always(ok + "Content-Length: 4\r\nContent-Length: 9\r\n\r\ndone"), balancer.Reset},
+		{"length stated in two ways after interim responses",
+			always("HTTP/1.1 102 Processing\r\n\r\nHTTP/1.1 103 Early Hints\r\nLink: </a>\r\n\r\n" +
+				ok + "Content-Length: 4\r\nTransfer-Encoding: chunked\r\n\r\n4\r\ndone\r\n0\r\n\r\n"), balancer.Reset},
+		{"too many interim responses",
+			always(strings.Repeat("HTTP/1.1 102 Processing\r\n\r\n", 1000)), balancer.Reset},
+		{"length beyond the limit", always(ok + "Content-Length: 3000000000\r\n\r\ndone"), balancer.Reset},
+		{"stalled in its body", always(ok + "Content-Length: 40\r\n\r\ndone"), balancer.Reset},
+		{"stalled in its head", always(ok + "Content-"), balancer.Reset},
+		{"a broken chunk", always(ok + "Transfer-Encoding: chunked\r\n\r\n4\r\ndone\r\nzz\r\n"), balancer.Reset},
+		{"a broken status line", always("HTTP/1.1 2x0 OK\r\nContent-Length: 4\r\n\r\ndone"), balancer.Reset},
+		{"another protocol", always("ICY 200 OK\r\nContent-Length: 4\r\n\r\ndone"), balancer.Reset},
+		{"error", always(sidecartest.Failing), balancer.EndpointError},
+		{"unexpected status", always("HTTP/1.1 404 Not Found\r\nContent-Length: 0\r\n\r\n"), balancer.EndpointError},
+		{"rejected with 503", always(sidecartest.TurnedAway), balancer.Rejected},
+		{"rejected with 504",
+			always("HTTP/1.1 504 Gateway Timeout\r\nX-Unprocessed: 1\r\nContent-Length: 0\r\n\r\n"), balancer.Rejected},
+		{"503 without X-Unprocessed",
+			always("HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n"), balancer.EndpointError},
+		{"500 with X-Unprocessed",
+			always("HTTP/1.1 500 x\r\nX-Unprocessed: 1\r\nContent-Length: 0\r\n\r\n"), balancer.EndpointError},
 		{"closed after the request", closeAfter(""), balancer.Reset},
-		{"truncated in its body", closeAfter("HTTP/1.1 200 OK\r\nContent-Length: 40\r\n\r\ndone"), balancer.Reset},
-		{"truncated in a chunk", closeAfter("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\ndone\r\n"), balancer.Reset},
-		{"truncated in its head", closeAfter("HTTP/1.1 200 OK\r\nContent-"), balancer.Reset},
-		{"503 truncated in its body", closeAfter("HTTP/1.1 503 x\r\nX-Unprocessed: 1\r\nContent-Length: 9\r\n\r\n"), balancer.Reset},
-		{"malformed", sidecartest.Always("nonsense\r\n\r\n"), balancer.Reset},
-		{"malformed length", sidecartest.Always("HTTP/1.1 200 OK\r\nContent-Length: -4\r\n\r\ndone"), balancer.Reset},
-		{"served until an announced close", closeAfter("HTTP/1.1 200 OK\r\nConnection: close\r\n\r\ndone"), balancer.OK},
-		{"body too large", sidecartest.Always("HTTP/1.1 200 OK\r\nContent-Length: 67108865\r\n\r\nx"), balancer.Reset},
-		{"error body too large", sidecartest.Always("HTTP/1.1 500 x\r\nContent-Length: 65537\r\n\r\n" + strings.Repeat("x", 65537)), balancer.Reset},
-		{"head too large", sidecartest.Always("HTTP/1.1 200 OK\r\nX: " + strings.Repeat("x", 200<<10)), balancer.Reset},
+		{"truncated in its body", closeAfter(ok + "Content-Length: 40\r\n\r\ndone"), balancer.Reset},
+		{"truncated in a chunk", closeAfter(ok + "Transfer-Encoding: chunked\r\n\r\n4\r\ndone\r\n"), balancer.Reset},
+		{"truncated in its head", closeAfter(ok + "Content-"), balancer.Reset},
+		{"503 truncated in its body",
+			closeAfter("HTTP/1.1 503 x\r\nX-Unprocessed: 1\r\nContent-Length: 9\r\n\r\n"), balancer.Reset},
+		{"malformed", always("nonsense\r\n\r\n"), balancer.Reset},
+		{"malformed length", always(ok + "Content-Length: -4\r\n\r\ndone"), balancer.Reset},
+		{"served until an announced close", closeAfter(ok + "Connection: close\r\n\r\ndone"), balancer.OK},
+		{"body too large", always(ok + "Content-Length: 67108865\r\n\r\nx"), balancer.Reset},
+		{"error body too large",
+			always("HTTP/1.1 500 x\r\nContent-Length: 65537\r\n\r\n" + strings.Repeat("x", 65537)), balancer.Reset},
+		{"head too large", always(ok + "X: " + strings.Repeat("x", 200<<10)), balancer.Reset},
 		{"silent", sidecartest.Silent, balancer.Timeout},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -77,7 +88,7 @@
 			ctx, cancel := context.WithTimeout(context.Background(), wait)
 			defer cancel()
 			u := newTestClient(t, 4)
-			r := u.Attempt(ctx, &Endpoint{Address: e.Address}, newGetRequest("/"), &Gate{})
+			r := getOnce(ctx, u, &Endpoint{Address: e.Address}, "/")
 			if r.Status != c.want {
 				t.Errorf("status %v, want %v", r.Status, c.want)
 			}
@@ -92,7 +103,7 @@
 func TestAttemptOnRefusedConnectionIsConnectFailed(t *testing.T) {
 	u := newTestClient(t, 1)
 	for range 2 { // a failed dial does not count as open
-		r := u.Attempt(context.Background(), &Endpoint{Address: sidecartest.ClosedAddress(t)}, newGetRequest("/"), &Gate{})
+		r := getOnce(context.Background(), u, &Endpoint{Address: sidecartest.ClosedAddress(t)}, "/")
 		if r.Status != balancer.ConnectFailed {
 			t.Errorf("status %v, want ConnectFailed", r.Status)
 		}
@@ -107,7 +118,7 @@
 		<-ctx.Done()
 		return ctx.Err()
 	}
-	r := u.Attempt(context.Background(), &Endpoint{Address: sidecartest.ClosedAddress(t)}, newGetRequest("/"), &Gate{})
+	r := getOnce(context.Background(), u, &Endpoint{Address: sidecartest.ClosedAddress(t)}, "/")
 	if r.Status != balancer.ConnectFailed {
 		t.Errorf("status %v, want ConnectFailed", r.Status)
 	}
@@ -140,7 +151,8 @@
 	u.Dialer.Control = small(syscall.SO_SNDBUF)
 	m := newGetRequest("/")
 	m.Method, m.Body = http.MethodPost, make([]byte, httpmsg.MaxBodyBytes)
-	if r := u.Attempt(context.Background(), &Endpoint{Address: listener.Addr().String()}, m, &Gate{}); r.Status != balancer.ConnectFailed {
+	r := u.Attempt(context.Background(), &Endpoint{Address: listener.Addr().String()}, m, &Gate{})
+	if r.Status != balancer.ConnectFailed {
 		t.Errorf("status %v, want ConnectFailed", r.Status)
 	}
 }
@@ -166,7 +178,7 @@
 			return err
 		}
 		ctx, cancel := context.WithTimeout(t.Context(), sidecartest.Patience)
-		r := u.Attempt(ctx, &Endpoint{Address: e.Address}, newGetRequest("/"), &Gate{})
+		r := getOnce(ctx, u, &Endpoint{Address: e.Address}, "/")
 		cancel()
 		if r.Status != c.want {
 			t.Errorf("%s: %v (%v), want %v", name, r.Status, r.Err, c.want)
@@ -198,7 +210,9 @@
 // A connection that breaks after the request's last byte is a reset, whatever the error: before the deadline,
 // ETIMEDOUT is not a timeout of the attempt.
 func TestAttemptOnBrokenConnectionIsReset(t *testing.T) {
-	for _, errno := range []syscall.Errno{syscall.ETIMEDOUT, syscall.EHOSTUNREACH, syscall.ENETUNREACH, syscall.ECONNRESET, syscall.EPIPE} {
+	for _, errno := range []syscall.Errno{
+		syscall.ETIMEDOUT, syscall.EHOSTUNREACH, syscall.ENETUNREACH, syscall.ECONNRESET, syscall.EPIPE,
+	} {
 		u, at := newTestClient(t, 1), &Endpoint{Address: "127.0.0.1:1"}
 		err := &net.OpError{Op: "read", Net: "tcp", Err: os.NewSyscallError("read", errno)}
 		u.open = 1
--- a/internal/upstream/pool_test.go
+++ b/internal/upstream/pool_test.go
@@ -27,7 +27,7 @@
 	})
 	u, at := newTestClient(t, 1), &Endpoint{Address: e.Address}
 	for i := range 2 {
-		if r := u.Attempt(context.Background(), at, newGetRequest("/"), &Gate{}); r.Status != balancer.OK {
+		if r := getOnce(context.Background(), u, at, "/"); r.Status != balancer.OK {
 			t.Fatalf("attempt %d: status %v, want OK", i, r.Status)
 		}
 		<-closed
@@ -47,15 +47,15 @@
 	if limit := 5 * time.Second; u.maxIdle > limit*4/5 {
 		t.Errorf("idle connections are used for %v of %v", u.maxIdle, limit)
 	}
-	attempt := func() {
+	mustSucceed := func() {
 		t.Helper()
-		if r := u.Attempt(context.Background(), at, newGetRequest("/"), &Gate{}); r.Status != balancer.OK {
+		if r := getOnce(context.Background(), u, at, "/"); r.Status != balancer.OK {
 			t.Fatalf("status %v", r.Status)
 		}
 	}
-	attempt()
+	mustSucceed()
 	u.idle[at][0].idleSince = time.Now().Add(-u.maxIdle)
-	attempt()
+	mustSucceed()
 	if _, conns := e.Seen(); conns != 2 {
 		t.Errorf("%d connections, want a second one after the idle timeout", conns)
 	}
@@ -68,7 +68,7 @@
 	if u.open != 0 || len(u.idle[at]) != 0 {
 		t.Errorf("Prune left %d connections open, want none", u.open)
 	}
-	attempt()
+	mustSucceed()
 	if u.Retire(at); u.open != 0 {
 		t.Errorf("a retired endpoint keeps %d connections", u.open)
 	}
@@ -76,23 +76,24 @@
 
 // The number of connections is limited: an idle one is closed for another endpoint, one in use is not.
 func TestOpenConnectionsAreLimited(t *testing.T) {
-	quick, slow := sidecartest.NewEndpoint(t, sidecartest.Always(sidecartest.Served)), sidecartest.NewEndpoint(t, sidecartest.Silent)
+	quick := sidecartest.NewEndpoint(t, sidecartest.Always(sidecartest.Served))
+	slow := sidecartest.NewEndpoint(t, sidecartest.Silent)
 	u := newTestClient(t, 1)
-	if r := u.Attempt(context.Background(), &Endpoint{Address: quick.Address}, newGetRequest("/"), &Gate{}); r.Status != balancer.OK {
+	if r := getOnce(context.Background(), u, &Endpoint{Address: quick.Address}, "/"); r.Status != balancer.OK {
 		t.Fatalf("status %v", r.Status)
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	busy := make(chan Result)
-	go func() { busy <- u.Attempt(ctx, &Endpoint{Address: slow.Address}, newGetRequest("/"), &Gate{}) }()
+	go func() { busy <- getOnce(ctx, u, &Endpoint{Address: slow.Address}, "/") }()
 	sidecartest.Await(t, "the slow endpoint's request", func() bool { n, _ := slow.Seen(); return n == 1 })
-	if r := u.Attempt(context.Background(), &Endpoint{Address: quick.Address}, newGetRequest("/"), &Gate{}); r.Status != balancer.NotSent {
+	if r := getOnce(context.Background(), u, &Endpoint{Address: quick.Address}, "/"); r.Status != balancer.NotSent {
 		t.Errorf("beyond the limit: status %v, want NotSent", r.Status)
 	}
 	cancel()
 	if r := <-busy; r.Status != balancer.Cancelled {
 		t.Errorf("cancelled: status %v, want Cancelled", r.Status)
 	}
-	if r := u.Attempt(context.Background(), &Endpoint{Address: quick.Address}, newGetRequest("/"), &Gate{}); r.Status != balancer.OK {
+	if r := getOnce(context.Background(), u, &Endpoint{Address: quick.Address}, "/"); r.Status != balancer.OK {
 		t.Errorf("below the limit again: status %v, want OK", r.Status)
 	}
 }
@@ -136,7 +137,7 @@
 		for range endpoints {
 			e := sidecartest.NewEndpoint(t, sidecartest.Always(sidecartest.Served))
 			to := &Endpoint{Address: e.Address}
-			if r := u.Attempt(t.Context(), to, newGetRequest("/"), &Gate{}); r.Status != balancer.OK {
+			if r := getOnce(t.Context(), u, to, "/"); r.Status != balancer.OK {
 				t.Fatalf("%s: status %v", c.name, r.Status)
 			}
 			all = append(all, weak.Make(u.idle[to][0]))
--- a/internal/upstream/response_test.go
+++ b/internal/upstream/response_test.go
@@ -27,7 +27,8 @@
 	})
 	u := newTestClient(t, 4)
 	for range 2 {
-		if r := u.Attempt(t.Context(), &Endpoint{Address: e.Address}, newGetRequest("/"), &Gate{}); r.Status != balancer.OK || string(r.Body) != "done" {
+		r := getOnce(t.Context(), u, &Endpoint{Address: e.Address}, "/")
+		if r.Status != balancer.OK || string(r.Body) != "done" {
 			t.Errorf("status %v, body %q", r.Status, r.Body)
 		}
 	}
@@ -36,7 +37,10 @@
 // The stall timeout applies only to a response that has begun, not to the time until it begins, also after an
 // interim response.
 func TestResponseMayBeginLate(t *testing.T) {
-	for name, first := range map[string]string{"plain": "", "after an interim response": "HTTP/1.1 102 Processing\r\n\r\n"} {
+	for name, first := range map[string]string{
+		"plain":                     "",
+		"after an interim response": "HTTP/1.1 102 Processing\r\n\r\n",
+	} {
 		e := sidecartest.NewEndpoint(t, func(e *sidecartest.Endpoint, conn net.Conn, in *bufio.Reader) {
 			for e.Next(in) != nil {
 				io.WriteString(conn, first)
@@ -46,7 +50,7 @@
 		})
 		u, at := newTestClient(t, 1), &Endpoint{Address: e.Address}
 		for range 2 { // on a new connection and on a used one
-			if r := u.Attempt(context.Background(), at, newGetRequest("/"), &Gate{}); r.Status != balancer.OK {
+			if r := getOnce(context.Background(), u, at, "/"); r.Status != balancer.OK {
 				t.Errorf("%s: status %v, want OK", name, r.Status)
 			}
 		}
@@ -61,7 +65,7 @@
 	e := sidecartest.NewEndpoint(t, sidecartest.Always(sidecartest.Served))
 	u := newTestClient(t, 4)
 	u.Bodies.Used.Store(u.Bodies.Limit.Load())
-	r := u.Attempt(t.Context(), &Endpoint{Address: e.Address}, newGetRequest("/"), &Gate{})
+	r := getOnce(t.Context(), u, &Endpoint{Address: e.Address}, "/")
 	if r.Status != balancer.OK || len(r.Body) != 0 || r.Rest == nil {
 		t.Fatalf("status %v, %d bytes buffered", r.Status, len(r.Body))
 	}
@@ -92,14 +96,14 @@
 		})
 		u, at := newTestClient(t, 4), &Endpoint{Address: e.Address}
 		u.ReuseDelay = time.Hour // so that the next request comes within it, however slow the machine is
-		if r := u.Attempt(context.Background(), at, newGetRequest("/one."), &Gate{}); r.Status != balancer.OK || string(r.Body) != "one." {
+		if r := getOnce(context.Background(), u, at, "/one."); r.Status != balancer.OK || string(r.Body) != "one." {
 			t.Fatalf("first: status %v, body %q", r.Status, r.Body)
 		}
-		if r := u.Attempt(context.Background(), at, newGetRequest("/two."), &Gate{}); r.Status != balancer.OK || string(r.Body) != "two." {
+		if r := getOnce(context.Background(), u, at, "/two."); r.Status != balancer.OK || string(r.Body) != "two." {
 			t.Errorf("second: status %v, body %q", r.Status, r.Body)
 		}
 		u.ReuseDelay = 0 // the reuse delay is over
-		if r := u.Attempt(context.Background(), at, newGetRequest("/thr."), &Gate{}); r.Status != balancer.OK || string(r.Body) != "thr." {
+		if r := getOnce(context.Background(), u, at, "/thr."); r.Status != balancer.OK || string(r.Body) != "thr." {
 			t.Errorf("third: status %v, body %q", r.Status, r.Body)
 		}
 	})
@@ -120,14 +124,14 @@
 				}
 			})
 			u, at := newTestClient(t, 4), &Endpoint{Address: e.Address}
-			if r := u.Attempt(context.Background(), at, newGetRequest("/one."), &Gate{}); r.Status != balancer.OK || string(r.Body) != "one." {
+			if r := getOnce(context.Background(), u, at, "/one."); r.Status != balancer.OK || string(r.Body) != "one." {
 				t.Fatalf("first: status %v, body %q", r.Status, r.Body)
 			}
 			close(sendExcess)
 			if late {
 				sidecartest.Await(t, "the excess to arrive", func() bool { return !u.idle[at][0].alive() })
 			}
-			if r := u.Attempt(context.Background(), at, newGetRequest("/two."), &Gate{}); r.Status != balancer.OK || string(r.Body) != "two." {
+			if r := getOnce(context.Background(), u, at, "/two."); r.Status != balancer.OK || string(r.Body) != "two." {
 				t.Errorf("second: status %v, body %q", r.Status, r.Body)
 			}
 			if _, conns := e.Seen(); conns != 2 {
