--- /dev/null
+++ b/internal/upstream/gate_test.go
@@ -0,0 +1,68 @@
+package upstream
+
+import (
+	"context"
+	"syscall"
+	"testing"
+	"time"
+
+	"oakproxy/balancer"
+	"oakproxy/internal/sidecartest"
+)
+
+// The time that an attempt waits for its connection may invalidate its decision: then the attempt never begins, which
+// proves that it never ran.
+func TestGateClosedDuringDialPreventsAttempt(t *testing.T) {
+	for name, closeGate := range map[string]func(u *Client, at *Endpoint, g *Gate, cancel func()){
+		"endpoint retired":  func(u *Client, at *Endpoint, _ *Gate, _ func()) { u.Retire(at) },
+		"client left":       func(_ *Client, _ *Endpoint, g *Gate, _ func()) { g.ClientGone = func() bool { return true } },
+		"retry too late":    func(_ *Client, _ *Endpoint, g *Gate, _ func()) { g.NotAfter = time.Now() },
+		"gate closed":       func(_ *Client, _ *Endpoint, g *Gate, _ func()) { g.Close() },
+		"attempt cancelled": func(_ *Client, _ *Endpoint, _ *Gate, cancel func()) { cancel() },
+	} {
+		t.Run(name, func(t *testing.T) {
+			e := sidecartest.NewEndpoint(t, sidecartest.Always(sidecartest.Served))
+			u, at, g := newTestClient(t, 1), &Endpoint{Address: e.Address}, &Gate{}
+			dial := sidecartest.BlockDials(&u.Dialer, e.Address)
+			ctx, cancel := context.WithCancel(context.Background())
+			defer cancel()
+			done := make(chan Result)
+			go func() { done <- u.Attempt(ctx, at, newGetRequest("/"), g) }()
+			<-dial.Begun
+			closeGate(u, at, g, cancel)
+			close(dial.Unblock)
+			if r := <-done; r.Status != balancer.NotSent {
+				t.Errorf("status %v, want NotSent", r.Status)
+			}
+			if n, _ := e.Seen(); n != 0 {
+				t.Errorf("the endpoint received %d requests, want none", n)
+			}
+		})
+	}
+}
+
+// An attempt that waited for its connection must not begin once its endpoint is draining. No later one begins either.
+func TestRetireDuringDialPreventsAttempt(t *testing.T) {
+	e := sidecartest.NewEndpoint(t, sidecartest.Always(sidecartest.Served))
+	u, at := newTestClient(t, 1), &Endpoint{Address: e.Address}
+	dialling, unblock := make(chan struct{}), make(chan struct{})
+	u.Dialer.Control = func(_, _ string, _ syscall.RawConn) error {
+		close(dialling)
+		<-unblock
+		return nil
+	}
+	done := make(chan Result)
+	go func() { done <- getOnce(context.Background(), u, at, "/") }()
+	<-dialling
+	u.Retire(at)
+	close(unblock)
+	if r := <-done; r.Status != balancer.NotSent {
+		t.Errorf("status %v, want NotSent", r.Status)
+	}
+	if n, _ := e.Seen(); n != 0 {
+		t.Errorf("the draining endpoint received %d requests, want none", n)
+	}
+	if r := getOnce(context.Background(), u, at, "/"); r.Status != balancer.NotSent || u.open != 0 {
+		t.Errorf("later: status %v, want NotSent; %d connections open", r.Status, u.open)
+	}
+}
--- /dev/null
+++ b/internal/upstream/outcome_test.go
@@ -0,0 +1,226 @@
+package upstream
+
+import (
+	"bufio"
+	"context"
+	"errors"
+	"io"
+	"net"
+	"net/http"
+	"os"
+	"slices"
+	"strings"
+	"syscall"
+	"testing"
+	"time"
+
+	"oakproxy/balancer"
+	"oakproxy/internal/httpmsg"
+	"oakproxy/internal/sidecartest"
+)
+
+// Each kind of response has its outcome, on a new connection.
+func TestAttemptReportsOutcomeOfEachResponse(t *testing.T) {
+	const ok = "HTTP/1.1 200 OK\r\n"
+	always := sidecartest.Always
+	closeAfter := func(response string) func(*sidecartest.Endpoint, net.Conn, *bufio.Reader) {
+		return func(e *sidecartest.Endpoint, conn net.Conn, in *bufio.Reader) {
+			e.Next(in)
+			io.WriteString(conn, response)
+		}
+	}
+	for _, c := range []struct {
+		name  string
+		serve func(*sidecartest.Endpoint, net.Conn, *bufio.Reader)
+		want  balancer.Status
+	}{
+		{"served", always(sidecartest.Served), balancer.OK},
+		{"served after an interim response",
+			always("HTTP/1.1 103 Early Hints\r\n\r\n" + sidecartest.Served), balancer.OK},
+		{"served in chunks", always(ok + "Transfer-Encoding: chunked\r\n\r\n4\r\ndone\r\n0\r\n\r\n"), balancer.OK},
+		{"served with a duplicate", always(sidecartest.Served + sidecartest.Served), balancer.OK},
+		{"length only by an unannounced close", closeAfter(ok + "\r\ndone"), balancer.Reset},
+		{"length stated in two ways",
+			always(ok + "Content-Length: 4\r\nTransfer-Encoding: chunked\r\n\r\n4\r\ndone\r\n0\r\n\r\n"), balancer.Reset},
+		{"the same length twice", always(ok + "Content-Length: 4\r\nContent-Length: 4\r\n\r\ndone"), balancer.Reset},
+		{"two lengths", always(ok + "Content-Length: 4\r\nContent-Length: 9\r\n\r\ndone"), balancer.Reset},
+		{"length stated in two ways after interim responses",
+			always("HTTP/1.1 102 Processing\r\n\r\nHTTP/1.1 103 Early Hints\r\nLink: </a>\r\n\r\n" +
+				ok + "Content-Length: 4\r\nTransfer-Encoding: chunked\r\n\r\n4\r\ndone\r\n0\r\n\r\n"), balancer.Reset},
+		{"too many interim responses",
+			always(strings.Repeat("HTTP/1.1 102 Processing\r\n\r\n", 1000)), balancer.Reset},
+		{"length beyond the limit", always(ok + "Content-Length: 3000000000\r\n\r\ndone"), balancer.Reset},
+		{"stalled in its body", always(ok + "Content-Length: 40\r\n\r\ndone"), balancer.Reset},
+		{"stalled in its head", always(ok + "Content-"), balancer.Reset},
+		{"a broken chunk", always(ok + "Transfer-Encoding: chunked\r\n\r\n4\r\ndone\r\nzz\r\n"), balancer.Reset},
+		{"a broken status line", always("HTTP/1.1 2x0 OK\r\nContent-Length: 4\r\n\r\ndone"), balancer.Reset},
+		{"another protocol", always("ICY 200 OK\r\nContent-Length: 4\r\n\r\ndone"), balancer.Reset},
+		{"error", always(sidecartest.Failing), balancer.EndpointError},
+		{"unexpected status", always("HTTP/1.1 404 Not Found\r\nContent-Length: 0\r\n\r\n"), balancer.EndpointError},
+		{"rejected with 503", always(sidecartest.TurnedAway), balancer.Rejected},
+		{"rejected with 504",
+			always("HTTP/1.1 504 Gateway Timeout\r\nX-Unprocessed: 1\r\nContent-Length: 0\r\n\r\n"), balancer.Rejected},
+		{"503 without X-Unprocessed",
+			always("HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n"), balancer.EndpointError},
+		{"500 with X-Unprocessed",
+			always("HTTP/1.1 500 x\r\nX-Unprocessed: 1\r\nContent-Length: 0\r\n\r\n"), balancer.EndpointError},
+		{"closed after the request", closeAfter(""), balancer.Reset},
+		{"truncated in its body", closeAfter(ok + "Content-Length: 40\r\n\r\ndone"), balancer.Reset},
+		{"truncated in a chunk", closeAfter(ok + "Transfer-Encoding: chunked\r\n\r\n4\r\ndone\r\n"), balancer.Reset},
+		{"truncated in its head", closeAfter(ok + "Content-"), balancer.Reset},
+		{"503 truncated in its body",
+			closeAfter("HTTP/1.1 503 x\r\nX-Unprocessed: 1\r\nContent-Length: 9\r\n\r\n"), balancer.Reset},
+		{"malformed", always("nonsense\r\n\r\n"), balancer.Reset},
+		{"malformed length", always(ok + "Content-Length: -4\r\n\r\ndone"), balancer.Reset},
+		{"served until an announced close", closeAfter(ok + "Connection: close\r\n\r\ndone"), balancer.OK},
+		{"body too large", always(ok + "Content-Length: 67108865\r\n\r\nx"), balancer.Reset},
+		{"error body too large",
+			always("HTTP/1.1 500 x\r\nContent-Length: 65537\r\n\r\n" + strings.Repeat("x", 65537)), balancer.Reset},
+		{"head too large", always(ok + "X: " + strings.Repeat("x", 200<<10)), balancer.Reset},
+		{"silent", sidecartest.Silent, balancer.Timeout},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			t.Parallel()
+			e, wait := sidecartest.NewEndpoint(t, c.serve), sidecartest.Patience
+			if c.want == balancer.Timeout {
+				wait = 50 * time.Millisecond
+			}
+			ctx, cancel := context.WithTimeout(context.Background(), wait)
+			defer cancel()
+			u := newTestClient(t, 4)
+			r := getOnce(ctx, u, &Endpoint{Address: e.Address}, "/")
+			if r.Status != c.want {
+				t.Errorf("status %v, want %v", r.Status, c.want)
+			}
+			if r.Status == balancer.OK && string(r.Body) != "done" {
+				t.Errorf("body %q", r.Body)
+			}
+		})
+	}
+}
+
+// A refused connection proves that the request never ran.
+func TestAttemptOnRefusedConnectionIsConnectFailed(t *testing.T) {
+	u := newTestClient(t, 1)
+	for range 2 { // a failed dial does not count as open
+		r := getOnce(context.Background(), u, &Endpoint{Address: sidecartest.ClosedAddress(t)}, "/")
+		if r.Status != balancer.ConnectFailed {
+			t.Errorf("status %v, want ConnectFailed", r.Status)
+		}
+	}
+}
+
+// A machine that is gone does not respond: the dial times out.
+func TestAttemptOnDialTimeoutIsConnectFailed(t *testing.T) {
+	u := newTestClient(t, 1)
+	u.Dialer.Timeout = 20 * time.Millisecond
+	u.Dialer.ControlContext = func(ctx context.Context, _, _ string, _ syscall.RawConn) error {
+		<-ctx.Done()
+		return ctx.Err()
+	}
+	r := getOnce(context.Background(), u, &Endpoint{Address: sidecartest.ClosedAddress(t)}, "/")
+	if r.Status != balancer.ConnectFailed {
+		t.Errorf("status %v, want ConnectFailed", r.Status)
+	}
+}
+
+// A connection that breaks before the last byte is written proves that the
+// request never ran. Small buffers on both sides leave part of it unwritten.
+func TestAttemptOnBreakBeforeLastByteIsConnectFailed(t *testing.T) {
+	small := func(option int) func(string, string, syscall.RawConn) error {
+		return func(_, _ string, raw syscall.RawConn) error {
+			return raw.Control(func(fd uintptr) { syscall.SetsockoptInt(int(fd), syscall.SOL_SOCKET, option, 2048) })
+		}
+	}
+	config := net.ListenConfig{Control: small(syscall.SO_RCVBUF)}
+	listener, err := config.Listen(context.Background(), "tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer listener.Close()
+	go func() {
+		conn, err := listener.Accept()
+		if err != nil {
+			return
+		}
+		io.ReadFull(conn, make([]byte, 64))
+		conn.(*net.TCPConn).SetLinger(0)
+		conn.Close()
+	}()
+	u := newTestClient(t, 1)
+	u.Dialer.Control = small(syscall.SO_SNDBUF)
+	m := newGetRequest("/")
+	m.Method, m.Body = http.MethodPost, make([]byte, httpmsg.MaxBodyBytes)
+	r := u.Attempt(context.Background(), &Endpoint{Address: listener.Addr().String()}, m, &Gate{})
+	if r.Status != balancer.ConnectFailed {
+		t.Errorf("status %v, want ConnectFailed", r.Status)
+	}
+}
+
+// A dial that fails for a shortage on this machine is retried for a while, and is never counted against the endpoint.
+func TestDialRetriesLocalResourceShortage(t *testing.T) {
+	e := sidecartest.NewEndpoint(t, sidecartest.Always(sidecartest.Served))
+	for name, c := range map[string]struct {
+		errors []error
+		want   balancer.Status
+	}{
+		"shortage that passes": {[]error{syscall.ENFILE, syscall.ENOBUFS, syscall.EADDRNOTAVAIL, syscall.EINTR}, balancer.OK},
+		"shortage that stays":  {slices.Repeat([]error{syscall.ENOBUFS}, 1000), balancer.NotSent},
+		"no shortage":          {slices.Repeat([]error{syscall.ENETUNREACH}, 1000), balancer.ConnectFailed},
+	} {
+		u := newTestClient(t, 1)
+		u.Dialer.Control = func(string, string, syscall.RawConn) error {
+			if len(c.errors) == 0 {
+				return nil
+			}
+			err := c.errors[0]
+			c.errors = c.errors[1:]
+			return err
+		}
+		ctx, cancel := context.WithTimeout(t.Context(), sidecartest.Patience)
+		r := getOnce(ctx, u, &Endpoint{Address: e.Address}, "/")
+		cancel()
+		if r.Status != c.want {
+			t.Errorf("%s: %v (%v), want %v", name, r.Status, r.Err, c.want)
+		}
+		if open := u.Counts().Open; c.want != balancer.OK && open != 0 {
+			t.Errorf("%s: %d connections are counted open", name, open)
+		}
+	}
+}
+
+// failingConn is a connection to an endpoint that reads a request and then breaks.
+type failingConn struct {
+	net.Conn
+	err error
+}
+
+func (c *failingConn) Write(p []byte) (int, error) { return len(p), nil }
+
+func (c *failingConn) Read([]byte) (int, error) { return 0, c.err }
+
+func (c *failingConn) SetDeadline(time.Time) error { return nil }
+
+func (c *failingConn) SetReadDeadline(time.Time) error { return nil }
+
+func (c *failingConn) SetWriteDeadline(time.Time) error { return nil }
+
+func (c *failingConn) Close() error { return nil }
+
+// A connection that breaks after the request's last byte is a reset, whatever the error: before the deadline,
+// ETIMEDOUT is not a timeout of the attempt.
+func TestAttemptOnBrokenConnectionIsReset(t *testing.T) {
+	for _, errno := range []syscall.Errno{
+		syscall.ETIMEDOUT, syscall.EHOSTUNREACH, syscall.ENETUNREACH, syscall.ECONNRESET, syscall.EPIPE,
+	} {
+		u, at := newTestClient(t, 1), &Endpoint{Address: "127.0.0.1:1"}
+		err := &net.OpError{Op: "read", Net: "tcp", Err: os.NewSyscallError("read", errno)}
+		u.open = 1
+		ctx, cancel := context.WithTimeout(t.Context(), sidecartest.Patience)
+		_, got := u.exchange(ctx, newConn(&failingConn{err: err}, at), newGetRequest("/"), &Gate{})
+		if status := failureStatus(ctx, got); status != balancer.Reset || !errors.Is(got, errno) || u.Counts().Open != 0 {
+			t.Errorf("%v: %v (%v), %d connections open; want a reset", errno, status, got, u.Counts().Open)
+		}
+		cancel()
+	}
+}
--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -1,258 +1,269 @@
 package upstream
 
 import (
-	"bufio"
 	"context"
-	"io"
 	"net"
 	"slices"
+	"sync"
 	"time"
 
 	"oakproxy/internal/system"
 )
 
-// The connections to endpoints: how many there are, and which one a request or a probe takes.
-
 const (
-	answerPause = 20 * time.Millisecond // a connection rests after an answer: a second one comes some milliseconds late
-	probeSpares = 4                     // one in so many connections is left to requests
+	// defaultReuseDelay keeps a connection out of use after a response: a duplicate of the response, if the endpoint
+	// sends one, comes some milliseconds later.
+	defaultReuseDelay = 20 * time.Millisecond
+
+	// probeReserveDivisor sets the part of the connections that probes leave to requests: one in so many.
+	probeReserveDivisor = 4
 )
 
-// Counts tells of connections to endpoints: those open now and, since the start, those dialled, those that
-// never came up, and the attempts and probes that found no room for one.
+// Endpoint is one incarnation of an endpoint at one address. It is closed for good by [Client.Retire], once the
+// endpoint is draining, removed or restarted.
+type Endpoint struct {
+	Address   string // host:port
+	StartedMS int64  // when the incarnation started, in Unix milliseconds
+	closed    bool   // guarded by pool.mu
+}
+
+// pool owns the idle connections to endpoints and bounds the number of open ones, those in use included. Its exported
+// methods are those of [Client], and may be called concurrently.
+type pool struct {
+	// Dialer opens connections. Its Timeout changes with the configuration.
+	Dialer net.Dialer
+	// ReuseDelay is how long a connection stays unused after a response. It is set before the first attempt.
+	ReuseDelay time.Duration
+
+	mu      sync.Mutex            // guards Dialer.Timeout, Endpoint.closed and what follows
+	maxIdle time.Duration         // idle connections are not used for longer
+	maxOpen int                   // limit on open
+	open    int                   // connections that are not closed, including those being dialled
+	idle    map[*Endpoint][]*conn // by endpoint, the most recently used last
+
+	// Totals since the start.
+	dialTime                         time.Duration
+	dials, failedDials, limitReached uint64
+}
+
+func newPool(maxOpen int) *pool {
+	return &pool{ReuseDelay: defaultReuseDelay, maxOpen: maxOpen, idle: map[*Endpoint][]*conn{}}
+}
+
+// setTimeouts sets the time limit of a dial, and that after which endpoints close an idle connection.
+func (p *pool) setTimeouts(dial, idle time.Duration) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.Dialer.Timeout = dial
+	// An endpoint closes an idle connection after its idle timeout at the latest,
+	// and what is written to it from then on is lost.
+	p.maxIdle = idle * 3 / 4
+}
+
+// Counts are the numbers of connections to endpoints. Except for Open they are totals since the start.
 type Counts struct {
-	Open                        int
-	DialTime                    time.Duration
-	Dials, Failed, LimitReached uint64
+	Open         int           // connections that are open now, including those being dialled
+	DialTime     time.Duration // time spent on dialling
+	Dials        uint64        // connections dialled
+	Failed       uint64        // dials that failed
+	LimitReached uint64        // attempts and probes that found the limit on open connections reached
 }
 
-func (u *Client) Counts() Counts {
-	u.mu.Lock()
-	defer u.mu.Unlock()
-	return Counts{u.open, u.dialTime, u.dials, u.failed, u.full}
+// Counts returns the numbers of connections.
+func (p *pool) Counts() Counts {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	return Counts{p.open, p.dialTime, p.dials, p.failedDials, p.limitReached}
 }
 
-// Endpoint is one life of an endpoint at one address. It is closed for good once
-// the endpoint is told draining or gone, or has restarted.
-type Endpoint struct {
-	Address   string
-	StartedMS int64
-	closed    bool // under upstream.mu
+// ConnectionLimits are the bounds on connections to endpoints.
+type ConnectionLimits struct {
+	DialTimeout    time.Duration
+	MaxIdle        time.Duration // a connection is used again at most so long after its last response
+	MaxConnections int
+}
+
+// Limits returns the bounds in force.
+func (p *pool) Limits() ConnectionLimits {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	return ConnectionLimits{p.Dialer.Timeout, p.maxIdle, p.maxOpen}
 }
 
-// conn is a connection that carries one request at a time.
-type conn struct {
-	net.Conn
-	target *Endpoint
-	reader *bufio.Reader
-	limit  io.LimitedReader // of an answer
-	ctx    context.Context  // of the attempt
-	stall  time.Duration    // without a byte, until a read is given up; 0: no limit
-	idleAt time.Time
-	used   bool // it has carried a request before
+// SetMaxConnections sets the limit on open connections, and closes idle ones beyond it.
+func (p *pool) SetMaxConnections(maxOpen int) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.maxOpen = maxOpen
+	for endpoint, list := range p.idle {
+		p.closeOldest(endpoint, max(0, min(len(list), p.open-maxOpen)))
+	}
+}
+
+// IdleConnections returns the number of idle connections.
+func (p *pool) IdleConnections() (n int) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	for _, list := range p.idle {
+		n += len(list)
+	}
+	return n
+}
+
+// Retire closes an endpoint for good, and its idle connections. Exchanges that have begun go on.
+func (p *pool) Retire(endpoint *Endpoint) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	endpoint.closed = true
+	for _, c := range p.idle[endpoint] {
+		p.closeConn(c)
+	}
+	delete(p.idle, endpoint)
+}
+
+// Retired reports whether [Client.Retire] has closed an endpoint.
+func (p *pool) Retired(endpoint *Endpoint) bool {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	return endpoint.closed
+}
+
+// Prune closes connections that have been idle for too long.
+func (p *pool) Prune() {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	for endpoint, list := range p.idle {
+		expired := 0 // the longest idle come first
+		for expired < len(list) && time.Since(list[expired].idleSince) >= p.maxIdle {
+			expired++
+		}
+		p.closeOldest(endpoint, expired)
+	}
 }
 
-// connect returns the connection to t that was used last, or opens one.
-func (u *Client) connect(ctx context.Context, t *Endpoint, probe bool) (*conn, error) {
-	c, err := u.reserve(t, probe)
+// connect returns the most recently used idle connection to an endpoint, or opens one.
+func (p *pool) connect(ctx context.Context, endpoint *Endpoint, isProbe bool) (*conn, error) {
+	c, err := p.reserve(endpoint, isProbe)
 	if c != nil || err != nil {
 		return c, err
 	}
 	start := time.Now()
-	dialer := u.currentDialer()
+	dialer := p.currentDialer()
 	var raw net.Conn
 	err = system.Retry(ctx, system.DialRetryTimeout, system.DialRetryDelay, system.IsShortage, func() error {
-		raw, err = dialer.DialContext(ctx, "tcp", t.Address)
+		raw, err = dialer.DialContext(ctx, "tcp", endpoint.Address)
 		return err
 	})
-	u.mu.Lock()
-	u.dialTime += time.Since(start)
+	p.mu.Lock()
+	p.dialTime += time.Since(start)
 	if err != nil {
-		u.open--
-		u.failed++
+		p.open--
+		p.failedDials++
 	}
-	u.mu.Unlock()
+	p.mu.Unlock()
 	if err != nil {
 		return nil, err
 	}
-	return newConn(raw, t), nil
-}
-
-func newConn(raw net.Conn, t *Endpoint) *conn {
-	c := &conn{Conn: raw, target: t}
-	c.limit.R = c
-	c.reader = bufio.NewReaderSize(&c.limit, maxAnswerHeadBytes)
-	return c
+	return newConn(raw, endpoint), nil
 }
 
-// currentDialer returns the dialer with the time-out in force.
-func (u *Client) currentDialer() net.Dialer {
-	u.mu.Lock()
-	defer u.mu.Unlock()
-	return u.Dialer
+// currentDialer returns the dialer with the timeout in force.
+func (p *pool) currentDialer() net.Dialer {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	return p.Dialer
 }
 
-// reserve returns an idle connection, or none with the right to open one. Where lists
-// are long, probes alone could hold all that may be open: they leave some to requests.
-func (u *Client) reserve(t *Endpoint, probe bool) (*conn, error) {
-	u.mu.Lock()
-	defer u.mu.Unlock()
-	if t.closed {
-		return nil, errClosed
+// reserve returns an idle connection, or nil with the right to open one. Where endpoint lists are long, probes alone
+// could hold all connections that may be open: they leave some to requests.
+func (p *pool) reserve(endpoint *Endpoint, isProbe bool) (*conn, error) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	if endpoint.closed {
+		return nil, errEndpointClosed
 	}
-	if c := u.takeIdle(t); c != nil {
+	if c := p.popIdle(endpoint); c != nil {
 		return c, nil
 	}
-	maxOpen := u.most
-	if probe {
-		maxOpen -= maxOpen / probeSpares
+	maxOpen := p.maxOpen
+	if isProbe {
+		maxOpen -= maxOpen / probeReserveDivisor
 	}
-	if u.open >= maxOpen {
-		u.dropAnyIdle()
+	if p.open >= maxOpen {
+		p.closeAnyIdle()
 	}
-	if u.open >= maxOpen {
-		u.full++
-		return nil, errFull
+	if p.open >= maxOpen {
+		p.limitReached++
+		return nil, errConnectionLimit
 	}
-	u.open++
-	u.dials++
+	p.open++
+	p.dials++
 	return nil, nil
 }
 
-// takeIdle returns the connection to t that was used last of those that have rested, or nil, and closes those
-// that are of no more use. What was answered just now may get a second answer, which would be taken for that of
-// the next request: it rests. It holds u.mu.
-func (u *Client) takeIdle(t *Endpoint) *conn {
+// release returns a connection from its owner to the pool, or closes it.
+func (p *pool) release(c *conn, reusable bool) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	if !reusable || c.endpoint.closed {
+		p.closeConn(c)
+		return
+	}
+	c.idleSince, c.used = time.Now(), true
+	p.idle[c.endpoint] = append(p.idle[c.endpoint], c)
+}
+
+// popIdle returns the most recently used idle connection to an endpoint of those whose reuse delay is over, or nil. It
+// closes those that it finds unusable. The reuse delay is there because a duplicate of the last response may follow
+// it, which would be taken for the response to the next request. The caller holds p.mu.
+func (p *pool) popIdle(endpoint *Endpoint) *conn {
 	for {
-		list := u.idle[t]
+		list := p.idle[endpoint]
 		latest := len(list) - 1
-		for latest >= 0 && time.Since(list[latest].idleAt) < u.ReuseDelay {
+		for latest >= 0 && time.Since(list[latest].idleSince) < p.ReuseDelay {
 			latest--
 		}
 		if latest < 0 {
 			return nil
 		}
 		c := list[latest]
-		u.setIdle(t, slices.Delete(list, latest, latest+1))
-		if time.Since(c.idleAt) < u.maxIdle && c.alive() {
+		p.setIdle(endpoint, slices.Delete(list, latest, latest+1))
+		if time.Since(c.idleSince) < p.maxIdle && c.alive() {
 			return c
 		}
-		u.drop(c)
-	}
-}
-
-// dropAnyIdle closes an idle connection, if there is one, to make room for another. It holds u.mu.
-func (u *Client) dropAnyIdle() {
-	for t := range u.idle {
-		u.dropOldest(t, 1)
-		return
-	}
-}
-
-// SetMaxConnections sets the most connections, and closes idle ones beyond that.
-func (u *Client) SetMaxConnections(most int) {
-	u.mu.Lock()
-	defer u.mu.Unlock()
-	u.most = most
-	for t, list := range u.idle {
-		u.dropOldest(t, max(0, min(len(list), u.open-most)))
-	}
-}
-
-// drop closes a connection. It holds u.mu.
-func (u *Client) drop(c *conn) {
-	c.Close()
-	u.open--
-}
-
-// dropOldest closes the connections to t that have been idle for longest, so many of them. It holds u.mu.
-func (u *Client) dropOldest(t *Endpoint, count int) {
-	list := u.idle[t]
-	for _, c := range list[:count] {
-		u.drop(c)
+		p.closeConn(c)
 	}
-	// Not list[count:]: the array would keep the closed connections and their buffers.
-	u.setIdle(t, slices.Delete(list, 0, count))
 }
 
-// setIdle keeps the idle connections to t; none takes no room. It holds u.mu.
-func (u *Client) setIdle(t *Endpoint, list []*conn) {
+// setIdle replaces the list of idle connections to an endpoint. An empty list is removed. The caller holds p.mu.
+func (p *pool) setIdle(endpoint *Endpoint, list []*conn) {
 	if len(list) == 0 {
-		delete(u.idle, t)
+		delete(p.idle, endpoint)
 		return
 	}
-	u.idle[t] = list
+	p.idle[endpoint] = list
 }
 
-// release keeps a connection for the next request, or closes it.
-func (u *Client) release(c *conn, keep bool) {
-	u.mu.Lock()
-	defer u.mu.Unlock()
-	if !keep || c.target.closed {
-		u.drop(c)
+// closeAnyIdle closes one idle connection, if there is one, so that another can be opened. The caller holds p.mu.
+func (p *pool) closeAnyIdle() {
+	for endpoint := range p.idle {
+		p.closeOldest(endpoint, 1)
 		return
 	}
-	c.idleAt, c.used = time.Now(), true
-	u.idle[c.target] = append(u.idle[c.target], c)
-}
-
-// Retire closes a target for good, and its idle connections. What is out there
-// goes on.
-func (u *Client) Retire(t *Endpoint) {
-	u.mu.Lock()
-	defer u.mu.Unlock()
-	t.closed = true
-	for _, c := range u.idle[t] {
-		u.drop(c)
-	}
-	delete(u.idle, t)
 }
 
-// Prune closes connections that have been idle for too long.
-func (u *Client) Prune() {
-	u.mu.Lock()
-	defer u.mu.Unlock()
-	for t, list := range u.idle {
-		old := 0 // the longest idle come first
-		for old < len(list) && time.Since(list[old].idleAt) >= u.maxIdle {
-			old++
-		}
-		u.dropOldest(t, old)
-	}
-}
-
-// alive says whether an idle connection is open and silent. An endpoint may
-// close it at any time, and a request written after that is lost as a reset
-// that may have run.
-func (c *conn) alive() bool { return !system.Readable(c.Conn) }
-
-// IdleConnections returns how many connections carry no request.
-func (u *Client) IdleConnections() (n int) {
-	u.mu.Lock()
-	defer u.mu.Unlock()
-	for _, list := range u.idle {
-		n += len(list)
+// closeOldest closes the count longest idle connections to an endpoint. The caller holds p.mu.
+func (p *pool) closeOldest(endpoint *Endpoint, count int) {
+	list := p.idle[endpoint]
+	for _, c := range list[:count] {
+		p.closeConn(c)
 	}
-	return n
-}
-
-// Retired reports whether nothing may be sent to t any more.
-func (u *Client) Retired(t *Endpoint) bool {
-	u.mu.Lock()
-	defer u.mu.Unlock()
-	return t.closed
-}
-
-// ConnectionLimits are the bounds on connections to endpoints that are in force.
-type ConnectionLimits struct {
-	DialTimeout    time.Duration
-	MaxIdle        time.Duration // a connection is used again at most so long after its last response
-	MaxConnections int
+	// Not list[count:]: the array would keep the closed connections and their buffers.
+	p.setIdle(endpoint, slices.Delete(list, 0, count))
 }
 
-// ConnectionLimits returns the bounds in force.
-func (u *Client) Limits() ConnectionLimits {
-	u.mu.Lock()
-	defer u.mu.Unlock()
-	return ConnectionLimits{u.Dialer.Timeout, u.maxIdle, u.most}
+// closeConn closes a connection. It is the only place that does. The caller holds p.mu.
+func (p *pool) closeConn(c *conn) {
+	c.Close()
+	p.open--
 }
--- /dev/null
+++ b/internal/upstream/request_test.go
@@ -0,0 +1,68 @@
+package upstream
+
+import (
+	"bytes"
+	"context"
+	"errors"
+	"fmt"
+	"io"
+	"net"
+	"net/http"
+	"net/url"
+	"testing"
+	"time"
+
+	"oakproxy/balancer"
+	"oakproxy/internal/sidecartest"
+)
+
+// An endpoint receives the client's end-to-end headers and body unchanged, with the remaining time of the attempt.
+func TestRequestIsForwardedWithTimeLeft(t *testing.T) {
+	e := sidecartest.NewEndpoint(t, sidecartest.Always(sidecartest.Served))
+	at, _ := url.Parse("/pay/x%2Fy?q=1&r=%20")
+	m := &Request{Method: http.MethodPost, URL: at, Host: "api.internal", Body: []byte("body"),
+		Header: http.Header{"X-Correlation-Id": {"9b"}, "Idempotency-Key": {"5c"}, "X-Time-Left-Ms": {"99999"},
+			"Connection": {"close"}, "Expect": {"100-continue"}, "Content-Length": {"7"}}}
+	ctx, cancel := context.WithTimeout(context.Background(), sidecartest.Patience)
+	defer cancel()
+	if r := newTestClient(t, 1).Attempt(ctx, &Endpoint{Address: e.Address}, m, &Gate{}); r.Status != balancer.OK {
+		t.Fatalf("status %v", r.Status)
+	}
+	got := e.Request(0)
+	body, _ := io.ReadAll(got.Body)
+	if got.Method != "POST" || got.RequestURI != "/pay/x%2Fy?q=1&r=%20" || got.Host != "api.internal" ||
+		string(body) != "body" || got.Header.Get("X-Correlation-Id") != "9b" || got.Header.Get("Idempotency-Key") != "5c" {
+		t.Errorf("the endpoint received %s %s, host %s, %v, body %q", got.Method, got.RequestURI, got.Host, got.Header, body)
+	}
+	if got.Close || got.Header.Get("Expect") != "" {
+		t.Errorf("hop-by-hop headers were forwarded: %v", got.Header)
+	}
+	var timeLeftMS int64
+	fmt.Sscan(got.Header.Get("X-Time-Left-Ms"), &timeLeftMS)
+	if timeLeftMS <= 0 || timeLeftMS > sidecartest.Patience.Milliseconds() {
+		t.Errorf("X-Time-Left-Ms %q", got.Header.Get("X-Time-Left-Ms"))
+	}
+}
+
+// A request that its endpoint reads slowly is not completed: its X-Time-Left-Ms would be wrong.
+func TestSlowlyReadRequestIsNotCompleted(t *testing.T) {
+	client, server := net.Pipe()
+	defer server.Close()
+	c := &conn{Conn: client}
+	got := make(chan []byte)
+	go func() {
+		in := make([]byte, 2*maxBufferedWrite)
+		n, _ := server.Read(in[:maxBufferedWrite])
+		time.Sleep(2 * maxWriteLag)
+		remainder, _ := io.ReadAll(server)
+		got <- append(in[:n], remainder...)
+	}()
+	data := bytes.Repeat([]byte("x"), 2*maxBufferedWrite)
+	if err := c.writeRequest(data); !errors.Is(err, errTooLate) {
+		t.Errorf("the write ended with %v", err)
+	}
+	client.Close()
+	if n := len(<-got); n >= len(data) {
+		t.Errorf("all %d bytes were written", n)
+	}
+}
