--- a/internal/operatorstate/store.go
+++ b/internal/operatorstate/store.go
@@ -10,9 +10,7 @@
 	"os"
 	"path/filepath"
 	"slices"
-	"strings"
 	"sync"
-	"syscall"
 	"time"
 
 	"oakproxy/internal/system"
@@ -28,24 +26,6 @@
 	lockPause     = 5 * time.Millisecond
 )
 
-// State is what operators have set by hand. It outlives a process.
-type State struct {
-	Version int        `json:"version"`
-	Sidecar string     `json:"sidecar"`
-	Drained bool       `json:"drained"`
-	Hosts   []Override `json:"hosts"`
-}
-
-// Override tells that an endpoint was left out, or put back, and since when.
-type Override struct {
-	Name     string `json:"host"`
-	Cordoned bool   `json:"out"`
-	SinceMS  int64  `json:"since_ms"` // Unix time
-	UpMS     int64  `json:"up_ms"`    // the same by the machine's uptime: steps of the wall clock change no span
-}
-
-func (m *Override) Since() system.Timestamp { return system.Timestamp{UnixMS: m.SinceMS, UpMS: m.UpMS} }
-
 // Store keeps the state in a file that the processes of one sidecar share while
 // one replaces the other, and sees to it that what either is told holds in both.
 type Store struct {
@@ -185,34 +165,3 @@
 	s.file, _ = os.Stat(s.path()) // unknown, it is read once more
 	return nil
 }
-
-// lock keeps the other process from writing until the function that it returns is
-// called. What is locked is a file of its own, since the state's is replaced.
-func (s *Store) lock() (unlock func(), err error) {
-	file, err := os.OpenFile(filepath.Join(s.Directory, stateLock), os.O_CREATE|os.O_RDWR, 0o600)
-	if err != nil {
-		return nil, fmt.Errorf("state: %w", err)
-	}
-	for end := time.Now().Add(lockPatience); ; time.Sleep(lockPause) {
-		err = system.LockFile(file, syscall.LOCK_EX)
-		if err == nil {
-			return func() { file.Close() }, nil
-		}
-		if err != syscall.EWOULDBLOCK || time.Now().After(end) {
-			file.Close()
-			return nil, fmt.Errorf("state: lock: %w", err)
-		}
-	}
-}
-
-// SetCordon marks an endpoint as left out or put back. A call repeated changes nothing.
-func (st *State) SetCordon(name string, out bool, now system.Timestamp) {
-	next := Override{Name: strings.Clone(name), Cordoned: out, SinceMS: now.UnixMS, UpMS: now.UpMS}
-	i := slices.IndexFunc(st.Hosts, func(m Override) bool { return m.Name == name })
-	switch {
-	case i < 0 && out:
-		st.Hosts = append(st.Hosts, next)
-	case i >= 0 && st.Hosts[i].Cordoned != out:
-		st.Hosts[i] = next
-	}
-}
--- a/internal/system/errors.go
+++ b/internal/system/errors.go
@@ -1,23 +1,13 @@
 package system
 
 import (
-	"context"
 	"errors"
 	"slices"
 	"syscall"
-	"time"
 )
 
 // Errors of system calls that pass by themselves, and for how long they are waited for.
 
-const (
-	AcceptRetryDelay = 5 * time.Millisecond  // after an accept that failed
-	StartRetryDelay  = 20 * time.Millisecond // between two tries of what a start needs
-	StartTimeout     = 5 * time.Second       // for what a start needs: 10 s are allowed until it is ready
-	DialRetryDelay   = 5 * time.Millisecond  // between two tries of a connection that failed for a lack of this machine's
-	DialRetryTimeout = 50 * time.Millisecond // and for how long: the endpoint is not to blame, but others wait as well
-)
-
 // shortages are the errors of a machine that lacks descriptors, memory or ports for a moment.
 var shortages = []syscall.Errno{syscall.ENFILE, syscall.EMFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.EAGAIN,
 	syscall.EADDRNOTAVAIL, syscall.EINTR}
@@ -25,10 +15,6 @@
 // IsShortage reports whether an error tells of such a lack, and not of whom a call was about.
 func IsShortage(err error) bool { return IsErrno(err, shortages) }
 
-// passing errors are those that a start waits out: a shortage, a file system in trouble, or an address that the
-// process before it has not let go of.
-var passingAtStart = append([]syscall.Errno{syscall.EIO, syscall.EADDRINUSE, syscall.ENETDOWN}, shortages...)
-
 // FatalAcceptErrors are the errors of accept(2) after which no other call will do better.
 var FatalAcceptErrors = []syscall.Errno{syscall.EBADF, syscall.EINVAL, syscall.ENOTSOCK, syscall.EFAULT}
 
@@ -36,30 +22,3 @@
 	var errno syscall.Errno
 	return errors.As(err, &errno) && slices.Contains(list, errno)
 }
-
-// Retry calls f until it succeeds, fails for good, or has failed in passing for so long, or ctx ends. It returns f's
-// last error.
-func Retry(ctx context.Context, patience, rest time.Duration, passes func(error) bool, f func() error) error {
-	for end := time.Now().Add(patience); ; Sleep(ctx, rest) {
-		err := f()
-		if err == nil || !passes(err) || !time.Now().Before(end) || ctx.Err() != nil {
-			return err
-		}
-	}
-}
-
-// RetryAtStart calls f until what it needs is there.
-func RetryAtStart(ctx context.Context, f func() error) error {
-	passes := func(err error) bool { return IsErrno(err, passingAtStart) }
-	return Retry(ctx, StartTimeout, StartRetryDelay, passes, f)
-}
-
-// Sleep waits for a while, but not beyond ctx.
-func Sleep(ctx context.Context, d time.Duration) {
-	timer := time.NewTimer(d)
-	defer timer.Stop()
-	select {
-	case <-timer.C:
-	case <-ctx.Done():
-	}
-}
--- a/internal/system/files.go
+++ b/internal/system/files.go
@@ -79,13 +79,3 @@
 	var errno syscall.Errno
 	return err != nil && !errors.Is(err, fs.ErrNotExist) && (errors.As(err, &path) || errors.As(err, &errno))
 }
-
-// LockFile locks a file without waiting, for as long as it is open.
-func LockFile(file *os.File, how int) error {
-	for {
-		err := syscall.Flock(int(file.Fd()), how|syscall.LOCK_NB)
-		if err != syscall.EINTR {
-			return err
-		}
-	}
-}
