--- a/internal/operatorstate/state.go
+++ b/internal/operatorstate/state.go
@@ -1,38 +1,62 @@
 package operatorstate
 
 import (
+	"errors"
+	"fmt"
 	"slices"
 	"strings"
 
 	"oakproxy/internal/system"
 )
 
-// State is what operators have set by hand. It outlives a process.
+// stateVersion is the version of the stored form. A file of another version is ignored.
+const stateVersion = 1
+
+// State is what operators have set by hand. It outlives a process. Its JSON keys are those of the stored file.
 type State struct {
-	Version int        `json:"version"`
-	Sidecar string     `json:"sidecar"`
-	Drained bool       `json:"drained"`
-	Hosts   []Override `json:"hosts"`
+	Version int        `json:"version"` // of the stored form
+	Sidecar string     `json:"sidecar"` // the name of the sidecar that it belongs to
+	Drained bool       `json:"drained"` // readiness is withdrawn
+	Hosts   []Override `json:"hosts"`   // endpoints that are cordoned, or were until recently
 }
 
-// Override tells that an endpoint was left out, or put back, and since when.
+// Override is an operator's decision on one endpoint: cordoned, or put back into service.
 type Override struct {
 	Name     string `json:"host"`
 	Cordoned bool   `json:"out"`
-	SinceMS  int64  `json:"since_ms"` // Unix time
-	UpMS     int64  `json:"up_ms"`    // the same by the machine's uptime: steps of the wall clock change no span
+	SinceMS  int64  `json:"since_ms"` // Unix time of the decision in milliseconds
+	UpMS     int64  `json:"up_ms"`    // machine uptime then, in milliseconds: a wall clock step does not change its age
+}
+
+// Since returns when the decision was made.
+func (o *Override) Since() system.Timestamp { return system.Timestamp{UnixMS: o.SinceMS, UpMS: o.UpMS} }
+
+// SetCordon records that an endpoint is cordoned, or put back into service, at now. It does nothing if the endpoint is
+// in that state already, so repeated calls keep the time of the first.
+func (st *State) SetCordon(name string, cordoned bool, now system.Timestamp) {
+	// The name is cloned, since it may be a part of a request that the state would keep alive.
+	override := Override{Name: strings.Clone(name), Cordoned: cordoned, SinceMS: now.UnixMS, UpMS: now.UpMS}
+	i := slices.IndexFunc(st.Hosts, func(o Override) bool { return o.Name == name })
+	switch {
+	case i < 0 && cordoned:
+		st.Hosts = append(st.Hosts, override)
+	case i >= 0 && st.Hosts[i].Cordoned != cordoned:
+		st.Hosts[i] = override
+	}
 }
 
-func (m *Override) Since() system.Timestamp { return system.Timestamp{UnixMS: m.SinceMS, UpMS: m.UpMS} }
+// errUnnamedEndpoint is the error of a stored state with an override that names no endpoint.
+var errUnnamedEndpoint = errors.New("an endpoint without a name")
 
-// SetCordon marks an endpoint as left out or put back. A call repeated changes nothing.
-func (st *State) SetCordon(name string, out bool, now system.Timestamp) {
-	next := Override{Name: strings.Clone(name), Cordoned: out, SinceMS: now.UnixMS, UpMS: now.UpMS}
-	i := slices.IndexFunc(st.Hosts, func(m Override) bool { return m.Name == name })
+// validate reports why a stored state cannot be that of the given sidecar.
+func (st *State) validate(sidecar string) error {
 	switch {
-	case i < 0 && out:
-		st.Hosts = append(st.Hosts, next)
-	case i >= 0 && st.Hosts[i].Cordoned != out:
-		st.Hosts[i] = next
+	case st.Version != stateVersion:
+		return fmt.Errorf("version %d, not %d", st.Version, stateVersion)
+	case st.Sidecar != sidecar:
+		return fmt.Errorf("of sidecar %q, not %q", st.Sidecar, sidecar)
+	case slices.ContainsFunc(st.Hosts, func(o Override) bool { return o.Name == "" }):
+		return errUnnamedEndpoint
 	}
+	return nil
 }
--- a/internal/operatorstate/store.go
+++ b/internal/operatorstate/store.go
@@ -2,13 +2,9 @@
 
 import (
 	"context"
-	"encoding/json"
-	"errors"
 	"fmt"
-	"io/fs"
 	"log/slog"
 	"os"
-	"path/filepath"
 	"slices"
 	"sync"
 	"time"
@@ -16,63 +12,46 @@
 	"oakproxy/internal/system"
 )
 
-const (
-	stateVersion  = 1
-	FileName      = "oakproxy-state.json"
-	stateLock     = "oakproxy-state.lock"
-	maxStateBytes = 1 << 20                // bytes of a state file
-	PollInterval  = 50 * time.Millisecond  // between two looks for what the other process stored
-	lockPatience  = 500 * time.Millisecond // for the other process to let go of the lock: an answer is owed in 1 s
-	lockPause     = 5 * time.Millisecond
-)
+// PollInterval is the time between two calls of Store.Refresh: an update of the other process is in force here after
+// that long at the latest, while the file can be read.
+const PollInterval = 50 * time.Millisecond
 
-// Store keeps the state in a file that the processes of one sidecar share while
-// one replaces the other, and sees to it that what either is told holds in both.
+// Store keeps the state in a file that the processes of one sidecar share while one replaces the other. An update in one
+// process comes into force in all. The exported fields are set before the first call and do not change.
 type Store struct {
-	Directory, Sidecar string
-	Log                *slog.Logger
-	Files              system.FileOps
-	Time               system.Clock
-	Retention          func() time.Duration // how long it matters that an endpoint was put back
-	Apply              func(State)          // makes a state hold in this process, before it returns
+	Directory string               // of the state file and its lock
+	Sidecar   string               // the name of the sidecar; a file of another is ignored
+	Log       *slog.Logger         // must not be nil
+	Files     system.FileOps       // the zero value uses the system's
+	Time      system.Clock         // must have its clocks set (Clock.OrSystem)
+	Retention func() time.Duration // for how long an endpoint that was put back into service is remembered
+	Apply     func(State)          // puts a state into force in this process before it returns; called under the store's lock
 
-	mu     sync.Mutex
-	last   State       // what holds
-	file   os.FileInfo // of the file that it was read from, if there was one
-	warned time.Time   // of a file that can't be read
+	mu       sync.Mutex
+	current  State       // in force
+	file     os.FileInfo // of the version that was read or written last; nil if not known
+	warnedAt time.Time   // when a file that cannot be read was last logged
 }
 
-// readWarnPause is between two lines on a file that can't be read.
-const readWarnPause = time.Second
-
-func (s *Store) path() string { return filepath.Join(s.Directory, FileName) }
-
-// Update changes the state. When it returns nil, the new one is stored and holds here.
-func (s *Store) Update(change func(*State)) error {
+// Load returns the state that the process before this one stored. It is called before any request is forwarded, and does
+// not call Apply. A file that cannot be read for now is tried for up to system.StartTimeout, or until ctx ends; after
+// that the zero state is returned, and Refresh reads the file later.
+func (s *Store) Load(ctx context.Context) State {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	unlock, err := s.lock()
-	if err != nil {
-		return err
-	}
-	defer unlock()
-	stored, err := s.read()
-	if err != nil {
-		return fmt.Errorf("state: %w", err) // what the other process was told may be in the file
-	}
-	next := stored
-	next.Hosts = slices.Clone(stored.Hosts)
-	change(&next)
-	next.Hosts = slices.DeleteFunc(next.Hosts, func(m Override) bool { return !m.Cordoned && s.expired(&m) })
-	if err := s.write(next); err != nil {
-		s.take(stored) // the other process's, perhaps, and read just now: refresh would pass over it
+	var stored State
+	err := system.Retry(ctx, system.StartTimeout, system.StartRetryDelay, system.IsReadError, func() (err error) {
+		stored, err = s.read()
 		return err
+	})
+	if err != nil { // which read has logged
+		stored = s.current
 	}
-	s.take(next)
-	return nil
+	s.current = stored
+	return stored
 }
 
-// Refresh takes up what the other process has stored.
+// Refresh puts into force what another process has stored since the last call. A file that is unchanged is not read.
 func (s *Store) Refresh() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -80,88 +59,48 @@
 	if err != nil || s.file != nil && os.SameFile(info, s.file) && info.ModTime().Equal(s.file.ModTime()) {
 		return
 	}
-	if next, err := s.read(); err == nil {
-		s.take(next)
+	if stored, err := s.read(); err == nil {
+		s.apply(stored)
 	}
 }
 
-// expired reports whether it no longer matters that an endpoint was put back.
-func (s *Store) expired(m *Override) bool {
-	age, known := s.Time.Age(m.Since())
-	return known && age > s.Retention()
-}
-
-// Load takes up what the process before this one was told. It comes before anything is sent; a file that can't be
-// read for the moment is waited for, and followed later on.
-func (s *Store) Load(ctx context.Context) State {
+// Update changes the state. When it returns nil, the new state is stored durably and in force in this process. On an
+// error the change is neither stored nor in force; the error wraps that of the file system, or syscall.EWOULDBLOCK where the lock was not
+// released in time.
+func (s *Store) Update(change func(*State)) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	var st State
-	system.Retry(ctx, system.StartTimeout, system.StartRetryDelay, system.IsReadError, func() (err error) {
-		st, err = s.read()
+	unlock, err := s.lock()
+	if err != nil {
 		return err
-	})
-	s.last = st
-	return st
-}
-
-func (s *Store) take(next State) {
-	s.last = next
-	s.Apply(next)
-}
-
-// read returns the stored state, or the one that holds where there is no file that
-// makes sense: then it says so. A file that can't be read for the moment is an error, and read again later.
-func (s *Store) read() (State, error) {
-	next, info, err := s.load()
-	switch {
-	case err == nil:
-		s.file = info
-		return next, nil
-	case system.IsReadError(err):
-		s.file = nil
-		if time.Since(s.warned) >= readWarnPause {
-			s.warned = time.Now()
-			s.Log.Warn("operator state not readable", "error", err)
-		}
-		return s.last, err
 	}
-	s.file = info
-	if !errors.Is(err, fs.ErrNotExist) {
-		s.Log.Warn("operator state ignored", "error", err)
-	}
-	return s.last, nil
-}
-
-func (s *Store) load() (State, os.FileInfo, error) {
-	var st State
-	text, info, err := s.Files.OrSystem().ReadFile(s.path(), maxStateBytes)
+	defer unlock()
+	stored, err := s.read()
 	if err != nil {
-		return st, info, err
-	}
-	if err := json.Unmarshal(text, &st); err != nil {
-		return st, info, err
+		return fmt.Errorf("state: %w", err) // the file may hold another process's update, which must not be overwritten
 	}
-	switch {
-	case st.Version != stateVersion:
-		err = fmt.Errorf("version %d, not %d", st.Version, stateVersion)
-	case st.Sidecar != s.Sidecar:
-		err = fmt.Errorf("of sidecar %q, not %q", st.Sidecar, s.Sidecar)
-	case slices.ContainsFunc(st.Hosts, func(m Override) bool { return m.Name == "" }):
-		err = errors.New("an endpoint without a name")
+	next := stored
+	next.Hosts = slices.Clone(stored.Hosts)
+	change(&next)
+	next.Hosts = slices.DeleteFunc(next.Hosts, s.isObsolete)
+	if err := s.write(next); err != nil {
+		s.apply(stored) // it may be another process's update, and Refresh would take it for known
+		return err
 	}
-	return st, info, err
+	s.apply(next)
+	return nil
 }
 
-func (s *Store) write(st State) error {
-	st.Version, st.Sidecar = stateVersion, s.Sidecar
-	text, err := json.Marshal(st)
-	if err != nil {
-		return fmt.Errorf("state: %w", err)
-	}
-	if err := s.Files.OrSystem().ReplaceFile(s.path(), s.path()+".new", text, true); err != nil {
-		return fmt.Errorf("state: %w", err)
+// isObsolete reports whether an endpoint is back in service for so long that it need not be remembered.
+func (s *Store) isObsolete(o Override) bool {
+	if o.Cordoned {
+		return false
 	}
-	s.file, _ = os.Stat(s.path()) // unknown, it is read once more
-	return nil
+	age, known := s.Time.Age(o.Since())
+	return known && age > s.Retention()
+}
+
+func (s *Store) apply(st State) {
+	s.current = st
+	s.Apply(st)
 }
