--- a/internal/warmstart/store.go
+++ b/internal/warmstart/store.go
@@ -7,112 +7,99 @@
 	"log/slog"
 	"os"
 	"path/filepath"
-	"time"
 
 	"oakproxy/balancer"
 	"oakproxy/internal/config"
 	"oakproxy/internal/system"
 )
 
-const (
-	FileName      = "oakproxy-learned.json"
-	fileVersion   = 1
-	maxFileBytes  = 1 << 20
-	maxLearnedAge = 30 * time.Second // an older one tells nothing of the fleet as it is
-)
-
-// memory keeps what the balancer has learned in a file, for the process that
-// replaces this one. To lose it costs some seconds of worse service, no more.
-type memory struct {
-	path, temporary string
-	sidecar         string
-	files           system.FileOps
-	time            system.Clock
-	log             *slog.Logger
-	latest          chan fileContents // to be written
+// Store saves estimates to a file in the background, and loads them. Make one with NewStore. Its methods may be called by
+// several goroutines.
+type Store struct {
+	path      string
+	temporary string // the name that this process writes to before it renames the file
+	sidecar   string
+	files     system.FileOps
+	clock     system.Clock
+	log       *slog.Logger
+	pending   chan contents // at most one, to be written by run
 }
 
-// fileContents is the file's text.
-type fileContents struct {
-	Version   int                `json:"version"`
-	Sidecar   string             `json:"sidecar"`
-	AtMS      int64              `json:"at_ms"`    // Unix time
-	UpMS      int64              `json:"up_ms"`    // the same by the machine's uptime
-	Clock     balancer.Micros    `json:"clock_us"` // the same by the clock of the balancer that knew it
-	Estimates balancer.Estimates `json:"learned"`
+// NewStore returns a store of the named sidecar's estimates in host.Directory. It removes files that killed processes left
+// half written, and starts a goroutine that writes until ctx ends.
+func NewStore(ctx context.Context, sidecar string, host config.Host, log *slog.Logger) *Store {
+	path := filepath.Join(host.Directory, FileName)
+	s := &Store{
+		path:      path,
+		temporary: fmt.Sprintf("%s.%d", path, os.Getpid()),
+		sidecar:   sidecar,
+		files:     host.Files.OrSystem(),
+		clock:     host.Time.OrSystem(),
+		log:       log,
+		pending:   make(chan contents, 1),
+	}
+	s.removeLeftovers()
+	go s.run(ctx)
+	return s
 }
 
-// NewStore writes what it is given until ctx ends.
-func NewStore(ctx context.Context, sidecar string, host config.Host, log *slog.Logger) *memory {
-	path := filepath.Join(host.Directory, FileName)
-	m := &memory{path: path, temporary: fmt.Sprintf("%s.%d", path, os.Getpid()), sidecar: sidecar,
-		files: host.Files.OrSystem(), time: host.Time.OrSystem(), log: log, latest: make(chan fileContents, 1)}
-	m.removeLeftovers()
-	go func() {
-		for {
-			select {
-			case l := <-m.latest:
-				if err := m.write(l); err != nil {
-					m.log.Warn("estimates not saved", "error", err)
-				}
-			case <-ctx.Done():
-				return
+// run writes what Save queues until ctx ends.
+func (s *Store) run(ctx context.Context) {
+	for {
+		select {
+		case next := <-s.pending:
+			if err := s.write(next); err != nil {
+				s.log.Warn("estimates not saved", "error", err)
 			}
+		case <-ctx.Done():
+			return
 		}
-	}()
-	return m
+	}
 }
 
-// Save has it written soon, unless the last is still being written.
-func (m *memory) Save(now balancer.Micros, known balancer.Estimates) {
-	at := m.time.Now()
+// Save queues estimates to be written; now is the time of the balancer's clock, in microseconds. It does not block: while
+// others are queued, these are dropped, and the next call saves newer ones.
+func (s *Store) Save(now balancer.Micros, estimates balancer.Estimates) {
+	at := s.clock.Now()
+	next := contents{Version: fileVersion, Sidecar: s.sidecar, AtMS: at.UnixMS, UpMS: at.UpMS, Clock: now, Estimates: estimates}
 	select {
-	case m.latest <- fileContents{fileVersion, m.sidecar, at.UnixMS, at.UpMS, now, known}:
+	case s.pending <- next:
 	default:
 	}
 }
 
-func (m *memory) write(l fileContents) error {
-	text, err := json.Marshal(l)
+// Load returns the estimates of the process before this one, with their times by a balancer's clock that shows now, in
+// microseconds. It returns nil where there are none that can be used, and logs why if there is a file.
+func (s *Store) Load(now balancer.Micros) *balancer.Estimates {
+	text, _, err := s.files.ReadFile(s.path, maxFileBytes)
 	if err != nil {
-		return err
+		return nil // most starts have no file; one that cannot be read is not worth a wait
 	}
-	return m.files.ReplaceFile(m.path, m.temporary, text, false)
-}
-
-// removeLeftovers removes what processes that were killed while they wrote have left. One that is about to be renamed
-// by another process may go, too: it writes the next a second later.
-func (m *memory) removeLeftovers() {
-	left, err := filepath.Glob(m.path + ".*")
+	saved, age, err := s.parse(text)
 	if err != nil {
-		return // the pattern is at fault: the folder has odd characters
-	}
-	for _, path := range left {
-		os.Remove(path)
+		s.log.Warn("saved estimates ignored", "error", err)
+		return nil
 	}
+	saved.shiftTo(now, age)
+	return &saved.Estimates
 }
 
-// Load returns what the process before this one knew, by the balancer's clock of now, or nil.
-func (m *memory) Load(now balancer.Micros) *balancer.Estimates {
-	text, _, err := m.files.ReadFile(m.path, maxFileBytes)
+func (s *Store) write(next contents) error {
+	text, err := json.Marshal(next)
 	if err != nil {
-		return nil
-	}
-	var l fileContents
-	err = json.Unmarshal(text, &l)
-	age, known := m.time.Age(system.Timestamp{UnixMS: l.AtMS, UpMS: l.UpMS})
-	if err == nil && (l.Version != fileVersion || l.Sidecar != m.sidecar || !known || age > maxLearnedAge) {
-		err = fmt.Errorf("version %d of sidecar %q, %v old", l.Version, l.Sidecar, age)
+		return fmt.Errorf("encode estimates: %w", err)
 	}
+	return s.files.ReplaceFile(s.path, s.temporary, text, false)
+}
+
+// removeLeftovers removes the temporary files of processes that were killed while they wrote. It may remove one that a
+// live process is about to rename, which fails one of that process's saves.
+func (s *Store) removeLeftovers() {
+	leftovers, err := filepath.Glob(s.path + ".*")
 	if err != nil {
-		m.log.Warn("saved estimates ignored", "error", err)
-		return nil
+		return // the directory's name is not a valid pattern
 	}
-	if l.Clock > 0 {
-		shift := now - age.Microseconds() - l.Clock // the clocks of two processes may be a step apart
-		for i := range l.Estimates.Endpoints {
-			l.Estimates.Endpoints[i].MeasuredAt += shift
-		}
+	for _, path := range leftovers {
+		os.Remove(path)
 	}
-	return &l.Estimates
 }
--- a/internal/warmstart/store_test.go
+++ b/internal/warmstart/store_test.go
@@ -13,18 +13,17 @@
 	"oakproxy/internal/sidecartest"
 )
 
-// What a process keeps the next one loads; a file that is old, damaged or another
-// sidecar's is as good as none.
-func TestWhatWasLearnedIsKept(t *testing.T) {
+// What one process saves the next one loads. A file that is old, damaged or another sidecar's is ignored.
+func TestSavedEstimatesAreLoaded(t *testing.T) {
 	dir := t.TempDir()
-	m := NewStore(t.Context(), "n0", config.Host{Directory: dir}, slog.New(slog.DiscardHandler))
-	if l := m.Load(0); l != nil {
-		t.Errorf("without a file: %+v", l)
+	store := NewStore(t.Context(), "n0", config.Host{Directory: dir}, slog.New(slog.DiscardHandler))
+	if got := store.Load(0); got != nil {
+		t.Errorf("without a file: %+v", got)
 	}
-	m.Save(1, balancer.Estimates{ServiceTimeRatio: 1.5, ClassWork: []balancer.ClassWorkEstimate{{Class: "read", Work: 2}}})
-	sidecartest.Await(t, "the file", func() bool { return m.Load(0) != nil })
-	if l := m.Load(0); l.ServiceTimeRatio != 1.5 || len(l.ClassWork) != 1 {
-		t.Errorf("loaded %+v", l)
+	store.Save(1, balancer.Estimates{ServiceTimeRatio: 1.5, ClassWork: []balancer.ClassWorkEstimate{{Class: "read", Work: 2}}})
+	sidecartest.Await(t, "the file", func() bool { return store.Load(0) != nil })
+	if got := store.Load(0); got.ServiceTimeRatio != 1.5 || len(got.ClassWork) != 1 {
+		t.Errorf("loaded %+v", got)
 	}
 	path := filepath.Join(dir, FileName)
 	good, err := os.ReadFile(path)
@@ -41,8 +40,8 @@
 		if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 			t.Fatal(err)
 		}
-		if l := m.Load(0); l != nil {
-			t.Errorf("%s: loaded %+v", name, l)
+		if got := store.Load(0); got != nil {
+			t.Errorf("%s: loaded %+v", name, got)
 		}
 	}
 }
