--- a/internal/config/compare.go
+++ b/internal/config/compare.go
@@ -11,40 +11,46 @@
 	"oakproxy/balancer"
 )
 
-// shared is what a configuration says that a running sidecar takes up, without what tells sidecars of one fleet
-// apart.
-type shared struct {
-	Settings     balancer.Settings
-	Sockets      int
-	Zones, Kinds []string
-	Fields       []string
-	Keepalive    time.Duration
+// HashBytes is the length of a configuration's hash in bytes. Its text has twice as many characters.
+const HashBytes = 6
+
+// fleetSettings is the part of a configuration that a running sidecar can put into force and that does not tell the
+// sidecars of one fleet apart. Hash is of its JSON: the keys and their order must not change, since sidecars of two
+// versions compare their hashes during a release.
+type fleetSettings struct {
+	Settings     balancer.Settings `json:"Settings"`
+	Sockets      int               `json:"Sockets"`
+	Zones        []string          `json:"Zones"`
+	MachineKinds []string          `json:"Kinds"`
+	ReportFields []string          `json:"Fields"`
+	IdleTimeout  time.Duration     `json:"Keepalive"`
 }
 
-func (c *Config) shared() shared {
-	return shared{c.Settings, c.Limits.Sockets, c.Zones, c.MachineKinds, c.ReportFields, c.IdleTimeout}
+func (c *Config) fleetSettings() fleetSettings {
+	return fleetSettings{Settings: c.Settings, Sockets: c.Limits.Sockets, Zones: c.Zones, MachineKinds: c.MachineKinds,
+		ReportFields: c.ReportFields, IdleTimeout: c.IdleTimeout}
 }
 
-// Hash returns a short hash of what holds at the whole fleet: sidecars that show the same one have the same settings,
-// however their files are written.
+// Hash returns a short hash, in hexadecimal, of the settings that hold for the whole fleet. Sidecars that show the same
+// one have the same settings, however their files are written.
 func (c *Config) Hash() string {
-	fleet := c.shared()
-	fleet.Settings.Zone, fleet.Settings.Index = 0, 0
-	fleet.Zones, fleet.Kinds = slices.Sorted(slices.Values(c.Zones)), slices.Sorted(slices.Values(c.MachineKinds))
+	fleet := c.fleetSettings()
+	fleet.Settings.Zone, fleet.Settings.Index = 0, 0 // a sidecar's own
+	fleet.Zones, fleet.MachineKinds = slices.Sorted(slices.Values(c.Zones)), slices.Sorted(slices.Values(c.MachineKinds))
 	text, err := json.Marshal(fleet)
 	if err != nil {
-		return "none: " + err.Error() // a figure that is not finite; no file gives one
+		return "none: " + err.Error() // for a number that is not finite, which no file can hold
 	}
 	sum := sha256.Sum256(text)
 	return hex.EncodeToString(sum[:HashBytes])
 }
 
-// Equal says whether a running sidecar has nothing to take up of next.
+// Equal reports whether a sidecar that runs by c would change nothing by next. Keys that need a restart do not count.
 func (c *Config) Equal(next *Config) bool {
-	return c.Discovery == next.Discovery && reflect.DeepEqual(c.shared(), next.shared())
+	return c.Discovery == next.Discovery && reflect.DeepEqual(c.fleetSettings(), next.fleetSettings())
 }
 
-// RestartKeys names the keys that differ in next and can't change in a process that runs.
+// RestartKeys returns the keys of the file that differ in next and cannot change in a running process.
 func (c *Config) RestartKeys(next *Config) (keys []string) {
 	for _, k := range [...]struct {
 		key  string
@@ -60,32 +66,34 @@
 	return keys
 }
 
-// ChangedParts names the parts of c that differ in next.
+// ChangedParts returns the names of the parts of c that differ in next, for the log.
 func (c *Config) ChangedParts(next *Config) (parts []string) {
-	was, is := &c.Settings, &next.Settings
+	before, after := &c.Settings, &next.Settings
 	for _, p := range [...]struct {
-		part    string
-		was, is any
+		part          string
+		before, after any
 	}{
-		{"discovery", c.Discovery, next.Discovery}, {"classes", was.Classes, is.Classes},
-		{"tenants", was.Tenants, is.Tenants}, {"settings.limits", was.Limits, is.Limits},
-		{"contract", was.Contract, is.Contract}, {"prices", was.Prices, is.Prices}, {"goal", was.Goal, is.Goal},
-		{"reporting", c.ReportFields, next.ReportFields}, {"areas", c.Zones, next.Zones}, {"skus", c.MachineKinds, next.MachineKinds},
-		{"zone", was.Zone, is.Zone}, {"peers-total", was.Balancers, is.Balancers},
+		{"discovery", c.Discovery, next.Discovery}, {"classes", before.Classes, after.Classes},
+		{"tenants", before.Tenants, after.Tenants}, {"settings.limits", before.Limits, after.Limits},
+		{"contract", before.Contract, after.Contract}, {"prices", before.Prices, after.Prices},
+		{"goal", before.Goal, after.Goal}, {"reporting", c.ReportFields, next.ReportFields},
+		{"areas", c.Zones, next.Zones}, {"skus", c.MachineKinds, next.MachineKinds},
+		{"zone", before.Zone, after.Zone}, {"peers-total", before.Balancers, after.Balancers},
 		{"limits.sockets", c.Limits.Sockets, next.Limits.Sockets}, {"keepalive", c.IdleTimeout, next.IdleTimeout},
 	} {
-		if !reflect.DeepEqual(p.was, p.is) {
+		if !reflect.DeepEqual(p.before, p.after) {
 			parts = append(parts, p.part)
 		}
 	}
 	return parts
 }
 
-// ChangesDiscovery says whether discovery has to be asked anew under next: elsewhere, at another pace, or since its words
-// mean something else.
+// ChangesDiscovery reports whether next makes a new watch of discovery necessary: it is at another address, polled at
+// another interval, or its entries have another meaning.
 func (c *Config) ChangesDiscovery(next *Config) bool {
-	was, is := &c.Settings, &next.Settings
-	return c.Discovery != next.Discovery || was.SubscribeToDiscovery != is.SubscribeToDiscovery ||
-		was.Contract.PollInterval != is.Contract.PollInterval || was.Contract.DrainGrace != is.Contract.DrainGrace ||
+	before, after := &c.Settings, &next.Settings
+	return c.Discovery != next.Discovery || before.SubscribeToDiscovery != after.SubscribeToDiscovery ||
+		before.Contract.PollInterval != after.Contract.PollInterval ||
+		before.Contract.DrainGrace != after.Contract.DrainGrace ||
 		!slices.Equal(c.Zones, next.Zones) || !slices.Equal(c.MachineKinds, next.MachineKinds)
 }
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -1,5 +1,3 @@
-// Package config reads the configuration of a sidecar from its file and the environment, compares configurations,
-// and numbers the one in force. It opens no sockets and takes no decisions.
 package config
 
 import (
@@ -14,47 +12,51 @@
 	"oakproxy/internal/system"
 )
 
-// Config is what a sidecar is told at its start, and anew while it runs. Make one with Load. It does not
-// change once it is made.
+// Config is the configuration of a sidecar: what its file and environment say, and the host that it runs on. Make one
+// with Load or Parse. It does not change once it is made.
 type Config struct {
-	Name      string
-	Listen    string
-	Discovery string
-	Admin     string // the second address; empty where there is none
-	Passed    string // the descriptor of an inherited listening socket; empty where there is none
-	Seed      uint64
-	Limits    Limits
-	Settings  balancer.Settings
-	Host      Host
+	Name      string            // of the sidecar, the same after a restart
+	Listen    string            // host:port for clients
+	Discovery string            // host:port of the service that lists endpoints
+	Admin     string            // host:port of the admin interface; empty: none
+	Passed    string            // the number of an inherited listening socket's descriptor; empty: none
+	Seed      uint64            // of random numbers
+	Limits    Limits            // granted by the platform
+	Settings  balancer.Settings // of the balancer
+	Host      Host              // what the sidecar may use of its process
 
-	KnownEndpoints discovery.List
-	Zones          []string // names, by the numbers that the balancer uses
-	MachineKinds   []string
-	ReportFields   []string      // of a load report, in the order of Settings.Fields
-	IdleTimeout    time.Duration // after which an endpoint may close a connection
+	KnownEndpoints discovery.List // the last endpoint list, which may be old
+	Zones          []string       // names, by the numbers that the balancer uses
+	MachineKinds   []string       // names, by the numbers that the balancer uses
+	ReportFields   []string       // of a load report, in the order of Settings.Fields
+	IdleTimeout    time.Duration  // after which an endpoint may close a connection
 
-	DiscoveryWait time.Duration                                                        // that a call of discovery waits for news; 0: by the settings
-	DiscoveryDial func(ctx context.Context, network, address string) (net.Conn, error) // discovery; nil: by the network
+	// DiscoveryWait is how long discovery may hold a call until there is a change; 0: as Settings has it.
+	DiscoveryWait time.Duration
 
-	Err error // why it could not be read; nil where it could
+	// DiscoveryDial connects to discovery; nil: the network's dialer.
+	DiscoveryDial func(ctx context.Context, network, address string) (net.Conn, error)
+
+	// Err is why the configuration could not be read again (see ReloadOnSignal). Nothing else is set then.
+	Err error
 }
 
 // Limits is what the platform grants a sidecar.
 type Limits struct {
-	MemoryMB int `json:"memory_mb"`
-	Sockets  int `json:"sockets"`
+	MemoryMB int `json:"memory_mb"` // in MiB; over it the platform kills the sidecar
+	Sockets  int `json:"sockets"`   // file descriptors
 }
 
-// adminVar names the second address, which differs between the processes of one
-// sidecar while all else is the same.
-const adminVar = "BALANCER_ADMIN_ADDR"
-
-// InheritedSocketVariable names the descriptor of the clients' listening socket, where the
-// platform holds that and every process of the sidecar inherits it.
+// InheritedSocketVariable is the environment variable with the number of the clients' listening socket's descriptor. It
+// is set where the platform holds that socket and every process of the sidecar inherits it.
 const InheritedSocketVariable = "BALANCER_PASSED_SOCKET"
 
-// Load reads a configuration file, and what the environment adds to it. Its
-// errors name the key or variable at fault.
+// adminVariable is the environment variable that overrides the admin address of the file. It may differ between the
+// processes of one sidecar, which share a file.
+const adminVariable = "BALANCER_ADMIN_ADDR"
+
+// Load reads a configuration file and applies the environment to it. A file that cannot be opened for a passing cause is
+// tried for up to system.StartTimeout. An error names the file, and the key or variable at fault.
 func Load(path string) (*Config, error) {
 	var data []byte
 	err := system.RetryAtStart(context.Background(), func() (err error) {
@@ -62,14 +64,14 @@
 		return err
 	})
 	if err != nil {
-		return nil, err
+		return nil, err // an fs.PathError, which names the file
 	}
 	cfg, err := Parse(data)
 	if err != nil {
 		return nil, fmt.Errorf("%s: %w", path, err)
 	}
-	if own := os.Getenv(adminVar); own != "" {
-		cfg.Admin = own
+	if address := os.Getenv(adminVariable); address != "" {
+		cfg.Admin = address
 	}
 	if err := CheckAdminAddress(cfg.Admin); err != nil {
 		return nil, err
@@ -79,10 +81,18 @@
 	return cfg, nil
 }
 
-// CheckAdminAddress accepts an address to listen on, or none.
+// CheckAdminAddress returns an error unless address is host:port, or empty for no admin interface.
 func CheckAdminAddress(address string) error {
-	if _, _, err := net.SplitHostPort(address); err != nil && address != "" {
-		return fmt.Errorf("admin_addr: %q is not host:port", address)
+	if address == "" {
+		return nil
+	}
+	return checkHostPort("admin_addr", address)
+}
+
+// checkHostPort returns an error that names key unless address is host:port.
+func checkHostPort(key, address string) error {
+	if _, _, err := net.SplitHostPort(address); err != nil {
+		return fmt.Errorf("%s: %q is not host:port", key, address)
 	}
 	return nil
 }
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -10,8 +10,8 @@
 	"oakproxy/internal/sidecartest"
 )
 
-// A configuration that makes no sense stops the program with the key at fault.
-func TestBadConfigurationNamesTheKey(t *testing.T) {
+// A configuration that is not valid is rejected by an error of one line that names the key at fault.
+func TestInvalidConfigurationNamesTheKey(t *testing.T) {
 	good := `{"name":"n3","listen":"127.0.0.1:1","discovery":"127.0.0.1:2","seed":"8c1f30d27a5be964",` +
 		`"limits":{"cores":1.0,"memory_mb":192,"sockets":1024},` +
 		`"known":{"seq":4,"whole":true,"hosts":[{"host":"s-1","dial":"127.0.0.1:3","health":"Ready"}]},` +
@@ -22,7 +22,7 @@
 		cfg.Settings.Classes[1].Idempotency != balancer.IdempotentWithKey || len(cfg.Settings.ReportFields) != 2 || !cfg.Settings.SubscribeToDiscovery {
 		t.Errorf("settings %+v", cfg.Settings)
 	}
-	for _, c := range []struct{ old, new, key string }{
+	for _, test := range []struct{ old, new, key string }{
 		{`"listen":"127.0.0.1:1"`, `"listen":"here"`, "listen"},
 		{`"listen":"127.0.0.1:1",`, ``, "listen"},
 		{`"listen":"127.0.0.1:1"`, `"listen":7`, "listen"},
@@ -44,13 +44,13 @@
 		{`"name":"read","repeat":"pure"`, `"name":"read"`, "classes.0.repeat"},
 		{`"discovery":"subscribe"`, `"discovery":"gossip"`, "discovery"},
 	} {
-		bad := strings.Replace(good, c.old, c.new, 1)
+		bad := strings.Replace(good, test.old, test.new, 1)
 		if bad == good {
-			t.Fatalf("%q is not in the configuration", c.old)
+			t.Fatalf("%q is not in the configuration", test.old)
 		}
 		_, err := Parse([]byte(bad))
-		if err == nil || !strings.Contains(err.Error(), c.key) || strings.Contains(err.Error(), "\n") {
-			t.Errorf("%s: error %v, want one line with %q", c.new, err, c.key)
+		if err == nil || !strings.Contains(err.Error(), test.key) || strings.Contains(err.Error(), "\n") {
+			t.Errorf("%s: error %v, want one line with %q", test.new, err, test.key)
 		}
 	}
 	path := filepath.Join(t.TempDir(), "config.json")
@@ -59,12 +59,12 @@
 	}
 	os.WriteFile(path, []byte(good[:100]), 0o600)
 	if _, err := Load(path); err == nil {
-		t.Error("half a file is no error")
+		t.Error("a truncated file is no error")
 	}
 }
 
-// The settings text is the simulator's, value by value.
-func TestFlatten(t *testing.T) {
+// A settings object is written in the form of the simulator's first message.
+func TestFlattenWritesTheSimulatorsForm(t *testing.T) {
 	var out strings.Builder
 	flatten(&out, "", map[string]any{"a": map[string]any{"b": []any{
 		map[string]any{"name": "x, y\nz=1"}, map[string]any{"on": true}}}})
--- a/internal/config/host.go
+++ b/internal/config/host.go
@@ -7,18 +7,17 @@
 	"oakproxy/internal/system"
 )
 
-// Host is what a sidecar may use of the process that it runs in. The zero Host is that of a
-// sidecar that shares its process with others: it has no files of its own there, and leaves
-// the process's memory limit alone.
+// Host is what a sidecar may use of the process that it runs in. The zero Host is for a sidecar that shares its process
+// with others: it stores no files, and does not change the memory limit of the process.
 type Host struct {
-	Directory   string            // of the files that the processes of one sidecar share
-	LimitMemory func(bytes int64) // sets the memory limit of the process; may be nil
+	Directory   string            // of the files that the processes of one sidecar share; empty: it stores none
+	LimitMemory func(bytes int64) // sets the memory limit of the process; nil: the limit is not the sidecar's to set
 
-	Files system.FileOps // may fail
-	Time  system.Clock   // may be stepped
+	Files system.FileOps // the zero value uses the system's; tests inject faults
+	Time  system.Clock   // the zero value uses the system's; tests step it
 }
 
-// OwnProcessHost is the host of a sidecar that has its process to itself.
+// OwnProcessHost returns the host of a sidecar that has its process to itself.
 func OwnProcessHost() Host {
 	return Host{Directory: os.TempDir(), LimitMemory: func(bytes int64) { debug.SetMemoryLimit(bytes) }}
 }
--- a/internal/config/merge.go
+++ b/internal/config/merge.go
@@ -1,24 +1,29 @@
 package config
 
-import (
-	"slices"
-)
+import "slices"
 
-// Merge returns what a sidecar that runs by c takes up of next.
+// UnknownName is the number of a zone or machine kind that the settings do not list. It is the largest of a uint8, so
+// smaller numbers are left for names.
+const UnknownName = 255
+
+// Merge returns the configuration of a sidecar that runs by c once it has put next into force. Keys that need a restart
+// keep their values. Zones and machine kinds keep their numbers, and those that only next lists follow.
 func (c *Config) Merge(next *Config) *Config {
 	merged := *c
 	merged.Discovery, merged.Limits.Sockets = next.Discovery, next.Limits.Sockets
 	merged.Settings, merged.ReportFields, merged.IdleTimeout = next.Settings, next.ReportFields, next.IdleTimeout
-	merged.Zones, merged.MachineKinds = numbered(c.Zones, next.Zones), numbered(c.MachineKinds, next.MachineKinds)
-	if own := next.Settings.Zone; own >= 0 && own < len(next.Zones) {
-		merged.Settings.Zone = slices.Index(merged.Zones, next.Zones[own])
+	merged.Zones = appendNewNames(c.Zones, next.Zones)
+	merged.MachineKinds = appendNewNames(c.MachineKinds, next.MachineKinds)
+	if zone := next.Settings.Zone; zone >= 0 && zone < len(next.Zones) {
+		merged.Settings.Zone = slices.Index(merged.Zones, next.Zones[zone])
 	}
 	return &merged
 }
 
-// numbered returns names by the numbers that the balancer knows them by: none is given to another name.
-func numbered(old, next []string) []string {
-	all := slices.Clone(old)
+// appendNewNames returns names with those of next that they lack, up to UnknownName of them. A name's index is the number
+// by which the balancer knows it, so no index may change its name while a process runs.
+func appendNewNames(names, next []string) []string {
+	all := slices.Clone(names)
 	for _, name := range next {
 		if !slices.Contains(all, name) && len(all) < UnknownName {
 			all = append(all, name)
@@ -27,9 +32,7 @@
 	return all
 }
 
-// UnknownName numbers a zone or kind that the settings do not list.
-const UnknownName = 255
-
+// NameIndex returns the number of a zone or machine kind in names, or UnknownName if it is not among them.
 func NameIndex(names []string, name string) uint8 {
 	if i := slices.Index(names, name); i >= 0 && i < UnknownName {
 		return uint8(i)
--- a/internal/config/parse.go
+++ b/internal/config/parse.go
@@ -3,51 +3,54 @@
 import (
 	"bytes"
 	"encoding/json"
+	"errors"
 	"fmt"
-	"net"
 	"strconv"
 	"strings"
 	"time"
 
+	"oakproxy/balancer"
 	"oakproxy/internal/wire"
 )
 
-// minSockets is what a sidecar needs to serve anything at all.
+// minSockets is the least number of file descriptors with which a sidecar can serve: its own files and listeners, and
+// connections to some clients, endpoints and discovery.
 const minSockets = 64
 
-// configFile is the text of a configuration file.
+// errMissing is the error of a key that has to be there.
+var errMissing = errors.New("is missing")
+
+// configFile is the form of a configuration file.
 type configFile struct {
 	Name      string          `json:"name"`
 	Listen    string          `json:"listen"`
 	Discovery string          `json:"discovery"`
 	Admin     string          `json:"admin_addr"`
-	Seed      string          `json:"seed"`
+	Seed      string          `json:"seed"` // hexadecimal
 	Limits    Limits          `json:"limits"`
-	Known     json.RawMessage `json:"known"`
-	Settings  json.RawMessage `json:"settings"`
+	Known     json.RawMessage `json:"known"`    // a discovery.List
+	Settings  json.RawMessage `json:"settings"` // see parseSettings
 }
 
-// Parse reads the text of a configuration file. Its errors name the key at fault. The environment adds
-// nothing to it, and its Host is the zero one.
+// Parse reads the text of a configuration file. The environment is not read, and Host is the zero one. An error names the
+// key at fault.
 func Parse(data []byte) (*Config, error) {
 	var file configFile
 	if err := json.Unmarshal(data, &file); err != nil {
 		return nil, err
 	}
-	for _, a := range [...]struct{ key, value string }{{"listen", file.Listen}, {"discovery", file.Discovery}} {
-		if _, _, err := net.SplitHostPort(a.value); err != nil {
-			return nil, fmt.Errorf("%s: %q is not host:port", a.key, a.value)
-		}
+	if err := checkHostPort("listen", file.Listen); err != nil {
+		return nil, err
+	}
+	if err := checkHostPort("discovery", file.Discovery); err != nil {
+		return nil, err
 	}
 	seed, err := strconv.ParseUint(file.Seed, 16, 64)
 	if err != nil {
 		return nil, fmt.Errorf("seed: %q is not a hexadecimal number of 64 bits", file.Seed)
 	}
-	if file.Limits.MemoryMB <= 0 {
-		return nil, fmt.Errorf("limits.memory_mb: %d is not positive", file.Limits.MemoryMB)
-	}
-	if file.Limits.Sockets < minSockets {
-		return nil, fmt.Errorf("limits.sockets: %d is under %d", file.Limits.Sockets, minSockets)
+	if err := file.Limits.validate(); err != nil {
+		return nil, err
 	}
 	cfg := &Config{Name: file.Name, Listen: file.Listen, Discovery: file.Discovery, Admin: file.Admin,
 		Seed: seed, Limits: file.Limits}
@@ -56,72 +59,92 @@
 			return nil, fmt.Errorf("known: %w", err)
 		}
 	}
-	if err := cfg.readSettings(file.Settings); err != nil {
+	if err := cfg.parseSettings(file.Settings); err != nil {
 		return nil, fmt.Errorf("settings: %w", err)
 	}
 	return cfg, nil
 }
 
-// readSettings reads the balancer's settings through the parser that the
-// simulator's adapter uses, and what only real sockets need beside them.
-func (c *Config) readSettings(raw json.RawMessage) error {
-	if len(raw) == 0 {
-		return fmt.Errorf("is missing")
+func (l Limits) validate() error {
+	if l.MemoryMB <= 0 {
+		return fmt.Errorf("limits.memory_mb: %d is not positive", l.MemoryMB)
 	}
-	decoder := json.NewDecoder(bytes.NewReader(raw))
-	decoder.UseNumber() // keeps the text: 5000000 must not become 5e+06
-	tree := map[string]any{}
-	if err := decoder.Decode(&tree); err != nil {
-		return err
+	if l.Sockets < minSockets {
+		return fmt.Errorf("limits.sockets: %d is under %d", l.Sockets, minSockets)
 	}
-	var text strings.Builder
-	flatten(&text, "", tree)
-	var err error
-	if c.Settings, err = wire.ParseSettings(text.String()); err != nil {
-		return err
+	return nil
+}
+
+// socketSettings are the settings that only a sidecar with real sockets reads. The balancer knows zones, kinds and report
+// fields by numbers, and has no connections that idle.
+type socketSettings struct {
+	Zones        []string `json:"areas"`
+	MachineKinds []string `json:"skus"`
+	Limits       struct {
+		KeepaliveMicros int64 `json:"keepalive"`
+	} `json:"limits"`
+	Reporting struct {
+		Fields []string `json:"fields"`
+	} `json:"reporting"`
+}
+
+// parseSettings reads the settings object: the balancer's part by the parser that the simulator's adapter uses, and what
+// only real sockets need.
+func (c *Config) parseSettings(raw json.RawMessage) error {
+	if len(raw) == 0 {
+		return errMissing
 	}
-	if err := c.Settings.Validate(); err != nil {
+	var err error
+	if c.Settings, err = parseBalancerSettings(raw); err != nil {
 		return err
 	}
-	if err := c.checkNames(); err != nil {
+	if err := checkUniqueNames(&c.Settings); err != nil {
 		return err
 	}
-	var own struct {
-		Areas  []string `json:"areas"`
-		Skus   []string `json:"skus"`
-		Limits struct {
-			Keepalive int64 `json:"keepalive"`
-		} `json:"limits"`
-		Reporting struct {
-			Fields []string `json:"fields"`
-		} `json:"reporting"`
-	}
-	if err := json.Unmarshal(raw, &own); err != nil {
+	var sockets socketSettings
+	if err := json.Unmarshal(raw, &sockets); err != nil {
 		return err
 	}
-	if own.Limits.Keepalive <= 0 {
-		return fmt.Errorf("limits.keepalive: %d is not positive", own.Limits.Keepalive)
+	if sockets.Limits.KeepaliveMicros <= 0 {
+		return fmt.Errorf("limits.keepalive: %d is not positive", sockets.Limits.KeepaliveMicros)
 	}
 	if c.Settings.Limits.DialTimeout <= 0 {
 		return fmt.Errorf("limits.dial-timeout: %d is not positive", c.Settings.Limits.DialTimeout)
 	}
-	c.Zones, c.MachineKinds, c.ReportFields = own.Areas, own.Skus, own.Reporting.Fields
-	c.IdleTimeout = time.Duration(own.Limits.Keepalive) * time.Microsecond
+	c.Zones, c.MachineKinds, c.ReportFields = sockets.Zones, sockets.MachineKinds, sockets.Reporting.Fields
+	c.IdleTimeout = time.Duration(sockets.Limits.KeepaliveMicros) * time.Microsecond
 	return nil
 }
 
-// checkNames sees to it that no two classes and no two tenants have one name: requests name them by it, and so
-// does what was learned of them.
-func (c *Config) checkNames() error {
+// parseBalancerSettings returns the valid settings of the balancer in a settings object.
+func parseBalancerSettings(raw json.RawMessage) (balancer.Settings, error) {
+	decoder := json.NewDecoder(bytes.NewReader(raw))
+	decoder.UseNumber() // keeps the text: 5000000 must not become 5e+06
+	tree := map[string]any{}
+	if err := decoder.Decode(&tree); err != nil {
+		return balancer.Settings{}, err
+	}
+	var text strings.Builder
+	flatten(&text, "", tree)
+	settings, err := wire.ParseSettings(text.String())
+	if err != nil {
+		return settings, err
+	}
+	return settings, settings.Validate()
+}
+
+// checkUniqueNames returns an error if two classes or two tenants have the same name. Requests and saved estimates refer
+// to them by name.
+func checkUniqueNames(settings *balancer.Settings) error {
 	classes := map[string]bool{}
-	for i, class := range c.Settings.Classes {
+	for i, class := range settings.Classes {
 		if classes[class.Name] {
 			return fmt.Errorf("classes.%d.name: %q is there twice", i, class.Name)
 		}
 		classes[class.Name] = true
 	}
 	tenants := map[string]bool{}
-	for i, tenant := range c.Settings.Tenants {
+	for i, tenant := range settings.Tenants {
 		if tenants[tenant.Name] {
 			return fmt.Errorf("tenants.%d.name: %q is there twice", i, tenant.Name)
 		}
--- a/internal/config/reload.go
+++ b/internal/config/reload.go
@@ -5,11 +5,16 @@
 	"time"
 )
 
-// rereadPause is between two readings of the file, however many signals come.
-const rereadPause = 50 * time.Millisecond
+// reloadInterval is the least time between two readings of the file. It bounds the work of a flood of signals, and is
+// short against the time in which a change of the file has to be in force.
+const reloadInterval = 50 * time.Millisecond
 
-// ReloadOnSignal reads a configuration file again at each signal and sends what came of it, for Run: also a failure, which
-// the sidecar counts and logs. Signals that come during a reading, or shortly after it, lead to one more.
+// ReloadOnSignal reads a configuration file again at each signal and sends the result. A file that cannot be read is sent
+// as a Config with Err set, so that the receiver can count and log it. Signals that arrive during a reading or within
+// 50 ms after it lead to one more reading, provided that the channel of signals has a buffer.
+//
+// The goroutine that does so ends, and the returned channel is closed, when signals is closed and the last result is
+// received.
 func ReloadOnSignal(path string, signals <-chan os.Signal) <-chan *Config {
 	configs := make(chan *Config)
 	go func() {
@@ -20,7 +25,7 @@
 				cfg = &Config{Err: err}
 			}
 			configs <- cfg
-			time.Sleep(rereadPause)
+			time.Sleep(reloadInterval)
 		}
 	}()
 	return configs
--- a/internal/config/reload_test.go
+++ b/internal/config/reload_test.go
@@ -15,8 +15,8 @@
 	"oakproxy/internal/sidecartest"
 )
 
-// Signals in any number lead to a bounded number of readings, and the last file holds.
-func TestManySignalsAreBounded(t *testing.T) {
+// Any number of signals leads to a bounded number of readings, and the file as it is at the last signal is read.
+func TestReadingsAreBoundedUnderManySignals(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "config.json")
 	write := func(memory int) {
 		text := fmt.Sprintf(`{"listen":"127.0.0.1:0","discovery":"127.0.0.1:1","seed":"1","limits":{"memory_mb":%d,"sockets":256},"settings":%s}`, memory, sidecartest.SettingsText)
@@ -43,11 +43,11 @@
 			}
 			time.Sleep(time.Millisecond)
 		}
-		time.Sleep(2 * rereadPause)
-		if n := readings.Load(); n < 2 || n > files*int32(time.Millisecond)/int32(rereadPause)+2 || last.Load() != files {
+		time.Sleep(2 * reloadInterval)
+		if n := readings.Load(); n < 2 || n > files*int32(time.Millisecond)/int32(reloadInterval)+2 || last.Load() != files {
 			t.Errorf("%d readings for %d signals, the last of file %d", n, files, last.Load())
 		}
 		close(signals)
-		time.Sleep(rereadPause)
+		time.Sleep(reloadInterval)
 	})
 }
--- a/internal/config/settings_text.go
+++ b/internal/config/settings_text.go
@@ -6,42 +6,45 @@
 	"strings"
 )
 
-// flatten writes a JSON value as the path=value lines of the simulator's first
-// message: lists of objects by their length and index, other lists by commas.
+// flatten writes a JSON value in the form of the settings in the simulator's first message, which wire.ParseSettings
+// reads: a path=value line for each value, with a count and an index for lists of objects, and commas in other lists.
 func flatten(out *strings.Builder, path string, value any) {
-	below := func(key string) string {
-		if path == "" {
-			return key
-		}
-		return path + "." + key
-	}
 	switch v := value.(type) {
-	case nil: // as if absent
+	case nil: // the same as no such key
 	case map[string]any:
 		for key, item := range v {
-			flatten(out, below(key), item)
+			flatten(out, join(path, key), item)
 		}
 	case []any:
 		if len(v) > 0 {
 			if _, objects := v[0].(map[string]any); objects {
-				fmt.Fprintf(out, "%s=%d\n", below("count"), len(v))
+				fmt.Fprintf(out, "%s=%d\n", join(path, "count"), len(v))
 				for i, item := range v {
-					flatten(out, below(strconv.Itoa(i)), item)
+					flatten(out, join(path, strconv.Itoa(i)), item)
 				}
 				return
 			}
 		}
-		words := make([]string, len(v))
+		items := make([]string, len(v))
 		for i, item := range v {
-			words[i] = scalar(item)
+			items[i] = scalar(item)
 		}
-		fmt.Fprintf(out, "%s=%s\n", path, strings.Join(words, ","))
+		fmt.Fprintf(out, "%s=%s\n", path, strings.Join(items, ","))
 	default:
 		fmt.Fprintf(out, "%s=%s\n", path, scalar(v))
 	}
 }
 
-// separators may not stand in a value of the settings text.
+// join returns the path of a key below path.
+func join(path, key string) string {
+	if path == "" {
+		return key
+	}
+	return path + "." + key
+}
+
+// separators replaces what would end a value of the settings text.
 var separators = strings.NewReplacer(" ", "_", ",", "_", "\n", "_", "\r", "_")
 
+// scalar returns a value that is no list or object in the form of the settings text.
 func scalar(v any) string { return separators.Replace(fmt.Sprint(v)) }
