--- a/internal/discovery/entry.go
+++ b/internal/discovery/entry.go
@@ -4,36 +4,47 @@
 	"errors"
 	"fmt"
 	"net"
+
 	"oakproxy/balancer"
 )
 
+// Entry is one endpoint in a list, by the protocol page's section on discovery.
 type Entry struct {
-	Name   string  `json:"host"`
-	Dial   string  `json:"dial"`
-	Site   string  `json:"site"`
-	Class  string  `json:"class"`
-	Block  uint16  `json:"block"`
-	Health string  `json:"health"`
-	Share  float32 `json:"share"`
-	BornMS int64   `json:"born_ms"`
+	Name   string  `json:"host"`    // the same at every sidecar
+	Dial   string  `json:"dial"`    // host:port at which this sidecar connects
+	Site   string  `json:"site"`    // the zone's name
+	Class  string  `json:"class"`   // the machine kind's name
+	Block  uint16  `json:"block"`   // the cell: where the settings say so, the endpoints of one deduplicate by idempotency keys
+	Health string  `json:"health"`  // a key of States
+	Share  float32 `json:"share"`   // its weight among the endpoints
+	BornMS int64   `json:"born_ms"` // Unix time of its last start in milliseconds; 0: long ago
 }
 
+// healthTerminating is the health of an endpoint that is draining.
+const healthTerminating = "Terminating"
+
+// States are the values of Entry.Health and the states that they stand for. Gone occurs among changes only.
 var States = map[string]balancer.EndpointState{
-	"Ready": balancer.Ready, "Terminating": balancer.Draining, "Gone": balancer.Removed,
+	"Ready": balancer.Ready, healthTerminating: balancer.Draining, "Gone": balancer.Removed,
 }
 
-// check finds what keeps an entry from being used.
-func (h *Entry) check() error {
-	state, ok := States[h.Health]
-	switch {
-	case h.Name == "":
-		return errors.New("host is missing")
-	case !ok:
-		return fmt.Errorf("health: %q is not a known state", h.Health)
-	case state == balancer.Ready:
-		if _, _, err := net.SplitHostPort(h.Dial); err != nil {
-			return fmt.Errorf("dial: %q is not host:port", h.Dial)
-		}
+// errNoName is the error of an entry that names no endpoint.
+var errNoName = errors.New("host is missing")
+
+// validate returns why an entry cannot be used, or nil. Only an endpoint that is ready needs an address.
+func (e *Entry) validate() error {
+	if e.Name == "" {
+		return errNoName
+	}
+	state, known := States[e.Health]
+	if !known {
+		return fmt.Errorf("health: %q is not a known state", e.Health)
+	}
+	if state != balancer.Ready {
+		return nil
+	}
+	if _, _, err := net.SplitHostPort(e.Dial); err != nil {
+		return fmt.Errorf("dial: %q is not host:port", e.Dial)
 	}
 	return nil
 }
--- a/internal/discovery/errors.go
+++ b/internal/discovery/errors.go
@@ -1,13 +1,18 @@
 package discovery
 
-import (
-	"errors"
-)
+import "errors"
 
-// MalformedError is an answer that can't be used. What it should have told counts as told.
-type MalformedError struct{ error }
+// ErrOutdated is the error of an answer whose version is older than that of the list in use.
+var ErrOutdated = errors.New("older than the list that is held")
 
-func (e *MalformedError) Unwrap() error { return e.error }
+// MalformedError is the error of an answer that arrived but cannot be used. By the protocol the sidecar counts as notified
+// of the changes in it.
+type MalformedError struct {
+	Err error // what is wrong with the answer
+}
 
-// ErrOutdated is an answer of a version older than what is held.
-var ErrOutdated = errors.New("older than the list that is held")
+// Error returns what is wrong with the answer.
+func (e *MalformedError) Error() string { return e.Err.Error() }
+
+// Unwrap returns Err.
+func (e *MalformedError) Unwrap() error { return e.Err }
--- a/internal/discovery/list.go
+++ b/internal/discovery/list.go
@@ -7,52 +7,55 @@
 	"time"
 )
 
-// List is a list of endpoints, or of changes, in discovery's form.
+// List is a list of endpoints, or of changes to one, in the form of the protocol page's section on discovery.
 type List struct {
-	Seq   uint64  `json:"seq"`
-	Whole bool    `json:"whole"`
+	Seq   uint64  `json:"seq"`   // the version
+	Whole bool    `json:"whole"` // the list is complete; otherwise it has the entries that changed
 	Hosts []Entry `json:"hosts"`
 
-	Unusable   int       // entries that could not be used
-	FirstError error     // of the first of them
-	date       time.Time // by the clock of discovery, to the second; zero where it did not say
+	Unusable   int       // the number of entries that cannot be used
+	FirstError error     // of the first such entry; nil if there is none
+	date       time.Time // of the answer by discovery's clock, to the second; zero if not known
 }
 
-// UnmarshalJSON reads a list entry by entry: one that can't be used does not cost the
-// others. An endpoint that it names is left with what it has, as it may no longer be
-// ready. Where no entry can be used, none of them is worth believing.
-func (r *List) UnmarshalJSON(data []byte) error {
-	var list struct {
+// errNoVersion is the error of a list without a version.
+var errNoVersion = errors.New("seq is missing")
+
+// UnmarshalJSON reads a list entry by entry, so that one that cannot be used does not make the others unusable. If such an
+// entry names an endpoint, the list has it as draining, as it may no longer be ready. It fails if no entry at all can be
+// used, since the list is then of some other form.
+func (l *List) UnmarshalJSON(data []byte) error {
+	var raw struct {
 		Seq   *uint64           `json:"seq"`
 		Whole bool              `json:"whole"`
 		Hosts []json.RawMessage `json:"hosts"`
 	}
-	if err := json.Unmarshal(data, &list); err != nil {
+	if err := json.Unmarshal(data, &raw); err != nil {
 		return err
 	}
-	if list.Seq == nil {
-		return errors.New("seq is missing")
+	if raw.Seq == nil {
+		return errNoVersion
 	}
-	*r = List{Seq: *list.Seq, Whole: list.Whole, Hosts: make([]Entry, 0, len(list.Hosts))}
-	for i, raw := range list.Hosts {
-		var h Entry
-		err := json.Unmarshal(raw, &h)
+	*l = List{Seq: *raw.Seq, Whole: raw.Whole, Hosts: make([]Entry, 0, len(raw.Hosts))}
+	for i, text := range raw.Hosts {
+		var entry Entry
+		err := json.Unmarshal(text, &entry)
+		if err == nil {
+			err = entry.validate()
+		}
 		if err == nil {
-			err = h.check()
+			l.Hosts = append(l.Hosts, entry)
+			continue
+		}
+		if l.Unusable++; l.FirstError == nil {
+			l.FirstError = fmt.Errorf("hosts[%d]: %w", i, err)
 		}
-		if err != nil {
-			if r.Unusable++; r.FirstError == nil {
-				r.FirstError = fmt.Errorf("hosts[%d]: %w", i, err)
-			}
-			if h.Name == "" {
-				continue
-			}
-			h = Entry{Name: h.Name, Health: "Terminating"}
+		if entry.Name != "" {
+			l.Hosts = append(l.Hosts, Entry{Name: entry.Name, Health: healthTerminating})
 		}
-		r.Hosts = append(r.Hosts, h)
 	}
-	if r.Unusable > 0 && r.Unusable == len(list.Hosts) {
-		return fmt.Errorf("no entry can be used: %w", r.FirstError)
+	if l.Unusable > 0 && l.Unusable == len(raw.Hosts) {
+		return fmt.Errorf("no entry can be used: %w", l.FirstError)
 	}
 	return nil
 }
--- a/internal/discovery/skew.go
+++ b/internal/discovery/skew.go
@@ -1,20 +1,22 @@
 package discovery
 
 import (
-	"oakproxy/balancer"
 	"time"
+
+	"oakproxy/balancer"
 )
 
-// MinSkew is how far the clocks of discovery and of this process must be apart to be told so: discovery's date is cut to
-// the second, and its answer takes a while.
+// MinSkew is the least difference between the clocks of discovery and of this process that is taken for one. A smaller one
+// may come from the date of an answer, which is truncated to the second, and from the answer's way.
 const MinSkew = 2 * time.Second
 
-// ClockSkew is how far the clock by which a list tells starts is ahead of the loop's, as far as the list lets it be known.
-func (r *List) ClockSkew(now balancer.Micros) balancer.Micros {
-	if r.date.IsZero() {
+// ClockSkew returns how far, in microseconds, the clock by which a list gives start times is ahead of a clock that shows
+// now. It returns 0 if the answer had no date or the difference is at most MinSkew.
+func (l *List) ClockSkew(now balancer.Micros) balancer.Micros {
+	if l.date.IsZero() {
 		return 0
 	}
-	if skew := r.date.UnixMicro() - now; skew > MinSkew.Microseconds() || skew < -MinSkew.Microseconds() {
+	if skew := l.date.UnixMicro() - now; skew > MinSkew.Microseconds() || skew < -MinSkew.Microseconds() {
 		return skew
 	}
 	return 0
--- a/internal/discovery/timing.go
+++ b/internal/discovery/timing.go
@@ -7,42 +7,93 @@
 	"oakproxy/balancer"
 )
 
+// Time limits of a watch. They divide the time that the protocol allows for learning of a change, which is
+// balancer.NotificationDeadline. The deadline holds whatever became of earlier calls, so it covers a call that fails, the
+// backoff after it and the next call:
+//
+//	maxWatchWait + WatchGrace + backoff + callTimeout <= NotificationDeadline   after a watch went silent
+//	callTimeout + backoff + callTimeout               <= NotificationDeadline   after a call that timed out
+//
+// The backoff is the balancer's, and the constants of package balancer state how much is left for it.
 const (
-	MaxListBytes = 8 << 20 // bytes of a list
-
-	// A call is held for news so long that, should it fall silent, its change is heard of in time
-	// all the same, and never for so long that a list is older than the settings allow one without
-	// a watch; less of it now and then, so that sidecars that began together do not go on in step.
-	minWait       = time.Second
-	waitSpread    = 4 // a part of the wait
-	toldAfterWait = 2 * time.Second
-
-	// The balancer's parts of the time for hearing of a change.
-	maxWait      = time.Duration(balancer.WatchDuration) * time.Microsecond
-	WatchGrace   = time.Duration(balancer.WatchGrace) * time.Microsecond
-	listPatience = time.Duration(balancer.DiscoveryCallTimeout) * time.Microsecond
-
-	// A discovery that has lost its versions begins to count anew. An older version is not
-	// believed for as long as a failed call stands for its watch, or, after SIGHUP, for most
-	// of the time in which a new address has to be followed.
-	olderPeriods      = 4 // of ask-within
-	MovedVersionGrace = 3 * time.Second
+	// WatchGrace is how much later than the end of its wait a call of a watch may be answered before it counts as failed.
+	WatchGrace = time.Duration(balancer.WatchGrace) * time.Microsecond
+
+	// maxWatchWait is the longest that a call of a watch asks discovery to wait for a change.
+	maxWatchWait = time.Duration(balancer.WatchDuration) * time.Microsecond
+
+	// callTimeout is the timeout of a call that does not wait for a change, where lists are polled.
+	callTimeout = time.Duration(balancer.DiscoveryCallTimeout) * time.Microsecond
+
+	// notifiedAfterWait is how long after the end of a call's wait the sidecar counts as notified of what the call missed
+	// (protocol page, section Figures). The list must not become older than the settings allow without a watch, so
+	//
+	//	wait + notifiedAfterWait <= PollInterval, as far as minWatchWait allows.
+	notifiedAfterWait = 2 * time.Second
+
+	// minWatchWait is the shortest wait, whatever the poll interval: discovery serves all sidecars in turn, and shorter
+	// waits would multiply its calls.
+	minWatchWait = time.Second
 
-	// A watch ends when its next call comes later than 200 ms after the last
-	// answer; calls without any pause could become a flood.
+	// watchWaitJitter is the part of the wait, as a divisor, by which calls are shortened at random, so that sidecars that
+	// started together do not call together.
+	watchWaitJitter = 4
+
+	// watchPause is the pause between an answer and the next call of a watch. It satisfies
+	//
+	//	watchPause < 200 ms, after which a later call is a new watch (protocol page, section Discovery),
+	//
+	// with room for a sidecar that waits for its core. A watch without a pause could flood discovery while versions change
+	// quickly.
 	watchPause = 20 * time.Millisecond
 
-	// Where lists are pushed, an agent has them at hand and what it has counts as told: whatever
-	// the grace on drains, a call that gets no answer is not worth waiting for beyond a part of
-	// that, nor is the pause after a failure.
-	agentPatience = 200 * time.Millisecond // at least: the sidecar may be short of its core
-	agentPause    = 50 * time.Millisecond  // at least
+	// malformedRetryDelay is the mean pause before a call whose answer was malformed is made again.
+	malformedRetryDelay = 50 * time.Millisecond
 )
 
-// pushedTimes returns how long a call may take and how long a pause lasts where lists are pushed.
-func pushedTimes(grace time.Duration) (patience, rest time.Duration) {
-	return max(agentPatience, min(grace/2, time.Second)), max(agentPause, min(grace/8, time.Second))
+// Time limits for versions that go back. A discovery service that lost its state numbers its lists anew, and until that is
+// known an older version may as well be a stale answer.
+const (
+	// versionResetPolls is the number of poll intervals without a list after which an older version is accepted. It is the
+	// number for which a failed call stands for a watch (wire page, contract.ask-within).
+	versionResetPolls = 4
+
+	// MovedVersionGrace replaces that time after a reload, which may have moved discovery to another address with a
+	// numbering of its own. It satisfies
+	//
+	//	MovedVersionGrace < NotificationDeadline, so that the moved list is in use by the time that changes in it count.
+	MovedVersionGrace = 3 * time.Second
+)
+
+// Time limits where lists are pushed to an agent on the machine. The agent's list counts as delivered, so that requests to
+// a draining endpoint must stop within the drain grace whether or not a call succeeded. A call and the pause after its
+// failure (up to 1.5 times its mean, by Jitter) leave time in it for another:
+//
+//	pushedCallTimeout + 1.5 pushedRetryDelay <= 11/16 DrainGrace, for a DrainGrace of 400 ms or more.
+const (
+	pushedCallPart       = 2 // of the drain grace, as a divisor
+	minPushedCallTimeout = 200 * time.Millisecond
+	maxPushedCallTimeout = time.Second
+
+	pushedDelayPart     = 8 // of the drain grace, as a divisor
+	minPushedRetryDelay = 50 * time.Millisecond
+	maxPushedRetryDelay = time.Second
+)
+
+// pushedCallTimeout returns the timeout of a call that does not wait for a change, where lists are pushed.
+func pushedCallTimeout(drainGrace time.Duration) time.Duration {
+	return max(minPushedCallTimeout, min(drainGrace/pushedCallPart, maxPushedCallTimeout))
+}
+
+// pushedRetryDelay returns the mean pause after a call that failed, where lists are pushed.
+func pushedRetryDelay(drainGrace time.Duration) time.Duration {
+	return max(minPushedRetryDelay, min(drainGrace/pushedDelayPart, maxPushedRetryDelay))
+}
+
+// watchWait returns how long calls of a watch ask discovery to wait for a change, before jitter.
+func watchWait(pollInterval time.Duration) time.Duration {
+	return max(minWatchWait, min(maxWatchWait, pollInterval-notifiedAfterWait))
 }
 
-// Jitter is d, half of it to one and a half, so that sidecars do not go in step.
+// Jitter returns a random duration between half of d and one and a half d, so that sidecars do not act in step.
 func Jitter(d time.Duration) time.Duration { return d/2 + rand.N(max(1, d)) }
--- /dev/null
+++ b/internal/discovery/timing_test.go
@@ -0,0 +1,34 @@
+package discovery
+
+import (
+	"testing"
+	"time"
+
+	"oakproxy/balancer"
+)
+
+// The time limits keep the inequalities that are stated at them.
+func TestTimeLimitsKeepTheirInequalities(t *testing.T) {
+	deadline := time.Duration(balancer.NotificationDeadline) * time.Microsecond
+	for what, limits := range map[string]struct{ used, allowed time.Duration }{
+		"a silent watch and a call":     {maxWatchWait + WatchGrace + callTimeout, deadline},
+		"two calls":                     {2 * callTimeout, deadline},
+		"the pause of a watch":          {watchPause, 200 * time.Millisecond},
+		"the grace of a moved version":  {MovedVersionGrace, deadline},
+		"two calls that were malformed": {2*callTimeout + malformedRetryDelay*3/2 + watchPause, deadline},
+	} {
+		if limits.used >= limits.allowed {
+			t.Errorf("%s: %v is not under %v", what, limits.used, limits.allowed)
+		}
+	}
+	for interval := minWatchWait + notifiedAfterWait; interval < time.Minute; interval += 100 * time.Millisecond {
+		if wait := watchWait(interval); wait < minWatchWait || wait > maxWatchWait || wait+notifiedAfterWait > interval {
+			t.Errorf("a wait of %v at a poll interval of %v", wait, interval)
+		}
+	}
+	for grace := 400 * time.Millisecond; grace < time.Minute; grace += 100 * time.Millisecond {
+		if used := pushedCallTimeout(grace) + pushedRetryDelay(grace)*3/2; used > grace*11/16 {
+			t.Errorf("%v of a drain grace of %v are used by a call and a pause", used, grace)
+		}
+	}
+}
--- a/internal/discovery/watch.go
+++ b/internal/discovery/watch.go
@@ -10,37 +10,50 @@
 	"oakproxy/internal/system"
 )
 
-// Position is what a watch goes on from.
+// Position is where a watch continues: the version in use, and until when only newer ones are accepted.
 type Position struct {
-	After          *uint64   // the version to ask for what is newer than; nil: for the whole list
-	Newest         uint64    // that is held
-	VersionResetAt time.Time // from then on an older one is taken for a new numbering
+	After          *uint64   // the version to ask for changes since; nil: for the complete list
+	Newest         uint64    // the version of the list in use
+	VersionResetAt time.Time // from then on an older complete list is taken for a new numbering
 }
 
-// Watch reports what discovery tells until a call fails. The first call does not wait
-// for news: its answer is the balancer's sign that the watch has begun. An answer that
-// can't be used is asked for once more before that counts as a failure.
-func (d *Client) Watch(ctx context.Context, from Position, heard func(List), malformed func(error)) error {
-	repeated := false
+// check returns an error that wraps ErrOutdated if a list is older than the one in use and is not to be taken for a new
+// numbering. After an older list it continues with the complete one: changes since a version of another numbering have no
+// meaning.
+func (p *Position) check(list *List) error {
+	if list.Seq >= p.Newest {
+		return nil
+	}
+	p.After = nil
+	if list.Whole && !time.Now().Before(p.VersionResetAt) {
+		return nil
+	}
+	return &MalformedError{fmt.Errorf("discovery's answer: version %d is %w, %d", list.Seq, ErrOutdated, p.Newest)}
+}
+
+// Watch calls discovery again and again, and passes each list to onList, until a call fails or ctx ends. It returns the
+// error of that call, which is never nil. The first call does not wait for a change: its answer tells the balancer that
+// the watch has begun. A malformed answer is passed to onMalformed and asked for once more; a second one in a row is a
+// failure.
+func (c *Client) Watch(ctx context.Context, from Position, onList func(List), onMalformed func(error)) error {
+	retried := false
 	for wait := time.Duration(0); ; system.Sleep(ctx, watchPause) {
-		list, err := d.list(ctx, from.After, wait)
-		if err == nil && list.Seq < from.Newest {
-			if from.After = nil; !list.Whole || time.Now().Before(from.VersionResetAt) {
-				err = &MalformedError{fmt.Errorf("discovery's answer: version %d is %w, %d", list.Seq, ErrOutdated, from.Newest)}
-			}
+		list, err := c.fetch(ctx, from.After, wait)
+		if err == nil {
+			err = from.check(&list)
 		}
-		var bad *MalformedError
-		if errors.As(err, &bad) && !repeated {
-			malformed(err)
-			repeated, wait = true, 0
-			system.Sleep(ctx, Jitter(agentPause))
+		var malformed *MalformedError
+		if errors.As(err, &malformed) && !retried {
+			onMalformed(err)
+			retried, wait = true, 0
+			system.Sleep(ctx, Jitter(malformedRetryDelay))
 			continue
 		}
 		if err != nil {
 			return err
 		}
-		heard(list)
-		from = Position{&list.Seq, list.Seq, time.Now().Add(d.VersionResetTimeout)}
-		repeated, wait = false, d.wait-rand.N(d.wait/waitSpread)
+		onList(list)
+		from = Position{After: &list.Seq, Newest: list.Seq, VersionResetAt: time.Now().Add(c.VersionResetTimeout)}
+		retried, wait = false, c.watchWait-rand.N(c.watchWait/watchWaitJitter)
 	}
 }
