--- a/internal/stages/histogram.go
+++ b/internal/stages/histogram.go
@@ -5,19 +5,22 @@
 	"time"
 )
 
-// A histogram counts durations in buckets whose width is an eighth of their lower
-// bound, from 1 microsecond to about a minute.
+// Buckets of a histogram. Each power of two is divided evenly, so that a bucket is at most an eighth of its lower bound
+// wide, and a quantile is that much above the exact one at most. The last bucket begins at about a minute, which is longer
+// than clients wait.
 const (
 	subBucketBits = 3
-	subBuckets    = 1 << subBucketBits
+	subBuckets    = 1 << subBucketBits // by power of two
 	maxBuckets    = 24 * subBuckets
 )
 
+// histogram counts durations by bucket.
 type histogram struct {
 	counts [maxBuckets]uint32
 	total  uint64
 }
 
+// bucketOf returns the bucket of a duration in microseconds.
 func bucketOf(micros uint64) int {
 	if micros < subBuckets {
 		return int(micros)
@@ -26,7 +29,7 @@
 	return min(maxBuckets-1, (shift+1)*subBuckets+int(micros>>shift)-subBuckets)
 }
 
-// upperBound is the least duration beyond a bucket, in microseconds.
+// upperBound returns the least duration above a bucket, in microseconds.
 func upperBound(bucket int) uint64 {
 	if bucket < subBuckets {
 		return uint64(bucket) + 1
@@ -40,12 +43,12 @@
 	h.total++
 }
 
-// quantile returns the upper bound, in microseconds, of the bucket that holds the
-// given part of all durations, or 0 where there are none.
-func (h *histogram) quantile(part float64) uint64 {
-	rank, seen := uint64(part*float64(h.total)), uint64(0)
+// quantile returns the upper bound, in microseconds, of the bucket with the given quantile, from 0 to 1, of all durations.
+// It returns 0 if there are none.
+func (h *histogram) quantile(q float64) uint64 {
+	rank, cumulated := uint64(q*float64(h.total)), uint64(0)
 	for i, n := range h.counts {
-		if seen += uint64(n); seen > rank {
+		if cumulated += uint64(n); cumulated > rank {
 			return upperBound(i)
 		}
 	}
--- a/internal/stages/recorder.go
+++ b/internal/stages/recorder.go
@@ -7,55 +7,59 @@
 	"time"
 )
 
-// Recorder collects the stages of all requests since the start.
+// Recorder collects the durations of the stages of requests since the start. The zero value is ready to use. Its methods
+// may be called by several goroutines.
 type Recorder struct {
-	mu       sync.Mutex
-	requests uint64
-	sums     [stageCount]time.Duration
-	spread   [stageCount]histogram
+	mu         sync.Mutex
+	requests   uint64
+	sums       [stageCount]time.Duration
+	histograms [stageCount]histogram
 }
 
-func (s *Recorder) Record(t *RequestTimes) {
-	took := t.durations()
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	s.requests++
-	for i, d := range took {
-		s.sums[i] += d
-		s.spread[i].add(d)
+// Record adds a request, all of whose times are set.
+func (r *Recorder) Record(t *RequestTimes) {
+	durations := t.durations()
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.requests++
+	for i, d := range durations {
+		r.sums[i] += d
+		r.histograms[i].add(d)
 	}
 }
 
-// Totals is what counts lines are made of.
+// Totals are the sums of a Recorder at an instant. Two of them give the means between their instants.
 type Totals struct {
 	requests uint64
 	sums     [stageCount]time.Duration
 }
 
-func (s *Recorder) Totals() Totals {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	return Totals{s.requests, s.sums}
+// Totals returns the sums of all requests recorded so far.
+func (r *Recorder) Totals() Totals {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	return Totals{requests: r.requests, sums: r.sums}
 }
 
-// MeansSince tells the mean of each stage, in microseconds, over the requests since old.
-func (s Totals) MeansSince(old Totals) string {
-	requests := max(1, int64(s.requests-old.requests))
-	var text strings.Builder
+// MeansSince returns the mean of each stage, in microseconds, over the requests recorded since earlier. It is a text for
+// logs: [read:12 queue:3 ...]. The means are 0 if there were no requests.
+func (t Totals) MeansSince(earlier Totals) string {
+	requests := max(1, int64(t.requests-earlier.requests))
+	means := make([]string, stageCount)
 	for i, name := range stageNames {
-		fmt.Fprintf(&text, " %s:%d", name, (s.sums[i]-old.sums[i]).Microseconds()/requests)
+		means[i] = fmt.Sprintf("%s:%d", name, (t.sums[i]-earlier.sums[i]).Microseconds()/requests)
 	}
-	return "[" + text.String()[1:] + "]"
+	return "[" + strings.Join(means, " ") + "]"
 }
 
-// Summary tells the median and the 99th percentile of each stage, in microseconds,
-// since the start.
-func (s *Recorder) Summary() (requests uint64, text string) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	var parts []string
+// Summary returns the number of requests since the start, and the median and the 99th percentile of each stage, in
+// microseconds. The text is for logs: [read:10/55 queue:2/17 ...].
+func (r *Recorder) Summary() (requests uint64, text string) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	quantiles := make([]string, stageCount)
 	for i, name := range stageNames {
-		parts = append(parts, fmt.Sprintf("%s:%d/%d", name, s.spread[i].quantile(0.5), s.spread[i].quantile(0.99)))
+		quantiles[i] = fmt.Sprintf("%s:%d/%d", name, r.histograms[i].quantile(0.5), r.histograms[i].quantile(0.99))
 	}
-	return s.requests, "[" + strings.Join(parts, " ") + "]"
+	return r.requests, "[" + strings.Join(quantiles, " ") + "]"
 }
--- a/internal/stages/stages.go
+++ b/internal/stages/stages.go
@@ -1,49 +1,55 @@
 package stages
 
-import (
-	"time"
-)
+import "time"
 
 // stage is a part of a request's way through the sidecar.
 type stage uint8
 
-// The stages of a request that its first attempt served, in their order. All but
-// stageEndpoint are time that the sidecar adds.
+// The stages of a request that its first attempt served, in their order. stageOverhead is not one of them but their sum
+// without stageEndpoint.
 const (
 	stageRead      stage = iota // the request's body, after its head
-	stageQueue                  // until the loop takes the request
-	stageProbeWait              // until the balancer sends it: probes may be awaited first
-	stageConnect                // until a connection to the endpoint is at hand
+	stageQueue                  // until the event loop takes the request from its queue
+	stageProbeWait              // until the balancer starts an attempt: it may wait for load probes
+	stageConnect                // until a connection to the endpoint is ready
 	stageWrite                  // until the request's last byte is written
-	stageEndpoint               // until the answer, or its beginning, is read
-	stageReturn                 // through the loop, back to the client's connection
-	stageReply                  // until the answer is with net/http, which writes it when the handler returns
-	stageOverhead               // all of the above but stageEndpoint
+	stageEndpoint               // until the response, or the beginning of a streamed one, is read
+	stageReturn                 // through the event loop, back to the client's goroutine
+	stageReply                  // until net/http has the response, which it writes when the handler returns
+	stageOverhead               // all of the above without stageEndpoint
 	stageCount
 )
 
+// stageNames are the names of stages in logs.
 var stageNames = [stageCount]string{"read", "queue", "probe_wait", "connect", "write", "endpoint", "return", "reply", "overhead"}
 
-// AttemptTimes tells when an attempt got on.
-type AttemptTimes struct{ Connected, Written, Received time.Time }
+// AttemptTimes are the instants at which the stages of an attempt ended. They are zero until then.
+type AttemptTimes struct {
+	Connected time.Time // a connection to the endpoint was ready
+	Written   time.Time // the request's last byte was written
+	Received  time.Time // the response, or the beginning of a streamed one, was read
+}
 
-// RequestTimes tells when a request got on. The handler owns the first two and the
-// last two; the loop sets the others before it gives the final answer.
+// RequestTimes are the instants at which the stages of a request began and ended. The client's handler sets Arrived,
+// BodyRead, Answered and Replied. The event loop sets the others before it passes the handler the result.
 type RequestTimes struct {
-	Arrived, BodyRead time.Time
-	Dequeued, Sent    time.Time
-	Attempt           AttemptTimes
-	Answered, Replied time.Time
+	Arrived  time.Time    // the request's head was read
+	BodyRead time.Time    // its body was read
+	Dequeued time.Time    // the event loop took it from its queue
+	Sent     time.Time    // the balancer started its first attempt
+	Attempt  AttemptTimes // the attempt whose response it got
+	Answered time.Time    // the handler had the result
+	Replied  time.Time    // net/http had the response
 }
 
-// durations returns the time of each stage.
+// durations returns how long each stage took.
 func (t *RequestTimes) durations() [stageCount]time.Duration {
-	marks := [...]time.Time{t.Arrived, t.BodyRead, t.Dequeued, t.Sent, t.Attempt.Connected, t.Attempt.Written,
+	instants := [...]time.Time{t.Arrived, t.BodyRead, t.Dequeued, t.Sent, t.Attempt.Connected, t.Attempt.Written,
 		t.Attempt.Received, t.Answered, t.Replied}
-	var took [stageCount]time.Duration
-	for i := range marks[1:] {
-		took[i] = marks[i+1].Sub(marks[i])
+	var durations [stageCount]time.Duration
+	for i := range instants[1:] {
+		durations[i] = instants[i+1].Sub(instants[i])
 	}
-	took[stageOverhead] = t.Replied.Sub(t.Arrived) - took[stageEndpoint]
-	return took
+	durations[stageOverhead] = t.Replied.Sub(t.Arrived) - durations[stageEndpoint]
+	return durations
 }
