--- a/internal/system/clock.go
+++ b/internal/system/clock.go
@@ -6,47 +6,51 @@
 	"unsafe"
 )
 
-// Clock tells the time to what outlives a process. The zero value is that of the system.
+// Clock is a source of instants that outlive a process. A zero field stands for the system's clock; OrSystem fills it in.
 type Clock struct {
-	Wall   func() time.Time     // may be stepped, either way
-	Uptime func() time.Duration // runs on evenly, for all processes of a machine, from its start on
+	Wall   func() time.Time     // may be stepped in either direction
+	Uptime func() time.Duration // since the machine's start; never stepped, and the same for all processes
 }
 
-// OrSystem returns the source with the system's clocks in place of those that are not set.
-func (s Clock) OrSystem() Clock {
-	if s.Wall == nil {
-		s.Wall = time.Now
+// OrSystem returns the clock with the system's in place of the fields that are not set.
+func (c Clock) OrSystem() Clock {
+	if c.Wall == nil {
+		c.Wall = time.Now
 	}
-	if s.Uptime == nil {
-		s.Uptime = uptime
+	if c.Uptime == nil {
+		c.Uptime = uptime
 	}
-	return s
+	return c
 }
 
-// Timestamp is an instant that another process can read.
+// Timestamp is an instant in a form that another process on the machine can read.
 type Timestamp struct {
-	UnixMS int64 // by the wall clock
-	UpMS   int64 // by the machine's uptime; 0 where a process of an earlier version wrote it
+	UnixMS int64 // wall clock time in milliseconds since 1970
+	UpMS   int64 // machine uptime in milliseconds; 0 if a version wrote it that did not record it
 }
 
-// Now returns the present instant.
-func (s Clock) Now() Timestamp { return Timestamp{s.Wall().UnixMilli(), s.Uptime().Milliseconds()} }
+// Now returns the present instant. Both functions of the clock must be set.
+func (c Clock) Now() Timestamp { return Timestamp{c.Wall().UnixMilli(), c.Uptime().Milliseconds()} }
 
-// Age returns how long ago an instant was. It is not known of one that is ahead of the machine's uptime, which is
-// that of an earlier start of the machine.
-func (s Clock) Age(at Timestamp) (age time.Duration, known bool) {
+// timestampError is how far a timestamp may be ahead of the clock that it is from: it has whole milliseconds.
+const timestampError = time.Millisecond
+
+// Age returns how long ago an instant was, by uptime if the timestamp has it, and else by the wall clock. The age is not
+// known if the instant is ahead of the clock: it is then of an earlier start of the machine. Both functions of the clock
+// must be set.
+func (c Clock) Age(at Timestamp) (age time.Duration, known bool) {
 	if at.UpMS > 0 {
-		age = s.Uptime() - time.Duration(at.UpMS)*time.Millisecond
+		age = c.Uptime() - time.Duration(at.UpMS)*time.Millisecond
 	} else {
-		age = s.Wall().Sub(time.UnixMilli(at.UnixMS))
+		age = c.Wall().Sub(time.UnixMilli(at.UnixMS))
 	}
-	return age, age >= -time.Millisecond // it was cut to whole milliseconds
+	return age, age >= -timestampError
 }
 
 // clockMonotonic is Linux's CLOCK_MONOTONIC.
 const clockMonotonic = 1
 
-// uptime reads the clock that steps of the wall clock leave alone; 0 where that fails.
+// uptime returns the time of the machine's monotonic clock, or 0 if it cannot be read.
 func uptime() time.Duration {
 	var now syscall.Timespec
 	_, _, errno := syscall.Syscall(syscall.SYS_CLOCK_GETTIME, clockMonotonic, uintptr(unsafe.Pointer(&now)), 0)
--- a/internal/system/files.go
+++ b/internal/system/files.go
@@ -3,24 +3,22 @@
 import (
 	"errors"
 	"io"
-	"io/fs"
 	"os"
-	"syscall"
 )
 
-// FileOps are the operations on files that may fail for a while: a disk is full, or has errors. The zero value is that
-// of the system.
+// FileOps are the file operations that may fail for a while, such as on a disk that is full or has errors. A nil field
+// stands for the system's operation; OrSystem fills it in. Tests inject faults here.
 type FileOps struct {
-	Read   func(file *os.File, most int64) ([]byte, error)
-	Write  func(file *os.File, text []byte) error
-	Sync   func(file *os.File) error
-	Rename func(from, to string) error
+	Read   func(file *os.File, maxBytes int64) ([]byte, error) // reads to the end, or maxBytes
+	Write  func(file *os.File, text []byte) error              // writes all of text
+	Sync   func(file *os.File) error                           // puts what was written on disk
+	Rename func(from, to string) error                         // replaces to in one step
 }
 
 // OrSystem returns the operations with the system's in place of those that are not set.
 func (o FileOps) OrSystem() FileOps {
 	if o.Read == nil {
-		o.Read = func(file *os.File, most int64) ([]byte, error) { return io.ReadAll(io.LimitReader(file, most)) }
+		o.Read = func(file *os.File, maxBytes int64) ([]byte, error) { return io.ReadAll(io.LimitReader(file, maxBytes)) }
 	}
 	if o.Write == nil {
 		o.Write = func(file *os.File, text []byte) error {
@@ -37,7 +35,8 @@
 	return o
 }
 
-// ReadFile reads a file, up to maxBytes of it, and returns which one it was.
+// ReadFile returns up to maxBytes of a file, and which file they are from. All operations must be set. The error is an
+// fs.PathError, or that of Read.
 func (o FileOps) ReadFile(path string, maxBytes int64) ([]byte, os.FileInfo, error) {
 	file, err := os.Open(path)
 	if err != nil {
@@ -52,9 +51,10 @@
 	return text, info, err
 }
 
-// ReplaceFile puts a file in place of another at once: nobody reads a part of it, whenever this process is ended. It
-// is on the disk by then where it is to be durable. One process at a time may write by way of a temporary name; what
-// one that was killed has left there is written over.
+// ReplaceFile replaces the contents of a file in one step: a reader sees all of the old or all of the new ones, whenever
+// this process is killed. If durable, the new ones are on disk when it returns. It writes to the temporary name first,
+// which only one process at a time may use; a file that a killed process left there is overwritten. All operations must
+// be set.
 func (o FileOps) ReplaceFile(path, temporary string, text []byte, durable bool) error {
 	file, err := os.OpenFile(temporary, os.O_CREATE|os.O_WRONLY|os.O_TRUNC, 0o600)
 	if err != nil {
@@ -72,10 +72,3 @@
 	}
 	return err
 }
-
-// IsReadError reports whether a file could not be read, though it may be there and whole.
-func IsReadError(err error) bool {
-	var path *fs.PathError
-	var errno syscall.Errno
-	return err != nil && !errors.Is(err, fs.ErrNotExist) && (errors.As(err, &path) || errors.As(err, &errno))
-}
--- a/internal/system/retry.go
+++ b/internal/system/retry.go
@@ -2,40 +2,48 @@
 
 import (
 	"context"
-	"syscall"
 	"time"
 )
 
+// Delays and timeouts of retries after transient errors.
 const (
-	AcceptRetryDelay = 5 * time.Millisecond  // after an accept that failed
-	StartRetryDelay  = 20 * time.Millisecond // between two tries of what a start needs
-	StartTimeout     = 5 * time.Second       // for what a start needs: 10 s are allowed until it is ready
-	DialRetryDelay   = 5 * time.Millisecond  // between two tries of a connection that failed for a lack of this machine's
-	DialRetryTimeout = 50 * time.Millisecond // and for how long: the endpoint is not to blame, but others wait as well
-)
+	// AcceptRetryDelay is the pause after an accept that failed. It keeps a shortage from turning into a busy loop, and is
+	// short against the time that a client waits.
+	AcceptRetryDelay = 5 * time.Millisecond
+
+	// StartRetryDelay is the pause between two attempts at what a start needs.
+	StartRetryDelay = 20 * time.Millisecond
+
+	// StartTimeout is how long a start retries. It satisfies StartTimeout < 10 s, within which a sidecar has to be ready.
+	StartTimeout = 5 * time.Second
 
-// passing errors are those that a start waits out: a shortage, a file system in trouble, or an address that the
-// process before it has not let go of.
-var passingAtStart = append([]syscall.Errno{syscall.EIO, syscall.EADDRINUSE, syscall.ENETDOWN}, shortages...)
+	// DialRetryDelay is the pause between two dials that fail for a shortage of this machine.
+	DialRetryDelay = 5 * time.Millisecond
+
+	// DialRetryTimeout is how long such dials are repeated. The endpoint is not at fault, so another would do no better;
+	// but the request's time runs, and others wait for the same resource.
+	DialRetryTimeout = 50 * time.Millisecond
+)
 
-// Retry calls f until it succeeds, fails for good, or has failed in passing for so long, or ctx ends. It returns f's
-// last error.
-func Retry(ctx context.Context, patience, rest time.Duration, passes func(error) bool, f func() error) error {
-	for end := time.Now().Add(patience); ; Sleep(ctx, rest) {
+// Retry calls f until it succeeds, returns an error that is not transient, or has failed for timeout, or ctx ends. It
+// pauses for delay between calls, and returns f's last error. f is called at least once.
+func Retry(ctx context.Context, timeout, delay time.Duration, isTransient func(error) bool, f func() error) error {
+	for deadline := time.Now().Add(timeout); ; Sleep(ctx, delay) {
 		err := f()
-		if err == nil || !passes(err) || !time.Now().Before(end) || ctx.Err() != nil {
+		if err == nil || !isTransient(err) || !time.Now().Before(deadline) || ctx.Err() != nil {
 			return err
 		}
 	}
 }
 
-// RetryAtStart calls f until what it needs is there.
+// RetryAtStart calls f as Retry does, for up to StartTimeout, while it fails for a cause that may pass during a start: a
+// shortage, a file system with errors, or an address that is still in use.
 func RetryAtStart(ctx context.Context, f func() error) error {
-	passes := func(err error) bool { return IsErrno(err, passingAtStart) }
-	return Retry(ctx, StartTimeout, StartRetryDelay, passes, f)
+	isTransient := func(err error) bool { return IsErrno(err, transientAtStart) }
+	return Retry(ctx, StartTimeout, StartRetryDelay, isTransient, f)
 }
 
-// Sleep waits for a while, but not beyond ctx.
+// Sleep waits for d, or until ctx ends.
 func Sleep(ctx context.Context, d time.Duration) {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
--- a/internal/system/sockets.go
+++ b/internal/system/sockets.go
@@ -1,92 +1,96 @@
 package system
 
 import (
+	"errors"
 	"net"
 	"syscall"
 	"time"
 )
 
-// Readable says whether anything can be read of a connection: bytes, its end, or
-// an error.
-func Readable(c net.Conn) bool { return Peek(c) != PeekNothing }
-
-// PeekResult is what a connection has to read.
+// PeekResult is what can be read from a connection without waiting.
 type PeekResult uint8
 
-// A connection has nothing to read, some bytes, or its end or an error.
+// The results of Peek.
 const (
-	PeekNothing PeekResult = iota
-	PeekData
-	PeekClosed
+	PeekNothing PeekResult = iota // the connection is open, and no byte has arrived
+	PeekData                      // at least one byte has arrived
+	PeekClosed                    // the peer has ended its side and all bytes are read, or the connection is broken
 )
 
-// Peek looks at a connection without reading of it.
+// Readable reports whether a read from a connection would return at once, with bytes, the end or an error.
+func Readable(c net.Conn) bool { return Peek(c) != PeekNothing }
+
+// Peek returns what can be read from a connection, and reads none of it.
 func Peek(c net.Conn) PeekResult {
-	found := PeekClosed
+	result := PeekClosed
 	err := control(c, func(fd int) {
-		found = peekWith(func(b []byte) (int, error) {
-			n, _, err := syscall.Recvfrom(fd, b, syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
+		result = peekWith(func() (int, error) {
+			var b [1]byte // here, where it does not escape
+			n, _, err := syscall.Recvfrom(fd, b[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
 			return n, err
 		})
 	})
 	if err != nil {
 		return PeekClosed
 	}
-	return found
+	return result
 }
 
-// peekWith tells what receive finds. That the system lacks something for a moment says nothing of the connection.
-func peekWith(receive func([]byte) (int, error)) PeekResult {
-	var b [1]byte
+// peekWith returns what receive finds, which peeks at one byte without waiting. A shortage of the machine says nothing of
+// the connection.
+func peekWith(receive func() (int, error)) PeekResult {
 	for {
-		n, err := receive(b[:])
+		n, err := receive()
 		switch {
-		case err == syscall.EINTR:
+		case errors.Is(err, syscall.EINTR):
 			continue
 		case err == nil && n > 0:
 			return PeekData
-		case err == syscall.EAGAIN, err == syscall.ENOMEM, err == syscall.ENOBUFS:
+		case errors.Is(err, syscall.EAGAIN), errors.Is(err, syscall.ENOMEM), errors.Is(err, syscall.ENOBUFS):
 			return PeekNothing
 		}
 		return PeekClosed
 	}
 }
 
-// PeerClosed reports whether the peer has ended its side or the connection is broken, also behind bytes that are still to
-// be read.
+// PeerClosed reports whether the peer has ended its side or the connection is broken, even if bytes are left to read.
 func PeerClosed(c net.Conn) bool {
-	up := false
-	err := control(c, func(fd int) { up = pollPeerClosed(fd) })
-	return up || err != nil
+	closed := false
+	err := control(c, func(fd int) { closed = pollPeerClosed(fd) })
+	return closed || err != nil
 }
 
-// AwaitPeerClosed waits until the peer has ended its side or the connection is broken, or its read deadline has passed. It
-// reads nothing.
+// AwaitPeerClosed waits until the peer has ended its side, the connection is broken or closed, or its read deadline has
+// passed. It reads nothing. It returns at once if c has no descriptor.
 func AwaitPeerClosed(c net.Conn) {
 	source, ok := c.(syscall.Conn)
 	if !ok {
 		return
 	}
-	if raw, err := source.SyscallConn(); err == nil {
-		raw.Read(func(fd uintptr) (hungUp bool) { return pollPeerClosed(int(fd)) })
+	raw, err := source.SyscallConn()
+	if err != nil {
+		return
 	}
+	// An error means that the connection is closed or the deadline has passed, and either ends the wait.
+	_ = raw.Read(func(fd uintptr) (done bool) { return pollPeerClosed(int(fd)) })
 }
 
-// maxDataAge is the most that is believed of the system's word on when something came.
+// maxDataAge is the longest plausible age of a connection's latest bytes. Clients do not wait that long, so a greater value
+// is not that of a request.
 const maxDataAge = time.Minute
 
-// LastDataAge returns how long ago the latest bytes of a connection came to this machine, also where nobody has read them
-// since: the process may have been held up, or the connection not been accepted. 0 where that is not known.
+// LastDataAge returns how long ago the latest bytes of a connection arrived at this machine, even if nobody has read them:
+// the process may have been descheduled, or the connection not accepted yet. It returns 0 if that is not known.
 func LastDataAge(c net.Conn) time.Duration {
 	var age time.Duration
-	control(c, func(fd int) {
+	err := control(c, func(fd int) {
 		info, err := tcpInfo(fd)
 		if err != nil || info.State != tcpEstablished && info.State != tcpCloseWait {
 			return
 		}
 		age = time.Duration(info.Last_data_recv) * time.Millisecond
 	})
-	if age > maxDataAge {
+	if err != nil || age > maxDataAge {
 		return 0
 	}
 	return age
@@ -98,7 +102,8 @@
 	tcpCloseWait   = 8
 )
 
-// control calls f with a connection's descriptor, unless that is closed.
+// control calls f with a connection's descriptor. It returns an error, and does not call f, if the connection is closed or
+// has no descriptor.
 func control(c net.Conn, f func(fd int)) error {
 	source, ok := c.(syscall.Conn)
 	if !ok {
--- a/internal/system/syscalls.go
+++ b/internal/system/syscalls.go
@@ -5,7 +5,7 @@
 	"unsafe"
 )
 
-// System calls that the standard library does not wrap. The sidecar depends on no other package.
+// This file has the system calls that the standard library does not wrap. The sidecar depends on no other module.
 
 // pollFD is Linux's struct pollfd.
 type pollFD struct {
@@ -20,22 +20,22 @@
 	pollRdHup = 0x2000
 )
 
-// pollPeerClosed reports whether poll(2) tells at once that the peer of a socket has ended its side, or that its connection
-// is broken. Where the call fails nothing is known.
+// pollPeerClosed reports whether, by a ppoll(2) that does not wait, the peer of a socket has ended its side or the
+// connection is broken. It returns false if the call fails, since nothing is known then.
 func pollPeerClosed(fd int) bool {
-	polled := pollFD{fd: int32(fd), events: pollRdHup}
+	poll := pollFD{fd: int32(fd), events: pollRdHup}
 	var noWait syscall.Timespec
 	for {
-		n, _, errno := syscall.Syscall6(syscall.SYS_PPOLL, uintptr(unsafe.Pointer(&polled)), 1,
+		n, _, errno := syscall.Syscall6(syscall.SYS_PPOLL, uintptr(unsafe.Pointer(&poll)), 1,
 			uintptr(unsafe.Pointer(&noWait)), 0, 0, 0)
 		if errno == syscall.EINTR {
 			continue
 		}
-		return errno == 0 && n > 0 && polled.revents&(pollErr|pollHup|pollRdHup) != 0
+		return errno == 0 && n > 0 && poll.revents&(pollErr|pollHup|pollRdHup) != 0
 	}
 }
 
-// tcpInfo returns what the system knows of a TCP connection.
+// tcpInfo returns the TCP_INFO of a socket.
 func tcpInfo(fd int) (info syscall.TCPInfo, err error) {
 	size := uint32(unsafe.Sizeof(info))
 	_, _, errno := syscall.Syscall6(syscall.SYS_GETSOCKOPT, uintptr(fd), syscall.IPPROTO_TCP, syscall.TCP_INFO,
