--- a/internal/sidecartest/await.go
+++ b/internal/sidecartest/await.go
@@ -5,13 +5,18 @@
 	"time"
 )
 
-// Patience is how long a test waits for what must come.
+// Patience is how long a test waits for what has to happen. It is long against any timeout of the sidecar, so that a busy
+// machine does not fail a test.
 const Patience = 20 * time.Second
 
-func Await(t *testing.T, what string, is func() bool) {
+// pollInterval is the time between two checks of a condition.
+const pollInterval = 2 * time.Millisecond
+
+// Await returns once a condition holds. It fails the test, naming what it waited for, if that takes longer than Patience.
+func Await(t *testing.T, what string, condition func() bool) {
 	t.Helper()
-	for end := time.Now().Add(Patience); !is(); time.Sleep(2 * time.Millisecond) {
-		if time.Now().After(end) {
+	for deadline := time.Now().Add(Patience); !condition(); time.Sleep(pollInterval) {
+		if time.Now().After(deadline) {
 			t.Fatalf("waited in vain for: %s", what)
 		}
 	}
--- a/internal/sidecartest/dials.go
+++ b/internal/sidecartest/dials.go
@@ -8,8 +8,30 @@
 	"testing"
 )
 
-// ClosedAddress is one that refuses connections. Its port stays bound until the test ends: a port given back
-// may become another test's listener, which would then get requests that are not its own.
+// BlockedDials are the dials to one address, which wait until the test unblocks them. Make them with BlockDials.
+type BlockedDials struct {
+	Begun   chan struct{} // closed when the first dial has begun
+	Unblock chan struct{} // to be closed, or sent to once for each dial, by the test
+
+	begin sync.Once
+}
+
+// BlockDials makes the dialer's dials to an address wait. It replaces dialer.Control, and is called before the dialer is
+// used.
+func BlockDials(dialer *net.Dialer, blocked string) *BlockedDials {
+	dials := &BlockedDials{Begun: make(chan struct{}), Unblock: make(chan struct{})}
+	dialer.Control = func(_, address string, _ syscall.RawConn) error {
+		if address == blocked {
+			dials.begin.Do(func() { close(dials.Begun) })
+			<-dials.Unblock
+		}
+		return nil
+	}
+	return dials
+}
+
+// ClosedAddress returns an address that refuses connections. Its port stays bound until the test ends: a port that is
+// released might be given to another test's listener, which would then get requests that are not its own.
 func ClosedAddress(t *testing.T) string {
 	t.Helper()
 	fd, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM|syscall.SOCK_CLOEXEC, 0)
@@ -26,22 +48,3 @@
 	}
 	return fmt.Sprintf("127.0.0.1:%d", name.(*syscall.SockaddrInet4).Port)
 }
-
-// held stops dials to an address until they are let go.
-type held struct {
-	Begun, Unblock chan struct{}
-	once           sync.Once
-}
-
-// BlockDials has the dials to this address wait.
-func BlockDials(dialer *net.Dialer, held_ string) *held {
-	h := &held{Begun: make(chan struct{}), Unblock: make(chan struct{})}
-	dialer.Control = func(_, address string, _ syscall.RawConn) error {
-		if address == held_ {
-			h.once.Do(func() { close(h.Begun) })
-			<-h.Unblock
-		}
-		return nil
-	}
-	return h
-}
--- a/internal/sidecartest/disk.go
+++ b/internal/sidecartest/disk.go
@@ -7,35 +7,43 @@
 	"oakproxy/internal/system"
 )
 
-// FaultyDisk fails the operations that a test names, until it is mended.
+// FaultyDisk is a source of file operations one of which fails, until the disk is mended.
 type FaultyDisk struct {
-	mu   sync.Mutex
-	with map[string]error // by operation
+	mu        sync.Mutex
+	operation string // that fails
+	err       error  // with which it does; nil: none fails
 }
 
+// Fail makes an operation, one of "read", "write", "sync" and "rename", return an error that wraps err. It replaces the
+// previous fault.
 func (d *FaultyDisk) Fail(operation string, err error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.with = map[string]error{operation: err}
+	d.operation, d.err = operation, err
 }
 
+// Mend ends the fault.
 func (d *FaultyDisk) Mend() { d.Fail("", nil) }
 
+// fault returns the error of an operation, or nil.
 func (d *FaultyDisk) fault(operation string) error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.with[operation]
+	if operation != d.operation {
+		return nil
+	}
+	return d.err
 }
 
-// FileOps are the operations of this disk. A write that fails has written a half.
+// FileOps returns the operations of this disk. A write that fails has written one half.
 func (d *FaultyDisk) FileOps() system.FileOps {
 	native := system.FileOps{}.OrSystem()
 	return system.FileOps{
-		Read: func(file *os.File, most int64) ([]byte, error) {
+		Read: func(file *os.File, maxBytes int64) ([]byte, error) {
 			if err := d.fault("read"); err != nil {
 				return nil, &os.PathError{Op: "read", Path: file.Name(), Err: err}
 			}
-			return native.Read(file, most)
+			return native.Read(file, maxBytes)
 		},
 		Write: func(file *os.File, text []byte) error {
 			if err := d.fault("write"); err != nil {
--- a/internal/sidecartest/endpoint.go
+++ b/internal/sidecartest/endpoint.go
@@ -10,16 +10,20 @@
 	"testing"
 )
 
-// Endpoint is a TCP server whose answers a test writes byte by byte.
+// Endpoint is an endpoint whose responses a test writes byte by byte.
 type Endpoint struct {
-	Address string
+	Address string // host:port at which it listens
 
-	mu       sync.Mutex
-	conns    int
-	requests []*http.Request // read by next
+	mu          sync.Mutex
+	connections int
+	requests    []*http.Request // read by Next
 }
 
-func NewEndpoint(t *testing.T, serve func(e *Endpoint, conn net.Conn, in *bufio.Reader)) *Endpoint {
+// Handler serves one connection to an Endpoint, which is closed when it returns. It reads requests by e.Next(in).
+type Handler = func(e *Endpoint, conn net.Conn, in *bufio.Reader)
+
+// NewEndpoint starts an endpoint that runs handle for each connection, until the test ends.
+func NewEndpoint(t *testing.T, handle Handler) *Endpoint {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -27,25 +31,28 @@
 	}
 	t.Cleanup(func() { listener.Close() })
 	e := &Endpoint{Address: listener.Addr().String()}
-	go func() {
-		for {
-			conn, err := listener.Accept()
-			if err != nil {
-				return
-			}
-			e.mu.Lock()
-			e.conns++
-			e.mu.Unlock()
-			go func() {
-				defer conn.Close()
-				serve(e, conn, bufio.NewReader(conn))
-			}()
-		}
-	}()
+	go e.accept(listener, handle)
 	return e
 }
 
-// Next reads a whole request, or returns nil when the connection has ended.
+// accept serves connections until the listener is closed.
+func (e *Endpoint) accept(listener net.Listener, handle Handler) {
+	for {
+		conn, err := listener.Accept()
+		if err != nil {
+			return
+		}
+		e.mu.Lock()
+		e.connections++
+		e.mu.Unlock()
+		go func() {
+			defer conn.Close()
+			handle(e, conn, bufio.NewReader(conn))
+		}()
+	}
+}
+
+// Next reads a request with its body, and counts it. It returns nil if the connection ends before the request does.
 func (e *Endpoint) Next(in *bufio.Reader) *http.Request {
 	r, err := http.ReadRequest(in)
 	if err != nil {
@@ -62,14 +69,14 @@
 	return r
 }
 
-// Seen counts the requests read and the connections accepted.
+// Seen returns the number of requests read, and of connections accepted.
 func (e *Endpoint) Seen() (requests, conns int) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return len(e.requests), e.conns
+	return len(e.requests), e.connections
 }
 
-// Request returns one of the requests read.
+// Request returns the request that was read as number i, from 0.
 func (e *Endpoint) Request(i int) *http.Request {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/internal/sidecartest/handlers.go
+++ b/internal/sidecartest/handlers.go
@@ -7,49 +7,56 @@
 	"strings"
 )
 
-// Always answers every request with the same bytes.
-func Always(answer string) func(*Endpoint, net.Conn, *bufio.Reader) {
+// Responses of endpoints, as bytes on the wire.
+const (
+	// Served is a response with the body "done".
+	Served = "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\ndone"
+
+	// Failing is a response to a request that failed, and may have run.
+	Failing = "HTTP/1.1 500 Internal Server Error\r\nContent-Length: 0\r\n\r\n"
+
+	// TurnedAway is a response to a request that was rejected, and has not run.
+	TurnedAway = "HTTP/1.1 503 Service Unavailable\r\nX-Unprocessed: 1\r\nContent-Length: 0\r\n\r\n"
+)
+
+// Always returns a Handler that writes the same response to every request.
+func Always(response string) Handler {
 	return func(e *Endpoint, conn net.Conn, in *bufio.Reader) {
 		for e.Next(in) != nil {
-			io.WriteString(conn, answer)
+			io.WriteString(conn, response)
 		}
 	}
 }
 
-const (
-	Served     = "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\ndone"
-	Failing    = "HTTP/1.1 500 Internal Server Error\r\nContent-Length: 0\r\n\r\n"
-	TurnedAway = "HTTP/1.1 503 Service Unavailable\r\nX-Unprocessed: 1\r\nContent-Length: 0\r\n\r\n"
-)
+// FirstThen returns a Handler that writes one response to the endpoint's first request, over all connections, and another
+// to the others.
+func FirstThen(first, others string) Handler {
+	return func(e *Endpoint, conn net.Conn, in *bufio.Reader) {
+		for e.Next(in) != nil {
+			response := others
+			if requests, _ := e.Seen(); requests == 1 {
+				response = first
+			}
+			io.WriteString(conn, response)
+		}
+	}
+}
 
-// PayWaits serves every request, those of class pay only once answer yields.
-func PayWaits(answer <-chan struct{}) func(*Endpoint, net.Conn, *bufio.Reader) {
+// PayWaits returns a Handler that serves every request, but those whose path begins with /pay only after a receive from
+// release.
+func PayWaits(release <-chan struct{}) Handler {
 	return func(e *Endpoint, conn net.Conn, in *bufio.Reader) {
 		for r := e.Next(in); r != nil; r = e.Next(in) {
 			if strings.HasPrefix(r.RequestURI, "/pay") {
-				<-answer
+				<-release
 			}
 			io.WriteString(conn, Served)
 		}
 	}
 }
 
-// Silent takes requests and never answers.
-func Silent(e *Endpoint, conn net.Conn, in *bufio.Reader) {
+// Silent is a Handler that reads requests and writes nothing.
+func Silent(e *Endpoint, _ net.Conn, in *bufio.Reader) {
 	for e.Next(in) != nil {
 	}
 }
-
-// FirstThen answers the first request in one way and all others in another, over
-// all connections.
-func FirstThen(first, rest string) func(*Endpoint, net.Conn, *bufio.Reader) {
-	return func(e *Endpoint, conn net.Conn, in *bufio.Reader) {
-		for e.Next(in) != nil {
-			if n, _ := e.Seen(); n == 1 {
-				io.WriteString(conn, first)
-			} else {
-				io.WriteString(conn, rest)
-			}
-		}
-	}
-}
--- a/internal/sidecartest/listener.go
+++ b/internal/sidecartest/listener.go
@@ -6,20 +6,22 @@
 	"sync"
 )
 
-// FaultyListener fails accepts with these errors, one after another, and then accepts.
+// FaultyListener is a listener whose accepts fail with given errors, one after another, and then succeed.
 type FaultyListener struct {
 	net.Listener
+
 	mu     sync.Mutex
-	Errors []error
+	Errors []error // of the next accepts; set it before the listener is used, or use Fail
 }
 
+// Fail sets the errors of the next accepts.
 func (l *FaultyListener) Fail(errors []error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.Errors = errors
 }
 
-// next returns the error to fail with, or nil.
+// next returns and removes the error of the next accept, or nil.
 func (l *FaultyListener) next() (err error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -29,6 +31,7 @@
 	return err
 }
 
+// Accept fails with the next error, in the form of the net package, or accepts a connection.
 func (l *FaultyListener) Accept() (net.Conn, error) {
 	if err := l.next(); err != nil {
 		return nil, &net.OpError{Op: "accept", Net: "tcp", Addr: l.Addr(), Err: os.NewSyscallError("accept4", err)}
