--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -55,8 +55,8 @@
 // processes of one sidecar, which share a file.
 const adminVariable = "BALANCER_ADMIN_ADDR"
 
-// Load reads a configuration file and applies the environment to it. A file that cannot be opened for a passing cause is
-// tried for up to system.StartTimeout. An error names the file, and the key or variable at fault.
+// Load reads a configuration file and applies the environment to it. A file that cannot be opened for a passing cause
+// is tried for up to system.StartTimeout. An error names the file, and the key or variable at fault.
 func Load(path string) (*Config, error) {
 	var data []byte
 	err := system.RetryAtStart(context.Background(), func() (err error) {
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -19,7 +19,8 @@
 	if cfg, err := Parse([]byte(good)); err != nil {
 		t.Fatal(err)
 	} else if cfg.Settings.Limits.MaxRetryAfter != 1_500_000 || len(cfg.Settings.Classes) != 4 ||
-		cfg.Settings.Classes[1].Idempotency != balancer.IdempotentWithKey || len(cfg.Settings.ReportFields) != 2 || !cfg.Settings.SubscribeToDiscovery {
+		cfg.Settings.Classes[1].Idempotency != balancer.IdempotentWithKey || len(cfg.Settings.ReportFields) != 2 ||
+		!cfg.Settings.SubscribeToDiscovery {
 		t.Errorf("settings %+v", cfg.Settings)
 	}
 	for _, test := range []struct{ old, new, key string }{
--- a/internal/config/merge.go
+++ b/internal/config/merge.go
@@ -20,8 +20,8 @@
 	return &merged
 }
 
-// appendNewNames returns names with those of next that they lack, up to UnknownName of them. A name's index is the number
-// by which the balancer knows it, so no index may change its name while a process runs.
+// appendNewNames returns names with those of next that they lack, up to UnknownName of them. A name's index is the
+// number by which the balancer knows it, so no index may change its name while a process runs.
 func appendNewNames(names, next []string) []string {
 	all := slices.Clone(names)
 	for _, name := range next {
--- a/internal/config/parse.go
+++ b/internal/config/parse.go
@@ -32,8 +32,8 @@
 	Settings  json.RawMessage `json:"settings"` // see parseSettings
 }
 
-// Parse reads the text of a configuration file. The environment is not read, and Host is the zero one. An error names the
-// key at fault.
+// Parse reads the text of a configuration file. The environment is not read, and Host is the zero one. An error names
+// the key at fault.
 func Parse(data []byte) (*Config, error) {
 	var file configFile
 	if err := json.Unmarshal(data, &file); err != nil {
@@ -75,8 +75,8 @@
 	return nil
 }
 
-// socketSettings are the settings that only a sidecar with real sockets reads. The balancer knows zones, kinds and report
-// fields by numbers, and has no connections that idle.
+// socketSettings are the settings that only a sidecar with real sockets reads. The balancer knows zones, kinds and
+// report fields by numbers, and has no connections that idle.
 type socketSettings struct {
 	Zones        []string `json:"areas"`
 	MachineKinds []string `json:"skus"`
@@ -88,8 +88,8 @@
 	} `json:"reporting"`
 }
 
-// parseSettings reads the settings object: the balancer's part by the parser that the simulator's adapter uses, and what
-// only real sockets need.
+// parseSettings reads the settings object: the balancer's part by the parser that the simulator's adapter uses, and
+// what only real sockets need.
 func (c *Config) parseSettings(raw json.RawMessage) error {
 	if len(raw) == 0 {
 		return errMissing
@@ -133,8 +133,8 @@
 	return settings, settings.Validate()
 }
 
-// checkUniqueNames returns an error if two classes or two tenants have the same name. Requests and saved estimates refer
-// to them by name.
+// checkUniqueNames returns an error if two classes or two tenants have the same name. Requests and saved estimates
+// refer to them by name.
 func checkUniqueNames(settings *balancer.Settings) error {
 	classes := map[string]bool{}
 	for i, class := range settings.Classes {
--- a/internal/config/reload_test.go
+++ b/internal/config/reload_test.go
@@ -19,7 +19,8 @@
 func TestReadingsAreBoundedUnderManySignals(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "config.json")
 	write := func(memory int) {
-		text := fmt.Sprintf(`{"listen":"127.0.0.1:0","discovery":"127.0.0.1:1","seed":"1","limits":{"memory_mb":%d,"sockets":256},"settings":%s}`, memory, sidecartest.SettingsText)
+		text := fmt.Sprintf(`{"listen":"127.0.0.1:0","discovery":"127.0.0.1:1","seed":"1",`+
+			`"limits":{"memory_mb":%d,"sockets":256},"settings":%s}`, memory, sidecartest.SettingsText)
 		if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 			t.Fatal(err)
 		}
--- a/internal/config/snapshot.go
+++ b/internal/config/snapshot.go
@@ -9,8 +9,8 @@
 // FirstGeneration is the generation of the configuration that a sidecar starts with.
 const FirstGeneration = 1
 
-// Snapshot is a configuration in force, with what is derived from it. It does not change: the goroutines of clients read
-// it while the event loop puts the next one into force.
+// Snapshot is a configuration in force, with what is derived from it. It does not change: the goroutines of clients
+// read it while the event loop puts the next one into force.
 type Snapshot struct {
 	*Config
 	Generation int               // FirstGeneration at the start, and one more with each change
--- a/internal/discovery/client.go
+++ b/internal/discovery/client.go
@@ -14,14 +14,15 @@
 // MaxListBytes is the longest answer that is read. A longer one is malformed.
 const MaxListBytes = 8 << 20
 
-// maxConnections is the number of connections to discovery. A watch has one; a second may overlap while one watch ends and
-// the next begins.
+// maxConnections is the number of connections to discovery. A watch has one; a second may overlap while one watch
+// ends and the next begins.
 const maxConnections = 2
 
 // errNotComplete is the error of an answer with changes only where the complete list was asked for.
 var errNotComplete = errors.New("discovery's answer: changes, where the whole list was asked for")
 
-// Client calls the service that lists endpoints. Make one with NewClient. Its methods may be called by several goroutines.
+// Client calls the service that lists endpoints. Make one with NewClient. Its methods may be called by several
+// goroutines.
 type Client struct {
 	HTTP                http.Client
 	RetryDelay          time.Duration // mean pause after a failed call where lists are pushed; 0 where they are polled
@@ -63,9 +64,9 @@
 	return c
 }
 
-// fetch makes one call. With after it asks for what is newer than that version, which may be 0, and has discovery wait for
-// a change for as long as wait; without, it asks for the complete list. The error is a MalformedError where an answer
-// arrived that cannot be used.
+// fetch makes one call. With after it asks for what is newer than that version, which may be 0, and has discovery
+// wait for a change for as long as wait; without, it asks for the complete list. The error is a MalformedError where
+// an answer arrived that cannot be used.
 func (c *Client) fetch(ctx context.Context, after *uint64, wait time.Duration) (List, error) {
 	timeout := c.callTimeout
 	if wait > 0 {
--- a/internal/discovery/entry.go
+++ b/internal/discovery/entry.go
@@ -14,7 +14,7 @@
 	Dial   string  `json:"dial"`    // host:port at which this sidecar connects
 	Site   string  `json:"site"`    // the zone's name
 	Class  string  `json:"class"`   // the machine kind's name
-	Block  uint16  `json:"block"`   // the cell: where the settings say so, the endpoints of one deduplicate by idempotency keys
+	Block  uint16  `json:"block"`   // the cell, whose endpoints may deduplicate requests together
 	Health string  `json:"health"`  // a key of States
 	Share  float32 `json:"share"`   // its weight among the endpoints
 	BornMS int64   `json:"born_ms"` // Unix time of its last start in milliseconds; 0: long ago
--- a/internal/discovery/list.go
+++ b/internal/discovery/list.go
@@ -21,9 +21,9 @@
 // errNoVersion is the error of a list without a version.
 var errNoVersion = errors.New("seq is missing")
 
-// UnmarshalJSON reads a list entry by entry, so that one that cannot be used does not make the others unusable. If such an
-// entry names an endpoint, the list has it as draining, as it may no longer be ready. It fails if no entry at all can be
-// used, since the list is then of some other form.
+// UnmarshalJSON reads a list entry by entry, so that one that cannot be used does not make the others unusable. If
+// such an entry names an endpoint, the list has it as draining, as it may no longer be ready. It fails if no entry at
+// all can be used, since the list is then of some other form.
 func (l *List) UnmarshalJSON(data []byte) error {
 	var raw struct {
 		Seq   *uint64           `json:"seq"`
--- a/internal/discovery/timing.go
+++ b/internal/discovery/timing.go
@@ -8,8 +8,8 @@
 )
 
 // Time limits of a watch. They divide the time that the protocol allows for learning of a change, which is
-// balancer.NotificationDeadline. The deadline holds whatever became of earlier calls, so it covers a call that fails, the
-// backoff after it and the next call:
+// balancer.NotificationDeadline. The deadline holds whatever became of earlier calls, so it covers a call that fails,
+// the backoff after it and the next call:
 //
 //	maxWatchWait + WatchGrace + backoff + callTimeout <= NotificationDeadline   after a watch went silent
 //	callTimeout + backoff + callTimeout               <= NotificationDeadline   after a call that timed out
@@ -51,8 +51,8 @@
 	malformedRetryDelay = 50 * time.Millisecond
 )
 
-// Time limits for versions that go back. A discovery service that lost its state numbers its lists anew, and until that is
-// known an older version may as well be a stale answer.
+// Time limits for versions that go back. A discovery service that lost its state numbers its lists anew, and until
+// that is known an older version may as well be a stale answer.
 const (
 	// versionResetPolls is the number of poll intervals without a list after which an older version is accepted. It is the
 	// number for which a failed call stands for a watch (wire page, contract.ask-within).
@@ -65,9 +65,9 @@
 	MovedVersionGrace = 3 * time.Second
 )
 
-// Time limits where lists are pushed to an agent on the machine. The agent's list counts as delivered, so that requests to
-// a draining endpoint must stop within the drain grace whether or not a call succeeded. A call and the pause after its
-// failure (up to 1.5 times its mean, by Jitter) leave time in it for another:
+// Time limits where lists are pushed to an agent on the machine. The agent's list counts as delivered, so that
+// requests to a draining endpoint must stop within the drain grace whether or not a call succeeded. A call and the
+// pause after its failure (up to 1.5 times its mean, by Jitter) leave time in it for another:
 //
 //	pushedCallTimeout + 1.5 pushedRetryDelay <= 11/16 DrainGrace, for a DrainGrace of 400 ms or more.
 const (
--- a/internal/discovery/watch.go
+++ b/internal/discovery/watch.go
@@ -17,9 +17,9 @@
 	VersionResetAt time.Time // from then on an older complete list is taken for a new numbering
 }
 
-// check returns an error that wraps ErrOutdated if a list is older than the one in use and is not to be taken for a new
-// numbering. After an older list it continues with the complete one: changes since a version of another numbering have no
-// meaning.
+// check returns an error that wraps ErrOutdated if a list is older than the one in use and is not to be taken for a
+// new numbering. After an older list it continues with the complete one: changes since a version of another numbering
+// have no meaning.
 func (p *Position) check(list *List) error {
 	if list.Seq >= p.Newest {
 		return nil
--- a/internal/operatorstate/file.go
+++ b/internal/operatorstate/file.go
@@ -55,8 +55,8 @@
 	s.Log.Warn("operator state not readable", "error", err)
 }
 
-// readFile returns the stored state and the file that it is from. The error is one of reading (system.IsReadError), of a
-// file that does not exist, or of contents that are not valid; info is set in the last case, too.
+// readFile returns the stored state and the file that it is from. The error is one of reading (system.IsReadError),
+// of a file that does not exist, or of contents that are not valid; info is set in the last case, too.
 func (s *Store) readFile() (stored State, info os.FileInfo, err error) {
 	text, info, err := s.Files.OrSystem().ReadFile(s.path(), maxStateBytes)
 	if err != nil {
--- a/internal/operatorstate/store.go
+++ b/internal/operatorstate/store.go
@@ -16,8 +16,8 @@
 // that long at the latest, while the file can be read.
 const PollInterval = 50 * time.Millisecond
 
-// Store keeps the state in a file that the processes of one sidecar share while one replaces the other. An update in one
-// process comes into force in all. The exported fields are set before the first call and do not change.
+// Store keeps the state in a file that the processes of one sidecar share while one replaces the other. An update in
+// one process comes into force in all. The exported fields are set before the first call and do not change.
 type Store struct {
 	Directory string               // of the state file and its lock
 	Sidecar   string               // the name of the sidecar; a file of another is ignored
@@ -25,7 +25,7 @@
 	Files     system.FileOps       // the zero value uses the system's
 	Time      system.Clock         // must have its clocks set (Clock.OrSystem)
 	Retention func() time.Duration // for how long an endpoint that was put back into service is remembered
-	Apply     func(State)          // puts a state into force in this process before it returns; called under the store's lock
+	Apply     func(State)          // puts a state into force before it returns; called under the lock
 
 	mu       sync.Mutex
 	current  State       // in force
@@ -33,9 +33,9 @@
 	warnedAt time.Time   // when a file that cannot be read was last logged
 }
 
-// Load returns the state that the process before this one stored. It is called before any request is forwarded, and does
-// not call Apply. A file that cannot be read for now is tried for up to system.StartTimeout, or until ctx ends; after
-// that the zero state is returned, and Refresh reads the file later.
+// Load returns the state that the process before this one stored. It is called before any request is forwarded, and
+// does not call Apply. A file that cannot be read for now is tried for up to system.StartTimeout, or until ctx ends;
+// after that the zero state is returned, and Refresh reads the file later.
 func (s *Store) Load(ctx context.Context) State {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -65,8 +65,8 @@
 }
 
 // Update changes the state. When it returns nil, the new state is stored durably and in force in this process. On an
-// error the change is neither stored nor in force; the error wraps that of the file system, or syscall.EWOULDBLOCK where the lock was not
-// released in time.
+// error the change is neither stored nor in force; the error wraps that of the file system, or syscall.EWOULDBLOCK
+// where the lock was not released in time.
 func (s *Store) Update(change func(*State)) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/operatorstate/store_test.go
+++ b/internal/operatorstate/store_test.go
@@ -176,7 +176,8 @@
 			host := config.Host{Directory: dir, Time: times.Clock()}
 			m := warmstart.NewStore(t.Context(), "n0", host, slog.New(slog.DiscardHandler))
 			const clock = 1_000_000_000
-			m.Save(clock, balancer.Estimates{ServiceTimeRatio: 1, Endpoints: []balancer.EndpointEstimate{{Name: 1, MeasuredAt: clock - 5}}})
+			m.Save(clock, balancer.Estimates{ServiceTimeRatio: 1,
+				Endpoints: []balancer.EndpointEstimate{{Name: 1, MeasuredAt: clock - 5}}})
 			sidecartest.Await(t, "the file", func() bool { return m.Load(1) != nil })
 			times.Step(0)
 			const other = clock + 77_000_000 // the clock of the next process
--- a/internal/sidecartest/dials.go
+++ b/internal/sidecartest/dials.go
@@ -16,8 +16,8 @@
 	begin sync.Once
 }
 
-// BlockDials makes the dialer's dials to an address wait. It replaces dialer.Control, and is called before the dialer is
-// used.
+// BlockDials makes the dialer's dials to an address wait. It replaces dialer.Control, and is called before the dialer
+// is used.
 func BlockDials(dialer *net.Dialer, blocked string) *BlockedDials {
 	dials := &BlockedDials{Begun: make(chan struct{}), Unblock: make(chan struct{})}
 	dialer.Control = func(_, address string, _ syscall.RawConn) error {
--- a/internal/sidecartest/handlers.go
+++ b/internal/sidecartest/handlers.go
@@ -28,8 +28,8 @@
 	}
 }
 
-// FirstThen returns a Handler that writes one response to the endpoint's first request, over all connections, and another
-// to the others.
+// FirstThen returns a Handler that writes one response to the endpoint's first request, over all connections, and
+// another to the others.
 func FirstThen(first, others string) Handler {
 	return func(e *Endpoint, conn net.Conn, in *bufio.Reader) {
 		for e.Next(in) != nil {
--- a/internal/sidecartest/texts.go
+++ b/internal/sidecartest/texts.go
@@ -1,7 +1,7 @@
 package sidecartest
 
-// SettingsText is the settings object of a configuration file: two zones, one machine kind, and a class of each idempotency
-// (read: idempotent; pay and close: with a key, for all endpoints and for a cell; order: not idempotent).
+// SettingsText is the settings object of a configuration file: two zones, one machine kind, and a class of each
+// idempotency (read: idempotent; pay and close: with a key, for all endpoints and for a cell; order: not idempotent).
 const SettingsText = `{"areas":["a","b"],"skus":["m1"],"stages":["s"],"tenants":[],"discovery":"subscribe",
  "classes":[
  {"name":"read","repeat":"pure","target":600000,"give-up":3000000,"credit":1},
@@ -13,7 +13,8 @@
  "reporting":{"how":"probe","fields":["failed_ps","pending"]},"peers-total":1,"position":0,"zone":0}`
 
 // PayHead is the head of a request of class pay, without the empty line that ends it, so that a test may add headers.
-const PayHead = "POST /pay HTTP/1.1\r\nHost: api\r\nX-Service-Class: pay\r\nX-Time-Left-Ms: 3000\r\nIdempotency-Key: k\r\n"
+const PayHead = "POST /pay HTTP/1.1\r\nHost: api\r\nX-Service-Class: pay\r\n" +
+	"X-Time-Left-Ms: 3000\r\nIdempotency-Key: k\r\n"
 
 // ReadHead is the head of a request of class read, without the empty line that ends it.
 const ReadHead = "GET /read HTTP/1.1\r\nHost: api\r\nX-Service-Class: read\r\nX-Time-Left-Ms: 3000\r\n"
--- a/internal/stages/histogram.go
+++ b/internal/stages/histogram.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// Buckets of a histogram. Each power of two is divided evenly, so that a bucket is at most an eighth of its lower bound
-// wide, and a quantile is that much above the exact one at most. The last bucket begins at about a minute, which is longer
-// than clients wait.
+// Buckets of a histogram. Each power of two is divided evenly, so that a bucket is at most an eighth of its lower
+// bound wide, and a quantile is that much above the exact one at most. The last bucket begins at about a minute,
+// which is longer than clients wait.
 const (
 	subBucketBits = 3
 	subBuckets    = 1 << subBucketBits // by power of two
@@ -43,8 +43,8 @@
 	h.total++
 }
 
-// quantile returns the upper bound, in microseconds, of the bucket with the given quantile, from 0 to 1, of all durations.
-// It returns 0 if there are none.
+// quantile returns the upper bound, in microseconds, of the bucket with the given quantile, from 0 to 1, of all
+// durations. It returns 0 if there are none.
 func (h *histogram) quantile(q float64) uint64 {
 	rank, cumulated := uint64(q*float64(h.total)), uint64(0)
 	for i, n := range h.counts {
--- a/internal/stages/recorder.go
+++ b/internal/stages/recorder.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// Recorder collects the durations of the stages of requests since the start. The zero value is ready to use. Its methods
-// may be called by several goroutines.
+// Recorder collects the durations of the stages of requests since the start. The zero value is ready to use. Its
+// methods may be called by several goroutines.
 type Recorder struct {
 	mu         sync.Mutex
 	requests   uint64
@@ -41,8 +41,8 @@
 	return Totals{requests: r.requests, sums: r.sums}
 }
 
-// MeansSince returns the mean of each stage, in microseconds, over the requests recorded since earlier. It is a text for
-// logs: [read:12 queue:3 ...]. The means are 0 if there were no requests.
+// MeansSince returns the mean of each stage, in microseconds, over the requests recorded since earlier. It is a text
+// for logs: [read:12 queue:3 ...]. The means are 0 if there were no requests.
 func (t Totals) MeansSince(earlier Totals) string {
 	requests := max(1, int64(t.requests-earlier.requests))
 	means := make([]string, stageCount)
--- a/internal/stages/stages.go
+++ b/internal/stages/stages.go
@@ -21,7 +21,8 @@
 )
 
 // stageNames are the names of stages in logs.
-var stageNames = [stageCount]string{"read", "queue", "probe_wait", "connect", "write", "endpoint", "return", "reply", "overhead"}
+var stageNames = [stageCount]string{"read", "queue", "probe_wait", "connect", "write", "endpoint", "return", "reply",
+	"overhead"}
 
 // AttemptTimes are the instants at which the stages of an attempt ended. They are zero until then.
 type AttemptTimes struct {
--- a/internal/stages/stages_test.go
+++ b/internal/stages/stages_test.go
@@ -37,7 +37,8 @@
 	var recorder Recorder
 	before := recorder.Totals()
 	recorder.Record(&times)
-	want := "[read:1000 queue:2000 probe_wait:3000 connect:4000 write:5000 endpoint:100000 return:6000 reply:7000 overhead:28000]"
+	want := "[read:1000 queue:2000 probe_wait:3000 connect:4000 write:5000 endpoint:100000 " +
+		"return:6000 reply:7000 overhead:28000]"
 	if got := recorder.Totals().MeansSince(before); got != want {
 		t.Errorf("got %s, want %s", got, want)
 	}
--- a/internal/system/clock.go
+++ b/internal/system/clock.go
@@ -6,7 +6,8 @@
 	"unsafe"
 )
 
-// Clock is a source of instants that outlive a process. A zero field stands for the system's clock; OrSystem fills it in.
+// Clock is a source of instants that outlive a process. A zero field stands for the system's clock; OrSystem fills it
+// in.
 type Clock struct {
 	Wall   func() time.Time     // may be stepped in either direction
 	Uptime func() time.Duration // since the machine's start; never stepped, and the same for all processes
@@ -35,9 +36,9 @@
 // timestampError is how far a timestamp may be ahead of the clock that it is from: it has whole milliseconds.
 const timestampError = time.Millisecond
 
-// Age returns how long ago an instant was, by uptime if the timestamp has it, and else by the wall clock. The age is not
-// known if the instant is ahead of the clock: it is then of an earlier start of the machine. Both functions of the clock
-// must be set.
+// Age returns how long ago an instant was, by uptime if the timestamp has it, and else by the wall clock. The age is
+// not known if the instant is ahead of the clock: it is then of an earlier start of the machine. Both functions of
+// the clock must be set.
 func (c Clock) Age(at Timestamp) (age time.Duration, known bool) {
 	if at.UpMS > 0 {
 		age = c.Uptime() - time.Duration(at.UpMS)*time.Millisecond
--- a/internal/system/errors.go
+++ b/internal/system/errors.go
@@ -15,7 +15,8 @@
 // process before it has not released.
 var transientAtStart = append([]syscall.Errno{syscall.EIO, syscall.EADDRINUSE, syscall.ENETDOWN}, shortages...)
 
-// FatalAcceptErrors are the errors of accept(2) that mean that the listener is unusable, so that no later call succeeds.
+// FatalAcceptErrors are the errors of accept(2) that mean that the listener is unusable, so that no later call
+// succeeds.
 var FatalAcceptErrors = []syscall.Errno{syscall.EBADF, syscall.EINVAL, syscall.ENOTSOCK, syscall.EFAULT}
 
 // IsShortage reports whether an error is a temporary shortage of this machine, and says nothing of the other side.
--- a/internal/system/files.go
+++ b/internal/system/files.go
@@ -51,10 +51,10 @@
 	return text, info, err
 }
 
-// ReplaceFile replaces the contents of a file in one step: a reader sees all of the old or all of the new ones, whenever
-// this process is killed. If durable, the new ones are on disk when it returns. It writes to the temporary name first,
-// which only one process at a time may use; a file that a killed process left there is overwritten. All operations must
-// be set.
+// ReplaceFile replaces the contents of a file in one step: a reader sees all of the old or all of the new ones,
+// whenever this process is killed. If durable, the new ones are on disk when it returns. It writes to the temporary
+// name first, which only one process at a time may use; a file that a killed process left there is overwritten. All
+// operations must be set.
 func (o FileOps) ReplaceFile(path, temporary string, text []byte, durable bool) error {
 	file, err := os.OpenFile(temporary, os.O_CREATE|os.O_WRONLY|os.O_TRUNC, 0o600)
 	if err != nil {
--- a/internal/system/retry.go
+++ b/internal/system/retry.go
@@ -36,8 +36,8 @@
 	}
 }
 
-// RetryAtStart calls f as Retry does, for up to StartTimeout, while it fails for a cause that may pass during a start: a
-// shortage, a file system with errors, or an address that is still in use.
+// RetryAtStart calls f as Retry does, for up to StartTimeout, while it fails for a cause that may pass during a
+// start: a shortage, a file system with errors, or an address that is still in use.
 func RetryAtStart(ctx context.Context, f func() error) error {
 	isTransient := func(err error) bool { return IsErrno(err, transientAtStart) }
 	return Retry(ctx, StartTimeout, StartRetryDelay, isTransient, f)
--- a/internal/system/sockets.go
+++ b/internal/system/sockets.go
@@ -36,8 +36,8 @@
 	return result
 }
 
-// peekWith returns what receive finds, which peeks at one byte without waiting. A shortage of the machine says nothing of
-// the connection.
+// peekWith returns what receive finds, which peeks at one byte without waiting. A shortage of the machine says
+// nothing of the connection.
 func peekWith(receive func() (int, error)) PeekResult {
 	for {
 		n, err := receive()
@@ -75,12 +75,12 @@
 	_ = raw.Read(func(fd uintptr) (done bool) { return pollPeerClosed(int(fd)) })
 }
 
-// maxDataAge is the longest plausible age of a connection's latest bytes. Clients do not wait that long, so a greater value
-// is not that of a request.
+// maxDataAge is the longest plausible age of a connection's latest bytes. Clients do not wait that long, so a greater
+// value is not that of a request.
 const maxDataAge = time.Minute
 
-// LastDataAge returns how long ago the latest bytes of a connection arrived at this machine, even if nobody has read them:
-// the process may have been descheduled, or the connection not accepted yet. It returns 0 if that is not known.
+// LastDataAge returns how long ago the latest bytes of a connection arrived at this machine, even if nobody has read
+// them: the process may have been descheduled, or the connection not accepted yet. It returns 0 if that is not known.
 func LastDataAge(c net.Conn) time.Duration {
 	var age time.Duration
 	err := control(c, func(fd int) {
@@ -102,8 +102,8 @@
 	tcpCloseWait   = 8
 )
 
-// control calls f with a connection's descriptor. It returns an error, and does not call f, if the connection is closed or
-// has no descriptor.
+// control calls f with a connection's descriptor. It returns an error, and does not call f, if the connection is
+// closed or has no descriptor.
 func control(c net.Conn, f func(fd int)) error {
 	source, ok := c.(syscall.Conn)
 	if !ok {
--- a/internal/warmstart/file.go
+++ b/internal/warmstart/file.go
@@ -30,8 +30,8 @@
 	Estimates balancer.Estimates `json:"learned"`
 }
 
-// parse returns stored contents and their age. It fails on those that are damaged, of another sidecar or version, or older
-// than maxAge.
+// parse returns stored contents and their age. It fails on those that are damaged, of another sidecar or version, or
+// older than maxAge.
 func (s *Store) parse(text []byte) (saved contents, age time.Duration, err error) {
 	if err := json.Unmarshal(text, &saved); err != nil {
 		return saved, 0, err
@@ -43,8 +43,8 @@
 	return saved, age, nil
 }
 
-// shiftTo moves the times of the estimates to a balancer's clock that shows now, age after they were saved. The clocks of
-// two processes may differ by a step.
+// shiftTo moves the times of the estimates to a balancer's clock that shows now, age after they were saved. The
+// clocks of two processes may differ by a step.
 func (c *contents) shiftTo(now balancer.Micros, age time.Duration) {
 	if c.Clock <= 0 {
 		return // a file that has no clock, and so no times either
--- a/internal/warmstart/store.go
+++ b/internal/warmstart/store.go
@@ -13,8 +13,8 @@
 	"oakproxy/internal/system"
 )
 
-// Store saves estimates to a file in the background, and loads them. Make one with NewStore. Its methods may be called by
-// several goroutines.
+// Store saves estimates to a file in the background, and loads them. Make one with NewStore. Its methods may be
+// called by several goroutines.
 type Store struct {
 	path      string
 	temporary string // the name that this process writes to before it renames the file
@@ -25,8 +25,8 @@
 	pending   chan contents // at most one, to be written by run
 }
 
-// NewStore returns a store of the named sidecar's estimates in host.Directory. It removes files that killed processes left
-// half written, and starts a goroutine that writes until ctx ends.
+// NewStore returns a store of the named sidecar's estimates in host.Directory. It removes files that killed processes
+// left half written, and starts a goroutine that writes until ctx ends.
 func NewStore(ctx context.Context, sidecar string, host config.Host, log *slog.Logger) *Store {
 	path := filepath.Join(host.Directory, FileName)
 	s := &Store{
@@ -57,11 +57,12 @@
 	}
 }
 
-// Save queues estimates to be written; now is the time of the balancer's clock, in microseconds. It does not block: while
-// others are queued, these are dropped, and the next call saves newer ones.
+// Save queues estimates to be written; now is the time of the balancer's clock, in microseconds. It does not block:
+// while others are queued, these are dropped, and the next call saves newer ones.
 func (s *Store) Save(now balancer.Micros, estimates balancer.Estimates) {
 	at := s.clock.Now()
-	next := contents{Version: fileVersion, Sidecar: s.sidecar, AtMS: at.UnixMS, UpMS: at.UpMS, Clock: now, Estimates: estimates}
+	next := contents{Version: fileVersion, Sidecar: s.sidecar, AtMS: at.UnixMS, UpMS: at.UpMS,
+		Clock: now, Estimates: estimates}
 	select {
 	case s.pending <- next:
 	default:
--- a/internal/warmstart/store_test.go
+++ b/internal/warmstart/store_test.go
@@ -20,7 +20,8 @@
 	if got := store.Load(0); got != nil {
 		t.Errorf("without a file: %+v", got)
 	}
-	store.Save(1, balancer.Estimates{ServiceTimeRatio: 1.5, ClassWork: []balancer.ClassWorkEstimate{{Class: "read", Work: 2}}})
+	store.Save(1, balancer.Estimates{ServiceTimeRatio: 1.5,
+		ClassWork: []balancer.ClassWorkEstimate{{Class: "read", Work: 2}}})
 	sidecartest.Await(t, "the file", func() bool { return store.Load(0) != nil })
 	if got := store.Load(0); got.ServiceTimeRatio != 1.5 || len(got.ClassWork) != 1 {
 		t.Errorf("loaded %+v", got)
