--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -56,7 +56,8 @@
 const adminVariable = "BALANCER_ADMIN_ADDR"
 
 // Load reads a configuration file and applies the environment to it. A file that cannot be opened for a passing cause
-// is tried for up to system.StartTimeout. An error names the file, and the key or variable at fault.
+// is tried for up to system.StartTimeout. The error is an fs.PathError, or names the key at fault; that of an address
+// from BALANCER_ADMIN_ADDR is the file's admin_addr.
 func Load(path string) (*Config, error) {
 	var data []byte
 	err := system.RetryAtStart(context.Background(), func() (err error) {
