--- /dev/null
+++ b/internal/sidecartest/dials.go
@@ -0,0 +1,50 @@
+package sidecartest
+
+import (
+	"fmt"
+	"net"
+	"sync"
+	"syscall"
+	"testing"
+)
+
+// BlockedDials are the dials to one address, which wait until the test unblocks them. Make them with BlockDials.
+type BlockedDials struct {
+	Begun   chan struct{} // closed when the first dial has begun
+	Unblock chan struct{} // to be closed, or sent to once for each dial, by the test
+
+	begin sync.Once
+}
+
+// BlockDials makes the dialer's dials to an address wait. It replaces dialer.Control, and is called before the dialer
+// is used.
+func BlockDials(dialer *net.Dialer, blocked string) *BlockedDials {
+	dials := &BlockedDials{Begun: make(chan struct{}), Unblock: make(chan struct{})}
+	dialer.Control = func(_, address string, _ syscall.RawConn) error {
+		if address == blocked {
+			dials.begin.Do(func() { close(dials.Begun) })
+			<-dials.Unblock
+		}
+		return nil
+	}
+	return dials
+}
+
+// ClosedAddress returns an address that refuses connections. Its port stays bound until the test ends: a port that is
+// released might be given to another test's listener, which would then get requests that are not its own.
+func ClosedAddress(t *testing.T) string {
+	t.Helper()
+	fd, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM|syscall.SOCK_CLOEXEC, 0)
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { syscall.Close(fd) })
+	if err := syscall.Bind(fd, &syscall.SockaddrInet4{Addr: [4]byte{127, 0, 0, 1}}); err != nil {
+		t.Fatal(err)
+	}
+	name, err := syscall.Getsockname(fd)
+	if err != nil {
+		t.Fatal(err)
+	}
+	return fmt.Sprintf("127.0.0.1:%d", name.(*syscall.SockaddrInet4).Port)
+}
--- /dev/null
+++ b/internal/sidecartest/listener.go
@@ -0,0 +1,40 @@
+package sidecartest
+
+import (
+	"net"
+	"os"
+	"sync"
+)
+
+// FaultyListener is a listener whose accepts fail with given errors, one after another, and then succeed.
+type FaultyListener struct {
+	net.Listener
+
+	mu     sync.Mutex
+	Errors []error // of the next accepts; set it before the listener is used, or use Fail
+}
+
+// Fail sets the errors of the next accepts.
+func (l *FaultyListener) Fail(errors []error) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.Errors = errors
+}
+
+// next returns and removes the error of the next accept, or nil.
+func (l *FaultyListener) next() (err error) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	if len(l.Errors) > 0 {
+		err, l.Errors = l.Errors[0], l.Errors[1:]
+	}
+	return err
+}
+
+// Accept fails with the next error, in the form of the net package, or accepts a connection.
+func (l *FaultyListener) Accept() (net.Conn, error) {
+	if err := l.next(); err != nil {
+		return nil, &net.OpError{Op: "accept", Net: "tcp", Addr: l.Addr(), Err: os.NewSyscallError("accept4", err)}
+	}
+	return l.Listener.Accept()
+}
