--- a/internal/downstream/clientconn.go
+++ b/internal/downstream/clientconn.go
@@ -16,83 +16,83 @@
 // Conn is one connection of a client. It carries one request at a time.
 type Conn struct {
 	net.Conn
-	owner    *Listener
-	place    *list.Element // in owner.waiting; nil while a request is open
-	drained  *list.Element // in owner.closing, once half-closed
-	since    time.Time     // it has waited without a byte
-	asked    bool          // a request has come on it
-	Requests int           // requests that have come on it
-	gone     bool          // no longer counted
+	listener       *Listener
+	waitingElement *list.Element // in owner.waiting; nil while a request is open
+	closingElement *list.Element // in owner.closing, once half-closed
+	lastActivity   time.Time     // it has waited without a byte
+	used           bool          // a request has come on it
+	Requests       int           // requests that have come on it
+	released       bool          // no longer counted
 
 	AcceptedAt time.Time
 
-	mu      sync.Mutex    // net/http reads on while a handler runs
-	evicted bool          // it had to make room: what comes now is not read
-	ended   bool          // the client has ended its side, or the connection is broken
-	resets  bool          // it is to end in a reset
-	closed  bool          // Close was called
-	inHand  bool          // a whole request has come and its answer has not begun
-	behind  bool          // something came behind that request, which nobody will answer
-	left    chan struct{} // closed when the client ends its side behind that; nil before
-	head    httpmsg.HeadScanner
-	begun   time.Time // of the request that is being read: of the first one with the connection
-	readBy  time.Time // the deadline that net/http has set
-	expired bool      // it is to end unless something has come
-	swept   bool      // it was closed for that
+	mu               sync.Mutex    // net/http reads on while a handler runs
+	evicted          bool          // it had to make room: what comes now is not read
+	peerClosed       bool          // the client has ended its side, or the connection is broken
+	resetOnClose     bool          // it is to end in a reset
+	closed           bool          // Close was called
+	awaitingResponse bool          // a whole request has come and its answer has not begun
+	pipelined        bool          // something came behind that request, which nobody will answer
+	disconnected     chan struct{} // closed when the client ends its side behind that; nil before
+	head             httpmsg.HeadScanner
+	requestStart     time.Time // of the request that is being read: of the first one with the connection
+	readDeadline     time.Time // the deadline that net/http has set
+	expiring         bool      // it is to end unless something has come
+	idleExpired      bool      // it was closed for that
 
-	interrupted bool // a request that came in part is to be refused
-	replied     bool // something was written since the request that is being read began
+	rejectPartial   bool // a request that came in part is to be refused
+	responseWritten bool // something was written since the request that is being read began
 }
 
-// expire ends a connection on which nothing has come since its last request. It
+// expireIfIdle ends a connection on which nothing has come since its last request. It
 // wakes the read that waits there, and Read has the last word.
-func (c *Conn) expire() {
+func (c *Conn) expireIfIdle() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.head.Size == 0 {
-		c.expired = true
+		c.expiring = true
 		c.Conn.SetReadDeadline(time.Unix(1, 0))
 	}
 }
 
-// interrupt ends the read of a request that has come in part.
-func (c *Conn) interrupt() {
+// rejectIfPartial ends the read of a request that has come in part.
+func (c *Conn) rejectIfPartial() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.head.Size > 0 {
-		c.interrupted = true
+		c.rejectPartial = true
 		c.Conn.SetReadDeadline(time.Unix(1, 0))
 	}
 }
 
-// spared says that a connection which was to end has got something to read after
+// cancelExpiry says that a connection which was to end has got something to read after
 // all: closed now, it would take a request along.
-func (c *Conn) spared() bool {
+func (c *Conn) cancelExpiry() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if !c.expired {
+	if !c.expiring {
 		return false // the deadline was net/http's own
 	}
-	c.expired = false
-	if c.head.Size == 0 && !system.Readable(c.Conn) || !c.readBy.IsZero() && !time.Now().Before(c.readBy) {
-		c.swept = true
+	c.expiring = false
+	if c.head.Size == 0 && !system.Readable(c.Conn) || !c.readDeadline.IsZero() && !time.Now().Before(c.readDeadline) {
+		c.idleExpired = true
 		return false
 	}
-	c.Conn.SetReadDeadline(c.readBy)
+	c.Conn.SetReadDeadline(c.readDeadline)
 	return true
 }
 
 func (c *Conn) SetReadDeadline(t time.Time) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.readBy = t
+	c.readDeadline = t
 	return c.Conn.SetReadDeadline(t)
 }
 
-// giveWay says whether a connection carries nothing and may be closed for another: with
+// tryEvict says whether a connection carries nothing and may be closed for another: with
 // nothing to read, and less than a head read since its last request.
 // From then on nothing is read of it: a request that crosses is the client's to repeat.
-func (c *Conn) giveWay() bool {
+func (c *Conn) tryEvict() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.head.HeadSize > 0 || system.Readable(c.Conn) {
@@ -108,41 +108,41 @@
 func (c *Conn) AwaitResponse(alone bool) (left <-chan struct{}) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.inHand, c.left = true, make(chan struct{})
+	c.awaitingResponse, c.disconnected = true, make(chan struct{})
 	if !alone || c.head.Size > 0 {
-		c.readBehind()
+		c.watchDisconnect()
 	}
-	return c.left
+	return c.disconnected
 }
 
 // BeginResponse marks that the answer begins, and says whether something came behind the request.
 func (c *Conn) BeginResponse() (behind bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.inHand = false
-	return c.behind
+	c.awaitingResponse = false
+	return c.pipelined
 }
 
-// readBehind reads on until the client ends its side or the connection is closed, which
+// watchDisconnect reads on until the client ends its side or the connection is closed, which
 // it is after the answer. It holds c.mu.
-func (c *Conn) readBehind() {
-	if c.behind {
+func (c *Conn) watchDisconnect() {
+	if c.pipelined {
 		return
 	}
-	c.behind = true
+	c.pipelined = true
 	go func() {
-		err := c.drain(maxDrainBytes)
+		err := c.discard(maxDrainBytes)
 		c.mu.Lock()
 		defer c.mu.Unlock()
 		if err != nil && !errors.Is(err, os.ErrDeadlineExceeded) {
-			c.ended = true
-			close(c.left)
+			c.peerClosed = true
+			close(c.disconnected)
 		}
 	}()
 }
 
-// drain reads so many bytes and forgets them, or returns the error that ended that.
-func (c *Conn) drain(most int) error {
+// discard reads so many bytes and forgets them, or returns the error that ended that.
+func (c *Conn) discard(most int) error {
 	var piece [1 << 10]byte
 	for most > 0 {
 		n, err := c.Conn.Read(piece[:])
@@ -157,7 +157,7 @@
 // ClientLeft says that the client has ended its side, also behind bytes that were not read yet.
 func (c *Conn) ClientLeft() bool {
 	c.mu.Lock()
-	known := c.ended
+	known := c.peerClosed
 	c.mu.Unlock()
 	if known {
 		return true
@@ -171,9 +171,9 @@
 	return false
 }
 
-// boundBuffer bounds what the system takes of an answer before the client does, so
+// limitSendBuffer bounds what the system takes of an answer before the client does, so
 // that a write tells in time whether the client still reads.
-func (c *Conn) boundBuffer(size int) {
+func (c *Conn) limitSendBuffer(size int) {
 	if t, ok := c.Conn.(*net.TCPConn); ok {
 		t.SetWriteBuffer(size)
 	}
@@ -183,30 +183,30 @@
 // whole where only its end would tell.
 func (c *Conn) ResetOnClose() {
 	c.mu.Lock()
-	c.resets = true
+	c.resetOnClose = true
 	c.mu.Unlock()
 	if t, ok := c.Conn.(*net.TCPConn); ok {
 		t.SetLinger(0)
 	}
 }
 
-// leave ends the counting of a connection. It holds owner.mu.
-func (c *Conn) leave() {
-	if c.gone {
+// release ends the counting of a connection. It holds owner.mu.
+func (c *Conn) release() {
+	if c.released {
 		return
 	}
-	c.gone = true
-	c.owner.open--
-	if c.asked {
-		c.owner.asked--
+	c.released = true
+	c.listener.open--
+	if c.used {
+		c.listener.used--
 	}
-	if c.place != nil {
-		c.owner.waiting.Remove(c.place)
-		c.place = nil
+	if c.waitingElement != nil {
+		c.listener.waiting.Remove(c.waitingElement)
+		c.waitingElement = nil
 	}
-	if c.drained != nil {
-		c.owner.closing.Remove(c.drained)
-		c.drained = nil
+	if c.closingElement != nil {
+		c.listener.closing.Remove(c.closingElement)
+		c.closingElement = nil
 	}
 }
 
@@ -215,62 +215,62 @@
 // has not read yet would go with it: the sidecar ends its side, waits until the client has
 // ended its own, for a while, and closes then. It reads nothing any more: a request that
 // crosses is not taken, and its client may send it again.
-func (c *Conn) Close() error { return c.closeFor(c.reason()) }
+func (c *Conn) Close() error { return c.closeWithReason(c.currentCloseReason()) }
 
-// reason says why net/http closes the connection now.
-func (c *Conn) reason() closeReason {
-	c.owner.mu.Lock()
-	waiting := c.place != nil
-	c.owner.mu.Unlock()
+// currentCloseReason says why net/http closes the connection now.
+func (c *Conn) currentCloseReason() closeReason {
+	c.listener.mu.Lock()
+	waiting := c.waitingElement != nil
+	c.listener.mu.Unlock()
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	switch {
-	case c.resets:
-		return closedBroken
-	case c.ended:
+	case c.resetOnClose:
+		return closedTruncated
+	case c.peerClosed:
 		return closedByClient
-	case c.swept:
-		return closedLeaving
+	case c.idleExpired:
+		return closedDraining
 	case waiting:
 		return closedIdle
 	}
-	return closedAnswered
+	return closedAfterResponse
 }
 
-// closeFor closes the connection and counts why.
-func (c *Conn) closeFor(reason closeReason) error {
+// closeWithReason closes the connection and counts why.
+func (c *Conn) closeWithReason(reason closeReason) error {
 	c.mu.Lock()
-	again, now := c.closed, c.resets || c.ended || c.evicted
-	counted, partial := c.evicted, c.interrupted && c.head.Size > 0 && c.head.HeadSize == 0 && !c.replied
+	again, now := c.closed, c.resetOnClose || c.peerClosed || c.evicted
+	counted, partial := c.evicted, c.rejectPartial && c.head.Size > 0 && c.head.HeadSize == 0 && !c.responseWritten
 	c.closed = true
 	c.mu.Unlock()
 	if again {
 		return nil
 	}
 	if !counted {
-		c.owner.closed(reason)
+		c.listener.countClose(reason)
 	}
 	if partial {
 		c.Conn.SetWriteDeadline(time.Now().Add(rejectionTimeout))
-		io.WriteString(c.Conn, rejection)
+		io.WriteString(c.Conn, rejectionResponse)
 	}
 	half, ok := c.Conn.(interface{ CloseWrite() error })
-	if now || !ok || half.CloseWrite() != nil || !c.owner.drainLater(c) {
-		return c.finish()
+	if now || !ok || half.CloseWrite() != nil || !c.listener.beginClosing(c) {
+		return c.releaseAndClose()
 	}
 	go func() {
 		c.Conn.SetReadDeadline(time.Now().Add(closeDrain))
 		system.AwaitPeerClosed(c.Conn)
-		c.finish()
+		c.releaseAndClose()
 	}()
 	return nil
 }
 
-// finish ends the counting of a connection and gives its descriptor back.
-func (c *Conn) finish() error {
-	c.owner.mu.Lock()
-	c.leave()
-	c.owner.mu.Unlock()
+// releaseAndClose ends the counting of a connection and gives its descriptor back.
+func (c *Conn) releaseAndClose() error {
+	c.listener.mu.Lock()
+	c.release()
+	c.listener.mu.Unlock()
 	return c.Conn.Close()
 }
 
@@ -283,29 +283,29 @@
 	}
 	for {
 		n, err := c.Conn.Read(p)
-		if n == 0 && errors.Is(err, os.ErrDeadlineExceeded) && c.spared() {
+		if n == 0 && errors.Is(err, os.ErrDeadlineExceeded) && c.cancelExpiry() {
 			continue
 		}
 		c.mu.Lock()
 		if c.evicted || c.closed {
 			n, err = 0, net.ErrClosed
 		}
-		if c.begun.IsZero() {
-			c.begun = time.Now()
+		if c.requestStart.IsZero() {
+			c.requestStart = time.Now()
 		}
-		c.replied = c.replied && c.head.Size > 0
+		c.responseWritten = c.responseWritten && c.head.Size > 0
 		c.head.Scan(p[:n])
-		if n > 0 && c.expired { // it came in the very instant
-			c.expired = false
-			c.Conn.SetReadDeadline(c.readBy)
+		if n > 0 && c.expiring { // it came in the very instant
+			c.expiring = false
+			c.Conn.SetReadDeadline(c.readDeadline)
 		}
-		if n > 0 && c.inHand {
-			c.readBehind()
+		if n > 0 && c.awaitingResponse {
+			c.watchDisconnect()
 		}
-		c.ended = c.ended || err != nil && !errors.Is(err, os.ErrDeadlineExceeded)
+		c.peerClosed = c.peerClosed || err != nil && !errors.Is(err, os.ErrDeadlineExceeded)
 		c.mu.Unlock()
 		if n > 0 {
-			c.owner.heard(c)
+			c.listener.recordActivity(c)
 		}
 		return n, err
 	}
@@ -313,24 +313,24 @@
 
 func (c *Conn) Write(p []byte) (int, error) {
 	c.mu.Lock()
-	c.replied = true
+	c.responseWritten = true
 	c.mu.Unlock()
 	return c.Conn.Write(p)
 }
 
 // BeginRequest marks that a request is open; false says that its connection is closed already.
 func (c *Conn) BeginRequest() bool {
-	c.owner.mu.Lock()
-	defer c.owner.mu.Unlock()
-	if c.gone || c.place == nil {
+	c.listener.mu.Lock()
+	defer c.listener.mu.Unlock()
+	if c.released || c.waitingElement == nil {
 		return false
 	}
-	c.owner.waiting.Remove(c.place)
-	c.place = nil
+	c.listener.waiting.Remove(c.waitingElement)
+	c.waitingElement = nil
 	c.Requests++
-	if !c.asked {
-		c.asked = true
-		c.owner.asked++
+	if !c.used {
+		c.used = true
+		c.listener.used++
 	}
 	return true
 }
@@ -341,17 +341,17 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	alone := length >= 0 && c.head.Size == c.head.HeadSize+length
-	c.head, c.begun = httpmsg.HeadScanner{}, time.Time{}
+	c.head, c.requestStart = httpmsg.HeadScanner{}, time.Time{}
 	return alone
 }
 
 // EndRequest marks that the request has its whole answer.
 func (c *Conn) EndRequest() {
-	c.owner.mu.Lock()
-	defer c.owner.mu.Unlock()
-	if !c.gone && c.place == nil && c.drained == nil {
-		c.since = time.Now()
-		c.place = c.owner.waiting.PushBack(c)
+	c.listener.mu.Lock()
+	defer c.listener.mu.Unlock()
+	if !c.released && c.waitingElement == nil && c.closingElement == nil {
+		c.lastActivity = time.Now()
+		c.waitingElement = c.listener.waiting.PushBack(c)
 	}
 }
 
--- a/internal/downstream/closereason.go
+++ b/internal/downstream/closereason.go
@@ -10,22 +10,22 @@
 
 // The reasons for which a client's connection ends.
 const (
-	closedByClient closeReason = iota // the client ended its side, or the connection broke
-	closedAnswered                    // an answer said Connection: close
-	closedIdle                        // no request came on it in time, or none came whole
-	closedLeaving                     // clients are to leave: drain by hand, or termination
-	closedForRoom                     // it made room for another one
-	closedNoRoom                      // there was no room for it
-	closedBroken                      // its answer broke off and was cut
-	closeReasons
+	closedByClient        closeReason = iota // the client ended its side, or the connection broke
+	closedAfterResponse                      // an answer said Connection: close
+	closedIdle                               // no request came on it in time, or none came whole
+	closedDraining                           // clients are to leave: drain by hand, or termination
+	closedEvicted                            // it made room for another one
+	closedConnectionLimit                    // there was no room for it
+	closedTruncated                          // its answer broke off and was cut
+	closeReasonCount
 )
 
-var closeReasonNames = [closeReasons]string{"client", "answered", "idle", "draining", "evicted", "connection_limit", "truncated"}
+var closeReasonNames = [closeReasonCount]string{"client", "answered", "idle", "draining", "evicted", "connection_limit", "truncated"}
 
 func (r closeReason) String() string { return closeReasonNames[r] }
 
 // CloseCounts counts closed connections by reason.
-type CloseCounts [closeReasons]uint64
+type CloseCounts [closeReasonCount]uint64
 
 // Since returns what was counted after old, as text: the reasons that occurred, with their counts.
 func (c CloseCounts) Since(old CloseCounts) string {
--- a/internal/downstream/listener.go
+++ b/internal/downstream/listener.go
@@ -21,22 +21,22 @@
 	MaxConnections int
 	MaxUsed        int
 
-	mu      sync.Mutex
-	open    int
-	asked   int       // of those, the ones that a request has come on
-	waiting list.List // of *clientConn, with no whole request; the longest without a byte first
-	closing list.List // of *clientConn, half-closed until the client ends its side; oldest first
-	closes  CloseCounts
-	failed  uint64    // accepts
-	logged  time.Time // the latest of them that the log has
+	mu                 sync.Mutex
+	open               int
+	used               int       // of those, the ones that a request has come on
+	waiting            list.List // of *clientConn, with no whole request; the longest without a byte first
+	closing            list.List // of *clientConn, half-closed until the client ends its side; oldest first
+	closeCounts        CloseCounts
+	acceptErrors       uint64    // accepts
+	lastAcceptErrorLog time.Time // the latest of them that the log has
 }
 
 const (
-	closeDrain       = 500 * time.Millisecond // for a client to end its side after the sidecar has
-	maxDrainBytes    = 1 << 20                // bytes read behind a request, to find its client's end
-	rejectionTimeout = 20 * time.Millisecond  // for writing a rejection
-	MaxRejected      = 4                      // connections beyond the limit that are told so; out of socketSpare
-	rejection        = "HTTP/1.1 503 Service Unavailable\r\nConnection: close\r\nRetry-After: 1\r\nContent-Length: 0\r\n\r\n"
+	closeDrain        = 500 * time.Millisecond // for a client to end its side after the sidecar has
+	maxDrainBytes     = 1 << 20                // bytes read behind a request, to find its client's end
+	rejectionTimeout  = 20 * time.Millisecond  // for writing a rejection
+	MaxRejected       = 4                      // connections beyond the limit that are told so; out of socketSpare
+	rejectionResponse = "HTTP/1.1 503 Service Unavailable\r\nConnection: close\r\nRetry-After: 1\r\nContent-Length: 0\r\n\r\n"
 )
 
 // Accept returns the next connection. Beyond the limit one that carries nothing makes
@@ -50,65 +50,65 @@
 			return nil, err
 		}
 		if err != nil { // of this moment, or of one connection: net/http would end the service for some of them
-			l.acceptFailed(err)
+			l.recordAcceptError(err)
 			time.Sleep(system.AcceptRetryDelay)
 			continue
 		}
 		accepted := time.Now()
-		c := &Conn{Conn: raw, owner: l, AcceptedAt: accepted, begun: accepted}
+		c := &Conn{Conn: raw, listener: l, AcceptedAt: accepted, requestStart: accepted}
 		switch l.admit(c) {
 		case admitted:
 			return c, nil
 		case rejected:
-			io.WriteString(raw, rejection) // it has room for that
-			c.closeFor(closedNoRoom)
+			io.WriteString(raw, rejectionResponse) // it has room for that
+			c.closeWithReason(closedConnectionLimit)
 		case dropped:
-			l.closed(closedNoRoom)
+			l.countClose(closedConnectionLimit)
 			raw.Close()
 		}
 	}
 }
 
-// admission is what becomes of a new connection.
-type admission uint8
+// acceptDecision is what becomes of a new connection.
+type acceptDecision uint8
 
 const (
-	admitted admission = iota
-	rejected           // there is no room but for saying so
-	dropped            // nor for that
+	admitted acceptDecision = iota
+	rejected                // there is no room but for saying so
+	dropped                 // nor for that
 )
 
 // admit counts a new connection in and closes those that must go for it.
-func (l *Listener) admit(c *Conn) admission {
+func (l *Listener) admit(c *Conn) acceptDecision {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	for l.open >= l.MaxConnections && l.evict() {
+	for l.open >= l.MaxConnections && l.evictOne() {
 	}
 	if l.open >= l.MaxConnections+MaxRejected {
 		return dropped
 	}
 	room := l.open < l.MaxConnections
 	l.open++
-	c.since = time.Now()
+	c.lastActivity = time.Now()
 	if !room {
 		return rejected
 	}
-	c.place = l.waiting.PushBack(c)
+	c.waitingElement = l.waiting.PushBack(c)
 	return admitted
 }
 
-// evict closes one connection that carries nothing. It holds l.mu.
-func (l *Listener) evict() bool {
+// evictOne closes one connection that carries nothing. It holds l.mu.
+func (l *Listener) evictOne() bool {
 	if e := l.closing.Front(); e != nil {
 		c := e.Value.(*Conn)
-		c.leave()
+		c.release()
 		c.Conn.Close()
 		return true
 	}
 	for e := l.waiting.Front(); e != nil; e = e.Next() {
-		if c := e.Value.(*Conn); c.giveWay() {
-			l.closes[closedForRoom]++
-			c.leave()
+		if c := e.Value.(*Conn); c.tryEvict() {
+			l.closeCounts[closedEvicted]++
+			c.release()
 			c.Conn.Close()
 			return true
 		}
@@ -123,7 +123,7 @@
 	l.MaxConnections, l.MaxUsed = most, maxAsked
 	over := l.open - most
 	for e := l.waiting.Front(); e != nil && over > 0; e = e.Next() {
-		e.Value.(*Conn).expire()
+		e.Value.(*Conn).expireIfIdle()
 		over--
 	}
 }
@@ -134,7 +134,7 @@
 func (l *Listener) Crowded() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.asked > l.MaxUsed
+	return l.used > l.MaxUsed
 }
 
 // Count returns the number of open connections.
@@ -144,38 +144,38 @@
 	return l.open
 }
 
-// acceptFailed counts a failed accept, and records one a second at most.
-func (l *Listener) acceptFailed(err error) {
+// recordAcceptError counts a failed accept, and records one a second at most.
+func (l *Listener) recordAcceptError(err error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.failed++
-	if l.Log != nil && time.Since(l.logged) >= time.Second {
-		l.logged = time.Now()
-		l.Log.Warn("accept failed", "error", err, "total_failures", l.failed)
+	l.acceptErrors++
+	if l.Log != nil && time.Since(l.lastAcceptErrorLog) >= time.Second {
+		l.lastAcceptErrorLog = time.Now()
+		l.Log.Warn("accept failed", "error", err, "total_failures", l.acceptErrors)
 	}
 }
 
-// closed counts a connection that ended for this reason.
-func (l *Listener) closed(reason closeReason) {
+// countClose counts a connection that ended for this reason.
+func (l *Listener) countClose(reason closeReason) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.closes[reason]++
+	l.closeCounts[reason]++
 }
 
 // CloseCounts returns the connections closed so far, by reason.
 func (l *Listener) CloseCounts() CloseCounts {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.closes
+	return l.closeCounts
 }
 
-// heard marks that a connection was not silent just now.
-func (l *Listener) heard(c *Conn) {
+// recordActivity marks that a connection was not silent just now.
+func (l *Listener) recordActivity(c *Conn) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if c.place != nil {
-		c.since = time.Now()
-		l.waiting.MoveToBack(c.place)
+	if c.waitingElement != nil {
+		c.lastActivity = time.Now()
+		l.waiting.MoveToBack(c.waitingElement)
 	}
 }
 
@@ -187,11 +187,11 @@
 	for e := l.waiting.Front(); e != nil; e = e.Next() {
 		c := e.Value.(*Conn)
 		least := silent
-		if c.asked {
+		if c.used {
 			least = quiet
 		}
-		if time.Since(c.since) >= least {
-			c.expire()
+		if time.Since(c.lastActivity) >= least {
+			c.expireIfIdle()
 		}
 	}
 }
@@ -201,22 +201,22 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for e := l.waiting.Front(); e != nil; e = e.Next() {
-		e.Value.(*Conn).interrupt()
+		e.Value.(*Conn).rejectIfPartial()
 	}
 }
 
-// drainLater marks that a connection is half-closed, unless it is closed already.
-func (l *Listener) drainLater(c *Conn) bool {
+// beginClosing marks that a connection is half-closed, unless it is closed already.
+func (l *Listener) beginClosing(c *Conn) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if c.gone {
+	if c.released {
 		return false
 	}
-	if c.place != nil {
-		l.waiting.Remove(c.place)
-		c.place = nil
+	if c.waitingElement != nil {
+		l.waiting.Remove(c.waitingElement)
+		c.waitingElement = nil
 	}
-	c.drained = l.closing.PushBack(c)
+	c.closingElement = l.closing.PushBack(c)
 	return true
 }
 
--- a/internal/downstream/listener_test.go
+++ b/internal/downstream/listener_test.go
@@ -63,11 +63,11 @@
 			err := &net.OpError{Op: "read", Net: "tcp", Err: os.NewSyscallError("read", errno)}
 			conn := &brokenConn{err: err}
 			var c Conn
-			c.Conn, c.owner = conn, &Listener{}
+			c.Conn, c.listener = conn, &Listener{}
 			if _, got := c.Read(make([]byte, 1)); !errors.Is(got, errno) {
 				t.Errorf("the read ended with %v", got)
 			}
-			if !c.ended {
+			if !c.peerClosed {
 				t.Error("the client is not known to have left")
 			}
 		})
@@ -165,8 +165,8 @@
 	_, old := d.pair()
 	old.Close()
 	d.pair()
-	if idle.gone || !old.gone {
-		t.Errorf("the idle one gone: %v, the half-closed one: %v", idle.gone, old.gone)
+	if idle.released || !old.released {
+		t.Errorf("the idle one gone: %v, the half-closed one: %v", idle.released, old.released)
 	}
 }
 
@@ -185,8 +185,8 @@
 		t.Fatal(err)
 	}
 	_, another := d.pair()
-	if first.gone || !idle.gone || read.gone {
-		t.Fatalf("gone: the unread %v, the idle %v, the read %v", first.gone, idle.gone, read.gone)
+	if first.released || !idle.released || read.released {
+		t.Fatalf("gone: the unread %v, the idle %v, the read %v", first.released, idle.released, read.released)
 	}
 	if !read.BeginRequest() {
 		t.Error("a request that was read whole is not taken")
@@ -205,7 +205,7 @@
 		ended <- string(got)
 	}()
 	go d.Accept()
-	if got := <-ended; got != rejection {
+	if got := <-ended; got != rejectionResponse {
 		t.Errorf("one more read %q", got)
 	}
 	if n := d.Count(); n > d.MaxConnections+MaxRejected {
@@ -221,7 +221,7 @@
 	io.WriteString(client, sidecartest.ReadHead+"\r\n")
 	comes(t, c)
 	c.mu.Lock()
-	c.expired = true // as by a sweep between the system's read and the look at what it read
+	c.expiring = true // as by a sweep between the system's read and the look at what it read
 	c.mu.Unlock()
 	if n, err := c.Read(make([]byte, 1<<10)); n == 0 || err != nil {
 		t.Fatalf("%d bytes, %v", n, err)
@@ -230,7 +230,7 @@
 	c.RequestRead(0)
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.expired {
+	if c.expiring {
 		t.Error("net/http's look for the client's end would find the connection expired")
 	}
 }
@@ -290,7 +290,7 @@
 	}
 	second := dial()
 	defer second.Close()
-	if got, err := io.ReadAll(second); err != nil || string(got) != rejection {
+	if got, err := io.ReadAll(second); err != nil || string(got) != rejectionResponse {
 		t.Errorf("the second connection: %q, %v; want 503 and its end", got, err)
 	}
 	c.EndRequest()
@@ -345,7 +345,7 @@
 	}
 	_, c = pair()
 	l.CloseIdle(0, time.Hour)
-	if c.expired {
+	if c.expiring {
 		t.Error("a new connection ends before its time")
 	}
 	l.CloseIdle(time.Hour, 0)
@@ -409,7 +409,7 @@
 
 // A body may not be larger than the limit.
 func TestBodyOverTheLimitIsAnError(t *testing.T) {
-	p := &paced{conn: &Conn{Conn: quiet{}}, body: strings.NewReader("123456"), allowance: time.Hour, left: 5}
+	p := &Body{conn: &Conn{Conn: quiet{}}, body: strings.NewReader("123456"), allowance: time.Hour, remainingBytes: 5}
 	var b *RequestError
 	if _, err := io.ReadAll(p); !errors.As(err, &b) || b.StatusCode != http.StatusRequestEntityTooLarge {
 		t.Errorf("a body beyond the limit: %v", err)
--- a/internal/downstream/relay.go
+++ b/internal/downstream/relay.go
@@ -8,13 +8,13 @@
 	"oakproxy/internal/httpmsg"
 )
 
-// sendBuffer is as much of an answer as the socket takes ahead of the client: it must not take longer than pieceTime to leave.
-const sendBuffer = 128 << 10
+// sendBufferBytes is as much of an answer as the socket takes ahead of the client: it must not take longer than pieceTime to leave.
+const sendBufferBytes = 128 << 10
 
 // Relay writes an answer's rest as it comes. An error says that the client has less
 // than the whole.
 func Relay(w http.ResponseWriter, c *Conn, from io.Reader) error {
-	c.boundBuffer(sendBuffer)
+	c.limitSendBuffer(sendBufferBytes)
 	control, piece := http.NewResponseController(w), httpmsg.ChunkBuffers.Get().(*[httpmsg.ChunkBytes]byte)
 	defer httpmsg.ChunkBuffers.Put(piece)
 	if err := control.Flush(); err != nil {
--- a/internal/handover/handover_test.go
+++ b/internal/handover/handover_test.go
@@ -48,11 +48,11 @@
 
 // A place that can't be looked at is an error, not an empty place.
 func TestPlaceThatCannotBeLookedAt(t *testing.T) {
-	path := seatPath(t.TempDir(), 0)
+	path := slotPath(t.TempDir(), 0)
 	if err := os.Symlink(path, path); err != nil { // ELOOP
 		t.Fatal(err)
 	}
-	if _, err := lookAtSeat(path); err == nil || !strings.Contains(err.Error(), "symbolic") {
+	if _, err := inspectSlot(path); err == nil || !strings.Contains(err.Error(), "symbolic") {
 		t.Errorf("the look ended with %v", err)
 	}
 }
--- a/internal/handover/slot.go
+++ b/internal/handover/slot.go
@@ -15,31 +15,31 @@
 
 const (
 	maxProcesses = 4 // processes of one sidecar that are told apart
-	seatReady    = "ready"
+	readyMarker  = "ready"
 )
 
 // Slot is a process's place among those of one sidecar: a locked file in the folder
 // that they share. The lock ends with the process, however that ends.
 type Slot struct {
-	dir  string
-	own  int
-	file *os.File
+	dir   string
+	index int
+	file  *os.File
 
-	mu     sync.Mutex
-	others [maxProcesses]peerState // by place, as last seen
+	mu    sync.Mutex
+	peers [maxProcesses]peerState // by place, as last seen
 }
 
 // peerState is another process of the sidecar.
 type peerState struct{ alive, ready bool }
 
-func seatPath(dir string, i int) string {
+func slotPath(dir string, i int) string {
 	return filepath.Join(dir, fmt.Sprintf("oakproxy-process.%d", i))
 }
 
 // AcquireSlot takes the first place that is free.
 func AcquireSlot(dir string) (*Slot, error) {
 	for i := range maxProcesses {
-		file, err := os.OpenFile(seatPath(dir, i), os.O_CREATE|os.O_RDWR, 0o600)
+		file, err := os.OpenFile(slotPath(dir, i), os.O_CREATE|os.O_RDWR, 0o600)
 		if err != nil {
 			return nil, err
 		}
@@ -48,7 +48,7 @@
 			err = file.Truncate(0) // the process before may have said that it was ready
 		}
 		if err == nil {
-			return &Slot{dir: dir, own: i, file: file}, nil
+			return &Slot{dir: dir, index: i, file: file}, nil
 		}
 		file.Close()
 		if err != syscall.EWOULDBLOCK {
@@ -60,7 +60,7 @@
 
 // MarkReady tells the others that this process serves.
 func (s *Slot) MarkReady() error {
-	_, err := s.file.WriteAt([]byte(seatReady), 0)
+	_, err := s.file.WriteAt([]byte(readyMarker), 0)
 	return err
 }
 
@@ -69,24 +69,24 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for i := range maxProcesses {
-		if i == s.own {
+		if i == s.index {
 			continue
 		}
-		if seen, err := lookAtSeat(seatPath(s.dir, i)); err == nil {
-			s.others[i] = seen // else as it was seen last
+		if seen, err := inspectSlot(slotPath(s.dir, i)); err == nil {
+			s.peers[i] = seen // else as it was seen last
 		}
-		if s.others[i].alive {
+		if s.peers[i].alive {
 			alive++
 		}
-		if s.others[i].ready {
+		if s.peers[i].ready {
 			ready++
 		}
 	}
 	return alive, ready
 }
 
-// lookAtSeat tells who sits at a place. An error says that this can't be told for the moment.
-func lookAtSeat(path string) (peerState, error) {
+// inspectSlot tells who sits at a place. An error says that this can't be told for the moment.
+func inspectSlot(path string) (peerState, error) {
 	file, err := os.Open(path)
 	if errors.Is(err, fs.ErrNotExist) {
 		return peerState{}, nil // nobody ever sat there
@@ -102,12 +102,12 @@
 	default:
 		return peerState{}, err
 	}
-	text := make([]byte, len(seatReady))
+	text := make([]byte, len(readyMarker))
 	n, err := file.ReadAt(text, 0)
 	if err != nil && err != io.EOF {
 		return peerState{}, err
 	}
-	return peerState{alive: true, ready: string(text[:n]) == seatReady}, nil
+	return peerState{alive: true, ready: string(text[:n]) == readyMarker}, nil
 }
 
 // Release gives the place up, as the end of the process would.
