--- a/internal/downstream/doc.go
+++ b/internal/downstream/doc.go
@@ -1,3 +1,20 @@
 // Package downstream holds the connections of clients: it accepts, bounds and closes them, and reads and writes the
 // bodies that are relayed over them.
+//
+// Its invariants are:
+//
+//   - The number of open connections is bounded when they are accepted, by Listener.MaxConnections and a few more that
+//     are only told of the limit. A connection counts until its descriptor is given back.
+//   - There is one path for each close of a counted connection: Listener closes those that it evicts for a new one, and
+//     Conn.Close all others.
+//   - Nothing is read of a connection whose end is decided, so that a request that crosses the close is not lost in the
+//     sidecar: its client may send it again. Pipelined bytes are no exception, since they are dropped and never served.
+//   - A connection that carries a request is never evicted and never expires.
+//
+// Locks: Listener.mu guards the counts, the lists and the fields of Conn that say which list a connection is in. Conn.mu
+// guards what was read and written of one connection. Listener.mu is taken first where both are held; no method holds
+// Conn.mu while it takes Listener.mu.
+//
+// The package does not parse requests: net/http does. It does not choose endpoints, decide which requests are admitted
+// or count the memory of bodies.
 package downstream
--- a/internal/downstream/listener.go
+++ b/internal/downstream/listener.go
@@ -12,55 +12,59 @@
 	"oakproxy/internal/system"
 )
 
-// Listener is the listener of the application's side. It bounds the connections
-// as they are accepted: a limit that acts when a request comes would let silent
-// connections use up the descriptors that attempts and discovery need.
+// MaxRejected is how many connections beyond the limit are held at a time to be told of it. They come out of the
+// descriptors that the sidecar keeps spare.
+const MaxRejected = 4
+
+// acceptErrorLogInterval is the least time between two log lines on failed accepts.
+const acceptErrorLogInterval = time.Second
+
+// Listener accepts the connections of clients, and bounds them as they are accepted: a limit that acts when a request
+// comes would let silent connections use up the descriptors that attempts and discovery need.
+//
+// Accept is for one goroutine, that of net/http's Serve. All other methods are safe for concurrent use.
 type Listener struct {
 	net.Listener
-	Log            *slog.Logger // may be nil
+	// Log records failed accepts. It may be nil. It is set before the first Accept.
+	Log *slog.Logger
+	// MaxConnections is the limit on open connections. Once Accept runs, SetLimits sets it, with mu held.
 	MaxConnections int
-	MaxUsed        int
-
-	mu                 sync.Mutex
-	open               int
-	used               int       // of those, the ones that a request has come on
-	waiting            list.List // of *clientConn, with no whole request; the longest without a byte first
-	closing            list.List // of *clientConn, half-closed until the client ends its side; oldest first
+	// MaxUsed is how many connections on which requests came may be kept open: see Crowded. Once Accept runs,
+	// SetLimits sets it, with mu held.
+	MaxUsed int
+
+	mu                 sync.Mutex // guards what follows, and fields of Conn; taken before Conn.mu
+	open               int        // connections that are counted
+	used               int        // of those, the ones on which a request has come
+	waiting            list.List  // of *Conn with no complete request; the one without a byte for longest is first
+	closing            list.List  // of *Conn that are half-closed until their client ends its side; the oldest is first
 	closeCounts        CloseCounts
-	acceptErrors       uint64    // accepts
-	lastAcceptErrorLog time.Time // the latest of them that the log has
+	acceptErrors       uint64
+	lastAcceptErrorLog time.Time
 }
 
-const (
-	closeDrain        = 500 * time.Millisecond // for a client to end its side after the sidecar has
-	maxDrainBytes     = 1 << 20                // bytes read behind a request, to find its client's end
-	rejectionTimeout  = 20 * time.Millisecond  // for writing a rejection
-	MaxRejected       = 4                      // connections beyond the limit that are told so; out of socketSpare
-	rejectionResponse = "HTTP/1.1 503 Service Unavailable\r\nConnection: close\r\nRetry-After: 1\r\nContent-Length: 0\r\n\r\n"
-)
-
-// Accept returns the next connection. Beyond the limit one that carries nothing makes
-// room: one that is being closed, or the one that has been silent for longest, whether idle
-// or half-way through a head: a slow client goes on writing. Where all have a request open
-// or something to read, the new one is told that there is no room.
+// Accept returns the next connection, a *Conn. Beyond the limit a connection that carries nothing is evicted for it: one
+// that is being closed, or else the one that has been silent for longest, whether idle or half-way through a head, since
+// a slow client goes on writing. Where none carries nothing, the new connection gets a 503 and is closed. Accept goes on
+// after an error of accept(2) that concerns the moment or one connection: net/http would end the service for some of
+// them. It returns only errors after which no other call would do better, such as net.ErrClosed.
 func (l *Listener) Accept() (net.Conn, error) {
 	for {
 		raw, err := l.Listener.Accept()
 		if errors.Is(err, net.ErrClosed) || system.IsErrno(err, system.FatalAcceptErrors) {
 			return nil, err
 		}
-		if err != nil { // of this moment, or of one connection: net/http would end the service for some of them
+		if err != nil {
 			l.recordAcceptError(err)
 			time.Sleep(system.AcceptRetryDelay)
 			continue
 		}
-		accepted := time.Now()
-		c := &Conn{Conn: raw, listener: l, AcceptedAt: accepted, requestStart: accepted}
+		c := newConn(raw, l)
 		switch l.admit(c) {
-		case admitted:
+		case accepted:
 			return c, nil
 		case rejected:
-			io.WriteString(raw, rejectionResponse) // it has room for that
+			io.WriteString(raw, rejectionResponse) // the send buffer of a new connection takes it without waiting
 			c.closeWithReason(closedConnectionLimit)
 		case dropped:
 			l.countClose(closedConnectionLimit)
@@ -73,12 +77,12 @@
 type acceptDecision uint8
 
 const (
-	admitted acceptDecision = iota
-	rejected                // there is no room but for saying so
-	dropped                 // nor for that
+	accepted acceptDecision = iota
+	rejected                // beyond the limit: it is counted while it is told so
+	dropped                 // beyond MaxRejected too: it is closed at once, uncounted
 )
 
-// admit counts a new connection in and closes those that must go for it.
+// admit counts a new connection and evicts those that have to go for it.
 func (l *Listener) admit(c *Conn) acceptDecision {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -87,17 +91,17 @@
 	if l.open >= l.MaxConnections+MaxRejected {
 		return dropped
 	}
-	room := l.open < l.MaxConnections
+	withinLimit := l.open < l.MaxConnections
 	l.open++
 	c.lastActivity = time.Now()
-	if !room {
+	if !withinLimit {
 		return rejected
 	}
 	c.waitingElement = l.waiting.PushBack(c)
-	return admitted
+	return accepted
 }
 
-// evictOne closes one connection that carries nothing. It holds l.mu.
+// evictOne closes one connection that carries nothing, and reports whether there was one. The caller holds l.mu.
 func (l *Listener) evictOne() bool {
 	if e := l.closing.Front(); e != nil {
 		c := e.Value.(*Conn)
@@ -116,87 +120,94 @@
 	return false
 }
 
-// SetLimits sets the most connections, and has silent ones beyond that end.
-func (l *Listener) SetLimits(most, maxAsked int) {
+// beginClosing marks that a connection is half-closed. It returns false where the connection is released already.
+func (l *Listener) beginClosing(c *Conn) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.MaxConnections, l.MaxUsed = most, maxAsked
-	over := l.open - most
-	for e := l.waiting.Front(); e != nil && over > 0; e = e.Next() {
-		e.Value.(*Conn).expireIfIdle()
-		over--
+	if c.released {
+		return false
 	}
+	if c.waitingElement != nil {
+		l.waiting.Remove(c.waitingElement)
+		c.waitingElement = nil
+	}
+	c.closingElement = l.closing.PushBack(c)
+	return true
 }
 
-// Crowded says that so many connections have been asked on that answers should
-// end theirs. Some clients ask once and keep the connection for good, and clients
-// may hold only so many: kept here, these would leave none for the next request.
-func (l *Listener) Crowded() bool {
+// SetLimits sets MaxConnections and MaxUsed, and expires as many silent connections as there are beyond the new limit.
+func (l *Listener) SetLimits(maxConnections, maxUsed int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.used > l.MaxUsed
+	l.MaxConnections, l.MaxUsed = maxConnections, maxUsed
+	excess := l.open - maxConnections
+	for e := l.waiting.Front(); e != nil && excess > 0; e = e.Next() {
+		e.Value.(*Conn).expireIfIdle()
+		excess--
+	}
 }
 
-// Count returns the number of open connections.
-func (l *Listener) Count() int {
+// Limits returns the limits in force: MaxConnections and MaxUsed.
+func (l *Listener) Limits() (maxConnections, maxUsed int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.open
+	return l.MaxConnections, l.MaxUsed
 }
 
-// recordAcceptError counts a failed accept, and records one a second at most.
-func (l *Listener) recordAcceptError(err error) {
+// Crowded reports whether requests have come on so many open connections that responses should close theirs. Some
+// clients send one request and keep the connection for good, and all clients together may open only so many: kept here,
+// these would leave none for the next request.
+func (l *Listener) Crowded() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.acceptErrors++
-	if l.Log != nil && time.Since(l.lastAcceptErrorLog) >= time.Second {
-		l.lastAcceptErrorLog = time.Now()
-		l.Log.Warn("accept failed", "error", err, "total_failures", l.acceptErrors)
-	}
+	return l.used > l.MaxUsed
 }
 
-// countClose counts a connection that ended for this reason.
-func (l *Listener) countClose(reason closeReason) {
+// Count returns the number of open connections, half-closed and rejected ones included.
+func (l *Listener) Count() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.closeCounts[reason]++
+	return l.open
 }
 
-// CloseCounts returns the connections closed so far, by reason.
-func (l *Listener) CloseCounts() CloseCounts {
+// PartialBytes returns how many bytes have come of requests that are not complete yet.
+func (l *Listener) PartialBytes() (bytes int64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.closeCounts
+	for e := l.waiting.Front(); e != nil; e = e.Next() {
+		c := e.Value.(*Conn)
+		c.mu.Lock()
+		bytes += c.head.Size
+		c.mu.Unlock()
+	}
+	return bytes
 }
 
-// recordActivity marks that a connection was not silent just now.
-func (l *Listener) recordActivity(c *Conn) {
+// CloseCounts returns the number of connections closed so far, by reason.
+func (l *Listener) CloseCounts() CloseCounts {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if c.waitingElement != nil {
-		c.lastActivity = time.Now()
-		l.waiting.MoveToBack(c.waitingElement)
-	}
+	return l.closeCounts
 }
 
-// CloseIdle has connections end that have had no request open for so long: those that
-// requests came on for quiet, others for silent. A request that crosses is taken.
-func (l *Listener) CloseIdle(quiet, silent time.Duration) {
+// CloseIdle expires the connections that have had no request open and no byte for some time: minUsed for those on which
+// requests came, minUnused for the others. A request that crosses the expiry is served.
+func (l *Listener) CloseIdle(minUsed, minUnused time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for e := l.waiting.Front(); e != nil; e = e.Next() {
 		c := e.Value.(*Conn)
-		least := silent
+		minIdle := minUnused
 		if c.used {
-			least = quiet
+			minIdle = minUsed
 		}
-		if time.Since(c.lastActivity) >= least {
+		if time.Since(c.lastActivity) >= minIdle {
 			c.expireIfIdle()
 		}
 	}
 }
 
-// RejectPartial ends connections on which a request has come in part and no more than that, with a refusal.
+// RejectPartial ends the connections on which a request has come in part and no more than that. Their clients get a 503.
 func (l *Listener) RejectPartial() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -205,37 +216,30 @@
 	}
 }
 
-// beginClosing marks that a connection is half-closed, unless it is closed already.
-func (l *Listener) beginClosing(c *Conn) bool {
+// recordActivity marks that something has come on a connection.
+func (l *Listener) recordActivity(c *Conn) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if c.released {
-		return false
-	}
 	if c.waitingElement != nil {
-		l.waiting.Remove(c.waitingElement)
-		c.waitingElement = nil
+		c.lastActivity = time.Now()
+		l.waiting.MoveToBack(c.waitingElement)
 	}
-	c.closingElement = l.closing.PushBack(c)
-	return true
 }
 
-// Limits returns the bounds in force: on connections, and on those that a request has come on.
-func (l *Listener) Limits() (most, maxAsked int) {
+// recordAcceptError counts a failed accept, and logs one in each acceptErrorLogInterval at most.
+func (l *Listener) recordAcceptError(err error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.MaxConnections, l.MaxUsed
+	l.acceptErrors++
+	if l.Log != nil && time.Since(l.lastAcceptErrorLog) >= acceptErrorLogInterval {
+		l.lastAcceptErrorLog = time.Now()
+		l.Log.Warn("accept failed", "error", err, "total_failures", l.acceptErrors)
+	}
 }
 
-// PartialBytes returns how many bytes have come of requests that are not whole yet.
-func (l *Listener) PartialBytes() (bytes int64) {
+// countClose counts a connection that ended for this reason.
+func (l *Listener) countClose(reason closeReason) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	for e := l.waiting.Front(); e != nil; e = e.Next() {
-		c := e.Value.(*Conn)
-		c.mu.Lock()
-		bytes += c.head.Size
-		c.mu.Unlock()
-	}
-	return bytes
+	l.closeCounts[reason]++
 }
--- a/internal/downstream/relay.go
+++ b/internal/downstream/relay.go
@@ -1,6 +1,7 @@
 package downstream
 
 import (
+	"fmt"
 	"io"
 	"net/http"
 	"time"
@@ -8,33 +9,46 @@
 	"oakproxy/internal/httpmsg"
 )
 
-// sendBufferBytes is as much of an answer as the socket takes ahead of the client: it must not take longer than pieceTime to leave.
+// sendBufferBytes bounds how much of a response the socket holds ahead of the client. It has to leave the socket within
+// httpmsg.ChunkTimeout, so that a write notices in time that a client no longer reads.
 const sendBufferBytes = 128 << 10
 
-// Relay writes an answer's rest as it comes. An error says that the client has less
-// than the whole.
-func Relay(w http.ResponseWriter, c *Conn, from io.Reader) error {
-	c.limitSendBuffer(sendBufferBytes)
-	control, piece := http.NewResponseController(w), httpmsg.ChunkBuffers.Get().(*[httpmsg.ChunkBytes]byte)
-	defer httpmsg.ChunkBuffers.Put(piece)
+// Relay writes the remainder of a response to w, chunk by chunk as it comes from body. c is the connection under w. Each
+// chunk has httpmsg.ChunkTimeout to be written. An error means that the client has less than the complete response.
+func Relay(w http.ResponseWriter, c *Conn, body io.Reader) error {
+	if err := c.limitSendBuffer(sendBufferBytes); err != nil {
+		return fmt.Errorf("limit the send buffer: %w", err)
+	}
+	control := http.NewResponseController(w)
+	chunk := httpmsg.ChunkBuffers.Get().(*[httpmsg.ChunkBytes]byte)
+	defer httpmsg.ChunkBuffers.Put(chunk)
 	if err := control.Flush(); err != nil {
-		return err
+		return fmt.Errorf("flush the head: %w", err)
 	}
 	for {
-		n, err := from.Read(piece[:])
+		n, readErr := body.Read(chunk[:])
 		if n > 0 {
 			c.SetWriteDeadline(time.Now().Add(httpmsg.ChunkTimeout))
-			if _, err := w.Write(piece[:n]); err != nil {
-				return err
-			}
-			if err := control.Flush(); err != nil {
+			if err := writeAndFlush(w, control, chunk[:n]); err != nil {
 				return err
 			}
 		}
-		if err == io.EOF {
+		if readErr == io.EOF { // itself: a wrapped one may tell of a body that broke off
 			return nil
-		} else if err != nil {
-			return err
 		}
+		if readErr != nil {
+			return fmt.Errorf("read a chunk of the response: %w", readErr)
+		}
+	}
+}
+
+// writeAndFlush writes one chunk and passes it on to the socket.
+func writeAndFlush(w io.Writer, control *http.ResponseController, chunk []byte) error {
+	if _, err := w.Write(chunk); err != nil {
+		return fmt.Errorf("write a chunk: %w", err)
+	}
+	if err := control.Flush(); err != nil {
+		return fmt.Errorf("flush a chunk: %w", err)
 	}
+	return nil
 }
