--- a/internal/handover/inherit_test.go
+++ b/internal/handover/inherit_test.go
@@ -1,9 +1,11 @@
 package handover
 
 import (
+	"errors"
 	"fmt"
 	"net"
 	"os"
+	"path/filepath"
 	"strings"
 	"syscall"
 	"testing"
@@ -11,20 +13,19 @@
 	"oakproxy/internal/config"
 )
 
-// A passed socket is taken as it is, and closing it here leaves it open for
-// whoever else holds it.
-func TestPassedSocketIsShared(t *testing.T) {
-	held, err := net.Listen("tcp", "127.0.0.1:0")
+// An inherited socket is used as it is, and closing its listener leaves the socket open for other processes.
+func TestInheritedSocketStaysOpenForOtherProcesses(t *testing.T) {
+	original, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer held.Close()
+	defer original.Close()
 	for range 2 {
-		file, err := held.(*net.TCPListener).File()
+		file, err := original.(*net.TCPListener).File()
 		if err != nil {
 			t.Fatal(err)
 		}
-		fd, err := syscall.Dup(int(file.Fd())) // which listen owns from here on
+		fd, err := syscall.Dup(int(file.Fd())) // which Listen owns from here on
 		file.Close()
 		if err != nil {
 			t.Fatal(err)
@@ -33,10 +34,10 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if passed.Addr().String() != held.Addr().String() {
-			t.Errorf("listens on %s, want %s", passed.Addr(), held.Addr())
+		if passed.Addr().String() != original.Addr().String() {
+			t.Errorf("listens on %s, want %s", passed.Addr(), original.Addr())
 		}
-		client, err := net.Dial("tcp", held.Addr().String())
+		client, err := net.Dial("tcp", original.Addr().String())
 		if err != nil {
 			t.Fatalf("after the other process is done: %v", err)
 		}
@@ -50,9 +51,8 @@
 	}
 }
 
-// What is passed and can't be listened on stops the start, with a line that
-// names the variable.
-func TestUnusablePassedSocket(t *testing.T) {
+// What can't be listened on stops the start, with an error that names the variable and says why.
+func TestListenRejectsUnusableInheritedSocket(t *testing.T) {
 	file, err := os.Open(os.DevNull)
 	if err != nil {
 		t.Fatal(err)
@@ -68,11 +68,42 @@
 		t.Fatal(err)
 	}
 	defer udp.Close()
-	for name, passed := range map[string]string{
-		"no number": "three", "negative": "-1", "not open": "1000000", "a file": fmt.Sprint(file.Fd()), "no listener": fmt.Sprint(udp.Fd()),
+	for _, test := range []struct {
+		name, passed string
+		want         error
+	}{
+		{"no number", "three", ErrNotDescriptor},
+		{"negative", "-1", ErrNotDescriptor},
+		{"not open", "1000000", ErrNotSocket},
+		{"a file", fmt.Sprint(file.Fd()), ErrNotSocket},
+		{"no listener", fmt.Sprint(udp.Fd()), ErrNotListening},
+		{"a Unix listener", fmt.Sprint(unixListenerDescriptor(t)), ErrNotTCP},
 	} {
-		if l, err := Listen(t.Context(), "127.0.0.1:0", passed); err == nil || !strings.Contains(err.Error(), config.InheritedSocketVariable) {
-			t.Errorf("%s: %v, %v, want an error that names %s", name, l, err, config.InheritedSocketVariable)
-		}
+		t.Run(test.name, func(t *testing.T) {
+			l, err := Listen(t.Context(), "127.0.0.1:0", test.passed)
+			if !errors.Is(err, test.want) || !strings.Contains(err.Error(), config.InheritedSocketVariable) {
+				t.Errorf("%v, %v, want an error that names %s and matches %q", l, err, config.InheritedSocketVariable, test.want)
+			}
+		})
+	}
+}
+
+// unixListenerDescriptor returns the descriptor of a listening Unix socket, which its caller owns.
+func unixListenerDescriptor(t *testing.T) int {
+	t.Helper()
+	listener, err := net.Listen("unix", filepath.Join(t.TempDir(), "socket"))
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { listener.Close() })
+	file, err := listener.(*net.UnixListener).File()
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer file.Close()
+	fd, err := syscall.Dup(int(file.Fd()))
+	if err != nil {
+		t.Fatal(err)
 	}
+	return fd
 }
--- a/internal/handover/listen_test.go
+++ b/internal/handover/listen_test.go
@@ -11,13 +11,13 @@
 	"oakproxy/internal/system"
 )
 
-// An address that is not free at once is waited for; one that can't be had is an error.
-func TestStartWaitsForItsAddress(t *testing.T) {
-	held, err := net.Listen("tcp", "127.0.0.1:0")
+// ListenAt waits for an address that is in use for a moment; it returns an error where ctx ends before.
+func TestListenAtWaitsForAddressInUse(t *testing.T) {
+	holder, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	address := held.Addr().String()
+	address := holder.Addr().String()
 	got := make(chan error, 1)
 	go func() {
 		listener, err := ListenAt(t.Context(), address)
@@ -26,7 +26,7 @@
 		}
 		got <- err
 	}()
-	time.AfterFunc(3*system.StartRetryDelay, func() { held.Close() })
+	time.AfterFunc(3*system.StartRetryDelay, func() { holder.Close() })
 	if err := <-got; err != nil {
 		t.Error(err)
 	}
--- a/internal/handover/slot.go
+++ b/internal/handover/slot.go
@@ -14,101 +14,136 @@
 )
 
 const (
-	maxProcesses = 4 // processes of one sidecar that are told apart
-	readyMarker  = "ready"
+	// maxProcesses is how many processes of one sidecar are told apart.
+	maxProcesses = 4
+	// slotFileFormat names the file of a slot by its index. Processes of other versions open it: it is frozen.
+	slotFileFormat = "oakproxy-process.%d"
+	// readyMarker is the content of the slot's file of a process that serves. It is frozen as well.
+	readyMarker = "ready"
 )
 
-// Slot is a process's place among those of one sidecar: a locked file in the folder
-// that they share. The lock ends with the process, however that ends.
+// NoFreeSlotError is the error of AcquireSlot where other processes hold all slots. Match it by errors.As.
+type NoFreeSlotError struct {
+	Dir string // the folder of the slots
+}
+
+// Error says how many processes share which folder.
+func (e *NoFreeSlotError) Error() string {
+	return fmt.Sprintf("%d processes share %s already", maxProcesses, e.Dir)
+}
+
+// errSlotHeld is the error of lockSlotFile where another process holds the slot.
+var errSlotHeld = errors.New("another process holds the slot")
+
+// Slot is a process's place among those of one sidecar: a locked file in the folder that they share. Its methods are safe
+// for concurrent use, but for Release.
 type Slot struct {
 	dir   string
 	index int
-	file  *os.File
+	file  *os.File // open and locked while the slot is held
 
-	mu    sync.Mutex
-	peers [maxProcesses]peerState // by place, as last seen
+	mu    sync.Mutex              // guards peers
+	peers [maxProcesses]peerState // by slot, as last seen; the one at index stays empty
 }
 
-// peerState is another process of the sidecar.
+// peerState is what is known of the process that holds a slot; the zero value says that none does.
 type peerState struct{ alive, ready bool }
 
-func slotPath(dir string, i int) string {
-	return filepath.Join(dir, fmt.Sprintf("oakproxy-process.%d", i))
+// slotPath returns the path of the file of a slot.
+func slotPath(dir string, index int) string {
+	return filepath.Join(dir, fmt.Sprintf(slotFileFormat, index))
 }
 
-// AcquireSlot takes the first place that is free.
+// AcquireSlot takes the first free slot in dir, which must exist. Where there is none, its error is a *NoFreeSlotError;
+// other errors are those of the file system.
 func AcquireSlot(dir string) (*Slot, error) {
-	for i := range maxProcesses {
-		file, err := os.OpenFile(slotPath(dir, i), os.O_CREATE|os.O_RDWR, 0o600)
-		if err != nil {
-			return nil, err
-		}
-		err = system.LockFile(file, syscall.LOCK_EX)
-		if err == nil {
-			err = file.Truncate(0) // the process before may have said that it was ready
-		}
+	for index := range maxProcesses {
+		file, err := lockSlotFile(slotPath(dir, index))
 		if err == nil {
-			return &Slot{dir: dir, index: i, file: file}, nil
+			return &Slot{dir: dir, index: index, file: file}, nil
 		}
-		file.Close()
-		if err != syscall.EWOULDBLOCK {
+		if !errors.Is(err, errSlotHeld) {
 			return nil, err
 		}
 	}
-	return nil, fmt.Errorf("%d processes share %s already", maxProcesses, dir)
+	return nil, &NoFreeSlotError{Dir: dir}
 }
 
-// MarkReady tells the others that this process serves.
+// lockSlotFile opens a slot's file, locks it and clears it. Its error is errSlotHeld where another process holds the
+// lock. That is not matched by the errno: opening and clearing a file may fail with the same one.
+func lockSlotFile(path string) (*os.File, error) {
+	file, err := os.OpenFile(path, os.O_CREATE|os.O_RDWR, 0o600)
+	if err != nil {
+		return nil, err // names the path, and callers match it by os.IsNotExist, which does not unwrap
+	}
+	err = system.LockFile(file, syscall.LOCK_EX)
+	if errors.Is(err, syscall.EWOULDBLOCK) {
+		file.Close()
+		return nil, errSlotHeld
+	}
+	if err != nil {
+		file.Close()
+		return nil, fmt.Errorf("lock %s: %w", path, err)
+	}
+	if err := file.Truncate(0); err != nil { // the process before may have marked itself ready
+		file.Close()
+		return nil, err
+	}
+	return file, nil
+}
+
+// MarkReady notifies the other processes that this one serves.
 func (s *Slot) MarkReady() error {
 	_, err := s.file.WriteAt([]byte(readyMarker), 0)
 	return err
 }
 
-// Peers counts the other processes, and those of them that serve.
+// Peers returns how many other processes of the sidecar are alive, and how many of those serve. A slot that cannot be
+// inspected for the moment counts as it was seen last.
 func (s *Slot) Peers() (alive, ready int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for i := range maxProcesses {
-		if i == s.index {
+	for index := range maxProcesses {
+		if index == s.index {
 			continue
 		}
-		if seen, err := inspectSlot(slotPath(s.dir, i)); err == nil {
-			s.peers[i] = seen // else as it was seen last
+		if peer, err := inspectSlot(slotPath(s.dir, index)); err == nil {
+			s.peers[index] = peer
 		}
-		if s.peers[i].alive {
+		if s.peers[index].alive {
 			alive++
 		}
-		if s.peers[i].ready {
+		if s.peers[index].ready {
 			ready++
 		}
 	}
 	return alive, ready
 }
 
-// inspectSlot tells who sits at a place. An error says that this can't be told for the moment.
+// inspectSlot returns the state of the process that holds a slot. An error says that it cannot be told for the moment.
 func inspectSlot(path string) (peerState, error) {
 	file, err := os.Open(path)
 	if errors.Is(err, fs.ErrNotExist) {
-		return peerState{}, nil // nobody ever sat there
+		return peerState{}, nil // no process has ever held the slot
 	}
 	if err != nil {
 		return peerState{}, err
 	}
-	defer file.Close()
-	switch err := system.LockFile(file, syscall.LOCK_SH); err {
-	case nil:
-		return peerState{}, nil
-	case syscall.EWOULDBLOCK:
-	default:
-		return peerState{}, err
+	defer file.Close() // and with it the lock
+	err = system.LockFile(file, syscall.LOCK_SH)
+	if err == nil {
+		return peerState{}, nil // nobody else holds the lock
+	}
+	if !errors.Is(err, syscall.EWOULDBLOCK) {
+		return peerState{}, fmt.Errorf("lock %s: %w", path, err)
 	}
-	text := make([]byte, len(readyMarker))
-	n, err := file.ReadAt(text, 0)
-	if err != nil && err != io.EOF {
+	content := make([]byte, len(readyMarker))
+	n, err := file.ReadAt(content, 0)
+	if err != nil && !errors.Is(err, io.EOF) {
 		return peerState{}, err
 	}
-	return peerState{alive: true, ready: string(text[:n]) == readyMarker}, nil
+	return peerState{alive: true, ready: string(content[:n]) == readyMarker}, nil
 }
 
-// Release gives the place up, as the end of the process would.
+// Release gives the slot up, as the end of the process does. The slot is not used afterwards.
 func (s *Slot) Release() { s.file.Close() }
