--- a/internal/downstream/listener_test.go
+++ b/internal/downstream/listener_test.go
@@ -17,9 +17,9 @@
 	"oakproxy/internal/system"
 )
 
-// The errors that accept(2) documents for a moment's trouble end neither the listener of clients nor that of
-// operators: the next connection is accepted.
-func TestAcceptOutlivesItsErrors(t *testing.T) {
+// Accept goes on after the errors that accept(2) documents for a fault of the moment or of one connection, for clients
+// and operators alike: the next connection is accepted.
+func TestAcceptContinuesAfterTransientErrors(t *testing.T) {
 	for _, errno := range []syscall.Errno{syscall.ECONNABORTED, syscall.EINTR, syscall.ENFILE, syscall.EMFILE,
 		syscall.ENOBUFS, syscall.ENOMEM, syscall.EPROTO, syscall.EPERM, syscall.ENETDOWN, syscall.ENOPROTOOPT,
 		syscall.EHOSTDOWN, syscall.ENONET, syscall.EHOSTUNREACH, syscall.EOPNOTSUPP, syscall.ENETUNREACH} {
@@ -29,18 +29,19 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			l := &Listener{Listener: &sidecartest.FaultyListener{Listener: inner, Errors: slices.Repeat([]error{errno}, 5)}, MaxConnections: 4, MaxUsed: 4}
+			faulty := &sidecartest.FaultyListener{Listener: inner, Errors: slices.Repeat([]error{errno}, 5)}
+			l := &Listener{Listener: faulty, MaxConnections: 4, MaxUsed: 4}
 			server := &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {})}
-			ended := make(chan error, 1)
-			go func() { ended <- server.Serve(l) }()
+			served := make(chan error, 1)
+			go func() { served <- server.Serve(l) }()
 			response, err := http.Get("http://" + inner.Addr().String())
 			if err != nil {
 				t.Fatal(err)
 			}
 			response.Body.Close()
 			server.Close()
-			if err := <-ended; !errors.Is(err, http.ErrServerClosed) {
-				t.Errorf("the server ended with %v", err)
+			if err := <-served; !errors.Is(err, http.ErrServerClosed) {
+				t.Errorf("Serve returned %v, want %v", err, http.ErrServerClosed)
 			}
 		})
 	}
@@ -55,9 +56,11 @@
 func (c *brokenConn) Read([]byte) (int, error)        { return 0, c.err }
 func (c *brokenConn) SetReadDeadline(time.Time) error { return nil }
 
-// A connection that breaks as routers and time-outs break it is a reset: after the last byte the request may have run.
-func TestBrokenConnectionsAreResets(t *testing.T) {
-	for _, errno := range []syscall.Errno{syscall.ETIMEDOUT, syscall.EHOSTUNREACH, syscall.ENETUNREACH, syscall.ECONNRESET, syscall.EPIPE} {
+// A connection that breaks in the ways of routers and timeouts counts as closed by its peer: after the last byte the
+// request may have been executed.
+func TestBrokenConnectionCountsAsClosedByPeer(t *testing.T) {
+	for _, errno := range []syscall.Errno{syscall.ETIMEDOUT, syscall.EHOSTUNREACH, syscall.ENETUNREACH, syscall.ECONNRESET,
+		syscall.EPIPE} {
 		t.Run(errno.Error(), func(t *testing.T) {
 			t.Parallel()
 			err := &net.OpError{Op: "read", Net: "tcp", Err: os.NewSyscallError("read", errno)}
@@ -65,81 +68,82 @@
 			var c Conn
 			c.Conn, c.listener = conn, &Listener{}
 			if _, got := c.Read(make([]byte, 1)); !errors.Is(got, errno) {
-				t.Errorf("the read ended with %v", got)
+				t.Errorf("Read returned %v, want %v", got, errno)
 			}
 			if !c.peerClosed {
-				t.Error("the client is not known to have left")
+				t.Error("the connection does not count as closed by its peer")
 			}
 		})
 	}
 }
 
-// door is a listener of clients, and the two sides of what is accepted.
-type door struct {
+// testListener is a Listener on loopback, and opens connections to it.
+type testListener struct {
 	t *testing.T
 	*Listener
 }
 
-func newDoor(t *testing.T, most int) *door {
+func newTestListener(t *testing.T, maxConnections int) *testListener {
+	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	d := &door{t, &Listener{Listener: listener, MaxConnections: most}}
-	t.Cleanup(func() { d.Close() })
-	return d
+	l := &testListener{t, &Listener{Listener: listener, MaxConnections: maxConnections}}
+	t.Cleanup(func() { l.Close() })
+	return l
 }
 
-// pair opens a connection that is accepted.
-func (d *door) pair() (client *net.TCPConn, c *Conn) {
-	d.t.Helper()
-	conn, err := net.Dial("tcp", d.Addr().String())
+// connect opens a connection and accepts it. It returns both sides.
+func (l *testListener) connect() (client *net.TCPConn, c *Conn) {
+	l.t.Helper()
+	conn, err := net.Dial("tcp", l.Addr().String())
 	if err != nil {
-		d.t.Fatal(err)
+		l.t.Fatal(err)
 	}
-	d.t.Cleanup(func() { conn.Close() })
+	l.t.Cleanup(func() { conn.Close() })
 	conn.SetDeadline(time.Now().Add(sidecartest.Patience))
-	got, err := d.Accept()
+	server, err := l.Accept()
 	if err != nil {
-		d.t.Fatal(err)
+		l.t.Fatal(err)
 	}
-	return conn.(*net.TCPConn), got.(*Conn)
+	return conn.(*net.TCPConn), server.(*Conn)
 }
 
-// comes waits until something written by the client can be read.
-func comes(t *testing.T, c *Conn) {
+// awaitReadable waits until something that the client wrote can be read of c.
+func awaitReadable(t *testing.T, c *Conn) {
 	t.Helper()
 	sidecartest.Await(t, "the client's bytes", func() bool { return system.Readable(c.Conn) })
 }
 
-// What a client sends in the instant of a close is not read as a request and takes no
-// answer along: the client reads all of it and an end, and no reset.
-func TestCloseOverUnreadBytes(t *testing.T) {
-	const answer = "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\ndone"
-	for what, sent := range map[string]string{
+// What a client sends while its connection is being closed is not read as a request and does not destroy the response:
+// the client reads the complete response and the end of the connection, and no reset.
+func TestCloseOverUnreadBytesKeepsResponse(t *testing.T) {
+	const response = "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\ndone"
+	for name, sent := range map[string]string{
 		"half a line":        "GET /re",
-		"a whole request":    sidecartest.ReadHead + "X-Correlation-Id: 2\r\n\r\n",
+		"a complete request": sidecartest.ReadHead + "X-Correlation-Id: 2\r\n\r\n",
 		"more than a buffer": strings.Repeat("x", 100<<10),
 	} {
-		t.Run(what, func(t *testing.T) {
-			d := newDoor(t, 2)
-			client, c := d.pair()
+		t.Run(name, func(t *testing.T) {
+			l := newTestListener(t, 2)
+			client, c := l.connect()
 			c.BeginRequest()
 			io.WriteString(client, sent)
-			comes(t, c)
-			io.WriteString(c, answer)
-			reads := &readCounter{TCPConn: c.Conn.(*net.TCPConn)}
-			c.Conn = reads
+			awaitReadable(t, c)
+			io.WriteString(c, response)
+			counter := &readCounter{TCPConn: c.Conn.(*net.TCPConn)}
+			c.Conn = counter
 			c.Close()
-			if got, err := io.ReadAll(client); err != nil || string(got) != answer {
+			if got, err := io.ReadAll(client); err != nil || string(got) != response {
 				t.Errorf("the client read %q, %v", got, err)
 			}
 			if _, err := c.Read(make([]byte, 1)); err == nil {
 				t.Error("something was read after the close")
 			}
 			client.Close()
-			sidecartest.Await(t, "the end of the connection", func() bool { return d.Count() == 0 })
-			if n := reads.bytes.Load(); n > 0 {
+			sidecartest.Await(t, "the release of the connection", func() bool { return l.Count() == 0 })
+			if n := counter.bytes.Load(); n > 0 {
 				t.Errorf("%d bytes that crossed the close were read", n)
 			}
 		})
@@ -158,70 +162,70 @@
 	return n, err
 }
 
-// A connection that is half-closed makes room ahead of all others.
-func TestHalfClosedMakesRoom(t *testing.T) {
-	d := newDoor(t, 2)
-	_, idle := d.pair()
-	_, old := d.pair()
-	old.Close()
-	d.pair()
-	if idle.released || !old.released {
-		t.Errorf("the idle one gone: %v, the half-closed one: %v", idle.released, old.released)
+// A half-closed connection is evicted before all others.
+func TestHalfClosedConnectionIsEvictedFirst(t *testing.T) {
+	l := newTestListener(t, 2)
+	_, idle := l.connect()
+	_, halfClosed := l.connect()
+	halfClosed.Close()
+	l.connect()
+	if idle.released || !halfClosed.released {
+		t.Errorf("released: the idle one %v, the half-closed one %v", idle.released, halfClosed.released)
 	}
 }
 
-// What holds a request, or a part of one that nobody has looked at yet, does not make room
-// for a new connection; where nothing does, the new one is told so.
-func TestRequestsDoNotMakeRoom(t *testing.T) {
-	d := newDoor(t, 3)
-	client, first := d.pair()
+// A connection that carries a request, or a part of one that has not been read yet, is not evicted for a new one; where
+// all do, the new one is rejected.
+func TestConnectionWithRequestIsNotEvicted(t *testing.T) {
+	l := newTestListener(t, 3)
+	client, first := l.connect()
 	io.WriteString(client, sidecartest.ReadHead+"\r\n")
-	comes(t, first)
-	_, idle := d.pair()
-	client, read := d.pair()
+	awaitReadable(t, first)
+	_, idle := l.connect()
+	client, read := l.connect()
 	io.WriteString(client, sidecartest.ReadHead+"\r\n")
-	comes(t, read)
-	if _, err := read.Read(make([]byte, 1<<10)); err != nil { // whole, and its handler is on the way
+	awaitReadable(t, read)
+	if _, err := read.Read(make([]byte, 1<<10)); err != nil { // complete, and its handler is about to start
 		t.Fatal(err)
 	}
-	_, another := d.pair()
+	_, another := l.connect()
 	if first.released || !idle.released || read.released {
-		t.Fatalf("gone: the unread %v, the idle %v, the read %v", first.released, idle.released, read.released)
+		t.Fatalf("released: the unread %v, the idle %v, the read %v", first.released, idle.released, read.released)
 	}
 	if !read.BeginRequest() {
-		t.Error("a request that was read whole is not taken")
+		t.Error("a request that was read completely is not served")
 	}
 	another.BeginRequest()
-	ended := make(chan string)
+	received := make(chan string)
 	go func() {
-		conn, err := net.Dial("tcp", d.Addr().String())
+		conn, err := net.Dial("tcp", l.Addr().String())
 		if err != nil {
-			ended <- err.Error()
+			received <- err.Error()
 			return
 		}
 		defer conn.Close()
 		conn.SetDeadline(time.Now().Add(sidecartest.Patience))
 		got, _ := io.ReadAll(conn)
-		ended <- string(got)
+		received <- string(got)
 	}()
-	go d.Accept()
-	if got := <-ended; got != rejectionResponse {
-		t.Errorf("one more read %q", got)
+	go l.Accept()
+	if got := <-received; got != rejectionResponse {
+		t.Errorf("the client beyond the limit read %q, want %q", got, rejectionResponse)
 	}
-	if n := d.Count(); n > d.MaxConnections+MaxRejected {
-		t.Errorf("%d connections, limit %d", n, d.MaxConnections)
+	if n := l.Count(); n > l.MaxConnections+MaxRejected {
+		t.Errorf("%d connections, limit %d", n, l.MaxConnections)
 	}
 }
 
-// A connection that is to end for its silence is spared by what comes in that instant, and
-// so is the request that is taken from it.
-func TestBytesInTheInstantOfAnExpiry(t *testing.T) {
-	d := newDoor(t, 2)
-	client, c := d.pair()
+// The expiry of an idle connection is cancelled by bytes that come while it is being set, and stays cancelled while the
+// request is served.
+func TestBytesDuringExpiryCancelIt(t *testing.T) {
+	l := newTestListener(t, 2)
+	client, c := l.connect()
 	io.WriteString(client, sidecartest.ReadHead+"\r\n")
-	comes(t, c)
+	awaitReadable(t, c)
 	c.mu.Lock()
-	c.expiring = true // as by a sweep between the system's read and the look at what it read
+	c.expiring = true // as CloseIdle does, between the system call of a read and its record
 	c.mu.Unlock()
 	if n, err := c.Read(make([]byte, 1<<10)); n == 0 || err != nil {
 		t.Fatalf("%d bytes, %v", n, err)
@@ -231,48 +235,47 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.expiring {
-		t.Error("net/http's look for the client's end would find the connection expired")
+		t.Error("the connection is still expiring: the read with which net/http watches the client would end it")
 	}
 }
 
-// Where net/http has read the last that it looks at before the request is taken, the
-// client's end is found behind that all the same.
-func TestTakeLooksBehindWhatWasRead(t *testing.T) {
-	client, c := newDoor(t, 1).pair()
+// The client's end is noticed behind pipelined bytes that net/http has read before the handler awaits the response.
+func TestDisconnectIsNoticedBehindPipelinedBytes(t *testing.T) {
+	client, c := newTestListener(t, 1).connect()
 	io.WriteString(client, sidecartest.ReadHead+"\r\nx")
-	comes(t, c)
+	awaitReadable(t, c)
 	if _, err := c.Read(make([]byte, 1<<10)); err != nil {
 		t.Fatal(err)
 	}
 	c.BeginRequest()
-	left := c.AwaitResponse(c.RequestRead(0))
+	disconnected := c.AwaitResponse(c.RequestRead(0))
 	client.Close()
 	select {
-	case <-left:
+	case <-disconnected:
 	case <-time.After(sidecartest.Patience):
-		t.Error("that the client has left is not noticed")
+		t.Error("the end of the client is not noticed")
 	}
 	if !c.BeginResponse() {
-		t.Error("the connection would serve on")
+		t.Error("BeginResponse does not report what came behind the request")
 	}
 }
 
-// Where every connection has a request open, one more is told so and closed.
-func TestNoRoomForAConnection(t *testing.T) {
+// Where every connection has a request open, a new one gets a 503 and is closed.
+func TestConnectionBeyondLimitIsRejected(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	l := &Listener{Listener: listener, MaxConnections: 1}
 	defer l.Close()
-	accepted := make(chan *Conn, 2)
+	conns := make(chan *Conn, 2)
 	go func() {
 		for {
 			c, err := l.Accept()
 			if err != nil {
 				return
 			}
-			accepted <- c.(*Conn)
+			conns <- c.(*Conn)
 		}
 	}()
 	dial := func() net.Conn {
@@ -284,9 +287,9 @@
 		return conn
 	}
 	defer dial().Close()
-	c := <-accepted
+	c := <-conns
 	if !c.BeginRequest() {
-		t.Fatal("the first connection is gone")
+		t.Fatal("the first connection is released")
 	}
 	second := dial()
 	defer second.Close()
@@ -295,9 +298,9 @@
 	}
 	c.EndRequest()
 	defer dial().Close()
-	<-accepted
+	<-conns
 	if c.BeginRequest() {
-		t.Error("the first connection takes requests after making room")
+		t.Error("the first connection serves requests after its eviction")
 	}
 	c.Close()
 	if n := l.Count(); n != 1 {
@@ -305,35 +308,17 @@
 	}
 }
 
-// A request that crosses the end of its idle connection is read; the connection
-// ends where nothing has come.
-func TestRequestThatCrossesTheEndIsTaken(t *testing.T) {
-	listener, err := net.Listen("tcp", "127.0.0.1:0")
-	if err != nil {
-		t.Fatal(err)
-	}
-	l := &Listener{Listener: listener, MaxConnections: 4}
-	defer l.Close()
-	pair := func() (net.Conn, *Conn) {
-		client, err := net.Dial("tcp", listener.Addr().String())
-		if err != nil {
-			t.Fatal(err)
-		}
-		t.Cleanup(func() { client.Close() })
-		c, err := l.Accept()
-		if err != nil {
-			t.Fatal(err)
-		}
-		return client, c.(*Conn)
-	}
+// A request that crosses the expiry of its idle connection is read; the connection ends where nothing has come.
+func TestRequestThatCrossesExpiryIsRead(t *testing.T) {
+	l := newTestListener(t, 4)
 	read := func(c *Conn) (string, error) {
 		p := make([]byte, 100)
 		n, err := c.Read(p)
 		return string(p[:n]), err
 	}
-	client, c := pair()
+	client, c := l.connect()
 	io.WriteString(client, "GET")
-	sidecartest.Await(t, "the bytes", func() bool { return system.Readable(c.Conn) })
+	awaitReadable(t, c)
 	l.CloseIdle(0, 0)
 	if got, err := read(c); got != "GET" || err != nil {
 		t.Errorf("read %q, %v", got, err)
@@ -341,21 +326,21 @@
 	l.CloseIdle(0, 0) // half a request has come
 	io.WriteString(client, " /")
 	if got, err := read(c); got != " /" || err != nil {
-		t.Errorf("the rest: read %q, %v", got, err)
+		t.Errorf("the remainder: read %q, %v", got, err)
 	}
-	_, c = pair()
+	_, c = l.connect()
 	l.CloseIdle(0, time.Hour)
 	if c.expiring {
-		t.Error("a new connection ends before its time")
+		t.Error("an unused connection expires before its time")
 	}
 	l.CloseIdle(time.Hour, 0)
 	if got, err := read(c); got != "" || !errors.Is(err, os.ErrDeadlineExceeded) {
 		t.Errorf("with nothing there: read %q, %v", got, err)
 	}
 	// net/http wakes its own read in the same way, and must have it back.
-	client, c = pair()
+	client, c = l.connect()
 	io.WriteString(client, "GET")
-	sidecartest.Await(t, "the bytes", func() bool { return system.Readable(c.Conn) })
+	awaitReadable(t, c)
 	l.CloseIdle(0, 0)
 	c.SetReadDeadline(time.Unix(1, 0))
 	if got, err := read(c); got != "" || !errors.Is(err, os.ErrDeadlineExceeded) {
@@ -363,60 +348,42 @@
 	}
 }
 
-// Beyond the limit it is silence that makes room: a client that writes slowly goes
-// on, though it came before the others.
-func TestSlowClientOutlastsSilentOnes(t *testing.T) {
-	listener, err := net.Listen("tcp", "127.0.0.1:0")
-	if err != nil {
-		t.Fatal(err)
-	}
-	l := &Listener{Listener: listener, MaxConnections: 3}
-	defer l.Close()
-	pair := func() (net.Conn, net.Conn) {
-		client, err := net.Dial("tcp", listener.Addr().String())
-		if err != nil {
-			t.Fatal(err)
-		}
-		t.Cleanup(func() { client.Close() })
-		client.SetDeadline(time.Now().Add(sidecartest.Patience))
-		c, err := l.Accept()
-		if err != nil {
-			t.Fatal(err)
-		}
-		return client, c
-	}
+// Beyond the limit the connection that has been silent for longest is evicted: that of a client that writes slowly goes
+// on, though it was accepted before the others.
+func TestSilentConnectionsAreEvictedBeforeSlowOnes(t *testing.T) {
+	l := newTestListener(t, 3)
 	write := func(client, c net.Conn) error {
 		io.WriteString(client, "GET")
 		_, err := c.Read(make([]byte, 3))
 		return err
 	}
-	slow, c := pair()
-	half, h := pair()
-	silent, _ := pair()
+	slow, c := l.connect()
+	half, h := l.connect()
+	silent, _ := l.connect()
 	if err := write(half, h); err != nil {
 		t.Fatal(err)
 	}
-	for i, goes := range []net.Conn{silent, half} {
+	for i, evicted := range []net.Conn{silent, half} {
 		if err := write(slow, c); err != nil {
 			t.Fatalf("the slow client, piece %d: %v", i, err)
 		}
-		pair()
-		if _, err := goes.Read(make([]byte, 1)); err == nil || errors.Is(err, os.ErrDeadlineExceeded) {
-			t.Errorf("connection %d that should make room: %v", i, err)
+		l.connect()
+		if _, err := evicted.Read(make([]byte, 1)); err == nil || errors.Is(err, os.ErrDeadlineExceeded) {
+			t.Errorf("connection %d, which should be evicted: its client read %v", i, err)
 		}
 	}
 }
 
-// A body may not be larger than the limit.
-func TestBodyOverTheLimitIsAnError(t *testing.T) {
-	p := &Body{conn: &Conn{Conn: quiet{}}, body: strings.NewReader("123456"), allowance: time.Hour, remainingBytes: 5}
-	var b *RequestError
-	if _, err := io.ReadAll(p); !errors.As(err, &b) || b.StatusCode != http.StatusRequestEntityTooLarge {
-		t.Errorf("a body beyond the limit: %v", err)
+// A body that exceeds the limit is an error with status 413.
+func TestBodyOverLimitIsError(t *testing.T) {
+	b := &Body{conn: &Conn{Conn: withoutDeadlines{}}, body: strings.NewReader("123456"), allowance: time.Hour, remainingBytes: 5}
+	var requestError *RequestError
+	if _, err := io.ReadAll(b); !errors.As(err, &requestError) || requestError.StatusCode != http.StatusRequestEntityTooLarge {
+		t.Errorf("a body beyond the limit: %v, want a *RequestError with status 413", err)
 	}
 }
 
-// quiet is a connection that has no deadlines.
-type quiet struct{ net.Conn }
+// withoutDeadlines is a connection that has no deadlines.
+type withoutDeadlines struct{ net.Conn }
 
-func (quiet) SetReadDeadline(time.Time) error { return nil }
+func (withoutDeadlines) SetReadDeadline(time.Time) error { return nil }
