--- /dev/null
+++ b/internal/downstream/body_test.go
@@ -0,0 +1,23 @@
+package downstream
+
+import (
+	"errors"
+	"io"
+	"net"
+	"net/http"
+	"strings"
+	"testing"
+	"time"
+)
+
+func TestBodyOverLimitIsError(t *testing.T) {
+	b := &Body{conn: &Conn{Conn: withoutDeadlines{}}, body: strings.NewReader("123456"), allowance: time.Hour, remainingBytes: 5}
+	var requestError *RequestError
+	if _, err := io.ReadAll(b); !errors.As(err, &requestError) || requestError.StatusCode != http.StatusRequestEntityTooLarge {
+		t.Errorf("a body beyond the limit: %v, want a *RequestError with status 413", err)
+	}
+}
+
+type withoutDeadlines struct{ net.Conn }
+
+func (withoutDeadlines) SetReadDeadline(time.Time) error { return nil }
