--- a/internal/downstream/body_test.go
+++ b/internal/downstream/body_test.go
@@ -10,6 +10,7 @@
 	"time"
 )
 
+// A body that exceeds the limit is an error with status 413.
 func TestBodyOverLimitIsError(t *testing.T) {
 	b := &Body{conn: &Conn{Conn: withoutDeadlines{}}, body: strings.NewReader("123456"), allowance: time.Hour, remainingBytes: 5}
 	var requestError *RequestError
@@ -18,6 +19,7 @@
 	}
 }
 
+// withoutDeadlines is a connection that has no deadlines.
 type withoutDeadlines struct{ net.Conn }
 
 func (withoutDeadlines) SetReadDeadline(time.Time) error { return nil }
--- a/internal/downstream/conn_test.go
+++ b/internal/downstream/conn_test.go
@@ -15,15 +15,17 @@
 	"oakproxy/internal/system"
 )
 
+// brokenConn is a connection whose reads fail.
 type brokenConn struct {
 	net.Conn
 	err error
 }
 
-func (c *brokenConn) Read([]byte) (int, error) { return 0, c.err }
-
+func (c *brokenConn) Read([]byte) (int, error)        { return 0, c.err }
 func (c *brokenConn) SetReadDeadline(time.Time) error { return nil }
 
+// A connection that breaks in the ways of routers and timeouts counts as closed by its peer: after the last byte the
+// request may have been executed.
 func TestBrokenConnectionCountsAsClosedByPeer(t *testing.T) {
 	for _, errno := range []syscall.Errno{syscall.ETIMEDOUT, syscall.EHOSTUNREACH, syscall.ENETUNREACH, syscall.ECONNRESET,
 		syscall.EPIPE} {
@@ -43,11 +45,14 @@
 	}
 }
 
+// awaitReadable waits until something that the client wrote can be read of c.
 func awaitReadable(t *testing.T, c *Conn) {
 	t.Helper()
 	sidecartest.Await(t, "the client's bytes", func() bool { return system.Readable(c.Conn) })
 }
 
+// What a client sends while its connection is being closed is not read as a request and does not destroy the response:
+// the client reads the complete response and the end of the connection, and no reset.
 func TestCloseOverUnreadBytesKeepsResponse(t *testing.T) {
 	const response = "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\ndone"
 	for name, sent := range map[string]string{
@@ -80,6 +85,7 @@
 	}
 }
 
+// readCounter counts the bytes that are read of a connection.
 type readCounter struct {
 	*net.TCPConn
 	bytes atomic.Int64
@@ -91,6 +97,8 @@
 	return n, err
 }
 
+// The expiry of an idle connection is cancelled by bytes that come while it is being set, and stays cancelled while the
+// request is served.
 func TestBytesDuringExpiryCancelIt(t *testing.T) {
 	l := newTestListener(t, 2)
 	client, c := l.connect()
@@ -111,6 +119,7 @@
 	}
 }
 
+// The client's end is noticed behind pipelined bytes that net/http has read before the handler awaits the response.
 func TestDisconnectIsNoticedBehindPipelinedBytes(t *testing.T) {
 	client, c := newTestListener(t, 1).connect()
 	io.WriteString(client, sidecartest.ReadHead+"\r\nx")
@@ -131,6 +140,7 @@
 	}
 }
 
+// A request that crosses the expiry of its idle connection is read; the connection ends where nothing has come.
 func TestRequestThatCrossesExpiryIsRead(t *testing.T) {
 	l := newTestListener(t, 4)
 	read := func(c *Conn) (string, error) {
--- a/internal/downstream/listener_test.go
+++ b/internal/downstream/listener_test.go
@@ -15,9 +15,7 @@
 )
 
 // Accept goes on after the errors that accept(2) documents for a fault of the moment or of one connection, for clients
-
 // and operators alike: the next connection is accepted.
-
 func TestAcceptContinuesAfterTransientErrors(t *testing.T) {
 	for _, errno := range []syscall.Errno{syscall.ECONNABORTED, syscall.EINTR, syscall.ENFILE, syscall.EMFILE,
 		syscall.ENOBUFS, syscall.ENOMEM, syscall.EPROTO, syscall.EPERM, syscall.ENETDOWN, syscall.ENOPROTOOPT,
@@ -46,14 +44,7 @@
 	}
 }
 
-// brokenConn is a connection whose reads fail.
-
-// A connection that breaks in the ways of routers and timeouts counts as closed by its peer: after the last byte the
-
-// request may have been executed.
-
 // testListener is a Listener on loopback, and opens connections to it.
-
 type testListener struct {
 	t *testing.T
 	*Listener
@@ -71,7 +62,6 @@
 }
 
 // connect opens a connection and accepts it. It returns both sides.
-
 func (l *testListener) connect() (client *net.TCPConn, c *Conn) {
 	l.t.Helper()
 	conn, err := net.Dial("tcp", l.Addr().String())
@@ -87,16 +77,7 @@
 	return conn.(*net.TCPConn), server.(*Conn)
 }
 
-// awaitReadable waits until something that the client wrote can be read of c.
-
-// What a client sends while its connection is being closed is not read as a request and does not destroy the response:
-
-// the client reads the complete response and the end of the connection, and no reset.
-
-// readCounter counts the bytes that are read of a connection.
-
 // A half-closed connection is evicted before all others.
-
 func TestHalfClosedConnectionIsEvictedFirst(t *testing.T) {
 	l := newTestListener(t, 2)
 	_, idle := l.connect()
@@ -109,9 +90,7 @@
 }
 
 // A connection that carries a request, or a part of one that has not been read yet, is not evicted for a new one; where
-
 // all do, the new one is rejected.
-
 func TestConnectionWithRequestIsNotEvicted(t *testing.T) {
 	l := newTestListener(t, 3)
 	client, first := l.connect()
@@ -153,14 +132,7 @@
 	}
 }
 
-// The expiry of an idle connection is cancelled by bytes that come while it is being set, and stays cancelled while the
-
-// request is served.
-
-// The client's end is noticed behind pipelined bytes that net/http has read before the handler awaits the response.
-
 // Where every connection has a request open, a new one gets a 503 and is closed.
-
 func TestConnectionBeyondLimitIsRejected(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -208,12 +180,8 @@
 	}
 }
 
-// A request that crosses the expiry of its idle connection is read; the connection ends where nothing has come.
-
 // Beyond the limit the connection that has been silent for longest is evicted: that of a client that writes slowly goes
-
 // on, though it was accepted before the others.
-
 func TestSilentConnectionsAreEvictedBeforeSlowOnes(t *testing.T) {
 	l := newTestListener(t, 3)
 	write := func(client, c net.Conn) error {
@@ -237,7 +205,3 @@
 		}
 	}
 }
-
-// A body that exceeds the limit is an error with status 413.
-
-// withoutDeadlines is a connection that has no deadlines.
