--- a/internal/downstream/conn.go
+++ b/internal/downstream/conn.go
@@ -27,11 +27,10 @@
 	Requests int
 
 	// Guarded by listener.mu.
-	waitingElement *list.Element // in listener.waiting; nil while a request is open or the connection closes
-	closingElement *list.Element // in listener.closing; nil unless the connection is half-closed
-	lastActivity   time.Time     // of the latest bytes, the accept, or the end of the latest request
-	used           bool          // a request has come on it
-	released       bool          // it is no longer counted
+	state        connState     // changed by listener.setState alone
+	element      *list.Element // in listener.waiting or listener.closing, as state says; nil in other states
+	lastActivity time.Time     // of the latest bytes, the accept, or the end of the latest request
+	used         bool          // a request has come on it
 
 	mu sync.Mutex // guards what follows
 
@@ -43,17 +42,12 @@
 	pipelined        bool                // something came behind that request, which is not served
 	disconnected     chan struct{}       // closed when the client ends its side behind pipelined bytes; nil before
 
-	// The read deadline, which expiry moves for a moment.
-	readDeadline time.Time // as net/http has set it
-	expiring     bool      // the connection ends unless something has come: the read that waits decides
-	idleExpired  bool      // it was decided to end
-
-	// The end of the connection.
-	evicted       bool // it was closed for another connection: nothing more is read
-	closed        bool // Close was called: nothing more is read
-	peerClosed    bool // the client has ended its side, or the connection is broken
-	resetOnClose  bool // it ends in a reset
-	rejectPartial bool // a request that came in part is answered by a rejection when the connection closes
+	// Whether the connection may be read, and how it ends.
+	phase         readPhase // changed by setPhase alone
+	readDeadline  time.Time // as net/http has set it; an expiry moves that of the socket for a moment
+	peerClosed    bool      // the client has ended its side, or the connection is broken
+	resetOnClose  bool      // it ends in a reset
+	rejectPartial bool      // a request that came in part is answered by a rejection when the connection closes
 }
 
 // newConn returns a connection that was accepted now.
@@ -64,7 +58,10 @@
 
 // Read reads what the client sends. It returns net.ErrClosed once the connection's end is decided.
 func (c *Conn) Read(p []byte) (int, error) {
-	if c.endDecided() {
+	c.mu.Lock()
+	endDecided := c.phase.endDecided()
+	c.mu.Unlock()
+	if endDecided {
 		return 0, net.ErrClosed
 	}
 	n, err := c.Conn.Read(p)
@@ -78,19 +75,12 @@
 	return n, err
 }
 
-// endDecided reports whether the connection was evicted or closed.
-func (c *Conn) endDecided() bool {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	return c.evicted || c.closed
-}
-
 // recordRead notes what a read returned, and returns what its caller may see of it: nothing, where the connection's end
 // was decided meanwhile.
 func (c *Conn) recordRead(data []byte, err error) (int, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.evicted || c.closed {
+	if c.phase.endDecided() {
 		data, err = nil, net.ErrClosed
 	}
 	if c.requestStart.IsZero() {
@@ -98,8 +88,8 @@
 	}
 	c.responseWritten = c.responseWritten && c.head.Size > 0
 	c.head.Scan(data)
-	if len(data) > 0 && c.expiring { // the data came while the expiry was being set
-		c.expiring = false
+	if len(data) > 0 && c.phase == phaseExpiring { // the data came while the expiry was being set
+		c.setPhase(phaseOpen)
 		c.Conn.SetReadDeadline(c.readDeadline)
 	}
 	if len(data) > 0 && c.awaitingResponse {
@@ -147,11 +137,9 @@
 func (c *Conn) BeginRequest() bool {
 	c.listener.mu.Lock()
 	defer c.listener.mu.Unlock()
-	if c.released || c.waitingElement == nil {
+	if !c.listener.setState(c, stateServing) {
 		return false
 	}
-	c.listener.waiting.Remove(c.waitingElement)
-	c.waitingElement = nil
 	c.Requests++
 	if !c.used {
 		c.used = true
@@ -171,14 +159,12 @@
 	return alone
 }
 
-// EndRequest marks that the request has its complete response: the connection waits for the next request.
+// EndRequest marks that the request has its complete response: the connection waits for the next request. It does nothing
+// where no request is open.
 func (c *Conn) EndRequest() {
 	c.listener.mu.Lock()
 	defer c.listener.mu.Unlock()
-	if !c.released && c.waitingElement == nil && c.closingElement == nil {
-		c.lastActivity = time.Now()
-		c.waitingElement = c.listener.waiting.PushBack(c)
-	}
+	c.listener.setState(c, stateWaiting)
 }
 
 // AmbiguousLength reports whether the request's head states the length of its body in two ways. net/http hides this, and
--- a/internal/downstream/conn_close.go
+++ b/internal/downstream/conn_close.go
@@ -35,7 +35,7 @@
 // currentCloseReason returns why net/http closes the connection now.
 func (c *Conn) currentCloseReason() closeReason {
 	c.listener.mu.Lock()
-	waiting := c.waitingElement != nil
+	waiting := c.state == stateWaiting
 	c.listener.mu.Unlock()
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -44,7 +44,7 @@
 		return closedTruncated
 	case c.peerClosed:
 		return closedByClient
-	case c.idleExpired:
+	case c.phase == phaseExpired:
 		return closedDraining
 	case waiting:
 		return closedIdle
@@ -55,13 +55,12 @@
 // closeWithReason closes the connection and counts why. Calls after the first do nothing.
 func (c *Conn) closeWithReason(reason closeReason) {
 	c.mu.Lock()
-	again := c.closed
-	evicted := c.evicted // and counted as such
-	atOnce := c.resetOnClose || c.peerClosed || c.evicted
+	evicted := c.phase == phaseEvicted // and counted as such
+	atOnce := c.resetOnClose || c.peerClosed || evicted
 	partial := c.rejectPartial && c.head.Size > 0 && c.head.HeadSize == 0 && !c.responseWritten
-	c.closed = true
+	first := c.setPhase(phaseClosed)
 	c.mu.Unlock()
-	if again {
+	if !first {
 		return
 	}
 	if !evicted {
@@ -86,31 +85,11 @@
 // releaseAndClose ends the counting of the connection and gives its descriptor back.
 func (c *Conn) releaseAndClose() {
 	c.listener.mu.Lock()
-	c.release()
+	c.listener.setState(c, stateReleased)
 	c.listener.mu.Unlock()
 	c.Conn.Close()
 }
 
-// release ends the counting of the connection. Calls after the first do nothing. The caller holds listener.mu.
-func (c *Conn) release() {
-	if c.released {
-		return
-	}
-	c.released = true
-	c.listener.open--
-	if c.used {
-		c.listener.used--
-	}
-	if c.waitingElement != nil {
-		c.listener.waiting.Remove(c.waitingElement)
-		c.waitingElement = nil
-	}
-	if c.closingElement != nil {
-		c.listener.closing.Remove(c.closingElement)
-		c.closingElement = nil
-	}
-}
-
 // ResetOnClose has the connection end in a reset. A client that only learns from the end of the connection where its
 // response ends then does not take a truncated one for complete.
 func (c *Conn) ResetOnClose() {
@@ -131,7 +110,7 @@
 	if c.head.HeadSize > 0 || system.Readable(c.Conn) {
 		return false
 	}
-	c.evicted = true
+	c.setPhase(phaseEvicted) // unless Close was called already
 	return true
 }
 
@@ -140,8 +119,7 @@
 func (c *Conn) expireIfIdle() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.head.Size == 0 {
-		c.expiring = true
+	if c.head.Size == 0 && c.setPhase(phaseExpiring) {
 		c.Conn.SetReadDeadline(wakeReads)
 	}
 }
@@ -151,16 +129,16 @@
 func (c *Conn) cancelExpiry() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if !c.expiring {
-		return false // the deadline was net/http's own
+	if c.phase != phaseExpiring {
+		return false // the deadline was net/http's own, or the end of the connection is decided
 	}
-	c.expiring = false
 	nothingCame := c.head.Size == 0 && !system.Readable(c.Conn)
 	pastDeadline := !c.readDeadline.IsZero() && !time.Now().Before(c.readDeadline)
 	if nothingCame || pastDeadline {
-		c.idleExpired = true
+		c.setPhase(phaseExpired)
 		return false
 	}
+	c.setPhase(phaseOpen)
 	c.Conn.SetReadDeadline(c.readDeadline)
 	return true
 }
--- a/internal/downstream/conn_test.go
+++ b/internal/downstream/conn_test.go
@@ -105,7 +105,7 @@
 	io.WriteString(client, sidecartest.ReadHead+"\r\n")
 	awaitReadable(t, c)
 	c.mu.Lock()
-	c.expiring = true // as CloseIdle does, between the system call of a read and its record
+	c.setPhase(phaseExpiring) // as CloseIdle does, between the system call of a read and its record
 	c.mu.Unlock()
 	if n, err := c.Read(make([]byte, 1<<10)); n == 0 || err != nil {
 		t.Fatalf("%d bytes, %v", n, err)
@@ -114,7 +114,7 @@
 	c.RequestRead(0)
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.expiring {
+	if c.phase == phaseExpiring {
 		t.Error("the connection is still expiring: the read with which net/http watches the client would end it")
 	}
 }
@@ -162,7 +162,7 @@
 	}
 	_, c = l.connect()
 	l.CloseIdle(0, time.Hour)
-	if c.expiring {
+	if c.phase == phaseExpiring {
 		t.Error("an unused connection expires before its time")
 	}
 	l.CloseIdle(time.Hour, 0)
--- a/internal/downstream/listener.go
+++ b/internal/downstream/listener.go
@@ -36,8 +36,8 @@
 	mu                 sync.Mutex // guards what follows, and fields of Conn; taken before Conn.mu
 	open               int        // connections that are counted
 	used               int        // of those, the ones on which a request has come
-	waiting            list.List  // of *Conn with no complete request; the one without a byte for longest is first
-	closing            list.List  // of *Conn that are half-closed until their client ends its side; the oldest is first
+	waiting            list.List  // of *Conn in stateWaiting; the one without a byte for longest is first
+	closing            list.List  // of *Conn in stateClosing; the oldest is first
 	closeCounts        CloseCounts
 	acceptErrors       uint64
 	lastAcceptErrorLog time.Time
@@ -92,12 +92,11 @@
 		return dropped
 	}
 	withinLimit := l.open < l.MaxConnections
-	l.open++
-	c.lastActivity = time.Now()
 	if !withinLimit {
+		l.setState(c, stateRejecting)
 		return rejected
 	}
-	c.waitingElement = l.waiting.PushBack(c)
+	l.setState(c, stateWaiting)
 	return accepted
 }
 
@@ -105,14 +104,14 @@
 func (l *Listener) evictOne() bool {
 	if e := l.closing.Front(); e != nil {
 		c := e.Value.(*Conn)
-		c.release()
+		l.setState(c, stateReleased)
 		c.Conn.Close()
 		return true
 	}
 	for e := l.waiting.Front(); e != nil; e = e.Next() {
 		if c := e.Value.(*Conn); c.tryEvict() {
 			l.closeCounts[closedEvicted]++
-			c.release()
+			l.setState(c, stateReleased)
 			c.Conn.Close()
 			return true
 		}
@@ -124,15 +123,7 @@
 func (l *Listener) beginClosing(c *Conn) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if c.released {
-		return false
-	}
-	if c.waitingElement != nil {
-		l.waiting.Remove(c.waitingElement)
-		c.waitingElement = nil
-	}
-	c.closingElement = l.closing.PushBack(c)
-	return true
+	return l.setState(c, stateClosing)
 }
 
 // SetLimits sets MaxConnections and MaxUsed, and expires as many silent connections as there are beyond the new limit.
@@ -220,9 +211,9 @@
 func (l *Listener) recordActivity(c *Conn) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if c.waitingElement != nil {
+	if c.state == stateWaiting {
 		c.lastActivity = time.Now()
-		l.waiting.MoveToBack(c.waitingElement)
+		l.waiting.MoveToBack(c.element)
 	}
 }
 
--- a/internal/downstream/listener_test.go
+++ b/internal/downstream/listener_test.go
@@ -61,6 +61,13 @@
 	return l
 }
 
+// released reports whether a connection is not counted any more.
+func (l *testListener) released(c *Conn) bool {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	return c.state == stateReleased
+}
+
 // connect opens a connection and accepts it. It returns both sides.
 func (l *testListener) connect() (client *net.TCPConn, c *Conn) {
 	l.t.Helper()
@@ -84,8 +91,8 @@
 	_, halfClosed := l.connect()
 	halfClosed.Close()
 	l.connect()
-	if idle.released || !halfClosed.released {
-		t.Errorf("released: the idle one %v, the half-closed one %v", idle.released, halfClosed.released)
+	if l.released(idle) || !l.released(halfClosed) {
+		t.Errorf("released: the idle one %v, the half-closed one %v", l.released(idle), l.released(halfClosed))
 	}
 }
 
@@ -104,8 +111,8 @@
 		t.Fatal(err)
 	}
 	_, another := l.connect()
-	if first.released || !idle.released || read.released {
-		t.Fatalf("released: the unread %v, the idle %v, the read %v", first.released, idle.released, read.released)
+	if l.released(first) || !l.released(idle) || l.released(read) {
+		t.Fatalf("released: the unread %v, the idle %v, the read %v", l.released(first), l.released(idle), l.released(read))
 	}
 	if !read.BeginRequest() {
 		t.Error("a request that was read completely is not served")
