--- a/internal/downstream/body.go
+++ b/internal/downstream/body.go
@@ -20,8 +20,8 @@
 )
 
 // Body reads the body of a client's request within limits on its size and its time. A body has until
-// smallRequestTimeout after its request began. Beyond that it may fall maxBodyLag behind minBodyRate; only the time spent
-// waiting for the client counts. Body is for one goroutine at a time.
+// smallRequestTimeout after its request began. Beyond that it may fall maxBodyLag behind minBodyRate; only the time
+// spent waiting for the client counts. Body is for one goroutine at a time.
 type Body struct {
 	conn           *Conn
 	body           io.Reader
@@ -61,9 +61,9 @@
 	return n, err
 }
 
-// Discard reads and drops the body of a client that has its response and is still writing, until the body ends or a read
-// fails, or for the given time. A connection that is closed with something unread is reset, and the client would find
-// the reset in place of its response.
+// Discard reads and drops the body of a client that has its response and is still writing, until the body ends or a
+// read fails, or for the given time. A connection that is closed with something unread is reset, and the client would
+// find the reset in place of its response.
 func (b *Body) Discard(limit time.Duration) {
 	chunk := httpmsg.ChunkBuffers.Get().(*[httpmsg.ChunkBytes]byte)
 	defer httpmsg.ChunkBuffers.Put(chunk)
--- a/internal/downstream/body_test.go
+++ b/internal/downstream/body_test.go
@@ -12,9 +12,15 @@
 
 // A body that exceeds the limit is an error with status 413.
 func TestBodyOverLimitIsError(t *testing.T) {
-	b := &Body{conn: &Conn{Conn: withoutDeadlines{}}, body: strings.NewReader("123456"), allowance: time.Hour, remainingBytes: 5}
+	b := &Body{
+		conn:           &Conn{Conn: withoutDeadlines{}},
+		body:           strings.NewReader("123456"),
+		allowance:      time.Hour,
+		remainingBytes: 5,
+	}
 	var requestError *RequestError
-	if _, err := io.ReadAll(b); !errors.As(err, &requestError) || requestError.StatusCode != http.StatusRequestEntityTooLarge {
+	_, err := io.ReadAll(b)
+	if !errors.As(err, &requestError) || requestError.StatusCode != http.StatusRequestEntityTooLarge {
 		t.Errorf("a body beyond the limit: %v, want a *RequestError with status 413", err)
 	}
 }
--- a/internal/downstream/conn.go
+++ b/internal/downstream/conn.go
@@ -132,8 +132,8 @@
 	return nil
 }
 
-// BeginRequest marks that a request is open on the connection: from here on it is neither evicted nor expired. It returns
-// false where the connection was evicted or is closed; the request is then not served.
+// BeginRequest marks that a request is open on the connection: from here on it is neither evicted nor expired. It
+// returns false where the connection was evicted or is closed; the request is then not served.
 func (c *Conn) BeginRequest() bool {
 	c.listener.mu.Lock()
 	defer c.listener.mu.Unlock()
@@ -148,9 +148,9 @@
 	return true
 }
 
-// RequestRead marks that a request has been read completely. What is read from here on belongs to the next one. length is
-// the length of the request's body in bytes, -1 where it is unknown. The result says that nothing came behind the
-// request; of a body whose length is unknown this is never said.
+// RequestRead marks that a request has been read completely. What is read from here on belongs to the next one.
+// length is the length of the request's body in bytes, -1 where it is unknown. The result says that nothing came
+// behind the request; of a body whose length is unknown this is never said.
 func (c *Conn) RequestRead(length int64) (alone bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -159,16 +159,16 @@
 	return alone
 }
 
-// EndRequest marks that the request has its complete response: the connection waits for the next request. It does nothing
-// where no request is open.
+// EndRequest marks that the request has its complete response: the connection waits for the next request. It does
+// nothing where no request is open.
 func (c *Conn) EndRequest() {
 	c.listener.mu.Lock()
 	defer c.listener.mu.Unlock()
 	c.listener.setState(c, stateWaiting)
 }
 
-// AmbiguousLength reports whether the request's head states the length of its body in two ways. net/http hides this, and
-// what follows such a head may be a smuggled request.
+// AmbiguousLength reports whether the request's head states the length of its body in two ways. net/http hides this,
+// and what follows such a head may be a smuggled request.
 func (c *Conn) AmbiguousLength() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/downstream/conn_close.go
+++ b/internal/downstream/conn_close.go
@@ -13,18 +13,19 @@
 	closeTimeout = 500 * time.Millisecond
 	// rejectionTimeout is for writing rejectionResponse.
 	rejectionTimeout = 20 * time.Millisecond
-	// rejectionResponse answers a client that has no handler: one beyond the connection limit, or one whose request came
-	// in part before a termination.
-	rejectionResponse = "HTTP/1.1 503 Service Unavailable\r\nConnection: close\r\nRetry-After: 1\r\nContent-Length: 0\r\n\r\n"
+	// rejectionResponse answers a client that has no handler: one beyond the connection limit, or one whose request
+	// came in part before a termination.
+	rejectionResponse = "HTTP/1.1 503 Service Unavailable\r\n" +
+		"Connection: close\r\nRetry-After: 1\r\nContent-Length: 0\r\n\r\n"
 )
 
 // wakeReads is a deadline in the past: it ends a read that waits.
 var wakeReads = time.Unix(1, 0)
 
 // Close ends the connection. It is the one way in which a client's connection ends, but for an eviction. A connection
-// that is closed over something unread is reset, and a response that the client has not read yet is lost with it. So the
-// sidecar ends its own side, waits up to closeTimeout for the client to end its side, and closes then. It reads nothing
-// meanwhile: a request that crosses the close is not served, and its client may send it again.
+// that is closed over something unread is reset, and a response that the client has not read yet is lost with it. So
+// the sidecar ends its own side, waits up to closeTimeout for the client to end its side, and closes then. It reads
+// nothing meanwhile: a request that crosses the close is not served, and its client may send it again.
 //
 // Close does not wait, and always returns nil: a socket that is given up leaves nothing to do when closing it fails.
 func (c *Conn) Close() error {
--- a/internal/downstream/conn_test.go
+++ b/internal/downstream/conn_test.go
@@ -27,8 +27,8 @@
 // A connection that breaks in the ways of routers and timeouts counts as closed by its peer: after the last byte the
 // request may have been executed.
 func TestBrokenConnectionCountsAsClosedByPeer(t *testing.T) {
-	for _, errno := range []syscall.Errno{syscall.ETIMEDOUT, syscall.EHOSTUNREACH, syscall.ENETUNREACH, syscall.ECONNRESET,
-		syscall.EPIPE} {
+	for _, errno := range []syscall.Errno{syscall.ETIMEDOUT, syscall.EHOSTUNREACH, syscall.ENETUNREACH,
+		syscall.ECONNRESET, syscall.EPIPE} {
 		t.Run(errno.Error(), func(t *testing.T) {
 			t.Parallel()
 			err := &net.OpError{Op: "read", Net: "tcp", Err: os.NewSyscallError("read", errno)}
--- a/internal/downstream/listener.go
+++ b/internal/downstream/listener.go
@@ -12,8 +12,8 @@
 	"oakproxy/internal/system"
 )
 
-// MaxRejected is how many connections beyond the limit are held at a time to be told of it. They come out of the
-// descriptors that the sidecar keeps spare.
+// MaxRejected is how many connections beyond the limit may be open at a time while they are rejected. They use
+// descriptors of the sidecar's reserve.
 const MaxRejected = 4
 
 // acceptErrorLogInterval is the least time between two log lines on failed accepts.
@@ -43,11 +43,11 @@
 	lastAcceptErrorLog time.Time
 }
 
-// Accept returns the next connection, a *Conn. Beyond the limit a connection that carries nothing is evicted for it: one
-// that is being closed, or else the one that has been silent for longest, whether idle or half-way through a head, since
-// a slow client goes on writing. Where none carries nothing, the new connection gets a 503 and is closed. Accept goes on
-// after an error of accept(2) that concerns the moment or one connection: net/http would end the service for some of
-// them. It returns only errors after which no other call would do better, such as net.ErrClosed.
+// Accept returns the next connection, a *Conn. Beyond the limit a connection that carries nothing is evicted for it:
+// one that is being closed, or else the one that has been silent for longest, whether idle or half-way through a
+// head, since a slow client goes on writing. Where none carries nothing, the new connection gets a 503 and is closed.
+// Accept goes on after an error of accept(2) that concerns the moment or one connection: net/http would end the
+// service for some of them. It returns only errors after which no other call would do better, such as net.ErrClosed.
 func (l *Listener) Accept() (net.Conn, error) {
 	for {
 		raw, err := l.Listener.Accept()
@@ -78,8 +78,8 @@
 
 const (
 	accepted acceptDecision = iota
-	rejected                // beyond the limit: it is counted while it is told so
-	dropped                 // beyond MaxRejected too: it is closed at once, uncounted
+	rejected                // beyond the limit: it is counted until it has its 503 and is closed
+	dropped                 // beyond MaxRejected too: it is closed at once and never counted as open
 )
 
 // admit counts a new connection and evicts those that have to go for it.
@@ -198,7 +198,8 @@
 	}
 }
 
-// RejectPartial ends the connections on which a request has come in part and no more than that. Their clients get a 503.
+// RejectPartial ends the connections on which a request has come in part and no more than that. Their clients get a
+// 503.
 func (l *Listener) RejectPartial() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/downstream/listener_test.go
+++ b/internal/downstream/listener_test.go
@@ -112,7 +112,8 @@
 	}
 	_, another := l.connect()
 	if l.released(first) || !l.released(idle) || l.released(read) {
-		t.Fatalf("released: the unread %v, the idle %v, the read %v", l.released(first), l.released(idle), l.released(read))
+		t.Fatalf("released: the unread %v, the idle %v, the read %v",
+			l.released(first), l.released(idle), l.released(read))
 	}
 	if !read.BeginRequest() {
 		t.Error("a request that was read completely is not served")
--- a/internal/downstream/pipelining.go
+++ b/internal/downstream/pipelining.go
@@ -30,8 +30,8 @@
 	return c.pipelined
 }
 
-// watchDisconnect marks that something came behind the request, and starts to look for the client's end behind that. Its
-// goroutine ends when the connection is closed, which it is after the response, or sooner. The caller holds c.mu.
+// watchDisconnect marks that something came behind the request, and starts to look for the client's end behind that.
+// Its goroutine ends when the connection is closed, which it is after the response, or sooner. The caller holds c.mu.
 func (c *Conn) watchDisconnect() {
 	if c.pipelined {
 		return
--- a/internal/downstream/relay.go
+++ b/internal/downstream/relay.go
@@ -13,8 +13,9 @@
 // httpmsg.ChunkTimeout, so that a write notices in time that a client no longer reads.
 const sendBufferBytes = 128 << 10
 
-// Relay writes the remainder of a response to w, chunk by chunk as it comes from body. c is the connection under w. Each
-// chunk has httpmsg.ChunkTimeout to be written. An error means that the client has less than the complete response.
+// Relay writes the remainder of a response to w, chunk by chunk as it comes from body. c is the connection under w.
+// Each chunk has httpmsg.ChunkTimeout to be written. An error means that the client has less than the complete
+// response.
 func Relay(w http.ResponseWriter, c *Conn, body io.Reader) error {
 	if err := c.limitSendBuffer(sendBufferBytes); err != nil {
 		return fmt.Errorf("limit the send buffer: %w", err)
--- a/internal/downstream/request_error.go
+++ b/internal/downstream/request_error.go
@@ -27,4 +27,5 @@
 }
 
 // ErrBodyTooLarge is the *RequestError of a request whose body exceeds httpmsg.MaxBodyBytes.
-var ErrBodyTooLarge = NewRequestError(http.StatusRequestEntityTooLarge, "the body is over %d bytes", httpmsg.MaxBodyBytes)
+var ErrBodyTooLarge = NewRequestError(
+	http.StatusRequestEntityTooLarge, "the body is over %d bytes", httpmsg.MaxBodyBytes)
--- a/internal/downstream/state.go
+++ b/internal/downstream/state.go
@@ -9,7 +9,7 @@
 	stateNew       connState = iota // just accepted: not counted
 	stateWaiting                    // no request is open: the connection is idle, or its next request is being read
 	stateServing                    // a request is open, from BeginRequest to EndRequest
-	stateRejecting                  // beyond the connection limit: it is told so and closed
+	stateRejecting                  // beyond the connection limit: it gets a 503 and is closed
 	stateClosing                    // half-closed, until its client ends its side
 	stateReleased                   // not counted any more: its descriptor is given back
 	connStateCount
@@ -72,7 +72,8 @@
 }
 
 // readPhase says whether a connection may be read, and how its end comes about. Conn.mu guards it. It is apart from
-// connState, so that a read needs no lock on the listener to know it, and the start of a request none on the connection.
+// connState, so that a read needs no lock on the listener to know it, and the start of a request none on the
+// connection.
 type readPhase uint8
 
 const (
--- a/internal/handover/inherit_test.go
+++ b/internal/handover/inherit_test.go
@@ -82,7 +82,8 @@
 		t.Run(test.name, func(t *testing.T) {
 			l, err := Listen(t.Context(), "127.0.0.1:0", test.passed)
 			if !errors.Is(err, test.want) || !strings.Contains(err.Error(), config.InheritedSocketVariable) {
-				t.Errorf("%v, %v, want an error that names %s and matches %q", l, err, config.InheritedSocketVariable, test.want)
+				t.Errorf("%v, %v, want an error that names %s and matches %q",
+					l, err, config.InheritedSocketVariable, test.want)
 			}
 		})
 	}
--- a/internal/handover/listen.go
+++ b/internal/handover/listen.go
@@ -21,9 +21,9 @@
 	ErrNotTCP        = errors.New("not TCP")
 )
 
-// Listen returns the listener for clients: of the inherited socket whose descriptor is passed, or a new one at address
-// where passed is empty. It retries what fails for a moment at a start, until ctx ends. An error on the inherited socket
-// names the variable that passes it.
+// Listen returns the listener for clients: of the inherited socket whose descriptor is passed, or a new one at
+// address where passed is empty. It retries what fails for a moment at a start, until ctx ends. An error on the
+// inherited socket names the variable that passes it.
 func Listen(ctx context.Context, address, passed string) (net.Listener, error) {
 	if passed == "" {
 		listener, err := ListenAt(ctx, address)
@@ -39,8 +39,8 @@
 	return listener, nil
 }
 
-// ListenAt listens on TCP at address. It retries what fails for a moment at a start, such as an address that the process
-// before still holds, until ctx ends; its error is then that of the latest attempt.
+// ListenAt listens on TCP at address. It retries what fails for a moment at a start, such as an address that the
+// process before still holds, until ctx ends; its error is then that of the latest attempt.
 func ListenAt(ctx context.Context, address string) (listener net.Listener, err error) {
 	err = system.RetryAtStart(ctx, func() error {
 		listener, err = net.Listen("tcp", address)
--- a/internal/handover/slot.go
+++ b/internal/handover/slot.go
@@ -14,7 +14,7 @@
 )
 
 const (
-	// maxProcesses is how many processes of one sidecar are told apart.
+	// maxProcesses is how many processes of one sidecar may have a slot.
 	maxProcesses = 4
 	// slotFileFormat names the file of a slot by its index. Processes of other versions open it: it is frozen.
 	slotFileFormat = "oakproxy-process.%d"
@@ -35,8 +35,8 @@
 // errSlotHeld is the error of lockSlotFile where another process holds the slot.
 var errSlotHeld = errors.New("another process holds the slot")
 
-// Slot is a process's place among those of one sidecar: a locked file in the folder that they share. Its methods are safe
-// for concurrent use, but for Release.
+// Slot is a process's place among those of one sidecar: a locked file in the folder that they share. Its methods are
+// safe for concurrent use, but for Release.
 type Slot struct {
 	dir   string
 	index int
