--- a/internal/downstream/conn.go
+++ b/internal/downstream/conn.go
@@ -124,12 +124,11 @@
 }
 
 // limitSendBuffer bounds how many bytes the kernel takes of a response before the client does, so that a write tells in
-// time whether the client still reads.
-func (c *Conn) limitSendBuffer(bytes int) error {
+// time whether the client still reads. Where the kernel refuses that, writes tell it later.
+func (c *Conn) limitSendBuffer(bytes int) {
 	if t, ok := c.Conn.(*net.TCPConn); ok {
-		return t.SetWriteBuffer(bytes)
+		_ = t.SetWriteBuffer(bytes)
 	}
-	return nil
 }
 
 // BeginRequest marks that a request is open on the connection: from here on it is neither evicted nor expired. It
--- a/internal/downstream/conn_close.go
+++ b/internal/downstream/conn_close.go
@@ -116,11 +116,15 @@
 }
 
 // expireIfIdle has a connection end on which nothing has come since its latest request. It wakes the read that waits,
-// and cancelExpiry decides there. The caller holds listener.mu.
+// and cancelExpiry decides there. It may be called again: net/http may have set a deadline of its own since the first
+// call, and the read would wait on. The caller holds listener.mu.
 func (c *Conn) expireIfIdle() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.head.Size == 0 && c.setPhase(phaseExpiring) {
+	if c.head.Size > 0 {
+		return
+	}
+	if c.phase == phaseExpiring || c.setPhase(phaseExpiring) {
 		c.Conn.SetReadDeadline(wakeReads)
 	}
 }
--- a/internal/downstream/conn_test.go
+++ b/internal/downstream/conn_test.go
@@ -119,6 +119,21 @@
 	}
 }
 
+// net/http sets a deadline of its own when a request ends, which may overwrite that of an expiry: the next call of
+// CloseIdle expires the connection all the same.
+func TestExpiryOutlivesADeadlineOfNetHTTP(t *testing.T) {
+	l := newTestListener(t, 1)
+	_, c := l.connect()
+	l.CloseIdle(0, 0)
+	if err := c.SetReadDeadline(time.Time{}); err != nil {
+		t.Fatal(err)
+	}
+	l.CloseIdle(0, 0)
+	if _, err := c.Read(make([]byte, 1)); !errors.Is(err, os.ErrDeadlineExceeded) {
+		t.Errorf("the read ended with %v", err)
+	}
+}
+
 // The client's end is noticed behind pipelined bytes that net/http has read before the handler awaits the response.
 func TestDisconnectIsNoticedBehindPipelinedBytes(t *testing.T) {
 	client, c := newTestListener(t, 1).connect()
--- a/internal/downstream/relay.go
+++ b/internal/downstream/relay.go
@@ -17,9 +17,7 @@
 // Each chunk has httpmsg.ChunkTimeout to be written. An error means that the client has less than the complete
 // response.
 func Relay(w http.ResponseWriter, c *Conn, body io.Reader) error {
-	if err := c.limitSendBuffer(sendBufferBytes); err != nil {
-		return fmt.Errorf("limit the send buffer: %w", err)
-	}
+	c.limitSendBuffer(sendBufferBytes)
 	control := http.NewResponseController(w)
 	chunk := httpmsg.ChunkBuffers.Get().(*[httpmsg.ChunkBytes]byte)
 	defer httpmsg.ChunkBuffers.Put(chunk)
