--- a/internal/emulator/endpoint/counts.go
+++ b/internal/emulator/endpoint/counts.go
@@ -8,13 +8,13 @@
 
 // Counts are the figures of an endpoint since Start, over all its restarts.
 type Counts struct {
-	Requests    uint64 // that came whole, without probes
-	Served      uint64 // answers 200 written
-	Rejected    uint64 // turned away: queue full, draining or out of time
-	MissingID   uint64 // answers 404 for want of a correlation id
-	Duplicates  uint64 // begun with a correlation id that had begun here before
-	Abandoned   uint64 // given up by the client while they waited or ran
-	Probes      uint64
+	Requests    uint64 // complete requests, without health checks
+	Served      uint64 // responses 200 written
+	Rejected    uint64 // queue full, draining or deadline exceeded
+	MissingID   uint64 `json:"MissingID"` // responses 404 for want of a correlation ID
+	Duplicates  uint64 // started with a correlation ID that had been started here before
+	Abandoned   uint64 // cancelled by the client while they were queued or running
+	Probes      uint64 `json:"Probes"` // health checks
 	BytesIn     uint64
 	BytesOut    uint64
 	Connections httpconn.SetCounts
--- a/internal/emulator/registry/counts.go
+++ b/internal/emulator/registry/counts.go
@@ -12,14 +12,14 @@
 
 // Counts are the figures of a Server since New.
 type Counts struct {
-	WholeCalls   uint64 // for the whole list
-	WatchCalls   uint64 // for what is newer than a version
-	WholeAnswers uint64 // with the whole list, to either kind of call
-	Changed      uint64 // answers with changed entries
-	Empty        uint64 // answers to watches without any change
-	Unavailable  uint64 // answers 503
-	NotFound     uint64 // answers 400 and 404
-	Reset        uint64 // connections reset
+	WholeCalls   uint64 `json:"WholeCalls"`   // for the complete list
+	WatchCalls   uint64 `json:"WatchCalls"`   // for what is newer than a version
+	WholeAnswers uint64 `json:"WholeAnswers"` // with the complete list, to either kind of call
+	Changed      uint64 `json:"Changed"`      // responses with changed entries
+	Empty        uint64 `json:"Empty"`        // responses to watches without any change
+	Unavailable  uint64 `json:"Unavailable"`  // responses 503
+	NotFound     uint64 `json:"NotFound"`     // responses 400 and 404
+	Reset        uint64 `json:"Reset"`        // connections reset
 	BytesIn      uint64
 	BytesOut     uint64
 	Connections  httpconn.SetCounts
--- a/internal/emulator/sidecarlog/events.go
+++ b/internal/emulator/sidecarlog/events.go
@@ -34,10 +34,10 @@
 
 // Counts tell how often something has happened.
 type Counts struct {
-	WholeLists uint64 // lists that came whole
-	Changes    uint64 // lists that held changes, or nothing new
-	InForce    uint64 // configurations put in force, the first one included
-	Refused    uint64 // configurations refused
+	WholeLists uint64 `json:"WholeLists"` // lists that were complete
+	Changes    uint64 `json:"Changes"`    // lists of changes, or of nothing new
+	InForce    uint64 `json:"InForce"`    // configurations applied, the first one included
+	Refused    uint64 `json:"Refused"`    // configurations rejected
 }
 
 // Add adds another sidecar's figures.
