--- a/internal/emulator/control/client.go
+++ b/internal/emulator/control/client.go
@@ -10,52 +10,56 @@
 )
 
 // ErrClosed is returned for a call to a worker whose output has ended.
-var ErrClosed = errors.New("control: the worker has ended")
+var ErrClosed = errors.New("control: worker has ended")
 
-// Client makes requests of one worker.
+// Client sends requests to one worker. It is safe for concurrent use.
 type Client struct {
 	mu      sync.Mutex
 	encoder *json.Encoder
 	lastID  uint64
-	waiting map[uint64]chan response
+	pending map[uint64]chan response
 	closed  bool
 }
 
-// NewClient returns a Client that reads responses until the worker's output ends.
+// NewClient returns a Client. Its goroutine reads responses until the worker's output ends.
 func NewClient(workerOutput io.Reader, workerInput io.Writer) *Client {
-	c := &Client{encoder: json.NewEncoder(workerInput), waiting: map[uint64]chan response{}}
-	go c.read(workerOutput)
+	c := &Client{encoder: json.NewEncoder(workerInput), pending: map[uint64]chan response{}}
+	go c.readResponses(workerOutput)
 	return c
 }
 
-// Call makes a request and decodes the response into result, which may be nil.
+// Call sends a request and decodes the response into result, which may be nil. A failure that the worker
+// reports is a *RemoteError, the end of the worker ErrClosed, and the end of ctx its cause.
 func (c *Client) Call(ctx context.Context, kind Kind, body, result any) error {
-	id, answered, err := c.send(kind, body)
+	id, responses, err := c.send(kind, body)
 	if err != nil {
 		return err
 	}
-	defer c.forget(id)
+	defer c.removePending(id)
 	select {
-	case done, open := <-answered:
+	case reply, open := <-responses:
 		switch {
 		case !open:
 			return fmt.Errorf("%s: %w", kind, ErrClosed)
-		case done.Error != "":
-			return &RemoteError{kind, done.Error}
+		case reply.Error != "":
+			return &RemoteError{Kind: kind, Message: reply.Error}
 		case result == nil:
 			return nil
 		}
-		return json.Unmarshal(done.Body, result)
+		if err := json.Unmarshal(reply.Body, result); err != nil {
+			return fmt.Errorf("%s: decode response: %w", kind, err)
+		}
+		return nil
 	case <-ctx.Done():
 		return context.Cause(ctx)
 	}
 }
 
-// send writes a request.
+// send writes a request and returns its ID and the channel of its response.
 func (c *Client) send(kind Kind, body any) (uint64, <-chan response, error) {
 	encoded, err := json.Marshal(body)
 	if err != nil {
-		return 0, nil, err
+		return 0, nil, fmt.Errorf("%s: encode request: %w", kind, err)
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -63,41 +67,41 @@
 		return 0, nil, fmt.Errorf("%s: %w", kind, ErrClosed)
 	}
 	c.lastID++
-	answered := make(chan response, 1)
-	c.waiting[c.lastID] = answered
+	responses := make(chan response, 1)
+	c.pending[c.lastID] = responses
 	if err := c.encoder.Encode(request{ID: c.lastID, Kind: kind, Body: encoded}); err != nil {
-		delete(c.waiting, c.lastID)
-		return 0, nil, fmt.Errorf("%s: %w", kind, err)
+		delete(c.pending, c.lastID)
+		return 0, nil, fmt.Errorf("%s: write request: %w", kind, err)
 	}
-	return c.lastID, answered, nil
+	return c.lastID, responses, nil
 }
 
-func (c *Client) forget(id uint64) {
+func (c *Client) removePending(id uint64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	delete(c.waiting, id)
+	delete(c.pending, id)
 }
 
-// read hands responses to those who wait, until the output ends.
-func (c *Client) read(output io.Reader) {
+// readResponses delivers responses to the pending calls until the output ends, then fails those that remain.
+func (c *Client) readResponses(output io.Reader) {
 	decoder := json.NewDecoder(output)
 	for {
-		var done response
-		if decoder.Decode(&done) != nil {
+		var reply response
+		if decoder.Decode(&reply) != nil {
 			break
 		}
 		c.mu.Lock()
-		if answered, waits := c.waiting[done.ID]; waits {
-			answered <- done
-			delete(c.waiting, done.ID)
+		if responses, known := c.pending[reply.ID]; known {
+			responses <- reply
+			delete(c.pending, reply.ID)
 		}
 		c.mu.Unlock()
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.closed = true
-	for id, answered := range c.waiting {
-		close(answered)
-		delete(c.waiting, id)
+	for id, responses := range c.pending {
+		close(responses)
+		delete(c.pending, id)
 	}
 }
--- a/internal/emulator/control/control.go
+++ b/internal/emulator/control/control.go
@@ -1,5 +1,8 @@
-// Package control carries typed requests between the emulator and its worker
-// processes, as JSON lines on a worker's standard input and output.
+// Package control carries typed requests between the emulator and its worker processes, as JSON lines on a
+// worker's standard input and output.
+//
+// Calls are concurrent: responses may come in any order and are matched by ID. The package starts no
+// process and sets no time limits: contexts do.
 package control
 
 import (
@@ -8,7 +11,7 @@
 	"fmt"
 )
 
-// Kind names what a request asks for.
+// Kind names the method that a request calls.
 type Kind string
 
 // request is a line from the emulator to a worker.
@@ -31,24 +34,25 @@
 	Message string
 }
 
+// Error names the method and the failure.
 func (e *RemoteError) Error() string { return fmt.Sprintf("%s: %s", e.Kind, e.Message) }
 
-// Handler carries out the requests of one kind.
+// Handler handles the requests of one kind. It returns the body of the response.
 type Handler func(ctx context.Context, body json.RawMessage) (any, error)
 
-// Handlers are what a worker can do.
+// Handlers are the methods of a worker.
 type Handlers map[Kind]Handler
 
-// Handle makes a Handler of a function with typed arguments and results.
-func Handle[Request, Response any](do func(context.Context, Request) (Response, error)) Handler {
+// Handle makes a Handler of a function with a typed request and response.
+func Handle[Request, Response any](handle func(context.Context, Request) (Response, error)) Handler {
 	return func(ctx context.Context, body json.RawMessage) (any, error) {
-		var asked Request
-		if err := json.Unmarshal(body, &asked); err != nil {
-			return nil, err
+		var request Request
+		if err := json.Unmarshal(body, &request); err != nil {
+			return nil, fmt.Errorf("decode request: %w", err)
 		}
-		return do(ctx, asked)
+		return handle(ctx, request)
 	}
 }
 
-// Empty is the body of a request or response that says nothing more.
+// Empty is the body of a request or response without data.
 type Empty struct{}
--- a/internal/emulator/control/control_test.go
+++ b/internal/emulator/control/control_test.go
@@ -13,8 +13,8 @@
 	kindWait   Kind = "wait"
 )
 
-// startWorker serves in this process; hangUp ends its input.
-func startWorker(t *testing.T) (client *Client, hangUp func()) {
+// startWorker serves in this process; closeInput ends its input.
+func startWorker(t *testing.T) (client *Client, closeInput func()) {
 	t.Helper()
 	requests, toWorker := io.Pipe()
 	responses, fromWorker := io.Pipe()
@@ -36,8 +36,8 @@
 	return NewClient(responses, toWorker), func() { toWorker.Close() }
 }
 
-func TestCallsAreAnsweredWhileOthersWait(t *testing.T) {
-	client, hangUp := startWorker(t)
+func TestCallCompletesWhileAnotherIsPending(t *testing.T) {
+	client, closeInput := startWorker(t)
 	waited := make(chan error, 1)
 	go func() { waited <- client.Call(t.Context(), kindWait, Empty{}, nil) }()
 	var doubled int
@@ -51,15 +51,15 @@
 	if err := client.Call(t.Context(), "other", Empty{}, nil); !errors.As(err, &remote) {
 		t.Errorf("an unknown request: %v", err)
 	}
-	hangUp()
+	closeInput()
 	if err := <-waited; err == nil {
-		t.Error("a call went well whose worker was ended")
+		t.Error("a call succeeded although its worker had ended")
 	}
 }
 
-func TestCallToAWorkerThatEndedFails(t *testing.T) {
-	client, hangUp := startWorker(t)
-	hangUp()
+func TestCallFailsAfterWorkerExit(t *testing.T) {
+	client, closeInput := startWorker(t)
+	closeInput()
 	for { // the end is seen a little later
 		if err := client.Call(t.Context(), kindDouble, 1, nil); errors.Is(err, ErrClosed) || errors.Is(err, io.ErrClosedPipe) {
 			return
--- a/internal/emulator/control/server.go
+++ b/internal/emulator/control/server.go
@@ -9,7 +9,7 @@
 	"sync"
 )
 
-// server answers the requests of one input.
+// server handles the requests of one input.
 type server struct {
 	handlers Handlers
 
@@ -17,52 +17,52 @@
 	encoder *json.Encoder
 }
 
-// Serve answers requests, each in a goroutine of its own, until the input ends or ctx
-// does; then it ends the context of those that run, and waits for them.
+// Serve handles requests, each in a goroutine of its own, until the input ends or ctx is done; then it
+// cancels the context of those in flight and waits for them.
 func Serve(ctx context.Context, input io.Reader, output io.Writer, handlers Handlers) error {
 	ctx, cancel := context.WithCancel(ctx)
-	var running sync.WaitGroup
-	defer running.Wait()
+	var inFlight sync.WaitGroup
+	defer inFlight.Wait()
 	defer cancel()
 	s := &server{handlers: handlers, encoder: json.NewEncoder(output)}
 	decoder := json.NewDecoder(input)
 	for {
-		var asked request
-		err := decoder.Decode(&asked)
+		var received request
+		err := decoder.Decode(&received)
 		if errors.Is(err, io.EOF) || ctx.Err() != nil {
 			return nil
 		}
 		if err != nil {
-			return fmt.Errorf("control: read a request: %w", err)
+			return fmt.Errorf("control: read request: %w", err)
 		}
-		running.Add(1)
+		inFlight.Add(1)
 		go func() {
-			defer running.Done()
-			s.answer(ctx, asked)
+			defer inFlight.Done()
+			s.respond(ctx, received)
 		}()
 	}
 }
 
-// answer carries a request out and writes the response.
-func (s *server) answer(ctx context.Context, asked request) {
-	done := response{ID: asked.ID}
-	body, err := s.handle(ctx, asked)
+// respond handles a request and writes the response.
+func (s *server) respond(ctx context.Context, received request) {
+	reply := response{ID: received.ID}
+	body, err := s.handle(ctx, received)
 	if err == nil {
-		done.Body, err = json.Marshal(body)
+		reply.Body, err = json.Marshal(body)
 	}
 	if err != nil {
-		done.Error = err.Error()
+		reply.Error = err.Error()
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	// Nobody is left to tell of a failure here: the input ends as well.
-	_ = s.encoder.Encode(done)
+	// When the output fails the emulator is gone: the input ends as well, and Serve returns.
+	_ = s.encoder.Encode(reply)
 }
 
-func (s *server) handle(ctx context.Context, asked request) (any, error) {
-	handler, known := s.handlers[asked.Kind]
+func (s *server) handle(ctx context.Context, received request) (any, error) {
+	handler, known := s.handlers[received.Kind]
 	if !known {
-		return nil, errors.New("no such request")
+		return nil, errors.New("unknown request")
 	}
-	return handler(ctx, asked.Body)
+	return handler(ctx, received.Body)
 }
--- a/internal/emulator/play/changes.go
+++ b/internal/emulator/play/changes.go
@@ -153,7 +153,7 @@
 	return err
 }
 
-// awaitInForce waits until each sidecar has in force what its file holds. It returns
+// awaitConfig waits until each sidecar has in force what its file holds. It returns
 // when, by sidecar, and the number of those at which it did not come in time.
 func (r *runner) awaitInForce(ctx context.Context) (map[string]time.Time, int, error) {
 	times := map[string]time.Time{}
@@ -166,14 +166,14 @@
 		defer waiting.Done()
 		realErr = r.awaitRealInForce(ctx, realTimes)
 	}()
-	hollow, err := callAll[worker.Await, worker.Arrivals](ctx, r.hosts, worker.AwaitInForce, worker.Await{Within: inForceWithin})
+	hollow, err := callAll[worker.Await, worker.Completions](ctx, r.hosts, worker.AwaitConfig, worker.Await{Timeout: inForceWithin})
 	waiting.Wait()
 	if err := errors.Join(err, realErr); err != nil {
 		return nil, 0, err
 	}
 	for _, some := range hollow {
 		missing += len(some.Missing)
-		for _, arrival := range some.Arrived {
+		for _, arrival := range some.Completed {
 			times[arrival.Name] = arrival.At
 		}
 	}
@@ -192,7 +192,7 @@
 		if err != nil {
 			return err
 		}
-		if at, met := s.events.Await(ctx, sidecarlog.InForce(cfg.Hash())); met {
+		if at, met := s.events.Await(ctx, sidecarlog.ConfigApplied(cfg.Hash())); met {
 			times[s.Name] = at
 		}
 	}
--- a/internal/emulator/play/measure.go
+++ b/internal/emulator/play/measure.go
@@ -181,7 +181,7 @@
 	if err != nil {
 		return err
 	}
-	phase.Through, phase.Direct = result.NewRequests(reports.Through), result.NewRequests(reports.Direct)
+	phase.Through, phase.Direct = result.NewRequests(reports.Proxied), result.NewRequests(reports.Direct)
 	after.since(before, &phase)
 	r.run.Phases = append(r.run.Phases, phase)
 	return nil
@@ -226,8 +226,8 @@
 // startLoad begins to send requests through the real sidecars and straight to endpoints.
 // It returns nil for a phase without load.
 func (r *runner) startLoad(ctx context.Context, loaded bool) <-chan sentLoad {
-	plans := worker.LoadPlans{Through: r.through(), Direct: r.direct()}
-	if !loaded || len(plans.Through.Targets) == 0 {
+	plans := worker.LoadPlans{Proxied: r.through(), Direct: r.direct()}
+	if !loaded || len(plans.Proxied.Targets) == 0 {
 		return nil
 	}
 	done := make(chan sentLoad, 1)
@@ -248,7 +248,7 @@
 		return worker.LoadReports{}, err
 	}
 	sent := <-sending
-	for _, report := range []*load.Report{sent.reports.Through, sent.reports.Direct} {
+	for _, report := range []*load.Report{sent.reports.Proxied, sent.reports.Direct} {
 		if report != nil {
 			r.requests += int(report.Counts.Planned)
 		}
--- a/internal/emulator/play/replace.go
+++ b/internal/emulator/play/replace.go
@@ -23,19 +23,19 @@
 	return result.NewSpread(what, len(h.took)+h.missing, h.took)
 }
 
-// awaitHeard waits until every hollow sidecar has heard of a version of the list.
-func (r *runner) awaitHeard(ctx context.Context, version worker.Version, times *heardTimes) error {
-	asked := worker.Await{Seq: version.Seq, Within: heardWithin}
-	heard, err := callAll[worker.Await, worker.Arrivals](ctx, r.hosts, worker.AwaitHeard, asked)
+// awaitList waits until every hollow sidecar has heard of a version of the list.
+func (r *runner) awaitHeard(ctx context.Context, version worker.ListVersion, times *heardTimes) error {
+	asked := worker.Await{Version: version.Number, Timeout: heardWithin}
+	heard, err := callAll[worker.Await, worker.Completions](ctx, r.hosts, worker.AwaitList, asked)
 	if err != nil {
 		return err
 	}
 	for _, some := range heard {
 		times.missing += len(some.Missing)
-		for _, arrival := range some.Arrived {
+		for _, arrival := range some.Completed {
 			// One that started later read it with its first list.
-			if arrival.Started.Before(version.At) {
-				times.took = append(times.took, arrival.At.Sub(version.At))
+			if arrival.StartedAt.Before(version.CreatedAt) {
+				times.took = append(times.took, arrival.At.Sub(version.CreatedAt))
 			}
 		}
 	}
--- a/internal/emulator/play/runner.go
+++ b/internal/emulator/play/runner.go
@@ -46,10 +46,10 @@
 	standOf     map[string]int    // of an endpoint, by its name
 	real        []*realSidecar
 	livesMu     sync.Mutex
-	lives       map[string]worker.Life // of endpoints, by name
-	version     int                    // of the configuration
-	requests    int                    // sent so far
-	spared      map[string]bool        // names of endpoints and real sidecars that get no load, as something happens to them
+	lives       map[string]worker.Incarnation // of endpoints, by name
+	version     int                           // of the configuration
+	requests    int                           // sent so far
+	spared      map[string]bool               // names of endpoints and real sidecars that get no load, as something happens to them
 	peakKB      atomic.Int64
 	phase       atomic.Pointer[string] // what goes on, for the progress line
 	stopping    atomic.Bool
@@ -90,7 +90,7 @@
 		group:          process.NewGroup(),
 		cancel:         cancel,
 		standOf:        map[string]int{},
-		lives:          map[string]worker.Life{},
+		lives:          map[string]worker.Incarnation{},
 		version:        1,
 		spared:         map[string]bool{},
 		expectedEnd:    map[*process.Child]bool{},
--- a/internal/emulator/play/start.go
+++ b/internal/emulator/play/start.go
@@ -63,7 +63,7 @@
 	if r.stands, err = r.startWorkers(worker.EndpointsRole, len(asked)); err != nil {
 		return err
 	}
-	started, err := callEach[worker.EndpointConfigs, worker.Lives](ctx, r.stands, worker.StartEndpoints, asked)
+	started, err := callEach[worker.EndpointConfigs, worker.Incarnations](ctx, r.stands, worker.StartEndpoints, asked)
 	if err != nil {
 		return err
 	}
@@ -85,11 +85,11 @@
 }
 
 // noteLives takes up where endpoints are reached.
-func (r *runner) noteLives(all []worker.Lives) {
+func (r *runner) noteLives(all []worker.Incarnations) {
 	r.livesMu.Lock()
 	defer r.livesMu.Unlock()
 	for _, some := range all {
-		for _, life := range some.Lives {
+		for _, life := range some.Endpoints {
 			r.lives[life.Name] = life
 		}
 	}
@@ -102,7 +102,7 @@
 	list := make([]registry.Instance, len(of))
 	for i, e := range of {
 		life := r.lives[e.Name]
-		list[i] = r.layout.Instance(e, life.Address, health, life.BornMS)
+		list[i] = r.layout.Instance(e, life.Address, health, life.StartedMS)
 	}
 	return list
 }
@@ -149,7 +149,7 @@
 // startSidecars starts all sidecars over the same time, and waits until they are ready.
 func (r *runner) startSidecars(ctx context.Context) error {
 	var err error
-	if r.hosts, err = r.startWorkers(worker.HollowRole, len(r.hollow)); err != nil {
+	if r.hosts, err = r.startWorkers(worker.SidecarsRole, len(r.hollow)); err != nil {
 		return err
 	}
 	var before, after registry.Counts
@@ -233,8 +233,8 @@
 		}
 		n := len(hosts)
 		hosts = append(hosts, r.hosts[i])
-		starts[n].Spread = spread
-		awaits[n].Within = r.spec().Limits.Ready.Std()
+		starts[n].Over = spread
+		awaits[n].Timeout = r.spec().Limits.Ready.Std()
 		for _, s := range some {
 			starts[n].Files = append(starts[n].Files, worker.SidecarFile{Name: s.Name, Path: r.path(s)})
 			awaits[n].Names = append(awaits[n].Names, s.Name)
@@ -244,14 +244,14 @@
 	if _, err := callEach[worker.Sidecars, control.Empty](ctx, hosts, worker.StartSidecars, starts); err != nil {
 		return result.Spread{}, err
 	}
-	ready, err := callEach[worker.Await, worker.Arrivals](ctx, hosts, worker.AwaitReady, awaits)
+	ready, err := callEach[worker.Await, worker.Completions](ctx, hosts, worker.AwaitReady, awaits)
 	if err != nil {
 		return result.Spread{}, err
 	}
 	var took []time.Duration
 	for _, some := range ready {
-		for _, arrival := range some.Arrived {
-			took = append(took, arrival.At.Sub(arrival.Started))
+		for _, arrival := range some.Completed {
+			took = append(took, arrival.At.Sub(arrival.StartedAt))
 		}
 	}
 	return result.NewSpread("from a hollow sidecar's start to its being ready", count, took), nil
@@ -265,21 +265,21 @@
 		names[stand] = append(names[stand], e.Name)
 	}
 	var stands []*workerProcess
-	var asked []worker.Act
+	var asked []worker.EndpointAction
 	for stand, some := range names {
 		if len(some) > 0 {
 			stands = append(stands, r.stands[stand])
-			asked = append(asked, worker.Act{Action: action, Names: some})
+			asked = append(asked, worker.EndpointAction{Action: action, Names: some})
 		}
 	}
-	lives, err := callEach[worker.Act, worker.Lives](ctx, stands, worker.ActOnEndpoints, asked)
+	lives, err := callEach[worker.EndpointAction, worker.Incarnations](ctx, stands, worker.ActOnEndpoints, asked)
 	r.noteLives(lives)
 	return err
 }
 
 // announce tells discovery of endpoints, and returns the version that tells it.
-func (r *runner) announce(ctx context.Context, of []fleet.Endpoint, health string) (worker.Version, error) {
-	var version worker.Version
+func (r *runner) announce(ctx context.Context, of []fleet.Endpoint, health string) (worker.ListVersion, error) {
+	var version worker.ListVersion
 	err := r.registry.Call(ctx, worker.UpdateInstances, worker.Instances{Instances: r.instances(of, health)}, &version)
 	return version, err
 }
--- a/internal/emulator/result/delta.go
+++ b/internal/emulator/result/delta.go
@@ -44,10 +44,10 @@
 // HollowSince returns what hollow sidecars counted since an earlier reading. Those
 // that run are as they are now.
 func HollowSince(now, earlier worker.SidecarCounts) worker.SidecarCounts {
-	now.WholeLists -= earlier.WholeLists
-	now.Changes -= earlier.Changes
-	now.InForce -= earlier.InForce
-	now.Refused -= earlier.Refused
+	now.CompleteLists -= earlier.CompleteLists
+	now.ListChanges -= earlier.ListChanges
+	now.ConfigsApplied -= earlier.ConfigsApplied
+	now.ConfigsRejected -= earlier.ConfigsRejected
 	now.Failed -= earlier.Failed
 	return now
 }
--- a/internal/emulator/sidecarlog/events.go
+++ b/internal/emulator/sidecarlog/events.go
@@ -1,5 +1,8 @@
-// Package sidecarlog makes events of what a sidecar logs, whether it is hosted in this
-// process or writes lines in one of its own.
+// Package sidecarlog turns what a sidecar logs into typed events.
+//
+// A hosted sidecar logs to Events.Logger within the process. A sidecar in a process of its own writes
+// lines, which a Writer parses; lists of endpoints are logged at debug level and are not among them.
+// The package only observes: it neither stores nor forwards log records.
 package sidecarlog
 
 import (
@@ -8,123 +11,125 @@
 	"time"
 )
 
-// list is a list of endpoints that a sidecar has heard of.
-type list struct {
-	seq   uint64
-	whole bool
-	hosts int64
-	at    time.Time
+// endpointList is an endpoint list that a sidecar received.
+type endpointList struct {
+	version    uint64
+	complete   bool
+	endpoints  int64
+	receivedAt time.Time
 }
 
-// configuration is one that a sidecar has put in force.
-type configuration struct {
-	hash string
-	at   time.Time
+// appliedConfig is a configuration that a sidecar applied.
+type appliedConfig struct {
+	hash      string
+	appliedAt time.Time
 }
 
-// Events are what has happened to one sidecar. Make them with New.
+// Events records the events of one sidecar. Make one with New. It is safe for concurrent use.
 type Events struct {
-	mu             sync.Mutex
-	changed        chan struct{} // closed and replaced with every event
-	readyAt        time.Time     // of the first list with an endpoint
-	lists          []list        // one for each version, the first time that it was heard
-	configurations []configuration
-	counts         Counts
+	mu      sync.Mutex
+	changed chan struct{}  // closed and replaced with every event
+	readyAt time.Time      // of the first list with an endpoint
+	lists   []endpointList // one for each version, as it was first received
+	applied []appliedConfig
+	counts  Counts
 }
 
-// Counts tell how often something has happened.
+// Counts says how often each event has occurred.
 type Counts struct {
-	WholeLists uint64 `json:"WholeLists"` // lists that were complete
-	Changes    uint64 `json:"Changes"`    // lists of changes, or of nothing new
-	InForce    uint64 `json:"InForce"`    // configurations applied, the first one included
-	Refused    uint64 `json:"Refused"`    // configurations rejected
+	CompleteLists   uint64 `json:"WholeLists"` // lists that were complete
+	ListChanges     uint64 `json:"Changes"`    // lists of changes, or of nothing new
+	ConfigsApplied  uint64 `json:"InForce"`    // configurations applied, the first one included
+	ConfigsRejected uint64 `json:"Refused"`    // configurations rejected
 }
 
-// Add adds another sidecar's figures.
+// Add adds another sidecar's counts.
 func (c *Counts) Add(other Counts) {
-	c.WholeLists += other.WholeLists
-	c.Changes += other.Changes
-	c.InForce += other.InForce
-	c.Refused += other.Refused
+	c.CompleteLists += other.CompleteLists
+	c.ListChanges += other.ListChanges
+	c.ConfigsApplied += other.ConfigsApplied
+	c.ConfigsRejected += other.ConfigsRejected
 }
 
-// New returns Events of a sidecar that is about to start.
+// New returns the Events of a sidecar that is about to start.
 func New() *Events { return &Events{changed: make(chan struct{})} }
 
-// Counts returns the figures so far.
+// Counts returns the counts so far.
 func (e *Events) Counts() Counts {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.counts
 }
 
-// refuse notes that a configuration was refused.
-func (e *Events) refuse() {
-	e.note(func() { e.counts.Refused++ })
-}
-
-// note makes a change and wakes those who wait.
-func (e *Events) note(change func()) {
-	e.mu.Lock()
-	defer e.mu.Unlock()
-	change()
-	close(e.changed)
-	e.changed = make(chan struct{})
-}
-
-func (e *Events) hear(heard list) {
-	e.note(func() {
-		if heard.whole {
-			e.counts.WholeLists++
+// recordList records an endpoint list.
+func (e *Events) recordList(received endpointList) {
+	e.update(func() {
+		if received.complete {
+			e.counts.CompleteLists++
 		} else {
-			e.counts.Changes++
+			e.counts.ListChanges++
 		}
-		if e.readyAt.IsZero() && heard.hosts > 0 {
-			e.readyAt = heard.at
+		if e.readyAt.IsZero() && received.endpoints > 0 {
+			e.readyAt = received.receivedAt
 		}
-		if last := len(e.lists) - 1; last < 0 || e.lists[last].seq != heard.seq {
-			e.lists = append(e.lists, heard)
+		if last := len(e.lists) - 1; last < 0 || e.lists[last].version != received.version {
+			e.lists = append(e.lists, received)
 		}
 	})
 }
 
-func (e *Events) hold(held configuration) {
-	e.note(func() {
-		e.counts.InForce++
-		e.configurations = append(e.configurations, held)
+// recordApplied records that a configuration was applied.
+func (e *Events) recordApplied(applied appliedConfig) {
+	e.update(func() {
+		e.counts.ConfigsApplied++
+		e.applied = append(e.applied, applied)
 	})
 }
 
-// Condition says whether a sidecar has got somewhere, and since when.
+// recordRejected records that a configuration was rejected.
+func (e *Events) recordRejected() {
+	e.update(func() { e.counts.ConfigsRejected++ })
+}
+
+// update makes a change and wakes the callers of Await.
+func (e *Events) update(change func()) {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	change()
+	close(e.changed)
+	e.changed = make(chan struct{})
+}
+
+// Condition says whether a sidecar has reached a state, and since when. It is called with the lock held.
 type Condition func(*Events) (since time.Time, met bool)
 
 // Ready is met by the first list with an endpoint.
 func Ready(e *Events) (since time.Time, met bool) { return e.readyAt, !e.readyAt.IsZero() }
 
-// Heard is met by a list of this version or a newer one.
-func Heard(seq uint64) Condition {
+// ListReceived is met by a list of this version or a newer one.
+func ListReceived(version uint64) Condition {
 	return func(e *Events) (time.Time, bool) {
-		for _, heard := range e.lists {
-			if heard.seq >= seq {
-				return heard.at, true
+		for _, received := range e.lists {
+			if received.version >= version {
+				return received.receivedAt, true
 			}
 		}
 		return time.Time{}, false
 	}
 }
 
-// InForce is met while the configuration in force has this hash.
-func InForce(hash string) Condition {
+// ConfigApplied is met while the configuration applied last has this hash.
+func ConfigApplied(hash string) Condition {
 	return func(e *Events) (time.Time, bool) {
-		last := len(e.configurations) - 1
-		if last < 0 || e.configurations[last].hash != hash {
+		last := len(e.applied) - 1
+		if last < 0 || e.applied[last].hash != hash {
 			return time.Time{}, false
 		}
-		return e.configurations[last].at, true
+		return e.applied[last].appliedAt, true
 	}
 }
 
-// Await waits for a condition, until ctx ends.
+// Await waits until a condition is met or ctx is done.
 func (e *Events) Await(ctx context.Context, condition Condition) (since time.Time, met bool) {
 	for {
 		e.mu.Lock()
--- a/internal/emulator/sidecarlog/events_test.go
+++ b/internal/emulator/sidecarlog/events_test.go
@@ -7,21 +7,21 @@
 	"testing"
 )
 
-// both logs to events as a hosted sidecar does, and as a process does by its lines.
-func both(t *testing.T, log func(*slog.Logger), check func(*Events)) {
+// checkBothSources logs to events as a hosted sidecar does, and as a process does by its lines.
+func checkBothSources(t *testing.T, log func(*slog.Logger), check func(*Events)) {
 	t.Helper()
 	hosted := New()
 	log(hosted.Logger().With("sidecar", "n0"))
 	check(hosted)
 	process := New()
-	log(slog.New(slog.NewTextHandler(onebyone{NewWriter(process)}, nil)).With("sidecar", "n0"))
+	log(slog.New(slog.NewTextHandler(byteWriter{NewWriter(process)}, nil)).With("sidecar", "n0"))
 	check(process)
 }
 
-// onebyone writes a byte at a time.
-type onebyone struct{ to io.Writer }
+// byteWriter writes a byte at a time.
+type byteWriter struct{ to io.Writer }
 
-func (o onebyone) Write(text []byte) (int, error) {
+func (o byteWriter) Write(text []byte) (int, error) {
 	for i := range text {
 		if _, err := o.to.Write(text[i : i+1]); err != nil {
 			return i, err
@@ -30,34 +30,34 @@
 	return len(text), nil
 }
 
-func TestConfigurationsInForce(t *testing.T) {
-	both(t, func(log *slog.Logger) {
+func TestAppliedAndRejectedConfigurationsAreRecorded(t *testing.T) {
+	checkBothSources(t, func(log *slog.Logger) {
 		log.Info("configuration in force", "generation", 1, "hash", "0123", "discovery", "127.0.0.1:1")
 		log.Info("counts", "hash", "no news")
 		log.Error("configuration not reloaded", "error", "a reason", "hash", "0123")
 		log.Info("configuration in force", "generation", 2, "hash", "4567")
 	}, func(e *Events) {
-		if c := e.Counts(); c.InForce != 2 || c.Refused != 1 {
+		if c := e.Counts(); c.ConfigsApplied != 2 || c.ConfigsRejected != 1 {
 			t.Errorf("counts %+v", c)
 		}
 		ended, cancel := context.WithCancel(t.Context())
 		cancel()
-		if _, met := e.Await(ended, InForce("0123")); met {
-			t.Error("the first configuration is still taken to be in force")
+		if _, met := e.Await(ended, ConfigApplied("0123")); met {
+			t.Error("the first configuration still counts as applied")
 		}
-		if at, met := e.Await(t.Context(), InForce("4567")); !met || at.IsZero() {
-			t.Error("the second configuration is not taken to be in force")
+		if at, met := e.Await(t.Context(), ConfigApplied("4567")); !met || at.IsZero() {
+			t.Error("the second configuration does not count as applied")
 		}
 	})
 }
 
-func TestLists(t *testing.T) {
+func TestReceivedListsAreRecorded(t *testing.T) {
 	e := New()
 	log := e.Logger()
 	met := make(chan bool)
 	go func() {
-		_, heard := e.Await(t.Context(), Heard(7))
-		met <- heard
+		_, received := e.Await(t.Context(), ListReceived(7))
+		met <- received
 	}()
 	log.Debug("endpoint list received", "seq", uint64(5), "whole", true, "hosts", 0)
 	ended, cancel := context.WithCancel(t.Context())
@@ -72,7 +72,7 @@
 	if _, ready := e.Await(t.Context(), Ready); !ready {
 		t.Error("not ready with endpoints")
 	}
-	if c := e.Counts(); c.WholeLists != 1 || c.Changes != 1 {
+	if c := e.Counts(); c.CompleteLists != 1 || c.ListChanges != 1 {
 		t.Errorf("counts %+v", c)
 	}
 }
--- a/internal/emulator/sidecarlog/handler.go
+++ b/internal/emulator/sidecarlog/handler.go
@@ -5,69 +5,69 @@
 	"log/slog"
 )
 
-// Messages of the sidecar that are events here, and their attributes.
+// Messages of the sidecar that become events, and their attributes.
 const (
-	listHeard   = "endpoint list received"
-	inForce     = "configuration in force"
-	notReloaded = "configuration not reloaded"
+	listReceivedMessage  = "endpoint list received"
+	configAppliedMessage = "configuration in force"
+	reloadFailedMessage  = "configuration not reloaded"
 
-	seqKey   = "seq"
-	wholeKey = "whole"
-	hostsKey = "hosts"
-	hashKey  = "hash"
+	versionKey   = "seq"
+	completeKey  = "whole"
+	endpointsKey = "hosts"
+	hashKey      = "hash"
 )
 
-// Logger returns a logger whose records are events.
+// Logger returns a logger whose records become events.
 func (e *Events) Logger() *slog.Logger { return slog.New(&handler{events: e}) }
 
-// handler makes events of log records.
+// handler is a slog.Handler that turns log records into events.
 type handler struct{ events *Events }
 
-// Enabled says yes to all: lists are logged at debug level.
+// Enabled accepts every level: endpoint lists are logged at debug level.
 func (h *handler) Enabled(context.Context, slog.Level) bool { return true }
 
 // WithAttrs returns the same handler: no event depends on a logger's own attributes.
 func (h *handler) WithAttrs([]slog.Attr) slog.Handler { return h }
 
-// WithGroup returns the same handler.
+// WithGroup returns the same handler: no event depends on a logger's groups.
 func (h *handler) WithGroup(string) slog.Handler { return h }
 
-// Handle makes an event of a record that is one.
+// Handle records the event that a log record stands for, if any.
 func (h *handler) Handle(_ context.Context, record slog.Record) error {
 	switch record.Message {
-	case listHeard:
-		h.events.hear(listOf(record))
-	case inForce:
-		h.events.hold(configurationOf(record))
-	case notReloaded:
-		h.events.refuse()
+	case listReceivedMessage:
+		h.events.recordList(parseList(record))
+	case configAppliedMessage:
+		h.events.recordApplied(parseConfig(record))
+	case reloadFailedMessage:
+		h.events.recordRejected()
 	}
 	return nil
 }
 
-func listOf(record slog.Record) list {
-	heard := list{at: record.Time}
+func parseList(record slog.Record) endpointList {
+	received := endpointList{receivedAt: record.Time}
 	record.Attrs(func(attribute slog.Attr) bool {
 		switch attribute.Key {
-		case seqKey:
-			heard.seq = attribute.Value.Uint64()
-		case wholeKey:
-			heard.whole = attribute.Value.Bool()
-		case hostsKey:
-			heard.hosts = attribute.Value.Int64()
+		case versionKey:
+			received.version = attribute.Value.Uint64()
+		case completeKey:
+			received.complete = attribute.Value.Bool()
+		case endpointsKey:
+			received.endpoints = attribute.Value.Int64()
 		}
 		return true
 	})
-	return heard
+	return received
 }
 
-func configurationOf(record slog.Record) configuration {
-	held := configuration{at: record.Time}
+func parseConfig(record slog.Record) appliedConfig {
+	applied := appliedConfig{appliedAt: record.Time}
 	record.Attrs(func(attribute slog.Attr) bool {
 		if attribute.Key == hashKey {
-			held.hash = attribute.Value.String()
+			applied.hash = attribute.Value.String()
 		}
 		return true
 	})
-	return held
+	return applied
 }
--- a/internal/emulator/sidecarlog/writer.go
+++ b/internal/emulator/sidecarlog/writer.go
@@ -7,46 +7,46 @@
 	"time"
 )
 
-// Writer makes events of the lines that a sidecar's process writes. An event has the
-// time at which its line was read.
+// Writer records the events in the log lines of a sidecar's process. An event has the time at which its
+// line was read. It is not safe for concurrent use.
 type Writer struct {
-	events *Events
-	part   []byte // of a line that is not whole yet
+	events      *Events
+	partialLine []byte // of a line whose end has not been written yet
 }
 
-// NewWriter returns a Writer.
+// NewWriter returns a Writer that records to events.
 func NewWriter(events *Events) *Writer { return &Writer{events: events} }
 
-// Write takes lines, or parts of them.
+// Write accepts lines, or parts of them. It never fails.
 func (w *Writer) Write(text []byte) (int, error) {
 	now := time.Now()
-	w.part = append(w.part, text...)
+	w.partialLine = append(w.partialLine, text...)
 	for {
-		line, rest, whole := bytes.Cut(w.part, []byte("\n"))
-		if !whole {
+		line, remainder, complete := bytes.Cut(w.partialLine, []byte("\n"))
+		if !complete {
 			return len(text), nil
 		}
-		w.read(string(line), now)
-		w.part = append([]byte(nil), rest...)
+		w.parseLine(string(line), now)
+		w.partialLine = append([]byte(nil), remainder...)
 	}
 }
 
-// read makes an event of a line that is one.
-func (w *Writer) read(line string, now time.Time) {
+// parseLine records the event that a line stands for, if any.
+func (w *Writer) parseLine(line string, now time.Time) {
 	switch {
-	case strings.Contains(line, message(inForce)):
-		w.events.hold(configuration{hash: value(line, hashKey), at: now})
-	case strings.Contains(line, message(notReloaded)):
-		w.events.refuse()
+	case strings.Contains(line, messageField(configAppliedMessage)):
+		w.events.recordApplied(appliedConfig{hash: fieldValue(line, hashKey), appliedAt: now})
+	case strings.Contains(line, messageField(reloadFailedMessage)):
+		w.events.recordRejected()
 	}
 }
 
-// message is how a line holds a message.
-func message(text string) string { return fmt.Sprintf("msg=%q", text) }
+// messageField returns the field of a line that holds this message, as slog.TextHandler writes it.
+func messageField(message string) string { return fmt.Sprintf("msg=%q", message) }
 
-// value returns the value of a key that needs no quotes.
-func value(line, key string) string {
+// fieldValue returns the value of a key in a line, for values that need no quotes.
+func fieldValue(line, key string) string {
 	_, after, _ := strings.Cut(line, " "+key+"=")
-	found, _, _ := strings.Cut(after, " ")
-	return found
+	value, _, _ := strings.Cut(after, " ")
+	return value
 }
--- a/internal/emulator/worker/endpoints.go
+++ b/internal/emulator/worker/endpoints.go
@@ -11,66 +11,66 @@
 	"oakproxy/internal/emulator/endpoint"
 )
 
-// endpointsPlayer plays the endpoints of one zone.
-type endpointsPlayer struct {
+// endpointService plays the endpoints of one zone.
+type endpointService struct {
 	mu        sync.Mutex
 	endpoints map[string]*endpoint.Endpoint
 	names     []string // in the order of their start
 }
 
-func newEndpointsPlayer() *endpointsPlayer {
-	return &endpointsPlayer{endpoints: map[string]*endpoint.Endpoint{}}
+func newEndpointService() *endpointService {
+	return &endpointService{endpoints: map[string]*endpoint.Endpoint{}}
 }
 
-func (p *endpointsPlayer) handlers() control.Handlers {
+func (p *endpointService) handlers() control.Handlers {
 	return control.Handlers{
 		StartEndpoints: control.Handle(p.start),
-		ActOnEndpoints: control.Handle(p.act),
+		ActOnEndpoints: control.Handle(p.apply),
 		CountEndpoints: control.Handle(p.count),
 	}
 }
 
-func (p *endpointsPlayer) start(_ context.Context, asked EndpointConfigs) (Lives, error) {
+func (p *endpointService) start(_ context.Context, asked EndpointConfigs) (Incarnations, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	var started Lives
+	var started Incarnations
 	for _, config := range asked.Configs {
 		e, err := endpoint.Start(config)
 		if err != nil {
-			return Lives{}, fmt.Errorf("%s: %w", config.Name, err)
+			return Incarnations{}, fmt.Errorf("%s: %w", config.Name, err)
 		}
 		p.endpoints[config.Name] = e
 		p.names = append(p.names, config.Name)
-		started.Lives = append(started.Lives, life(e))
+		started.Endpoints = append(started.Endpoints, incarnationOf(e))
 	}
 	return started, nil
 }
 
-func life(e *endpoint.Endpoint) Life {
-	return Life{Name: e.Config().Name, Address: e.Address(), BornMS: e.BornMS()}
+func incarnationOf(e *endpoint.Endpoint) Incarnation {
+	return Incarnation{Name: e.Config().Name, Address: e.Address(), StartedMS: e.BornMS()}
 }
 
-func (p *endpointsPlayer) act(_ context.Context, asked Act) (Lives, error) {
+func (p *endpointService) apply(_ context.Context, asked EndpointAction) (Incarnations, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	var touched Lives
+	var touched Incarnations
 	for _, name := range p.names {
-		if !among(asked.Names, name) {
+		if !matchesName(asked.Names, name) {
 			continue
 		}
 		e := p.endpoints[name]
-		if err := perform(asked.Action, e); err != nil {
-			return Lives{}, fmt.Errorf("%s: %s: %w", asked.Action, name, err)
+		if err := applyAction(asked.Action, e); err != nil {
+			return Incarnations{}, fmt.Errorf("%s: %s: %w", asked.Action, name, err)
 		}
-		touched.Lives = append(touched.Lives, life(e))
+		touched.Endpoints = append(touched.Endpoints, incarnationOf(e))
 	}
-	if len(touched.Lives) < len(asked.Names) {
-		return Lives{}, fmt.Errorf("%s: not all of %v are here", asked.Action, asked.Names)
+	if len(touched.Endpoints) < len(asked.Names) {
+		return Incarnations{}, fmt.Errorf("%s: not all of %v are here", asked.Action, asked.Names)
 	}
 	return touched, nil
 }
 
-func perform(action Action, e *endpoint.Endpoint) error {
+func applyAction(action Action, e *endpoint.Endpoint) error {
 	switch action {
 	case Drain:
 		e.Drain()
@@ -83,7 +83,7 @@
 	return errors.New("no such action")
 }
 
-func (p *endpointsPlayer) count(context.Context, control.Empty) (endpoint.Counts, error) {
+func (p *endpointService) count(context.Context, control.Empty) (endpoint.Counts, error) {
 	p.mu.Lock()
 	all := slices.Clone(p.names)
 	p.mu.Unlock()
@@ -110,7 +110,7 @@
 	sum.Connections.MaxOpen += counts.Connections.MaxOpen
 }
 
-func (p *endpointsPlayer) close() {
+func (p *endpointService) close() {
 	var closing sync.WaitGroup
 	for _, e := range p.endpoints {
 		closing.Add(1)
--- a/internal/emulator/worker/hollow.go
+++ b/internal/emulator/worker/hollow.go
@@ -16,43 +16,43 @@
 	"oakproxy/internal/sidecar"
 )
 
-// errRunning is returned for a sidecar that is to be started and runs.
-var errRunning = errors.New("the sidecar runs already")
+// errAlreadyRunning is returned for a sidecar that is to be started and runs.
+var errAlreadyRunning = errors.New("the sidecar runs already")
 
-// hollowPlayer hosts sidecars that have no application beside them: the same code as in a
+// sidecarService hosts sidecars that have no application beside them: the same code as in a
 // process of its own, many times.
-type hollowPlayer struct {
+type sidecarService struct {
 	ctx    context.Context
 	cancel context.CancelFunc
 
-	mu       sync.Mutex
-	sidecars map[string]*hosted // the latest life of each
-	names    []string           // in the order of their first start
-	past     SidecarCounts      // of lives that are over
+	mu         sync.Mutex
+	sidecars   map[string]*hostedSidecar // the latest life of each
+	names      []string                  // in the order of their first start
+	pastCounts SidecarCounts             // of lives that are over
 }
 
-func newHollowPlayer() *hollowPlayer {
+func newSidecarService() *sidecarService {
 	ctx, cancel := context.WithCancel(context.Background())
-	return &hollowPlayer{ctx: ctx, cancel: cancel, sidecars: map[string]*hosted{}}
+	return &sidecarService{ctx: ctx, cancel: cancel, sidecars: map[string]*hostedSidecar{}}
 }
 
-func (p *hollowPlayer) handlers() control.Handlers {
+func (p *sidecarService) handlers() control.Handlers {
 	return control.Handlers{
 		StartSidecars:  control.Handle(p.start),
 		StopSidecars:   control.Handle(p.stop),
 		ReloadSidecars: control.Handle(p.reload),
 		AwaitReady:     control.Handle(p.awaitReady),
-		AwaitHeard:     control.Handle(p.awaitHeard),
-		AwaitInForce:   control.Handle(p.awaitInForce),
+		AwaitList:      control.Handle(p.awaitList),
+		AwaitConfig:    control.Handle(p.awaitConfig),
 		CountSidecars:  control.Handle(p.count),
 	}
 }
 
 // start starts sidecars one after the other.
-func (p *hollowPlayer) start(ctx context.Context, asked Sidecars) (control.Empty, error) {
-	pause := asked.Spread / time.Duration(max(1, len(asked.Files)))
+func (p *sidecarService) start(ctx context.Context, asked Sidecars) (control.Empty, error) {
+	pause := asked.Over / time.Duration(max(1, len(asked.Files)))
 	for i, file := range asked.Files {
-		if i > 0 && !pauseFor(ctx, pause) {
+		if i > 0 && !sleep(ctx, pause) {
 			return control.Empty{}, ctx.Err()
 		}
 		if err := p.startOne(file); err != nil {
@@ -62,8 +62,8 @@
 	return control.Empty{}, nil
 }
 
-// pauseFor waits for a time and says whether ctx lasts until then.
-func pauseFor(ctx context.Context, pause time.Duration) bool {
+// sleep waits for a time and says whether ctx lasts until then.
+func sleep(ctx context.Context, pause time.Duration) bool {
 	timer := time.NewTimer(pause)
 	defer timer.Stop()
 	select {
@@ -74,17 +74,17 @@
 	}
 }
 
-func (p *hollowPlayer) startOne(file SidecarFile) error {
+func (p *sidecarService) startOne(file SidecarFile) error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	before := p.sidecars[file.Name]
 	if before != nil {
 		if before.running() {
-			return errRunning
+			return errAlreadyRunning
 		}
-		p.past.Add(before.counts())
+		p.pastCounts.Add(before.counts())
 	}
-	next, err := host(p.ctx, file)
+	next, err := startHosted(p.ctx, file)
 	if err != nil {
 		return err
 	}
@@ -96,30 +96,30 @@
 }
 
 // stop ends sidecars as SIGTERM does, and waits for them.
-func (p *hollowPlayer) stop(_ context.Context, asked Names) (control.Empty, error) {
+func (p *sidecarService) stop(_ context.Context, asked Names) (control.Empty, error) {
 	stopping := p.selected(asked.Names)
 	for _, s := range stopping {
 		s.stop()
 	}
 	for _, s := range stopping {
-		<-s.ended
+		<-s.done
 	}
 	return control.Empty{}, nil
 }
 
 // reload has sidecars read their files again, as SIGHUP does.
-func (p *hollowPlayer) reload(_ context.Context, asked Names) (control.Empty, error) {
+func (p *sidecarService) reload(_ context.Context, asked Names) (control.Empty, error) {
 	for _, s := range p.selected(asked.Names) {
-		s.hangUp()
+		s.requestReload()
 	}
 	return control.Empty{}, nil
 }
 
 // selected returns the sidecars of these names; of none: all that run.
-func (p *hollowPlayer) selected(names []string) []*hosted {
+func (p *sidecarService) selected(names []string) []*hostedSidecar {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	var chosen []*hosted
+	var chosen []*hostedSidecar
 	for _, name := range p.names {
 		s := p.sidecars[name]
 		if slices.Contains(names, name) || len(names) == 0 && s.running() {
@@ -129,35 +129,35 @@
 	return chosen
 }
 
-func (p *hollowPlayer) awaitReady(ctx context.Context, asked Await) (Arrivals, error) {
-	return p.await(ctx, asked, func(*hosted) sidecarlog.Condition { return sidecarlog.Ready })
+func (p *sidecarService) awaitReady(ctx context.Context, asked Await) (Completions, error) {
+	return p.await(ctx, asked, func(*hostedSidecar) sidecarlog.Condition { return sidecarlog.Ready })
 }
 
-func (p *hollowPlayer) awaitHeard(ctx context.Context, asked Await) (Arrivals, error) {
-	return p.await(ctx, asked, func(*hosted) sidecarlog.Condition { return sidecarlog.Heard(asked.Seq) })
+func (p *sidecarService) awaitList(ctx context.Context, asked Await) (Completions, error) {
+	return p.await(ctx, asked, func(*hostedSidecar) sidecarlog.Condition { return sidecarlog.ListReceived(asked.Version) })
 }
 
-func (p *hollowPlayer) awaitInForce(ctx context.Context, asked Await) (Arrivals, error) {
-	return p.await(ctx, asked, func(s *hosted) sidecarlog.Condition {
+func (p *sidecarService) awaitConfig(ctx context.Context, asked Await) (Completions, error) {
+	return p.await(ctx, asked, func(s *hostedSidecar) sidecarlog.Condition {
 		cfg, err := readConfig(s.file.Path)
 		if err != nil {
 			return func(*sidecarlog.Events) (time.Time, bool) { return time.Time{}, false }
 		}
-		return sidecarlog.InForce(cfg.Hash())
+		return sidecarlog.ConfigApplied(cfg.Hash())
 	})
 }
 
 // await waits for a condition at each sidecar that a request is about. One that ends
 // meanwhile is neither among those that came nor missing.
-func (p *hollowPlayer) await(ctx context.Context, asked Await, of func(*hosted) sidecarlog.Condition) (Arrivals, error) {
-	ctx, cancel := context.WithTimeout(ctx, asked.Within)
+func (p *sidecarService) await(ctx context.Context, asked Await, of func(*hostedSidecar) sidecarlog.Condition) (Completions, error) {
+	ctx, cancel := context.WithTimeout(ctx, asked.Timeout)
 	defer cancel()
-	var all Arrivals
+	var all Completions
 	for _, s := range p.selected(asked.Names) {
 		at, came := s.await(ctx, of(s))
 		switch {
 		case came:
-			all.Arrived = append(all.Arrived, Arrival{s.file.Name, s.started, at})
+			all.Completed = append(all.Completed, Completion{s.file.Name, s.started, at})
 		case s.running():
 			all.Missing = append(all.Missing, s.file.Name)
 		}
@@ -165,10 +165,10 @@
 	return all, nil
 }
 
-func (p *hollowPlayer) count(context.Context, control.Empty) (SidecarCounts, error) {
+func (p *sidecarService) count(context.Context, control.Empty) (SidecarCounts, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	sum := p.past
+	sum := p.pastCounts
 	for _, s := range p.sidecars {
 		sum.Add(s.counts())
 	}
@@ -187,19 +187,19 @@
 }
 
 // close ends the sidecars without waiting for their drains: the process ends with them.
-func (p *hollowPlayer) close() { p.cancel() }
+func (p *sidecarService) close() { p.cancel() }
 
-// hosted is one life of a sidecar.
-type hosted struct {
+// hostedSidecar is one life of a sidecar.
+type hostedSidecar struct {
 	file    SidecarFile
 	started time.Time
 	events  *sidecarlog.Events
 	stop    context.CancelFunc
-	ended   chan struct{} // closed when the sidecar has ended
+	done    chan struct{} // closed when the sidecar has ended
 	err     error         // why; valid once ended is closed
 
 	mu      sync.Mutex
-	hangups chan os.Signal // nil once the sidecar has ended
+	reloads chan os.Signal // nil once the sidecar has ended
 }
 
 // readConfig reads a configuration file for a sidecar that shares its process.
@@ -211,47 +211,47 @@
 	return config.Parse(text)
 }
 
-// host starts a sidecar by its configuration file.
-func host(ctx context.Context, file SidecarFile) (*hosted, error) {
+// startHosted starts a sidecar by its configuration file.
+func startHosted(ctx context.Context, file SidecarFile) (*hostedSidecar, error) {
 	cfg, err := readConfig(file.Path)
 	if err != nil {
 		return nil, err
 	}
 	ctx, stop := context.WithCancel(ctx)
-	s := &hosted{file: file, started: time.Now(), events: sidecarlog.New(), stop: stop, hangups: make(chan os.Signal, 1), ended: make(chan struct{})}
+	s := &hostedSidecar{file: file, started: time.Now(), events: sidecarlog.New(), stop: stop, reloads: make(chan os.Signal, 1), done: make(chan struct{})}
 	go func() {
-		defer close(s.ended)
-		defer s.endHangups()
-		s.err = sidecar.Run(ctx, cfg, config.ReloadOnSignal(file.Path, s.hangups), s.events.Logger())
+		defer close(s.done)
+		defer s.closeReloads()
+		s.err = sidecar.Run(ctx, cfg, config.ReloadOnSignal(file.Path, s.reloads), s.events.Logger())
 	}()
 	return s, nil
 }
 
-// hangUp is SIGHUP: one that comes while another waits adds nothing.
-func (s *hosted) hangUp() {
+// requestReload is SIGHUP: one that comes while another waits adds nothing.
+func (s *hostedSidecar) requestReload() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	select {
-	case s.hangups <- nil:
+	case s.reloads <- nil:
 	default:
 	}
 }
 
-// endHangups ends the signals of a sidecar that has ended.
-func (s *hosted) endHangups() {
+// closeReloads ends the signals of a sidecar that has ended.
+func (s *hostedSidecar) closeReloads() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	close(s.hangups)
-	s.hangups = nil
+	close(s.reloads)
+	s.reloads = nil
 }
 
 // await waits for a condition, until ctx or the sidecar ends.
-func (s *hosted) await(ctx context.Context, condition sidecarlog.Condition) (time.Time, bool) {
+func (s *hostedSidecar) await(ctx context.Context, condition sidecarlog.Condition) (time.Time, bool) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	go func() {
 		select {
-		case <-s.ended:
+		case <-s.done:
 			cancel()
 		case <-ctx.Done():
 		}
@@ -259,16 +259,16 @@
 	return s.events.Await(ctx, condition)
 }
 
-func (s *hosted) running() bool {
+func (s *hostedSidecar) running() bool {
 	select {
-	case <-s.ended:
+	case <-s.done:
 		return false
 	default:
 		return true
 	}
 }
 
-func (s *hosted) counts() SidecarCounts {
+func (s *hostedSidecar) counts() SidecarCounts {
 	c := SidecarCounts{Counts: s.events.Counts()}
 	if s.running() {
 		c.Running = 1
--- a/internal/emulator/worker/messages.go
+++ b/internal/emulator/worker/messages.go
@@ -19,7 +19,7 @@
 const (
 	RegistryRole  Role = "registry"
 	EndpointsRole Role = "endpoints"
-	HollowRole    Role = "hollow"
+	SidecarsRole  Role = "hollow"
 	LoadRole      Role = "load"
 )
 
@@ -45,10 +45,10 @@
 // Instances are entries of discovery's list.
 type Instances struct{ Instances []registry.Instance }
 
-// Version is a version of discovery's list, and when it came to be.
-type Version struct {
-	Seq uint64
-	At  time.Time
+// ListVersion is a version of discovery's list, and when it came to be.
+type ListVersion struct {
+	Number    uint64
+	CreatedAt time.Time
 }
 
 // Requests of the endpoints role.
@@ -71,21 +71,21 @@
 	Vanish  Action = "vanish"
 )
 
-// Act does something to the endpoints of these names, or to all where there are none.
-type Act struct {
+// EndpointAction does something to the endpoints of these names, or to all where there are none.
+type EndpointAction struct {
 	Action Action
 	Names  []string
 }
 
-// Life is where an endpoint is reached, and since when it lives.
-type Life struct {
-	Name    string
-	Address string
-	BornMS  int64
+// Incarnation is where an endpoint is reached, and since when it lives.
+type Incarnation struct {
+	Name      string
+	Address   string
+	StartedMS int64
 }
 
-// Lives are the endpoints that a request was about.
-type Lives struct{ Lives []Life }
+// Incarnations are the endpoints that a request was about.
+type Incarnations struct{ Endpoints []Incarnation }
 
 // Requests of the hollow role.
 const (
@@ -93,8 +93,8 @@
 	StopSidecars   control.Kind = "stop sidecars"   // Names, Empty
 	ReloadSidecars control.Kind = "reload sidecars" // Names, Empty
 	AwaitReady     control.Kind = "await ready"     // Await, Arrivals
-	AwaitHeard     control.Kind = "await heard"     // Await, Arrivals
-	AwaitInForce   control.Kind = "await in force"  // Await, Arrivals
+	AwaitList      control.Kind = "await heard"     // Await, Arrivals
+	AwaitConfig    control.Kind = "await in force"  // Await, Arrivals
 	CountSidecars  control.Kind = "count sidecars"  // Empty, SidecarCounts
 )
 
@@ -103,8 +103,8 @@
 
 // Sidecars are sidecars to start, evenly over a time.
 type Sidecars struct {
-	Files  []SidecarFile
-	Spread time.Duration
+	Files []SidecarFile
+	Over  time.Duration
 }
 
 // Names are the sidecars that a request is about; none: all.
@@ -113,22 +113,22 @@
 // Await waits until each of the named sidecars, or all of them, has got there, at most
 // for a time: to a list of this version, or to the configuration that its file holds.
 type Await struct {
-	Names  []string
-	Seq    uint64
-	Within time.Duration
+	Names   []string
+	Version uint64
+	Timeout time.Duration
 }
 
-// Arrival is when one sidecar got there.
-type Arrival struct {
-	Name    string
-	Started time.Time // of the sidecar
-	At      time.Time
+// Completion is when one sidecar got there.
+type Completion struct {
+	Name      string
+	StartedAt time.Time // of the sidecar
+	At        time.Time
 }
 
-// Arrivals are those that came in time, and the names of the others.
-type Arrivals struct {
-	Arrived []Arrival
-	Missing []string
+// Completions are those that came in time, and the names of the others.
+type Completions struct {
+	Completed []Completion
+	Missing   []string
 }
 
 // SidecarCounts tell of all sidecars that a worker hosts or has hosted.
@@ -148,7 +148,7 @@
 
 // LoadPlans are requests through sidecars and, for comparison, straight to endpoints.
 // A plan without targets is left out.
-type LoadPlans struct{ Through, Direct load.Plan }
+type LoadPlans struct{ Proxied, Direct load.Plan }
 
 // LoadReports tell what came of the plans; nil for one that was left out.
-type LoadReports struct{ Through, Direct *load.Report }
+type LoadReports struct{ Proxied, Direct *load.Report }
--- a/internal/emulator/worker/registry.go
+++ b/internal/emulator/worker/registry.go
@@ -13,14 +13,14 @@
 
 const anyLoopbackPort = "127.0.0.1:0"
 
-// registryPlayer plays discovery.
-type registryPlayer struct {
+// registryService plays discovery.
+type registryService struct {
 	mu      sync.Mutex
 	server  *registry.Server
 	scratch string
 }
 
-func (p *registryPlayer) handlers() control.Handlers {
+func (p *registryService) handlers() control.Handlers {
 	return control.Handlers{
 		StartRegistry:   control.Handle(p.start),
 		SetInstances:    control.Handle(p.set),
@@ -29,7 +29,7 @@
 	}
 }
 
-func (p *registryPlayer) start(_ context.Context, options RegistryOptions) (RegistryAddress, error) {
+func (p *registryService) start(_ context.Context, options RegistryOptions) (RegistryAddress, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.server != nil {
@@ -48,27 +48,27 @@
 	return RegistryAddress{address.String()}, nil
 }
 
-func (p *registryPlayer) set(_ context.Context, list Instances) (Version, error) {
+func (p *registryService) set(_ context.Context, list Instances) (ListVersion, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	at := time.Now()
 	p.server.Set(list.Instances)
-	return Version{p.server.Seq(), at}, nil
+	return ListVersion{p.server.Seq(), at}, nil
 }
 
-func (p *registryPlayer) update(_ context.Context, changes Instances) (Version, error) {
+func (p *registryService) update(_ context.Context, changes Instances) (ListVersion, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	at := time.Now()
 	p.server.Update(changes.Instances...)
-	return Version{p.server.Seq(), at}, nil
+	return ListVersion{p.server.Seq(), at}, nil
 }
 
-func (p *registryPlayer) count(context.Context, control.Empty) (registry.Counts, error) {
+func (p *registryService) count(context.Context, control.Empty) (registry.Counts, error) {
 	return p.server.Counts(), nil
 }
 
-func (p *registryPlayer) close() {
+func (p *registryService) close() {
 	if p.server != nil {
 		_ = p.server.Close()
 	}
--- a/internal/emulator/worker/worker.go
+++ b/internal/emulator/worker/worker.go
@@ -9,15 +9,15 @@
 	"oakproxy/internal/emulator/spec"
 )
 
-// player is what one role does.
-type player interface {
+// service is what one role does.
+type service interface {
 	handlers() control.Handlers
 	close() // ends all that was started
 }
 
 // Run plays a role until the input ends or ctx does.
 func Run(ctx context.Context, role Role, input io.Reader, output io.Writer) error {
-	played, err := newPlayer(role)
+	played, err := newService(role)
 	if err != nil {
 		return err
 	}
@@ -25,21 +25,21 @@
 	return control.Serve(ctx, input, output, played.handlers())
 }
 
-func newPlayer(role Role) (player, error) {
+func newService(role Role) (service, error) {
 	switch role {
 	case RegistryRole:
-		return &registryPlayer{}, nil
+		return &registryService{}, nil
 	case EndpointsRole:
-		return newEndpointsPlayer(), nil
-	case HollowRole:
-		return newHollowPlayer(), nil
+		return newEndpointService(), nil
+	case SidecarsRole:
+		return newSidecarService(), nil
 	case LoadRole:
-		return &loadPlayer{}, nil
+		return &loadService{}, nil
 	}
 	return nil, spec.Invalid("unknown role %q", role)
 }
 
-// among says whether a name is one of those given, or none are.
-func among(names []string, name string) bool {
+// matchesName says whether a name is one of those given, or none are.
+func matchesName(names []string, name string) bool {
 	return len(names) == 0 || slices.Contains(names, name)
 }
