--- a/internal/emulator/worker/endpoints.go
+++ b/internal/emulator/worker/endpoints.go
@@ -11,7 +11,7 @@
 	"oakproxy/internal/emulator/endpoint"
 )
 
-// endpointService plays the endpoints of one zone.
+// endpointService is the endpoints role: it hosts a part of the fleet's endpoints.
 type endpointService struct {
 	mu        sync.Mutex
 	endpoints map[string]*endpoint.Endpoint
@@ -22,25 +22,25 @@
 	return &endpointService{endpoints: map[string]*endpoint.Endpoint{}}
 }
 
-func (p *endpointService) handlers() control.Handlers {
+func (s *endpointService) handlers() control.Handlers {
 	return control.Handlers{
-		StartEndpoints: control.Handle(p.start),
-		ActOnEndpoints: control.Handle(p.apply),
-		CountEndpoints: control.Handle(p.count),
+		StartEndpoints: control.Handle(s.start),
+		ActOnEndpoints: control.Handle(s.apply),
+		CountEndpoints: control.Handle(s.count),
 	}
 }
 
-func (p *endpointService) start(_ context.Context, asked EndpointConfigs) (Incarnations, error) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
+func (s *endpointService) start(_ context.Context, request EndpointConfigs) (Incarnations, error) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
 	var started Incarnations
-	for _, config := range asked.Configs {
+	for _, config := range request.Configs {
 		e, err := endpoint.Start(config)
 		if err != nil {
 			return Incarnations{}, fmt.Errorf("%s: %w", config.Name, err)
 		}
-		p.endpoints[config.Name] = e
-		p.names = append(p.names, config.Name)
+		s.endpoints[config.Name] = e
+		s.names = append(s.names, config.Name)
 		started.Endpoints = append(started.Endpoints, incarnationOf(e))
 	}
 	return started, nil
@@ -50,24 +50,24 @@
 	return Incarnation{Name: e.Config().Name, Address: e.Address(), StartedMS: e.BornMS()}
 }
 
-func (p *endpointService) apply(_ context.Context, asked EndpointAction) (Incarnations, error) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	var touched Incarnations
-	for _, name := range p.names {
-		if !matchesName(asked.Names, name) {
+func (s *endpointService) apply(_ context.Context, request EndpointAction) (Incarnations, error) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	var affected Incarnations
+	for _, name := range s.names {
+		if !matchesName(request.Names, name) {
 			continue
 		}
-		e := p.endpoints[name]
-		if err := applyAction(asked.Action, e); err != nil {
-			return Incarnations{}, fmt.Errorf("%s: %s: %w", asked.Action, name, err)
+		e := s.endpoints[name]
+		if err := applyAction(request.Action, e); err != nil {
+			return Incarnations{}, fmt.Errorf("%s: %s: %w", request.Action, name, err)
 		}
-		touched.Endpoints = append(touched.Endpoints, incarnationOf(e))
+		affected.Endpoints = append(affected.Endpoints, incarnationOf(e))
 	}
-	if len(touched.Endpoints) < len(asked.Names) {
-		return Incarnations{}, fmt.Errorf("%s: not all of %v are here", asked.Action, asked.Names)
+	if len(affected.Endpoints) < len(request.Names) {
+		return Incarnations{}, fmt.Errorf("%s: some of %v are not hosted by this worker", request.Action, request.Names)
 	}
-	return touched, nil
+	return affected, nil
 }
 
 func applyAction(action Action, e *endpoint.Endpoint) error {
@@ -80,16 +80,16 @@
 	case Vanish:
 		return e.Vanish()
 	}
-	return errors.New("no such action")
+	return errors.New("unknown action")
 }
 
-func (p *endpointService) count(context.Context, control.Empty) (endpoint.Counts, error) {
-	p.mu.Lock()
-	all := slices.Clone(p.names)
-	p.mu.Unlock()
+func (s *endpointService) count(context.Context, control.Empty) (endpoint.Counts, error) {
+	s.mu.Lock()
+	names := slices.Clone(s.names)
+	s.mu.Unlock()
 	var sum endpoint.Counts
-	for _, name := range all {
-		AddEndpointCounts(&sum, p.endpoints[name].Counts())
+	for _, name := range names {
+		AddEndpointCounts(&sum, s.endpoints[name].Counts())
 	}
 	return sum, nil
 }
@@ -110,9 +110,9 @@
 	sum.Connections.MaxOpen += counts.Connections.MaxOpen
 }
 
-func (p *endpointService) close() {
+func (s *endpointService) close() {
 	var closing sync.WaitGroup
-	for _, e := range p.endpoints {
+	for _, e := range s.endpoints {
 		closing.Add(1)
 		go func() {
 			defer closing.Done()
--- a/internal/emulator/worker/load.go
+++ b/internal/emulator/worker/load.go
@@ -9,66 +9,74 @@
 	"oakproxy/internal/emulator/load"
 )
 
-// loadService sends requests as applications do.
+// errLoadRunning is returned for plans that are to run while others do.
+var errLoadRunning = errors.New("other plans are running")
+
+// loadService is the load role: it sends requests as applications do.
 type loadService struct {
 	mu     sync.Mutex
-	cancel context.CancelFunc // of the plans that are carried out; nil: none are
+	cancel context.CancelFunc // of the plans that run; nil: none do
 }
 
-func (p *loadService) handlers() control.Handlers {
+func (s *loadService) handlers() control.Handlers {
 	return control.Handlers{
-		SendLoad: control.Handle(p.send),
-		StopLoad: control.Handle(p.stopSending),
+		SendLoad: control.Handle(s.send),
+		StopLoad: control.Handle(func(context.Context, control.Empty) (control.Empty, error) {
+			s.stop()
+			return control.Empty{}, nil
+		}),
 	}
 }
 
-func (p *loadService) close() {}
+// close has nothing to do: plans end with the context of their request.
+func (s *loadService) close() {}
 
-// start returns the context of plans that are to be carried out.
-func (p *loadService) start(ctx context.Context) (context.Context, error) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	if p.cancel != nil {
-		return nil, errors.New("other plans are being carried out")
+// start returns the context of plans that are about to run. Only stop releases it.
+func (s *loadService) start(ctx context.Context) (context.Context, error) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if s.cancel != nil {
+		return nil, errLoadRunning
 	}
-	ctx, p.cancel = context.WithCancel(ctx)
+	ctx, s.cancel = context.WithCancel(ctx)
 	return ctx, nil
 }
 
-func (p *loadService) stopSending(context.Context, control.Empty) (control.Empty, error) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	if p.cancel != nil {
-		p.cancel()
-		p.cancel = nil
+// stop ends the plans that run, if any do.
+func (s *loadService) stop() {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if s.cancel != nil {
+		s.cancel()
+		s.cancel = nil
 	}
-	return control.Empty{}, nil
 }
 
-// send carries both plans out at the same time.
-func (p *loadService) send(ctx context.Context, plans LoadPlans) (LoadReports, error) {
-	ctx, err := p.start(ctx)
+// send runs both plans at the same time.
+func (s *loadService) send(ctx context.Context, plans LoadPlans) (LoadReports, error) {
+	ctx, err := s.start(ctx)
 	if err != nil {
 		return LoadReports{}, err
 	}
-	defer p.stopSending(ctx, control.Empty{})
-	direct := make(chan planResult, 1)
-	go func() { direct <- runPlan(ctx, plans.Direct) }()
-	through := runPlan(ctx, plans.Proxied)
-	straight := <-direct
-	return LoadReports{through.report, straight.report}, errors.Join(through.err, straight.err)
+	defer s.stop()
+	directDone := make(chan planResult, 1)
+	go func() { directDone <- runPlan(ctx, plans.Direct) }()
+	proxied := runPlan(ctx, plans.Proxied)
+	direct := <-directDone
+	return LoadReports{Proxied: proxied.report, Direct: direct.report}, errors.Join(proxied.err, direct.err)
 }
 
-// planResult is what came of a plan.
+// planResult is the outcome of a plan. The report is nil for a plan without targets.
 type planResult struct {
 	report *load.Report
 	err    error
 }
 
-// runPlan carries a plan out, unless it has no targets.
-func runPlan(ctx context.Context, plan load.Plan) (s planResult) {
-	if len(plan.Targets) > 0 {
-		s.report, s.err = load.Run(ctx, plan)
+// runPlan runs a plan, unless it has no targets.
+func runPlan(ctx context.Context, plan load.Plan) planResult {
+	if len(plan.Targets) == 0 {
+		return planResult{}
 	}
-	return s
+	report, err := load.Run(ctx, plan)
+	return planResult{report: report, err: err}
 }
--- a/internal/emulator/worker/messages.go
+++ b/internal/emulator/worker/messages.go
@@ -1,5 +1,8 @@
-// Package worker is what the emulator's worker processes do: one plays discovery,
-// some play endpoints, some host sidecars, one sends requests.
+// Package worker implements the emulator's worker processes and the messages of their requests.
+//
+// A worker has one role: it hosts the discovery server, endpoints or simulated sidecars, or it sends
+// requests. It stops all that it started when its input ends. Messages are exchanged only between
+// processes of one build; of them only the counters are stored, in result files.
 package worker
 
 import (
@@ -12,7 +15,7 @@
 	"oakproxy/internal/emulator/sidecarlog"
 )
 
-// Role names what a worker process plays.
+// Role names what a worker process does.
 type Role string
 
 // The roles.
@@ -23,45 +26,45 @@
 	LoadRole      Role = "load"
 )
 
-// Requests of the registry role.
+// Requests of the registry role, each with the types of its request and response.
 const (
 	StartRegistry   control.Kind = "start registry"   // RegistryOptions, RegistryAddress
-	SetInstances    control.Kind = "set instances"    // Instances, Version
-	UpdateInstances control.Kind = "update instances" // Instances, Version
+	SetInstances    control.Kind = "set instances"    // Instances, ListVersion
+	UpdateInstances control.Kind = "update instances" // Instances, ListVersion
 	CountRegistry   control.Kind = "count registry"   // Empty, registry.Counts
 )
 
-// RegistryOptions are the settings of discovery.
+// RegistryOptions are the settings of the discovery server.
 type RegistryOptions struct {
 	CallsPerSecond float64
 	MaxQueueDelay  time.Duration
 	History        int
-	Scratch        string // a folder to remove when the emulator is gone
+	Scratch        string // a directory to remove when the emulator has ended
 }
 
-// RegistryAddress is where discovery listens.
+// RegistryAddress is where the discovery server listens.
 type RegistryAddress struct{ Address string }
 
-// Instances are entries of discovery's list.
+// Instances are entries of the discovery server's endpoint list.
 type Instances struct{ Instances []registry.Instance }
 
-// ListVersion is a version of discovery's list, and when it came to be.
+// ListVersion is a version of the discovery server's endpoint list, and when it was made.
 type ListVersion struct {
 	Number    uint64
 	CreatedAt time.Time
 }
 
-// Requests of the endpoints role.
+// Requests of the endpoints role, each with the types of its request and response.
 const (
-	StartEndpoints control.Kind = "start endpoints"  // EndpointConfigs, Lives
-	ActOnEndpoints control.Kind = "act on endpoints" // Act, Lives
+	StartEndpoints control.Kind = "start endpoints"  // EndpointConfigs, Incarnations
+	ActOnEndpoints control.Kind = "act on endpoints" // EndpointAction, Incarnations
 	CountEndpoints control.Kind = "count endpoints"  // Empty, endpoint.Counts
 )
 
 // EndpointConfigs are endpoints to start.
 type EndpointConfigs struct{ Configs []endpoint.Config }
 
-// Action is what happens to an endpoint.
+// Action is a planned change or a fault of an endpoint.
 type Action string
 
 // The actions.
@@ -71,23 +74,23 @@
 	Vanish  Action = "vanish"
 )
 
-// EndpointAction does something to the endpoints of these names, or to all where there are none.
+// EndpointAction applies an action to the endpoints of these names; without names, to all.
 type EndpointAction struct {
 	Action Action
 	Names  []string
 }
 
-// Incarnation is where an endpoint is reached, and since when it lives.
+// Incarnation is where an endpoint is reached, and since when its process runs.
 type Incarnation struct {
 	Name      string
 	Address   string
 	StartedMS int64
 }
 
-// Incarnations are the endpoints that a request was about.
+// Incarnations are those of the endpoints of a request, after it.
 type Incarnations struct{ Endpoints []Incarnation }
 
-// Requests of the hollow role.
+// Requests of the sidecars role, each with the types of its request and response.
 const (
 	StartSidecars  control.Kind = "start sidecars"  // Sidecars, Empty
 	StopSidecars   control.Kind = "stop sidecars"   // Names, Empty
@@ -101,54 +104,54 @@
 // SidecarFile is a sidecar and its configuration file.
 type SidecarFile struct{ Name, Path string }
 
-// Sidecars are sidecars to start, evenly over a time.
+// Sidecars are sidecars to start, evenly over a duration.
 type Sidecars struct {
 	Files []SidecarFile
 	Over  time.Duration
 }
 
-// Names are the sidecars that a request is about; none: all.
+// Names are the sidecars of a request; without names, all that are running.
 type Names struct{ Names []string }
 
-// Await waits until each of the named sidecars, or all of them, has got there, at most
-// for a time: to a list of this version, or to the configuration that its file holds.
+// Await waits until each of the named sidecars, or each that is running, is ready, has received a list of
+// this version, or has applied the configuration of its file.
 type Await struct {
 	Names   []string
 	Version uint64
 	Timeout time.Duration
 }
 
-// Completion is when one sidecar got there.
+// Completion is when one sidecar met the condition.
 type Completion struct {
 	Name      string
 	StartedAt time.Time // of the sidecar
 	At        time.Time
 }
 
-// Completions are those that came in time, and the names of the others.
+// Completions are those within the timeout, and the names of the sidecars that missed it.
 type Completions struct {
 	Completed []Completion
 	Missing   []string
 }
 
-// SidecarCounts tell of all sidecars that a worker hosts or has hosted.
+// SidecarCounts are the counts of all sidecars that a worker hosts or has hosted.
 type SidecarCounts struct {
 	sidecarlog.Counts
 	Running      int
 	Goroutines   int
-	Failed       uint64 // sidecars that ended by themselves
+	Failed       uint64 // sidecars that ended with an error
 	FirstFailure string
 }
 
-// Requests of the load role.
+// Requests of the load role, each with the types of its request and response.
 const (
 	SendLoad control.Kind = "send load" // LoadPlans, LoadReports
 	StopLoad control.Kind = "stop load" // Empty, Empty: SendLoad ends with what it has
 )
 
-// LoadPlans are requests through sidecars and, for comparison, straight to endpoints.
-// A plan without targets is left out.
+// LoadPlans are requests through sidecars and, for comparison, directly to endpoints. A plan without
+// targets is omitted.
 type LoadPlans struct{ Proxied, Direct load.Plan }
 
-// LoadReports tell what came of the plans; nil for one that was left out.
+// LoadReports are the results of the plans; nil for one that was omitted.
 type LoadReports struct{ Proxied, Direct *load.Report }
--- a/internal/emulator/worker/registry.go
+++ b/internal/emulator/worker/registry.go
@@ -11,68 +11,69 @@
 	"oakproxy/internal/emulator/spec"
 )
 
+// anyLoopbackPort lets the system choose the port.
 const anyLoopbackPort = "127.0.0.1:0"
 
-// registryService plays discovery.
+// registryService is the registry role: it hosts the discovery server.
 type registryService struct {
 	mu      sync.Mutex
 	server  *registry.Server
 	scratch string
 }
 
-func (p *registryService) handlers() control.Handlers {
+func (s *registryService) handlers() control.Handlers {
 	return control.Handlers{
-		StartRegistry:   control.Handle(p.start),
-		SetInstances:    control.Handle(p.set),
-		UpdateInstances: control.Handle(p.update),
-		CountRegistry:   control.Handle(p.count),
+		StartRegistry:   control.Handle(s.start),
+		SetInstances:    control.Handle(s.set),
+		UpdateInstances: control.Handle(s.update),
+		CountRegistry:   control.Handle(s.count),
 	}
 }
 
-func (p *registryService) start(_ context.Context, options RegistryOptions) (RegistryAddress, error) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	if p.server != nil {
-		return RegistryAddress{}, spec.Invalid("the registry has been started")
+func (s *registryService) start(_ context.Context, options RegistryOptions) (RegistryAddress, error) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if s.server != nil {
+		return RegistryAddress{}, spec.Invalid("registry: already started")
 	}
-	p.scratch = options.Scratch
-	p.server = registry.New(registry.Options{
+	s.scratch = options.Scratch
+	s.server = registry.New(registry.Options{
 		CallsPerSecond: options.CallsPerSecond,
 		MaxQueueDelay:  options.MaxQueueDelay,
 		History:        options.History,
 	})
-	address, err := p.server.Listen(anyLoopbackPort)
+	address, err := s.server.Listen(anyLoopbackPort)
 	if err != nil {
 		return RegistryAddress{}, err
 	}
-	return RegistryAddress{address.String()}, nil
+	return RegistryAddress{Address: address.String()}, nil
 }
 
-func (p *registryService) set(_ context.Context, list Instances) (ListVersion, error) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	at := time.Now()
-	p.server.Set(list.Instances)
-	return ListVersion{p.server.Seq(), at}, nil
+func (s *registryService) set(_ context.Context, request Instances) (ListVersion, error) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	createdAt := time.Now()
+	s.server.Set(request.Instances)
+	return ListVersion{Number: s.server.Seq(), CreatedAt: createdAt}, nil
 }
 
-func (p *registryService) update(_ context.Context, changes Instances) (ListVersion, error) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	at := time.Now()
-	p.server.Update(changes.Instances...)
-	return ListVersion{p.server.Seq(), at}, nil
+func (s *registryService) update(_ context.Context, request Instances) (ListVersion, error) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	createdAt := time.Now()
+	s.server.Update(request.Instances...)
+	return ListVersion{Number: s.server.Seq(), CreatedAt: createdAt}, nil
 }
 
-func (p *registryService) count(context.Context, control.Empty) (registry.Counts, error) {
-	return p.server.Counts(), nil
+func (s *registryService) count(context.Context, control.Empty) (registry.Counts, error) {
+	return s.server.Counts(), nil
 }
 
-func (p *registryService) close() {
-	if p.server != nil {
-		_ = p.server.Close()
+func (s *registryService) close() {
+	if s.server != nil {
+		_ = s.server.Close()
 	}
-	if p.scratch != "" {
-		_ = os.RemoveAll(p.scratch) // the emulator may have been killed
+	if s.scratch != "" {
+		_ = os.RemoveAll(s.scratch) // the emulator may have been killed before it could
 	}
 }
--- a/internal/emulator/worker/sidecars.go
+++ b/internal/emulator/worker/sidecars.go
@@ -16,55 +16,51 @@
 	"oakproxy/internal/sidecar"
 )
 
-// errAlreadyRunning is returned for a sidecar that is to be started and runs.
-var errAlreadyRunning = errors.New("the sidecar runs already")
+// errAlreadyRunning is returned for the start of a sidecar that is running.
+var errAlreadyRunning = errors.New("sidecar is already running")
 
-// sidecarService hosts sidecars that have no application beside them: the same code as in a
-// process of its own, many times.
+// sidecarService is the role that hosts simulated sidecars: sidecars that run the same code as one in a
+// process of its own, many to a process and without an application.
 type sidecarService struct {
-	ctx    context.Context
-	cancel context.CancelFunc
-
 	mu         sync.Mutex
-	sidecars   map[string]*hostedSidecar // the latest life of each
+	sidecars   map[string]*hostedSidecar // the latest incarnation of each
 	names      []string                  // in the order of their first start
-	pastCounts SidecarCounts             // of lives that are over
+	pastCounts SidecarCounts             // of earlier incarnations
 }
 
 func newSidecarService() *sidecarService {
-	ctx, cancel := context.WithCancel(context.Background())
-	return &sidecarService{ctx: ctx, cancel: cancel, sidecars: map[string]*hostedSidecar{}}
+	return &sidecarService{sidecars: map[string]*hostedSidecar{}}
 }
 
-func (p *sidecarService) handlers() control.Handlers {
+func (s *sidecarService) handlers() control.Handlers {
 	return control.Handlers{
-		StartSidecars:  control.Handle(p.start),
-		StopSidecars:   control.Handle(p.stop),
-		ReloadSidecars: control.Handle(p.reload),
-		AwaitReady:     control.Handle(p.awaitReady),
-		AwaitList:      control.Handle(p.awaitList),
-		AwaitConfig:    control.Handle(p.awaitConfig),
-		CountSidecars:  control.Handle(p.count),
+		StartSidecars:  control.Handle(s.start),
+		StopSidecars:   control.Handle(s.stop),
+		ReloadSidecars: control.Handle(s.reload),
+		AwaitReady:     control.Handle(s.awaitReady),
+		AwaitList:      control.Handle(s.awaitList),
+		AwaitConfig:    control.Handle(s.awaitConfig),
+		CountSidecars:  control.Handle(s.count),
 	}
 }
 
-// start starts sidecars one after the other.
-func (p *sidecarService) start(ctx context.Context, asked Sidecars) (control.Empty, error) {
-	pause := asked.Over / time.Duration(max(1, len(asked.Files)))
-	for i, file := range asked.Files {
-		if i > 0 && !sleep(ctx, pause) {
+// start starts sidecars one by one, evenly over the time that the request gives.
+func (s *sidecarService) start(ctx context.Context, request Sidecars) (control.Empty, error) {
+	interval := request.Over / time.Duration(max(1, len(request.Files)))
+	for i, file := range request.Files {
+		if i > 0 && !sleep(ctx, interval) {
 			return control.Empty{}, ctx.Err()
 		}
-		if err := p.startOne(file); err != nil {
+		if err := s.startOne(file); err != nil {
 			return control.Empty{}, fmt.Errorf("%s: %w", file.Name, err)
 		}
 	}
 	return control.Empty{}, nil
 }
 
-// sleep waits for a time and says whether ctx lasts until then.
-func sleep(ctx context.Context, pause time.Duration) bool {
-	timer := time.NewTimer(pause)
+// sleep waits for a time and says whether ctx was not done before.
+func sleep(ctx context.Context, length time.Duration) bool {
+	timer := time.NewTimer(length)
 	defer timer.Stop()
 	select {
 	case <-timer.C:
@@ -74,72 +70,73 @@
 	}
 }
 
-func (p *sidecarService) startOne(file SidecarFile) error {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	before := p.sidecars[file.Name]
-	if before != nil {
-		if before.running() {
+// startOne starts a sidecar for the first time, or again once it has ended.
+func (s *sidecarService) startOne(file SidecarFile) error {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	previous := s.sidecars[file.Name]
+	if previous != nil {
+		if previous.running() {
 			return errAlreadyRunning
 		}
-		p.pastCounts.Add(before.counts())
+		s.pastCounts.Add(previous.counts())
 	}
-	next, err := startHosted(p.ctx, file)
+	next, err := startHosted(file)
 	if err != nil {
 		return err
 	}
-	if before == nil {
-		p.names = append(p.names, file.Name)
+	if previous == nil {
+		s.names = append(s.names, file.Name)
 	}
-	p.sidecars[file.Name] = next
+	s.sidecars[file.Name] = next
 	return nil
 }
 
-// stop ends sidecars as SIGTERM does, and waits for them.
-func (p *sidecarService) stop(_ context.Context, asked Names) (control.Empty, error) {
-	stopping := p.selected(asked.Names)
-	for _, s := range stopping {
-		s.stop()
+// stop shuts sidecars down gracefully, as SIGTERM does, and waits for them.
+func (s *sidecarService) stop(_ context.Context, request Names) (control.Empty, error) {
+	stopping := s.selected(request.Names)
+	for _, h := range stopping {
+		h.stop()
 	}
-	for _, s := range stopping {
-		<-s.done
+	for _, h := range stopping {
+		<-h.done
 	}
 	return control.Empty{}, nil
 }
 
-// reload has sidecars read their files again, as SIGHUP does.
-func (p *sidecarService) reload(_ context.Context, asked Names) (control.Empty, error) {
-	for _, s := range p.selected(asked.Names) {
-		s.requestReload()
+// reload makes sidecars reload their files, as SIGHUP does.
+func (s *sidecarService) reload(_ context.Context, request Names) (control.Empty, error) {
+	for _, h := range s.selected(request.Names) {
+		h.requestReload()
 	}
 	return control.Empty{}, nil
 }
 
-// selected returns the sidecars of these names; of none: all that run.
-func (p *sidecarService) selected(names []string) []*hostedSidecar {
-	p.mu.Lock()
-	defer p.mu.Unlock()
+// selected returns the sidecars of these names; without names, all that are running.
+func (s *sidecarService) selected(names []string) []*hostedSidecar {
+	s.mu.Lock()
+	defer s.mu.Unlock()
 	var chosen []*hostedSidecar
-	for _, name := range p.names {
-		s := p.sidecars[name]
-		if slices.Contains(names, name) || len(names) == 0 && s.running() {
-			chosen = append(chosen, s)
+	for _, name := range s.names {
+		h := s.sidecars[name]
+		if slices.Contains(names, name) || len(names) == 0 && h.running() {
+			chosen = append(chosen, h)
 		}
 	}
 	return chosen
 }
 
-func (p *sidecarService) awaitReady(ctx context.Context, asked Await) (Completions, error) {
-	return p.await(ctx, asked, func(*hostedSidecar) sidecarlog.Condition { return sidecarlog.Ready })
+func (s *sidecarService) awaitReady(ctx context.Context, request Await) (Completions, error) {
+	return s.await(ctx, request, func(*hostedSidecar) sidecarlog.Condition { return sidecarlog.Ready })
 }
 
-func (p *sidecarService) awaitList(ctx context.Context, asked Await) (Completions, error) {
-	return p.await(ctx, asked, func(*hostedSidecar) sidecarlog.Condition { return sidecarlog.ListReceived(asked.Version) })
+func (s *sidecarService) awaitList(ctx context.Context, request Await) (Completions, error) {
+	return s.await(ctx, request, func(*hostedSidecar) sidecarlog.Condition { return sidecarlog.ListReceived(request.Version) })
 }
 
-func (p *sidecarService) awaitConfig(ctx context.Context, asked Await) (Completions, error) {
-	return p.await(ctx, asked, func(s *hostedSidecar) sidecarlog.Condition {
-		cfg, err := readConfig(s.file.Path)
+func (s *sidecarService) awaitConfig(ctx context.Context, request Await) (Completions, error) {
+	return s.await(ctx, request, func(h *hostedSidecar) sidecarlog.Condition {
+		cfg, err := readConfig(h.file.Path)
 		if err != nil {
 			return func(*sidecarlog.Events) (time.Time, bool) { return time.Time{}, false }
 		}
@@ -147,36 +144,36 @@
 	})
 }
 
-// await waits for a condition at each sidecar that a request is about. One that ends
-// meanwhile is neither among those that came nor missing.
-func (p *sidecarService) await(ctx context.Context, asked Await, of func(*hostedSidecar) sidecarlog.Condition) (Completions, error) {
-	ctx, cancel := context.WithTimeout(ctx, asked.Timeout)
+// await waits until each sidecar of a request meets its condition. One that ends in the meantime is
+// neither completed nor missing.
+func (s *sidecarService) await(ctx context.Context, request Await, conditionOf func(*hostedSidecar) sidecarlog.Condition) (Completions, error) {
+	ctx, cancel := context.WithTimeout(ctx, request.Timeout)
 	defer cancel()
-	var all Completions
-	for _, s := range p.selected(asked.Names) {
-		at, came := s.await(ctx, of(s))
+	var result Completions
+	for _, h := range s.selected(request.Names) {
+		at, met := h.await(ctx, conditionOf(h))
 		switch {
-		case came:
-			all.Completed = append(all.Completed, Completion{s.file.Name, s.started, at})
-		case s.running():
-			all.Missing = append(all.Missing, s.file.Name)
+		case met:
+			result.Completed = append(result.Completed, Completion{Name: h.file.Name, StartedAt: h.started, At: at})
+		case h.running():
+			result.Missing = append(result.Missing, h.file.Name)
 		}
 	}
-	return all, nil
+	return result, nil
 }
 
-func (p *sidecarService) count(context.Context, control.Empty) (SidecarCounts, error) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	sum := p.pastCounts
-	for _, s := range p.sidecars {
-		sum.Add(s.counts())
+func (s *sidecarService) count(context.Context, control.Empty) (SidecarCounts, error) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	sum := s.pastCounts
+	for _, h := range s.sidecars {
+		sum.Add(h.counts())
 	}
 	sum.Goroutines = runtime.NumGoroutine()
 	return sum, nil
 }
 
-// Add adds what other lives counted.
+// Add adds the counts of other sidecars or incarnations.
 func (c *SidecarCounts) Add(other SidecarCounts) {
 	c.Running += other.Running
 	c.Counts.Add(other.Counts)
@@ -186,17 +183,23 @@
 	}
 }
 
-// close ends the sidecars without waiting for their drains: the process ends with them.
-func (p *sidecarService) close() { p.cancel() }
+// close stops the sidecars without waiting for their graceful shutdown: the process ends with them.
+func (s *sidecarService) close() {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	for _, h := range s.sidecars {
+		h.stop()
+	}
+}
 
-// hostedSidecar is one life of a sidecar.
+// hostedSidecar is one incarnation of a sidecar.
 type hostedSidecar struct {
 	file    SidecarFile
 	started time.Time
 	events  *sidecarlog.Events
 	stop    context.CancelFunc
 	done    chan struct{} // closed when the sidecar has ended
-	err     error         // why; valid once ended is closed
+	err     error         // how it ended; valid once done is closed
 
 	mu      sync.Mutex
 	reloads chan os.Signal // nil once the sidecar has ended
@@ -211,69 +214,76 @@
 	return config.Parse(text)
 }
 
-// startHosted starts a sidecar by its configuration file.
-func startHosted(ctx context.Context, file SidecarFile) (*hostedSidecar, error) {
+// startHosted starts a sidecar with its configuration file. It runs until its stop is called.
+func startHosted(file SidecarFile) (*hostedSidecar, error) {
 	cfg, err := readConfig(file.Path)
 	if err != nil {
 		return nil, err
 	}
-	ctx, stop := context.WithCancel(ctx)
-	s := &hostedSidecar{file: file, started: time.Now(), events: sidecarlog.New(), stop: stop, reloads: make(chan os.Signal, 1), done: make(chan struct{})}
+	ctx, stop := context.WithCancel(context.Background())
+	h := &hostedSidecar{
+		file:    file,
+		started: time.Now(),
+		events:  sidecarlog.New(),
+		stop:    stop,
+		reloads: make(chan os.Signal, 1),
+		done:    make(chan struct{}),
+	}
 	go func() {
-		defer close(s.done)
-		defer s.closeReloads()
-		s.err = sidecar.Run(ctx, cfg, config.ReloadOnSignal(file.Path, s.reloads), s.events.Logger())
+		defer close(h.done)
+		defer h.closeReloads()
+		h.err = sidecar.Run(ctx, cfg, config.ReloadOnSignal(file.Path, h.reloads), h.events.Logger())
 	}()
-	return s, nil
+	return h, nil
 }
 
-// requestReload is SIGHUP: one that comes while another waits adds nothing.
-func (s *hostedSidecar) requestReload() {
-	s.mu.Lock()
-	defer s.mu.Unlock()
+// requestReload has the effect of SIGHUP. A request while another is pending adds nothing.
+func (h *hostedSidecar) requestReload() {
+	h.mu.Lock()
+	defer h.mu.Unlock()
 	select {
-	case s.reloads <- nil:
+	case h.reloads <- nil:
 	default:
 	}
 }
 
-// closeReloads ends the signals of a sidecar that has ended.
-func (s *hostedSidecar) closeReloads() {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	close(s.reloads)
-	s.reloads = nil
+// closeReloads ends the reload requests of a sidecar that has ended.
+func (h *hostedSidecar) closeReloads() {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	close(h.reloads)
+	h.reloads = nil
 }
 
-// await waits for a condition, until ctx or the sidecar ends.
-func (s *hostedSidecar) await(ctx context.Context, condition sidecarlog.Condition) (time.Time, bool) {
+// await waits until a condition is met, ctx is done or the sidecar has ended.
+func (h *hostedSidecar) await(ctx context.Context, condition sidecarlog.Condition) (time.Time, bool) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	go func() {
 		select {
-		case <-s.done:
+		case <-h.done:
 			cancel()
 		case <-ctx.Done():
 		}
 	}()
-	return s.events.Await(ctx, condition)
+	return h.events.Await(ctx, condition)
 }
 
-func (s *hostedSidecar) running() bool {
+func (h *hostedSidecar) running() bool {
 	select {
-	case <-s.done:
+	case <-h.done:
 		return false
 	default:
 		return true
 	}
 }
 
-func (s *hostedSidecar) counts() SidecarCounts {
-	c := SidecarCounts{Counts: s.events.Counts()}
-	if s.running() {
+func (h *hostedSidecar) counts() SidecarCounts {
+	c := SidecarCounts{Counts: h.events.Counts()}
+	if h.running() {
 		c.Running = 1
-	} else if s.err != nil {
-		c.Failed, c.FirstFailure = 1, s.file.Name+": "+s.err.Error()
+	} else if h.err != nil {
+		c.Failed, c.FirstFailure = 1, h.file.Name+": "+h.err.Error()
 	}
 	return c
 }
--- a/internal/emulator/worker/worker.go
+++ b/internal/emulator/worker/worker.go
@@ -3,26 +3,26 @@
 import (
 	"context"
 	"io"
-	"slices"
-
 	"oakproxy/internal/emulator/control"
 	"oakproxy/internal/emulator/spec"
+	"slices"
 )
 
-// service is what one role does.
+// service implements one role.
 type service interface {
 	handlers() control.Handlers
-	close() // ends all that was started
+	close() // stops all that was started; no handler runs by then
 }
 
-// Run plays a role until the input ends or ctx does.
+// Run serves the requests of a role until the input ends or ctx is done, and stops what the role started.
+// An unknown role is a *spec.InputError.
 func Run(ctx context.Context, role Role, input io.Reader, output io.Writer) error {
-	played, err := newService(role)
+	s, err := newService(role)
 	if err != nil {
 		return err
 	}
-	defer played.close()
-	return control.Serve(ctx, input, output, played.handlers())
+	defer s.close()
+	return control.Serve(ctx, input, output, s.handlers())
 }
 
 func newService(role Role) (service, error) {
@@ -39,7 +39,7 @@
 	return nil, spec.Invalid("unknown role %q", role)
 }
 
-// matchesName says whether a name is one of those given, or none are.
+// matchesName says whether name is among names. No names match every name.
 func matchesName(names []string, name string) bool {
 	return len(names) == 0 || slices.Contains(names, name)
 }
