--- a/internal/emulator/endpoint/config.go
+++ b/internal/emulator/endpoint/config.go
@@ -3,49 +3,49 @@
 import "time"
 
 const (
-	minShare         = 0.01 // bounds how slow a cold endpoint is
+	minColdCapacity  = 0.01 // limits how slow a cold endpoint is
 	defaultLoadField = "inflight"
 )
 
-// Config describes an endpoint.
+// Config describes an endpoint. Site, Class and Block only describe its place.
 type Config struct {
 	Name    string
-	Address string // to listen on; with port 0 the system picks one
+	Address string // to listen on; with port 0 the system chooses one
 	Site    string
 	Class   string
 	Block   uint16
 
 	Cores       int           // requests served at a time; at least 1
 	ServiceTime time.Duration // of each request on a core
-	QueueLimit  int           // requests that wait for a core; any more are turned away
-	ReportLoad  bool          // answers and /stats tell the load
-	LoadField   string        // what the load report calls the requests in flight; empty: inflight
+	QueueLimit  int           // requests that may wait for a core; any more are rejected
+	ReportLoad  bool          // responses and /stats carry a load report
+	LoadField   string        // name of the requests in flight in the load report; empty: inflight
 	IdleTimeout time.Duration // after which an idle connection is closed; 0: never
 
-	// From its start an endpoint that is cold has ColdShare of its capacity, which
-	// grows linearly to all of it over WarmUp. 0: always warm.
-	WarmUp    time.Duration
-	ColdShare float64
-	// StartCold makes the first start a cold one; restarts always are.
+	// A cold endpoint starts with ColdCapacity, a fraction of its full capacity, and warms up
+	// linearly to all of it over WarmUp. 0: always warm.
+	WarmUp       time.Duration
+	ColdCapacity float64
+	// StartCold makes the first start cold. Restarts always are.
 	StartCold bool
 }
 
-// withDefaults fills in what has to have a value.
+// withDefaults fills in defaults and limits values to their ranges.
 func (c Config) withDefaults() Config {
 	c.Cores = max(1, c.Cores)
 	if c.LoadField == "" {
 		c.LoadField = defaultLoadField
 	}
-	c.ColdShare = min(1, max(minShare, c.ColdShare))
+	c.ColdCapacity = min(1, max(minColdCapacity, c.ColdCapacity))
 	return c
 }
 
-// serviceTimeAt is the time a request takes that begins so long after the start.
+// serviceTimeAt returns the service time of a request that begins this long after the start.
 func (c Config) serviceTimeAt(sinceStart time.Duration) time.Duration {
 	if sinceStart >= c.WarmUp {
 		return c.ServiceTime
 	}
 	warmed := float64(sinceStart) / float64(c.WarmUp)
-	share := c.ColdShare + (1-c.ColdShare)*warmed
-	return time.Duration(float64(c.ServiceTime) / share)
+	capacity := c.ColdCapacity + (1-c.ColdCapacity)*warmed
+	return time.Duration(float64(c.ServiceTime) / capacity)
 }
--- a/internal/emulator/endpoint/counts.go
+++ b/internal/emulator/endpoint/counts.go
@@ -6,21 +6,21 @@
 	"oakproxy/internal/emulator/httpconn"
 )
 
-// Counts are the figures of an endpoint since Start, over all its restarts.
+// Counts are the counters of an endpoint since Start, over all its incarnations.
 type Counts struct {
-	Requests    uint64 // complete requests, without health checks
-	Served      uint64 // responses 200 written
-	Rejected    uint64 // queue full, draining or deadline exceeded
-	MissingID   uint64 `json:"MissingID"` // responses 404 for want of a correlation ID
-	Duplicates  uint64 // started with a correlation ID that had been started here before
-	Abandoned   uint64 // cancelled by the client while they were queued or running
-	Probes      uint64 `json:"Probes"` // health checks
-	BytesIn     uint64
-	BytesOut    uint64
-	Connections httpconn.SetCounts
+	Requests     uint64 // complete requests, without health checks
+	Served       uint64 // responses 200 written
+	Rejected     uint64 // queue full, draining or deadline exceeded
+	MissingIDs   uint64 `json:"MissingID"` // responses 404 for want of a correlation ID
+	Duplicates   uint64 // started with a correlation ID that had been started here before
+	Abandoned    uint64 // cancelled by the client while they were queued or running
+	HealthChecks uint64 `json:"Probes"` // health checks
+	BytesIn      uint64
+	BytesOut     uint64
+	Connections  httpconn.SetCounts
 }
 
 // counters are the live form of Counts.
 type counters struct {
-	requests, served, rejected, missingID, duplicates, abandoned, probes atomic.Uint64
+	requests, served, rejected, missingID, duplicates, abandoned, healthChecks atomic.Uint64
 }
--- a/internal/emulator/endpoint/endpoint_test.go
+++ b/internal/emulator/endpoint/endpoint_test.go
@@ -32,7 +32,7 @@
 	}
 }
 
-// reply is what came of a request.
+// reply is the outcome of a request.
 type reply struct {
 	status int
 	header http.Header
@@ -40,7 +40,7 @@
 	err    error
 }
 
-// client sends requests to an endpoint on kept connections.
+// client sends requests to an endpoint on persistent connections.
 type client struct {
 	http.Client
 	t       *testing.T
@@ -74,7 +74,7 @@
 	return reply{response.StatusCode, response.Header, string(body), err}
 }
 
-// expect sends a request that has to be answered so; 503 has to say that it has not run.
+// expect sends a request and checks its status. A 503 has to say that the request was not processed.
 func (c *client) expect(status int, path, id string) {
 	c.t.Helper()
 	got := c.send(http.MethodGet, path, id)
@@ -102,10 +102,10 @@
 
 func awaitInFlight(t *testing.T, e *Endpoint, want string) {
 	t.Helper()
-	await(t, want, func() bool { return e.load() == want })
+	await(t, want, func() bool { return e.loadReport() == want })
 }
 
-func TestRequestsAndProbes(t *testing.T) {
+func TestRequestsAndHealthChecksAreServed(t *testing.T) {
 	e := start(t, Config{ReportLoad: true})
 	c := newClient(t, e)
 	for _, check := range []struct {
@@ -127,13 +127,13 @@
 	}
 	await(t, "third answer", func() bool { return e.Counts().Served == 3 })
 	got := e.Counts()
-	if got.Requests != 4 || got.MissingID != 1 || got.Duplicates != 1 || got.Probes != 2 || got.BytesIn == 0 || got.BytesOut == 0 ||
+	if got.Requests != 4 || got.MissingIDs != 1 || got.Duplicates != 1 || got.HealthChecks != 2 || got.BytesIn == 0 || got.BytesOut == 0 ||
 		got.Connections != (httpconn.SetCounts{Accepted: 1, Open: 1, MaxOpen: 1}) {
 		t.Errorf("counts %+v", got)
 	}
 }
 
-func TestAFullQueueTurnsAway(t *testing.T) {
+func TestFullQueueRejectsRequests(t *testing.T) {
 	e := start(t, Config{ServiceTime: time.Hour, QueueLimit: 1})
 	c := newClient(t, e)
 	running := c.begin("id1")
@@ -154,25 +154,25 @@
 	}
 }
 
-func TestQueueOrderAndExpiry(t *testing.T) {
+func TestQueueIsFIFOAndSkipsExpiredTasks(t *testing.T) {
 	near, far := net.Pipe()
 	defer near.Close()
 	defer far.Close()
 	conn := httpconn.New(near, &httpconn.Traffic{})
 	q := &queue{cores: 1, limit: 9, serviceTime: func(time.Time) time.Duration { return time.Hour }}
 	first := &task{conn: conn}
-	late := &task{conn: conn, expires: time.Now()}
+	late := &task{conn: conn, deadline: time.Now()}
 	second, third := &task{conn: conn}, &task{conn: conn}
 	for _, next := range []*task{first, late, second, third} {
 		if !q.admit(next) {
-			t.Fatal("turned away")
+			t.Fatal("rejected")
 		}
 	}
 	if got := q.finish(first); got != running {
 		t.Errorf("the first was %v", got)
 	}
-	if late.progress != expired || second.progress != running || third.progress != waiting {
-		t.Errorf("late %v, second %v, third %v", late.progress, second.progress, third.progress)
+	if late.state != expired || second.state != running || third.state != queued {
+		t.Errorf("late %v, second %v, third %v", late.state, second.state, third.state)
 	}
 	for _, next := range []*task{third, late, second} {
 		q.finish(next)
@@ -182,55 +182,55 @@
 	}
 }
 
-func TestDrain(t *testing.T) {
+func TestDrainingEndpointRejectsRequests(t *testing.T) {
 	e := start(t, Config{})
 	c := newClient(t, e)
 	e.Drain()
 	c.expect(503, "/search", "id1")
 	c.expect(503, "/health/live", "")
-	succeed(t, e.Return)
+	succeed(t, e.Recover)
 	c.expect(200, "/search", "id1")
 }
 
-func TestRestart(t *testing.T) {
+func TestRestartBeginsANewIncarnation(t *testing.T) {
 	e := start(t, Config{ServiceTime: time.Hour})
 	c := newClient(t, e)
 	result := c.begin("id1")
 	awaitInFlight(t, e, "inflight=1")
-	if e.BornMS() != 0 {
-		t.Errorf("born at %d", e.BornMS())
+	if e.StartedMS() != 0 {
+		t.Errorf("started at %d", e.StartedMS())
 	}
 	succeed(t, e.Restart)
 	if got := <-result; !errors.Is(got.err, syscall.ECONNRESET) {
 		t.Errorf("got %+v", got)
 	}
 	c.expect(200, "/health/live", "")
-	restarted := e.BornMS()
+	restarted := e.StartedMS()
 	e.Crash()
 	if got := c.send("GET", "/health/live", ""); !errors.Is(got.err, syscall.ECONNREFUSED) {
 		t.Errorf("got %+v", got)
 	}
-	succeed(t, e.Return)
+	succeed(t, e.Recover)
 	c.expect(200, "/health/live", "")
-	if born := e.BornMS(); restarted == 0 || born < restarted || e.Address() != c.address {
-		t.Errorf("born at %d and %d, at %s", restarted, born, e.Address())
+	if recovered := e.StartedMS(); restarted == 0 || recovered < restarted || e.Address() != c.address {
+		t.Errorf("started at %d and %d, at %s", restarted, recovered, e.Address())
 	}
 }
 
-func TestAnIdleConnectionIsClosed(t *testing.T) {
+func TestIdleConnectionIsClosed(t *testing.T) {
 	e := start(t, Config{IdleTimeout: time.Millisecond})
 	socket, err := net.Dial("tcp", e.Address())
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer socket.Close()
-	if _, err := socket.Read(make([]byte, 1)); err != io.EOF {
-		t.Errorf("reading gave %v, want the end", err)
+	if _, err := socket.Read(make([]byte, 1)); !errors.Is(err, io.EOF) {
+		t.Errorf("reading gave %v, want EOF", err)
 	}
 	await(t, "closed connection", func() bool { return e.Counts().Connections.Open == 0 })
 }
 
-func TestRequestsThatEndTheConnection(t *testing.T) {
+func TestInvalidRequestsCloseTheConnection(t *testing.T) {
 	e := start(t, Config{ServiceTime: time.Hour, Cores: 9})
 	for name, sent := range map[string]string{
 		"malformed": "GET\r\n\r\n",
@@ -249,12 +249,12 @@
 	}
 }
 
-func TestVanish(t *testing.T) {
+func TestDisconnectedEndpointIsSilentUntilRecovery(t *testing.T) {
 	e := start(t, Config{})
 	c := newClient(t, e)
 	c.expect(200, "/search", "id1")
 	await(t, "first answer", func() bool { return e.Counts().Served == 1 })
-	succeed(t, e.Vanish)
+	succeed(t, e.Disconnect)
 	before := e.Counts()
 	silent := c.begin("id2") // on the connection it has
 	await(t, "byte of a request", func() bool { return e.Counts().BytesIn > before.BytesIn })
@@ -264,19 +264,19 @@
 		t.Errorf("dialling gave %v", err)
 	}
 	if after := e.Counts(); after.BytesOut != before.BytesOut {
-		t.Errorf("%d bytes sent while it had vanished", after.BytesOut-before.BytesOut)
+		t.Errorf("%d bytes sent while it was disconnected", after.BytesOut-before.BytesOut)
 	}
-	succeed(t, e.Return)
+	succeed(t, e.Recover)
 	if got := <-silent; !errors.Is(got.err, syscall.ECONNRESET) {
 		t.Errorf("got %+v", got)
 	}
 	c.expect(200, "/search", "id3")
-	if e.BornMS() != 0 {
-		t.Error("born anew")
+	if e.StartedMS() != 0 {
+		t.Error("the start time has changed")
 	}
 }
 
-func TestHang(t *testing.T) {
+func TestHungEndpointRespondsOnceItResumes(t *testing.T) {
 	e := start(t, Config{})
 	c := newClient(t, e)
 	e.Hang(true)
@@ -295,8 +295,8 @@
 	}
 }
 
-func TestServiceTimeWhileCold(t *testing.T) {
-	config := Config{ServiceTime: 10 * time.Millisecond, WarmUp: time.Second, ColdShare: 0.2}.withDefaults()
+func TestServiceTimeFallsDuringWarmUp(t *testing.T) {
+	config := Config{ServiceTime: 10 * time.Millisecond, WarmUp: time.Second, ColdCapacity: 0.2}.withDefaults()
 	for since, want := range map[time.Duration]time.Duration{
 		0:                      50 * time.Millisecond,
 		375 * time.Millisecond: 20 * time.Millisecond,
--- a/internal/emulator/endpoint/idwindow.go
+++ b/internal/emulator/endpoint/idwindow.go
@@ -2,28 +2,29 @@
 
 import "sync"
 
-// recentLimit is how many ids one generation holds.
-const recentLimit = 512
+// idWindowSize is the number of IDs in one generation.
+const idWindowSize = 512
 
-// recentIDs remembers the last ids, 512 of them at least.
-type recentIDs struct {
+// idWindow remembers the most recent IDs, at least idWindowSize of them once there are as many. It holds two
+// generations and discards the older one when the newer one is full.
+type idWindow struct {
 	mu                sync.Mutex
 	current, previous map[string]struct{}
 }
 
-// begin notes an id and says whether it had been noted before.
-func (r *recentIDs) begin(id string) (again bool) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	_, inCurrent := r.current[id]
-	_, inPrevious := r.previous[id]
+// add adds an ID and says whether the window held it already.
+func (w *idWindow) add(id string) (seen bool) {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	_, inCurrent := w.current[id]
+	_, inPrevious := w.previous[id]
 	if inCurrent {
 		return true
 	}
-	if r.current == nil || len(r.current) >= recentLimit {
-		r.previous = r.current
-		r.current = map[string]struct{}{}
+	if w.current == nil || len(w.current) >= idWindowSize {
+		w.previous = w.current
+		w.current = map[string]struct{}{}
 	}
-	r.current[id] = struct{}{}
+	w.current[id] = struct{}{}
 	return inPrevious
 }
--- a/internal/emulator/endpoint/listener.go
+++ b/internal/emulator/endpoint/listener.go
@@ -11,21 +11,21 @@
 )
 
 const (
-	fillTimeout = time.Second // for a connection of our own to fill the backlog
-	fillPause   = time.Millisecond
+	fillTimeout = time.Second // for a connection of the acceptor itself to fill the backlog
+	fillPoll    = time.Millisecond
 )
 
-// past is a deadline that has always been exceeded.
-var past = time.Unix(1, 0)
+// pastDeadline is a deadline that has always passed.
+var pastDeadline = time.Unix(1, 0)
 
-// errNotFilled is a backlog that did not take a connection of our own.
-var errNotFilled = errors.New("endpoint: the backlog can't be filled")
+// errBacklogNotFull is returned when the backlog did not fill up in time.
+var errBacklogNotFull = errors.New("endpoint: listen backlog cannot be filled")
 
 // acceptor is a listener that can stop accepting while it stays open.
 type acceptor struct {
-	listener  *net.TCPListener
-	accepting sync.Mutex // held during each Accept
-	filler    net.Conn   // of the backlog, once silenced; nil if others filled it
+	listener    *net.TCPListener
+	accepting   sync.Mutex // locked during each Accept
+	backlogConn net.Conn   // fills the backlog after dropSYNs; nil if another connection does
 }
 
 func listen(address string) (*acceptor, error) {
@@ -47,22 +47,22 @@
 	return a.listener.Accept()
 }
 
-// pause leaves new connections to the system, which goes on taking them until the
-// backlog is full. No connection is accepted once it has returned.
+// pause leaves new connections to the system, which establishes them until the backlog is full. No connection
+// is accepted once it has returned.
 func (a *acceptor) pause() {
 	// It fails only on a closed listener, which accepts nothing anyway.
-	_ = a.listener.SetDeadline(past)
-	a.accepting.Lock() // waits for an Accept that had begun before
+	_ = a.listener.SetDeadline(pastDeadline)
+	a.accepting.Lock() // waits for an Accept in progress
 	defer a.accepting.Unlock()
 }
 
 // resume ends a pause.
 func (a *acceptor) resume() { _ = a.listener.SetDeadline(time.Time{}) }
 
-// silence makes the system drop new connections without a word, as the network does for
-// a machine that is gone: with a backlog that is full, Linux ignores any further SYN. It
-// has to be paused before, and is of no more use after that but to be closed.
-func (a *acceptor) silence() error {
+// dropSYNs makes the system ignore new connections, as if the machine were off the network: while the
+// backlog is full, Linux drops each further SYN. The acceptor must have been paused before, and can only be
+// closed after.
+func (a *acceptor) dropSYNs() error {
 	raw, err := a.listener.SyscallConn()
 	if err != nil {
 		return err
@@ -74,43 +74,43 @@
 	if shrunk != nil {
 		return shrunk
 	}
-	return a.fill(raw)
+	return a.fillBacklog(raw)
 }
 
-// fill waits until the backlog holds a connection, by one of our own if there is none.
-func (a *acceptor) fill(raw syscall.RawConn) error {
-	for end := time.Now().Add(fillTimeout); time.Now().Before(end); {
+// fillBacklog waits until the backlog holds a connection, and opens one itself if there is none.
+func (a *acceptor) fillBacklog(raw syscall.RawConn) error {
+	for deadline := time.Now().Add(fillTimeout); time.Now().Before(deadline); {
 		length, err := backlogLength(raw)
 		if err != nil || length > 0 {
 			return err
 		}
-		if a.filler != nil {
-			time.Sleep(fillPause) // the last packet of its handshake is on its way
+		if a.backlogConn != nil {
+			time.Sleep(fillPoll) // the last packet of its handshake is on its way
 			continue
 		}
-		if a.filler, err = net.DialTimeout("tcp", a.listener.Addr().String(), fillTimeout); err != nil {
+		if a.backlogConn, err = net.DialTimeout("tcp", a.listener.Addr().String(), fillTimeout); err != nil {
 			return err
 		}
 	}
-	return errNotFilled
+	return errBacklogNotFull
 }
 
-// backlogLength is how many connections wait to be accepted.
+// backlogLength returns the number of connections that wait to be accepted.
 func backlogLength(raw syscall.RawConn) (length int, err error) {
-	var asked error
+	var optionErr error
 	err = raw.Control(func(descriptor uintptr) {
 		info, infoErr := unix.GetsockoptTCPInfo(int(descriptor), unix.SOL_TCP, unix.TCP_INFO)
-		if asked = infoErr; infoErr == nil {
-			length = int(info.Unacked) // for a socket that listens, the length of its backlog
+		if optionErr = infoErr; infoErr == nil {
+			length = int(info.Unacked) // the backlog's length, for a listening socket
 		}
 	})
-	return length, errors.Join(err, asked)
+	return length, errors.Join(err, optionErr)
 }
 
-// close ends listening. Connections in the backlog are reset.
+// close stops listening. Connections in the backlog are reset.
 func (a *acceptor) close() {
 	_ = a.listener.Close()
-	if a.filler != nil {
-		_ = a.filler.Close()
+	if a.backlogConn != nil {
+		_ = a.backlogConn.Close()
 	}
 }
--- a/internal/emulator/endpoint/pausegate.go
+++ b/internal/emulator/endpoint/pausegate.go
@@ -2,35 +2,37 @@
 
 import "sync"
 
-// gate holds goroutines up while it is shut. The zero value is open.
-type gate struct {
-	mu     sync.Mutex
-	opened chan struct{} // closed once the gate opens; nil while it is open
+// pauseGate blocks goroutines while it is paused. The zero value is not paused.
+type pauseGate struct {
+	mu      sync.Mutex
+	resumed chan struct{} // closed by resume; nil while the gate is not paused
 }
 
-func (g *gate) shut() {
+// pause makes wait block.
+func (g *pauseGate) pause() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if g.opened == nil {
-		g.opened = make(chan struct{})
+	if g.resumed == nil {
+		g.resumed = make(chan struct{})
 	}
 }
 
-func (g *gate) open() {
+// resume ends a pause.
+func (g *pauseGate) resume() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if g.opened != nil {
-		close(g.opened)
-		g.opened = nil
+	if g.resumed != nil {
+		close(g.resumed)
+		g.resumed = nil
 	}
 }
 
-// pass returns once the gate is open.
-func (g *gate) pass() {
+// wait returns once the gate is not paused.
+func (g *pauseGate) wait() {
 	g.mu.Lock()
-	opened := g.opened
+	resumed := g.resumed
 	g.mu.Unlock()
-	if opened != nil {
-		<-opened
+	if resumed != nil {
+		<-resumed
 	}
 }
--- a/internal/emulator/endpoint/queue.go
+++ b/internal/emulator/endpoint/queue.go
@@ -8,35 +8,35 @@
 	"oakproxy/internal/emulator/httpconn"
 )
 
-// progress is how far a task has come.
-type progress int
+// taskState is the progress of a task.
+type taskState int
 
 const (
-	waiting progress = iota
+	queued taskState = iota
 	running
-	expired // its time was over before a core was free
-	finished
+	expired // its deadline passed before a core was free
+	done
 )
 
-// task is a request's stay in a queue. Its connection is woken once it is done or expired.
+// task is a request in a queue. Its connection is woken once its service time is over or it has expired.
 type task struct {
 	conn     *httpconn.Conn
-	expires  time.Time // zero: never
-	progress progress
-	element  *list.Element // in the queue, while it waits
+	deadline time.Time // zero: none
+	state    taskState
+	element  *list.Element // of the queue, while it is queued
 }
 
-// queue hands tasks to a number of cores, first in, first out.
+// queue is a bounded FIFO queue in front of a number of cores.
 type queue struct {
 	cores, limit int
 	serviceTime  func(now time.Time) time.Duration
 
 	mu      sync.Mutex
 	running int
-	waiting list.List // of *task
+	queued  list.List // of *task
 }
 
-// admit starts a task or queues it; it returns false if the queue is full.
+// admit starts a task or queues it. It returns false if the queue is full.
 func (q *queue) admit(t *task) bool {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -44,54 +44,54 @@
 		q.start(t)
 		return true
 	}
-	if q.waiting.Len() >= q.limit {
+	if q.queued.Len() >= q.limit {
 		return false
 	}
-	t.element = q.waiting.PushBack(t)
+	t.element = q.queued.PushBack(t)
 	return true
 }
 
-// finish takes a task out, done or not, and starts the next one. It returns how far
-// the task had come.
-func (q *queue) finish(t *task) progress {
+// finish removes a task in any state and starts the next one. It returns the state that the task was in.
+func (q *queue) finish(t *task) taskState {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	reached := t.progress
-	switch reached {
-	case waiting:
-		q.waiting.Remove(t.element)
+	state := t.state
+	switch state {
+	case queued:
+		q.queued.Remove(t.element)
 	case running:
 		q.running--
 		q.startNext()
 	}
-	t.progress = finished
-	return reached
+	t.state = done
+	return state
 }
 
-// inFlight counts the tasks that run or wait.
+// inFlight returns the number of tasks that are running or queued.
 func (q *queue) inFlight() int {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	return q.running + q.waiting.Len()
+	return q.running + q.queued.Len()
 }
 
-// start puts a task on a core. q.mu is held.
+// start runs a task on a core. q.mu is locked.
 func (q *queue) start(t *task) {
 	now := time.Now()
 	q.running++
-	t.progress = running
+	t.state = running
 	t.conn.WakeAt(now.Add(q.serviceTime(now)))
 }
 
-// startNext starts the first task that waits and has time left. q.mu is held.
+// startNext starts the first queued task whose deadline has not passed, and expires those before it.
+// q.mu is locked.
 func (q *queue) startNext() {
-	for q.waiting.Len() > 0 {
-		next := q.waiting.Remove(q.waiting.Front()).(*task)
-		if next.expires.IsZero() || time.Now().Before(next.expires) {
+	for q.queued.Len() > 0 {
+		next := q.queued.Remove(q.queued.Front()).(*task)
+		if next.deadline.IsZero() || time.Now().Before(next.deadline) {
 			q.start(next)
 			return
 		}
-		next.progress = expired
+		next.state = expired
 		next.conn.Wake()
 	}
 }
--- a/internal/emulator/endpoint/serve.go
+++ b/internal/emulator/endpoint/serve.go
@@ -13,12 +13,12 @@
 	statsPath = "/stats"
 
 	correlationIDHeader = "X-Correlation-Id"
-	timeLeftHeader      = "X-Time-Left-Ms"
+	remainingTimeHeader = "X-Time-Left-Ms"
 	loadHeader          = "X-Backend-Load"
 	unprocessedHeader   = "X-Unprocessed"
 )
 
-// serve answers the requests on a connection until it ends.
+// serve handles the requests on a connection until it ends.
 func (e *Endpoint) serve(c *httpconn.Conn) {
 	defer e.serving.Done()
 	defer e.connections.Remove(c)
@@ -27,33 +27,33 @@
 	}
 }
 
-// serveNext answers one request and says whether the connection is kept.
+// serveNext handles one request and says whether the connection stays open.
 func (e *Endpoint) serveNext(c *httpconn.Conn) bool {
-	c.WakeAt(e.idleUntil())
+	c.WakeAt(e.idleDeadline())
 	if c.AwaitRequest() != nil {
 		return false
 	}
 	c.WakeAt(time.Time{})
-	e.gate.pass()
+	e.pauseGate.wait()
 	request, err := c.ReadRequest()
 	if err != nil {
 		return false
 	}
-	return e.answer(c, request) == nil && !request.Close
+	return e.respond(c, request) == nil && !request.Close
 }
 
-// idleUntil is when a connection that is idle from now on is closed; zero: never.
-func (e *Endpoint) idleUntil() time.Time {
+// idleDeadline returns when a connection that is idle from now on is closed; zero: never.
+func (e *Endpoint) idleDeadline() time.Time {
 	if e.config.IdleTimeout <= 0 {
 		return time.Time{}
 	}
 	return time.Now().Add(e.config.IdleTimeout)
 }
 
-// answer answers one request or probe.
-func (e *Endpoint) answer(c *httpconn.Conn, request *http.Request) error {
-	if isProbe(request) {
-		return e.answerProbe(c, request.URL.Path)
+// respond handles one request or health check.
+func (e *Endpoint) respond(c *httpconn.Conn, request *http.Request) error {
+	if isHealthCheck(request) {
+		return e.respondToHealthCheck(c, request.URL.Path)
 	}
 	e.counters.requests.Add(1)
 	id := request.Header.Get(correlationIDHeader)
@@ -61,32 +61,32 @@
 		e.counters.missingID.Add(1)
 		return e.write(c, http.StatusNotFound, nil)
 	}
-	work, draining := e.life()
-	current := &task{conn: c, expires: expiry(request.Header)}
+	queue, draining := e.incarnation()
+	current := &task{conn: c, deadline: parseDeadline(request.Header)}
 	switch {
 	case draining:
 		return e.reject(c, http.StatusServiceUnavailable)
-	case !current.expires.IsZero() && !time.Now().Before(current.expires):
+	case !current.deadline.IsZero() && !time.Now().Before(current.deadline):
 		return e.reject(c, http.StatusGatewayTimeout)
-	case !work.admit(current):
+	case !queue.admit(current):
 		return e.reject(c, http.StatusServiceUnavailable)
 	}
-	if e.recent.begin(id) {
+	if e.recentIDs.add(id) {
 		e.counters.duplicates.Add(1)
 	}
-	return e.complete(c, work, current, id)
+	return e.complete(c, queue, current, id)
 }
 
-// complete waits until a task is done and answers it.
-func (e *Endpoint) complete(c *httpconn.Conn, work *queue, current *task, id string) error {
+// complete waits until a task is done or has expired and writes its response.
+func (e *Endpoint) complete(c *httpconn.Conn, from *queue, current *task, id string) error {
 	err := c.AwaitWake()
-	e.gate.pass()
-	reached := work.finish(current)
+	e.pauseGate.wait()
+	state := from.finish(current)
 	switch {
 	case err != nil:
 		e.counters.abandoned.Add(1)
 		return err
-	case reached == expired:
+	case state == expired:
 		return e.reject(c, http.StatusGatewayTimeout)
 	}
 	if err := e.write(c, http.StatusOK, []byte(e.config.Name+" "+id+"\n")); err != nil {
@@ -96,24 +96,24 @@
 	return nil
 }
 
-func isProbe(request *http.Request) bool {
+func isHealthCheck(request *http.Request) bool {
 	return request.Method == http.MethodGet && (request.URL.Path == livePath || request.URL.Path == statsPath)
 }
 
-func (e *Endpoint) answerProbe(c *httpconn.Conn, path string) error {
-	e.counters.probes.Add(1)
+func (e *Endpoint) respondToHealthCheck(c *httpconn.Conn, path string) error {
+	e.counters.healthChecks.Add(1)
 	status := http.StatusOK
-	if _, draining := e.life(); draining {
+	if _, draining := e.incarnation(); draining {
 		status = http.StatusServiceUnavailable
 	}
 	var body []byte
 	if path == statsPath && e.config.ReportLoad {
-		body = []byte(e.load())
+		body = []byte(e.loadReport())
 	}
 	return e.write(c, status, body)
 }
 
-// reject turns a request away that has not run and never will.
+// reject rejects a request that has not been processed and never will be.
 func (e *Endpoint) reject(c *httpconn.Conn, status int) error {
 	e.counters.rejected.Add(1)
 	return e.write(c, status, nil, httpconn.Field{Name: unprocessedHeader, Value: "1"})
@@ -121,27 +121,27 @@
 
 func (e *Endpoint) write(c *httpconn.Conn, status int, body []byte, fields ...httpconn.Field) error {
 	if e.config.ReportLoad {
-		fields = append(fields, httpconn.Field{Name: loadHeader, Value: e.load()})
+		fields = append(fields, httpconn.Field{Name: loadHeader, Value: e.loadReport()})
 	}
-	return c.Write(httpconn.AppendAnswer(nil, status, body, fields...))
+	return c.Write(httpconn.AppendResponse(nil, status, body, fields...))
 }
 
-// load is the load report.
-func (e *Endpoint) load() string {
-	work, _ := e.life()
-	return e.config.LoadField + "=" + strconv.Itoa(work.inFlight())
+// loadReport returns the load report of the current incarnation.
+func (e *Endpoint) loadReport() string {
+	queue, _ := e.incarnation()
+	return e.config.LoadField + "=" + strconv.Itoa(queue.inFlight())
 }
 
-// life returns the state of the current life of the process.
-func (e *Endpoint) life() (work *queue, draining bool) {
+// incarnation returns the queue of the current incarnation, and whether it is draining.
+func (e *Endpoint) incarnation() (current *queue, draining bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return e.work, e.draining
+	return e.queue, e.draining
 }
 
-// expiry is the time at which the sender of a request gives up; zero if it does not tell.
-func expiry(header http.Header) time.Time {
-	milliseconds, err := strconv.ParseInt(header.Get(timeLeftHeader), 10, 64)
+// parseDeadline returns the deadline of a request from its header; zero if it has none.
+func parseDeadline(header http.Header) time.Time {
+	milliseconds, err := strconv.ParseInt(header.Get(remainingTimeHeader), 10, 64)
 	if err != nil {
 		return time.Time{}
 	}
--- a/internal/emulator/fleet/layout.go
+++ b/internal/emulator/fleet/layout.go
@@ -91,24 +91,24 @@
 // Config returns how the stand-in for an endpoint is started.
 func (l *Layout) Config(e Endpoint, file *spec.File) endpoint.Config {
 	return endpoint.Config{
-		Name:        e.Name,
-		Address:     e.Address,
-		Site:        l.Zones[e.Zone],
-		Class:       e.Kind,
-		Block:       e.Block,
-		Cores:       file.Endpoint.Cores,
-		ServiceTime: file.Endpoint.ServiceTime.Std(),
-		QueueLimit:  file.Endpoint.QueueLimit,
-		ReportLoad:  true,
-		LoadField:   file.Sidecar.LoadField,
-		IdleTimeout: file.Sidecar.KeepAlive.Std(),
-		WarmUp:      file.Endpoint.WarmUp.Std(),
-		ColdShare:   file.Endpoint.ColdShare,
+		Name:         e.Name,
+		Address:      e.Address,
+		Site:         l.Zones[e.Zone],
+		Class:        e.Kind,
+		Block:        e.Block,
+		Cores:        file.Endpoint.Cores,
+		ServiceTime:  file.Endpoint.ServiceTime.Std(),
+		QueueLimit:   file.Endpoint.QueueLimit,
+		ReportLoad:   true,
+		LoadField:    file.Sidecar.LoadField,
+		IdleTimeout:  file.Sidecar.KeepAlive.Std(),
+		WarmUp:       file.Endpoint.WarmUp.Std(),
+		ColdCapacity: file.Endpoint.ColdShare,
 	}
 }
 
 // Instance returns what discovery tells of an endpoint that is reached at an address.
 func (l *Layout) Instance(e Endpoint, address, health string, bornMS int64) registry.Instance {
-	return registry.Instance{Host: e.Name, Dial: address, Site: l.Zones[e.Zone], Class: e.Kind,
-		Block: e.Block, Health: health, Share: 1, BornMS: bornMS}
+	return registry.Instance{Host: e.Name, Address: address, Site: l.Zones[e.Zone], Class: e.Kind,
+		Block: e.Block, Health: health, Weight: 1, StartedMS: bornMS}
 }
--- a/internal/emulator/httpconn/conn.go
+++ b/internal/emulator/httpconn/conn.go
@@ -1,7 +1,8 @@
 // Package httpconn serves HTTP/1.1 on connections that are idle most of the time.
 //
-// A connection holds no buffer between requests, and one goroutine both waits for
-// the answer to become due and notices that the client has gone away.
+// A connection holds no buffer between requests. One goroutine serves it: that goroutine both waits until
+// the response is due and notices that the client has disconnected. The package neither accepts
+// connections nor routes requests, and it does not support pipelining.
 package httpconn
 
 import (
@@ -21,16 +22,16 @@
 	maxBodyBytes   = 64 << 10
 )
 
-// Errors of a connection that is of no more use.
+// Errors after which a connection has to be closed.
 var (
-	// ErrPipelined is a request that began before the last one was answered.
-	ErrPipelined = errors.New("httpconn: request before the answer to the last one")
-	// ErrBodyTooLarge is a request whose body is over 64 KiB.
+	// ErrPipelined is returned when a request begins before the response to the last one.
+	ErrPipelined = errors.New("httpconn: request before the response to the last one")
+	// ErrBodyTooLarge is returned for a request whose body is over 64 KiB.
 	ErrBodyTooLarge = errors.New("httpconn: request body too large")
 )
 
-// past is a deadline that has always been exceeded.
-var past = time.Unix(1, 0)
+// pastDeadline is a deadline that has always passed.
+var pastDeadline = time.Unix(1, 0)
 
 var readers = sync.Pool{New: func() any { return bufio.NewReaderSize(nil, readBufferSize) }}
 
@@ -45,13 +46,13 @@
 // BytesOut returns the bytes written so far.
 func (t *Traffic) BytesOut() uint64 { return t.out.Load() }
 
-// Conn is an accepted connection. Its methods are for the one goroutine that serves
-// it, except Wake, WakeAt, Close and Reset.
+// Conn is an accepted connection. Only the one goroutine that serves it may call its methods, except Wake,
+// WakeAt, Close and Reset, which are safe for concurrent use.
 type Conn struct {
-	socket  net.Conn
-	traffic *Traffic
-	first   [1]byte // of the next request, once hasFirst
-	has     bool
+	socket   net.Conn
+	traffic  *Traffic
+	first    [1]byte // of the next request; valid if hasFirst
+	hasFirst bool
 }
 
 // New wraps an accepted connection, whose bytes are counted in traffic.
@@ -59,18 +60,18 @@
 	return &Conn{socket: socket, traffic: traffic}
 }
 
-// AwaitRequest blocks until the first byte of a request is there.
+// AwaitRequest blocks until the first byte of a request has arrived. It fails once the client has disconnected.
 func (c *Conn) AwaitRequest() error {
 	n, err := c.socket.Read(c.first[:])
 	c.traffic.in.Add(uint64(n))
-	c.has = n > 0
-	if c.has {
+	c.hasFirst = n > 0
+	if c.hasFirst {
 		return nil
 	}
 	return err
 }
 
-// ReadRequest reads a request whole. Its body is counted and dropped.
+// ReadRequest reads a complete request. Its body is counted and discarded.
 func (c *Conn) ReadRequest() (*http.Request, error) {
 	reader := readers.Get().(*bufio.Reader)
 	defer readers.Put(reader)
@@ -93,8 +94,8 @@
 	return request, nil
 }
 
-// AwaitWake blocks until Wake, or until the time given to WakeAt, and then returns nil.
-// An error says that the client has gone away, or broken the protocol.
+// AwaitWake blocks until Wake, or until the time given to WakeAt, and then returns nil. It fails when the
+// client disconnects, and with ErrPipelined when it sends a byte.
 func (c *Conn) AwaitWake() error {
 	var unexpected [1]byte
 	n, err := c.socket.Read(unexpected[:])
@@ -107,27 +108,27 @@
 	return err
 }
 
-// Wake ends AwaitWake, also one that is still to come, until WakeAt is called.
-func (c *Conn) Wake() { c.WakeAt(past) }
+// Wake ends AwaitWake, also one that begins later, until WakeAt is called.
+func (c *Conn) Wake() { c.WakeAt(pastDeadline) }
 
 // WakeAt ends AwaitWake at a time; the zero time means never. AwaitRequest and
-// ReadRequest fail at that time, unless it is set anew before.
+// ReadRequest fail at that time, unless it is set again before.
 func (c *Conn) WakeAt(at time.Time) {
 	// It fails only on a closed connection, where reads end by themselves.
 	_ = c.socket.SetReadDeadline(at)
 }
 
-// Write sends a whole answer.
-func (c *Conn) Write(answer []byte) error {
-	n, err := c.socket.Write(answer)
+// Write sends a complete response.
+func (c *Conn) Write(response []byte) error {
+	n, err := c.socket.Write(response)
 	c.traffic.out.Add(uint64(n))
 	return err
 }
 
-// Close ends the connection in order.
-func (c *Conn) Close() error { return c.socket.Close() }
+// Close closes the connection. Nothing is left to do when that fails, as it does on one that is closed.
+func (c *Conn) Close() { _ = c.socket.Close() }
 
-// Reset breaks the connection, as when the process that served it dies.
+// Reset closes the connection with a TCP reset, as the system does when the serving process dies.
 func (c *Conn) Reset() {
 	if tcp, ok := c.socket.(*net.TCPConn); ok {
 		// It fails only on a connection that is closed already.
@@ -136,13 +137,14 @@
 	_ = c.socket.Close()
 }
 
-// source reads a request: first the byte that AwaitRequest took.
+// source reads a request, starting with the byte that AwaitRequest consumed.
 type source Conn
 
+// Read implements io.Reader.
 func (s *source) Read(buffer []byte) (int, error) {
-	if s.has && len(buffer) > 0 {
+	if s.hasFirst && len(buffer) > 0 {
 		buffer[0] = s.first[0]
-		s.has = false
+		s.hasFirst = false
 		return 1, nil
 	}
 	n, err := s.socket.Read(buffer)
--- a/internal/emulator/httpconn/response.go
+++ b/internal/emulator/httpconn/response.go
@@ -5,13 +5,13 @@
 	"strconv"
 )
 
-// Field is one header field of an answer.
+// Field is one header field of a response.
 type Field struct {
 	Name, Value string
 }
 
-// AppendAnswer appends a whole answer with its framing to buffer.
-func AppendAnswer(buffer []byte, status int, body []byte, fields ...Field) []byte {
+// AppendResponse appends a complete response, framed by Content-Length, to buffer.
+func AppendResponse(buffer []byte, status int, body []byte, fields ...Field) []byte {
 	buffer = append(buffer, "HTTP/1.1 "...)
 	buffer = strconv.AppendInt(buffer, int64(status), 10)
 	buffer = append(buffer, ' ')
--- a/internal/emulator/httpconn/set.go
+++ b/internal/emulator/httpconn/set.go
@@ -2,7 +2,8 @@
 
 import "sync"
 
-// Set holds the open connections of a server.
+// Set tracks the open connections of a server. The zero value is empty and ready for use; it is safe for
+// concurrent use.
 type Set struct {
 	mu       sync.Mutex
 	open     map[*Conn]struct{}
@@ -10,14 +11,14 @@
 	maxOpen  int
 }
 
-// SetCounts tells how many connections a Set has held.
+// SetCounts are the counts of a Set.
 type SetCounts struct {
-	Accepted uint64
-	Open     int
-	MaxOpen  int
+	Accepted uint64 // since the start
+	Open     int    // now
+	MaxOpen  int    // the highest Open so far
 }
 
-// Add enters a connection that has been accepted.
+// Add adds a connection that has been accepted.
 func (s *Set) Add(c *Conn) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -29,14 +30,14 @@
 	s.maxOpen = max(s.maxOpen, len(s.open))
 }
 
-// Remove takes out a connection that is closed.
+// Remove removes a connection that is closed.
 func (s *Set) Remove(c *Conn) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	delete(s.open, c)
 }
 
-// Counts returns the figures so far.
+// Counts returns the counts so far.
 func (s *Set) Counts() SetCounts {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -54,7 +55,7 @@
 	return all
 }
 
-// ResetAll breaks the connections that are open now and returns how many they were.
+// ResetAll resets the connections that are open now and returns their number.
 func (s *Set) ResetAll() int {
 	all := s.All()
 	for _, c := range all {
--- a/internal/emulator/play/zone.go
+++ b/internal/emulator/play/zone.go
@@ -75,7 +75,7 @@
 
 // loseZone has a zone fall silent, and discovery tell that it is gone.
 func (r *runner) loseZone(ctx context.Context, phase *result.Phase, part *zonePart) error {
-	if err := r.act(ctx, worker.Vanish, part.endpoints); err != nil {
+	if err := r.act(ctx, worker.Disconnect, part.endpoints); err != nil {
 		return err
 	}
 	told := time.Now().Add(r.options.Scenario.Notice.Std())
--- a/internal/emulator/registry/call.go
+++ b/internal/emulator/registry/call.go
@@ -16,24 +16,24 @@
 	maxWait  = 60 * time.Second
 )
 
-// errBadQuery is a call whose query is not by the protocol.
-var errBadQuery = errors.New("registry: after and wait_ms must be whole numbers")
+// errBadQuery is returned for a call whose query is invalid.
+var errBadQuery = errors.New("registry: after and wait_ms must be unsigned integers")
 
-// call is a request for the list.
-type call struct {
-	watch bool
-	after uint64
-	wait  time.Duration
+// listCall is a request for the endpoint list, or a watch for what is newer than a version.
+type listCall struct {
+	isWatch      bool
+	afterVersion uint64
+	wait         time.Duration
 }
 
-// watch is a call that is held until there is news.
-type watch struct {
-	conn  *httpconn.Conn
-	after uint64
-	until time.Time
+// pendingWatch is a watch whose response is not due yet.
+type pendingWatch struct {
+	conn         *httpconn.Conn
+	afterVersion uint64
+	deadline     time.Time
 }
 
-// serve answers the calls on a connection until it ends.
+// serve handles the calls on a connection until it ends.
 func (s *Server) serve(c *httpconn.Conn) {
 	for {
 		c.WakeAt(time.Time{})
@@ -42,15 +42,15 @@
 		}
 		var request *http.Request
 		var err error
-		s.timed(func() { request, err = c.ReadRequest() })
-		if err != nil || s.answer(c, request) != nil || request.Close {
+		s.countCPU(func() { request, err = c.ReadRequest() })
+		if err != nil || s.respond(c, request) != nil || request.Close {
 			return
 		}
 	}
 }
 
-// timed adds the processor time of step, which must not wait for others, to the figures.
-func (s *Server) timed(step func()) {
+// countCPU adds the processor time of step, which must not block, to the counters.
+func (s *Server) countCPU(step func()) {
 	runtime.LockOSThread()
 	defer runtime.UnlockOSThread()
 	start := threadCPU()
@@ -58,73 +58,74 @@
 	s.counters.handlingCPU.Add(int64(threadCPU() - start))
 }
 
-// answer answers one request.
-func (s *Server) answer(c *httpconn.Conn, request *http.Request) error {
+// respond handles one request.
+func (s *Server) respond(c *httpconn.Conn, request *http.Request) error {
 	if request.URL.Path != listPath || request.Method != http.MethodGet {
 		return s.reject(c, http.StatusNotFound)
 	}
-	asked, err := parseCall(request.URL.Query())
+	call, err := parseCall(request.URL.Query())
 	if err != nil {
 		return s.reject(c, http.StatusBadRequest)
 	}
-	if asked.watch {
+	if call.isWatch {
 		s.counters.watchCalls.Add(1)
 	} else {
-		s.counters.wholeCalls.Add(1)
+		s.counters.listCalls.Add(1)
 	}
-	served, err := s.awaitTurn(c)
+	admitted, err := s.awaitCapacity(c)
 	switch {
 	case err != nil:
 		return err
-	case !served || s.isDown():
+	case !admitted || s.isDown():
 		s.counters.unavailable.Add(1)
-		return s.write(c, httpconn.AppendAnswer(nil, http.StatusServiceUnavailable, nil))
-	case asked.watch:
-		return s.answerWatch(c, asked)
+		return s.write(c, httpconn.AppendResponse(nil, http.StatusServiceUnavailable, nil))
+	case call.isWatch:
+		return s.respondToWatch(c, call)
 	}
-	return s.writeList(c, s.wholeList())
+	return s.writeList(c, s.completeList())
 }
 
-func (s *Server) wholeList() (whole *answer) {
+func (s *Server) completeList() (complete *response) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.timed(func() { whole = s.list.wholeList() })
-	return whole
+	s.countCPU(func() { complete = s.list.completeResponse() })
+	return complete
 }
 
-func parseCall(query url.Values) (call, error) {
+func parseCall(query url.Values) (listCall, error) {
 	if !query.Has("after") {
-		return call{}, nil
+		return listCall{}, nil
 	}
 	after, err := strconv.ParseUint(query.Get("after"), 10, 64)
 	if err != nil {
-		return call{}, errBadQuery
+		return listCall{}, errBadQuery
 	}
-	asked := call{watch: true, after: after}
+	call := listCall{isWatch: true, afterVersion: after}
 	if query.Has("wait_ms") {
 		milliseconds, err := strconv.ParseUint(query.Get("wait_ms"), 10, 32)
 		if err != nil {
-			return call{}, errBadQuery
+			return listCall{}, errBadQuery
 		}
-		asked.wait = min(maxWait, time.Duration(milliseconds)*time.Millisecond)
+		call.wait = min(maxWait, time.Duration(milliseconds)*time.Millisecond)
 	}
-	return asked, nil
+	return call, nil
 }
 
-// awaitTurn waits for the call's turn and says whether it came in time.
-func (s *Server) awaitTurn(c *httpconn.Conn) (inTime bool, err error) {
-	reservation := s.turns.Reserve()
+// awaitCapacity waits until the rate limit admits the call. It returns false, after MaxQueueDelay, for a call
+// that the limit would delay for longer.
+func (s *Server) awaitCapacity(c *httpconn.Conn) (admitted bool, err error) {
+	reservation := s.limiter.Reserve()
 	delay := reservation.Delay()
-	inTime = s.options.MaxQueueDelay <= 0 || delay <= s.options.MaxQueueDelay
-	if !inTime {
+	admitted = s.options.MaxQueueDelay <= 0 || delay <= s.options.MaxQueueDelay
+	if !admitted {
 		reservation.Cancel()
 		delay = s.options.MaxQueueDelay
 	}
 	if delay <= 0 {
-		return inTime, nil
+		return admitted, nil
 	}
 	c.WakeAt(time.Now().Add(delay))
-	return inTime, c.AwaitWake()
+	return admitted, c.AwaitWake()
 }
 
 func (s *Server) isDown() bool {
@@ -133,18 +134,18 @@
 	return s.down
 }
 
-// answerWatch holds a watch until there is news or its wait is over, and answers it.
-func (s *Server) answerWatch(c *httpconn.Conn, asked call) error {
-	held := &watch{conn: c, after: asked.after, until: time.Now().Add(asked.wait)}
-	defer s.forget(held)
+// respondToWatch responds to a watch once there is a newer version or its wait is over.
+func (s *Server) respondToWatch(c *httpconn.Conn, call listCall) error {
+	watch := &pendingWatch{conn: c, afterVersion: call.afterVersion, deadline: time.Now().Add(call.wait)}
+	defer s.removeWatch(watch)
 	for {
-		news, down := s.news(held)
-		if news != nil {
-			return s.writeList(c, news)
+		due, down := s.nextResponse(watch)
+		if due != nil {
+			return s.writeList(c, due)
 		}
 		if down {
 			s.counters.unavailable.Add(1)
-			return s.write(c, httpconn.AppendAnswer(nil, http.StatusServiceUnavailable, nil))
+			return s.write(c, httpconn.AppendResponse(nil, http.StatusServiceUnavailable, nil))
 		}
 		if err := c.AwaitWake(); err != nil {
 			return err
@@ -152,50 +153,50 @@
 	}
 }
 
-// news returns a watch's answer if it is due. If not, the watch is held: its connection
-// is woken by the next version or when the wait is over.
-func (s *Server) news(held *watch) (due *answer, down bool) {
+// nextResponse returns the response to a watch if it is due. If not, the watch is pending: its connection is
+// woken by the next version or when its wait is over.
+func (s *Server) nextResponse(watch *pendingWatch) (due *response, down bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	switch {
 	case s.down:
 		return nil, true
 	case s.silent:
-		held.conn.WakeAt(time.Time{})
-	case s.list.seq != held.after || !time.Now().Before(held.until):
-		s.timed(func() { due = s.list.newerThan(held.after) })
+		watch.conn.WakeAt(time.Time{})
+	case s.list.version != watch.afterVersion || !time.Now().Before(watch.deadline):
+		s.countCPU(func() { due = s.list.responseAfter(watch.afterVersion) })
 		return due, false
 	default:
-		held.conn.WakeAt(held.until)
+		watch.conn.WakeAt(watch.deadline)
 	}
-	s.watches[held] = struct{}{}
+	s.watches[watch] = struct{}{}
 	return nil, false
 }
 
-// wakeWatches makes every watch that is held look for news. s.mu is held.
+// wakeWatches makes every pending watch check for its response. s.mu is locked.
 func (s *Server) wakeWatches() {
-	for held := range s.watches {
-		held.conn.Wake()
+	for watch := range s.watches {
+		watch.conn.Wake()
 	}
 }
 
-func (s *Server) forget(held *watch) {
+func (s *Server) removeWatch(watch *pendingWatch) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	delete(s.watches, held)
+	delete(s.watches, watch)
 }
 
-func (s *Server) writeList(c *httpconn.Conn, list *answer) error {
-	s.counters.answered(list.kind)
-	return s.write(c, list.bytes)
+func (s *Server) writeList(c *httpconn.Conn, list *response) error {
+	s.counters.countResponse(list.kind)
+	return s.write(c, list.encoded)
 }
 
 func (s *Server) reject(c *httpconn.Conn, status int) error {
 	s.counters.notFound.Add(1)
-	return s.write(c, httpconn.AppendAnswer(nil, status, nil))
+	return s.write(c, httpconn.AppendResponse(nil, status, nil))
 }
 
-func (s *Server) write(c *httpconn.Conn, answer []byte) (err error) {
-	s.timed(func() { err = c.Write(answer) })
+func (s *Server) write(c *httpconn.Conn, response []byte) (err error) {
+	s.countCPU(func() { err = c.Write(response) })
 	return err
 }
--- a/internal/emulator/registry/list.go
+++ b/internal/emulator/registry/list.go
@@ -14,91 +14,93 @@
 	Gone        = "Gone" // only among changes
 )
 
-// Instance is an endpoint as the registry tells of it.
+// Instance is an entry of the endpoint list.
 type Instance struct {
-	Host   string  `json:"host"`
-	Dial   string  `json:"dial"`
-	Site   string  `json:"site"`
-	Class  string  `json:"class"`
-	Block  uint16  `json:"block"`
-	Health string  `json:"health"`
-	Share  float32 `json:"share"`
-	BornMS int64   `json:"born_ms"`
-}
-
-// message is the body of an answer.
-type message struct {
-	Seq   uint64     `json:"seq"`
-	Whole bool       `json:"whole"`
-	Hosts []Instance `json:"hosts"`
-}
-
-// change is what one version changed.
-type change struct {
-	seq       uint64
+	Host      string  `json:"host"`
+	Address   string  `json:"dial"`
+	Site      string  `json:"site"`
+	Class     string  `json:"class"`
+	Block     uint16  `json:"block"`
+	Health    string  `json:"health"`
+	Weight    float32 `json:"share"`
+	StartedMS int64   `json:"born_ms"`
+}
+
+// responseBody is the body of a response.
+type responseBody struct {
+	Version  uint64     `json:"seq"`
+	Complete bool       `json:"whole"`
+	Hosts    []Instance `json:"hosts"`
+}
+
+// versionChange holds the entries that one version changed.
+type versionChange struct {
+	version   uint64
 	instances []Instance
 }
 
-// answer is an encoded answer and its kind.
-type answer struct {
-	bytes []byte
-	kind  answerKind
+// response is an encoded response and its kind.
+type response struct {
+	encoded []byte
+	kind    responseKind
 }
 
-type answerKind int
+type responseKind int
 
 const (
-	wholeAnswer answerKind = iota
-	changedAnswer
-	emptyAnswer
+	completeResponse responseKind = iota
+	deltaResponse
+	emptyResponse
 )
 
-// list holds the instances, their version, and the changes of recent versions.
-// It encodes each answer once per version. It is not safe for concurrent use.
-type list struct {
-	seq          uint64
-	names        []string // in the order in which they first came
+// endpointList holds the instances, their version, and the changes of recent versions.
+// It encodes each response once per version. It is not safe for concurrent use.
+type endpointList struct {
+	version      uint64
+	names        []string // in the order of their first appearance
 	byName       map[string]Instance
-	history      []change // without gaps, up to seq
+	history      []versionChange // without gaps, up to version
 	historyLimit int
-	whole        *answer            // nil until it is asked for
-	changed      map[uint64]*answer // by the version they are newer than
+	complete     *response            // nil until it is requested
+	deltas       map[uint64]*response // by the version they are newer than
 }
 
-func newList(historyLimit int) *list {
-	return &list{byName: map[string]Instance{}, historyLimit: historyLimit, changed: map[uint64]*answer{}}
+func newEndpointList(historyLimit int) *endpointList {
+	return &endpointList{byName: map[string]Instance{}, historyLimit: historyLimit, deltas: map[uint64]*response{}}
 }
 
 // set replaces all instances. There are no changes from an earlier version to this one.
-func (l *list) set(instances []Instance) {
+func (l *endpointList) set(instances []Instance) {
 	l.advance()
 	l.history = nil
 	l.names = l.names[:0]
 	clear(l.byName)
 	for _, instance := range instances {
-		l.put(instance)
+		l.apply(instance)
 	}
 }
 
 // update makes one version of the changes.
-func (l *list) update(changes []Instance) {
+func (l *endpointList) update(changes []Instance) {
 	l.advance()
 	for _, instance := range changes {
-		l.put(instance)
+		l.apply(instance)
 	}
-	l.history = append(l.history, change{seq: l.seq, instances: append([]Instance(nil), changes...)})
+	l.history = append(l.history, versionChange{version: l.version, instances: append([]Instance(nil), changes...)})
 	if excess := len(l.history) - l.historyLimit; excess > 0 {
-		l.history = append([]change(nil), l.history[excess:]...)
+		l.history = append([]versionChange(nil), l.history[excess:]...)
 	}
 }
 
-func (l *list) advance() {
-	l.seq++
-	l.whole = nil
-	clear(l.changed)
+// advance begins a version, whose responses have not been encoded yet.
+func (l *endpointList) advance() {
+	l.version++
+	l.complete = nil
+	clear(l.deltas)
 }
 
-func (l *list) put(instance Instance) {
+// apply adds, replaces or, with health Gone, removes an instance.
+func (l *endpointList) apply(instance Instance) {
 	_, known := l.byName[instance.Host]
 	if instance.Health == Gone {
 		l.remove(instance.Host)
@@ -110,7 +112,7 @@
 	l.byName[instance.Host] = instance
 }
 
-func (l *list) remove(name string) {
+func (l *endpointList) remove(name string) {
 	delete(l.byName, name)
 	for i, other := range l.names {
 		if other == name {
@@ -120,53 +122,56 @@
 	}
 }
 
-// wholeList returns the answer that holds every instance.
-func (l *list) wholeList() *answer {
-	if l.whole == nil {
+// completeResponse returns the response with every instance.
+func (l *endpointList) completeResponse() *response {
+	if l.complete == nil {
 		hosts := make([]Instance, 0, len(l.names))
 		for _, name := range l.names {
 			hosts = append(hosts, l.byName[name])
 		}
-		l.whole = &answer{encode(message{Seq: l.seq, Whole: true, Hosts: hosts}), wholeAnswer}
+		l.complete = &response{
+			encoded: encode(responseBody{Version: l.version, Complete: true, Hosts: hosts}),
+			kind:    completeResponse,
+		}
 	}
-	return l.whole
+	return l.complete
 }
 
-// newerThan returns what a watch from that version is answered: the entries that
-// changed, or the whole list if the history does not reach back to the version.
-func (l *list) newerThan(after uint64) *answer {
-	if !l.reaches(after) {
-		return l.wholeList()
+// responseAfter returns the response to a watch from a version: the entries that have changed, or the
+// complete list if the history does not reach back that far.
+func (l *endpointList) responseAfter(after uint64) *response {
+	if !l.historyCovers(after) {
+		return l.completeResponse()
 	}
-	if known, ok := l.changed[after]; ok {
-		return known
+	if cached, ok := l.deltas[after]; ok {
+		return cached
 	}
-	hosts := l.changesSince(after)
-	kind := changedAnswer
+	hosts := l.changesAfter(after)
+	kind := deltaResponse
 	if len(hosts) == 0 {
-		kind = emptyAnswer
+		kind = emptyResponse
 	}
-	made := &answer{encode(message{Seq: l.seq, Hosts: hosts}), kind}
-	l.changed[after] = made
-	return made
+	delta := &response{encoded: encode(responseBody{Version: l.version, Hosts: hosts}), kind: kind}
+	l.deltas[after] = delta
+	return delta
 }
 
-// reaches says whether the history holds every change since a version.
-func (l *list) reaches(after uint64) bool {
-	return after <= l.seq && after+uint64(len(l.history)) >= l.seq
+// historyCovers says whether the history holds every change since a version.
+func (l *endpointList) historyCovers(after uint64) bool {
+	return after <= l.version && after+uint64(len(l.history)) >= l.version
 }
 
-// changesSince returns the latest entry of each instance that changed since a version.
-func (l *list) changesSince(after uint64) []Instance {
+// changesAfter returns the latest entry of each instance that changed since a version.
+func (l *endpointList) changesAfter(after uint64) []Instance {
 	hosts := []Instance{}
 	position := map[string]int{}
-	for _, version := range l.history {
-		if version.seq <= after {
+	for _, change := range l.history {
+		if change.version <= after {
 			continue
 		}
-		for _, instance := range version.instances {
-			if at, seen := position[instance.Host]; seen {
-				hosts[at] = instance
+		for _, instance := range change.instances {
+			if index, seen := position[instance.Host]; seen {
+				hosts[index] = instance
 				continue
 			}
 			position[instance.Host] = len(hosts)
@@ -176,11 +181,13 @@
 	return hosts
 }
 
-func encode(body message) []byte {
+// encode returns a response 200 with this body.
+func encode(body responseBody) []byte {
 	encoded, err := json.Marshal(body)
 	if err != nil {
-		// Only a share that is no number can't be encoded.
+		// Only a weight that is not a number cannot be encoded.
 		panic("registry: " + err.Error())
 	}
-	return httpconn.AppendAnswer(nil, http.StatusOK, encoded, httpconn.Field{Name: "Content-Type", Value: "application/json"})
+	contentType := httpconn.Field{Name: "Content-Type", Value: "application/json"}
+	return httpconn.AppendResponse(nil, http.StatusOK, encoded, contentType)
 }
--- a/internal/emulator/registry/registry_test.go
+++ b/internal/emulator/registry/registry_test.go
@@ -12,17 +12,17 @@
 	"time"
 )
 
-// world is a Server that listens, and a client with connections of its own.
-type world struct {
+// fixture is a listening Server and a client with connections of its own.
+type fixture struct {
 	*Server
 	t       testing.TB
 	address string
 	client  http.Client
 }
 
-func newWorld(t testing.TB, options Options) *world {
+func newFixture(t testing.TB, options Options) *fixture {
 	t.Helper()
-	w := &world{Server: New(options), t: t}
+	w := &fixture{Server: New(options), t: t}
 	w.client.Transport = &http.Transport{}
 	address, err := w.Listen("127.0.0.1:0")
 	if err != nil {
@@ -38,14 +38,14 @@
 	return w
 }
 
-// reply is what came of a call.
+// reply is the outcome of a call.
 type reply struct {
 	status int
-	list   message
+	list   responseBody
 	err    error
 }
 
-func (w *world) call(query string) reply {
+func (w *fixture) call(query string) reply {
 	response, err := w.client.Get("http://" + w.address + listPath + query)
 	if err != nil {
 		return reply{err: err}
@@ -58,21 +58,21 @@
 	return got
 }
 
-// hold makes a call in the background and returns once it is held.
-func (w *world) hold(query string) <-chan reply {
+// startWatch makes a call in the background and returns once it is pending.
+func (w *fixture) startWatch(query string) <-chan reply {
 	result := make(chan reply, 1)
 	go func() { result <- w.call(query) }()
-	w.await("a held watch", func() bool { return w.held() == 1 })
+	w.await("a pending watch", func() bool { return w.pendingWatches() == 1 })
 	return result
 }
 
-func (w *world) held() int {
+func (w *fixture) pendingWatches() int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return len(w.watches)
 }
 
-func (w *world) await(what string, reached func() bool) {
+func (w *fixture) await(what string, reached func() bool) {
 	w.t.Helper()
 	for end := time.Now().Add(10 * time.Second); !reached(); runtime.Gosched() {
 		if time.Now().After(end) {
@@ -81,19 +81,19 @@
 	}
 }
 
-func (w *world) expect(got reply, seq uint64, whole bool, hosts ...string) {
+func (w *fixture) expect(got reply, version uint64, complete bool, hosts ...string) {
 	w.t.Helper()
 	names := []string{}
 	for _, instance := range got.list.Hosts {
 		names = append(names, instance.Host+"="+instance.Health)
 	}
-	if got.err != nil || got.status != http.StatusOK || got.list.Seq != seq || got.list.Whole != whole ||
+	if got.err != nil || got.status != http.StatusOK || got.list.Version != version || got.list.Complete != complete ||
 		strings.Join(names, " ") != strings.Join(hosts, " ") {
-		w.t.Errorf("got %+v, want version %d, whole %v, hosts %v", got, seq, whole, hosts)
+		w.t.Errorf("got %+v, want version %d, complete %v, hosts %v", got, version, complete, hosts)
 	}
 }
 
-func (w *world) refuse(query string) {
+func (w *fixture) expectUnavailable(query string) {
 	w.t.Helper()
 	if got := w.call(query); got.status != http.StatusServiceUnavailable {
 		w.t.Errorf("%s: got %+v", query, got)
@@ -101,11 +101,11 @@
 }
 
 func instance(name, health string) Instance {
-	return Instance{Host: name, Dial: "127.0.0.1:1", Site: "a", Class: "m", Health: health, Share: 1}
+	return Instance{Host: name, Address: "127.0.0.1:1", Site: "a", Class: "m", Health: health, Weight: 1}
 }
 
-func TestListsByVersion(t *testing.T) {
-	w := newWorld(t, Options{History: 2})
+func TestResponsesDependOnTheRequestedVersion(t *testing.T) {
+	w := newFixture(t, Options{History: 2})
 	w.Set([]Instance{instance("x", Ready), instance("y", Ready)})
 	w.Update(instance("x", Terminating))
 	w.Update(instance("x", Gone), instance("z", Ready))
@@ -115,52 +115,52 @@
 	w.expect(w.call("?after=0"), 3, true, "y=Ready", "z=Ready") // older than the history
 	w.expect(w.call("?after=9"), 3, true, "y=Ready", "z=Ready") // of another numbering
 	w.expect(w.call("?after=3&wait_ms=1"), 3, false)
-	if got := w.Counts(); got.WholeCalls != 1 || got.WatchCalls != 5 || got.WholeAnswers != 3 || got.Changed != 2 ||
-		got.Empty != 1 || got.BytesOut == 0 || got.BytesIn == 0 || got.HandlingCPU <= 0 || got.Connections.Accepted != 1 {
+	if got := w.Counts(); got.ListCalls != 1 || got.WatchCalls != 5 || got.CompleteResponses != 3 || got.DeltaResponses != 2 ||
+		got.EmptyResponses != 1 || got.BytesOut == 0 || got.BytesIn == 0 || got.HandlingCPU <= 0 || got.Connections.Accepted != 1 {
 		t.Errorf("counts %+v", got)
 	}
 }
 
-func TestJSONFormOfAnInstance(t *testing.T) {
+func TestInstanceEncodesAsTheDiscoveryProtocolSays(t *testing.T) {
 	const want = `{"host":"s","dial":"127.0.0.1:1","site":"a","class":"m","block":3,"health":"Ready","share":1,"born_ms":5}`
 	given := instance("s", Ready)
-	given.Block, given.BornMS = 3, 5
+	given.Block, given.StartedMS = 3, 5
 	if got, err := json.Marshal(given); err != nil || string(got) != want {
 		t.Errorf("got %s (%v), want %s", got, err, want)
 	}
 }
 
-func TestAWatchIsHeldUntilThereIsNews(t *testing.T) {
-	w := newWorld(t, Options{})
+func TestWatchBlocksUntilTheNextVersion(t *testing.T) {
+	w := newFixture(t, Options{})
 	w.Set(nil)
-	result := w.hold("?after=1&wait_ms=60000")
+	result := w.startWatch("?after=1&wait_ms=60000")
 	w.Update(instance("x", Ready))
 	w.expect(<-result, 2, false, "x=Ready")
-	result = w.hold("?after=2&wait_ms=60000")
+	result = w.startWatch("?after=2&wait_ms=60000")
 	w.Set([]Instance{instance("y", Ready)})
 	w.expect(<-result, 3, true, "y=Ready")
 }
 
-func TestAWatchEndsWithItsClient(t *testing.T) {
-	w := newWorld(t, Options{})
+func TestWatchEndsWhenItsClientDisconnects(t *testing.T) {
+	w := newFixture(t, Options{})
 	w.client.Timeout = 50 * time.Millisecond
 	if got := w.call("?after=0&wait_ms=60000"); got.err == nil {
 		t.Errorf("answered: %+v", got)
 	}
-	w.await("end of the watch", func() bool { return w.held() == 0 && w.Counts().Connections.Open == 0 })
+	w.await("end of the watch", func() bool { return w.pendingWatches() == 0 && w.Counts().Connections.Open == 0 })
 }
 
-func TestCallsThatWaitTooLongAreRefused(t *testing.T) {
-	w := newWorld(t, Options{CallsPerSecond: 0.001, MaxQueueDelay: time.Millisecond})
+func TestCallsOverTheQueueDelayGet503(t *testing.T) {
+	w := newFixture(t, Options{CallsPerSecond: 0.001, MaxQueueDelay: time.Millisecond})
 	w.expect(w.call(""), 0, true)
-	w.refuse("")
-	if got := w.Counts(); got.Unavailable != 1 || got.WholeAnswers != 1 {
+	w.expectUnavailable("")
+	if got := w.Counts(); got.Unavailable != 1 || got.CompleteResponses != 1 {
 		t.Errorf("counts %+v", got)
 	}
 }
 
-func TestCallsTakeTheirTurns(t *testing.T) {
-	w := newWorld(t, Options{CallsPerSecond: 100})
+func TestCallsAreRateLimited(t *testing.T) {
+	w := newFixture(t, Options{CallsPerSecond: 100})
 	start := time.Now()
 	for range 3 {
 		w.expect(w.call(""), 0, true)
@@ -170,17 +170,17 @@
 	}
 }
 
-func TestDown(t *testing.T) {
-	w := newWorld(t, Options{})
+func TestOutageResetsWatchesAndRejectsCalls(t *testing.T) {
+	w := newFixture(t, Options{})
 	for _, fail := range []func(){w.ResetConnections, func() { w.SetDown(true) }} {
-		result := w.hold("?after=0&wait_ms=60000")
+		result := w.startWatch("?after=0&wait_ms=60000")
 		fail()
 		if got := <-result; !errors.Is(got.err, syscall.ECONNRESET) {
 			t.Errorf("watch ended with %+v", got)
 		}
-		w.await("end of the watch", func() bool { return w.held() == 0 })
+		w.await("end of the watch", func() bool { return w.pendingWatches() == 0 })
 	}
-	w.refuse("?after=0&wait_ms=60000")
+	w.expectUnavailable("?after=0&wait_ms=60000")
 	w.SetDown(false)
 	w.expect(w.call(""), 0, true)
 	if got := w.Counts(); got.Reset != 2 || got.Unavailable != 1 {
@@ -188,23 +188,23 @@
 	}
 }
 
-func TestSilence(t *testing.T) {
-	w := newWorld(t, Options{})
+func TestSilentServerHoldsWatchesOnly(t *testing.T) {
+	w := newFixture(t, Options{})
 	w.SetSilent(true)
-	result := w.hold("?after=0&wait_ms=0")
+	result := w.startWatch("?after=0&wait_ms=0")
 	w.Update(instance("x", Ready))
 	w.expect(w.call(""), 1, true, "x=Ready")
-	if got := w.Counts(); w.held() != 1 || got.Changed+got.Empty != 0 {
+	if got := w.Counts(); w.pendingWatches() != 1 || got.DeltaResponses+got.EmptyResponses != 0 {
 		t.Errorf("the watch was answered: %+v", got)
 	}
 	w.SetSilent(false)
 	w.expect(<-result, 1, false, "x=Ready")
 }
 
-func TestMove(t *testing.T) {
-	w := newWorld(t, Options{})
+func TestMoveServesOnlyTheNewAddress(t *testing.T) {
+	w := newFixture(t, Options{})
 	w.moveGrace = 0
-	result := w.hold("?after=0&wait_ms=60000")
+	result := w.startWatch("?after=0&wait_ms=60000")
 	to, err := w.Move("127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -219,8 +219,8 @@
 	w.expect(w.call(""), 0, true)
 }
 
-func TestCallsThatAreNotByTheProtocol(t *testing.T) {
-	w := newWorld(t, Options{})
+func TestInvalidCallsAreRejected(t *testing.T) {
+	w := newFixture(t, Options{})
 	for query, want := range map[string]int{"?after=x": 400, "?after=1&wait_ms=-1": 400, "/more": 404} {
 		if got := w.call(query); got.status != want {
 			t.Errorf("%s: got %+v, want %d", query, got, want)
@@ -229,7 +229,7 @@
 }
 
 func benchmarkCall(b *testing.B, query string) {
-	w := newWorld(b, Options{})
+	w := newFixture(b, Options{})
 	instances := make([]Instance, 860)
 	for i := range instances {
 		instances[i] = instance(fmt.Sprintf("s-%08x", i), Ready)
--- a/internal/emulator/registry/server.go
+++ b/internal/emulator/registry/server.go
@@ -1,5 +1,9 @@
-// Package registry is a stand-in for the discovery service: it lists endpoints by
-// whole lists and by watches, and plays that service's faults.
+// Package registry is a test double of the discovery service.
+//
+// It serves the endpoint list as complete lists and by long-polling watches, limits its rate as the real
+// service does, and injects that service's faults: outages, silence, resets and a move to another address.
+// Lists are versioned; each response is encoded once per version. It does not check the health of the
+// endpoints that it lists.
 package registry
 
 import (
@@ -25,37 +29,37 @@
 
 // Options are the settings of a Server.
 type Options struct {
-	// CallsPerSecond is how many calls are worked through, one by one; 0: no limit.
-	// A call has its turn once, when it arrives.
+	// CallsPerSecond is the rate at which calls are admitted, without bursts; 0: no limit.
+	// A watch is admitted once, when it arrives.
 	CallsPerSecond float64
-	// MaxQueueDelay is how long a call may wait for its turn until it is answered
-	// 503; 0: no limit.
+	// MaxQueueDelay is how long a call may wait to be admitted; one that would wait longer
+	// gets a 503 after it. 0: no limit.
 	MaxQueueDelay time.Duration
-	// History is how many versions are told as changes; 0: 256.
+	// History is the number of versions for which changes are kept; 0: 256.
 	History int
-	// Logger hears of faults; nil: slog.Default().
+	// Logger logs faults; nil: slog.Default().
 	Logger *slog.Logger
 }
 
-// Server is a registry. Make one with New.
+// Server is a registry. Make one with New. It is safe for concurrent use.
 type Server struct {
 	options   Options
 	logger    *slog.Logger
-	turns     *rate.Limiter
+	limiter   *rate.Limiter
 	traffic   httpconn.Traffic
 	counters  counters
 	startCPU  time.Duration
 	moveGrace time.Duration
 	serving   sync.WaitGroup
 
-	mu        sync.Mutex
-	list      *list
-	watches   map[*watch]struct{} // that are held
-	listeners map[net.Listener]*httpconn.Set
-	connected httpconn.Set // of all listeners
-	down      bool
-	silent    bool
-	closed    bool
+	mu          sync.Mutex
+	list        *endpointList
+	watches     map[*pendingWatch]struct{} // pending
+	listeners   map[net.Listener]*httpconn.Set
+	connections httpconn.Set // of all listeners, present and past
+	down        bool
+	silent      bool
+	closed      bool
 }
 
 // New returns a Server with an empty list of version 0, which listens nowhere yet.
@@ -73,16 +77,16 @@
 	return &Server{
 		options:   options,
 		logger:    options.Logger,
-		turns:     rate.NewLimiter(limit, 1),
+		limiter:   rate.NewLimiter(limit, 1),
 		startCPU:  processCPU(),
 		moveGrace: defaultMoveGrace,
-		list:      newList(options.History),
-		watches:   map[*watch]struct{}{},
+		list:      newEndpointList(options.History),
+		watches:   map[*pendingWatch]struct{}{},
 		listeners: map[net.Listener]*httpconn.Set{},
 	}
 }
 
-// Listen begins to serve at an address, beside any earlier ones.
+// Listen starts serving at an address, in addition to any earlier ones. It returns ErrClosed after Close.
 func (s *Server) Listen(address string) (net.Addr, error) {
 	listener, err := net.Listen("tcp", address)
 	if err != nil {
@@ -101,40 +105,40 @@
 	return listener.Addr(), nil
 }
 
-// Move begins to serve at a new address. All earlier ones take no new connections
-// from now on, and close those they have after 1.5 s.
+// Move starts serving at a new address. All earlier ones stop accepting connections, and close those they
+// have after 1.5 s.
 func (s *Server) Move(address string) (net.Addr, error) {
 	s.mu.Lock()
-	left := make(map[net.Listener]*httpconn.Set, len(s.listeners))
+	previous := make(map[net.Listener]*httpconn.Set, len(s.listeners))
 	for listener, set := range s.listeners {
-		left[listener] = set
+		previous[listener] = set
 	}
 	s.mu.Unlock()
-	to, err := s.Listen(address)
+	newAddress, err := s.Listen(address)
 	if err != nil {
 		return nil, err
 	}
-	for listener, set := range left {
-		s.leave(listener, set)
+	for listener, set := range previous {
+		s.abandon(listener, set)
 	}
-	s.logger.Info("registry moved", "address", to)
-	return to, nil
+	s.logger.Info("registry moved", "address", newAddress)
+	return newAddress, nil
 }
 
-// leave stops listening, and closes the listener's connections after a while.
-func (s *Server) leave(listener net.Listener, set *httpconn.Set) {
+// abandon closes a listener, and after the move grace its connections.
+func (s *Server) abandon(listener net.Listener, set *httpconn.Set) {
 	_ = listener.Close()
 	s.mu.Lock()
 	delete(s.listeners, listener)
 	s.mu.Unlock()
 	time.AfterFunc(s.moveGrace, func() {
 		for _, c := range set.All() {
-			_ = c.Close()
+			c.Close()
 		}
 	})
 }
 
-// Set replaces the whole list as one version. Every watch is answered with it.
+// Set replaces the complete list as one version. Every pending watch gets that list.
 func (s *Server) Set(instances []Instance) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -150,30 +154,30 @@
 	s.wakeWatches()
 }
 
-// Seq returns the version of the list.
-func (s *Server) Seq() uint64 {
+// Version returns the version of the list.
+func (s *Server) Version() uint64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.list.seq
+	return s.list.version
 }
 
-// SetDown plays an outage: watches that are held end by a reset, and until the
-// server is back each call is answered 503.
+// SetDown starts or ends an outage. At its start pending watches are reset, and until its end each call
+// gets a 503.
 func (s *Server) SetDown(down bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.down = down
 	if down {
-		for held := range s.watches {
+		for watch := range s.watches {
 			s.counters.reset.Add(1)
-			held.conn.Reset()
+			watch.conn.Reset()
 		}
 	}
 	s.logger.Info("registry availability changed", "down", down)
 }
 
-// SetSilent plays a registry that accepts watches and never answers them. Calls
-// for the whole list are answered.
+// SetSilent makes the registry accept watches and never respond to them, or ends that. Calls for the
+// complete list get their response.
 func (s *Server) SetSilent(silent bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -184,25 +188,25 @@
 
 // ResetConnections resets every open connection.
 func (s *Server) ResetConnections() {
-	s.counters.reset.Add(uint64(s.connected.ResetAll()))
+	s.counters.reset.Add(uint64(s.connections.ResetAll()))
 }
 
-// Counts returns the figures so far.
+// Counts returns the counters so far.
 func (s *Server) Counts() Counts {
 	return Counts{
-		WholeCalls:   s.counters.wholeCalls.Load(),
-		WatchCalls:   s.counters.watchCalls.Load(),
-		WholeAnswers: s.counters.whole.Load(),
-		Changed:      s.counters.changed.Load(),
-		Empty:        s.counters.empty.Load(),
-		Unavailable:  s.counters.unavailable.Load(),
-		NotFound:     s.counters.notFound.Load(),
-		Reset:        s.counters.reset.Load(),
-		BytesIn:      s.traffic.BytesIn(),
-		BytesOut:     s.traffic.BytesOut(),
-		Connections:  s.connected.Counts(),
-		HandlingCPU:  time.Duration(s.counters.handlingCPU.Load()),
-		ProcessCPU:   processCPU() - s.startCPU,
+		ListCalls:         s.counters.listCalls.Load(),
+		WatchCalls:        s.counters.watchCalls.Load(),
+		CompleteResponses: s.counters.completeResponses.Load(),
+		DeltaResponses:    s.counters.deltaResponses.Load(),
+		EmptyResponses:    s.counters.emptyResponses.Load(),
+		Unavailable:       s.counters.unavailable.Load(),
+		NotFound:          s.counters.notFound.Load(),
+		Reset:             s.counters.reset.Load(),
+		BytesIn:           s.traffic.BytesIn(),
+		BytesOut:          s.traffic.BytesOut(),
+		Connections:       s.connections.Counts(),
+		HandlingCPU:       time.Duration(s.counters.handlingCPU.Load()),
+		ProcessCPU:        processCPU() - s.startCPU,
 	}
 }
 
@@ -216,14 +220,14 @@
 	}
 	clear(s.listeners)
 	s.mu.Unlock()
-	for _, c := range s.connected.All() {
-		_ = c.Close()
+	for _, c := range s.connections.All() {
+		c.Close()
 	}
 	s.serving.Wait()
 	return errors.Join(errs...)
 }
 
-// accept serves the connections of a listener until that is closed.
+// accept serves the connections of a listener until it is closed.
 func (s *Server) accept(listener net.Listener, set *httpconn.Set) {
 	defer s.serving.Done()
 	for {
@@ -238,28 +242,28 @@
 		}
 		c := httpconn.New(socket, &s.traffic)
 		set.Add(c)
-		if !s.enter(c) {
-			_ = c.Close()
+		if !s.track(c) {
+			c.Close()
 			return
 		}
 		go func() {
 			defer s.serving.Done()
 			defer set.Remove(c)
-			defer s.connected.Remove(c)
+			defer s.connections.Remove(c)
 			defer c.Close()
 			s.serve(c)
 		}()
 	}
 }
 
-// enter adds a connection that will be served, unless the server is closed.
-func (s *Server) enter(c *httpconn.Conn) bool {
+// track registers a connection that is about to be served. It returns false if the server is closed.
+func (s *Server) track(c *httpconn.Conn) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.closed {
 		return false
 	}
-	s.connected.Add(c)
+	s.connections.Add(c)
 	s.serving.Add(1)
 	return true
 }
--- a/internal/emulator/result/delta.go
+++ b/internal/emulator/result/delta.go
@@ -9,11 +9,11 @@
 // DiscoverySince returns what discovery counted since an earlier reading. Connections
 // that are open are as they are now.
 func DiscoverySince(now, earlier registry.Counts) registry.Counts {
-	now.WholeCalls -= earlier.WholeCalls
+	now.ListCalls -= earlier.ListCalls
 	now.WatchCalls -= earlier.WatchCalls
-	now.WholeAnswers -= earlier.WholeAnswers
-	now.Changed -= earlier.Changed
-	now.Empty -= earlier.Empty
+	now.CompleteResponses -= earlier.CompleteResponses
+	now.DeltaResponses -= earlier.DeltaResponses
+	now.EmptyResponses -= earlier.EmptyResponses
 	now.Unavailable -= earlier.Unavailable
 	now.NotFound -= earlier.NotFound
 	now.Reset -= earlier.Reset
@@ -31,10 +31,10 @@
 	now.Requests -= earlier.Requests
 	now.Served -= earlier.Served
 	now.Rejected -= earlier.Rejected
-	now.MissingID -= earlier.MissingID
+	now.MissingIDs -= earlier.MissingIDs
 	now.Duplicates -= earlier.Duplicates
 	now.Abandoned -= earlier.Abandoned
-	now.Probes -= earlier.Probes
+	now.HealthChecks -= earlier.HealthChecks
 	now.BytesIn -= earlier.BytesIn
 	now.BytesOut -= earlier.BytesOut
 	now.Connections.Accepted -= earlier.Connections.Accepted
--- a/internal/emulator/result/metrics.go
+++ b/internal/emulator/result/metrics.go
@@ -78,11 +78,11 @@
 
 func (p *Phase) discoveryMetrics() []Metric {
 	d := p.Discovery
-	calls := float64(d.WholeCalls + d.WatchCalls)
+	calls := float64(d.ListCalls + d.WatchCalls)
 	metrics := []Metric{
 		p.named(calls/p.Seconds, "1/s", "discovery, calls"),
 		p.named(float64(d.BytesOut)/p.Seconds, "B/s", "discovery, bytes out"),
-		p.named(float64(d.WholeAnswers), "", "discovery, whole lists"),
+		p.named(float64(d.CompleteResponses), "", "discovery, whole lists"),
 	}
 	if calls > 0 {
 		metrics = append(metrics, p.named(microseconds(d.HandlingCPU)/calls, "µs", "discovery, processor time of a call"))
@@ -93,7 +93,7 @@
 func (p *Phase) endpointMetrics(sidecars int) []Metric {
 	e := p.Endpoints
 	return []Metric{
-		p.named(float64(e.Probes)/p.Seconds/float64(sidecars), "1/s", "probes of a sidecar"),
+		p.named(float64(e.HealthChecks)/p.Seconds/float64(sidecars), "1/s", "probes of a sidecar"),
 		p.named(float64(e.Connections.Open)/float64(sidecars), "", "connections of a sidecar to endpoints"),
 		p.named(float64(e.Connections.Accepted)/p.Seconds, "1/s", "endpoints, connections accepted"),
 	}
--- a/internal/emulator/result/summary.go
+++ b/internal/emulator/result/summary.go
@@ -13,7 +13,7 @@
 		run.Scenario, run.Size.Sidecars, run.Size.Real, run.Size.Endpoints, run.Play, run.Commit, run.Seconds,
 		run.PeakMemoryMB, verdict(run))
 	fmt.Fprintf(table, "start\t%.2f s; whole lists %d, bytes out %d\n", run.Startup.Seconds,
-		run.Startup.Discovery.WholeAnswers, run.Startup.Discovery.BytesOut)
+		run.Startup.Discovery.CompleteResponses, run.Startup.Discovery.BytesOut)
 	writeSpreads(table, []Spread{run.Startup.HollowReady, run.Startup.RealReady})
 	for i := range run.Phases {
 		writePhase(table, &run.Phases[i])
@@ -44,11 +44,11 @@
 	}
 	d := phase.Discovery
 	fmt.Fprintf(table, "  discovery\t%.1f calls/s\t%d whole, %d changed, %d empty, %d unavailable\t%.0f B/s in, %.0f B/s out\n",
-		float64(d.WholeCalls+d.WatchCalls)/phase.Seconds, d.WholeAnswers, d.Changed, d.Empty, d.Unavailable,
+		float64(d.ListCalls+d.WatchCalls)/phase.Seconds, d.CompleteResponses, d.DeltaResponses, d.EmptyResponses, d.Unavailable,
 		float64(d.BytesIn)/phase.Seconds, float64(d.BytesOut)/phase.Seconds)
 	e := phase.Endpoints
 	fmt.Fprintf(table, "  endpoints\t%.1f requests/s, %.1f probes/s\t%d rejected, %d duplicates\t%d connections open, %d accepted\n",
-		float64(e.Requests)/phase.Seconds, float64(e.Probes)/phase.Seconds, e.Rejected, e.Duplicates,
+		float64(e.Requests)/phase.Seconds, float64(e.HealthChecks)/phase.Seconds, e.Rejected, e.Duplicates,
 		e.Connections.Open, e.Connections.Accepted)
 	writeRequests(table, "through sidecars", phase.Through)
 	writeRequests(table, "direct", phase.Direct)
--- a/internal/emulator/worker/endpoints.go
+++ b/internal/emulator/worker/endpoints.go
@@ -47,7 +47,7 @@
 }
 
 func incarnationOf(e *endpoint.Endpoint) Incarnation {
-	return Incarnation{Name: e.Config().Name, Address: e.Address(), StartedMS: e.BornMS()}
+	return Incarnation{Name: e.Config().Name, Address: e.Address(), StartedMS: e.StartedMS()}
 }
 
 func (s *endpointService) apply(_ context.Context, request EndpointAction) (Incarnations, error) {
@@ -77,8 +77,8 @@
 		return nil
 	case Restart:
 		return e.Restart()
-	case Vanish:
-		return e.Vanish()
+	case Disconnect:
+		return e.Disconnect()
 	}
 	return errors.New("unknown action")
 }
@@ -99,10 +99,10 @@
 	sum.Requests += counts.Requests
 	sum.Served += counts.Served
 	sum.Rejected += counts.Rejected
-	sum.MissingID += counts.MissingID
+	sum.MissingIDs += counts.MissingIDs
 	sum.Duplicates += counts.Duplicates
 	sum.Abandoned += counts.Abandoned
-	sum.Probes += counts.Probes
+	sum.HealthChecks += counts.HealthChecks
 	sum.BytesIn += counts.BytesIn
 	sum.BytesOut += counts.BytesOut
 	sum.Connections.Accepted += counts.Connections.Accepted
--- a/internal/emulator/worker/messages.go
+++ b/internal/emulator/worker/messages.go
@@ -69,9 +69,9 @@
 
 // The actions.
 const (
-	Drain   Action = "drain"
-	Restart Action = "restart"
-	Vanish  Action = "vanish"
+	Drain      Action = "drain"
+	Restart    Action = "restart"
+	Disconnect Action = "vanish"
 )
 
 // EndpointAction applies an action to the endpoints of these names; without names, to all.
--- a/internal/emulator/worker/registry.go
+++ b/internal/emulator/worker/registry.go
@@ -54,7 +54,7 @@
 	defer s.mu.Unlock()
 	createdAt := time.Now()
 	s.server.Set(request.Instances)
-	return ListVersion{Number: s.server.Seq(), CreatedAt: createdAt}, nil
+	return ListVersion{Number: s.server.Version(), CreatedAt: createdAt}, nil
 }
 
 func (s *registryService) update(_ context.Context, request Instances) (ListVersion, error) {
@@ -62,7 +62,7 @@
 	defer s.mu.Unlock()
 	createdAt := time.Now()
 	s.server.Update(request.Instances...)
-	return ListVersion{Number: s.server.Seq(), CreatedAt: createdAt}, nil
+	return ListVersion{Number: s.server.Version(), CreatedAt: createdAt}, nil
 }
 
 func (s *registryService) count(context.Context, control.Empty) (registry.Counts, error) {
