--- a/cmd/emulator/commands.go
+++ b/cmd/emulator/commands.go
@@ -30,7 +30,7 @@
 // rootCommand is the command line.
 type rootCommand struct {
 	*cobra.Command
-	began bool // the arguments were understood
+	parsed bool // the arguments were understood
 }
 
 func newRootCommand() *rootCommand {
@@ -40,13 +40,13 @@
 		SilenceUsage:  true,
 		SilenceErrors: true,
 	}}
-	root.PersistentPreRun = func(*cobra.Command, []string) { root.began = true }
+	root.PersistentPreRun = func(*cobra.Command, []string) { root.parsed = true }
 	root.AddCommand(newRunCommand(), newSweepCommand(), newReportCommand(), newListCommand(), newWorkerCommand())
 	return root
 }
 
-// common are the flags of commands that play.
-type common struct {
+// commonFlags are the flags of commands that play.
+type commonFlags struct {
 	file     string
 	scenario string
 	sidecar  string
@@ -55,7 +55,7 @@
 	seed     uint64
 }
 
-func (c *common) register(command *cobra.Command) {
+func (c *commonFlags) register(command *cobra.Command) {
 	flags := command.Flags()
 	flags.StringVar(&c.file, "file", defaultFile, "scenario file")
 	flags.StringVar(&c.scenario, "scenario", "steady", "name of the scenario")
@@ -66,7 +66,7 @@
 }
 
 // options reads the scenario file and finds the programs.
-func (c *common) options() (play.Options, error) {
+func (c *commonFlags) options() (play.Options, error) {
 	file, err := spec.Read(c.file)
 	if err != nil {
 		return play.Options{}, err
@@ -113,7 +113,7 @@
 }
 
 func newRunCommand() *cobra.Command {
-	var c common
+	var c commonFlags
 	var size spec.Size
 	command := &cobra.Command{
 		Use:   "run",
@@ -129,7 +129,7 @@
 			}
 			options.Size, options.Play = size, 1
 			run, err := play.Run(command.Context(), options)
-			return errorsAfter(err, c.keep(run))
+			return firstError(err, c.record(run))
 		},
 	}
 	c.register(command)
@@ -140,16 +140,16 @@
 	return command
 }
 
-// errorsAfter returns the first error, or the second where there is none.
-func errorsAfter(first, second error) error {
+// firstError returns the first error, or the second where there is none.
+func firstError(first, second error) error {
 	if first != nil {
 		return first
 	}
 	return second
 }
 
-// keep prints a run and adds it to the result file.
-func (c *common) keep(run *result.Run) error {
+// record prints a run and adds it to the result file.
+func (c *commonFlags) record(run *result.Run) error {
 	if run == nil {
 		return nil
 	}
--- a/cmd/emulator/main.go
+++ b/cmd/emulator/main.go
@@ -44,7 +44,7 @@
 	}
 	fmt.Fprintln(os.Stderr, "emulator:", strings.ReplaceAll(err.Error(), "\n", "; "))
 	var bad *spec.InputError
-	if errors.As(err, &bad) || !command.began {
+	if errors.As(err, &bad) || !command.parsed {
 		return exitBadInput
 	}
 	return exitFailure
--- a/cmd/emulator/main_test.go
+++ b/cmd/emulator/main_test.go
@@ -126,7 +126,7 @@
 const loadedName = "loaded"
 
 // Each scenario is played to its end: its sidecars carry requests, and get where they should.
-func TestScenarios(t *testing.T) {
+func TestScenariosRunToTheirEnd(t *testing.T) {
 	for scenario, phases := range map[string][]string{
 		"steady":  {"rest", loadedName},
 		"replace": {loadedName, "replace"},
@@ -143,10 +143,10 @@
 				}
 				checkPhase(t, &phase)
 			}
-			if hollow := run.End.Hollow; hollow.Running != 12 || hollow.Failed != 0 {
+			if hollow := run.End.Simulated; hollow.Running != 12 || hollow.Failed != 0 {
 				t.Errorf("at the end: %+v", hollow)
 			}
-			if ready := run.Startup.HollowReady; ready.Of != 12 || ready.Missing != 0 {
+			if ready := run.Startup.SimulatedReady; ready.Total != 12 || ready.Missing != 0 {
 				t.Errorf("at the start: %+v", ready)
 			}
 		})
@@ -156,37 +156,37 @@
 // checkPhase checks what holds on a busy machine, too.
 func checkPhase(t *testing.T, phase *result.Phase) {
 	t.Helper()
-	if phase.Through != nil && phase.Through.Counts.Served == 0 {
-		t.Errorf("%s: no request was served: %+v", phase.Name, phase.Through.Counts)
+	if phase.Proxied != nil && phase.Proxied.Counts.Served == 0 {
+		t.Errorf("%s: no request was served: %+v", phase.Name, phase.Proxied.Counts)
 	}
-	if phase.Through == nil && phase.Name != "rest" {
+	if phase.Proxied == nil && phase.Name != "rest" {
 		t.Errorf("%s: no requests", phase.Name)
 	}
 	if phase.Endpoints.Duplicates > phase.Endpoints.Requests/2 {
 		t.Errorf("%s: %d of %d requests are duplicates", phase.Name, phase.Endpoints.Duplicates, phase.Endpoints.Requests)
 	}
-	for _, role := range []result.Role{result.RealSidecar, result.HollowSidecar, result.Endpoint, result.Discovery} {
+	for _, role := range []result.Role{result.RealSidecar, result.SimulatedSidecar, result.Endpoint, result.Discovery} {
 		usage := phase.Usage(role)
 		if usage == nil || usage.Processes == 0 || usage.ResidentMB <= 0 || usage.Descriptors <= 0 {
 			t.Errorf("%s: %s spends %+v", phase.Name, role, usage)
 		}
 	}
-	for _, spread := range phase.Spreads {
-		if spread.Of == 0 || spread.Missing > 0 {
+	for _, spread := range phase.Distributions {
+		if spread.Total == 0 || spread.Missing > 0 {
 			t.Errorf("%s: %+v", phase.Name, spread)
 		}
 	}
 }
 
 // Changes are handed out whole, and it is counted where they come into force.
-func TestChanges(t *testing.T) {
+func TestChangesAreRolledOutAndApplied(t *testing.T) {
 	run := playOnce(t, "changes")
 	if len(run.Phases) != 3 {
 		t.Fatalf("%d phases", len(run.Phases))
 	}
 	changes, burst := run.Phases[1], run.Phases[2]
-	if changes.Events != 2 || burst.Events != 3 || changes.HandedOutBytes == 0 {
-		t.Errorf("%d changes, then %d at once, %d bytes", changes.Events, burst.Events, changes.HandedOutBytes)
+	if changes.Events != 2 || burst.Events != 3 || changes.ConfigBytes == 0 {
+		t.Errorf("%d changes, then %d at once, %d bytes", changes.Events, burst.Events, changes.ConfigBytes)
 	}
 	for _, phase := range run.Phases {
 		checkPhase(t, &phase)
@@ -211,7 +211,7 @@
 }
 
 // Bad input ends with one line that names it, exit code 2, and nothing started.
-func TestBadInput(t *testing.T) {
+func TestBadInputEndsWithExitCode2(t *testing.T) {
 	changed := func(old, new string) string { return changedFile(t, old, new) }
 	for name, c := range map[string]struct {
 		arguments []string
@@ -273,7 +273,7 @@
 }
 
 // A sweep plays each size as often as asked for, and report makes the same table again.
-func TestSweep(t *testing.T) {
+func TestSweepRunsEachSizeAndReportReproducesItsTable(t *testing.T) {
 	sidecar, err := sidecarPath()
 	if err != nil {
 		t.Fatal(err)
@@ -313,7 +313,7 @@
 	return e
 }
 
-func TestSignalEndsAll(t *testing.T) {
+func TestSignalEndsTheRunAndItsChildren(t *testing.T) {
 	for _, signal := range []syscall.Signal{syscall.SIGINT, syscall.SIGTERM} {
 		e := startRun(t)
 		if err := e.Process.Signal(signal); err != nil {
@@ -330,7 +330,7 @@
 	}
 }
 
-func TestKilledEmulatorLeavesNothing(t *testing.T) {
+func TestKilledEmulatorLeavesNoProcessOrFile(t *testing.T) {
 	e := startRun(t)
 	if err := e.Process.Kill(); err != nil {
 		t.Fatal(err)
@@ -341,7 +341,7 @@
 }
 
 // The programs that are deployed hold no package of others, and nothing of the emulator.
-func TestNoForeignPackagesInTheSidecar(t *testing.T) {
+func TestSidecarHasNoExternalPackages(t *testing.T) {
 	list := exec.Command("go", "list", "-deps", "-f", "{{if not .Standard}}{{.ImportPath}}{{end}}",
 		"oakproxy/cmd/sidecar", "oakproxy/cmd/simhost", "oakproxy/balancer")
 	out, err := list.Output()
--- a/cmd/emulator/sweep.go
+++ b/cmd/emulator/sweep.go
@@ -23,22 +23,22 @@
 
 var defaultSizes = []int{54, 108, 215, 430, 860}
 
-// outputs are where a sweep's table and plot go.
-type outputs struct {
+// outputFlags are where a sweep's table and plot go.
+type outputFlags struct {
 	table   string
 	plot    string
 	metrics []string
 }
 
-func (o *outputs) register(command *cobra.Command) {
+func (o *outputFlags) register(command *cobra.Command) {
 	flags := command.Flags()
 	flags.StringVar(&o.table, "table", "", "file for the Markdown table (default: standard output)")
 	flags.StringVar(&o.plot, "plot", "", "file for the SVG plot (default: none)")
 	flags.StringArrayVar(&o.metrics, "metric", nil, "metric to plot, as the table names it; may be repeated "+defaultMetric)
 }
 
-// write writes the table and the plot.
-func (o *outputs) write(runs []*result.Run) error {
+// writeFiles writes the table and the plot.
+func (o *outputFlags) writeFiles(runs []*result.Run) error {
 	table := os.Stdout
 	if o.table != "" {
 		file, err := os.Create(o.table)
@@ -68,8 +68,8 @@
 
 // sweep is a scenario to play at several sizes.
 type sweep struct {
-	common
-	outputs
+	commonFlags
+	outputFlags
 	sizes []int
 	plays int
 	real  int
@@ -83,8 +83,8 @@
 		Args:  cobra.NoArgs,
 		RunE:  func(command *cobra.Command, _ []string) error { return s.run(command.Context()) },
 	}
-	s.common.register(command)
-	s.outputs.register(command)
+	s.commonFlags.register(command)
+	s.outputFlags.register(command)
 	flags := command.Flags()
 	flags.IntSliceVar(&s.sizes, "sizes", defaultSizes, "numbers of sidecars, with as many endpoints")
 	flags.IntVar(&s.plays, "plays", defaultPlays, "plays of each size")
@@ -98,7 +98,7 @@
 	if err != nil {
 		return err
 	}
-	if err := s.check(options); err != nil {
+	if err := s.validate(options); err != nil {
 		return err
 	}
 	var runs []*result.Run
@@ -108,22 +108,22 @@
 			options.Seed = s.seed + uint64(number)
 			options.Size = s.size(size)
 			run, err := play.Run(ctx, options)
-			if err := errorsAfter(err, s.keep(run)); err != nil {
+			if err := firstError(err, s.record(run)); err != nil {
 				return err
 			}
 			runs = append(runs, run)
 			time.Sleep(sweepPause)
 		}
 	}
-	return s.write(runs)
+	return s.writeFiles(runs)
 }
 
 func (s *sweep) size(sidecars int) spec.Size {
 	return spec.Size{Sidecars: sidecars, Endpoints: sidecars, Real: s.real}
 }
 
-// check finds bad input before the first play.
-func (s *sweep) check(options play.Options) error {
+// validate finds bad input before the first play.
+func (s *sweep) validate(options play.Options) error {
 	if s.plays < 1 || s.plays > maxPlays {
 		return spec.Invalid("plays: %d is out of range, 1 to %d", s.plays, maxPlays)
 	}
@@ -132,7 +132,7 @@
 	}
 	for _, size := range s.sizes {
 		options.Size = s.size(size)
-		if err := options.Check(); err != nil {
+		if err := options.Validate(); err != nil {
 			return err
 		}
 	}
@@ -140,7 +140,7 @@
 }
 
 func newReportCommand() *cobra.Command {
-	var o outputs
+	var o outputFlags
 	command := &cobra.Command{
 		Use:   "report FILE...",
 		Short: "Make the table and the plot of result files again",
@@ -157,7 +157,7 @@
 			if len(runs) == 0 {
 				return spec.Invalid("%s: no runs", fmt.Sprint(paths))
 			}
-			return o.write(runs)
+			return o.writeFiles(runs)
 		},
 	}
 	o.register(command)
--- a/internal/emulator/fleet/config.go
+++ b/internal/emulator/fleet/config.go
@@ -7,9 +7,9 @@
 	"oakproxy/internal/emulator/spec"
 )
 
-// baseAllowance is the first tenant's allowance in the first version of a configuration.
+// baseQuotaRate is the first tenant's allowance in the first version of a configuration.
 // Each later version raises it by one.
-const baseAllowance = 1000
+const baseQuotaRate = 1000
 
 // Configuration is a sidecar's configuration file.
 type Configuration struct {
@@ -29,71 +29,71 @@
 
 // settings are what the balancer is told; durations are in microseconds.
 type settings struct {
-	Areas      []string          `json:"areas"`
-	Skus       []string          `json:"skus"`
-	Stages     []string          `json:"stages"`
-	Discovery  string            `json:"discovery"`
-	PeersTotal int               `json:"peers-total"`
-	Position   int               `json:"position"`
-	Zone       int               `json:"zone"`
-	ValueBy    string            `json:"value-by"`
-	Classes    []classSettings   `json:"classes"`
-	Tenants    []tenantSettings  `json:"tenants"`
-	Contract   contractSettings  `json:"contract"`
-	Limits     limitSettings     `json:"limits"`
-	Prices     priceSettings     `json:"prices"`
-	Goal       goalSettings      `json:"goal"`
-	Reporting  reportingSettings `json:"reporting"`
+	Zones        []string          `json:"areas"`
+	MachineKinds []string          `json:"skus"`
+	Stages       []string          `json:"stages"`
+	Discovery    string            `json:"discovery"`
+	Balancers    int               `json:"peers-total"`
+	Index        int               `json:"position"`
+	Zone         int               `json:"zone"`
+	WeightBy     string            `json:"value-by"`
+	Classes      []classSettings   `json:"classes"`
+	Tenants      []tenantSettings  `json:"tenants"`
+	Contract     contractSettings  `json:"contract"`
+	Limits       limitSettings     `json:"limits"`
+	Prices       priceSettings     `json:"prices"`
+	Goal         goalSettings      `json:"goal"`
+	Reporting    reportingSettings `json:"reporting"`
 }
 
 type classSettings struct {
-	Name   string  `json:"name"`
-	Repeat string  `json:"repeat"`
-	Group  string  `json:"group,omitempty"`
-	Window int64   `json:"window,omitempty"`
-	Target int64   `json:"target"`
-	GiveUp int64   `json:"give-up"`
-	Credit float64 `json:"credit"`
+	Name                string  `json:"name"`
+	Idempotency         string  `json:"repeat"`
+	DeduplicationScope  string  `json:"group,omitempty"`
+	DeduplicationWindow int64   `json:"window,omitempty"`
+	LatencyObjective    int64   `json:"target"`
+	ClientTimeout       int64   `json:"give-up"`
+	PriorityWeight      float64 `json:"credit"`
 }
 
 type tenantSettings struct {
-	Name      string  `json:"name"`
-	Allowance float64 `json:"allowance-per-s"`
-	Share     float64 `json:"share"`
+	Name          string  `json:"name"`
+	QuotaRate     float64 `json:"allowance-per-s"`
+	CapacityShare float64 `json:"share"`
 }
 
 type contractSettings struct {
-	AnswerSlack  int64   `json:"answer-slack"`
-	AskWithin    int64   `json:"ask-within"`
-	ColdFrom     float64 `json:"cold-from"`
-	DrainGrace   int64   `json:"drain-grace"`
-	FallMultiple float64 `json:"fall-multiple"`
-	OverloadFor  int64   `json:"overload-for"`
-	RampTime     int64   `json:"ramp-time"`
+	AnswerGrace              int64   `json:"answer-slack"`
+	PollInterval             int64   `json:"ask-within"`
+	SlowStartInitialFraction float64 `json:"cold-from"`
+	DrainGrace               int64   `json:"drain-grace"`
+	OverloadFactor           float64 `json:"fall-multiple"`
+	OverloadWindow           int64   `json:"overload-for"`
+	SlowStartDuration        int64   `json:"ramp-time"`
 }
 
 type limitSettings struct {
-	Cancel        bool  `json:"cancel"`
-	DialTimeout   int64 `json:"dial-timeout"`
-	KeepAlive     int64 `json:"keepalive"`
-	MaxRetryAfter int64 `json:"max-retry-after"`
-	MostHeld      int   `json:"most-held"`
-	MostTries     int   `json:"most-tries"`
-	Multiplex     int   `json:"multiplex"`
-	Probes        bool  `json:"probes"`
-	RetryAfter    bool  `json:"retry-after"`
-	SecondCopies  bool  `json:"second-copies"`
+	CancelAttempts  bool  `json:"cancel"`
+	DialTimeout     int64 `json:"dial-timeout"`
+	KeepAlive       int64 `json:"keepalive"`
+	MaxRetryAfter   int64 `json:"max-retry-after"`
+	MaxOpenRequests int   `json:"most-held"`
+	MaxAttempts     int   `json:"most-tries"`
+	Multiplex       int   `json:"multiplex"`
+	Probes          bool  `json:"probes"`
+	RetryAfter      bool  `json:"retry-after"`
+	HedgedRequests  bool  `json:"second-copies"`
 }
 
 type priceSettings struct {
-	CrossZone float64 `json:"cross-zone"`
-	Probe     float64 `json:"probe"`
-	Waste     float64 `json:"waste"`
-	LateFail  float64 `json:"late-fail"`
+	CrossZone     float64 `json:"cross-zone"`
+	Probe         float64 `json:"probe"`
+	WastedAttempt float64 `json:"waste"`
+	LateFailure   float64 `json:"late-fail"`
 }
 
 type goalSettings struct {
-	Whole       float64 `json:"whole"`
+	Overall     float64 `json:"whole"`
 	WorstWindow float64 `json:"worst-window"`
 	WorstClass  float64 `json:"worst-class"`
 	WorstTenant float64 `json:"worst-tenant"`
@@ -106,14 +106,14 @@
 
 // Figures of the settings that no scenario varies.
 const (
-	answerSlack    = 50_000
-	fallMultiple   = 3
-	overloadFor    = 1_500_000
-	repeatWindow   = 2_500_000
-	mostHeld       = 1000
-	crossZonePrice = 0.03
-	wastePrice     = 0.06
-	lateFailPrice  = 0.05
+	answerGrace         = 50_000
+	overloadFactor      = 3
+	overloadWindow      = 1_500_000
+	deduplicationWindow = 2_500_000
+	maxOpenRequests     = 1000
+	crossZonePrice      = 0.03
+	wastedAttemptPrice  = 0.06
+	lateFailurePrice    = 0.05
 )
 
 // Configurations writes the configurations of a fleet's sidecars.
@@ -124,8 +124,8 @@
 	Seed      uint64
 }
 
-// Text returns one version of a sidecar's configuration. Versions count from 1.
-func (c *Configurations) Text(s Sidecar, listen string, version int) ([]byte, error) {
+// Encode returns one version of a sidecar's configuration. Versions count from 1.
+func (c *Configurations) Encode(s Sidecar, listen string, version int) ([]byte, error) {
 	of := c.File.Sidecar
 	return json.Marshal(Configuration{
 		Name:      s.Name,
@@ -140,24 +140,24 @@
 func (c *Configurations) settings(s Sidecar, version int) settings {
 	of := c.File.Sidecar
 	return settings{
-		Areas:      c.Layout.Zones,
-		Skus:       c.Layout.Kinds,
-		Stages:     []string{"application"},
-		Discovery:  of.Discovery,
-		PeersTotal: len(c.Layout.Sidecars),
-		Position:   s.Position,
-		Zone:       s.Zone,
-		ValueBy:    "request",
-		Classes:    c.classes(),
-		Tenants:    c.tenants(version),
-		Contract: contractSettings{AnswerSlack: answerSlack, AskWithin: of.AskWithin.Micros(),
-			ColdFrom: c.File.Endpoint.ColdShare, DrainGrace: of.DrainGrace.Micros(), FallMultiple: fallMultiple,
-			OverloadFor: overloadFor, RampTime: c.File.Endpoint.WarmUp.Micros()},
-		Limits: limitSettings{Cancel: true, DialTimeout: of.DialTimeout.Micros(), KeepAlive: of.KeepAlive.Micros(),
-			MaxRetryAfter: of.MaxRetryAfter.Micros(), MostHeld: mostHeld, MostTries: of.MaxAttempts, Multiplex: 1,
+		Zones:        c.Layout.Zones,
+		MachineKinds: c.Layout.Kinds,
+		Stages:       []string{"application"},
+		Discovery:    of.Discovery,
+		Balancers:    len(c.Layout.Sidecars),
+		Index:        s.Position,
+		Zone:         s.Zone,
+		WeightBy:     "request",
+		Classes:      c.classes(),
+		Tenants:      c.tenants(version),
+		Contract: contractSettings{AnswerGrace: answerGrace, PollInterval: of.PollInterval.Micros(),
+			SlowStartInitialFraction: c.File.Endpoint.ColdCapacity, DrainGrace: of.DrainGrace.Micros(), OverloadFactor: overloadFactor,
+			OverloadWindow: overloadWindow, SlowStartDuration: c.File.Endpoint.WarmUp.Micros()},
+		Limits: limitSettings{CancelAttempts: true, DialTimeout: of.DialTimeout.Micros(), KeepAlive: of.KeepAlive.Micros(),
+			MaxRetryAfter: of.MaxRetryAfter.Micros(), MaxOpenRequests: maxOpenRequests, MaxAttempts: of.MaxAttempts, Multiplex: 1,
 			Probes: true, RetryAfter: true},
-		Prices:    priceSettings{CrossZone: crossZonePrice, Probe: of.ProbePrice, Waste: wastePrice, LateFail: lateFailPrice},
-		Goal:      goalSettings{Whole: 0.55, WorstWindow: 0.15, WorstClass: 0.05, WorstTenant: 0.25},
+		Prices:    priceSettings{CrossZone: crossZonePrice, Probe: of.ProbePrice, WastedAttempt: wastedAttemptPrice, LateFailure: lateFailurePrice},
+		Goal:      goalSettings{Overall: 0.55, WorstWindow: 0.15, WorstClass: 0.05, WorstTenant: 0.25},
 		Reporting: reportingSettings{How: "probe", Fields: []string{of.LoadField}},
 	}
 }
@@ -165,10 +165,10 @@
 func (c *Configurations) classes() []classSettings {
 	var classes []classSettings
 	for _, class := range c.File.Load.Classes {
-		next := classSettings{Name: class.Name, Repeat: class.Repeat, Target: class.Target.Micros(),
-			GiveUp: class.GiveUp.Micros(), Credit: 1}
-		if class.Repeat == spec.RepeatToken {
-			next.Group, next.Window = "cell", repeatWindow
+		next := classSettings{Name: class.Name, Idempotency: class.Idempotency, LatencyObjective: class.LatencyObjective.Micros(),
+			ClientTimeout: class.Timeout.Micros(), PriorityWeight: 1}
+		if class.Idempotency == spec.IdempotentWithKey {
+			next.DeduplicationScope, next.DeduplicationWindow = "cell", deduplicationWindow
 		}
 		classes = append(classes, next)
 	}
@@ -187,9 +187,9 @@
 func (c *Configurations) tenants(version int) []tenantSettings {
 	var tenants []tenantSettings
 	for _, name := range c.Tenants() {
-		tenants = append(tenants, tenantSettings{Name: name, Allowance: baseAllowance * float64(len(c.Layout.Sidecars)),
-			Share: 1 / float64(c.File.Sidecar.Tenants)})
+		tenants = append(tenants, tenantSettings{Name: name, QuotaRate: baseQuotaRate * float64(len(c.Layout.Sidecars)),
+			CapacityShare: 1 / float64(c.File.Sidecar.Tenants)})
 	}
-	tenants[0].Allowance += float64(version - 1)
+	tenants[0].QuotaRate += float64(version - 1)
 	return tenants
 }
--- a/internal/emulator/fleet/fleet_test.go
+++ b/internal/emulator/fleet/fleet_test.go
@@ -16,7 +16,7 @@
 	return file
 }
 
-func TestLayout(t *testing.T) {
+func TestLayoutSpreadsTheFleetEvenly(t *testing.T) {
 	l := New(shipped(t), spec.Size{Sidecars: 860, Endpoints: 860, Real: 16})
 	names, addresses, zones := map[string]bool{}, map[string]bool{}, map[int]int{}
 	for _, e := range l.Endpoints {
@@ -45,11 +45,11 @@
 }
 
 // A sidecar takes the configurations, and versions differ for it where they should.
-func TestConfigurations(t *testing.T) {
+func TestConfigurationsParseAndDifferByVersion(t *testing.T) {
 	file := shipped(t)
 	c := &Configurations{File: file, Layout: New(file, spec.Size{Sidecars: 12, Endpoints: 12}), Discovery: "127.0.0.1:1", Seed: 7}
 	parse := func(number, version int) *config.Config {
-		text, err := c.Text(c.Layout.Sidecars[number], "127.0.0.1:0", version)
+		text, err := c.Encode(c.Layout.Sidecars[number], "127.0.0.1:0", version)
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/emulator/fleet/layout.go
+++ b/internal/emulator/fleet/layout.go
@@ -76,7 +76,7 @@
 func (l *Layout) sidecar(i int, size spec.Size) Sidecar {
 	zones := len(l.Zones)
 	zone, inZone := i%zones, i/zones
-	all, real := part(size.Sidecars, zones, zone), part(size.Real, zones, zone)
+	all, real := zoneCount(size.Sidecars, zones, zone), zoneCount(size.Real, zones, zone)
 	return Sidecar{
 		Name:     fmt.Sprintf("sidecar-%04d", i),
 		Position: i,
@@ -85,8 +85,8 @@
 	}
 }
 
-// part is how many of a number of things go to one zone when they go to zones in turn.
-func part(count, zones, zone int) int { return (count + zones - 1 - zone) / zones }
+// zoneCount is how many of a number of things go to one zone when they go to zones in turn.
+func zoneCount(count, zones, zone int) int { return (count + zones - 1 - zone) / zones }
 
 // Config returns how the stand-in for an endpoint is started.
 func (l *Layout) Config(e Endpoint, file *spec.File) endpoint.Config {
@@ -103,7 +103,7 @@
 		LoadField:    file.Sidecar.LoadField,
 		IdleTimeout:  file.Sidecar.KeepAlive.Std(),
 		WarmUp:       file.Endpoint.WarmUp.Std(),
-		ColdCapacity: file.Endpoint.ColdShare,
+		ColdCapacity: file.Endpoint.ColdCapacity,
 	}
 }
 
--- a/internal/emulator/load/client.go
+++ b/internal/emulator/load/client.go
@@ -15,15 +15,15 @@
 )
 
 const (
-	readBufferSize = 1 << 10
-	maxAnswerBytes = 64 << 10
-	bodySize       = 212 // of a POST
+	readBufferSize   = 1 << 10
+	maxResponseBytes = 64 << 10
+	bodySize         = 212 // of a POST
 )
 
 // Errors that end a request without a whole answer.
 var (
-	errStale    = errors.New("load: the idle connection had been closed")
-	errTooLarge = errors.New("load: answer too large")
+	errStaleConnection = errors.New("load: the idle connection had been closed")
+	errTooLarge        = errors.New("load: answer too large")
 )
 
 // connection is one to a target, which carries one request at a time.
@@ -31,7 +31,7 @@
 	net.Conn
 	client *client
 	reader *bufio.Reader
-	used   bool // has carried a request before
+	reused bool // has carried a request before
 }
 
 // Read reads from the target and counts the bytes.
@@ -48,11 +48,11 @@
 	return n, err
 }
 
-// answer is a whole answer.
-type answer struct {
-	status int
-	body   []byte
-	kept   bool // the connection may be used again
+// response is a whole answer.
+type response struct {
+	status   int
+	body     []byte
+	reusable bool // the connection may be used again
 }
 
 // client keeps connections to targets, and opens one when all are busy.
@@ -69,7 +69,7 @@
 
 // do sends a request and reads its answer, until the deadline. A request that meets
 // an idle connection as that is closed ends with errStale: it was not answered at all.
-func (c *client) do(ctx context.Context, r *request, deadline time.Time, fresh bool) (*answer, error) {
+func (c *client) do(ctx context.Context, r *request, deadline time.Time, fresh bool) (*response, error) {
 	ctx, cancel := context.WithDeadline(ctx, deadline)
 	defer cancel()
 	conn, err := c.connect(ctx, r.target, fresh)
@@ -80,10 +80,10 @@
 	got, err := exchange(conn, r, deadline)
 	alive := stop()
 	switch {
-	case err != nil || !got.kept || !alive:
+	case err != nil || !got.reusable || !alive:
 		_ = conn.Close()
 	default:
-		c.keep(r.target, conn)
+		c.putIdle(r.target, conn)
 	}
 	return got, err
 }
@@ -91,7 +91,7 @@
 // connect takes an idle connection, or opens one.
 func (c *client) connect(ctx context.Context, target string, fresh bool) (*connection, error) {
 	if !fresh {
-		if conn := c.take(target); conn != nil {
+		if conn := c.takeIdle(target); conn != nil {
 			return conn, nil
 		}
 	}
@@ -105,7 +105,7 @@
 	return conn, nil
 }
 
-func (c *client) take(target string) *connection {
+func (c *client) takeIdle(target string) *connection {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	idle := c.idle[target]
@@ -119,8 +119,8 @@
 	return conn
 }
 
-func (c *client) keep(target string, conn *connection) {
-	conn.used = true
+func (c *client) putIdle(target string, conn *connection) {
+	conn.reused = true
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.idle[target] = append(c.idle[target], conn)
@@ -139,7 +139,7 @@
 }
 
 // exchange sends a request on a connection and reads the answer.
-func exchange(conn *connection, r *request, deadline time.Time) (*answer, error) {
+func exchange(conn *connection, r *request, deadline time.Time) (*response, error) {
 	message := appendRequest(nil, r, time.Until(deadline))
 	if _, err := conn.Write(message); err != nil {
 		return nil, conn.classify(err)
@@ -147,25 +147,25 @@
 	if _, err := conn.reader.Peek(1); err != nil {
 		return nil, conn.classify(err)
 	}
-	response, err := http.ReadResponse(conn.reader, &http.Request{Method: r.class.Method})
+	received, err := http.ReadResponse(conn.reader, &http.Request{Method: r.class.Method})
 	if err != nil {
 		return nil, err
 	}
-	body, err := io.ReadAll(io.LimitReader(response.Body, maxAnswerBytes+1))
+	body, err := io.ReadAll(io.LimitReader(received.Body, maxResponseBytes+1))
 	switch {
 	case err != nil:
 		return nil, err
-	case len(body) > maxAnswerBytes:
+	case len(body) > maxResponseBytes:
 		return nil, errTooLarge
 	}
-	return &answer{status: response.StatusCode, body: body, kept: !response.Close}, nil
+	return &response{status: received.StatusCode, body: body, reusable: !received.Close}, nil
 }
 
 // classify tells an idle connection that the other side had closed from other faults.
 func (c *connection) classify(err error) error {
 	closedHere := errors.Is(err, net.ErrClosed)
-	if c.used && !closedHere {
-		return errStale
+	if c.reused && !closedHere {
+		return errStaleConnection
 	}
 	return err
 }
@@ -180,8 +180,8 @@
 	buffer = appendField(buffer, "X-Session-Key", r.sessionKey)
 	milliseconds := max(1, left.Milliseconds())
 	buffer = appendField(buffer, "X-Time-Left-Ms", strconv.FormatInt(milliseconds, 10))
-	if r.key != "" {
-		buffer = appendField(buffer, "Idempotency-Key", r.key)
+	if r.idempotencyKey != "" {
+		buffer = appendField(buffer, "Idempotency-Key", r.idempotencyKey)
 	}
 	var body []byte
 	if r.class.Method != http.MethodGet {
--- a/internal/emulator/load/generator.go
+++ b/internal/emulator/load/generator.go
@@ -23,7 +23,7 @@
 	recorder *recorder
 	slots    chan struct{} // one for each request in flight
 	start    time.Time
-	sending  sync.WaitGroup
+	inFlight sync.WaitGroup
 }
 
 // Run carries a plan out. It ends early, and returns what it has so far, when ctx ends.
@@ -42,8 +42,8 @@
 	defer g.client.close()
 	cpu := processCPU()
 	g.dispatch(ctx)
-	g.sending.Wait()
-	report := g.recorder.finish()
+	g.inFlight.Wait()
+	report := g.recorder.result()
 	report.Direct = plan.Direct
 	report.Elapsed = time.Since(g.start)
 	report.CPU = processCPU() - cpu
@@ -64,16 +64,16 @@
 		if !more {
 			return
 		}
-		intended := g.start.Add(next.after)
+		intended := g.start.Add(next.startOffset)
 		if !sleepUntil(ctx, timer, intended) {
 			return
 		}
-		deadline := intended.Add(next.class.GiveUp)
-		if !g.takeSlot(ctx, timer, deadline) {
-			g.recorder.ended(withoutSlot(ctx), 0)
+		deadline := intended.Add(next.class.Timeout)
+		if !g.acquireSlot(ctx, timer, deadline) {
+			g.recorder.recordOutcome(unsentOutcome(ctx), 0)
 			continue
 		}
-		g.sending.Add(1)
+		g.inFlight.Add(1)
 		go g.send(ctx, next, intended, deadline)
 	}
 }
@@ -96,8 +96,8 @@
 	return ctx.Err() == nil
 }
 
-// takeSlot waits until a request more may be in flight, as long as it has time.
-func (g *generator) takeSlot(ctx context.Context, timer *time.Timer, deadline time.Time) bool {
+// acquireSlot waits until a request more may be in flight, as long as it has time.
+func (g *generator) acquireSlot(ctx context.Context, timer *time.Timer, deadline time.Time) bool {
 	select {
 	case g.slots <- struct{}{}:
 		return true
@@ -113,8 +113,8 @@
 	return false
 }
 
-// withoutSlot is the outcome of a request that got no slot.
-func withoutSlot(ctx context.Context) outcome {
+// unsentOutcome is the outcome of a request that got no slot.
+func unsentOutcome(ctx context.Context) outcome {
 	if ctx.Err() != nil {
 		return cancelled
 	}
@@ -123,20 +123,20 @@
 
 // send sends one request and records what came of it.
 func (g *generator) send(ctx context.Context, r request, intended, deadline time.Time) {
-	defer g.sending.Done()
+	defer g.inFlight.Done()
 	defer func() { <-g.slots }()
-	g.recorder.sending(time.Since(intended))
+	g.recorder.recordSend(time.Since(intended))
 	got, err := g.client.do(ctx, &r, deadline, false)
-	if errors.Is(err, errStale) && !g.plan.Direct && time.Now().Before(deadline) {
+	if errors.Is(err, errStaleConnection) && !g.plan.Direct && time.Now().Before(deadline) {
 		g.client.resent.Add(1)
 		got, err = g.client.do(ctx, &r, deadline, true)
 	}
 	took := time.Since(intended)
-	g.recorder.ended(classify(ctx, &r, got, err, deadline), took)
+	g.recorder.recordOutcome(classify(ctx, &r, got, err, deadline), took)
 }
 
 // classify names a request's outcome.
-func classify(ctx context.Context, r *request, got *answer, err error, deadline time.Time) outcome {
+func classify(ctx context.Context, r *request, got *response, err error, deadline time.Time) outcome {
 	switch {
 	case err != nil && ctx.Err() != nil:
 		return cancelled
@@ -148,11 +148,11 @@
 	switch got.status {
 	case http.StatusOK:
 		if !bytes.Contains(got.body, []byte(r.id)) {
-			return mismatch
+			return mismatched
 		}
 		return served
 	case http.StatusTooManyRequests, http.StatusServiceUnavailable:
-		return refused
+		return rejected
 	}
 	return failed
 }
--- a/internal/emulator/load/load_test.go
+++ b/internal/emulator/load/load_test.go
@@ -47,9 +47,9 @@
 	return all
 }
 
-func TestScheduleFollowsThePlan(t *testing.T) {
+func TestScheduleMatchesThePlanAndItsSeed(t *testing.T) {
 	plan := Plan{Targets: []string{"a", "b"}, Rate: 1000, Duration: 10 * time.Second, Seed: 7, Tenants: []string{"t1", "t2"},
-		Classes: []Class{{Name: "search", Share: 3}, {Name: "checkout", Keyed: true, Share: 1}}}
+		Classes: []Class{{Name: "search", Weight: 3}, {Name: "checkout", Idempotent: true, Weight: 1}}}
 	all := requests(t, plan)
 	if len(all) < 9500 || len(all) > 10500 {
 		t.Errorf("%d requests, want about 10000", len(all))
@@ -59,7 +59,7 @@
 		seen[one.target]++
 		seen[one.tenant]++
 		seen[one.class.Name]++
-		if keyed := one.class.Name == "checkout"; (one.key != "") != keyed || (one.class.Method == http.MethodPost) != keyed {
+		if keyed := one.class.Name == "checkout"; (one.idempotencyKey != "") != keyed || (one.class.Method == http.MethodPost) != keyed {
 			t.Fatalf("request %+v", one)
 		}
 	}
@@ -73,19 +73,19 @@
 		t.Error("another schedule for the same seed")
 	}
 	plan.Arrivals, plan.MaxRequests = Fixed, 3
-	if fixed := requests(t, plan); len(fixed) != 3 || fixed[2].after != 3*time.Millisecond {
+	if fixed := requests(t, plan); len(fixed) != 3 || fixed[2].startOffset != 3*time.Millisecond {
 		t.Errorf("fixed arrivals: %+v", fixed)
 	}
 }
 
-func TestPlansThatCannotBeRun(t *testing.T) {
+func TestInvalidPlansAreRejected(t *testing.T) {
 	for name, plan := range map[string]Plan{
 		"no target":   {Rate: 1, MaxRequests: 1},
 		"no rate":     {Targets: []string{"a"}, MaxRequests: 1},
 		"no end":      {Targets: []string{"a"}, Rate: 1},
-		"unnamed":     {Targets: []string{"a"}, Rate: 1, MaxRequests: 1, Classes: []Class{{Share: 1}}},
+		"unnamed":     {Targets: []string{"a"}, Rate: 1, MaxRequests: 1, Classes: []Class{{Weight: 1}}},
 		"share of 0":  {Targets: []string{"a"}, Rate: 1, MaxRequests: 1, Classes: []Class{{Name: "x"}}},
-		"share below": {Targets: []string{"a"}, Rate: 1, MaxRequests: 1, Classes: []Class{{Name: "x", Share: -1}}},
+		"share below": {Targets: []string{"a"}, Rate: 1, MaxRequests: 1, Classes: []Class{{Name: "x", Weight: -1}}},
 	} {
 		if report, err := Run(context.Background(), plan); err == nil {
 			t.Errorf("%s: got %+v", name, report)
@@ -93,7 +93,7 @@
 	}
 }
 
-func TestOutcomes(t *testing.T) {
+func TestOutcomesAreCounted(t *testing.T) {
 	address := target(t, func(w http.ResponseWriter, r *http.Request) {
 		switch r.URL.Path {
 		case "/full":
@@ -112,19 +112,19 @@
 	})
 	for name, want := range map[string]Counts{
 		"good":  {Planned: 4, Served: 4},
-		"full":  {Planned: 4, Refused: 4},
+		"full":  {Planned: 4, Rejected: 4},
 		"bad":   {Planned: 4, Failed: 4},
 		"other": {Planned: 4, Mismatched: 4},
 		"slow":  {Planned: 4, TimedOut: 4},
 		"cut":   {Planned: 4, Broken: 4},
 	} {
-		class := Class{Name: name, Share: 1}
+		class := Class{Name: name, Weight: 1}
 		if name == "slow" {
-			class.GiveUp = 20 * time.Millisecond
+			class.Timeout = 20 * time.Millisecond
 		}
 		report := run(context.Background(), t, Plan{Targets: []string{address}, Rate: 10000, MaxRequests: 4, Classes: []Class{class}})
 		got := report.Counts
-		if got.Connections == 0 || got.BytesOut == 0 || uint64(report.Latency.Count()) != want.Served || report.Ended.Count() != 4 {
+		if got.Connections == 0 || got.BytesOut == 0 || uint64(report.Latency.Count()) != want.Served || report.AllLatency.Count() != 4 {
 			t.Errorf("%s: report %+v", name, report)
 		}
 		got.Connections, got.BytesIn, got.BytesOut = 0, 0, 0
@@ -134,7 +134,7 @@
 	}
 }
 
-func TestLatencyCountsFromTheIntendedStart(t *testing.T) {
+func TestLatencyIsMeasuredFromTheIntendedStart(t *testing.T) {
 	const serviceTime = 10 * time.Millisecond
 	address := target(t, func(w http.ResponseWriter, r *http.Request) {
 		time.Sleep(serviceTime)
@@ -142,12 +142,12 @@
 	})
 	report := run(context.Background(), t, Plan{Targets: []string{address}, Rate: 1000, MaxRequests: 5, MaxInFlight: 1, Arrivals: Fixed})
 	const least = 5*serviceTime - 4*time.Millisecond
-	if report.Counts.Served != 5 || report.Latency.Max() < least || report.Lateness.Max() < least-serviceTime {
-		t.Errorf("counts %+v, latency %v at most, lateness %v", report.Counts, report.Latency.Max(), report.Lateness.Max())
+	if report.Counts.Served != 5 || report.Latency.Max() < least || report.SendDelay.Max() < least-serviceTime {
+		t.Errorf("counts %+v, latency %v at most, lateness %v", report.Counts, report.Latency.Max(), report.SendDelay.Max())
 	}
 }
 
-func TestARequestMeetingAClosedConnectionIsSentOnceMore(t *testing.T) {
+func TestRequestOnAStaleConnectionIsResentOnce(t *testing.T) {
 	address := target(t, func(w http.ResponseWriter, r *http.Request) {
 		socket, _, err := http.NewResponseController(w).Hijack()
 		if err != nil {
@@ -167,7 +167,7 @@
 	}
 }
 
-func TestARunEndsWithItsContext(t *testing.T) {
+func TestRunEndsWithItsContext(t *testing.T) {
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	address := target(t, func(_ http.ResponseWriter, r *http.Request) {
@@ -175,13 +175,13 @@
 		<-r.Context().Done()
 	})
 	report := run(ctx, t, Plan{Targets: []string{address}, Rate: 100, Duration: time.Hour,
-		Classes: []Class{{Name: "x", Share: 1, GiveUp: time.Hour}}})
+		Classes: []Class{{Name: "x", Weight: 1, Timeout: time.Hour}}})
 	if got := report.Counts; got.Cancelled == 0 || got.Cancelled != got.Planned {
 		t.Errorf("got %+v", got)
 	}
 }
 
-func TestAwaitReady(t *testing.T) {
+func TestAwaitReadyPollsUntilReady(t *testing.T) {
 	var asked atomic.Int32
 	address := target(t, func(w http.ResponseWriter, _ *http.Request) {
 		if asked.Add(1) < 3 {
@@ -198,21 +198,21 @@
 	}
 }
 
-func TestDirectToAnEndpoint(t *testing.T) {
+func TestDirectLoadMatchesTheEndpointsCounts(t *testing.T) {
 	e, err := endpoint.Start(endpoint.Config{Name: "s-1", Address: "127.0.0.1:0", Cores: 8, QueueLimit: 100})
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer e.Close()
 	report := run(context.Background(), t, Plan{Targets: []string{e.Address()}, Rate: 2000, MaxRequests: 50, Direct: true, Seed: 1,
-		Classes: []Class{{Name: "search", Share: 1}, {Name: "checkout", Keyed: true, Share: 1}}})
+		Classes: []Class{{Name: "search", Weight: 1}, {Name: "checkout", Idempotent: true, Weight: 1}}})
 	if got := e.Counts(); report.Counts.Served != 50 || got.Requests != 50 || got.Duplicates != 0 ||
 		report.Counts.BytesOut != got.BytesIn || !report.Direct {
 		t.Errorf("generator %+v, endpoint %+v", report.Counts, got)
 	}
 }
 
-func TestReportsMergeAcrossProcesses(t *testing.T) {
+func TestReportsMergeAfterEncoding(t *testing.T) {
 	first, second := NewReport(), NewReport()
 	first.Counts = Counts{Planned: 2, Served: 2}
 	first.Latency.Record(time.Millisecond)
--- a/internal/emulator/load/plan.go
+++ b/internal/emulator/load/plan.go
@@ -9,7 +9,7 @@
 
 const (
 	defaultMaxInFlight = 1024
-	defaultGiveUp      = time.Second
+	defaultTimeout     = time.Second
 )
 
 // Arrivals is how requests follow one another.
@@ -24,11 +24,11 @@
 
 // Class is a kind of request.
 type Class struct {
-	Name   string
-	Method string        // GET or POST; empty: GET, or POST if Keyed
-	Keyed  bool          // has an Idempotency-Key
-	GiveUp time.Duration // how long a client waits for the answer; 0: 1 s
-	Share  float64       // of all requests, against the other classes' shares
+	Name       string
+	Method     string        // GET or POST; empty: GET, or POST if Keyed
+	Idempotent bool          // has an Idempotency-Key
+	Timeout    time.Duration // how long a client waits for the answer; 0: 1 s
+	Weight     float64       // of all requests, against the other classes' shares
 }
 
 // Plan is what a generator sends.
@@ -64,16 +64,16 @@
 		p.Tenants = []string{"default"}
 	}
 	if len(p.Classes) == 0 {
-		p.Classes = []Class{{Name: "default", Share: 1}}
+		p.Classes = []Class{{Name: "default", Weight: 1}}
 	}
 	classes := make([]Class, len(p.Classes))
 	var shares float64
 	for i, class := range p.Classes {
 		classes[i] = class.withDefaults()
-		if class.Name == "" || class.Share < 0 {
+		if class.Name == "" || class.Weight < 0 {
 			return p, fmt.Errorf("load: class %d has no name or a share under 0", i)
 		}
-		shares += class.Share
+		shares += class.Weight
 	}
 	if shares <= 0 {
 		return p, errors.New("load: no class has a share")
@@ -83,14 +83,14 @@
 }
 
 func (c Class) withDefaults() Class {
-	if c.Method == "" && c.Keyed {
+	if c.Method == "" && c.Idempotent {
 		c.Method = http.MethodPost
 	}
 	if c.Method == "" {
 		c.Method = http.MethodGet
 	}
-	if c.GiveUp <= 0 {
-		c.GiveUp = defaultGiveUp
+	if c.Timeout <= 0 {
+		c.Timeout = defaultTimeout
 	}
 	return c
 }
--- a/internal/emulator/load/ready.go
+++ b/internal/emulator/load/ready.go
@@ -10,7 +10,7 @@
 const (
 	readyPath    = "/health/ready"
 	readyTimeout = time.Second // of one question
-	readyPause   = 50 * time.Millisecond
+	readyPoll    = 50 * time.Millisecond
 )
 
 // AwaitReady returns once each of the sidecars has said that it is ready, as an
@@ -27,7 +27,7 @@
 }
 
 func awaitReady(ctx context.Context, client *http.Client, target string) error {
-	pause := time.NewTicker(readyPause)
+	pause := time.NewTicker(readyPoll)
 	defer pause.Stop()
 	for !isReady(ctx, client, target) {
 		select {
--- a/internal/emulator/load/report.go
+++ b/internal/emulator/load/report.go
@@ -10,22 +10,22 @@
 type outcome int
 
 const (
-	served    outcome = iota // 200
-	refused                  // 429 or 503
-	failed                   // any other answer
-	mismatch                 // 200 with a body that is not an answer to this request
-	timedOut                 // no whole answer within the client's time
-	broken                   // the connection failed, or ended without a whole answer
-	cancelled                // the run was ended
-	unsent                   // its time was over before it could be sent
-	outcomes                 // how many there are
+	served       outcome = iota // 200
+	rejected                    // 429 or 503
+	failed                      // any other answer
+	mismatched                  // 200 with a body that is not an answer to this request
+	timedOut                    // no whole answer within the client's time
+	broken                      // the connection failed, or ended without a whole answer
+	cancelled                   // the run was ended
+	unsent                      // its time was over before it could be sent
+	outcomeCount                // how many there are
 )
 
 // Counts are the requests of a run by outcome.
 type Counts struct {
 	Planned    uint64 `json:"planned"` // all whose intended start came
 	Served     uint64 `json:"served"`
-	Refused    uint64 `json:"refused"`
+	Rejected   uint64 `json:"refused"`
 	Failed     uint64 `json:"failed"`
 	Mismatched uint64 `json:"mismatched"`
 	TimedOut   uint64 `json:"timed_out"`
@@ -53,15 +53,15 @@
 	Counts Counts        `json:"counts"`
 	// Latency is of the requests served, from the intended start to the last byte.
 	Latency *Histogram `json:"latency"`
-	// Ended is of all requests sent, by whatever outcome, from the intended start.
-	Ended *Histogram `json:"ended"`
-	// Lateness is from the intended start to when a request began to be sent.
-	Lateness *Histogram `json:"lateness"`
+	// AllLatency is of all requests sent, by whatever outcome, from the intended start.
+	AllLatency *Histogram `json:"ended"`
+	// SendDelay is from the intended start to when a request began to be sent.
+	SendDelay *Histogram `json:"lateness"`
 }
 
 // NewReport returns an empty Report.
 func NewReport() *Report {
-	return &Report{Latency: NewHistogram(), Ended: NewHistogram(), Lateness: NewHistogram()}
+	return &Report{Latency: NewHistogram(), AllLatency: NewHistogram(), SendDelay: NewHistogram()}
 }
 
 // Merge adds the result of a run that went on beside this one.
@@ -71,14 +71,14 @@
 	r.CPU += other.CPU
 	r.Counts.add(other.Counts)
 	r.Latency.Merge(other.Latency)
-	r.Ended.Merge(other.Ended)
-	r.Lateness.Merge(other.Lateness)
+	r.AllLatency.Merge(other.AllLatency)
+	r.SendDelay.Merge(other.SendDelay)
 }
 
 func (c *Counts) add(other Counts) {
 	c.Planned += other.Planned
 	c.Served += other.Served
-	c.Refused += other.Refused
+	c.Rejected += other.Rejected
 	c.Failed += other.Failed
 	c.Mismatched += other.Mismatched
 	c.TimedOut += other.TimedOut
@@ -95,20 +95,20 @@
 type recorder struct {
 	mu     sync.Mutex
 	report *Report
-	counts [outcomes]uint64
+	counts [outcomeCount]uint64
 }
 
 func newRecorder() *recorder { return &recorder{report: NewReport()} }
 
-// sending notes how late a request is as it is being sent.
-func (r *recorder) sending(lateness time.Duration) {
+// recordSend notes how late a request is as it is being sent.
+func (r *recorder) recordSend(lateness time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.report.Lateness.Record(lateness)
+	r.report.SendDelay.Record(lateness)
 }
 
-// ended notes a request's outcome and its time from the intended start.
-func (r *recorder) ended(result outcome, took time.Duration) {
+// recordOutcome notes a request's outcome and its time from the intended start.
+func (r *recorder) recordOutcome(result outcome, took time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.counts[result]++
@@ -116,19 +116,19 @@
 		r.report.Latency.Record(took)
 	}
 	if result != unsent && result != cancelled {
-		r.report.Ended.Record(took)
+		r.report.AllLatency.Record(took)
 	}
 }
 
-// finish returns the report.
-func (r *recorder) finish() *Report {
+// result returns the report.
+func (r *recorder) result() *Report {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	counts := &r.report.Counts
 	counts.Served = r.counts[served]
-	counts.Refused = r.counts[refused]
+	counts.Rejected = r.counts[rejected]
 	counts.Failed = r.counts[failed]
-	counts.Mismatched = r.counts[mismatch]
+	counts.Mismatched = r.counts[mismatched]
 	counts.TimedOut = r.counts[timedOut]
 	counts.Broken = r.counts[broken]
 	counts.Cancelled = r.counts[cancelled]
--- a/internal/emulator/load/schedule.go
+++ b/internal/emulator/load/schedule.go
@@ -6,63 +6,63 @@
 	"time"
 )
 
-// sessionKeys is how many things requests are about.
-const sessionKeys = 4096
+// sessionKeyCount is how many things requests are about.
+const sessionKeyCount = 4096
 
 // request is one request of a schedule.
 type request struct {
-	after      time.Duration // intended start, from the start of the run
-	target     string
-	class      Class
-	tenant     string
-	id         string
-	sessionKey string
-	key        string // Idempotency-Key; empty where the class has none
+	startOffset    time.Duration // intended start, from the start of the run
+	target         string
+	class          Class
+	tenant         string
+	id             string
+	sessionKey     string
+	idempotencyKey string // Idempotency-Key; empty where the class has none
 }
 
 // schedule makes the requests of a plan, one after the other; the same for the same seed.
 type schedule struct {
-	plan   Plan
-	random *rand.Rand
-	shares float64
-	made   int
-	after  time.Duration
+	plan        Plan
+	random      *rand.Rand
+	totalWeight float64
+	count       int
+	offset      time.Duration
 }
 
 func newSchedule(plan Plan) *schedule {
 	s := &schedule{plan: plan, random: rand.New(rand.NewPCG(plan.Seed, 0))}
 	for _, class := range plan.Classes {
-		s.shares += class.Share
+		s.totalWeight += class.Weight
 	}
 	return s
 }
 
 // next returns the next request, or false once the plan is through.
 func (s *schedule) next() (request, bool) {
-	s.after += s.gap()
-	if s.plan.MaxRequests > 0 && s.made >= s.plan.MaxRequests {
+	s.offset += s.interarrival()
+	if s.plan.MaxRequests > 0 && s.count >= s.plan.MaxRequests {
 		return request{}, false
 	}
-	if s.plan.Duration > 0 && s.after >= s.plan.Duration {
+	if s.plan.Duration > 0 && s.offset >= s.plan.Duration {
 		return request{}, false
 	}
-	s.made++
+	s.count++
 	next := request{
-		after:      s.after,
-		target:     s.plan.Targets[s.random.IntN(len(s.plan.Targets))],
-		class:      s.class(),
-		tenant:     s.plan.Tenants[s.random.IntN(len(s.plan.Tenants))],
-		id:         fmt.Sprintf("%016x", s.random.Uint64()),
-		sessionKey: fmt.Sprintf("%016x", s.random.Uint64N(sessionKeys)),
+		startOffset: s.offset,
+		target:      s.plan.Targets[s.random.IntN(len(s.plan.Targets))],
+		class:       s.pickClass(),
+		tenant:      s.plan.Tenants[s.random.IntN(len(s.plan.Tenants))],
+		id:          fmt.Sprintf("%016x", s.random.Uint64()),
+		sessionKey:  fmt.Sprintf("%016x", s.random.Uint64N(sessionKeyCount)),
 	}
-	if next.class.Keyed {
-		next.key = fmt.Sprintf("%016x%016x", s.random.Uint64(), s.random.Uint64())
+	if next.class.Idempotent {
+		next.idempotencyKey = fmt.Sprintf("%016x%016x", s.random.Uint64(), s.random.Uint64())
 	}
 	return next, true
 }
 
-// gap is the time from one request to the next.
-func (s *schedule) gap() time.Duration {
+// interarrival is the time from one request to the next.
+func (s *schedule) interarrival() time.Duration {
 	seconds := 1 / s.plan.Rate
 	if s.plan.Arrivals == Poisson {
 		seconds *= s.random.ExpFloat64()
@@ -70,10 +70,10 @@
 	return time.Duration(seconds * float64(time.Second))
 }
 
-func (s *schedule) class() Class {
-	at := s.random.Float64() * s.shares
+func (s *schedule) pickClass() Class {
+	at := s.random.Float64() * s.totalWeight
 	for _, class := range s.plan.Classes {
-		if at -= class.Share; at < 0 {
+		if at -= class.Weight; at < 0 {
 			return class
 		}
 	}
--- a/internal/emulator/play/measure.go
+++ b/internal/emulator/play/measure.go
@@ -19,8 +19,8 @@
 	"oakproxy/internal/emulator/worker"
 )
 
-// crowdedPart is such that a process with this part of its descriptors left is crowded.
-const crowdedPart = 20
+// descriptorReserve is such that a process with this part of its descriptors left is crowded.
+const descriptorReserve = 20
 
 // roleTotals are a role's figures since the start.
 type roleTotals struct {
@@ -28,7 +28,7 @@
 	usage     process.Usage
 	processes int
 	units     int
-	crowded   int // processes that hold nearly all the descriptors they may
+	nearLimit int // processes that hold nearly all the descriptors they may
 }
 
 // snapshot is what everything has counted by an instant.
@@ -38,7 +38,7 @@
 	roles     []roleTotals
 	discovery registry.Counts
 	endpoints endpoint.Counts
-	hollow    worker.SidecarCounts
+	simulated worker.SidecarCounts
 }
 
 // takeSnapshot reads all figures.
@@ -51,7 +51,7 @@
 	if s.endpoints, err = r.countEndpoints(ctx); err != nil {
 		return nil, err
 	}
-	if s.hollow, err = r.countHollow(ctx); err != nil {
+	if s.simulated, err = r.countSimulated(ctx); err != nil {
 		return nil, err
 	}
 	if s.roles, err = r.readRoles(); err != nil {
@@ -63,7 +63,7 @@
 }
 
 func (r *runner) countEndpoints(ctx context.Context) (endpoint.Counts, error) {
-	counts, err := callAll[control.Empty, endpoint.Counts](ctx, r.stands, worker.CountEndpoints, control.Empty{})
+	counts, err := callAll[control.Empty, endpoint.Counts](ctx, r.endpointWorkers, worker.CountEndpoints, control.Empty{})
 	var sum endpoint.Counts
 	for _, some := range counts {
 		worker.AddEndpointCounts(&sum, some)
@@ -71,8 +71,8 @@
 	return sum, err
 }
 
-func (r *runner) countHollow(ctx context.Context) (worker.SidecarCounts, error) {
-	counts, err := callAll[control.Empty, worker.SidecarCounts](ctx, r.hosts, worker.CountSidecars, control.Empty{})
+func (r *runner) countSimulated(ctx context.Context) (worker.SidecarCounts, error) {
+	counts, err := callAll[control.Empty, worker.SidecarCounts](ctx, r.sidecarWorkers, worker.CountSidecars, control.Empty{})
 	var sum worker.SidecarCounts
 	for _, some := range counts {
 		sum.Add(some)
@@ -87,8 +87,8 @@
 		workers []*workerProcess
 		units   int
 	}{
-		{result.HollowSidecar, r.hosts, r.hollowCount()},
-		{result.Endpoint, r.stands, len(r.layout.Endpoints)},
+		{result.SimulatedSidecar, r.sidecarWorkers, r.simulatedCount()},
+		{result.Endpoint, r.endpointWorkers, len(r.layout.Endpoints)},
 		{result.Discovery, []*workerProcess{r.registry}, 1},
 		{result.Generator, r.generators, 1},
 	}
@@ -117,7 +117,7 @@
 func (r *runner) readReal() (roleTotals, error) {
 	totals := roleTotals{role: result.RealSidecar, units: len(r.real)}
 	for _, s := range r.real {
-		totals.usage.Add(s.past)
+		totals.usage.Add(s.pastUsage)
 		if s.child == nil {
 			continue
 		}
@@ -137,8 +137,8 @@
 	if err != nil {
 		return err
 	}
-	if usage.Descriptors*crowdedPart > limit*(crowdedPart-1) {
-		t.crowded++
+	if usage.Descriptors*descriptorReserve > limit*(descriptorReserve-1) {
+		t.nearLimit++
 	}
 	t.usage.Add(usage)
 	t.processes++
@@ -165,14 +165,14 @@
 
 // measure plays a phase: for a time, and until its action is done, if it has one.
 func (r *runner) measure(ctx context.Context, name string, length time.Duration, loaded bool, do action) error {
-	r.enter(name)
+	r.setPhase(name)
 	phase := result.Phase{Name: name}
 	before, err := r.takeSnapshot(ctx)
 	if err != nil {
 		return err
 	}
 	sending := r.startLoad(ctx, loaded)
-	err = r.carryOut(ctx, &phase, length, do)
+	err = r.runAction(ctx, &phase, length, do)
 	reports, loadErr := r.stopLoad(ctx, sending)
 	if err := errors.Join(err, loadErr); err != nil {
 		return err
@@ -181,14 +181,14 @@
 	if err != nil {
 		return err
 	}
-	phase.Through, phase.Direct = result.NewRequests(reports.Proxied), result.NewRequests(reports.Direct)
+	phase.Proxied, phase.Direct = result.NewRequests(reports.Proxied), result.NewRequests(reports.Direct)
 	after.since(before, &phase)
 	r.run.Phases = append(r.run.Phases, phase)
 	return nil
 }
 
-// carryOut does an action, and waits until the phase has had its time.
-func (r *runner) carryOut(ctx context.Context, phase *result.Phase, length time.Duration, do action) error {
+// runAction does an action, and waits until the phase has had its time.
+func (r *runner) runAction(ctx context.Context, phase *result.Phase, length time.Duration, do action) error {
 	ends := time.Now().Add(length)
 	if do != nil {
 		if err := do(ctx, phase); err != nil {
@@ -201,38 +201,38 @@
 // since fills in what a phase has counted.
 func (s *snapshot) since(earlier *snapshot, phase *result.Phase) {
 	phase.Seconds = s.at.Sub(earlier.at).Seconds()
-	phase.MachineCPUShare = s.machine.Share(earlier.machine)
+	phase.MachineCPUShare = s.machine.BusyShare(earlier.machine)
 	for i, totals := range s.roles {
 		spent := totals.since(earlier.roles[i])
 		phase.Roles = append(phase.Roles, spent)
 		phase.OwnCPUShare += spent.CPUSeconds / phase.Seconds / float64(runtime.NumCPU())
-		if totals.crowded > 0 {
+		if totals.nearLimit > 0 {
 			phase.Notes = append(phase.Notes, fmt.Sprintf("%d of %d processes of role %s are out of descriptors: connections were refused",
-				totals.crowded, totals.processes, totals.role))
-			phase.Exhausted = true
+				totals.nearLimit, totals.processes, totals.role))
+			phase.OutOfDescriptors = true
 		}
 	}
 	phase.Discovery = result.DiscoverySince(s.discovery, earlier.discovery)
 	phase.Endpoints = result.EndpointsSince(s.endpoints, earlier.endpoints)
-	phase.Hollow = result.HollowSince(s.hollow, earlier.hollow)
+	phase.Simulated = result.HollowSince(s.simulated, earlier.simulated)
 }
 
-// sentLoad is what came of the load of a phase.
-type sentLoad struct {
+// loadResult is what came of the load of a phase.
+type loadResult struct {
 	reports worker.LoadReports
 	err     error
 }
 
 // startLoad begins to send requests through the real sidecars and straight to endpoints.
 // It returns nil for a phase without load.
-func (r *runner) startLoad(ctx context.Context, loaded bool) <-chan sentLoad {
-	plans := worker.LoadPlans{Proxied: r.through(), Direct: r.direct()}
+func (r *runner) startLoad(ctx context.Context, loaded bool) <-chan loadResult {
+	plans := worker.LoadPlans{Proxied: r.proxiedPlan(), Direct: r.directPlan()}
 	if !loaded || len(plans.Proxied.Targets) == 0 {
 		return nil
 	}
-	done := make(chan sentLoad, 1)
+	done := make(chan loadResult, 1)
 	go func() {
-		var sent sentLoad
+		var sent loadResult
 		sent.err = r.generators[0].Call(ctx, worker.SendLoad, plans, &sent.reports)
 		done <- sent
 	}()
@@ -240,7 +240,7 @@
 }
 
 // stopLoad ends the load of a phase and returns what came of it.
-func (r *runner) stopLoad(ctx context.Context, sending <-chan sentLoad) (worker.LoadReports, error) {
+func (r *runner) stopLoad(ctx context.Context, sending <-chan loadResult) (worker.LoadReports, error) {
 	if sending == nil {
 		return worker.LoadReports{}, nil
 	}
@@ -256,32 +256,32 @@
 	return sent.reports, sent.err
 }
 
-// through is the load on the real sidecars.
-func (r *runner) through() load.Plan {
+// proxiedPlan is the load on the real sidecars.
+func (r *runner) proxiedPlan() load.Plan {
 	var targets []string
 	for _, s := range r.real {
-		if !r.spared[s.Name] {
+		if !r.excluded[s.Name] {
 			targets = append(targets, s.listen)
 		}
 	}
-	return r.plan(targets, r.spec().Load.CallsPerSecond*float64(len(targets)), false)
+	return r.newPlan(targets, r.spec().Load.CallsPerSecond*float64(len(targets)), false)
 }
 
-// direct is the load straight to endpoints, for comparison.
-func (r *runner) direct() load.Plan {
+// directPlan is the load straight to endpoints, for comparison.
+func (r *runner) directPlan() load.Plan {
 	rate := r.spec().Load.DirectCallsPerSecond
 	if rate <= 0 {
 		return load.Plan{}
 	}
-	return r.plan(r.addresses(), rate, true)
+	return r.newPlan(r.addresses(), rate, true)
 }
 
-func (r *runner) plan(targets []string, rate float64, direct bool) load.Plan {
+func (r *runner) newPlan(targets []string, rate float64, direct bool) load.Plan {
 	plan := load.Plan{
 		Targets:     targets,
 		Rate:        rate,
 		Duration:    r.spec().Limits.Duration.Std(),
-		MaxRequests: r.budget(rate),
+		MaxRequests: r.requestBudget(rate),
 		MaxInFlight: r.spec().Load.MaxInFlight,
 		Seed:        r.loadSeed(direct),
 		Tenants:     r.configurations.Tenants(),
@@ -304,16 +304,16 @@
 }
 
 func loadClass(class spec.Class) load.Class {
-	next := load.Class{Name: class.Name, GiveUp: class.GiveUp.Std(), Share: class.Share}
-	if class.Repeat != spec.RepeatPure {
+	next := load.Class{Name: class.Name, Timeout: class.Timeout.Std(), Weight: class.Weight}
+	if class.Idempotency != spec.Idempotent {
 		next.Method = "POST"
 	}
-	next.Keyed = class.Repeat == spec.RepeatToken
+	next.Idempotent = class.Idempotency == spec.IdempotentWithKey
 	return next
 }
 
-// budget is a plan's part of the requests that are left, by its rate.
-func (r *runner) budget(rate float64) int {
+// requestBudget is a plan's part of the requests that are left, by its rate.
+func (r *runner) requestBudget(rate float64) int {
 	loads := r.spec().Load
 	whole := loads.CallsPerSecond*float64(len(r.real)) + loads.DirectCallsPerSecond
 	left := float64(r.spec().Limits.Requests - r.requests)
--- a/internal/emulator/play/monitor.go
+++ b/internal/emulator/play/monitor.go
@@ -10,13 +10,13 @@
 )
 
 const (
-	guardEvery    = 500 * time.Millisecond
-	progressEvery = 2 * time.Second
+	monitorInterval  = 500 * time.Millisecond
+	progressInterval = 2 * time.Second
 )
 
-// guard watches the run's memory and reports progress, until ctx ends.
-func (r *runner) guard(ctx context.Context) {
-	tick := time.NewTicker(guardEvery)
+// monitor watches the run's memory and reports progress, until ctx ends.
+func (r *runner) monitor(ctx context.Context) {
+	tick := time.NewTicker(monitorInterval)
 	defer tick.Stop()
 	began, told := time.Now(), time.Now()
 	cpu, _ := process.ReadMachineCPU() // without it, the progress line tells less
@@ -32,9 +32,9 @@
 			r.cancel(errMemory)
 			return
 		}
-		if time.Since(told) >= progressEvery {
+		if time.Since(told) >= progressInterval {
 			now, _ := process.ReadMachineCPU()
-			r.report(time.Since(began), residentKB, now.Share(cpu))
+			r.reportProgress(time.Since(began), residentKB, now.BusyShare(cpu))
 			told, cpu = time.Now(), now
 		}
 	}
@@ -46,8 +46,8 @@
 	return own + r.group.ResidentKB()
 }
 
-// report writes a line on how the run goes.
-func (r *runner) report(since time.Duration, residentKB int64, busy float64) {
+// reportProgress writes a line on how the run goes.
+func (r *runner) reportProgress(since time.Duration, residentKB int64, busy float64) {
 	if r.options.Progress == nil {
 		return
 	}
--- a/internal/emulator/play/options.go
+++ b/internal/emulator/play/options.go
@@ -37,9 +37,9 @@
 	Environment []string
 }
 
-// Check finds what keeps a scenario from being played. Nothing has been started by then.
-func (o Options) Check() error {
-	if err := o.Size.Check(); err != nil {
+// Validate finds what keeps a scenario from being played. Nothing has been started by then.
+func (o Options) Validate() error {
+	if err := o.Size.Validate(); err != nil {
 		return err
 	}
 	if _, known := scenarios[o.Scenario.Kind]; !known {
--- a/internal/emulator/play/real.go
+++ b/internal/emulator/play/real.go
@@ -28,12 +28,12 @@
 // realSidecar is a sidecar in a process of its own.
 type realSidecar struct {
 	fleet.Sidecar
-	listen  string
-	path    string // of its configuration file
-	events  *sidecarlog.Events
-	child   *process.Child
-	started time.Time
-	past    process.Usage // of earlier processes
+	listen    string
+	path      string // of its configuration file
+	events    *sidecarlog.Events
+	child     *process.Child
+	started   time.Time
+	pastUsage process.Usage // of earlier processes
 }
 
 // reserveAddress asks the system for a free port of a real sidecar's own address.
@@ -57,7 +57,7 @@
 		Path:        program.Path,
 		Arguments:   program.Arguments,
 		Environment: append([]string{configVariable + "=" + s.path}, program.Environment...),
-		Errors:      sidecarlog.NewWriter(s.events),
+		Stderr:      sidecarlog.NewWriter(s.events),
 	})
 	if err != nil {
 		return err
@@ -73,12 +73,12 @@
 	if err != nil {
 		return err
 	}
-	r.expectEnd(s.child)
+	r.expectExit(s.child)
 	if err := s.child.Signal(syscall.SIGKILL); err != nil {
 		return err
 	}
 	usage.CPU = s.child.CPU()
-	s.past.Add(process.Usage{CPU: usage.CPU, ReadBytes: usage.ReadBytes, WriteBytes: usage.WriteBytes})
+	s.pastUsage.Add(process.Usage{CPU: usage.CPU, ReadBytes: usage.ReadBytes, WriteBytes: usage.WriteBytes})
 	s.child = nil
 	return nil
 }
--- a/internal/emulator/play/replace.go
+++ b/internal/emulator/play/replace.go
@@ -10,23 +10,23 @@
 	"oakproxy/internal/emulator/worker"
 )
 
-// heardWithin is how long a change of the list may take until it counts as missing.
-const heardWithin = 10 * time.Second
+// propagationTimeout is how long a change of the list may take until it counts as missing.
+const propagationTimeout = 10 * time.Second
 
-// heardTimes gathers how long sidecars took to hear of changes.
-type heardTimes struct {
-	took    []time.Duration
+// propagation gathers how long sidecars took to hear of changes.
+type propagation struct {
+	delays  []time.Duration
 	missing int
 }
 
-func (h *heardTimes) spread(what string) result.Spread {
-	return result.NewSpread(what, len(h.took)+h.missing, h.took)
+func (h *propagation) distribution(what string) result.Distribution {
+	return result.NewDistribution(what, len(h.delays)+h.missing, h.delays)
 }
 
 // awaitList waits until every hollow sidecar has heard of a version of the list.
-func (r *runner) awaitHeard(ctx context.Context, version worker.ListVersion, times *heardTimes) error {
-	asked := worker.Await{Version: version.Number, Timeout: heardWithin}
-	heard, err := callAll[worker.Await, worker.Completions](ctx, r.hosts, worker.AwaitList, asked)
+func (r *runner) awaitList(ctx context.Context, version worker.ListVersion, times *propagation) error {
+	asked := worker.Await{Version: version.Number, Timeout: propagationTimeout}
+	heard, err := callAll[worker.Await, worker.Completions](ctx, r.sidecarWorkers, worker.AwaitList, asked)
 	if err != nil {
 		return err
 	}
@@ -35,7 +35,7 @@
 		for _, arrival := range some.Completed {
 			// One that started later read it with its first list.
 			if arrival.StartedAt.Before(version.CreatedAt) {
-				times.took = append(times.took, arrival.At.Sub(version.CreatedAt))
+				times.delays = append(times.delays, arrival.At.Sub(version.CreatedAt))
 			}
 		}
 	}
@@ -46,14 +46,14 @@
 type replacement struct {
 	endpoint fleet.Endpoint
 	sidecar  fleet.Sidecar
-	host     int // of the sidecar
+	worker   int // of the sidecar
 }
 
 // playReplace restarts endpoints and their sidecars one after the other.
 func playReplace(ctx context.Context, r *runner) error {
 	chosen := r.chooseReplacements(r.options.Scenario.Events)
 	for _, c := range chosen {
-		r.spared[c.endpoint.Name] = true
+		r.excluded[c.endpoint.Name] = true
 	}
 	if err := r.measureLoaded(ctx); err != nil {
 		return err
@@ -66,7 +66,7 @@
 // chooseReplacements picks hollow sidecars, spread evenly over the fleet, that have an endpoint.
 func (r *runner) chooseReplacements(count int) []replacement {
 	var all []replacement
-	for host, some := range r.hollow {
+	for host, some := range r.simulated {
 		for _, s := range some {
 			if s.Position < len(r.layout.Endpoints) {
 				all = append(all, replacement{r.layout.Endpoints[s.Position], s, host})
@@ -81,17 +81,17 @@
 	return chosen
 }
 
-// replaced is what came of one replacement.
-type replaced struct {
-	drained, ready heardTimes
-	started        result.Spread
-	err            error
+// replacementResult is what came of one replacement.
+type replacementResult struct {
+	drain, ready propagation
+	startup      result.Distribution
+	err          error
 }
 
 // replaceAll plays replacements at the scenario's pace; they overlap where the drain
 // takes longer than that.
 func (r *runner) replaceAll(ctx context.Context, phase *result.Phase, chosen []replacement) error {
-	results := make(chan replaced, len(chosen))
+	results := make(chan replacementResult, len(chosen))
 	next := time.Now()
 	started := 0
 	for _, c := range chosen {
@@ -102,7 +102,7 @@
 		started++
 		go func() { results <- r.replace(ctx, c) }()
 	}
-	var drained, ready heardTimes
+	var drained, ready propagation
 	var restarts []time.Duration
 	var failure error
 	for range started {
@@ -111,27 +111,27 @@
 			failure = one.err
 			continue
 		}
-		drained.add(one.drained)
+		drained.add(one.drain)
 		ready.add(one.ready)
-		if one.started.Missing == 0 {
-			restarts = append(restarts, time.Duration(one.started.LastMS*float64(time.Millisecond)))
+		if one.startup.Missing == 0 {
+			restarts = append(restarts, time.Duration(one.startup.MaxMS*float64(time.Millisecond)))
 		}
 	}
 	phase.Events = started
-	phase.Spreads = append(phase.Spreads,
-		drained.spread("from discovery's word of a drain to its being heard"),
-		ready.spread("from discovery's word of a start to its being heard"),
-		result.NewSpread("from a replaced sidecar's start to its being ready", started, restarts))
+	phase.Distributions = append(phase.Distributions,
+		drained.distribution("from discovery's word of a drain to its being heard"),
+		ready.distribution("from discovery's word of a start to its being heard"),
+		result.NewDistribution("from a replaced sidecar's start to its being ready", started, restarts))
 	return failure
 }
 
-func (h *heardTimes) add(other heardTimes) {
-	h.took = append(h.took, other.took...)
+func (h *propagation) add(other propagation) {
+	h.delays = append(h.delays, other.delays...)
 	h.missing += other.missing
 }
 
 // replace drains an endpoint and its sidecar and starts both anew.
-func (r *runner) replace(ctx context.Context, c replacement) (done replaced) {
+func (r *runner) replace(ctx context.Context, c replacement) (done replacementResult) {
 	done.err = r.drainOne(ctx, c, &done)
 	if done.err == nil {
 		done.err = r.restartOne(ctx, c, &done)
@@ -140,38 +140,38 @@
 }
 
 // drainOne announces the end of an endpoint, and ends its sidecar.
-func (r *runner) drainOne(ctx context.Context, c replacement, done *replaced) error {
+func (r *runner) drainOne(ctx context.Context, c replacement, done *replacementResult) error {
 	ends := time.Now().Add(r.options.Scenario.Drain.Std())
 	version, err := r.announce(ctx, []fleet.Endpoint{c.endpoint}, registry.Terminating)
 	if err != nil {
 		return err
 	}
-	if err := r.act(ctx, worker.Drain, []fleet.Endpoint{c.endpoint}); err != nil {
+	if err := r.applyAction(ctx, worker.Drain, []fleet.Endpoint{c.endpoint}); err != nil {
 		return err
 	}
 	names := worker.Names{Names: []string{c.sidecar.Name}}
-	if err := r.hosts[c.host].Call(ctx, worker.StopSidecars, names, nil); err != nil {
+	if err := r.sidecarWorkers[c.worker].Call(ctx, worker.StopSidecars, names, nil); err != nil {
 		return err
 	}
-	if err := r.awaitHeard(ctx, version, &done.drained); err != nil {
+	if err := r.awaitList(ctx, version, &done.drain); err != nil {
 		return err
 	}
 	return pause(ctx, time.Until(ends))
 }
 
 // restartOne starts an endpoint and its sidecar anew, and announces it.
-func (r *runner) restartOne(ctx context.Context, c replacement, done *replaced) error {
-	if err := r.act(ctx, worker.Restart, []fleet.Endpoint{c.endpoint}); err != nil {
+func (r *runner) restartOne(ctx context.Context, c replacement, done *replacementResult) error {
+	if err := r.applyAction(ctx, worker.Restart, []fleet.Endpoint{c.endpoint}); err != nil {
 		return err
 	}
 	version, err := r.announce(ctx, []fleet.Endpoint{c.endpoint}, registry.Ready)
 	if err != nil {
 		return err
 	}
-	byHost := make([][]fleet.Sidecar, len(r.hosts))
-	byHost[c.host] = []fleet.Sidecar{c.sidecar}
-	if done.started, err = r.startHollow(ctx, byHost, 0); err != nil {
+	byHost := make([][]fleet.Sidecar, len(r.sidecarWorkers))
+	byHost[c.worker] = []fleet.Sidecar{c.sidecar}
+	if done.startup, err = r.startSimulated(ctx, byHost, 0); err != nil {
 		return err
 	}
-	return r.awaitHeard(ctx, version, &done.ready)
+	return r.awaitList(ctx, version, &done.ready)
 }
--- a/internal/emulator/play/runner.go
+++ b/internal/emulator/play/runner.go
@@ -37,30 +37,30 @@
 	run            *result.Run
 	cancel         context.CancelCauseFunc // ends the run for a reason
 
-	registry   *workerProcess
-	stands     []*workerProcess // that play endpoints
-	hosts      []*workerProcess // that host hollow sidecars
-	generators []*workerProcess // of load; one
-
-	hollow      [][]fleet.Sidecar // by host
-	standOf     map[string]int    // of an endpoint, by its name
-	real        []*realSidecar
-	livesMu     sync.Mutex
-	lives       map[string]worker.Incarnation // of endpoints, by name
-	version     int                           // of the configuration
-	requests    int                           // sent so far
-	spared      map[string]bool               // names of endpoints and real sidecars that get no load, as something happens to them
-	peakKB      atomic.Int64
-	phase       atomic.Pointer[string] // what goes on, for the progress line
-	stopping    atomic.Bool
-	expectedMu  sync.Mutex
-	expectedEnd map[*process.Child]bool
+	registry        *workerProcess
+	endpointWorkers []*workerProcess // that play endpoints
+	sidecarWorkers  []*workerProcess // that host hollow sidecars
+	generators      []*workerProcess // of load; one
+
+	simulated        [][]fleet.Sidecar // by host
+	endpointWorkerOf map[string]int    // of an endpoint, by its name
+	real             []*realSidecar
+	incarnationsMu   sync.Mutex
+	incarnations     map[string]worker.Incarnation // of endpoints, by name
+	version          int                           // of the configuration
+	requests         int                           // sent so far
+	excluded         map[string]bool               // names of endpoints and real sidecars that get no load, as something happens to them
+	peakKB           atomic.Int64
+	phase            atomic.Pointer[string] // what goes on, for the progress line
+	stopping         atomic.Bool
+	expectedMu       sync.Mutex
+	expectedExits    map[*process.Child]bool
 }
 
 // Run plays a scenario. Where it ends early it returns what was measured by then,
 // beside an error that tells why.
 func Run(ctx context.Context, options Options) (*result.Run, error) {
-	if err := options.Check(); err != nil {
+	if err := options.Validate(); err != nil {
 		return nil, err
 	}
 	ctx, cancel := context.WithCancelCause(ctx)
@@ -69,7 +69,7 @@
 	defer release()
 	r := newRunner(options, cancel)
 	started := time.Now()
-	err := r.playAll(ctx)
+	err := r.runScenario(ctx)
 	if cause := context.Cause(ctx); err != nil && cause != nil {
 		err = cause
 	}
@@ -84,35 +84,35 @@
 func newRunner(options Options, cancel context.CancelCauseFunc) *runner {
 	layout := fleet.New(options.File, options.Size)
 	r := &runner{
-		options:        options,
-		layout:         layout,
-		configurations: &fleet.Configurations{File: options.File, Layout: layout, Seed: options.Seed},
-		group:          process.NewGroup(),
-		cancel:         cancel,
-		standOf:        map[string]int{},
-		lives:          map[string]worker.Incarnation{},
-		version:        1,
-		spared:         map[string]bool{},
-		expectedEnd:    map[*process.Child]bool{},
+		options:          options,
+		layout:           layout,
+		configurations:   &fleet.Configurations{File: options.File, Layout: layout, Seed: options.Seed},
+		group:            process.NewGroup(),
+		cancel:           cancel,
+		endpointWorkerOf: map[string]int{},
+		incarnations:     map[string]worker.Incarnation{},
+		version:          1,
+		excluded:         map[string]bool{},
+		expectedExits:    map[*process.Child]bool{},
 		run: &result.Run{
-			Version:   result.Version,
-			StartedAt: time.Now().UTC(),
-			Commit:    options.Commit,
-			Machine:   machine(),
-			Scenario:  options.Name,
-			Size:      options.Size,
-			Play:      options.Play,
-			Seed:      options.Seed,
-			File:      *options.File,
-			Played:    options.Scenario,
+			Version:         result.Version,
+			StartedAt:       time.Now().UTC(),
+			Commit:          options.Commit,
+			Machine:         machine(),
+			Scenario:        options.Name,
+			Size:            options.Size,
+			Play:            options.Play,
+			Seed:            options.Seed,
+			Options:         *options.File,
+			ScenarioOptions: options.Scenario,
 		},
 	}
-	r.enter("start")
+	r.setPhase("start")
 	return r
 }
 
-// playAll starts the fleet, plays the scenario, and ends all that was started.
-func (r *runner) playAll(ctx context.Context) (err error) {
+// runScenario starts the fleet, plays the scenario, and ends all that was started.
+func (r *runner) runScenario(ctx context.Context) (err error) {
 	if r.scratch, err = os.MkdirTemp(r.options.ScratchRoot, scratchPattern); err != nil {
 		return err
 	}
@@ -121,7 +121,7 @@
 	watching := make(chan struct{})
 	go func() {
 		defer close(watching)
-		r.guard(ctx)
+		r.monitor(ctx)
 	}()
 	defer func() {
 		r.cancel(nil)
@@ -130,7 +130,7 @@
 	if err := r.start(ctx); err != nil {
 		return err
 	}
-	r.enter("settle")
+	r.setPhase("settle")
 	if err := pause(ctx, r.options.Scenario.Settle.Std()); err != nil {
 		return err
 	}
@@ -142,37 +142,37 @@
 
 // finish reads the figures that are of the whole run.
 func (r *runner) finish(ctx context.Context) error {
-	r.enter("end")
-	hollow, err := r.countHollow(ctx)
+	r.setPhase("end")
+	hollow, err := r.countSimulated(ctx)
 	if err != nil {
 		return err
 	}
-	r.run.End.Hollow = hollow
+	r.run.End.Simulated = hollow
 	if hollow.Failed > 0 {
 		return fmt.Errorf("%d hollow sidecars failed, the first: %s", hollow.Failed, hollow.FirstFailure)
 	}
 	for _, phase := range r.run.Phases {
-		r.run.Saturated = r.run.Saturated || phase.Exhausted || phase.MachineCPUShare > result.SaturatedShare
+		r.run.Saturated = r.run.Saturated || phase.OutOfDescriptors || phase.MachineCPUShare > result.SaturationThreshold
 	}
 	return nil
 }
 
 // stop ends all processes.
 func (r *runner) stop() {
-	r.enter("stop")
+	r.setPhase("stop")
 	r.stopping.Store(true)
 	r.group.Stop(stopGrace)
 }
 
-// enter notes what goes on.
-func (r *runner) enter(phase string) { r.phase.Store(&phase) }
+// setPhase notes what goes on.
+func (r *runner) setPhase(phase string) { r.phase.Store(&phase) }
 
 // watch ends the run should a child end that ought not to.
 func (r *runner) watch(child *process.Child) {
 	go func() {
 		<-child.Ended()
 		r.expectedMu.Lock()
-		expected := r.expectedEnd[child]
+		expected := r.expectedExits[child]
 		r.expectedMu.Unlock()
 		if !expected && !r.stopping.Load() {
 			r.cancel(fmt.Errorf("%s ended by itself: %v", child.Name, child.Err()))
@@ -180,11 +180,11 @@
 	}()
 }
 
-// expectEnd notes that a child's end is part of the scenario.
-func (r *runner) expectEnd(child *process.Child) {
+// expectExit notes that a child's end is part of the scenario.
+func (r *runner) expectExit(child *process.Child) {
 	r.expectedMu.Lock()
 	defer r.expectedMu.Unlock()
-	r.expectedEnd[child] = true
+	r.expectedExits[child] = true
 }
 
 // pause waits for a time, or until ctx ends.
@@ -199,8 +199,8 @@
 	}
 }
 
-// hollowCount is how many sidecars are hollow.
-func (r *runner) hollowCount() int { return r.options.Size.Sidecars - len(r.real) }
+// simulatedCount is how many sidecars are hollow.
+func (r *runner) simulatedCount() int { return r.options.Size.Sidecars - len(r.real) }
 
 // spec returns the scenario file.
 func (r *runner) spec() *spec.File { return r.options.File }
--- a/internal/emulator/play/scenarios.go
+++ b/internal/emulator/play/scenarios.go
@@ -17,7 +17,7 @@
 // playSteady changes nothing: a phase at rest, and one with load.
 func playSteady(ctx context.Context, r *runner) error {
 	scenario := r.options.Scenario
-	if rest := scenario.Rest.Std(); rest > 0 {
+	if rest := scenario.Idle.Std(); rest > 0 {
 		if err := r.measure(ctx, "rest", rest, false, nil); err != nil {
 			return err
 		}
--- a/internal/emulator/play/start.go
+++ b/internal/emulator/play/start.go
@@ -16,8 +16,8 @@
 )
 
 const (
-	largestSize  = 860 // sidecars, for which limits.start_spread is given
-	hollowListen = "127.0.0.1:0"
+	largestSize     = 860 // sidecars, for which limits.start_spread is given
+	simulatedListen = "127.0.0.1:0"
 )
 
 // start brings the fleet up: discovery, endpoints, then the sidecars.
@@ -35,7 +35,7 @@
 	if r.generators, err = r.startWorkers(worker.LoadRole, 1); err != nil {
 		return err
 	}
-	r.enter("sidecars start")
+	r.setPhase("sidecars start")
 	return r.startSidecars(ctx)
 }
 
@@ -58,50 +58,50 @@
 
 // startEndpoints starts the endpoints, and tells discovery of them.
 func (r *runner) startEndpoints(ctx context.Context) error {
-	asked := r.placeEndpoints()
+	asked := r.assignEndpoints()
 	var err error
-	if r.stands, err = r.startWorkers(worker.EndpointsRole, len(asked)); err != nil {
+	if r.endpointWorkers, err = r.startWorkers(worker.EndpointsRole, len(asked)); err != nil {
 		return err
 	}
-	started, err := callEach[worker.EndpointConfigs, worker.Incarnations](ctx, r.stands, worker.StartEndpoints, asked)
+	started, err := callEach[worker.EndpointConfigs, worker.Incarnations](ctx, r.endpointWorkers, worker.StartEndpoints, asked)
 	if err != nil {
 		return err
 	}
-	r.noteLives(started)
+	r.recordIncarnations(started)
 	list := worker.Instances{Instances: r.instances(r.layout.Endpoints, registry.Ready)}
 	return r.registry.Call(ctx, worker.SetInstances, list, nil)
 }
 
-// placeEndpoints spreads the endpoints over workers, and returns what each is to start.
-func (r *runner) placeEndpoints() []worker.EndpointConfigs {
+// assignEndpoints spreads the endpoints over workers, and returns what each is to start.
+func (r *runner) assignEndpoints() []worker.EndpointConfigs {
 	perWorker := r.spec().Fleet.EndpointsPerWorker
 	asked := make([]worker.EndpointConfigs, (len(r.layout.Endpoints)+perWorker-1)/perWorker)
 	for i, e := range r.layout.Endpoints {
 		stand := i % len(asked)
-		r.standOf[e.Name] = stand
+		r.endpointWorkerOf[e.Name] = stand
 		asked[stand].Configs = append(asked[stand].Configs, r.layout.Config(e, r.spec()))
 	}
 	return asked
 }
 
-// noteLives takes up where endpoints are reached.
-func (r *runner) noteLives(all []worker.Incarnations) {
-	r.livesMu.Lock()
-	defer r.livesMu.Unlock()
+// recordIncarnations takes up where endpoints are reached.
+func (r *runner) recordIncarnations(all []worker.Incarnations) {
+	r.incarnationsMu.Lock()
+	defer r.incarnationsMu.Unlock()
 	for _, some := range all {
 		for _, life := range some.Endpoints {
-			r.lives[life.Name] = life
+			r.incarnations[life.Name] = life
 		}
 	}
 }
 
 // instances returns what discovery is to tell of endpoints.
 func (r *runner) instances(of []fleet.Endpoint, health string) []registry.Instance {
-	r.livesMu.Lock()
-	defer r.livesMu.Unlock()
+	r.incarnationsMu.Lock()
+	defer r.incarnationsMu.Unlock()
 	list := make([]registry.Instance, len(of))
 	for i, e := range of {
-		life := r.lives[e.Name]
+		life := r.incarnations[e.Name]
 		list[i] = r.layout.Instance(e, life.Address, health, life.StartedMS)
 	}
 	return list
@@ -109,36 +109,36 @@
 
 // prepareSidecars chooses addresses and hosts, and writes the configuration files.
 func (r *runner) prepareSidecars() error {
-	perHost := r.spec().Fleet.HollowPerWorker
+	perHost := r.spec().Fleet.SimulatedPerWorker
 	for _, s := range r.layout.Sidecars {
 		if s.Real {
 			listen, err := reserveAddress(len(r.real))
 			if err != nil {
 				return err
 			}
-			r.real = append(r.real, &realSidecar{Sidecar: s, listen: listen, path: r.path(s)})
+			r.real = append(r.real, &realSidecar{Sidecar: s, listen: listen, path: r.configPath(s)})
 			continue
 		}
-		if last := len(r.hollow) - 1; last < 0 || len(r.hollow[last]) == perHost {
-			r.hollow = append(r.hollow, nil)
+		if last := len(r.simulated) - 1; last < 0 || len(r.simulated[last]) == perHost {
+			r.simulated = append(r.simulated, nil)
 		}
-		last := len(r.hollow) - 1
-		r.hollow[last] = append(r.hollow[last], s)
+		last := len(r.simulated) - 1
+		r.simulated[last] = append(r.simulated[last], s)
 	}
-	_, err := r.writeAll()
+	_, err := r.writeConfigs()
 	return err
 }
 
-// path returns where a sidecar's configuration file is.
-func (r *runner) path(s fleet.Sidecar) string { return filepath.Join(r.scratch, s.Name+".json") }
+// configPath returns where a sidecar's configuration file is.
+func (r *runner) configPath(s fleet.Sidecar) string { return filepath.Join(r.scratch, s.Name+".json") }
 
-// write puts the configuration's present version in place of a sidecar's file, at once.
-func (r *runner) write(s fleet.Sidecar, listen string) (int, error) {
-	text, err := r.configurations.Text(s, listen, r.version)
+// writeConfig puts the configuration's present version in place of a sidecar's file, at once.
+func (r *runner) writeConfig(s fleet.Sidecar, listen string) (int, error) {
+	text, err := r.configurations.Encode(s, listen, r.version)
 	if err != nil {
 		return 0, err
 	}
-	path := r.path(s)
+	path := r.configPath(s)
 	next := path + ".next"
 	if err := os.WriteFile(next, text, 0o600); err != nil {
 		return 0, err
@@ -149,7 +149,7 @@
 // startSidecars starts all sidecars over the same time, and waits until they are ready.
 func (r *runner) startSidecars(ctx context.Context) error {
 	var err error
-	if r.hosts, err = r.startWorkers(worker.SidecarsRole, len(r.hollow)); err != nil {
+	if r.sidecarWorkers, err = r.startWorkers(worker.SidecarsRole, len(r.simulated)); err != nil {
 		return err
 	}
 	var before, after registry.Counts
@@ -158,7 +158,7 @@
 	}
 	began := time.Now()
 	spread := r.spec().Limits.StartSpread.Std() * time.Duration(r.options.Size.Sidecars) / largestSize
-	real, hollow, err := r.startBoth(ctx, r.real, r.hollow, spread)
+	real, hollow, err := r.startSidecarSet(ctx, r.real, r.simulated, spread)
 	if err != nil {
 		return err
 	}
@@ -166,7 +166,7 @@
 	if err := r.registry.Call(ctx, worker.CountRegistry, control.Empty{}, &after); err != nil {
 		return err
 	}
-	r.run.Startup = result.Startup{Seconds: took.Seconds(), RealReady: real, HollowReady: hollow,
+	r.run.Startup = result.Startup{Seconds: took.Seconds(), RealReady: real, SimulatedReady: hollow,
 		Discovery: result.DiscoverySince(after, before)}
 	if hollow.Missing > 0 {
 		return errors.New("not all hollow sidecars are ready within limits.ready")
@@ -174,9 +174,9 @@
 	return nil
 }
 
-// startBoth starts real sidecars, and hollow ones by host, over the same time, and waits until
+// startSidecarSet starts real sidecars, and hollow ones by host, over the same time, and waits until
 // they are ready.
-func (r *runner) startBoth(ctx context.Context, realOnes []*realSidecar, byHost [][]fleet.Sidecar, spread time.Duration) (real, hollow result.Spread, err error) {
+func (r *runner) startSidecarSet(ctx context.Context, realOnes []*realSidecar, byHost [][]fleet.Sidecar, spread time.Duration) (real, hollow result.Distribution, err error) {
 	var realErr, hollowErr error
 	var starting sync.WaitGroup
 	starting.Add(2)
@@ -186,14 +186,14 @@
 	}()
 	go func() {
 		defer starting.Done()
-		hollow, hollowErr = r.startHollow(ctx, byHost, spread)
+		hollow, hollowErr = r.startSimulated(ctx, byHost, spread)
 	}()
 	starting.Wait()
 	return real, hollow, errors.Join(realErr, hollowErr)
 }
 
 // startAllReal starts real sidecars evenly over a time, and waits until they are ready.
-func (r *runner) startAllReal(ctx context.Context, of []*realSidecar, spread time.Duration) (result.Spread, error) {
+func (r *runner) startAllReal(ctx context.Context, of []*realSidecar, spread time.Duration) (result.Distribution, error) {
 	ctx, cancel := context.WithTimeout(ctx, spread+r.spec().Limits.Ready.Std())
 	defer cancel()
 	took := make([]time.Duration, len(of))
@@ -207,7 +207,7 @@
 		}()
 	}
 	starting.Wait()
-	return result.NewSpread("from a real sidecar's start to its being ready", len(of), took), errors.Join(failures...)
+	return result.NewDistribution("from a real sidecar's start to its being ready", len(of), took), errors.Join(failures...)
 }
 
 // startRealAfter starts a real sidecar after a while, and returns how long it takes to be ready.
@@ -221,8 +221,8 @@
 	return s.awaitReady(ctx)
 }
 
-// startHollow starts hollow sidecars, given by host, and waits until they are ready.
-func (r *runner) startHollow(ctx context.Context, byHost [][]fleet.Sidecar, spread time.Duration) (result.Spread, error) {
+// startSimulated starts hollow sidecars, given by host, and waits until they are ready.
+func (r *runner) startSimulated(ctx context.Context, byHost [][]fleet.Sidecar, spread time.Duration) (result.Distribution, error) {
 	starts := make([]worker.Sidecars, len(byHost))
 	awaits := make([]worker.Await, len(byHost))
 	count := 0
@@ -232,21 +232,21 @@
 			continue
 		}
 		n := len(hosts)
-		hosts = append(hosts, r.hosts[i])
+		hosts = append(hosts, r.sidecarWorkers[i])
 		starts[n].Over = spread
 		awaits[n].Timeout = r.spec().Limits.Ready.Std()
 		for _, s := range some {
-			starts[n].Files = append(starts[n].Files, worker.SidecarFile{Name: s.Name, Path: r.path(s)})
+			starts[n].Files = append(starts[n].Files, worker.SidecarFile{Name: s.Name, Path: r.configPath(s)})
 			awaits[n].Names = append(awaits[n].Names, s.Name)
 			count++
 		}
 	}
 	if _, err := callEach[worker.Sidecars, control.Empty](ctx, hosts, worker.StartSidecars, starts); err != nil {
-		return result.Spread{}, err
+		return result.Distribution{}, err
 	}
 	ready, err := callEach[worker.Await, worker.Completions](ctx, hosts, worker.AwaitReady, awaits)
 	if err != nil {
-		return result.Spread{}, err
+		return result.Distribution{}, err
 	}
 	var took []time.Duration
 	for _, some := range ready {
@@ -254,26 +254,26 @@
 			took = append(took, arrival.At.Sub(arrival.StartedAt))
 		}
 	}
-	return result.NewSpread("from a hollow sidecar's start to its being ready", count, took), nil
+	return result.NewDistribution("from a hollow sidecar's start to its being ready", count, took), nil
 }
 
-// act does something to endpoints, and takes up what has changed.
-func (r *runner) act(ctx context.Context, action worker.Action, of []fleet.Endpoint) error {
-	names := make([][]string, len(r.stands))
+// applyAction does something to endpoints, and takes up what has changed.
+func (r *runner) applyAction(ctx context.Context, action worker.Action, of []fleet.Endpoint) error {
+	names := make([][]string, len(r.endpointWorkers))
 	for _, e := range of {
-		stand := r.standOf[e.Name]
+		stand := r.endpointWorkerOf[e.Name]
 		names[stand] = append(names[stand], e.Name)
 	}
 	var stands []*workerProcess
 	var asked []worker.EndpointAction
 	for stand, some := range names {
 		if len(some) > 0 {
-			stands = append(stands, r.stands[stand])
+			stands = append(stands, r.endpointWorkers[stand])
 			asked = append(asked, worker.EndpointAction{Action: action, Names: some})
 		}
 	}
 	lives, err := callEach[worker.EndpointAction, worker.Incarnations](ctx, stands, worker.ActOnEndpoints, asked)
-	r.noteLives(lives)
+	r.recordIncarnations(lives)
 	return err
 }
 
@@ -286,12 +286,12 @@
 
 // addresses returns where endpoints that get load are reached.
 func (r *runner) addresses() []string {
-	r.livesMu.Lock()
-	defer r.livesMu.Unlock()
+	r.incarnationsMu.Lock()
+	defer r.incarnationsMu.Unlock()
 	var all []string
 	for _, e := range r.layout.Endpoints {
-		if !r.spared[e.Name] {
-			all = append(all, r.lives[e.Name].Address)
+		if !r.excluded[e.Name] {
+			all = append(all, r.incarnations[e.Name].Address)
 		}
 	}
 	return all
--- a/internal/emulator/play/zone.go
+++ b/internal/emulator/play/zone.go
@@ -10,48 +10,48 @@
 	"oakproxy/internal/emulator/worker"
 )
 
-// lostZone is the zone that goes.
-const lostZone = 0
+// failedZone is the zone that goes.
+const failedZone = 0
 
-// zonePart is what a zone holds.
-type zonePart struct {
+// zoneMembers is what a zone holds.
+type zoneMembers struct {
 	endpoints []fleet.Endpoint
-	hollow    [][]fleet.Sidecar // by host
+	simulated [][]fleet.Sidecar // by host
 	real      []*realSidecar
 }
 
 // playZone takes one zone away and brings it back cold. Its applications send nothing,
 // as they are gone as well.
 func playZone(ctx context.Context, r *runner) error {
-	part := r.zonePart(lostZone)
-	r.spare(part)
+	part := r.membersOf(failedZone)
+	r.exclude(part)
 	if err := r.measureLoaded(ctx); err != nil {
 		return err
 	}
 	scenario := r.options.Scenario
-	err := r.measure(ctx, "gone", scenario.Gone.Std(), true, func(ctx context.Context, phase *result.Phase) error {
-		return r.loseZone(ctx, phase, part)
+	err := r.measure(ctx, "gone", scenario.Outage.Std(), true, func(ctx context.Context, phase *result.Phase) error {
+		return r.failZone(ctx, phase, part)
 	})
 	if err != nil {
 		return err
 	}
-	return r.measure(ctx, "back", scenario.Back.Std(), true, func(ctx context.Context, phase *result.Phase) error {
-		return r.returnZone(ctx, phase, part)
+	return r.measure(ctx, "back", scenario.Recovery.Std(), true, func(ctx context.Context, phase *result.Phase) error {
+		return r.recoverZone(ctx, phase, part)
 	})
 }
 
-// zonePart finds what a zone holds.
-func (r *runner) zonePart(zone int) *zonePart {
-	part := &zonePart{hollow: make([][]fleet.Sidecar, len(r.hollow))}
+// membersOf finds what a zone holds.
+func (r *runner) membersOf(zone int) *zoneMembers {
+	part := &zoneMembers{simulated: make([][]fleet.Sidecar, len(r.simulated))}
 	for _, e := range r.layout.Endpoints {
 		if e.Zone == zone {
 			part.endpoints = append(part.endpoints, e)
 		}
 	}
-	for host, some := range r.hollow {
+	for host, some := range r.simulated {
 		for _, s := range some {
 			if s.Zone == zone {
-				part.hollow[host] = append(part.hollow[host], s)
+				part.simulated[host] = append(part.simulated[host], s)
 			}
 		}
 	}
@@ -63,22 +63,22 @@
 	return part
 }
 
-// spare keeps load from what will be gone.
-func (r *runner) spare(part *zonePart) {
+// exclude keeps load from what will be gone.
+func (r *runner) exclude(part *zoneMembers) {
 	for _, e := range part.endpoints {
-		r.spared[e.Name] = true
+		r.excluded[e.Name] = true
 	}
 	for _, s := range part.real {
-		r.spared[s.Name] = true
+		r.excluded[s.Name] = true
 	}
 }
 
-// loseZone has a zone fall silent, and discovery tell that it is gone.
-func (r *runner) loseZone(ctx context.Context, phase *result.Phase, part *zonePart) error {
-	if err := r.act(ctx, worker.Disconnect, part.endpoints); err != nil {
+// failZone has a zone fall silent, and discovery tell that it is gone.
+func (r *runner) failZone(ctx context.Context, phase *result.Phase, part *zoneMembers) error {
+	if err := r.applyAction(ctx, worker.Disconnect, part.endpoints); err != nil {
 		return err
 	}
-	told := time.Now().Add(r.options.Scenario.Notice.Std())
+	told := time.Now().Add(r.options.Scenario.DetectionDelay.Std())
 	if err := r.stopSidecars(ctx, part); err != nil {
 		return err
 	}
@@ -89,24 +89,24 @@
 	if err != nil {
 		return err
 	}
-	var heard heardTimes
-	if err := r.awaitHeard(ctx, version, &heard); err != nil {
+	var heard propagation
+	if err := r.awaitList(ctx, version, &heard); err != nil {
 		return err
 	}
 	phase.Events = 1
-	phase.Spreads = append(phase.Spreads, heard.spread("from discovery's word of the loss to its being heard"))
+	phase.Distributions = append(phase.Distributions, heard.distribution("from discovery's word of the loss to its being heard"))
 	return nil
 }
 
 // stopSidecars ends the sidecars of a zone: the real ones at once, the hollow ones by
 // their drain, since they share processes with others.
-func (r *runner) stopSidecars(ctx context.Context, part *zonePart) error {
+func (r *runner) stopSidecars(ctx context.Context, part *zoneMembers) error {
 	for _, s := range part.real {
 		if err := r.killReal(s); err != nil {
 			return err
 		}
 	}
-	for host, some := range part.hollow {
+	for host, some := range part.simulated {
 		if len(some) == 0 {
 			continue
 		}
@@ -114,31 +114,31 @@
 		for _, s := range some {
 			names.Names = append(names.Names, s.Name)
 		}
-		if err := r.hosts[host].Call(ctx, worker.StopSidecars, names, nil); err != nil {
+		if err := r.sidecarWorkers[host].Call(ctx, worker.StopSidecars, names, nil); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// returnZone starts a zone's endpoints cold, and all of its sidecars at the same time.
-func (r *runner) returnZone(ctx context.Context, phase *result.Phase, part *zonePart) error {
-	if err := r.act(ctx, worker.Restart, part.endpoints); err != nil {
+// recoverZone starts a zone's endpoints cold, and all of its sidecars at the same time.
+func (r *runner) recoverZone(ctx context.Context, phase *result.Phase, part *zoneMembers) error {
+	if err := r.applyAction(ctx, worker.Restart, part.endpoints); err != nil {
 		return err
 	}
 	version, err := r.announce(ctx, part.endpoints, registry.Ready)
 	if err != nil {
 		return err
 	}
-	real, hollow, err := r.startBoth(ctx, part.real, part.hollow, 0)
+	real, hollow, err := r.startSidecarSet(ctx, part.real, part.simulated, 0)
 	if err != nil {
 		return err
 	}
-	var heard heardTimes
-	if err := r.awaitHeard(ctx, version, &heard); err != nil {
+	var heard propagation
+	if err := r.awaitList(ctx, version, &heard); err != nil {
 		return err
 	}
 	phase.Events = 1
-	phase.Spreads = append(phase.Spreads, heard.spread("from discovery's word of the return to its being heard"), hollow, real)
+	phase.Distributions = append(phase.Distributions, heard.distribution("from discovery's word of the return to its being heard"), hollow, real)
 	return nil
 }
--- a/internal/emulator/process/group.go
+++ b/internal/emulator/process/group.go
@@ -20,7 +20,7 @@
 	Path        string
 	Arguments   []string
 	Environment []string  // beside the emulator's own
-	Errors      io.Writer // takes its standard error; nil: the emulator's own
+	Stderr      io.Writer // takes its standard error; nil: the emulator's own
 	Piped       bool      // it is talked to by its standard input and output
 }
 
@@ -86,8 +86,8 @@
 func (g *Group) Start(program Program) (*Child, error) {
 	command := exec.Command(program.Path, program.Arguments...)
 	command.Env = append(os.Environ(), program.Environment...)
-	command.Stderr = program.Errors
-	if program.Errors == nil {
+	command.Stderr = program.Stderr
+	if program.Stderr == nil {
 		command.Stderr = os.Stderr
 	}
 	// A signal from the terminal is for the emulator alone.
--- a/internal/emulator/process/process_test.go
+++ b/internal/emulator/process/process_test.go
@@ -10,7 +10,7 @@
 
 const grace = 100 * time.Millisecond
 
-func TestUsageOfThisProcess(t *testing.T) {
+func TestReadUsageOfThisProcess(t *testing.T) {
 	before, err := ReadUsage(os.Getpid())
 	if err != nil {
 		t.Fatal(err)
@@ -33,7 +33,7 @@
 }
 
 // A group ends those that heed the end of their input or SIGTERM, and those that heed neither.
-func TestGroupEndsAll(t *testing.T) {
+func TestStopEndsAllChildren(t *testing.T) {
 	g := NewGroup()
 	programs := []Program{
 		{Name: "piped", Path: "cat", Piped: true},
@@ -65,7 +65,7 @@
 	}
 }
 
-func TestMissingProgram(t *testing.T) {
+func TestStartOfAMissingProgramFails(t *testing.T) {
 	g := NewGroup()
 	defer g.Stop(grace)
 	if _, err := g.Start(Program{Name: "none", Path: "/nonesuch"}); !errors.Is(err, os.ErrNotExist) {
--- a/internal/emulator/process/usage.go
+++ b/internal/emulator/process/usage.go
@@ -147,8 +147,8 @@
 	return cpu, nil
 }
 
-// Share returns the busy share of the time since an earlier reading.
-func (c MachineCPU) Share(earlier MachineCPU) float64 {
+// BusyShare returns the busy share of the time since an earlier reading.
+func (c MachineCPU) BusyShare(earlier MachineCPU) float64 {
 	if c.Total <= earlier.Total {
 		return 0
 	}
--- a/internal/emulator/result/distribution.go
+++ b/internal/emulator/result/distribution.go
@@ -5,17 +5,17 @@
 	"time"
 )
 
-// NewSpread sums up times that a number of sidecars took. Those that have none count
+// NewDistribution sums up times that a number of sidecars took. Those that have none count
 // as missing.
-func NewSpread(what string, of int, took []time.Duration) Spread {
+func NewDistribution(what string, of int, took []time.Duration) Distribution {
 	sorted := slices.Sorted(slices.Values(took))
-	return Spread{
+	return Distribution{
 		What:     what,
-		Of:       of,
+		Total:    of,
 		Missing:  of - len(sorted),
 		MedianMS: Milliseconds(quantile(sorted, 0.5)),
 		P99MS:    Milliseconds(quantile(sorted, 0.99)),
-		LastMS:   Milliseconds(quantile(sorted, 1)),
+		MaxMS:    Milliseconds(quantile(sorted, 1)),
 	}
 }
 
--- a/internal/emulator/result/fit.go
+++ b/internal/emulator/result/fit.go
@@ -37,7 +37,7 @@
 	Residuals   []float64 // in the order of the points
 	MaxResidual float64   // the largest without its sign
 	Deviation   float64   // root of the mean square of the residuals
-	Spread      float64   // the most that plays of one size differ by
+	PlayRange   float64   // the most that plays of one size differ by
 }
 
 // At returns the line's value at a size.
@@ -98,7 +98,7 @@
 	f.MaxResidual = floats.Norm(f.Residuals, math.Inf(1))
 	f.Deviation = floats.Norm(f.Residuals, 2) / math.Sqrt(float64(len(points)))
 	for _, some := range bySize {
-		f.Spread = max(f.Spread, slices.Max(some)-slices.Min(some))
+		f.PlayRange = max(f.PlayRange, slices.Max(some)-slices.Min(some))
 	}
 	return &f
 }
--- a/internal/emulator/result/frozen_test.go
+++ b/internal/emulator/result/frozen_test.go
@@ -10,7 +10,7 @@
 )
 
 // Result files of earlier versions are read, and written again under the same keys.
-func TestRecordedRunsKeepTheirKeys(t *testing.T) {
+func TestRecordedRunsKeepTheirJSONKeys(t *testing.T) {
 	files, err := filepath.Glob("../../../docs/capacity/*.jsonl")
 	if err != nil || len(files) == 0 {
 		t.Fatalf("files %q, %v", files, err)
--- a/internal/emulator/result/result.go
+++ b/internal/emulator/result/result.go
@@ -15,29 +15,29 @@
 // Version is that of the form of result files.
 const Version = 1
 
-// SaturatedShare is the share of the machine's processor time above which a run's
+// SaturationThreshold is the share of the machine's processor time above which a run's
 // figures tell of the machine.
-const SaturatedShare = 0.85
+const SaturationThreshold = 0.85
 
 // Run is one play of a scenario: a line of a result file.
 type Run struct {
-	Version      int           `json:"version"`
-	StartedAt    time.Time     `json:"started_at"`
-	Commit       string        `json:"commit"`
-	Machine      Machine       `json:"machine"`
-	Scenario     string        `json:"scenario"`
-	Size         spec.Size     `json:"size"`
-	Play         int           `json:"play"`
-	Seed         uint64        `json:"seed"`
-	File         spec.File     `json:"options"`
-	Played       spec.Scenario `json:"scenario_options"`
-	Stopped      string        `json:"stopped,omitempty"` // why the run ended early; empty: it did not
-	Saturated    bool          `json:"saturated"`
-	Seconds      float64       `json:"seconds"`
-	PeakMemoryMB float64       `json:"peak_memory_mb"` // resident, of all processes together, shared pages counted in each
-	Startup      Startup       `json:"startup"`
-	Phases       []Phase       `json:"phases"`
-	End          End           `json:"end"`
+	Version         int           `json:"version"`
+	StartedAt       time.Time     `json:"started_at"`
+	Commit          string        `json:"commit"`
+	Machine         Machine       `json:"machine"`
+	Scenario        string        `json:"scenario"`
+	Size            spec.Size     `json:"size"`
+	Play            int           `json:"play"`
+	Seed            uint64        `json:"seed"`
+	Options         spec.File     `json:"options"`
+	ScenarioOptions spec.Scenario `json:"scenario_options"`
+	Stopped         string        `json:"stopped,omitempty"` // why the run ended early; empty: it did not
+	Saturated       bool          `json:"saturated"`
+	Seconds         float64       `json:"seconds"`
+	PeakMemoryMB    float64       `json:"peak_memory_mb"` // resident, of all processes together, shared pages counted in each
+	Startup         Startup       `json:"startup"`
+	Phases          []Phase       `json:"phases"`
+	End             End           `json:"end"`
 }
 
 // Machine is what the run was played on.
@@ -50,25 +50,25 @@
 
 // Startup is how the fleet came up.
 type Startup struct {
-	Seconds     float64         `json:"seconds"` // from the first sidecar's start to the last one's being ready
-	HollowReady Spread          `json:"hollow_ready"`
-	RealReady   Spread          `json:"real_ready"` // each from its process's start to 200 at /health/ready
-	Discovery   registry.Counts `json:"discovery"`
+	Seconds        float64         `json:"seconds"` // from the first sidecar's start to the last one's being ready
+	SimulatedReady Distribution    `json:"hollow_ready"`
+	RealReady      Distribution    `json:"real_ready"` // each from its process's start to 200 at /health/ready
+	Discovery      registry.Counts `json:"discovery"`
 }
 
 // End is what was counted over the whole run.
 type End struct {
-	Hollow worker.SidecarCounts `json:"hollow"`
+	Simulated worker.SidecarCounts `json:"hollow"`
 }
 
-// Spread is a distribution of times, one for each of a number of sidecars.
-type Spread struct {
+// Distribution is a distribution of times, one for each of a number of sidecars.
+type Distribution struct {
 	What     string  `json:"what,omitempty"`
-	Of       int     `json:"of"`      // sidecars that should have got there
+	Total    int     `json:"of"`      // sidecars that should have got there
 	Missing  int     `json:"missing"` // and did not in time
 	MedianMS float64 `json:"median_ms"`
 	P99MS    float64 `json:"p99_ms"`
-	LastMS   float64 `json:"last_ms"`
+	MaxMS    float64 `json:"last_ms"`
 }
 
 // Role names what processes of a run do.
@@ -76,12 +76,12 @@
 
 // The roles.
 const (
-	RealSidecar   Role = "real sidecar"
-	HollowSidecar Role = "hollow sidecar"
-	Endpoint      Role = "endpoint"
-	Discovery     Role = "discovery"
-	Configuration Role = "configuration" // the hand-out, by the emulator itself
-	Generator     Role = "load generator"
+	RealSidecar      Role = "real sidecar"
+	SimulatedSidecar Role = "hollow sidecar"
+	Endpoint         Role = "endpoint"
+	Discovery        Role = "discovery"
+	Configuration    Role = "configuration" // the hand-out, by the emulator itself
+	Generator        Role = "load generator"
 )
 
 // RoleUsage is what the processes of a role spent in a phase, and held at its end.
@@ -99,33 +99,33 @@
 
 // Phase is a part of a run.
 type Phase struct {
-	Name            string               `json:"name"`
-	Seconds         float64              `json:"seconds"`
-	MachineCPUShare float64              `json:"machine_cpu_share"` // others' processes included
-	OwnCPUShare     float64              `json:"own_cpu_share"`     // of the machine, by the run's processes alone
-	Roles           []RoleUsage          `json:"roles"`
-	Discovery       registry.Counts      `json:"discovery"` // within the phase, connections as at its end
-	Endpoints       endpoint.Counts      `json:"endpoints"` // the same, summed over all endpoints
-	Hollow          worker.SidecarCounts `json:"hollow"`    // the same; goroutines as at its end
-	Through         *Requests            `json:"through,omitempty"`
-	Direct          *Requests            `json:"direct,omitempty"`
-	Spreads         []Spread             `json:"spreads,omitempty"`
-	Events          int                  `json:"events,omitempty"` // changes or restarts played
-	HandedOutBytes  int64                `json:"handed_out_bytes,omitempty"`
-	Exhausted       bool                 `json:"exhausted,omitempty"` // a process was out of descriptors
-	Notes           []string             `json:"notes,omitempty"`
+	Name             string               `json:"name"`
+	Seconds          float64              `json:"seconds"`
+	MachineCPUShare  float64              `json:"machine_cpu_share"` // others' processes included
+	OwnCPUShare      float64              `json:"own_cpu_share"`     // of the machine, by the run's processes alone
+	Roles            []RoleUsage          `json:"roles"`
+	Discovery        registry.Counts      `json:"discovery"` // within the phase, connections as at its end
+	Endpoints        endpoint.Counts      `json:"endpoints"` // the same, summed over all endpoints
+	Simulated        worker.SidecarCounts `json:"hollow"`    // the same; goroutines as at its end
+	Proxied          *Requests            `json:"through,omitempty"`
+	Direct           *Requests            `json:"direct,omitempty"`
+	Distributions    []Distribution       `json:"spreads,omitempty"`
+	Events           int                  `json:"events,omitempty"` // changes or restarts played
+	ConfigBytes      int64                `json:"handed_out_bytes,omitempty"`
+	OutOfDescriptors bool                 `json:"exhausted,omitempty"` // a process was out of descriptors
+	Notes            []string             `json:"notes,omitempty"`
 }
 
 // Requests are a load generator's figures, from each request's intended start.
 type Requests struct {
-	Counts     load.Counts `json:"counts"`
-	Seconds    float64     `json:"seconds"`
-	P50MS      float64     `json:"p50_ms"`
-	P99MS      float64     `json:"p99_ms"`
-	P999MS     float64     `json:"p999_ms"`
-	MaxMS      float64     `json:"max_ms"`
-	LateP99MS  float64     `json:"late_p99_ms"` // from the intended start to the sending
-	CPUSeconds float64     `json:"cpu_seconds"`
+	Counts         load.Counts `json:"counts"`
+	Seconds        float64     `json:"seconds"`
+	P50MS          float64     `json:"p50_ms"`
+	P99MS          float64     `json:"p99_ms"`
+	P999MS         float64     `json:"p999_ms"`
+	MaxMS          float64     `json:"max_ms"`
+	SendDelayP99MS float64     `json:"late_p99_ms"` // from the intended start to the sending
+	CPUSeconds     float64     `json:"cpu_seconds"`
 }
 
 // NewRequests sums a report up; nil for nil.
@@ -134,14 +134,14 @@
 		return nil
 	}
 	return &Requests{
-		Counts:     report.Counts,
-		Seconds:    report.Elapsed.Seconds(),
-		P50MS:      Milliseconds(report.Latency.Quantile(0.5)),
-		P99MS:      Milliseconds(report.Latency.Quantile(0.99)),
-		P999MS:     Milliseconds(report.Latency.Quantile(0.999)),
-		MaxMS:      Milliseconds(report.Latency.Max()),
-		LateP99MS:  Milliseconds(report.Lateness.Quantile(0.99)),
-		CPUSeconds: report.CPU.Seconds(),
+		Counts:         report.Counts,
+		Seconds:        report.Elapsed.Seconds(),
+		P50MS:          Milliseconds(report.Latency.Quantile(0.5)),
+		P99MS:          Milliseconds(report.Latency.Quantile(0.99)),
+		P999MS:         Milliseconds(report.Latency.Quantile(0.999)),
+		MaxMS:          Milliseconds(report.Latency.Max()),
+		SendDelayP99MS: Milliseconds(report.SendDelay.Quantile(0.99)),
+		CPUSeconds:     report.CPU.Seconds(),
 	}
 }
 
--- a/internal/emulator/result/result_test.go
+++ b/internal/emulator/result/result_test.go
@@ -38,7 +38,7 @@
 
 func near(a, b float64) bool { return math.Abs(a-b) < 1e-9*max(1, math.Abs(b)) }
 
-func TestFit(t *testing.T) {
+func TestFitFindsTheLeastSquaresLine(t *testing.T) {
 	sizes := []int{10, 20, 40, 80}
 	// The plays lie one above and one below the line, alike at all sizes.
 	runs := runsOf(sizes, 2, func(size, play int) float64 { return 3 + 0.5*float64(size) + float64(2*play-3) })
@@ -46,7 +46,7 @@
 	if f == nil {
 		t.Fatal("no line")
 	}
-	if !near(f.Intercept, 3) || !near(f.Slope, 0.5) || !near(f.MaxResidual, 1) || !near(f.Deviation, 1) || !near(f.Spread, 2) {
+	if !near(f.Intercept, 3) || !near(f.Slope, 0.5) || !near(f.MaxResidual, 1) || !near(f.Deviation, 1) || !near(f.PlayRange, 2) {
 		t.Errorf("got %+v", f)
 	}
 	if len(f.Residuals) != 8 || f.RSquared < 0.99 || f.RSquared >= 1 {
@@ -54,7 +54,7 @@
 	}
 }
 
-func TestNoLineThroughTooLittle(t *testing.T) {
+func TestTooFewPointsHaveNoFit(t *testing.T) {
 	line := func(size, _ int) float64 { return float64(size) }
 	if startSeries(t, runsOf([]int{10, 20, 40}, 2, line)).Fit != nil {
 		t.Error("a line through three sizes")
@@ -69,24 +69,24 @@
 	}
 }
 
-func TestSpread(t *testing.T) {
+func TestDistributionHasQuantilesAndMissing(t *testing.T) {
 	var took []time.Duration
 	for i := 100; i > 0; i-- {
 		took = append(took, time.Duration(i)*time.Millisecond)
 	}
-	want := Spread{What: "x", Of: 102, Missing: 2, MedianMS: 50, P99MS: 99, LastMS: 100}
-	if got := NewSpread("x", 102, took); got != want {
+	want := Distribution{What: "x", Total: 102, Missing: 2, MedianMS: 50, P99MS: 99, MaxMS: 100}
+	if got := NewDistribution("x", 102, took); got != want {
 		t.Errorf("got %+v, want %+v", got, want)
 	}
-	if got := NewSpread("none", 3, nil); got.Missing != 3 || got.LastMS != 0 {
+	if got := NewDistribution("none", 3, nil); got.Missing != 3 || got.MaxMS != 0 {
 		t.Errorf("got %+v", got)
 	}
 }
 
 // An event costs what a phase spends beyond its time in the phase without events.
-func TestEventMetrics(t *testing.T) {
+func TestEventMetricsAreRelativeToTheLoadedPhase(t *testing.T) {
 	usage := func(cpu float64) []RoleUsage {
-		return []RoleUsage{{Role: HollowSidecar, Processes: 1, Units: 10, CPUSeconds: cpu}}
+		return []RoleUsage{{Role: SimulatedSidecar, Processes: 1, Units: 10, CPUSeconds: cpu}}
 	}
 	run := &Run{Phases: []Phase{
 		{Name: loadedPhase, Seconds: 10, Roles: usage(1)},
@@ -104,7 +104,7 @@
 	t.Errorf("no metric %q", name)
 }
 
-func TestFilesTablesAndPlots(t *testing.T) {
+func TestRunsAreStoredTabulatedAndPlotted(t *testing.T) {
 	runs := runsOf([]int{10, 20, 40, 80}, 2, func(size, _ int) float64 { return float64(size) })
 	directory := t.TempDir()
 	path := filepath.Join(directory, "runs.jsonl")
--- a/internal/emulator/result/summary.go
+++ b/internal/emulator/result/summary.go
@@ -14,7 +14,7 @@
 		run.PeakMemoryMB, verdict(run))
 	fmt.Fprintf(table, "start\t%.2f s; whole lists %d, bytes out %d\n", run.Startup.Seconds,
 		run.Startup.Discovery.CompleteResponses, run.Startup.Discovery.BytesOut)
-	writeSpreads(table, []Spread{run.Startup.HollowReady, run.Startup.RealReady})
+	writeDistributions(table, []Distribution{run.Startup.SimulatedReady, run.Startup.RealReady})
 	for i := range run.Phases {
 		writePhase(table, &run.Phases[i])
 	}
@@ -50,9 +50,9 @@
 	fmt.Fprintf(table, "  endpoints\t%.1f requests/s, %.1f probes/s\t%d rejected, %d duplicates\t%d connections open, %d accepted\n",
 		float64(e.Requests)/phase.Seconds, float64(e.HealthChecks)/phase.Seconds, e.Rejected, e.Duplicates,
 		e.Connections.Open, e.Connections.Accepted)
-	writeRequests(table, "through sidecars", phase.Through)
+	writeRequests(table, "through sidecars", phase.Proxied)
 	writeRequests(table, "direct", phase.Direct)
-	writeSpreads(table, phase.Spreads)
+	writeDistributions(table, phase.Distributions)
 	for _, note := range phase.Notes {
 		fmt.Fprintf(table, "  note\t%s\n", note)
 	}
@@ -64,14 +64,14 @@
 	}
 	c := r.Counts
 	fmt.Fprintf(table, "  %s\t%.1f/s\tp50 %.2f, p99 %.2f, p99.9 %.2f, max %.1f ms\tserved %d, refused %d, failed %d, lost %d, mismatched %d, unsent %d, cancelled %d\n",
-		what, float64(c.Planned)/max(r.Seconds, 1e-9), r.P50MS, r.P99MS, r.P999MS, r.MaxMS, c.Served, c.Refused, c.Failed,
+		what, float64(c.Planned)/max(r.Seconds, 1e-9), r.P50MS, r.P99MS, r.P999MS, r.MaxMS, c.Served, c.Rejected, c.Failed,
 		c.Lost(), c.Mismatched, c.Unsent, c.Cancelled)
 }
 
-func writeSpreads(table io.Writer, spreads []Spread) {
+func writeDistributions(table io.Writer, spreads []Distribution) {
 	for _, s := range spreads {
-		if s.Of > 0 {
-			fmt.Fprintf(table, "  %s\t%d of %d\tmedian %.0f, p99 %.0f, last %.0f ms\n", s.What, s.Of-s.Missing, s.Of, s.MedianMS, s.P99MS, s.LastMS)
+		if s.Total > 0 {
+			fmt.Fprintf(table, "  %s\t%d of %d\tmedian %.0f, p99 %.0f, last %.0f ms\n", s.What, s.Total-s.Missing, s.Total, s.MedianMS, s.P99MS, s.MaxMS)
 		}
 	}
 }
--- a/internal/emulator/result/table.go
+++ b/internal/emulator/result/table.go
@@ -16,7 +16,7 @@
 		return err
 	}
 	var text strings.Builder
-	writeHead(&text, runs)
+	writeHeader(&text, runs)
 	sizes := sizesOf(runs)
 	writeColumns(&text, sizes)
 	for _, series := range AllSeries(runs) {
@@ -26,8 +26,8 @@
 	return err
 }
 
-// writeHead tells what the table is of, and which runs are left out.
-func writeHead(text *strings.Builder, runs []*Run) {
+// writeHeader tells what the table is of, and which runs are left out.
+func writeHeader(text *strings.Builder, runs []*Run) {
 	first := runs[0]
 	left := 0
 	var commits []string
@@ -74,8 +74,8 @@
 		fmt.Fprintf(text, " %s |", mean(bySize[size]))
 	}
 	if f := series.Fit; f != nil {
-		fmt.Fprintf(text, " %s | %s | %s | %s | %s |\n", figure(f.Intercept), figure(f.Slope), figure(f.RSquared),
-			figure(f.MaxResidual), figure(f.Spread))
+		fmt.Fprintf(text, " %s | %s | %s | %s | %s |\n", formatNumber(f.Intercept), formatNumber(f.Slope), formatNumber(f.RSquared),
+			formatNumber(f.MaxResidual), formatNumber(f.PlayRange))
 		return
 	}
 	text.WriteString(" too few | | | | |\n")
@@ -89,11 +89,11 @@
 	for _, v := range values {
 		sum += v
 	}
-	return figure(sum / float64(len(values)))
+	return formatNumber(sum / float64(len(values)))
 }
 
-// figure writes a number to three digits or more.
-func figure(v float64) string {
+// formatNumber writes a number to three digits or more.
+func formatNumber(v float64) string {
 	switch size := math.Abs(v); {
 	case math.IsNaN(v):
 		return "-"
--- a/internal/emulator/spec/read.go
+++ b/internal/emulator/spec/read.go
@@ -42,7 +42,7 @@
 	if unknown := meta.Undecoded(); len(unknown) > 0 {
 		return nil, Invalid("%s: unknown key %s", path, unknown[0])
 	}
-	if err := file.check(); err != nil {
+	if err := file.validate(); err != nil {
 		return nil, Invalid("%s: %s", path, err)
 	}
 	return &file, nil
@@ -65,8 +65,8 @@
 	return scenario, nil
 }
 
-// Check finds what is out of range in a size.
-func (s Size) Check() error {
+// Validate finds what is out of range in a size.
+func (s Size) Validate() error {
 	switch {
 	case s.Sidecars < 1 || s.Sidecars > maxSidecars:
 		return Invalid("sidecars: %d is out of range, 1 to %d", s.Sidecars, maxSidecars)
@@ -78,22 +78,22 @@
 	return nil
 }
 
-// bound is a figure of the file and the range it has to be in.
-type bound struct {
-	key             string
-	value           float64
-	least, greatest float64
+// rangedValue is a figure of the file and the range it has to be in.
+type rangedValue struct {
+	key      string
+	value    float64
+	min, max float64
 }
 
-// check finds the first figure that is out of range.
-func (f *File) check() error {
-	bounds := []bound{
+// validate finds the first figure that is out of range.
+func (f *File) validate() error {
+	bounds := []rangedValue{
 		{"fleet.services", float64(f.Fleet.Services), 1, 100},
 		{"fleet.regions", float64(len(f.Fleet.Regions)), 1, 8},
 		{"fleet.zones_per_region", float64(f.Fleet.ZonesPerRegion), 1, 8},
 		{"fleet.kinds", float64(len(f.Fleet.Kinds)), 1, 8},
 		{"fleet.cell_size", float64(f.Fleet.CellSize), 1, maxEndpoints},
-		{"fleet.hollow_per_worker", float64(f.Fleet.HollowPerWorker), 1, 200},
+		{"fleet.hollow_per_worker", float64(f.Fleet.SimulatedPerWorker), 1, 200},
 		{"fleet.endpoints_per_worker", float64(f.Fleet.EndpointsPerWorker), 1, 200},
 		{"sidecar.memory_mb", float64(f.Sidecar.MemoryMB), 16, 1024},
 		{"sidecar.sockets", float64(f.Sidecar.Sockets), 64, 4096},
@@ -103,7 +103,7 @@
 		{"endpoint.cores", float64(f.Endpoint.Cores), 1, 64},
 		{"endpoint.service_time", f.Endpoint.ServiceTime.Std().Seconds(), 0, 10},
 		{"endpoint.queue_limit", float64(f.Endpoint.QueueLimit), 0, 10_000},
-		{"endpoint.cold_share", f.Endpoint.ColdShare, 0, 1},
+		{"endpoint.cold_share", f.Endpoint.ColdCapacity, 0, 1},
 		{"registry.calls_per_second", f.Registry.CallsPerSecond, 0, 1e6},
 		{"registry.history", float64(f.Registry.History), 0, 1e6},
 		{"load.calls_per_second", f.Load.CallsPerSecond, 0, 10_000},
@@ -116,60 +116,60 @@
 		{"limits.start_spread", f.Limits.StartSpread.Std().Seconds(), 0, maxDuration.Seconds()},
 		{"limits.ready", f.Limits.Ready.Std().Seconds(), 1, maxDuration.Seconds()},
 	}
-	if err := checkBounds(bounds); err != nil {
+	if err := validateRanges(bounds); err != nil {
 		return err
 	}
 	for i, class := range f.Load.Classes {
-		if !slices.Contains([]string{RepeatPure, RepeatToken, RepeatSideEffect}, class.Repeat) {
-			return Invalid("load.classes[%d].repeat: %q is not known", i, class.Repeat)
+		if !slices.Contains([]string{Idempotent, IdempotentWithKey, NonIdempotent}, class.Idempotency) {
+			return Invalid("load.classes[%d].repeat: %q is not known", i, class.Idempotency)
 		}
 	}
 	if !slices.Contains([]string{DiscoverySubscribe, DiscoveryAutomatic}, f.Sidecar.Discovery) {
 		return Invalid("sidecar.discovery: %q is not known", f.Sidecar.Discovery)
 	}
 	for _, name := range f.Names() {
-		if err := f.Scenarios[name].check(); err != nil {
+		if err := f.Scenarios[name].validate(); err != nil {
 			return Invalid("scenarios.%s.%s", name, err)
 		}
 	}
 	return nil
 }
 
-func checkBounds(bounds []bound) error {
+func validateRanges(bounds []rangedValue) error {
 	for _, b := range bounds {
-		if !(b.value >= b.least && b.value <= b.greatest) {
-			return Invalid("%s: %v is out of range, %v to %v", b.key, b.value, b.least, b.greatest)
+		if !(b.value >= b.min && b.value <= b.max) {
+			return Invalid("%s: %v is out of range, %v to %v", b.key, b.value, b.min, b.max)
 		}
 	}
 	return nil
 }
 
-// check finds what is out of range in a scenario.
-func (s Scenario) check() error {
-	phases := []bound{
+// validate finds what is out of range in a scenario.
+func (s Scenario) validate() error {
+	phases := []rangedValue{
 		{"settle", s.Settle.Std().Seconds(), 0, maxDuration.Seconds()},
-		{"rest", s.Rest.Std().Seconds(), 0, maxDuration.Seconds()},
+		{"rest", s.Idle.Std().Seconds(), 0, maxDuration.Seconds()},
 		{"loaded", s.Loaded.Std().Seconds(), 0, maxDuration.Seconds()},
 	}
-	events := []bound{
+	events := []rangedValue{
 		{"per_day", float64(s.PerDay), 1, 1e6},
 		{"compression", s.Compression, 1, 1e6},
 		{"events", float64(s.Events), 1, maxEvents},
 		{"burst", float64(s.Burst), 0, maxEvents},
 		{"drain", s.Drain.Std().Seconds(), 0, maxDuration.Seconds()},
 	}
-	outage := []bound{
-		{"notice", s.Notice.Std().Seconds(), 0, maxDuration.Seconds()},
-		{"gone", s.Gone.Std().Seconds(), 0.1, maxDuration.Seconds()},
-		{"back", s.Back.Std().Seconds(), 0.1, maxDuration.Seconds()},
+	outage := []rangedValue{
+		{"notice", s.DetectionDelay.Std().Seconds(), 0, maxDuration.Seconds()},
+		{"gone", s.Outage.Std().Seconds(), 0.1, maxDuration.Seconds()},
+		{"back", s.Recovery.Std().Seconds(), 0.1, maxDuration.Seconds()},
 	}
 	switch s.Kind {
 	case Steady:
-		return checkBounds(phases)
+		return validateRanges(phases)
 	case Changes, Replace:
-		return checkBounds(append(phases, events...))
+		return validateRanges(append(phases, events...))
 	case Zone:
-		return checkBounds(append(phases, outage...))
+		return validateRanges(append(phases, outage...))
 	}
 	return Invalid("kind: %q is not known", s.Kind)
 }
--- a/internal/emulator/spec/read_test.go
+++ b/internal/emulator/spec/read_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-func TestShippedFile(t *testing.T) {
+func TestShippedScenarioFileIsValid(t *testing.T) {
 	file, err := Read("../../../deploy/emulator.toml")
 	if err != nil {
 		t.Fatal(err)
@@ -25,15 +25,15 @@
 	}
 }
 
-func TestSizes(t *testing.T) {
+func TestSizesOutOfRangeAreRejected(t *testing.T) {
 	for _, size := range []Size{{1, 1, 0}, {1, 1, 1}, {860, 860, 100}, {maxSidecars, maxEndpoints, maxReal}} {
-		if err := size.Check(); err != nil {
+		if err := size.Validate(); err != nil {
 			t.Errorf("%+v: %v", size, err)
 		}
 	}
 	for _, size := range []Size{{0, 1, 0}, {1, 0, 0}, {1, 1, 2}, {200, 200, 101}, {1, 1, -1}, {maxSidecars + 1, 1, 0}, {1, maxEndpoints + 1, 0}} {
 		var bad *InputError
-		if err := size.Check(); !errors.As(err, &bad) {
+		if err := size.Validate(); !errors.As(err, &bad) {
 			t.Errorf("%+v: %v", size, err)
 		}
 	}
--- a/internal/emulator/spec/spec.go
+++ b/internal/emulator/spec/spec.go
@@ -22,7 +22,7 @@
 	ZonesPerRegion     int      `toml:"zones_per_region" json:"zones_per_region"`
 	Kinds              []string `toml:"kinds" json:"kinds"` // of machines
 	CellSize           int      `toml:"cell_size" json:"cell_size"`
-	HollowPerWorker    int      `toml:"hollow_per_worker" json:"hollow_per_worker"`
+	SimulatedPerWorker int      `toml:"hollow_per_worker" json:"hollow_per_worker"`
 	EndpointsPerWorker int      `toml:"endpoints_per_worker" json:"endpoints_per_worker"`
 }
 
@@ -36,7 +36,7 @@
 	KeepAlive     Duration `toml:"keep_alive" json:"keep_alive"`
 	DialTimeout   Duration `toml:"dial_timeout" json:"dial_timeout"`
 	DrainGrace    Duration `toml:"drain_grace" json:"drain_grace"`
-	AskWithin     Duration `toml:"ask_within" json:"ask_within"`
+	PollInterval  Duration `toml:"ask_within" json:"ask_within"`
 	MaxAttempts   int      `toml:"max_attempts" json:"max_attempts"`
 	MaxRetryAfter Duration `toml:"max_retry_after" json:"max_retry_after"`
 	Tenants       int      `toml:"tenants" json:"tenants"`
@@ -44,11 +44,11 @@
 
 // Endpoint is what every endpoint is like.
 type Endpoint struct {
-	Cores       int      `toml:"cores" json:"cores"`
-	ServiceTime Duration `toml:"service_time" json:"service_time"`
-	QueueLimit  int      `toml:"queue_limit" json:"queue_limit"`
-	WarmUp      Duration `toml:"warm_up" json:"warm_up"`
-	ColdShare   float64  `toml:"cold_share" json:"cold_share"`
+	Cores        int      `toml:"cores" json:"cores"`
+	ServiceTime  Duration `toml:"service_time" json:"service_time"`
+	QueueLimit   int      `toml:"queue_limit" json:"queue_limit"`
+	WarmUp       Duration `toml:"warm_up" json:"warm_up"`
+	ColdCapacity float64  `toml:"cold_share" json:"cold_share"`
 }
 
 // Registry is what discovery can do.
@@ -68,18 +68,18 @@
 
 // Class is one class of requests.
 type Class struct {
-	Name   string   `toml:"name" json:"name"`
-	Repeat string   `toml:"repeat" json:"repeat"` // pure, token or side_effect
-	Target Duration `toml:"target" json:"target"`
-	GiveUp Duration `toml:"give_up" json:"give_up"`
-	Share  float64  `toml:"share" json:"share"`
+	Name             string   `toml:"name" json:"name"`
+	Idempotency      string   `toml:"repeat" json:"repeat"` // pure, token or side_effect
+	LatencyObjective Duration `toml:"target" json:"target"`
+	Timeout          Duration `toml:"give_up" json:"give_up"`
+	Weight           float64  `toml:"share" json:"share"`
 }
 
 // How a class's requests may be repeated.
 const (
-	RepeatPure       = "pure"
-	RepeatToken      = "token"
-	RepeatSideEffect = "side_effect"
+	Idempotent        = "pure"
+	IdempotentWithKey = "token"
+	NonIdempotent     = "side_effect"
 )
 
 // How sidecars hear of endpoints.
@@ -113,7 +113,7 @@
 	Kind        Kind     `toml:"kind" json:"kind"`
 	Description string   `toml:"description" json:"description"`
 	Settle      Duration `toml:"settle" json:"settle"` // from all being ready to the first phase
-	Rest        Duration `toml:"rest" json:"rest"`     // a phase without load; 0: none
+	Idle        Duration `toml:"rest" json:"rest"`     // a phase without load; 0: none
 	Loaded      Duration `toml:"loaded" json:"loaded"` // a phase with load and nothing else; 0: none
 
 	PerDay      int     `toml:"per_day" json:"per_day,omitempty"`         // events a day: changes or restarts
@@ -121,10 +121,10 @@
 	Events      int     `toml:"events" json:"events,omitempty"`           // that are played
 	Burst       int     `toml:"burst" json:"burst,omitempty"`             // changes made at once after these
 
-	Drain  Duration `toml:"drain" json:"drain,omitempty"`   // from a planned restart's notice to the restart
-	Notice Duration `toml:"notice" json:"notice,omitempty"` // from a zone's loss to discovery's word of it
-	Gone   Duration `toml:"gone" json:"gone,omitempty"`     // how long a zone is away
-	Back   Duration `toml:"back" json:"back,omitempty"`     // how long it is watched once it is back
+	Drain          Duration `toml:"drain" json:"drain,omitempty"`   // from a planned restart's notice to the restart
+	DetectionDelay Duration `toml:"notice" json:"notice,omitempty"` // from a zone's loss to discovery's word of it
+	Outage         Duration `toml:"gone" json:"gone,omitempty"`     // how long a zone is away
+	Recovery       Duration `toml:"back" json:"back,omitempty"`     // how long it is watched once it is back
 }
 
 // Interval is the time from one event to the next.
