--- a/internal/emulator/endpoint/counts.go
+++ b/internal/emulator/endpoint/counts.go
@@ -3,6 +3,7 @@
 import (
 	"sync/atomic"
 
+	"oakproxy/internal/emulator/counter"
 	"oakproxy/internal/emulator/httpconn"
 )
 
@@ -24,3 +25,22 @@
 type counters struct {
 	requests, served, rejected, missingID, duplicates, abandoned, healthChecks atomic.Uint64
 }
+
+// Add adds another endpoint's counts.
+func (c *Counts) Add(other Counts) {
+	counter.Add(c.counters(), other.counters())
+	c.Connections.Open += other.Connections.Open
+	c.Connections.MaxOpen += other.Connections.MaxOpen
+}
+
+// Since returns the counts since an earlier reading. Open connections are as they are now.
+func (c Counts) Since(earlier Counts) Counts {
+	counter.Subtract(c.counters(), earlier.counters())
+	return c
+}
+
+// counters lists all that only grow.
+func (c *Counts) counters() []*uint64 {
+	return []*uint64{&c.Requests, &c.Served, &c.Rejected, &c.MissingIDs, &c.Duplicates, &c.Abandoned, &c.HealthChecks,
+		&c.BytesIn, &c.BytesOut, &c.Connections.Accepted}
+}
--- a/internal/emulator/load/report.go
+++ b/internal/emulator/load/report.go
@@ -1,6 +1,7 @@
 package load
 
 import (
+	"oakproxy/internal/emulator/counter"
 	"sync"
 	"syscall"
 	"time"
@@ -75,20 +76,11 @@
 	r.SendDelay.Merge(other.SendDelay)
 }
 
-func (c *Counts) add(other Counts) {
-	c.Planned += other.Planned
-	c.Served += other.Served
-	c.Rejected += other.Rejected
-	c.Failed += other.Failed
-	c.Mismatched += other.Mismatched
-	c.TimedOut += other.TimedOut
-	c.Broken += other.Broken
-	c.Cancelled += other.Cancelled
-	c.Unsent += other.Unsent
-	c.Resent += other.Resent
-	c.Connections += other.Connections
-	c.BytesIn += other.BytesIn
-	c.BytesOut += other.BytesOut
+func (c *Counts) add(other Counts) { counter.Add(c.counters(), other.counters()) }
+
+func (c *Counts) counters() []*uint64 {
+	return []*uint64{&c.Planned, &c.Served, &c.Rejected, &c.Failed, &c.Mismatched, &c.TimedOut, &c.Broken, &c.Cancelled,
+		&c.Unsent, &c.Resent, &c.Connections, &c.BytesIn, &c.BytesOut}
 }
 
 // recorder gathers a Report from concurrent requests.
--- a/internal/emulator/play/measure.go
+++ b/internal/emulator/play/measure.go
@@ -66,7 +66,7 @@
 	counts, err := callAll[control.Empty, endpoint.Counts](ctx, r.endpointWorkers, worker.CountEndpoints, control.Empty{})
 	var sum endpoint.Counts
 	for _, some := range counts {
-		worker.AddEndpointCounts(&sum, some)
+		sum.Add(some)
 	}
 	return sum, err
 }
@@ -212,9 +212,9 @@
 			phase.OutOfDescriptors = true
 		}
 	}
-	phase.Discovery = result.DiscoverySince(s.discovery, earlier.discovery)
-	phase.Endpoints = result.EndpointsSince(s.endpoints, earlier.endpoints)
-	phase.Simulated = result.HollowSince(s.simulated, earlier.simulated)
+	phase.Discovery = s.discovery.Since(earlier.discovery)
+	phase.Endpoints = s.endpoints.Since(earlier.endpoints)
+	phase.Simulated = s.simulated.Since(earlier.simulated)
 }
 
 // loadResult is what came of the load of a phase.
--- a/internal/emulator/play/start.go
+++ b/internal/emulator/play/start.go
@@ -167,7 +167,7 @@
 		return err
 	}
 	r.run.Startup = result.Startup{Seconds: took.Seconds(), RealReady: real, SimulatedReady: hollow,
-		Discovery: result.DiscoverySince(after, before)}
+		Discovery: after.Since(before)}
 	if hollow.Missing > 0 {
 		return errors.New("not all hollow sidecars are ready within limits.ready")
 	}
--- a/internal/emulator/registry/counts.go
+++ b/internal/emulator/registry/counts.go
@@ -7,6 +7,7 @@
 
 	"golang.org/x/sys/unix"
 
+	"oakproxy/internal/emulator/counter"
 	"oakproxy/internal/emulator/httpconn"
 )
 
@@ -33,6 +34,20 @@
 	ProcessCPU time.Duration
 }
 
+// Since returns the counts since an earlier reading. Open connections are as they are now.
+func (c Counts) Since(earlier Counts) Counts {
+	counter.Subtract(c.counters(), earlier.counters())
+	c.HandlingCPU -= earlier.HandlingCPU
+	c.ProcessCPU -= earlier.ProcessCPU
+	return c
+}
+
+// counters lists all counters but the processor times.
+func (c *Counts) counters() []*uint64 {
+	return []*uint64{&c.ListCalls, &c.WatchCalls, &c.CompleteResponses, &c.DeltaResponses, &c.EmptyResponses,
+		&c.Unavailable, &c.NotFound, &c.Reset, &c.BytesIn, &c.BytesOut, &c.Connections.Accepted}
+}
+
 // counters are the live form of Counts.
 type counters struct {
 	listCalls, watchCalls                             atomic.Uint64
--- /dev/null
+++ b/internal/emulator/result/counts_test.go
@@ -0,0 +1,66 @@
+package result
+
+import (
+	"reflect"
+	"testing"
+
+	"oakproxy/internal/emulator/endpoint"
+	"oakproxy/internal/emulator/load"
+	"oakproxy/internal/emulator/registry"
+	"oakproxy/internal/emulator/worker"
+)
+
+// setCounters sets every field of type uint64 or time.Duration, those of nested structs included.
+func setCounters(fields reflect.Value, value int) {
+	for i := range fields.NumField() {
+		switch field := fields.Field(i); field.Kind() {
+		case reflect.Uint64:
+			field.SetUint(uint64(value))
+		case reflect.Int64:
+			field.SetInt(int64(value))
+		case reflect.Struct:
+			setCounters(field, value)
+		}
+	}
+}
+
+// filled returns counts whose counters all have a value.
+func filled[Counts any](value int) (counts Counts) {
+	setCounters(reflect.ValueOf(&counts).Elem(), value)
+	return counts
+}
+
+func checkSince[Counts interface {
+	comparable
+	Since(Counts) Counts
+}](t *testing.T) {
+	t.Helper()
+	if got, want := filled[Counts](5).Since(filled[Counts](2)), filled[Counts](3); got != want {
+		t.Errorf("got %+v, want %+v", got, want)
+	}
+}
+
+func TestSinceSubtractsEveryCounter(t *testing.T) {
+	checkSince[registry.Counts](t)
+	checkSince[endpoint.Counts](t)
+	checkSince[worker.SidecarCounts](t)
+}
+
+func TestSumsAddEveryCounter(t *testing.T) {
+	endpoints := filled[endpoint.Counts](2)
+	endpoints.Add(filled[endpoint.Counts](3))
+	if want := filled[endpoint.Counts](5); endpoints != want {
+		t.Errorf("got %+v, want %+v", endpoints, want)
+	}
+	sidecars := filled[worker.SidecarCounts](2)
+	sidecars.Add(filled[worker.SidecarCounts](3))
+	if want := filled[worker.SidecarCounts](5); sidecars != want {
+		t.Errorf("got %+v, want %+v", sidecars, want)
+	}
+	first, second := load.NewReport(), load.NewReport()
+	first.Counts, second.Counts = filled[load.Counts](2), filled[load.Counts](3)
+	first.Merge(second)
+	if want := filled[load.Counts](5); first.Counts != want {
+		t.Errorf("got %+v, want %+v", first.Counts, want)
+	}
+}
--- a/internal/emulator/sidecarlog/events.go
+++ b/internal/emulator/sidecarlog/events.go
@@ -7,6 +7,7 @@
 
 import (
 	"context"
+	"oakproxy/internal/emulator/counter"
 	"sync"
 	"time"
 )
@@ -44,11 +45,16 @@
 }
 
 // Add adds another sidecar's counts.
-func (c *Counts) Add(other Counts) {
-	c.CompleteLists += other.CompleteLists
-	c.ListChanges += other.ListChanges
-	c.ConfigsApplied += other.ConfigsApplied
-	c.ConfigsRejected += other.ConfigsRejected
+func (c *Counts) Add(other Counts) { counter.Add(c.counters(), other.counters()) }
+
+// Since returns the counts since an earlier reading.
+func (c Counts) Since(earlier Counts) Counts {
+	counter.Subtract(c.counters(), earlier.counters())
+	return c
+}
+
+func (c *Counts) counters() []*uint64 {
+	return []*uint64{&c.CompleteLists, &c.ListChanges, &c.ConfigsApplied, &c.ConfigsRejected}
 }
 
 // New returns the Events of a sidecar that is about to start.
--- a/internal/emulator/worker/endpoints.go
+++ b/internal/emulator/worker/endpoints.go
@@ -89,27 +89,11 @@
 	s.mu.Unlock()
 	var sum endpoint.Counts
 	for _, name := range names {
-		AddEndpointCounts(&sum, s.endpoints[name].Counts())
+		sum.Add(s.endpoints[name].Counts())
 	}
 	return sum, nil
 }
 
-// AddEndpointCounts adds an endpoint's figures to those of others.
-func AddEndpointCounts(sum *endpoint.Counts, counts endpoint.Counts) {
-	sum.Requests += counts.Requests
-	sum.Served += counts.Served
-	sum.Rejected += counts.Rejected
-	sum.MissingIDs += counts.MissingIDs
-	sum.Duplicates += counts.Duplicates
-	sum.Abandoned += counts.Abandoned
-	sum.HealthChecks += counts.HealthChecks
-	sum.BytesIn += counts.BytesIn
-	sum.BytesOut += counts.BytesOut
-	sum.Connections.Accepted += counts.Connections.Accepted
-	sum.Connections.Open += counts.Connections.Open
-	sum.Connections.MaxOpen += counts.Connections.MaxOpen
-}
-
 func (s *endpointService) close() {
 	var closing sync.WaitGroup
 	for _, e := range s.endpoints {
--- a/internal/emulator/worker/sidecars.go
+++ b/internal/emulator/worker/sidecars.go
@@ -183,6 +183,13 @@
 	}
 }
 
+// Since returns the counts since an earlier reading. What is running is as it is now.
+func (c SidecarCounts) Since(earlier SidecarCounts) SidecarCounts {
+	c.Counts = c.Counts.Since(earlier.Counts)
+	c.Failed -= earlier.Failed
+	return c
+}
+
 // close stops the sidecars without waiting for their graceful shutdown: the process ends with them.
 func (s *sidecarService) close() {
 	s.mu.Lock()
