--- a/internal/emulator/load/load_test.go
+++ b/internal/emulator/load/load_test.go
@@ -49,7 +49,7 @@
 
 func TestScheduleMatchesThePlanAndItsSeed(t *testing.T) {
 	plan := Plan{Targets: []string{"a", "b"}, Rate: 1000, Duration: 10 * time.Second, Seed: 7, Tenants: []string{"t1", "t2"},
-		Classes: []Class{{Name: "search", Weight: 3}, {Name: "checkout", Idempotent: true, Weight: 1}}}
+		Classes: []Class{{Name: "search", Weight: 3}, {Name: "checkout", HasIdempotencyKey: true, Weight: 1}}}
 	all := requests(t, plan)
 	if len(all) < 9500 || len(all) > 10500 {
 		t.Errorf("%d requests, want about 10000", len(all))
@@ -205,7 +205,7 @@
 	}
 	defer e.Close()
 	report := run(context.Background(), t, Plan{Targets: []string{e.Address()}, Rate: 2000, MaxRequests: 50, Direct: true, Seed: 1,
-		Classes: []Class{{Name: "search", Weight: 1}, {Name: "checkout", Idempotent: true, Weight: 1}}})
+		Classes: []Class{{Name: "search", Weight: 1}, {Name: "checkout", HasIdempotencyKey: true, Weight: 1}}})
 	if got := e.Counts(); report.Counts.Served != 50 || got.Requests != 50 || got.Duplicates != 0 ||
 		report.Counts.BytesOut != got.BytesIn || !report.Direct {
 		t.Errorf("generator %+v, endpoint %+v", report.Counts, got)
--- a/internal/emulator/load/plan.go
+++ b/internal/emulator/load/plan.go
@@ -24,11 +24,11 @@
 
 // Class is a kind of request.
 type Class struct {
-	Name       string
-	Method     string        // GET or POST; empty: GET, or POST if Keyed
-	Idempotent bool          // has an Idempotency-Key
-	Timeout    time.Duration // how long a client waits for the answer; 0: 1 s
-	Weight     float64       // of all requests, against the other classes' shares
+	Name              string
+	Method            string        // GET or POST; empty: GET, or POST if Keyed
+	HasIdempotencyKey bool          // has an Idempotency-Key
+	Timeout           time.Duration // how long a client waits for the answer; 0: 1 s
+	Weight            float64       // of all requests, against the other classes' shares
 }
 
 // Plan is what a generator sends.
@@ -83,7 +83,7 @@
 }
 
 func (c Class) withDefaults() Class {
-	if c.Method == "" && c.Idempotent {
+	if c.Method == "" && c.HasIdempotencyKey {
 		c.Method = http.MethodPost
 	}
 	if c.Method == "" {
--- a/internal/emulator/load/schedule.go
+++ b/internal/emulator/load/schedule.go
@@ -55,7 +55,7 @@
 		id:          fmt.Sprintf("%016x", s.random.Uint64()),
 		sessionKey:  fmt.Sprintf("%016x", s.random.Uint64N(sessionKeyCount)),
 	}
-	if next.class.Idempotent {
+	if next.class.HasIdempotencyKey {
 		next.idempotencyKey = fmt.Sprintf("%016x%016x", s.random.Uint64(), s.random.Uint64())
 	}
 	return next, true
--- a/internal/emulator/play/endpoints.go
+++ b/internal/emulator/play/endpoints.go
@@ -8,14 +8,14 @@
 	"oakproxy/internal/emulator/worker"
 )
 
-// startEndpoints starts the endpoints, and tells discovery of them.
+// startEndpoints starts the endpoints and lists them in discovery.
 func (r *runner) startEndpoints(ctx context.Context) error {
-	asked := r.assignEndpoints()
+	requests := r.assignEndpoints()
 	var err error
-	if r.endpointWorkers, err = r.startWorkers(worker.EndpointsRole, len(asked)); err != nil {
+	if r.endpointWorkers, err = r.startWorkers(worker.EndpointsRole, len(requests)); err != nil {
 		return err
 	}
-	started, err := callEach[worker.EndpointConfigs, worker.Incarnations](ctx, r.endpointWorkers, worker.StartEndpoints, asked)
+	started, err := callEach[worker.EndpointConfigs, worker.Incarnations](ctx, r.endpointWorkers, worker.StartEndpoints, requests)
 	if err != nil {
 		return err
 	}
@@ -24,69 +24,69 @@
 	return r.registry.Call(ctx, worker.SetInstances, list, nil)
 }
 
-// assignEndpoints spreads the endpoints over workers, and returns what each is to start.
+// assignEndpoints assigns the endpoints to workers, and returns what each worker has to start.
 func (r *runner) assignEndpoints() []worker.EndpointConfigs {
 	perWorker := r.spec().Fleet.EndpointsPerWorker
-	asked := make([]worker.EndpointConfigs, (len(r.layout.Endpoints)+perWorker-1)/perWorker)
+	requests := make([]worker.EndpointConfigs, (len(r.layout.Endpoints)+perWorker-1)/perWorker)
 	for i, e := range r.layout.Endpoints {
-		stand := i % len(asked)
-		r.endpointWorkerOf[e.Name] = stand
-		asked[stand].Configs = append(asked[stand].Configs, r.layout.Config(e, r.spec()))
+		index := i % len(requests)
+		r.endpointWorkerOf[e.Name] = index
+		requests[index].Configs = append(requests[index].Configs, r.layout.Config(e, r.spec()))
 	}
-	return asked
+	return requests
 }
 
-// recordIncarnations takes up where endpoints are reached.
+// recordIncarnations records where endpoints are reached.
 func (r *runner) recordIncarnations(all []worker.Incarnations) {
 	r.incarnationsMu.Lock()
 	defer r.incarnationsMu.Unlock()
-	for _, some := range all {
-		for _, life := range some.Endpoints {
-			r.incarnations[life.Name] = life
+	for _, one := range all {
+		for _, incarnation := range one.Endpoints {
+			r.incarnations[incarnation.Name] = incarnation
 		}
 	}
 }
 
-// instances returns what discovery is to tell of endpoints.
-func (r *runner) instances(of []fleet.Endpoint, health string) []registry.Instance {
+// instances returns the entries of endpoints in discovery's list.
+func (r *runner) instances(endpoints []fleet.Endpoint, health string) []registry.Instance {
 	r.incarnationsMu.Lock()
 	defer r.incarnationsMu.Unlock()
-	list := make([]registry.Instance, len(of))
-	for i, e := range of {
-		life := r.incarnations[e.Name]
-		list[i] = r.layout.Instance(e, life.Address, health, life.StartedMS)
+	list := make([]registry.Instance, len(endpoints))
+	for i, e := range endpoints {
+		incarnation := r.incarnations[e.Name]
+		list[i] = r.layout.Instance(e, incarnation.Address, health, incarnation.StartedMS)
 	}
 	return list
 }
 
-// applyAction does something to endpoints, and takes up what has changed.
-func (r *runner) applyAction(ctx context.Context, action worker.Action, of []fleet.Endpoint) error {
-	names := make([][]string, len(r.endpointWorkers))
-	for _, e := range of {
-		stand := r.endpointWorkerOf[e.Name]
-		names[stand] = append(names[stand], e.Name)
+// applyAction applies an action to endpoints, and records their new incarnations.
+func (r *runner) applyAction(ctx context.Context, action worker.Action, endpoints []fleet.Endpoint) error {
+	names := make([][]string, len(r.endpointWorkers)) // by worker
+	for _, e := range endpoints {
+		index := r.endpointWorkerOf[e.Name]
+		names[index] = append(names[index], e.Name)
 	}
-	var stands []*workerProcess
-	var asked []worker.EndpointAction
-	for stand, some := range names {
+	var workers []*workerProcess
+	var requests []worker.EndpointAction
+	for index, some := range names {
 		if len(some) > 0 {
-			stands = append(stands, r.endpointWorkers[stand])
-			asked = append(asked, worker.EndpointAction{Action: action, Names: some})
+			workers = append(workers, r.endpointWorkers[index])
+			requests = append(requests, worker.EndpointAction{Action: action, Names: some})
 		}
 	}
-	lives, err := callEach[worker.EndpointAction, worker.Incarnations](ctx, stands, worker.ActOnEndpoints, asked)
-	r.recordIncarnations(lives)
+	incarnations, err := callEach[worker.EndpointAction, worker.Incarnations](ctx, workers, worker.ActOnEndpoints, requests)
+	r.recordIncarnations(incarnations)
 	return err
 }
 
-// announce tells discovery of endpoints, and returns the version that tells it.
-func (r *runner) announce(ctx context.Context, of []fleet.Endpoint, health string) (worker.ListVersion, error) {
+// announce updates endpoints in discovery's list, and returns the version with the update.
+func (r *runner) announce(ctx context.Context, endpoints []fleet.Endpoint, health string) (worker.ListVersion, error) {
 	var version worker.ListVersion
-	err := r.registry.Call(ctx, worker.UpdateInstances, worker.Instances{Instances: r.instances(of, health)}, &version)
+	err := r.registry.Call(ctx, worker.UpdateInstances, worker.Instances{Instances: r.instances(endpoints, health)}, &version)
 	return version, err
 }
 
-// addresses returns where endpoints that get load are reached.
+// addresses returns the addresses of the endpoints that get load.
 func (r *runner) addresses() []string {
 	r.incarnationsMu.Lock()
 	defer r.incarnationsMu.Unlock()
--- a/internal/emulator/play/loadplan.go
+++ b/internal/emulator/play/loadplan.go
@@ -3,6 +3,7 @@
 import (
 	"context"
 	"math"
+	"net/http"
 
 	"oakproxy/internal/emulator/control"
 	"oakproxy/internal/emulator/load"
@@ -10,14 +11,14 @@
 	"oakproxy/internal/emulator/worker"
 )
 
-// loadResult is what came of the load of a phase.
+// loadResult is the result of the load of a phase.
 type loadResult struct {
 	reports worker.LoadReports
 	err     error
 }
 
-// startLoad begins to send requests through the real sidecars and straight to endpoints.
-// It returns nil for a phase without load.
+// startLoad starts sending requests through the real sidecars and directly to endpoints. It returns nil for a
+// phase without load.
 func (r *runner) startLoad(ctx context.Context, loaded bool) <-chan loadResult {
 	plans := worker.LoadPlans{Proxied: r.proxiedPlan(), Direct: r.directPlan()}
 	if !loaded || len(plans.Proxied.Targets) == 0 {
@@ -32,7 +33,7 @@
 	return done
 }
 
-// stopLoad ends the load of a phase and returns what came of it.
+// stopLoad stops the load of a phase and returns its result.
 func (r *runner) stopLoad(ctx context.Context, sending <-chan loadResult) (worker.LoadReports, error) {
 	if sending == nil {
 		return worker.LoadReports{}, nil
@@ -49,7 +50,7 @@
 	return sent.reports, sent.err
 }
 
-// proxiedPlan is the load on the real sidecars.
+// proxiedPlan returns the load on the real sidecars.
 func (r *runner) proxiedPlan() load.Plan {
 	var targets []string
 	for _, s := range r.real {
@@ -60,7 +61,7 @@
 	return r.newPlan(targets, r.spec().Load.CallsPerSecond*float64(len(targets)), false)
 }
 
-// directPlan is the load straight to endpoints, for comparison.
+// directPlan returns the load directly on endpoints, for comparison.
 func (r *runner) directPlan() load.Plan {
 	rate := r.spec().Load.DirectCallsPerSecond
 	if rate <= 0 {
@@ -69,6 +70,7 @@
 	return r.newPlan(r.addresses(), rate, true)
 }
 
+// newPlan returns a plan of this rate over all targets, in requests a second.
 func (r *runner) newPlan(targets []string, rate float64, direct bool) load.Plan {
 	plan := load.Plan{
 		Targets:     targets,
@@ -86,7 +88,7 @@
 	return plan
 }
 
-// loadSeed is a seed that no other plan of the run has: requests must not share their ids.
+// loadSeed returns a seed that no other plan of the run has: requests must not share their IDs.
 func (r *runner) loadSeed(direct bool) uint64 {
 	const maxPlans = 16
 	plan := uint64(2 * len(r.run.Phases))
@@ -96,19 +98,24 @@
 	return r.options.Seed*maxPlans + plan
 }
 
+// loadClass returns a class of the scenario file as the load generator's.
 func loadClass(class spec.Class) load.Class {
-	next := load.Class{Name: class.Name, Timeout: class.Timeout.Std(), Weight: class.Weight}
+	converted := load.Class{
+		Name:              class.Name,
+		Timeout:           class.Timeout.Std(),
+		Weight:            class.Weight,
+		HasIdempotencyKey: class.Idempotency == spec.IdempotentWithKey,
+	}
 	if class.Idempotency != spec.Idempotent {
-		next.Method = "POST"
+		converted.Method = http.MethodPost
 	}
-	next.Idempotent = class.Idempotency == spec.IdempotentWithKey
-	return next
+	return converted
 }
 
-// requestBudget is a plan's part of the requests that are left, by its rate.
+// requestBudget returns a plan's part, by its rate, of the requests that remain of limits.requests.
 func (r *runner) requestBudget(rate float64) int {
 	loads := r.spec().Load
-	whole := loads.CallsPerSecond*float64(len(r.real)) + loads.DirectCallsPerSecond
-	left := float64(r.spec().Limits.Requests - r.requests)
-	return max(1, int(math.Floor(left*rate/whole)))
+	totalRate := loads.CallsPerSecond*float64(len(r.real)) + loads.DirectCallsPerSecond
+	remaining := float64(r.spec().Limits.Requests - r.requests)
+	return max(1, int(math.Floor(remaining*rate/totalRate)))
 }
--- a/internal/emulator/play/measure.go
+++ b/internal/emulator/play/measure.go
@@ -8,19 +8,27 @@
 	"oakproxy/internal/emulator/result"
 )
 
-// action is what happens in a phase beside the load.
+// action is what happens in a phase in addition to the load. It records its results in the phase.
 type action func(ctx context.Context, phase *result.Phase) error
 
-// measure plays a phase: for a time, and until its action is done, if it has one.
-func (r *runner) measure(ctx context.Context, name string, length time.Duration, loaded bool, do action) error {
-	r.setPhase(name)
-	phase := result.Phase{Name: name}
+// phasePlan describes a phase to measure.
+type phasePlan struct {
+	name     string
+	duration time.Duration // at least; the action may take longer
+	loaded   bool          // requests are sent
+	action   action        // nil: none
+}
+
+// measure plays a phase: for its duration, and until its action is done.
+func (r *runner) measure(ctx context.Context, plan phasePlan) error {
+	r.setPhase(plan.name)
+	phase := result.Phase{Name: plan.name}
 	before, err := r.takeSnapshot(ctx)
 	if err != nil {
 		return err
 	}
-	sending := r.startLoad(ctx, loaded)
-	err = r.runAction(ctx, &phase, length, do)
+	sending := r.startLoad(ctx, plan.loaded)
+	err = plan.run(ctx, &phase)
 	reports, loadErr := r.stopLoad(ctx, sending)
 	if err := errors.Join(err, loadErr); err != nil {
 		return err
@@ -35,13 +43,13 @@
 	return nil
 }
 
-// runAction does an action, and waits until the phase has had its time.
-func (r *runner) runAction(ctx context.Context, phase *result.Phase, length time.Duration, do action) error {
-	ends := time.Now().Add(length)
-	if do != nil {
-		if err := do(ctx, phase); err != nil {
+// run runs the plan's action and waits until the duration is over.
+func (p phasePlan) run(ctx context.Context, phase *result.Phase) error {
+	end := time.Now().Add(p.duration)
+	if p.action != nil {
+		if err := p.action(ctx, phase); err != nil {
 			return err
 		}
 	}
-	return pause(ctx, time.Until(ends))
+	return pause(ctx, time.Until(end))
 }
--- a/internal/emulator/play/monitor.go
+++ b/internal/emulator/play/monitor.go
@@ -14,11 +14,11 @@
 	progressInterval = 2 * time.Second
 )
 
-// monitor watches the run's memory and reports progress, until ctx ends.
+// monitor ends a run that exceeds its memory limit, and reports progress, until ctx is done.
 func (r *runner) monitor(ctx context.Context) {
 	tick := time.NewTicker(monitorInterval)
 	defer tick.Stop()
-	began, told := time.Now(), time.Now()
+	start, reportedAt := time.Now(), time.Now()
 	cpu, _ := process.ReadMachineCPU() // without it, the progress line tells less
 	for {
 		select {
@@ -32,27 +32,27 @@
 			r.cancel(errMemory)
 			return
 		}
-		if time.Since(told) >= progressInterval {
+		if time.Since(reportedAt) >= progressInterval {
 			now, _ := process.ReadMachineCPU()
-			r.reportProgress(time.Since(began), residentKB, now.BusyShare(cpu))
-			told, cpu = time.Now(), now
+			r.reportProgress(time.Since(start), residentKB, now.BusyShare(cpu))
+			reportedAt, cpu = time.Now(), now
 		}
 	}
 }
 
-// residentKB is the memory that the emulator and its children hold.
+// residentKB returns the resident memory of the emulator and its children.
 func (r *runner) residentKB() int64 {
 	own, _ := process.ResidentKB(os.Getpid()) // without it, the children count alone
 	return own + r.group.ResidentKB()
 }
 
-// reportProgress writes a line on how the run goes.
-func (r *runner) reportProgress(since time.Duration, residentKB int64, busy float64) {
+// reportProgress writes a progress line.
+func (r *runner) reportProgress(elapsed time.Duration, residentKB int64, busyShare float64) {
 	if r.options.Progress == nil {
 		return
 	}
 	size := r.options.Size
 	fmt.Fprintf(r.options.Progress, "%s %d sidecars (%d real), %d endpoints, play %d: %3.0f s, %s; %d processes, %d MB, machine %.0f%% busy\n",
-		r.options.Name, size.Sidecars, size.Real, size.Endpoints, r.options.Play, since.Seconds(), *r.phase.Load(),
-		len(r.group.Children()), residentKB/kbPerMB, busy*100)
+		r.options.Name, size.Sidecars, size.Real, size.Endpoints, r.options.Play, elapsed.Seconds(), *r.phase.Load(),
+		len(r.group.Children()), residentKB/kbPerMB, busyShare*100)
 }
--- a/internal/emulator/play/options.go
+++ b/internal/emulator/play/options.go
@@ -1,5 +1,9 @@
-// Package play plays a scenario: it starts a fleet, lets happen to it what the
-// scenario says, measures, and ends all that it started.
+// Package play plays a scenario and measures it.
+//
+// It starts a fleet of worker processes and sidecars on the loopback interface, injects the scenario's changes
+// and faults, sends load, reads counters at the ends of each phase, and stops all that it started, however the
+// run ends. The limits of the scenario file bound a run's time, memory and requests. It neither stores nor
+// interprets the results: package result does.
 package play
 
 import (
@@ -14,30 +18,30 @@
 	"oakproxy/internal/emulator/spec"
 )
 
-// Options are what to play, and with which programs.
+// Options say what to play, and with which programs.
 type Options struct {
 	File     *spec.File
 	Name     string // of the scenario
 	Scenario spec.Scenario
 	Size     spec.Size
-	Play     int // which play of this size it is
+	Play     int // number of this play among those of the same size, from 1
 	Seed     uint64
 	Commit   string
 
-	Emulator    Program // run with a role as its last argument, it is a worker
+	Emulator    Program // becomes a worker when run with a role as its last argument
 	Sidecar     Program
-	Progress    io.Writer // lines on how the run goes; nil: none
-	ScratchRoot string    // where the folder for configuration files is made; empty: the system's
+	Progress    io.Writer // receives progress lines; nil: none
+	ScratchRoot string    // parent of the directory for configuration files; empty: the system's
 }
 
-// Program is a program to run.
+// Program is a program and the arguments and environment to run it with.
 type Program struct {
 	Path        string
 	Arguments   []string
 	Environment []string
 }
 
-// Validate finds what keeps a scenario from being played. Nothing has been started by then.
+// Validate returns what keeps a scenario from being played, as a *spec.InputError where it is the user's input.
 func (o Options) Validate() error {
 	if err := o.Size.Validate(); err != nil {
 		return err
@@ -62,9 +66,9 @@
 
 const kbPerMB = 1024
 
-// machine describes this machine.
+// machine returns a description of this machine.
 func machine() result.Machine {
-	memoryKB, _ := process.MachineMemoryKB() // has been read before
+	memoryKB, _ := process.MachineMemoryKB() // Validate has read it before
 	kernel, _ := os.ReadFile("/proc/sys/kernel/osrelease")
 	return result.Machine{
 		Cores:    runtime.NumCPU(),
--- a/internal/emulator/play/real.go
+++ b/internal/emulator/play/real.go
@@ -17,15 +17,15 @@
 const (
 	readyPath      = "/health/ready"
 	readyPoll      = 20 * time.Millisecond
-	configVariable = "BALANCER_CONFIG"
+	configVariable = "BALANCER_CONFIG" // environment variable with the path of the configuration file
 
-	// Real sidecars listen on 127.32.x.y, so that each has an address of its own and no
-	// connection of others takes the port.
+	// Real sidecars listen on 127.32.x.y, so that each has an address of its own and no outgoing
+	// connection of another process takes its port.
 	realOctet     = 32
 	hostsPerOctet = 250
 )
 
-// realSidecar is a sidecar in a process of its own.
+// realSidecar is a sidecar in a process of its own. Its child is nil while no process runs.
 type realSidecar struct {
 	fleet.Sidecar
 	listen    string
@@ -36,10 +36,10 @@
 	pastUsage process.Usage // of earlier processes
 }
 
-// reserveAddress asks the system for a free port of a real sidecar's own address.
+// reserveAddress returns a free port of the real sidecar's own address. It is only free: nothing holds it.
 func reserveAddress(number int) (string, error) {
-	host := fmt.Sprintf("127.%d.%d.%d:0", realOctet, number/hostsPerOctet, 1+number%hostsPerOctet)
-	listener, err := net.Listen("tcp", host)
+	address := fmt.Sprintf("127.%d.%d.%d:0", realOctet, number/hostsPerOctet, 1+number%hostsPerOctet)
+	listener, err := net.Listen("tcp", address)
 	if err != nil {
 		return "", err
 	}
@@ -67,7 +67,7 @@
 	return nil
 }
 
-// killReal ends a real sidecar's process at once, as the loss of its machine does.
+// killReal kills a real sidecar's process, as the loss of its machine does.
 func (r *runner) killReal(s *realSidecar) error {
 	usage, err := process.ReadUsage(s.child.PID())
 	if err != nil {
@@ -83,8 +83,7 @@
 	return nil
 }
 
-// awaitReal waits until a real sidecar is ready, and returns how long that took from
-// its start.
+// awaitReady waits until a real sidecar is ready, and returns the time from its start.
 func (s *realSidecar) awaitReady(ctx context.Context) (time.Duration, error) {
 	client := http.Client{Transport: &http.Transport{DisableKeepAlives: true}}
 	for {
--- a/internal/emulator/play/replace.go
+++ b/internal/emulator/play/replace.go
@@ -10,46 +10,47 @@
 	"oakproxy/internal/emulator/worker"
 )
 
-// propagationTimeout is how long a change of the list may take until it counts as missing.
+// propagationTimeout is how long a version of the endpoint list may take to reach a sidecar until it counts
+// as missing.
 const propagationTimeout = 10 * time.Second
 
-// propagation gathers how long sidecars took to hear of changes.
+// propagation collects how long versions of the endpoint list took to reach sidecars.
 type propagation struct {
 	delays  []time.Duration
 	missing int
 }
 
-func (h *propagation) distribution(what string) result.Distribution {
-	return result.NewDistribution(what, len(h.delays)+h.missing, h.delays)
+func (p *propagation) distribution(what string) result.Distribution {
+	return result.NewDistribution(what, len(p.delays)+p.missing, p.delays)
 }
 
-// awaitList waits until every hollow sidecar has heard of a version of the list.
+// awaitList waits until every simulated sidecar has received a version of the list.
 func (r *runner) awaitList(ctx context.Context, version worker.ListVersion, times *propagation) error {
-	asked := worker.Await{Version: version.Number, Timeout: propagationTimeout}
-	heard, err := callAll[worker.Await, worker.Completions](ctx, r.sidecarWorkers, worker.AwaitList, asked)
+	request := worker.Await{Version: version.Number, Timeout: propagationTimeout}
+	received, err := callAll[worker.Await, worker.Completions](ctx, r.sidecarWorkers, worker.AwaitList, request)
 	if err != nil {
 		return err
 	}
-	for _, some := range heard {
-		times.missing += len(some.Missing)
-		for _, arrival := range some.Completed {
-			// One that started later read it with its first list.
-			if arrival.StartedAt.Before(version.CreatedAt) {
-				times.delays = append(times.delays, arrival.At.Sub(version.CreatedAt))
+	for _, completions := range received {
+		times.missing += len(completions.Missing)
+		for _, completion := range completions.Completed {
+			// A sidecar that started later got the version with its first list.
+			if completion.StartedAt.Before(version.CreatedAt) {
+				times.delays = append(times.delays, completion.At.Sub(version.CreatedAt))
 			}
 		}
 	}
 	return nil
 }
 
-// replacement is an endpoint that restarts, with the hollow sidecar of its application.
+// replacement is an endpoint that restarts, and the simulated sidecar of the same application.
 type replacement struct {
 	endpoint fleet.Endpoint
 	sidecar  fleet.Sidecar
-	worker   int // of the sidecar
+	worker   int // index of the sidecar's
 }
 
-// playReplace restarts endpoints and their sidecars one after the other.
+// playReplace restarts endpoints and their sidecars one by one.
 func playReplace(ctx context.Context, r *runner) error {
 	chosen := r.chooseReplacements(r.options.Scenario.Events)
 	for _, c := range chosen {
@@ -58,18 +59,17 @@
 	if err := r.measureLoaded(ctx); err != nil {
 		return err
 	}
-	return r.measure(ctx, "replace", 0, true, func(ctx context.Context, phase *result.Phase) error {
-		return r.replaceAll(ctx, phase, chosen)
-	})
+	return r.measure(ctx, phasePlan{name: "replace", loaded: true,
+		action: func(ctx context.Context, phase *result.Phase) error { return r.replaceAll(ctx, phase, chosen) }})
 }
 
-// chooseReplacements picks hollow sidecars, spread evenly over the fleet, that have an endpoint.
+// chooseReplacements chooses simulated sidecars that have an endpoint, evenly over the fleet.
 func (r *runner) chooseReplacements(count int) []replacement {
 	var all []replacement
-	for host, some := range r.simulated {
-		for _, s := range some {
+	for index, group := range r.simulated {
+		for _, s := range group {
 			if s.Position < len(r.layout.Endpoints) {
-				all = append(all, replacement{r.layout.Endpoints[s.Position], s, host})
+				all = append(all, replacement{endpoint: r.layout.Endpoints[s.Position], sidecar: s, worker: index})
 			}
 		}
 	}
@@ -81,15 +81,14 @@
 	return chosen
 }
 
-// replacementResult is what came of one replacement.
+// replacementResult is the outcome of one replacement.
 type replacementResult struct {
 	drain, ready propagation
 	startup      result.Distribution
 	err          error
 }
 
-// replaceAll plays replacements at the scenario's pace; they overlap where the drain
-// takes longer than that.
+// replaceAll starts replacements at the scenario's interval. They overlap if draining takes longer than that.
 func (r *runner) replaceAll(ctx context.Context, phase *result.Phase, chosen []replacement) error {
 	results := make(chan replacementResult, len(chosen))
 	next := time.Now()
@@ -125,12 +124,12 @@
 	return failure
 }
 
-func (h *propagation) add(other propagation) {
-	h.delays = append(h.delays, other.delays...)
-	h.missing += other.missing
+func (p *propagation) add(other propagation) {
+	p.delays = append(p.delays, other.delays...)
+	p.missing += other.missing
 }
 
-// replace drains an endpoint and its sidecar and starts both anew.
+// replace drains an endpoint and its sidecar and restarts both.
 func (r *runner) replace(ctx context.Context, c replacement) (done replacementResult) {
 	done.err = r.drainOne(ctx, c, &done)
 	if done.err == nil {
@@ -139,9 +138,9 @@
 	return done
 }
 
-// drainOne announces the end of an endpoint, and ends its sidecar.
+// drainOne announces that an endpoint terminates, drains it and shuts its sidecar down.
 func (r *runner) drainOne(ctx context.Context, c replacement, done *replacementResult) error {
-	ends := time.Now().Add(r.options.Scenario.Drain.Std())
+	end := time.Now().Add(r.options.Scenario.Drain.Std())
 	version, err := r.announce(ctx, []fleet.Endpoint{c.endpoint}, registry.Terminating)
 	if err != nil {
 		return err
@@ -156,10 +155,10 @@
 	if err := r.awaitList(ctx, version, &done.drain); err != nil {
 		return err
 	}
-	return pause(ctx, time.Until(ends))
+	return pause(ctx, time.Until(end))
 }
 
-// restartOne starts an endpoint and its sidecar anew, and announces it.
+// restartOne restarts an endpoint and its sidecar, and announces the endpoint.
 func (r *runner) restartOne(ctx context.Context, c replacement, done *replacementResult) error {
 	if err := r.applyAction(ctx, worker.Restart, []fleet.Endpoint{c.endpoint}); err != nil {
 		return err
@@ -168,9 +167,9 @@
 	if err != nil {
 		return err
 	}
-	byHost := make([][]fleet.Sidecar, len(r.sidecarWorkers))
-	byHost[c.worker] = []fleet.Sidecar{c.sidecar}
-	if done.startup, err = r.startSimulated(ctx, byHost, 0); err != nil {
+	byWorker := make([][]fleet.Sidecar, len(r.sidecarWorkers))
+	byWorker[c.worker] = []fleet.Sidecar{c.sidecar}
+	if done.startup, err = r.startSimulated(ctx, byWorker, 0); err != nil {
 		return err
 	}
 	return r.awaitList(ctx, version, &done.ready)
--- a/internal/emulator/play/runner.go
+++ b/internal/emulator/play/runner.go
@@ -1,6 +1,7 @@
 package play
 
 import (
+	"cmp"
 	"context"
 	"errors"
 	"fmt"
@@ -17,17 +18,19 @@
 )
 
 const (
-	stopGrace      = 8 * time.Second // for children to end by themselves
+	stopGrace      = 8 * time.Second // for children to exit before they are killed
 	scratchPattern = "oakproxy-emulator-*"
 )
 
-// Reasons for which a run ends early.
+// Causes for which a run ends early.
 var (
 	errDuration = errors.New("the run took longer than limits.duration")
 	errMemory   = errors.New("the run's processes held more than limits.memory_mb")
+	// errExitedCleanly is the cause where a child exits unexpectedly and without an error.
+	errExitedCleanly = errors.New("exit status 0")
 )
 
-// runner plays one scenario.
+// runner plays one scenario. Its fields are for the goroutine that plays it unless a lock or an atomic guards them.
 type runner struct {
 	options        Options
 	layout         *fleet.Layout
@@ -38,35 +41,35 @@
 	cancel         context.CancelCauseFunc // ends the run for a reason
 
 	registry        *workerProcess
-	endpointWorkers []*workerProcess // that play endpoints
-	sidecarWorkers  []*workerProcess // that host hollow sidecars
-	generators      []*workerProcess // of load; one
+	endpointWorkers []*workerProcess // that host endpoints
+	sidecarWorkers  []*workerProcess // that host simulated sidecars
+	generators      []*workerProcess // of load; exactly one
 
-	simulated        [][]fleet.Sidecar // by host
-	endpointWorkerOf map[string]int    // of an endpoint, by its name
+	simulated        [][]fleet.Sidecar // by worker
+	endpointWorkerOf map[string]int    // index by endpoint name
 	real             []*realSidecar
 	incarnationsMu   sync.Mutex
-	incarnations     map[string]worker.Incarnation // of endpoints, by name
+	incarnations     map[string]worker.Incarnation // by endpoint name
 	version          int                           // of the configuration
 	requests         int                           // sent so far
-	excluded         map[string]bool               // names of endpoints and real sidecars that get no load, as something happens to them
+	excluded         map[string]bool               // names of endpoints and real sidecars that get no load, because they fail or restart
 	peakKB           atomic.Int64
-	phase            atomic.Pointer[string] // what goes on, for the progress line
+	phase            atomic.Pointer[string] // for the progress line
 	stopping         atomic.Bool
 	expectedMu       sync.Mutex
 	expectedExits    map[*process.Child]bool
 }
 
-// Run plays a scenario. Where it ends early it returns what was measured by then,
-// beside an error that tells why.
+// Run plays a scenario. If the run ends early, it returns both what was measured by then and an error that
+// says why: the cause of ctx, an exceeded limit, or a failure.
 func Run(ctx context.Context, options Options) (*result.Run, error) {
 	if err := options.Validate(); err != nil {
 		return nil, err
 	}
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
-	ctx, release := context.WithTimeoutCause(ctx, options.File.Limits.Duration.Std(), errDuration)
-	defer release()
+	ctx, cancelTimeout := context.WithTimeoutCause(ctx, options.File.Limits.Duration.Std(), errDuration)
+	defer cancelTimeout()
 	r := newRunner(options, cancel)
 	started := time.Now()
 	err := r.runScenario(ctx)
@@ -111,21 +114,21 @@
 	return r
 }
 
-// runScenario starts the fleet, plays the scenario, and ends all that was started.
+// runScenario starts the fleet, plays the scenario, and stops all that was started.
 func (r *runner) runScenario(ctx context.Context) (err error) {
 	if r.scratch, err = os.MkdirTemp(r.options.ScratchRoot, scratchPattern); err != nil {
 		return err
 	}
 	defer func() { err = errors.Join(err, os.RemoveAll(r.scratch)) }()
 	defer r.stop()
-	watching := make(chan struct{})
+	monitoring := make(chan struct{})
 	go func() {
-		defer close(watching)
+		defer close(monitoring)
 		r.monitor(ctx)
 	}()
 	defer func() {
 		r.cancel(nil)
-		<-watching
+		<-monitoring
 	}()
 	if err := r.start(ctx); err != nil {
 		return err
@@ -140,16 +143,16 @@
 	return r.finish(ctx)
 }
 
-// finish reads the figures that are of the whole run.
+// finish records the results of the complete run.
 func (r *runner) finish(ctx context.Context) error {
 	r.setPhase("end")
-	hollow, err := r.countSimulated(ctx)
+	simulated, err := r.countSimulated(ctx)
 	if err != nil {
 		return err
 	}
-	r.run.End.Simulated = hollow
-	if hollow.Failed > 0 {
-		return fmt.Errorf("%d hollow sidecars failed, the first: %s", hollow.Failed, hollow.FirstFailure)
+	r.run.End.Simulated = simulated
+	if simulated.Failed > 0 {
+		return fmt.Errorf("%d hollow sidecars failed, the first: %s", simulated.Failed, simulated.FirstFailure)
 	}
 	for _, phase := range r.run.Phases {
 		r.run.Saturated = r.run.Saturated || phase.OutOfDescriptors || phase.MachineCPUShare > result.SaturationThreshold
@@ -157,17 +160,17 @@
 	return nil
 }
 
-// stop ends all processes.
+// stop stops all processes.
 func (r *runner) stop() {
 	r.setPhase("stop")
 	r.stopping.Store(true)
 	r.group.Stop(stopGrace)
 }
 
-// setPhase notes what goes on.
+// setPhase sets the phase for the progress line.
 func (r *runner) setPhase(phase string) { r.phase.Store(&phase) }
 
-// watch ends the run should a child end that ought not to.
+// watch ends the run if a child exits unexpectedly.
 func (r *runner) watch(child *process.Child) {
 	go func() {
 		<-child.Ended()
@@ -175,19 +178,19 @@
 		expected := r.expectedExits[child]
 		r.expectedMu.Unlock()
 		if !expected && !r.stopping.Load() {
-			r.cancel(fmt.Errorf("%s ended by itself: %v", child.Name, child.Err()))
+			r.cancel(fmt.Errorf("%s ended by itself: %w", child.Name, cmp.Or(child.Err(), errExitedCleanly)))
 		}
 	}()
 }
 
-// expectExit notes that a child's end is part of the scenario.
+// expectExit records that a child's exit is part of the scenario.
 func (r *runner) expectExit(child *process.Child) {
 	r.expectedMu.Lock()
 	defer r.expectedMu.Unlock()
 	r.expectedExits[child] = true
 }
 
-// pause waits for a time, or until ctx ends.
+// pause waits for a duration. It returns the cause of ctx if that is done before.
 func pause(ctx context.Context, length time.Duration) error {
 	timer := time.NewTimer(length)
 	defer timer.Stop()
@@ -199,7 +202,7 @@
 	}
 }
 
-// simulatedCount is how many sidecars are hollow.
+// simulatedCount returns the number of simulated sidecars.
 func (r *runner) simulatedCount() int { return r.options.Size.Sidecars - len(r.real) }
 
 // spec returns the scenario file.
--- a/internal/emulator/play/scenarios.go
+++ b/internal/emulator/play/scenarios.go
@@ -6,7 +6,7 @@
 	"oakproxy/internal/emulator/spec"
 )
 
-// scenarios are what can be played. A new kind of scenario is a function more.
+// scenarios holds the function that plays each kind of scenario.
 var scenarios = map[spec.Kind]func(context.Context, *runner) error{
 	spec.Steady:  playSteady,
 	spec.Changes: playChanges,
@@ -14,23 +14,22 @@
 	spec.Zone:    playZone,
 }
 
-// playSteady changes nothing: a phase at rest, and one with load.
+// playSteady changes nothing: a phase without load, and one with it.
 func playSteady(ctx context.Context, r *runner) error {
 	scenario := r.options.Scenario
-	if rest := scenario.Idle.Std(); rest > 0 {
-		if err := r.measure(ctx, "rest", rest, false, nil); err != nil {
+	if idle := scenario.Idle.Std(); idle > 0 {
+		if err := r.measure(ctx, phasePlan{name: "rest", duration: idle}); err != nil {
 			return err
 		}
 	}
 	return r.measureLoaded(ctx)
 }
 
-// measureLoaded plays the phase with load and nothing else, which the phases of other
-// scenarios are held against.
+// measureLoaded plays the phase with load and nothing else, the baseline of the other phases.
 func (r *runner) measureLoaded(ctx context.Context) error {
-	length := r.options.Scenario.Loaded.Std()
-	if length <= 0 {
+	duration := r.options.Scenario.Loaded.Std()
+	if duration <= 0 {
 		return nil
 	}
-	return r.measure(ctx, "loaded", length, true, nil)
+	return r.measure(ctx, phasePlan{name: "loaded", duration: duration, loaded: true})
 }
--- a/internal/emulator/play/sidecars.go
+++ b/internal/emulator/play/sidecars.go
@@ -15,9 +15,10 @@
 	"oakproxy/internal/emulator/worker"
 )
 
-// prepareSidecars chooses addresses and hosts, and writes the configuration files.
+// prepareSidecars chooses the addresses of real sidecars and the workers of simulated ones, and writes all
+// configuration files.
 func (r *runner) prepareSidecars() error {
-	perHost := r.spec().Fleet.SimulatedPerWorker
+	perWorker := r.spec().Fleet.SimulatedPerWorker
 	for _, s := range r.layout.Sidecars {
 		if s.Real {
 			listen, err := reserveAddress(len(r.real))
@@ -27,7 +28,7 @@
 			r.real = append(r.real, &realSidecar{Sidecar: s, listen: listen, path: r.configPath(s)})
 			continue
 		}
-		if last := len(r.simulated) - 1; last < 0 || len(r.simulated[last]) == perHost {
+		if last := len(r.simulated) - 1; last < 0 || len(r.simulated[last]) == perWorker {
 			r.simulated = append(r.simulated, nil)
 		}
 		last := len(r.simulated) - 1
@@ -37,24 +38,26 @@
 	return err
 }
 
-// configPath returns where a sidecar's configuration file is.
+// configPath returns the path of a sidecar's configuration file.
 func (r *runner) configPath(s fleet.Sidecar) string { return filepath.Join(r.scratch, s.Name+".json") }
 
-// writeConfig puts the configuration's present version in place of a sidecar's file, at once.
+// writeConfig atomically replaces a sidecar's file by the current version of its configuration, and returns
+// the file's size.
 func (r *runner) writeConfig(s fleet.Sidecar, listen string) (int, error) {
 	text, err := r.configurations.Encode(s, listen, r.version)
 	if err != nil {
 		return 0, err
 	}
 	path := r.configPath(s)
-	next := path + ".next"
-	if err := os.WriteFile(next, text, 0o600); err != nil {
+	temporary := path + ".next"
+	if err := os.WriteFile(temporary, text, 0o600); err != nil {
 		return 0, err
 	}
-	return len(text), os.Rename(next, path)
+	return len(text), os.Rename(temporary, path)
 }
 
-// startSidecars starts all sidecars over the same time, and waits until they are ready.
+// startSidecars starts all sidecars evenly over limits.start_spread, scaled by the size of the fleet, and
+// waits until they are ready.
 func (r *runner) startSidecars(ctx context.Context) error {
 	var err error
 	if r.sidecarWorkers, err = r.startWorkers(worker.SidecarsRole, len(r.simulated)); err != nil {
@@ -64,63 +67,67 @@
 	if err := r.registry.Call(ctx, worker.CountRegistry, control.Empty{}, &before); err != nil {
 		return err
 	}
-	began := time.Now()
-	spread := r.spec().Limits.StartSpread.Std() * time.Duration(r.options.Size.Sidecars) / largestSize
-	real, hollow, err := r.startSidecarSet(ctx, r.real, r.simulated, spread)
+	start := time.Now()
+	duration := r.spec().Limits.StartSpread.Std() * time.Duration(r.options.Size.Sidecars) / largestSize
+	startup, err := r.startSidecarSet(ctx, r.real, r.simulated, duration)
 	if err != nil {
 		return err
 	}
-	took := time.Since(began)
+	elapsed := time.Since(start)
 	if err := r.registry.Call(ctx, worker.CountRegistry, control.Empty{}, &after); err != nil {
 		return err
 	}
-	r.run.Startup = result.Startup{Seconds: took.Seconds(), RealReady: real, SimulatedReady: hollow,
+	r.run.Startup = result.Startup{Seconds: elapsed.Seconds(), RealReady: startup.real, SimulatedReady: startup.simulated,
 		Discovery: after.Since(before)}
-	if hollow.Missing > 0 {
+	if startup.simulated.Missing > 0 {
 		return errors.New("not all hollow sidecars are ready within limits.ready")
 	}
 	return nil
 }
 
-// startSidecarSet starts real sidecars, and hollow ones by host, over the same time, and waits until
-// they are ready.
-func (r *runner) startSidecarSet(ctx context.Context, realOnes []*realSidecar, byHost [][]fleet.Sidecar, spread time.Duration) (real, hollow result.Distribution, err error) {
-	var realErr, hollowErr error
+// startupTimes are the times from the sidecars' starts to their being ready.
+type startupTimes struct{ real, simulated result.Distribution }
+
+// startSidecarSet starts real sidecars, and simulated ones by worker, each evenly over a duration, and waits
+// until they are ready.
+func (r *runner) startSidecarSet(ctx context.Context, realSidecars []*realSidecar, byWorker [][]fleet.Sidecar, over time.Duration) (startupTimes, error) {
+	var times startupTimes
+	var realErr, simulatedErr error
 	var starting sync.WaitGroup
 	starting.Add(2)
 	go func() {
 		defer starting.Done()
-		real, realErr = r.startAllReal(ctx, realOnes, spread)
+		times.real, realErr = r.startAllReal(ctx, realSidecars, over)
 	}()
 	go func() {
 		defer starting.Done()
-		hollow, hollowErr = r.startSimulated(ctx, byHost, spread)
+		times.simulated, simulatedErr = r.startSimulated(ctx, byWorker, over)
 	}()
 	starting.Wait()
-	return real, hollow, errors.Join(realErr, hollowErr)
+	return times, errors.Join(realErr, simulatedErr)
 }
 
-// startAllReal starts real sidecars evenly over a time, and waits until they are ready.
-func (r *runner) startAllReal(ctx context.Context, of []*realSidecar, spread time.Duration) (result.Distribution, error) {
-	ctx, cancel := context.WithTimeout(ctx, spread+r.spec().Limits.Ready.Std())
+// startAllReal starts real sidecars evenly over a duration, and waits until they are ready.
+func (r *runner) startAllReal(ctx context.Context, sidecars []*realSidecar, over time.Duration) (result.Distribution, error) {
+	ctx, cancel := context.WithTimeout(ctx, over+r.spec().Limits.Ready.Std())
 	defer cancel()
-	took := make([]time.Duration, len(of))
-	failures := make([]error, len(of))
+	times := make([]time.Duration, len(sidecars))
+	failures := make([]error, len(sidecars))
 	var starting sync.WaitGroup
-	for i, s := range of {
+	for i, s := range sidecars {
 		starting.Add(1)
 		go func() {
 			defer starting.Done()
-			took[i], failures[i] = r.startRealAfter(ctx, s, spread*time.Duration(i)/time.Duration(len(of)))
+			times[i], failures[i] = r.startRealAfter(ctx, s, over*time.Duration(i)/time.Duration(len(sidecars)))
 		}()
 	}
 	starting.Wait()
-	return result.NewDistribution("from a real sidecar's start to its being ready", len(of), took), errors.Join(failures...)
+	return result.NewDistribution("from a real sidecar's start to its being ready", len(sidecars), times), errors.Join(failures...)
 }
 
-// startRealAfter starts a real sidecar after a while, and returns how long it takes to be ready.
-func (r *runner) startRealAfter(ctx context.Context, s *realSidecar, wait time.Duration) (time.Duration, error) {
-	if err := pause(ctx, wait); err != nil {
+// startRealAfter starts a real sidecar after a delay, and returns how long it took to be ready.
+func (r *runner) startRealAfter(ctx context.Context, s *realSidecar, delay time.Duration) (time.Duration, error) {
+	if err := pause(ctx, delay); err != nil {
 		return 0, err
 	}
 	if err := r.startReal(s); err != nil {
@@ -129,38 +136,38 @@
 	return s.awaitReady(ctx)
 }
 
-// startSimulated starts hollow sidecars, given by host, and waits until they are ready.
-func (r *runner) startSimulated(ctx context.Context, byHost [][]fleet.Sidecar, spread time.Duration) (result.Distribution, error) {
-	starts := make([]worker.Sidecars, len(byHost))
-	awaits := make([]worker.Await, len(byHost))
+// startSimulated starts simulated sidecars, given by worker, and waits until they are ready.
+func (r *runner) startSimulated(ctx context.Context, byWorker [][]fleet.Sidecar, over time.Duration) (result.Distribution, error) {
+	var workers []*workerProcess
+	var starts []worker.Sidecars
+	var awaits []worker.Await
 	count := 0
-	var hosts []*workerProcess
-	for i, some := range byHost {
-		if len(some) == 0 {
+	for i, group := range byWorker {
+		if len(group) == 0 {
 			continue
 		}
-		n := len(hosts)
-		hosts = append(hosts, r.sidecarWorkers[i])
-		starts[n].Over = spread
-		awaits[n].Timeout = r.spec().Limits.Ready.Std()
-		for _, s := range some {
-			starts[n].Files = append(starts[n].Files, worker.SidecarFile{Name: s.Name, Path: r.configPath(s)})
-			awaits[n].Names = append(awaits[n].Names, s.Name)
-			count++
+		start := worker.Sidecars{Over: over}
+		await := worker.Await{Timeout: r.spec().Limits.Ready.Std()}
+		for _, s := range group {
+			start.Files = append(start.Files, worker.SidecarFile{Name: s.Name, Path: r.configPath(s)})
+			await.Names = append(await.Names, s.Name)
 		}
+		workers = append(workers, r.sidecarWorkers[i])
+		starts, awaits = append(starts, start), append(awaits, await)
+		count += len(group)
 	}
-	if _, err := callEach[worker.Sidecars, control.Empty](ctx, hosts, worker.StartSidecars, starts); err != nil {
+	if _, err := callEach[worker.Sidecars, control.Empty](ctx, workers, worker.StartSidecars, starts); err != nil {
 		return result.Distribution{}, err
 	}
-	ready, err := callEach[worker.Await, worker.Completions](ctx, hosts, worker.AwaitReady, awaits)
+	ready, err := callEach[worker.Await, worker.Completions](ctx, workers, worker.AwaitReady, awaits)
 	if err != nil {
 		return result.Distribution{}, err
 	}
-	var took []time.Duration
-	for _, some := range ready {
-		for _, arrival := range some.Completed {
-			took = append(took, arrival.At.Sub(arrival.StartedAt))
+	var times []time.Duration
+	for _, completions := range ready {
+		for _, completion := range completions.Completed {
+			times = append(times, completion.At.Sub(completion.StartedAt))
 		}
 	}
-	return result.NewDistribution("from a hollow sidecar's start to its being ready", count, took), nil
+	return result.NewDistribution("from a hollow sidecar's start to its being ready", count, times), nil
 }
--- a/internal/emulator/play/snapshot.go
+++ b/internal/emulator/play/snapshot.go
@@ -15,19 +15,19 @@
 	"oakproxy/internal/emulator/worker"
 )
 
-// descriptorReserve is such that a process with this part of its descriptors left is crowded.
+// descriptorReserve is the divisor for the part of its descriptors below which a process is near its limit.
 const descriptorReserve = 20
 
-// roleTotals are a role's figures since the start.
+// roleTotals is what the processes of a role have spent since their start, and hold.
 type roleTotals struct {
 	role      result.Role
 	usage     process.Usage
 	processes int
 	units     int
-	nearLimit int // processes that hold nearly all the descriptors they may
+	nearLimit int // processes that hold nearly all the descriptors they may open
 }
 
-// snapshot is what everything has counted by an instant.
+// snapshot is a reading of all counters.
 type snapshot struct {
 	at        time.Time
 	machine   process.MachineCPU
@@ -37,7 +37,7 @@
 	simulated worker.SidecarCounts
 }
 
-// takeSnapshot reads all figures.
+// takeSnapshot reads all counters.
 func (r *runner) takeSnapshot(ctx context.Context) (*snapshot, error) {
 	var s snapshot
 	var err error
@@ -61,8 +61,8 @@
 func (r *runner) countEndpoints(ctx context.Context) (endpoint.Counts, error) {
 	counts, err := callAll[control.Empty, endpoint.Counts](ctx, r.endpointWorkers, worker.CountEndpoints, control.Empty{})
 	var sum endpoint.Counts
-	for _, some := range counts {
-		sum.Add(some)
+	for _, one := range counts {
+		sum.Add(one)
 	}
 	return sum, err
 }
@@ -70,8 +70,8 @@
 func (r *runner) countSimulated(ctx context.Context) (worker.SidecarCounts, error) {
 	counts, err := callAll[control.Empty, worker.SidecarCounts](ctx, r.sidecarWorkers, worker.CountSidecars, control.Empty{})
 	var sum worker.SidecarCounts
-	for _, some := range counts {
-		sum.Add(some)
+	for _, one := range counts {
+		sum.Add(one)
 	}
 	return sum, err
 }
@@ -98,7 +98,7 @@
 		}
 		all = append(all, totals)
 	}
-	real, err := r.readReal()
+	realTotals, err := r.readReal()
 	if err != nil {
 		return nil, err
 	}
@@ -106,10 +106,10 @@
 	if err := own.read(os.Getpid()); err != nil {
 		return nil, err
 	}
-	return append(all, real, own), nil
+	return append(all, realTotals, own), nil
 }
 
-// readReal reads what the real sidecars have spent, those of earlier processes included.
+// readReal reads what the real sidecars have spent, earlier processes included.
 func (r *runner) readReal() (roleTotals, error) {
 	totals := roleTotals{role: result.RealSidecar, units: len(r.real)}
 	for _, s := range r.real {
@@ -124,6 +124,7 @@
 	return totals, nil
 }
 
+// read adds a process.
 func (t *roleTotals) read(pid int) error {
 	usage, err := process.ReadUsage(pid)
 	if err != nil {
@@ -141,7 +142,7 @@
 	return nil
 }
 
-// since returns what a role spent since an earlier reading.
+// since returns what a role has spent since an earlier reading.
 func (t roleTotals) since(earlier roleTotals) result.RoleUsage {
 	return result.RoleUsage{
 		Role:        t.role,
@@ -156,14 +157,14 @@
 	}
 }
 
-// since fills in what a phase has counted.
+// since records in a phase what has been counted since an earlier snapshot.
 func (s *snapshot) since(earlier *snapshot, phase *result.Phase) {
 	phase.Seconds = s.at.Sub(earlier.at).Seconds()
 	phase.MachineCPUShare = s.machine.BusyShare(earlier.machine)
 	for i, totals := range s.roles {
-		spent := totals.since(earlier.roles[i])
-		phase.Roles = append(phase.Roles, spent)
-		phase.OwnCPUShare += spent.CPUSeconds / phase.Seconds / float64(runtime.NumCPU())
+		usage := totals.since(earlier.roles[i])
+		phase.Roles = append(phase.Roles, usage)
+		phase.OwnCPUShare += usage.CPUSeconds / phase.Seconds / float64(runtime.NumCPU())
 		if totals.nearLimit > 0 {
 			phase.Notes = append(phase.Notes, fmt.Sprintf("%d of %d processes of role %s are out of descriptors: connections were refused",
 				totals.nearLimit, totals.processes, totals.role))
--- a/internal/emulator/play/start.go
+++ b/internal/emulator/play/start.go
@@ -7,11 +7,11 @@
 )
 
 const (
-	largestSize     = 860 // sidecars, for which limits.start_spread is given
+	largestSize     = 860 // sidecars; limits.start_spread is for this size
 	simulatedListen = "127.0.0.1:0"
 )
 
-// start brings the fleet up: discovery, endpoints, then the sidecars.
+// start starts the fleet: discovery, endpoints, then the sidecars.
 func (r *runner) start(ctx context.Context) error {
 	if err := r.startRegistry(ctx); err != nil {
 		return err
@@ -36,13 +36,13 @@
 		return err
 	}
 	options := r.spec().Registry
-	var at worker.RegistryAddress
+	var started worker.RegistryAddress
 	err = r.registry.Call(ctx, worker.StartRegistry, worker.RegistryOptions{
 		CallsPerSecond: options.CallsPerSecond,
 		MaxQueueDelay:  options.MaxQueueDelay.Std(),
 		History:        options.History,
 		Scratch:        r.scratch,
-	}, &at)
-	r.configurations.Discovery = at.Address
+	}, &started)
+	r.configurations.Discovery = started.Address
 	return err
 }
--- a/internal/emulator/play/worker.go
+++ b/internal/emulator/play/worker.go
@@ -10,7 +10,7 @@
 	"oakproxy/internal/emulator/worker"
 )
 
-// workerProcess is a worker and the way to talk to it.
+// workerProcess is a worker process and the client for its requests.
 type workerProcess struct {
 	*control.Client
 	child *process.Child
@@ -33,7 +33,7 @@
 	return &workerProcess{control.NewClient(child.Output, child.Input), child}, nil
 }
 
-// startWorkers starts a number of workers of a role.
+// startWorkers starts this many workers of a role.
 func (r *runner) startWorkers(role worker.Role, count int) ([]*workerProcess, error) {
 	workers := make([]*workerProcess, count)
 	for i := range workers {
@@ -45,8 +45,8 @@
 	return workers, nil
 }
 
-// callEach makes a request of each of several workers at the same time. The bodies are
-// in the workers' order.
+// callEach calls several workers concurrently, each with a body of its own. Bodies and responses are in the
+// order of the workers; the error joins all failures.
 func callEach[Request, Response any](ctx context.Context, workers []*workerProcess, kind control.Kind, bodies []Request) ([]Response, error) {
 	responses := make([]Response, len(workers))
 	failures := make([]error, len(workers))
@@ -62,7 +62,7 @@
 	return responses, errors.Join(failures...)
 }
 
-// callAll makes the same request of each of several workers.
+// callAll calls several workers concurrently with the same body.
 func callAll[Request, Response any](ctx context.Context, workers []*workerProcess, kind control.Kind, body Request) ([]Response, error) {
 	bodies := make([]Request, len(workers))
 	for i := range bodies {
--- a/internal/emulator/play/zone.go
+++ b/internal/emulator/play/zone.go
@@ -10,135 +10,134 @@
 	"oakproxy/internal/emulator/worker"
 )
 
-// failedZone is the zone that goes.
+// failedZone is the zone that fails.
 const failedZone = 0
 
-// zoneMembers is what a zone holds.
+// zoneMembers are the members of a zone.
 type zoneMembers struct {
 	endpoints []fleet.Endpoint
-	simulated [][]fleet.Sidecar // by host
+	simulated [][]fleet.Sidecar // by worker
 	real      []*realSidecar
 }
 
-// playZone takes one zone away and brings it back cold. Its applications send nothing,
-// as they are gone as well.
+// playZone makes one zone fail and recover cold. Its real sidecars get no load in any phase, as their
+// applications would have failed as well.
 func playZone(ctx context.Context, r *runner) error {
-	part := r.membersOf(failedZone)
-	r.exclude(part)
+	zone := r.membersOf(failedZone)
+	r.exclude(zone)
 	if err := r.measureLoaded(ctx); err != nil {
 		return err
 	}
 	scenario := r.options.Scenario
-	err := r.measure(ctx, "gone", scenario.Outage.Std(), true, func(ctx context.Context, phase *result.Phase) error {
-		return r.failZone(ctx, phase, part)
-	})
+	err := r.measure(ctx, phasePlan{name: "gone", duration: scenario.Outage.Std(), loaded: true,
+		action: func(ctx context.Context, phase *result.Phase) error { return r.failZone(ctx, phase, zone) }})
 	if err != nil {
 		return err
 	}
-	return r.measure(ctx, "back", scenario.Recovery.Std(), true, func(ctx context.Context, phase *result.Phase) error {
-		return r.recoverZone(ctx, phase, part)
-	})
+	return r.measure(ctx, phasePlan{name: "back", duration: scenario.Recovery.Std(), loaded: true,
+		action: func(ctx context.Context, phase *result.Phase) error { return r.recoverZone(ctx, phase, zone) }})
 }
 
-// membersOf finds what a zone holds.
+// membersOf returns the members of a zone.
 func (r *runner) membersOf(zone int) *zoneMembers {
-	part := &zoneMembers{simulated: make([][]fleet.Sidecar, len(r.simulated))}
+	members := &zoneMembers{simulated: make([][]fleet.Sidecar, len(r.simulated))}
 	for _, e := range r.layout.Endpoints {
 		if e.Zone == zone {
-			part.endpoints = append(part.endpoints, e)
+			members.endpoints = append(members.endpoints, e)
 		}
 	}
-	for host, some := range r.simulated {
-		for _, s := range some {
+	for index, group := range r.simulated {
+		for _, s := range group {
 			if s.Zone == zone {
-				part.simulated[host] = append(part.simulated[host], s)
+				members.simulated[index] = append(members.simulated[index], s)
 			}
 		}
 	}
 	for _, s := range r.real {
 		if s.Zone == zone {
-			part.real = append(part.real, s)
+			members.real = append(members.real, s)
 		}
 	}
-	return part
+	return members
 }
 
-// exclude keeps load from what will be gone.
-func (r *runner) exclude(part *zoneMembers) {
-	for _, e := range part.endpoints {
+// exclude keeps load from members of a zone that will fail.
+func (r *runner) exclude(members *zoneMembers) {
+	for _, e := range members.endpoints {
 		r.excluded[e.Name] = true
 	}
-	for _, s := range part.real {
+	for _, s := range members.real {
 		r.excluded[s.Name] = true
 	}
 }
 
-// failZone has a zone fall silent, and discovery tell that it is gone.
-func (r *runner) failZone(ctx context.Context, phase *result.Phase, part *zoneMembers) error {
-	if err := r.applyAction(ctx, worker.Disconnect, part.endpoints); err != nil {
+// failZone disconnects a zone, and removes it from the endpoint list after the detection delay.
+func (r *runner) failZone(ctx context.Context, phase *result.Phase, members *zoneMembers) error {
+	if err := r.applyAction(ctx, worker.Disconnect, members.endpoints); err != nil {
 		return err
 	}
-	told := time.Now().Add(r.options.Scenario.DetectionDelay.Std())
-	if err := r.stopSidecars(ctx, part); err != nil {
+	detectedAt := time.Now().Add(r.options.Scenario.DetectionDelay.Std())
+	if err := r.stopSidecars(ctx, members); err != nil {
 		return err
 	}
-	if err := pause(ctx, time.Until(told)); err != nil {
+	if err := pause(ctx, time.Until(detectedAt)); err != nil {
 		return err
 	}
-	version, err := r.announce(ctx, part.endpoints, registry.Gone)
+	version, err := r.announce(ctx, members.endpoints, registry.Gone)
 	if err != nil {
 		return err
 	}
-	var heard propagation
-	if err := r.awaitList(ctx, version, &heard); err != nil {
+	var received propagation
+	if err := r.awaitList(ctx, version, &received); err != nil {
 		return err
 	}
 	phase.Events = 1
-	phase.Distributions = append(phase.Distributions, heard.distribution("from discovery's word of the loss to its being heard"))
+	phase.Distributions = append(phase.Distributions, received.distribution("from discovery's word of the loss to its being heard"))
 	return nil
 }
 
-// stopSidecars ends the sidecars of a zone: the real ones at once, the hollow ones by
-// their drain, since they share processes with others.
-func (r *runner) stopSidecars(ctx context.Context, part *zoneMembers) error {
-	for _, s := range part.real {
+// stopSidecars stops the sidecars of a zone: it kills the real ones, and shuts the simulated ones down
+// gracefully, since they share processes with others.
+func (r *runner) stopSidecars(ctx context.Context, members *zoneMembers) error {
+	for _, s := range members.real {
 		if err := r.killReal(s); err != nil {
 			return err
 		}
 	}
-	for host, some := range part.simulated {
-		if len(some) == 0 {
+	for index, group := range members.simulated {
+		if len(group) == 0 {
 			continue
 		}
 		var names worker.Names
-		for _, s := range some {
+		for _, s := range group {
 			names.Names = append(names.Names, s.Name)
 		}
-		if err := r.sidecarWorkers[host].Call(ctx, worker.StopSidecars, names, nil); err != nil {
+		if err := r.sidecarWorkers[index].Call(ctx, worker.StopSidecars, names, nil); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// recoverZone starts a zone's endpoints cold, and all of its sidecars at the same time.
-func (r *runner) recoverZone(ctx context.Context, phase *result.Phase, part *zoneMembers) error {
-	if err := r.applyAction(ctx, worker.Restart, part.endpoints); err != nil {
+// recoverZone restarts a zone's endpoints, which are cold, and starts all of its sidecars at the same time.
+func (r *runner) recoverZone(ctx context.Context, phase *result.Phase, members *zoneMembers) error {
+	if err := r.applyAction(ctx, worker.Restart, members.endpoints); err != nil {
 		return err
 	}
-	version, err := r.announce(ctx, part.endpoints, registry.Ready)
+	version, err := r.announce(ctx, members.endpoints, registry.Ready)
 	if err != nil {
 		return err
 	}
-	real, hollow, err := r.startSidecarSet(ctx, part.real, part.simulated, 0)
+	startup, err := r.startSidecarSet(ctx, members.real, members.simulated, 0)
 	if err != nil {
 		return err
 	}
-	var heard propagation
-	if err := r.awaitList(ctx, version, &heard); err != nil {
+	var received propagation
+	if err := r.awaitList(ctx, version, &received); err != nil {
 		return err
 	}
 	phase.Events = 1
-	phase.Distributions = append(phase.Distributions, heard.distribution("from discovery's word of the return to its being heard"), hollow, real)
+	phase.Distributions = append(phase.Distributions, received.distribution("from discovery's word of the return to its being heard"),
+		startup.simulated, startup.real)
 	return nil
 }
