--- a/internal/emulator/fleet/config.go
+++ b/internal/emulator/fleet/config.go
@@ -7,8 +7,8 @@
 	"oakproxy/internal/emulator/spec"
 )
 
-// baseQuotaRate is the first tenant's allowance in the first version of a configuration.
-// Each later version raises it by one.
+// baseQuotaRate is the quota of a tenant for each sidecar, in requests a second. Each version of a configuration
+// raises the first tenant's quota by one, so that versions differ.
 const baseQuotaRate = 1000
 
 // Configuration is a sidecar's configuration file.
@@ -27,7 +27,7 @@
 	Sockets  int     `json:"sockets"`
 }
 
-// settings are what the balancer is told; durations are in microseconds.
+// settings are the balancer's settings. Durations are in microseconds.
 type settings struct {
 	Zones        []string          `json:"areas"`
 	MachineKinds []string          `json:"skus"`
@@ -104,7 +104,7 @@
 	Fields []string `json:"fields"`
 }
 
-// Figures of the settings that no scenario varies.
+// Settings that no scenario varies. Durations are in microseconds.
 const (
 	answerGrace         = 50_000
 	overloadFactor      = 3
@@ -116,7 +116,7 @@
 	lateFailurePrice    = 0.05
 )
 
-// Configurations writes the configurations of a fleet's sidecars.
+// Configurations encodes the configurations of a fleet's sidecars.
 type Configurations struct {
 	File      *spec.File
 	Layout    *Layout
@@ -124,53 +124,53 @@
 	Seed      uint64
 }
 
-// Encode returns one version of a sidecar's configuration. Versions count from 1.
+// Encode returns a version of a sidecar's configuration file. Versions count from 1.
 func (c *Configurations) Encode(s Sidecar, listen string, version int) ([]byte, error) {
-	of := c.File.Sidecar
+	options := c.File.Sidecar
 	return json.Marshal(Configuration{
 		Name:      s.Name,
 		Listen:    listen,
 		Discovery: c.Discovery,
 		Seed:      fmt.Sprintf("%016x", c.Seed+uint64(s.Position)),
-		Limits:    limits{Cores: 1, MemoryMB: of.MemoryMB, Sockets: of.Sockets},
+		Limits:    limits{Cores: 1, MemoryMB: options.MemoryMB, Sockets: options.Sockets},
 		Settings:  c.settings(s, version),
 	})
 }
 
 func (c *Configurations) settings(s Sidecar, version int) settings {
-	of := c.File.Sidecar
+	options := c.File.Sidecar
 	return settings{
 		Zones:        c.Layout.Zones,
 		MachineKinds: c.Layout.Kinds,
 		Stages:       []string{"application"},
-		Discovery:    of.Discovery,
+		Discovery:    options.Discovery,
 		Balancers:    len(c.Layout.Sidecars),
 		Index:        s.Position,
 		Zone:         s.Zone,
 		WeightBy:     "request",
 		Classes:      c.classes(),
 		Tenants:      c.tenants(version),
-		Contract: contractSettings{AnswerGrace: answerGrace, PollInterval: of.PollInterval.Micros(),
-			SlowStartInitialFraction: c.File.Endpoint.ColdCapacity, DrainGrace: of.DrainGrace.Micros(), OverloadFactor: overloadFactor,
+		Contract: contractSettings{AnswerGrace: answerGrace, PollInterval: options.PollInterval.Micros(),
+			SlowStartInitialFraction: c.File.Endpoint.ColdCapacity, DrainGrace: options.DrainGrace.Micros(), OverloadFactor: overloadFactor,
 			OverloadWindow: overloadWindow, SlowStartDuration: c.File.Endpoint.WarmUp.Micros()},
-		Limits: limitSettings{CancelAttempts: true, DialTimeout: of.DialTimeout.Micros(), KeepAlive: of.KeepAlive.Micros(),
-			MaxRetryAfter: of.MaxRetryAfter.Micros(), MaxOpenRequests: maxOpenRequests, MaxAttempts: of.MaxAttempts, Multiplex: 1,
+		Limits: limitSettings{CancelAttempts: true, DialTimeout: options.DialTimeout.Micros(), KeepAlive: options.KeepAlive.Micros(),
+			MaxRetryAfter: options.MaxRetryAfter.Micros(), MaxOpenRequests: maxOpenRequests, MaxAttempts: options.MaxAttempts, Multiplex: 1,
 			Probes: true, RetryAfter: true},
-		Prices:    priceSettings{CrossZone: crossZonePrice, Probe: of.ProbePrice, WastedAttempt: wastedAttemptPrice, LateFailure: lateFailurePrice},
+		Prices:    priceSettings{CrossZone: crossZonePrice, Probe: options.ProbePrice, WastedAttempt: wastedAttemptPrice, LateFailure: lateFailurePrice},
 		Goal:      goalSettings{Overall: 0.55, WorstWindow: 0.15, WorstClass: 0.05, WorstTenant: 0.25},
-		Reporting: reportingSettings{How: "probe", Fields: []string{of.LoadField}},
+		Reporting: reportingSettings{How: "probe", Fields: []string{options.LoadField}},
 	}
 }
 
 func (c *Configurations) classes() []classSettings {
 	var classes []classSettings
 	for _, class := range c.File.Load.Classes {
-		next := classSettings{Name: class.Name, Idempotency: class.Idempotency, LatencyObjective: class.LatencyObjective.Micros(),
+		encoded := classSettings{Name: class.Name, Idempotency: class.Idempotency, LatencyObjective: class.LatencyObjective.Micros(),
 			ClientTimeout: class.Timeout.Micros(), PriorityWeight: 1}
 		if class.Idempotency == spec.IdempotentWithKey {
-			next.DeduplicationScope, next.DeduplicationWindow = "cell", deduplicationWindow
+			encoded.DeduplicationScope, encoded.DeduplicationWindow = "cell", deduplicationWindow
 		}
-		classes = append(classes, next)
+		classes = append(classes, encoded)
 	}
 	return classes
 }
--- a/internal/emulator/fleet/fleet_test.go
+++ b/internal/emulator/fleet/fleet_test.go
@@ -32,19 +32,19 @@
 		}
 	}
 	realZones := map[int]bool{}
-	real := 0
+	realCount := 0
 	for _, s := range l.Sidecars {
 		if s.Real {
 			realZones[s.Zone] = true
-			real++
+			realCount++
 		}
 	}
-	if real != 16 || len(realZones) != 6 {
-		t.Errorf("%d real sidecars in %d zones", real, len(realZones))
+	if realCount != 16 || len(realZones) != 6 {
+		t.Errorf("%d real sidecars in %d zones", realCount, len(realZones))
 	}
 }
 
-// A sidecar takes the configurations, and versions differ for it where they should.
+// A sidecar parses the configurations, and their hashes differ by version only.
 func TestConfigurationsParseAndDifferByVersion(t *testing.T) {
 	file := shipped(t)
 	c := &Configurations{File: file, Layout: New(file, spec.Size{Sidecars: 12, Endpoints: 12}), Discovery: "127.0.0.1:1", Seed: 7}
--- a/internal/emulator/fleet/layout.go
+++ b/internal/emulator/fleet/layout.go
@@ -1,5 +1,7 @@
-// Package fleet lays a fleet out over services, zones and regions, and writes the
-// configuration of each sidecar.
+// Package fleet lays a fleet out over services, zones and regions, and encodes the configuration of each sidecar.
+//
+// A layout depends only on the scenario file and the size; nothing in it is random. The package starts nothing
+// and writes no file.
 package fleet
 
 import (
@@ -10,22 +12,21 @@
 	"oakproxy/internal/emulator/spec"
 )
 
-// Loopback addresses of endpoints are 127.(firstZoneOctet+zone).x.y, so that each has
-// one of its own.
+// Endpoints listen on 127.(firstZoneOctet+zone).x.y, so that each has a loopback address of its own.
 const (
 	firstZoneOctet = 64
 	hostsPerOctet  = 250
 )
 
-// Layout is a fleet on paper.
+// Layout is the plan of a fleet.
 type Layout struct {
-	Zones     []string // region and number, such as north-1
+	Zones     []string // names of a region and a number, such as north-1
 	Kinds     []string
 	Endpoints []Endpoint
 	Sidecars  []Sidecar
 }
 
-// Endpoint is one endpoint's place.
+// Endpoint is one endpoint's place in the fleet.
 type Endpoint struct {
 	Name    string
 	Zone    int
@@ -34,8 +35,8 @@
 	Address string // to listen on, port 0
 }
 
-// Sidecar is one sidecar's place. The sidecar of a number belongs to the application
-// that is the endpoint of that number.
+// Sidecar is one sidecar's place in the fleet. The sidecar at a position belongs to the same application as the
+// endpoint of that index.
 type Sidecar struct {
 	Name     string
 	Position int
@@ -43,8 +44,8 @@
 	Real     bool // has a process of its own
 }
 
-// New lays out a fleet. Endpoints and sidecars go to zones in turn, and the real ones
-// stand evenly among the sidecars.
+// New lays out a fleet. Endpoints and sidecars are assigned to zones round-robin, and real sidecars are spread
+// evenly among the sidecars of each zone.
 func New(file *spec.File, size spec.Size) *Layout {
 	l := &Layout{Kinds: file.Fleet.Kinds}
 	for _, region := range file.Fleet.Regions {
@@ -61,14 +62,14 @@
 	return l
 }
 
-func (l *Layout) endpoint(i int, of spec.Fleet) Endpoint {
+func (l *Layout) endpoint(i int, options spec.Fleet) Endpoint {
 	zone, inZone := i%len(l.Zones), i/len(l.Zones)
-	service := inZone % of.Services
+	service := inZone % options.Services
 	return Endpoint{
 		Name:    fmt.Sprintf("service-%02d-%s-%04d", service+1, l.Zones[zone], i),
 		Zone:    zone,
 		Kind:    l.Kinds[inZone%len(l.Kinds)],
-		Block:   uint16(inZone/of.CellSize*len(l.Zones) + zone),
+		Block:   uint16(inZone/options.CellSize*len(l.Zones) + zone),
 		Address: fmt.Sprintf("127.%d.%d.%d:0", firstZoneOctet+zone, inZone/hostsPerOctet, 1+inZone%hostsPerOctet),
 	}
 }
@@ -76,19 +77,19 @@
 func (l *Layout) sidecar(i int, size spec.Size) Sidecar {
 	zones := len(l.Zones)
 	zone, inZone := i%zones, i/zones
-	all, real := zoneCount(size.Sidecars, zones, zone), zoneCount(size.Real, zones, zone)
+	total, realCount := zoneCount(size.Sidecars, zones, zone), zoneCount(size.Real, zones, zone)
 	return Sidecar{
 		Name:     fmt.Sprintf("sidecar-%04d", i),
 		Position: i,
 		Zone:     zone,
-		Real:     (inZone+1)*real/all > inZone*real/all,
+		Real:     (inZone+1)*realCount/total > inZone*realCount/total,
 	}
 }
 
-// zoneCount is how many of a number of things go to one zone when they go to zones in turn.
+// zoneCount returns how many of count items a zone gets when items are assigned to zones round-robin.
 func zoneCount(count, zones, zone int) int { return (count + zones - 1 - zone) / zones }
 
-// Config returns how the stand-in for an endpoint is started.
+// Config returns the configuration of an endpoint.
 func (l *Layout) Config(e Endpoint, file *spec.File) endpoint.Config {
 	return endpoint.Config{
 		Name:         e.Name,
@@ -107,8 +108,8 @@
 	}
 }
 
-// Instance returns what discovery tells of an endpoint that is reached at an address.
-func (l *Layout) Instance(e Endpoint, address, health string, bornMS int64) registry.Instance {
+// Instance returns the entry in discovery's list of an endpoint that listens on an address.
+func (l *Layout) Instance(e Endpoint, address, health string, startedMS int64) registry.Instance {
 	return registry.Instance{Host: e.Name, Address: address, Site: l.Zones[e.Zone], Class: e.Kind,
-		Block: e.Block, Health: health, Weight: 1, StartedMS: bornMS}
+		Block: e.Block, Health: health, Weight: 1, StartedMS: startedMS}
 }
--- a/internal/emulator/load/client.go
+++ b/internal/emulator/load/client.go
@@ -17,16 +17,16 @@
 const (
 	readBufferSize   = 1 << 10
 	maxResponseBytes = 64 << 10
-	bodySize         = 212 // of a POST
+	bodySize         = 212 // of a request that has one, in bytes
 )
 
-// Errors that end a request without a whole answer.
+// Errors of a request that got no complete response.
 var (
-	errStaleConnection = errors.New("load: the idle connection had been closed")
-	errTooLarge        = errors.New("load: answer too large")
+	errStaleConnection = errors.New("load: idle connection was closed by the target")
+	errTooLarge        = errors.New("load: response too large")
 )
 
-// connection is one to a target, which carries one request at a time.
+// connection is a connection to a target. It carries one request at a time.
 type connection struct {
 	net.Conn
 	client *client
@@ -48,39 +48,47 @@
 	return n, err
 }
 
-// response is a whole answer.
+// response is a complete response.
 type response struct {
 	status   int
 	body     []byte
 	reusable bool // the connection may be used again
 }
 
-// client keeps connections to targets, and opens one when all are busy.
+// connectionSource says which connections may carry a request.
+type connectionSource int
+
+const (
+	pooled connectionSource = iota // an idle connection, or a new one if there is none
+	fresh                          // a new connection only
+)
+
+// client pools connections to targets, and opens one when all are busy. It is safe for concurrent use.
 type client struct {
 	dialer net.Dialer
 
 	opened, resent, bytesIn, bytesOut atomic.Uint64
 
 	mu   sync.Mutex
-	idle map[string][]*connection // by target, the latest used last
+	idle map[string][]*connection // by target, the most recently used last
 }
 
 func newClient() *client { return &client{idle: map[string][]*connection{}} }
 
-// do sends a request and reads its answer, until the deadline. A request that meets
-// an idle connection as that is closed ends with errStale: it was not answered at all.
-func (c *client) do(ctx context.Context, r *request, deadline time.Time, fresh bool) (*response, error) {
+// do sends a request and reads its response, until the deadline. It returns errStaleConnection if the target had
+// closed the idle connection that was used, before any byte of a response. A fresh connection is never stale.
+func (c *client) do(ctx context.Context, r *request, deadline time.Time, source connectionSource) (*response, error) {
 	ctx, cancel := context.WithDeadline(ctx, deadline)
 	defer cancel()
-	conn, err := c.connect(ctx, r.target, fresh)
+	conn, err := c.connect(ctx, r.target, source)
 	if err != nil {
 		return nil, err
 	}
 	stop := context.AfterFunc(ctx, func() { _ = conn.Close() })
 	got, err := exchange(conn, r, deadline)
-	alive := stop()
+	open := stop()
 	switch {
-	case err != nil || !got.reusable || !alive:
+	case err != nil || !got.reusable || !open:
 		_ = conn.Close()
 	default:
 		c.putIdle(r.target, conn)
@@ -88,9 +96,9 @@
 	return got, err
 }
 
-// connect takes an idle connection, or opens one.
-func (c *client) connect(ctx context.Context, target string, fresh bool) (*connection, error) {
-	if !fresh {
+// connect returns an idle connection, if the source allows it and there is one, or opens one.
+func (c *client) connect(ctx context.Context, target string, source connectionSource) (*connection, error) {
+	if source == pooled {
 		if conn := c.takeIdle(target); conn != nil {
 			return conn, nil
 		}
@@ -105,6 +113,7 @@
 	return conn, nil
 }
 
+// takeIdle removes and returns the most recently used idle connection; nil if there is none.
 func (c *client) takeIdle(target string) *connection {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -119,6 +128,7 @@
 	return conn
 }
 
+// putIdle adds a connection that can be reused.
 func (c *client) putIdle(target string, conn *connection) {
 	conn.reused = true
 	c.mu.Lock()
@@ -138,7 +148,7 @@
 	clear(c.idle)
 }
 
-// exchange sends a request on a connection and reads the answer.
+// exchange sends a request on a connection and reads the response. After an error the connection has to be closed.
 func exchange(conn *connection, r *request, deadline time.Time) (*response, error) {
 	message := appendRequest(nil, r, time.Until(deadline))
 	if _, err := conn.Write(message); err != nil {
@@ -158,10 +168,14 @@
 	case len(body) > maxResponseBytes:
 		return nil, errTooLarge
 	}
+	if err := received.Body.Close(); err != nil {
+		return nil, err
+	}
 	return &response{status: received.StatusCode, body: body, reusable: !received.Close}, nil
 }
 
-// classify tells an idle connection that the other side had closed from other faults.
+// classify returns errStaleConnection for the failure of a reused connection that was not closed on this side,
+// and other errors as they are.
 func (c *connection) classify(err error) error {
 	closedHere := errors.Is(err, net.ErrClosed)
 	if c.reused && !closedHere {
@@ -170,15 +184,15 @@
 	return err
 }
 
-// appendRequest encodes a request.
-func appendRequest(buffer []byte, r *request, left time.Duration) []byte {
+// appendRequest appends the encoded request to buffer.
+func appendRequest(buffer []byte, r *request, remaining time.Duration) []byte {
 	buffer = append(buffer, r.class.Method+" /"+r.class.Name+" HTTP/1.1\r\n"...)
 	buffer = appendField(buffer, "Host", "api.internal")
 	buffer = appendField(buffer, "X-Correlation-Id", r.id)
 	buffer = appendField(buffer, "X-Service-Class", r.class.Name)
 	buffer = appendField(buffer, "X-Account", r.tenant)
 	buffer = appendField(buffer, "X-Session-Key", r.sessionKey)
-	milliseconds := max(1, left.Milliseconds())
+	milliseconds := max(1, remaining.Milliseconds())
 	buffer = appendField(buffer, "X-Time-Left-Ms", strconv.FormatInt(milliseconds, 10))
 	if r.idempotencyKey != "" {
 		buffer = appendField(buffer, "Idempotency-Key", r.idempotencyKey)
--- a/internal/emulator/load/generator.go
+++ b/internal/emulator/load/generator.go
@@ -1,5 +1,9 @@
-// Package load is an open-loop load generator: requests have their intended starts
-// from a schedule that no answer holds up, and latencies count from there.
+// Package load is an open-loop load generator.
+//
+// Requests have intended starts from a schedule that no response delays, and latencies are measured from the
+// intended start, so that a slow target cannot hide its latency by delaying later requests (coordinated
+// omission). A plan with the same seed has the same schedule. The generator neither retries nor hedges; it only
+// resends a request once that met a stale connection.
 package load
 
 import (
@@ -12,8 +16,8 @@
 	"time"
 )
 
-// timerSlack is how late the runtime's timers may be, which count in milliseconds while
-// the process is idle. The system's sleep, which ctx can't end, takes the last of a wait.
+// timerSlack is how late the runtime's timers may fire, which have a resolution of milliseconds while the process
+// is idle. The last part of a wait is a system sleep, which ctx cannot interrupt.
 const timerSlack = 2 * time.Millisecond
 
 // generator is a run of a plan.
@@ -26,7 +30,7 @@
 	inFlight sync.WaitGroup
 }
 
-// Run carries a plan out. It ends early, and returns what it has so far, when ctx ends.
+// Run runs a plan. When ctx is done it ends early and returns the report so far. It fails only on an invalid plan.
 func Run(ctx context.Context, plan Plan) (*Report, error) {
 	plan, err := plan.withDefaults()
 	if err != nil {
@@ -54,7 +58,7 @@
 	return report, nil
 }
 
-// dispatch starts each request at its time.
+// dispatch starts each request at its intended start, or records it as unsent.
 func (g *generator) dispatch(ctx context.Context) {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
@@ -78,7 +82,7 @@
 	}
 }
 
-// sleepUntil waits for a time and says whether ctx lasts until then.
+// sleepUntil waits until a time and says whether ctx was not done before.
 func sleepUntil(ctx context.Context, timer *time.Timer, at time.Time) bool {
 	if coarse := time.Until(at) - timerSlack; coarse > 0 {
 		timer.Reset(coarse)
@@ -88,15 +92,16 @@
 			return false
 		}
 	}
-	for rest := time.Until(at); rest > 0; rest = time.Until(at) {
-		left := syscall.NsecToTimespec(rest.Nanoseconds())
-		// A sleep that a signal ends is gone on with.
-		_ = syscall.Nanosleep(&left, nil)
+	for remaining := time.Until(at); remaining > 0; remaining = time.Until(at) {
+		length := syscall.NsecToTimespec(remaining.Nanoseconds())
+		// The loop continues a sleep that a signal interrupted.
+		_ = syscall.Nanosleep(&length, nil)
 	}
 	return ctx.Err() == nil
 }
 
-// acquireSlot waits until a request more may be in flight, as long as it has time.
+// acquireSlot waits until one more request may be in flight. It returns false if the deadline passes or ctx is
+// done before.
 func (g *generator) acquireSlot(ctx context.Context, timer *time.Timer, deadline time.Time) bool {
 	select {
 	case g.slots <- struct{}{}:
@@ -113,7 +118,7 @@
 	return false
 }
 
-// unsentOutcome is the outcome of a request that got no slot.
+// unsentOutcome returns the outcome of a request that got no slot.
 func unsentOutcome(ctx context.Context) outcome {
 	if ctx.Err() != nil {
 		return cancelled
@@ -121,21 +126,21 @@
 	return unsent
 }
 
-// send sends one request and records what came of it.
+// send sends one request and records its outcome. It releases the request's slot.
 func (g *generator) send(ctx context.Context, r request, intended, deadline time.Time) {
 	defer g.inFlight.Done()
 	defer func() { <-g.slots }()
 	g.recorder.recordSend(time.Since(intended))
-	got, err := g.client.do(ctx, &r, deadline, false)
+	got, err := g.client.do(ctx, &r, deadline, pooled)
 	if errors.Is(err, errStaleConnection) && !g.plan.Direct && time.Now().Before(deadline) {
 		g.client.resent.Add(1)
-		got, err = g.client.do(ctx, &r, deadline, true)
+		got, err = g.client.do(ctx, &r, deadline, fresh)
 	}
-	took := time.Since(intended)
-	g.recorder.recordOutcome(classify(ctx, &r, got, err, deadline), took)
+	latency := time.Since(intended)
+	g.recorder.recordOutcome(classify(ctx, &r, got, err, deadline), latency)
 }
 
-// classify names a request's outcome.
+// classify returns a request's outcome.
 func classify(ctx context.Context, r *request, got *response, err error, deadline time.Time) outcome {
 	switch {
 	case err != nil && ctx.Err() != nil:
--- a/internal/emulator/load/histogram.go
+++ b/internal/emulator/load/histogram.go
@@ -2,6 +2,7 @@
 
 import (
 	"encoding/json"
+	"fmt"
 	"time"
 
 	"github.com/HdrHistogram/hdrhistogram-go"
@@ -14,8 +15,8 @@
 	significantDigits = 3
 )
 
-// Histogram counts durations from 1 µs to 1 min, to three digits. Its JSON form is
-// HdrHistogram's compressed one, as a string. Make one with NewHistogram.
+// Histogram counts durations from 1 µs to 1 min, to three significant digits. Its JSON encoding is a string with
+// HdrHistogram's compressed one. Make one with NewHistogram. It is not safe for concurrent use.
 type Histogram struct {
 	counts *hdrhistogram.Histogram
 }
@@ -25,7 +26,7 @@
 	return &Histogram{hdrhistogram.New(lowestMicros, highestMicros, significantDigits)}
 }
 
-// Record counts a duration; one that is out of bounds counts as the bound.
+// Record counts a duration. One that is out of bounds counts as the nearest bound.
 func (h *Histogram) Record(d time.Duration) {
 	// It fails only on values out of bounds.
 	_ = h.counts.RecordValue(min(highestMicros, max(lowestMicros, d.Microseconds())))
@@ -34,12 +35,12 @@
 // Merge adds another histogram's counts.
 func (h *Histogram) Merge(other *Histogram) { h.counts.Merge(other.counts) }
 
-// Count returns how many durations have been recorded.
+// Count returns the number of durations recorded.
 func (h *Histogram) Count() int64 { return h.counts.TotalCount() }
 
-// Quantile returns the duration that a part of all is not over, with part from 0 to 1.
-func (h *Histogram) Quantile(part float64) time.Duration {
-	return time.Duration(h.counts.ValueAtQuantile(part*100)) * time.Microsecond
+// Quantile returns the duration that this fraction of all durations, from 0 to 1, does not exceed.
+func (h *Histogram) Quantile(fraction float64) time.Duration {
+	return time.Duration(h.counts.ValueAtQuantile(fraction*100)) * time.Microsecond
 }
 
 // Max returns the longest duration.
@@ -69,7 +70,7 @@
 	}
 	counts, err := hdrhistogram.Decode([]byte(encoded))
 	if err != nil {
-		return err
+		return fmt.Errorf("load: decode histogram: %w", err)
 	}
 	h.counts = counts
 	return nil
--- a/internal/emulator/load/load_test.go
+++ b/internal/emulator/load/load_test.go
@@ -16,7 +16,7 @@
 	"oakproxy/internal/emulator/endpoint"
 )
 
-// target serves requests by a handler and returns its address.
+// target starts a server with a handler and returns its address.
 func target(t *testing.T, handle http.HandlerFunc) string {
 	t.Helper()
 	server := httptest.NewServer(handle)
--- a/internal/emulator/load/plan.go
+++ b/internal/emulator/load/plan.go
@@ -12,50 +12,50 @@
 	defaultTimeout     = time.Second
 )
 
-// Arrivals is how requests follow one another.
+// Arrivals is the process by which requests arrive.
 type Arrivals int
 
 const (
-	// Poisson arrivals come at random, independent of each other.
+	// Poisson arrivals are random and independent of each other.
 	Poisson Arrivals = iota
-	// Fixed arrivals come at equal distances.
+	// Fixed arrivals are at equal intervals.
 	Fixed
 )
 
-// Class is a kind of request.
+// Class is a class of requests.
 type Class struct {
 	Name              string
-	Method            string        // GET or POST; empty: GET, or POST if Keyed
-	HasIdempotencyKey bool          // has an Idempotency-Key
-	Timeout           time.Duration // how long a client waits for the answer; 0: 1 s
-	Weight            float64       // of all requests, against the other classes' shares
+	Method            string        // GET or POST; empty: GET, or POST with an idempotency key
+	HasIdempotencyKey bool          // requests carry an Idempotency-Key
+	Timeout           time.Duration // from the intended start to the response; 0: 1 s
+	Weight            float64       // relative to the weights of the other classes
 }
 
-// Plan is what a generator sends.
+// Plan describes the load to send.
 type Plan struct {
 	Targets     []string // host:port of sidecars, or of endpoints if Direct
 	Rate        float64  // requests a second over all targets
 	Duration    time.Duration
-	MaxRequests int // 0: no limit but Duration
+	MaxRequests int // 0: limited by Duration only
 	MaxInFlight int // requests at a time; 0: 1024
 	Seed        uint64
 	Arrivals    Arrivals
 	Classes     []Class  // empty: one class of GET requests
 	Tenants     []string // empty: one tenant
-	// Direct sends to endpoints, to measure the share of the generator and the
-	// machine. A request is never sent twice then, as each copy counts there.
+	// Direct means that the targets are endpoints, to measure what the generator and the machine
+	// contribute. No request is resent then, as endpoints count each copy.
 	Direct bool
 }
 
-// withDefaults checks a plan and fills in what has to have a value.
+// withDefaults validates a plan and fills in defaults.
 func (p Plan) withDefaults() (Plan, error) {
 	switch {
 	case len(p.Targets) == 0:
 		return p, errors.New("load: no targets")
 	case p.Rate <= 0:
-		return p, fmt.Errorf("load: rate %g, must be over 0", p.Rate)
+		return p, fmt.Errorf("load: rate %g is not over 0", p.Rate)
 	case p.Duration <= 0 && p.MaxRequests <= 0:
-		return p, errors.New("load: neither a duration nor a number of requests")
+		return p, errors.New("load: neither a duration nor a maximum number of requests")
 	}
 	if p.MaxInFlight <= 0 {
 		p.MaxInFlight = defaultMaxInFlight
@@ -67,21 +67,22 @@
 		p.Classes = []Class{{Name: "default", Weight: 1}}
 	}
 	classes := make([]Class, len(p.Classes))
-	var shares float64
+	var totalWeight float64
 	for i, class := range p.Classes {
 		classes[i] = class.withDefaults()
 		if class.Name == "" || class.Weight < 0 {
-			return p, fmt.Errorf("load: class %d has no name or a share under 0", i)
+			return p, fmt.Errorf("load: class %d has no name or a negative weight", i)
 		}
-		shares += class.Weight
+		totalWeight += class.Weight
 	}
-	if shares <= 0 {
-		return p, errors.New("load: no class has a share")
+	if totalWeight <= 0 {
+		return p, errors.New("load: no class has a weight")
 	}
 	p.Classes = classes
 	return p, nil
 }
 
+// withDefaults fills in defaults.
 func (c Class) withDefaults() Class {
 	if c.Method == "" && c.HasIdempotencyKey {
 		c.Method = http.MethodPost
--- a/internal/emulator/load/ready.go
+++ b/internal/emulator/load/ready.go
@@ -9,12 +9,12 @@
 
 const (
 	readyPath    = "/health/ready"
-	readyTimeout = time.Second // of one question
+	readyTimeout = time.Second // of one request
 	readyPoll    = 50 * time.Millisecond
 )
 
-// AwaitReady returns once each of the sidecars has said that it is ready, as an
-// application waits for its own before it sends. It fails when ctx ends.
+// AwaitReady waits until each of the sidecars is ready, as an application waits for its own before it sends. It
+// fails with the error of ctx when that is done.
 func AwaitReady(ctx context.Context, targets []string) error {
 	transport := &http.Transport{DisableKeepAlives: true}
 	client := &http.Client{Transport: transport, Timeout: readyTimeout}
@@ -27,11 +27,11 @@
 }
 
 func awaitReady(ctx context.Context, client *http.Client, target string) error {
-	pause := time.NewTicker(readyPoll)
-	defer pause.Stop()
+	ticker := time.NewTicker(readyPoll)
+	defer ticker.Stop()
 	for !isReady(ctx, client, target) {
 		select {
-		case <-pause.C:
+		case <-ticker.C:
 		case <-ctx.Done():
 			return ctx.Err()
 		}
--- a/internal/emulator/load/report.go
+++ b/internal/emulator/load/report.go
@@ -7,24 +7,24 @@
 	"time"
 )
 
-// outcome is what came of a request.
+// outcome is the outcome of a request.
 type outcome int
 
 const (
 	served       outcome = iota // 200
 	rejected                    // 429 or 503
-	failed                      // any other answer
-	mismatched                  // 200 with a body that is not an answer to this request
-	timedOut                    // no whole answer within the client's time
-	broken                      // the connection failed, or ended without a whole answer
-	cancelled                   // the run was ended
-	unsent                      // its time was over before it could be sent
-	outcomeCount                // how many there are
+	failed                      // any other status
+	mismatched                  // 200 with a body that does not belong to this request
+	timedOut                    // no complete response before the deadline
+	broken                      // the connection failed, or closed without a complete response
+	cancelled                   // the run ended before
+	unsent                      // its deadline passed before it could be sent
+	outcomeCount                // number of outcomes
 )
 
-// Counts are the requests of a run by outcome.
+// Counts are the requests of a run by outcome, and what they cost.
 type Counts struct {
-	Planned    uint64 `json:"planned"` // all whose intended start came
+	Planned    uint64 `json:"planned"` // requests whose intended start was reached
 	Served     uint64 `json:"served"`
 	Rejected   uint64 `json:"refused"`
 	Failed     uint64 `json:"failed"`
@@ -32,31 +32,31 @@
 	TimedOut   uint64 `json:"timed_out"`
 	Broken     uint64 `json:"broken"`
 	Cancelled  uint64 `json:"cancelled"`
-	// Unsent requests found all of MaxInFlight taken for as long as they had time: the
-	// generator's own shortfall.
+	// Unsent requests found MaxInFlight others in flight until their deadline: a limit of the generator,
+	// not of the target.
 	Unsent uint64 `json:"unsent"`
-	// Resent requests were sent once more, as an idle connection turned out closed.
+	// Resent requests were sent a second time, because their connection was stale.
 	Resent      uint64 `json:"resent"`
 	Connections uint64 `json:"connections"` // opened
 	BytesIn     uint64 `json:"bytes_in"`
 	BytesOut    uint64 `json:"bytes_out"`
 }
 
-// Lost counts the requests whose answer never came within their time.
+// Lost returns the number of requests that got no complete response before their deadline.
 func (c Counts) Lost() uint64 { return c.TimedOut + c.Broken }
 
-// Report is the result of a run, or of several once merged.
+// Report is the result of a run, or of several that were merged.
 type Report struct {
 	Direct  bool          `json:"direct"`
 	Elapsed time.Duration `json:"elapsed_ns"`
 	// CPU is the processor time of the generator's process during the run.
 	CPU    time.Duration `json:"cpu_ns"`
 	Counts Counts        `json:"counts"`
-	// Latency is of the requests served, from the intended start to the last byte.
+	// Latency is that of the requests served, from the intended start to the last byte.
 	Latency *Histogram `json:"latency"`
-	// AllLatency is of all requests sent, by whatever outcome, from the intended start.
+	// AllLatency is that of all requests sent, whatever their outcome, from the intended start.
 	AllLatency *Histogram `json:"ended"`
-	// SendDelay is from the intended start to when a request began to be sent.
+	// SendDelay is from the intended start to the actual one.
 	SendDelay *Histogram `json:"lateness"`
 }
 
@@ -65,7 +65,7 @@
 	return &Report{Latency: NewHistogram(), AllLatency: NewHistogram(), SendDelay: NewHistogram()}
 }
 
-// Merge adds the result of a run that went on beside this one.
+// Merge adds the result of a concurrent run.
 func (r *Report) Merge(other *Report) {
 	r.Direct = r.Direct || other.Direct
 	r.Elapsed = max(r.Elapsed, other.Elapsed)
@@ -83,7 +83,7 @@
 		&c.Unsent, &c.Resent, &c.Connections, &c.BytesIn, &c.BytesOut}
 }
 
-// recorder gathers a Report from concurrent requests.
+// recorder collects a Report from concurrent requests.
 type recorder struct {
 	mu     sync.Mutex
 	report *Report
@@ -92,27 +92,27 @@
 
 func newRecorder() *recorder { return &recorder{report: NewReport()} }
 
-// recordSend notes how late a request is as it is being sent.
-func (r *recorder) recordSend(lateness time.Duration) {
+// recordSend records how late a request is sent.
+func (r *recorder) recordSend(delay time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.report.SendDelay.Record(lateness)
+	r.report.SendDelay.Record(delay)
 }
 
-// recordOutcome notes a request's outcome and its time from the intended start.
-func (r *recorder) recordOutcome(result outcome, took time.Duration) {
+// recordOutcome records a request's outcome and its latency from the intended start.
+func (r *recorder) recordOutcome(result outcome, latency time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.counts[result]++
 	if result == served {
-		r.report.Latency.Record(took)
+		r.report.Latency.Record(latency)
 	}
 	if result != unsent && result != cancelled {
-		r.report.AllLatency.Record(took)
+		r.report.AllLatency.Record(latency)
 	}
 }
 
-// result returns the report.
+// result returns the report of all recorded requests.
 func (r *recorder) result() *Report {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -131,7 +131,7 @@
 	return r.report
 }
 
-// processCPU is the processor time of this process.
+// processCPU returns the processor time of this process.
 func processCPU() time.Duration {
 	var usage syscall.Rusage
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &usage); err != nil {
--- a/internal/emulator/load/schedule.go
+++ b/internal/emulator/load/schedule.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// sessionKeyCount is how many things requests are about.
+// sessionKeyCount is the number of distinct session keys.
 const sessionKeyCount = 4096
 
 // request is one request of a schedule.
@@ -20,7 +20,7 @@
 	idempotencyKey string // Idempotency-Key; empty where the class has none
 }
 
-// schedule makes the requests of a plan, one after the other; the same for the same seed.
+// schedule generates the requests of a plan in order. The same seed gives the same requests.
 type schedule struct {
 	plan        Plan
 	random      *rand.Rand
@@ -37,7 +37,7 @@
 	return s
 }
 
-// next returns the next request, or false once the plan is through.
+// next returns the next request, or false at the end of the plan.
 func (s *schedule) next() (request, bool) {
 	s.offset += s.interarrival()
 	if s.plan.MaxRequests > 0 && s.count >= s.plan.MaxRequests {
@@ -61,7 +61,7 @@
 	return next, true
 }
 
-// interarrival is the time from one request to the next.
+// interarrival returns a time from one request to the next.
 func (s *schedule) interarrival() time.Duration {
 	seconds := 1 / s.plan.Rate
 	if s.plan.Arrivals == Poisson {
@@ -70,10 +70,11 @@
 	return time.Duration(seconds * float64(time.Second))
 }
 
+// pickClass returns a random class, by weight.
 func (s *schedule) pickClass() Class {
-	at := s.random.Float64() * s.totalWeight
+	remaining := s.random.Float64() * s.totalWeight
 	for _, class := range s.plan.Classes {
-		if at -= class.Weight; at < 0 {
+		if remaining -= class.Weight; remaining < 0 {
 			return class
 		}
 	}
--- a/internal/emulator/process/group.go
+++ b/internal/emulator/process/group.go
@@ -12,16 +12,17 @@
 	"time"
 )
 
+// stopPoll is the interval at which Stop checks whether children have exited.
 const stopPoll = 10 * time.Millisecond
 
-// Program is a child process to start.
+// Program is a program to start as a child process.
 type Program struct {
 	Name        string
 	Path        string
 	Arguments   []string
-	Environment []string  // beside the emulator's own
-	Stderr      io.Writer // takes its standard error; nil: the emulator's own
-	Piped       bool      // it is talked to by its standard input and output
+	Environment []string  // in addition to the emulator's own
+	Stderr      io.Writer // receives its standard error; nil: the emulator's own
+	Piped       bool      // its standard input and output are Child.Input and Child.Output
 }
 
 // Child is a child process.
@@ -31,23 +32,23 @@
 	Output io.ReadCloser  // nil unless piped
 
 	command *exec.Cmd
-	ended   chan struct{} // closed once it has ended
-	err     error         // how; valid once ended is closed
+	ended   chan struct{} // closed once it has exited
+	err     error         // how it exited; valid once ended is closed
 }
 
-// PID returns the process's number.
+// PID returns the process ID.
 func (c *Child) PID() int { return c.command.Process.Pid }
 
-// Ended is closed once the process has ended.
+// Ended returns a channel that is closed once the process has exited.
 func (c *Child) Ended() <-chan struct{} { return c.ended }
 
-// Err tells how the process ended; nil if it ended well.
+// Err waits for the process to exit and returns how it did; nil for exit status 0.
 func (c *Child) Err() error {
 	<-c.ended
 	return c.err
 }
 
-// CPU returns the processor time of a process that has ended.
+// CPU waits for the process to exit and returns its processor time.
 func (c *Child) CPU() time.Duration {
 	<-c.ended
 	return c.command.ProcessState.UserTime() + c.command.ProcessState.SystemTime()
@@ -56,7 +57,7 @@
 // Signal sends a signal to the process.
 func (c *Child) Signal(signal os.Signal) error { return c.command.Process.Signal(signal) }
 
-// Group is all child processes of the emulator. Make one with NewGroup.
+// Group is a group of child processes. Make one with NewGroup. It is safe for concurrent use.
 type Group struct {
 	starts chan func() // run by one thread, which lives as long as the group
 
@@ -65,14 +66,14 @@
 	stopped  bool
 }
 
-// ErrStopped is returned for a start in a group that has been stopped.
-var ErrStopped = errors.New("process: the group has been stopped")
+// ErrStopped is returned by Start after Stop.
+var ErrStopped = errors.New("process: group has been stopped")
 
-// NewGroup returns a Group. End it with Stop.
+// NewGroup returns a Group. Its thread lives until Stop.
 func NewGroup() *Group {
 	g := &Group{starts: make(chan func())}
 	go func() {
-		// The kernel ends a child with the thread that started it, not with the process.
+		// The parent death signal is sent when the thread that started the child ends, not the process.
 		runtime.LockOSThread()
 		for start := range g.starts {
 			start()
@@ -81,8 +82,8 @@
 	return g
 }
 
-// Start starts a process. It is killed should the emulator end without stopping it,
-// unless it is piped: then it sees the end of its input, and can clean up.
+// Start starts a process. If the emulator dies without stopping it, the kernel kills it, unless it is piped: then it
+// reads the end of its input, and can clean up.
 func (g *Group) Start(program Program) (*Child, error) {
 	command := exec.Command(program.Path, program.Arguments...)
 	command.Env = append(os.Environ(), program.Environment...)
@@ -90,7 +91,7 @@
 	if program.Stderr == nil {
 		command.Stderr = os.Stderr
 	}
-	// A signal from the terminal is for the emulator alone.
+	// Signals from the terminal must reach the emulator only.
 	command.SysProcAttr = &syscall.SysProcAttr{Setpgid: true}
 	if !program.Piped {
 		command.SysProcAttr.Pdeathsig = syscall.SIGKILL
@@ -107,6 +108,7 @@
 	return child, nil
 }
 
+// pipe connects the child's standard input and output.
 func (c *Child) pipe() error {
 	var err error
 	if c.Input, err = c.command.StdinPipe(); err != nil {
@@ -116,7 +118,7 @@
 	return err
 }
 
-// launch starts a child on the group's thread and watches for its end.
+// launch starts a child on the group's thread, and a goroutine that waits for its exit.
 func (g *Group) launch(child *Child) error {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -136,7 +138,7 @@
 	return nil
 }
 
-// Children returns the children that have not ended.
+// Children returns the children that have not exited.
 func (g *Group) Children() []*Child {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -151,20 +153,20 @@
 	return alive
 }
 
-// ResidentKB adds up the memory that the children hold.
+// ResidentKB returns the resident memory of all children.
 func (g *Group) ResidentKB() int64 {
 	var sum int64
 	for _, child := range g.Children() {
 		resident, err := ResidentKB(child.PID())
-		if err == nil { // else it has just ended
+		if err == nil { // otherwise it has just exited
 			sum += resident
 		}
 	}
 	return sum
 }
 
-// Stop ends all children: by the end of their input or SIGTERM first, and those that
-// still run after the grace by SIGKILL. It returns once none is left.
+// Stop stops all children: first by closing their input or by SIGTERM, and those that still run after the grace
+// period by SIGKILL. It returns once all have exited.
 func (g *Group) Stop(grace time.Duration) {
 	g.mu.Lock()
 	if !g.stopped {
--- a/internal/emulator/process/process_test.go
+++ b/internal/emulator/process/process_test.go
@@ -32,7 +32,7 @@
 	}
 }
 
-// A group ends those that heed the end of their input or SIGTERM, and those that heed neither.
+// Stop ends children that exit at the end of their input, children that exit on SIGTERM, and children that ignore both.
 func TestStopEndsAllChildren(t *testing.T) {
 	g := NewGroup()
 	programs := []Program{
--- a/internal/emulator/process/usage.go
+++ b/internal/emulator/process/usage.go
@@ -1,5 +1,7 @@
-// Package process starts the emulator's child processes, ends them, and reads what
-// they spend.
+// Package process starts and stops child processes and reads the resource usage of processes and of the machine.
+//
+// No child outlives its group: Stop waits for all of them, and the kernel or the end of their input stops them if
+// the emulator dies. Usage is read from Linux's /proc.
 package process
 
 import (
@@ -15,21 +17,21 @@
 
 const (
 	procDirectory  = "/proc"
-	ticksPerSecond = 100 // of processor times there
+	ticksPerSecond = 100 // of processor times in /proc (USER_HZ)
 	bytesPerKB     = 1024
 )
 
-// Usage is what a process, or several together, spent and hold.
+// Usage is the resource usage of a process, or of several together.
 type Usage struct {
 	CPU         time.Duration // user and system, since the start
 	ResidentKB  int64
 	PeakKB      int64
 	Descriptors int
-	ReadBytes   uint64 // by all system calls that read, sockets included
+	ReadBytes   uint64 // by read system calls, sockets included
 	WriteBytes  uint64
 }
 
-// Add adds another process's figures.
+// Add adds another process's usage.
 func (u *Usage) Add(other Usage) {
 	u.CPU += other.CPU
 	u.ResidentKB += other.ResidentKB
@@ -39,7 +41,7 @@
 	u.WriteBytes += other.WriteBytes
 }
 
-// ReadUsage reads a process's figures.
+// ReadUsage reads the usage of a process.
 func ReadUsage(pid int) (Usage, error) {
 	directory := filepath.Join(procDirectory, strconv.Itoa(pid))
 	var u Usage
@@ -62,14 +64,14 @@
 	return u, err
 }
 
-// MaxDescriptors returns how many descriptors a process may have open.
+// MaxDescriptors returns the limit of open descriptors of a process.
 func MaxDescriptors() (int, error) {
 	var limit syscall.Rlimit
 	err := syscall.Getrlimit(syscall.RLIMIT_NOFILE, &limit)
 	return int(limit.Cur), err
 }
 
-// ResidentKB reads the memory that a process holds.
+// ResidentKB reads the resident memory of a process.
 func ResidentKB(pid int) (int64, error) {
 	status, err := readFields(filepath.Join(procDirectory, strconv.Itoa(pid), "status"))
 	return status["VmRSS"], err
@@ -81,7 +83,7 @@
 	if err != nil {
 		return 0, err
 	}
-	// The program's name, in parentheses, may hold anything; what follows is numbered from 3.
+	// The program's name, in parentheses, may contain anything. The fields after it are numbered from 3.
 	const firstField, userField, systemField = 3, 14, 15
 	fields := bytes.Fields(text[bytes.LastIndexByte(text, ')')+1:])
 	if len(fields) <= systemField-firstField {
@@ -106,19 +108,19 @@
 	}
 	fields := map[string]int64{}
 	for line := range strings.Lines(string(text)) {
-		key, rest, _ := strings.Cut(line, ":")
-		words := strings.Fields(rest)
+		key, value, _ := strings.Cut(line, ":")
+		words := strings.Fields(value)
 		if len(words) == 0 {
 			continue
 		}
-		if value, err := strconv.ParseInt(words[0], 10, 64); err == nil {
-			fields[key] = value
+		if number, err := strconv.ParseInt(words[0], 10, 64); err == nil {
+			fields[key] = number
 		}
 	}
 	return fields, nil
 }
 
-// MachineCPU is the processor time of the whole machine.
+// MachineCPU is the processor time of the machine, over all cores.
 type MachineCPU struct{ Busy, Total time.Duration }
 
 // ReadMachineCPU reads the processor time of the machine since it started.
@@ -128,7 +130,7 @@
 		return MachineCPU{}, err
 	}
 	line, _, _ := strings.Cut(string(text), "\n")
-	const idleField, waitField, countedFields = 3, 4, 8 // guests are part of user time
+	const idleField, waitField, countedFields = 3, 4, 8 // guest time is part of user time
 	var cpu MachineCPU
 	for i, word := range strings.Fields(strings.TrimPrefix(line, "cpu")) {
 		ticks, err := strconv.ParseInt(word, 10, 64)
@@ -147,7 +149,7 @@
 	return cpu, nil
 }
 
-// BusyShare returns the busy share of the time since an earlier reading.
+// BusyShare returns the fraction of the time since an earlier reading in which cores were busy.
 func (c MachineCPU) BusyShare(earlier MachineCPU) float64 {
 	if c.Total <= earlier.Total {
 		return 0
@@ -155,7 +157,7 @@
 	return float64(c.Busy-earlier.Busy) / float64(c.Total-earlier.Total)
 }
 
-// MachineMemoryKB reads how much memory the machine has.
+// MachineMemoryKB reads the memory size of the machine.
 func MachineMemoryKB() (int64, error) {
 	fields, err := readFields(filepath.Join(procDirectory, "meminfo"))
 	return fields["MemTotal"], err
