--- a/cmd/emulator/commands.go
+++ b/cmd/emulator/commands.go
@@ -1,6 +1,7 @@
 package main
 
 import (
+	"cmp"
 	"fmt"
 	"os"
 	"os/exec"
@@ -24,13 +25,13 @@
 	defaultReal      = 8
 	defaultSeed      = 1
 	unknownCommit    = "unknown"
-	uncommittedShort = "+"
+	uncommittedShort = "+" // suffix of the commit of a modified work tree
 )
 
-// rootCommand is the command line.
+// rootCommand is the root of the command line.
 type rootCommand struct {
 	*cobra.Command
-	parsed bool // the arguments were understood
+	parsed bool // the arguments have been parsed without error
 }
 
 func newRootCommand() *rootCommand {
@@ -45,7 +46,7 @@
 	return root
 }
 
-// commonFlags are the flags of commands that play.
+// commonFlags are the flags of the commands that play a scenario.
 type commonFlags struct {
 	file     string
 	scenario string
@@ -55,6 +56,7 @@
 	seed     uint64
 }
 
+// register adds the flags to a command.
 func (c *commonFlags) register(command *cobra.Command) {
 	flags := command.Flags()
 	flags.StringVar(&c.file, "file", defaultFile, "scenario file")
@@ -65,7 +67,7 @@
 	flags.Uint64Var(&c.seed, "seed", defaultSeed, "seed of all random choices")
 }
 
-// options reads the scenario file and finds the programs.
+// options reads the scenario file and locates the programs.
 func (c *commonFlags) options() (play.Options, error) {
 	file, err := spec.Read(c.file)
 	if err != nil {
@@ -99,7 +101,7 @@
 	}, nil
 }
 
-// workTreeCommit returns the commit of the work tree, with a mark where that has changed.
+// workTreeCommit returns the commit of the work tree, with a suffix if that is modified.
 func workTreeCommit() string {
 	head, err := exec.Command("git", "rev-parse", "--short", "HEAD").Output()
 	if err != nil {
@@ -129,7 +131,7 @@
 			}
 			options.Size, options.Play = size, 1
 			run, err := play.Run(command.Context(), options)
-			return firstError(err, c.record(run))
+			return cmp.Or(err, c.record(run))
 		},
 	}
 	c.register(command)
@@ -140,15 +142,7 @@
 	return command
 }
 
-// firstError returns the first error, or the second where there is none.
-func firstError(first, second error) error {
-	if first != nil {
-		return first
-	}
-	return second
-}
-
-// record prints a run and adds it to the result file.
+// record prints a run and appends it to the result file. A nil run has nothing to record.
 func (c *commonFlags) record(run *result.Run) error {
 	if run == nil {
 		return nil
@@ -184,7 +178,7 @@
 	return command
 }
 
-// newWorkerCommand is how the emulator starts its workers.
+// newWorkerCommand returns the hidden command by which the emulator starts its workers.
 func newWorkerCommand() *cobra.Command {
 	return &cobra.Command{
 		Use:    workerCommand + " ROLE",
--- a/cmd/emulator/main.go
+++ b/cmd/emulator/main.go
@@ -1,5 +1,7 @@
-// Command emulator plays a fleet of sidecars and endpoints on this machine's loopback
-// and reports what each role spends.
+// Command emulator plays a fleet of sidecars and endpoints on the loopback interface of this machine and reports what
+// each role spends.
+//
+// It exits with 1 when a run fails or is interrupted, and with 2 on bad input, before anything is started.
 package main
 
 import (
@@ -20,7 +22,7 @@
 	exitBadInput = 2
 )
 
-// errInterrupted is the reason of a run that a signal has ended.
+// errInterrupted is the cause of a run that ended by a signal.
 var errInterrupted = errors.New("interrupted")
 
 func main() {
@@ -34,7 +36,7 @@
 	os.Exit(execute(ctx, os.Args[1:]))
 }
 
-// execute carries the command line out and returns the exit code.
+// execute executes the command line and returns the exit code.
 func execute(ctx context.Context, arguments []string) int {
 	command := newRootCommand()
 	command.SetArgs(arguments)
--- a/cmd/emulator/main_test.go
+++ b/cmd/emulator/main_test.go
@@ -43,7 +43,7 @@
 	return path, nil
 })
 
-// emulator is a run of the program with a folder for temporary files of its own.
+// emulator is a run of the program with a directory of its own for temporary files.
 type emulator struct {
 	*exec.Cmd
 	scratch        string
@@ -70,7 +70,7 @@
 	return newEmulator(t, append(arguments, more...)...)
 }
 
-// processes counts the processes that have this run's folder in their environment.
+// processes counts the processes that have this run's directory in their environment.
 func (e *emulator) processes() int {
 	count := 0
 	paths, _ := filepath.Glob("/proc/[0-9]*/environ")
@@ -83,15 +83,15 @@
 	return count
 }
 
-// checkNothingLeft checks that no process and no file of the run are there.
+// checkNothingLeft checks that no process and no file of the run remain.
 func (e *emulator) checkNothingLeft(t *testing.T) {
 	t.Helper()
 	if n := e.processes(); n > 0 {
-		t.Errorf("%d processes are left", n)
+		t.Errorf("%d processes remain", n)
 	}
 	files, err := os.ReadDir(e.scratch)
 	if err != nil || len(files) > 0 {
-		t.Errorf("files are left: %v, %v", files, err)
+		t.Errorf("files remain: %v, %v", files, err)
 	}
 }
 
@@ -99,7 +99,7 @@
 	t.Helper()
 	for end := time.Now().Add(patience); !is(); time.Sleep(5 * time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatalf("waited in vain for: %s", what)
+			t.Fatalf("timed out waiting for %s", what)
 		}
 	}
 }
@@ -125,7 +125,7 @@
 
 const loadedName = "loaded"
 
-// Each scenario is played to its end: its sidecars carry requests, and get where they should.
+// Each scenario is played to its end: its sidecars forward requests, and all reach the expected states.
 func TestScenariosRunToTheirEnd(t *testing.T) {
 	for scenario, phases := range map[string][]string{
 		"steady":  {"rest", loadedName},
@@ -143,8 +143,8 @@
 				}
 				checkPhase(t, &phase)
 			}
-			if hollow := run.End.Simulated; hollow.Running != 12 || hollow.Failed != 0 {
-				t.Errorf("at the end: %+v", hollow)
+			if simulated := run.End.Simulated; simulated.Running != 12 || simulated.Failed != 0 {
+				t.Errorf("at the end: %+v", simulated)
 			}
 			if ready := run.Startup.SimulatedReady; ready.Total != 12 || ready.Missing != 0 {
 				t.Errorf("at the start: %+v", ready)
@@ -153,7 +153,7 @@
 	}
 }
 
-// checkPhase checks what holds on a busy machine, too.
+// checkPhase checks what also holds on a busy machine.
 func checkPhase(t *testing.T, phase *result.Phase) {
 	t.Helper()
 	if phase.Proxied != nil && phase.Proxied.Counts.Served == 0 {
@@ -178,7 +178,7 @@
 	}
 }
 
-// Changes are handed out whole, and it is counted where they come into force.
+// Each change replaces all files, and the sidecars that apply it are counted.
 func TestChangesAreRolledOutAndApplied(t *testing.T) {
 	run := playOnce(t, "changes")
 	if len(run.Phases) != 3 {
@@ -194,7 +194,7 @@
 }
 
 // changedFile writes the small scenario file with one change.
-func changedFile(t *testing.T, old, new string) string {
+func changedFile(t *testing.T, old, replacement string) string {
 	t.Helper()
 	text, err := os.ReadFile(smallFile)
 	if err != nil {
@@ -204,7 +204,7 @@
 		t.Fatalf("%q is not in the file", old)
 	}
 	path := filepath.Join(t.TempDir(), "changed.toml")
-	if err := os.WriteFile(path, []byte(strings.Replace(string(text), old, new, 1)), 0o600); err != nil {
+	if err := os.WriteFile(path, []byte(strings.Replace(string(text), old, replacement, 1)), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	return path
@@ -212,7 +212,7 @@
 
 // Bad input ends with one line that names it, exit code 2, and nothing started.
 func TestBadInputEndsWithExitCode2(t *testing.T) {
-	changed := func(old, new string) string { return changedFile(t, old, new) }
+	changed := func(old, replacement string) string { return changedFile(t, old, replacement) }
 	for name, c := range map[string]struct {
 		arguments []string
 		want      string
@@ -300,7 +300,7 @@
 	}
 }
 
-// startRun starts a long run and waits until its sidecars are there.
+// startRun starts a long run and waits until its sidecars run.
 func startRun(t *testing.T) *emulator {
 	t.Helper()
 	e := newRun(t, "steady")
--- a/cmd/emulator/sweep.go
+++ b/cmd/emulator/sweep.go
@@ -1,6 +1,7 @@
 package main
 
 import (
+	"cmp"
 	"context"
 	"errors"
 	"fmt"
@@ -17,19 +18,20 @@
 const (
 	defaultPlays  = 2
 	maxPlays      = 20
-	sweepPause    = 2 * time.Second // for the system to finish with the run before
+	sweepPause    = 2 * time.Second // for the system to settle after a run
 	defaultMetric = "(a choice for each scenario)"
 )
 
 var defaultSizes = []int{54, 108, 215, 430, 860}
 
-// outputFlags are where a sweep's table and plot go.
+// outputFlags are the flags for a sweep's table and plot.
 type outputFlags struct {
 	table   string
 	plot    string
 	metrics []string
 }
 
+// register adds the flags to a command.
 func (o *outputFlags) register(command *cobra.Command) {
 	flags := command.Flags()
 	flags.StringVar(&o.table, "table", "", "file for the Markdown table (default: standard output)")
@@ -39,6 +41,16 @@
 
 // writeFiles writes the table and the plot.
 func (o *outputFlags) writeFiles(runs []*result.Run) error {
+	if err := o.writeTable(runs); err != nil {
+		return err
+	}
+	if o.plot == "" {
+		return nil
+	}
+	return o.writePlot(runs)
+}
+
+func (o *outputFlags) writeTable(runs []*result.Run) error {
 	table := os.Stdout
 	if o.table != "" {
 		file, err := os.Create(o.table)
@@ -48,25 +60,23 @@
 		defer file.Close()
 		table = file
 	}
-	if err := result.WriteTable(table, runs); err != nil {
-		return err
-	}
-	if o.plot == "" {
-		return nil
-	}
+	return result.WriteTable(table, runs)
+}
+
+func (o *outputFlags) writePlot(runs []*result.Run) error {
 	metrics := o.metrics
 	if len(metrics) == 0 {
 		metrics = result.DefaultPlotted
 	}
 	err := result.WritePlot(o.plot, runs, metrics)
 	if errors.Is(err, result.ErrNothingToPlot) && len(o.metrics) == 0 {
-		fmt.Fprintln(os.Stderr, err) // all runs may have been left out: the table says so
+		fmt.Fprintln(os.Stderr, err) // all runs may have been omitted: the table says so
 		return nil
 	}
 	return err
 }
 
-// sweep is a scenario to play at several sizes.
+// sweep is the command that plays a scenario at several sizes.
 type sweep struct {
 	commonFlags
 	outputFlags
@@ -92,7 +102,7 @@
 	return command
 }
 
-// run plays all sizes in turn, as often as asked for.
+// run plays all sizes in order, and repeats that for each play.
 func (s *sweep) run(ctx context.Context) error {
 	options, err := s.options()
 	if err != nil {
@@ -108,7 +118,7 @@
 			options.Seed = s.seed + uint64(number)
 			options.Size = s.size(size)
 			run, err := play.Run(ctx, options)
-			if err := firstError(err, s.record(run)); err != nil {
+			if err := cmp.Or(err, s.record(run)); err != nil {
 				return err
 			}
 			runs = append(runs, run)
@@ -118,17 +128,18 @@
 	return s.writeFiles(runs)
 }
 
+// size returns the size of a fleet with as many endpoints as sidecars.
 func (s *sweep) size(sidecars int) spec.Size {
 	return spec.Size{Sidecars: sidecars, Endpoints: sidecars, Real: s.real}
 }
 
-// validate finds bad input before the first play.
+// validate returns an error for bad input, before the first play.
 func (s *sweep) validate(options play.Options) error {
 	if s.plays < 1 || s.plays > maxPlays {
 		return spec.Invalid("plays: %d is out of range, 1 to %d", s.plays, maxPlays)
 	}
 	if len(s.sizes) == 0 {
-		return spec.Invalid("sizes: there is none")
+		return spec.Invalid("sizes: none given")
 	}
 	for _, size := range s.sizes {
 		options.Size = s.size(size)
@@ -148,11 +159,11 @@
 		RunE: func(_ *cobra.Command, paths []string) error {
 			var runs []*result.Run
 			for _, path := range paths {
-				some, err := result.Read(path)
+				fileRuns, err := result.Read(path)
 				if err != nil {
-					return spec.Invalid("%s", err)
+					return spec.Invalid("%w", err)
 				}
-				runs = append(runs, some...)
+				runs = append(runs, fileRuns...)
 			}
 			if len(runs) == 0 {
 				return spec.Invalid("%s: no runs", fmt.Sprint(paths))
--- a/internal/emulator/result/file.go
+++ b/internal/emulator/result/file.go
@@ -9,7 +9,7 @@
 	"os"
 )
 
-// Append adds a run to a result file, as a line.
+// Append appends a run to a result file, as a line. It creates the file if there is none.
 func Append(path string, run *Run) error {
 	line, err := json.Marshal(run)
 	if err != nil {
@@ -23,7 +23,7 @@
 	return errors.Join(err, file.Close())
 }
 
-// Read reads the runs of a result file.
+// Read reads all runs of a result file. Its errors name the file and the run.
 func Read(path string) ([]*Run, error) {
 	file, err := os.Open(path)
 	if err != nil {
--- a/internal/emulator/result/fit.go
+++ b/internal/emulator/result/fit.go
@@ -8,9 +8,9 @@
 	"gonum.org/v1/gonum/stat"
 )
 
-// Least data for a slope.
+// Minimum data for a fit.
 const (
-	minSizes = 4
+	minSizes = 4 // with minPlays runs each
 	minPlays = 2
 )
 
@@ -26,28 +26,27 @@
 	Name   string
 	Unit   string
 	Points []Point
-	Fit    *Fit // nil where there are too few points for a slope
+	Fit    *Fit // nil if there are too few points
 }
 
-// Fit is a least-squares line and how the points lie about it.
+// Fit is a least-squares line and the deviation of the points from it.
 type Fit struct {
 	Intercept   float64
 	Slope       float64   // for each sidecar
-	RSquared    float64   // 1 where all points lie on the line
+	RSquared    float64   // coefficient of determination; 1 if all points are on the line
 	Residuals   []float64 // in the order of the points
-	MaxResidual float64   // the largest without its sign
-	Deviation   float64   // root of the mean square of the residuals
-	PlayRange   float64   // the most that plays of one size differ by
+	MaxResidual float64   // the largest absolute residual
+	Deviation   float64   // root mean square of the residuals
+	PlayRange   float64   // largest difference between plays of one size
 }
 
 // At returns the line's value at a size.
 func (f *Fit) At(size float64) float64 { return f.Intercept + f.Slope*size }
 
-// Usable says whether a run's figures may go into a slope: it was not ended early, and
-// the machine was not the limit.
+// Usable says whether a run may be part of a fit: it did not end early, and the machine was not saturated.
 func (r *Run) Usable() bool { return r.Stopped == "" && !r.Saturated }
 
-// AllSeries gathers the metrics of the usable runs, in the order of their first run.
+// AllSeries returns the series of all metrics of the usable runs, in the order of their first appearance.
 func AllSeries(runs []*Run) []Series {
 	var names []string
 	byName := map[string]*Series{}
@@ -62,7 +61,7 @@
 				byName[m.Name] = s
 				names = append(names, m.Name)
 			}
-			s.Points = append(s.Points, Point{run.Size.Sidecars, run.Play, m.Value})
+			s.Points = append(s.Points, Point{Size: run.Size.Sidecars, Play: run.Play, Value: m.Value})
 		}
 	}
 	all := make([]Series, len(names))
@@ -73,7 +72,7 @@
 	return all
 }
 
-// fit returns the least-squares line through points; nil where they are too few.
+// fit returns the least-squares line through points; nil if they are too few.
 func fit(points []Point) *Fit {
 	bySize := valuesBySize(points)
 	enough := 0
@@ -97,8 +96,8 @@
 	}
 	f.MaxResidual = floats.Norm(f.Residuals, math.Inf(1))
 	f.Deviation = floats.Norm(f.Residuals, 2) / math.Sqrt(float64(len(points)))
-	for _, some := range bySize {
-		f.PlayRange = max(f.PlayRange, slices.Max(some)-slices.Min(some))
+	for _, values := range bySize {
+		f.PlayRange = max(f.PlayRange, slices.Max(values)-slices.Min(values))
 	}
 	return &f
 }
--- a/internal/emulator/result/metrics.go
+++ b/internal/emulator/result/metrics.go
@@ -5,20 +5,20 @@
 	"time"
 )
 
-// Phases that others are held against.
+// Phases that are baselines of others.
 const (
 	idlePhase   = "rest"   // nothing happens
-	loadedPhase = "loaded" // requests come, and nothing else happens
+	loadedPhase = "loaded" // requests are sent, and nothing else happens
 )
 
-// Metric is one figure of a run.
+// Metric is a value that is compared over runs.
 type Metric struct {
 	Name  string // unique within the run
 	Unit  string
 	Value float64
 }
 
-// Metrics returns the figures of a run that are looked at over the size of the fleet.
+// Metrics returns the metrics of a run. Their names and units are stable.
 func (r *Run) Metrics() []Metric {
 	metrics := []Metric{
 		{"start: time to the last sidecar's being ready", "s", r.Startup.Seconds},
@@ -26,8 +26,8 @@
 		{"run: memory of all processes, peak", "MB", r.PeakMemoryMB},
 	}
 	baseline := r.phase(loadedPhase)
-	if rest := r.phase(idlePhase); rest != nil && baseline != nil {
-		metrics = append(metrics, baseline.requestCosts(rest)...)
+	if idle := r.phase(idlePhase); idle != nil && baseline != nil {
+		metrics = append(metrics, baseline.requestCosts(idle)...)
 	}
 	for i := range r.Phases {
 		phase := &r.Phases[i]
@@ -53,12 +53,12 @@
 	return nil
 }
 
-// metric makes a metric of a phase.
+// metric returns a metric of a phase, which is part of its name.
 func (p *Phase) metric(value float64, unit, format string, args ...any) Metric {
 	return Metric{Name: p.Name + ": " + fmt.Sprintf(format, args...), Unit: unit, Value: value}
 }
 
-// roleMetrics tell what one unit of each role spends and holds.
+// roleMetrics returns what one unit of each role spends and holds.
 func (p *Phase) roleMetrics() []Metric {
 	var metrics []Metric
 	for _, usage := range p.Roles {
@@ -99,7 +99,7 @@
 	}
 }
 
-// requestMetrics tell of latencies, and what the sidecars add to those of direct calls.
+// requestMetrics returns latencies, and what sidecars add to the latencies of direct calls.
 func (p *Phase) requestMetrics() []Metric {
 	if p.Proxied == nil || p.Proxied.Counts.Planned == 0 {
 		return nil
@@ -119,9 +119,9 @@
 		p.metric(p.Proxied.P99MS-p.Direct.P99MS, "ms", "added to direct calls, p99"))
 }
 
-// requestCosts tell what a request costs a sidecar and an endpoint, beyond what they
-// spend at rest.
-func (p *Phase) requestCosts(rest *Phase) []Metric {
+// requestCosts returns the processor time of a request at a sidecar and at an endpoint, beyond what they spend in
+// the idle phase.
+func (p *Phase) requestCosts(idle *Phase) []Metric {
 	if p.Proxied == nil || p.Proxied.Counts.Served == 0 || p.Endpoints.Requests == 0 {
 		return nil
 	}
@@ -130,11 +130,11 @@
 		role     Role
 		requests uint64
 	}{{RealSidecar, p.Proxied.Counts.Served}, {Endpoint, p.Endpoints.Requests}} {
-		usage, usual := p.Usage(each.role), rest.Usage(each.role)
-		if usage == nil || usual == nil {
+		usage, baseline := p.Usage(each.role), idle.Usage(each.role)
+		if usage == nil || baseline == nil {
 			continue
 		}
-		beyond := usage.CPUSeconds - usual.CPUSeconds/rest.Seconds*p.Seconds
+		beyond := usage.CPUSeconds - baseline.CPUSeconds/idle.Seconds*p.Seconds
 		metrics = append(metrics, p.metric(beyond*1e6/float64(each.requests), "µs", "%s, processor time of a request", each.role))
 	}
 	return metrics
@@ -155,19 +155,19 @@
 	return metrics
 }
 
-// eventMetrics tell what one event costs a unit of each role, beyond what it spends in
-// the phase with load and nothing else.
+// eventMetrics returns the processor time of one event in a unit of each role, beyond what the unit spends in the
+// phase with load and nothing else.
 func (p *Phase) eventMetrics(baseline *Phase) []Metric {
 	if p.Events == 0 {
 		return nil
 	}
 	var metrics []Metric
 	for _, usage := range p.Roles {
-		usual := baseline.Usage(usage.Role)
-		if usual == nil || usage.Processes == 0 || usage.Role == Generator {
+		loaded := baseline.Usage(usage.Role)
+		if loaded == nil || usage.Processes == 0 || usage.Role == Generator {
 			continue
 		}
-		beyond := usage.CPUSeconds - usual.CPUSeconds/baseline.Seconds*p.Seconds
+		beyond := usage.CPUSeconds - loaded.CPUSeconds/baseline.Seconds*p.Seconds
 		cost := beyond * 1000 / float64(p.Events) / max(1, float64(usage.Units))
 		metrics = append(metrics, p.metric(cost, "ms", "%s, processor time of an event", usage.Role))
 	}
--- a/internal/emulator/result/plot.go
+++ b/internal/emulator/result/plot.go
@@ -4,6 +4,7 @@
 	"errors"
 	"image/color"
 	"os"
+	"slices"
 
 	"gonum.org/v1/plot"
 	"gonum.org/v1/plot/plotter"
@@ -26,8 +27,7 @@
 	lineColour  = color.RGBA{R: 0xc0, G: 0x50, B: 0x1d, A: 0xff}
 )
 
-// DefaultPlotted are the metrics that a plot shows unless others are asked for; those
-// that a sweep does not have are left out.
+// DefaultPlotted are the metrics that a plot shows by default. Those that a sweep does not have are omitted.
 var DefaultPlotted = []string{
 	"rest: hollow sidecar, processor time",
 	"rest: hollow sidecar, memory",
@@ -47,15 +47,15 @@
 	"back: from a hollow sidecar's start to its being ready, last",
 }
 
-// ErrNothingToPlot is returned where no usable run has a metric that is asked for.
+// ErrNothingToPlot is returned by WritePlot if no usable run has any of the metrics.
 var ErrNothingToPlot = errors.New("plot: no usable run has any of the metrics asked for")
 
-// WritePlot draws metrics of a sweep over its sizes, as SVG: each run as a point, and
-// the line through them.
+// WritePlot writes an SVG file that plots metrics of a sweep over the size of the fleet: each run as a point, and the
+// fit as a line.
 func WritePlot(path string, runs []*Run, names []string) error {
 	var panels [][]*plot.Plot
 	for _, series := range AllSeries(runs) {
-		if !contains(names, series.Name) {
+		if !slices.Contains(names, series.Name) {
 			continue
 		}
 		panel, err := newPanel(series)
@@ -70,16 +70,7 @@
 	return drawPanels(path, panels)
 }
 
-func contains(names []string, name string) bool {
-	for _, n := range names {
-		if n == name {
-			return true
-		}
-	}
-	return false
-}
-
-// newPanel draws one metric.
+// newPanel returns the plot of one metric.
 func newPanel(series Series) (*plot.Plot, error) {
 	panel := plot.New()
 	panel.Title.Text = series.Name
@@ -104,7 +95,7 @@
 	return panel, nil
 }
 
-// drawPanels writes panels, one below the other.
+// drawPanels writes an SVG file of panels, one below the other.
 func drawPanels(path string, panels [][]*plot.Plot) (err error) {
 	canvas := vgsvg.New(panelWidth, panelHeight*vg.Length(len(panels)))
 	tiles := draw.Tiles{Rows: len(panels), Cols: 1, PadY: panelGap}
--- a/internal/emulator/result/result.go
+++ b/internal/emulator/result/result.go
@@ -1,5 +1,8 @@
-// Package result holds what runs of the emulator measured: result files, metrics over
-// the size of the fleet, tables and plots.
+// Package result holds what runs of the emulator measured: result files, metrics over the size of the fleet,
+// linear fits, tables and plots.
+//
+// Result files are appended to and read by later versions: the JSON keys and the names of phases, roles, metrics
+// and distributions must not change. The package measures nothing itself.
 package result
 
 import (
@@ -12,14 +15,14 @@
 	"oakproxy/internal/emulator/worker"
 )
 
-// Version is that of the form of result files.
+// Version is the version of the format of result files.
 const Version = 1
 
-// SaturationThreshold is the share of the machine's processor time above which a run's
-// figures tell of the machine.
+// SaturationThreshold is the fraction of the machine's processor time above which a run measures the machine rather
+// than the fleet.
 const SaturationThreshold = 0.85
 
-// Run is one play of a scenario: a line of a result file.
+// Run is one play of a scenario, a line of a result file.
 type Run struct {
 	Version         int           `json:"version"`
 	StartedAt       time.Time     `json:"started_at"`
@@ -31,16 +34,16 @@
 	Seed            uint64        `json:"seed"`
 	Options         spec.File     `json:"options"`
 	ScenarioOptions spec.Scenario `json:"scenario_options"`
-	Stopped         string        `json:"stopped,omitempty"` // why the run ended early; empty: it did not
+	Stopped         string        `json:"stopped,omitempty"` // why the run ended early; empty if it did not
 	Saturated       bool          `json:"saturated"`
 	Seconds         float64       `json:"seconds"`
-	PeakMemoryMB    float64       `json:"peak_memory_mb"` // resident, of all processes together, shared pages counted in each
+	PeakMemoryMB    float64       `json:"peak_memory_mb"` // resident, over all processes; shared pages count in each
 	Startup         Startup       `json:"startup"`
 	Phases          []Phase       `json:"phases"`
 	End             End           `json:"end"`
 }
 
-// Machine is what the run was played on.
+// Machine is the machine that the run was played on.
 type Machine struct {
 	Cores    int    `json:"cores"`
 	MemoryMB int64  `json:"memory_mb"`
@@ -48,7 +51,7 @@
 	Go       string `json:"go"`
 }
 
-// Startup is how the fleet came up.
+// Startup is the start of the fleet.
 type Startup struct {
 	Seconds        float64         `json:"seconds"` // from the first sidecar's start to the last one's being ready
 	SimulatedReady Distribution    `json:"hollow_ready"`
@@ -56,22 +59,22 @@
 	Discovery      registry.Counts `json:"discovery"`
 }
 
-// End is what was counted over the whole run.
+// End is what was counted over the complete run.
 type End struct {
 	Simulated worker.SidecarCounts `json:"hollow"`
 }
 
-// Distribution is a distribution of times, one for each of a number of sidecars.
+// Distribution is a distribution of times that events took to reach sidecars.
 type Distribution struct {
 	What     string  `json:"what,omitempty"`
-	Total    int     `json:"of"`      // sidecars that should have got there
-	Missing  int     `json:"missing"` // and did not in time
+	Total    int     `json:"of"`      // times that were expected, missing ones included
+	Missing  int     `json:"missing"` // times that exceeded the timeout
 	MedianMS float64 `json:"median_ms"`
 	P99MS    float64 `json:"p99_ms"`
 	MaxMS    float64 `json:"last_ms"`
 }
 
-// Role names what processes of a run do.
+// Role names what processes of a run do. Metrics are named by it.
 type Role string
 
 // The roles.
@@ -80,11 +83,11 @@
 	SimulatedSidecar Role = "hollow sidecar"
 	Endpoint         Role = "endpoint"
 	Discovery        Role = "discovery"
-	Configuration    Role = "configuration" // the hand-out, by the emulator itself
+	Configuration    Role = "configuration" // the emulator itself, which writes configurations
 	Generator        Role = "load generator"
 )
 
-// RoleUsage is what the processes of a role spent in a phase, and held at its end.
+// RoleUsage is what the processes of a role spent in a phase, and what they held at its end.
 type RoleUsage struct {
 	Role        Role    `json:"role"`
 	Processes   int     `json:"processes"`
@@ -101,22 +104,22 @@
 type Phase struct {
 	Name             string               `json:"name"`
 	Seconds          float64              `json:"seconds"`
-	MachineCPUShare  float64              `json:"machine_cpu_share"` // others' processes included
-	OwnCPUShare      float64              `json:"own_cpu_share"`     // of the machine, by the run's processes alone
+	MachineCPUShare  float64              `json:"machine_cpu_share"` // all processes of the machine included
+	OwnCPUShare      float64              `json:"own_cpu_share"`     // of the machine's, by the run's processes only
 	Roles            []RoleUsage          `json:"roles"`
 	Discovery        registry.Counts      `json:"discovery"` // within the phase, connections as at its end
-	Endpoints        endpoint.Counts      `json:"endpoints"` // the same, summed over all endpoints
+	Endpoints        endpoint.Counts      `json:"endpoints"` // the same, over all endpoints
 	Simulated        worker.SidecarCounts `json:"hollow"`    // the same; goroutines as at its end
 	Proxied          *Requests            `json:"through,omitempty"`
 	Direct           *Requests            `json:"direct,omitempty"`
 	Distributions    []Distribution       `json:"spreads,omitempty"`
 	Events           int                  `json:"events,omitempty"` // changes or restarts played
 	ConfigBytes      int64                `json:"handed_out_bytes,omitempty"`
-	OutOfDescriptors bool                 `json:"exhausted,omitempty"` // a process was out of descriptors
+	OutOfDescriptors bool                 `json:"exhausted,omitempty"` // a process was near its limit of descriptors
 	Notes            []string             `json:"notes,omitempty"`
 }
 
-// Requests are a load generator's figures, from each request's intended start.
+// Requests are the results of a load generator. Latencies are measured from the intended start.
 type Requests struct {
 	Counts         load.Counts `json:"counts"`
 	Seconds        float64     `json:"seconds"`
@@ -124,11 +127,11 @@
 	P99MS          float64     `json:"p99_ms"`
 	P999MS         float64     `json:"p999_ms"`
 	MaxMS          float64     `json:"max_ms"`
-	SendDelayP99MS float64     `json:"late_p99_ms"` // from the intended start to the sending
+	SendDelayP99MS float64     `json:"late_p99_ms"` // from the intended start to the actual one
 	CPUSeconds     float64     `json:"cpu_seconds"`
 }
 
-// NewRequests sums a report up; nil for nil.
+// NewRequests summarizes a report; nil for nil.
 func NewRequests(report *load.Report) *Requests {
 	if report == nil {
 		return nil
@@ -148,7 +151,7 @@
 // Milliseconds returns a duration in milliseconds.
 func Milliseconds(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
 
-// Usage returns a role's figures in a phase; nil if it has none.
+// Usage returns a role's usage in a phase; nil if there is none.
 func (p *Phase) Usage(role Role) *RoleUsage {
 	for i := range p.Roles {
 		if p.Roles[i].Role == role {
--- a/internal/emulator/result/summary.go
+++ b/internal/emulator/result/summary.go
@@ -6,7 +6,7 @@
 	"text/tabwriter"
 )
 
-// WriteSummary prints a run for people.
+// WriteSummary writes a human-readable summary of a run.
 func WriteSummary(out io.Writer, run *Run) error {
 	table := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	fmt.Fprintf(table, "%s, %d sidecars (%d real), %d endpoints, play %d, commit %s: %.1f s, %.0f MB at most%s\n",
@@ -21,6 +21,7 @@
 	return table.Flush()
 }
 
+// verdict returns why a run's results are not usable; empty if they are.
 func verdict(run *Run) string {
 	text := ""
 	if run.Saturated {
@@ -76,9 +77,10 @@
 	}
 }
 
-// unitUsage is what one unit of a role spends and holds on average.
+// unitUsage is what one unit of a role spends, each second, and holds on average.
 type unitUsage struct{ cpuPercent, residentMB, readBytes, writeBytes float64 }
 
+// perUnit divides the usage of a role in a phase of this length by the number of its units.
 func perUnit(usage RoleUsage, seconds float64) unitUsage {
 	units := max(1, float64(usage.Units))
 	return unitUsage{
--- a/internal/emulator/result/table.go
+++ b/internal/emulator/result/table.go
@@ -8,8 +8,8 @@
 	"strings"
 )
 
-// WriteTable writes the metrics of a sweep as a Markdown table: the mean of the plays
-// of each size, and the line through all.
+// WriteTable writes the metrics of a sweep as a Markdown table: the mean over the plays of each size, and the fit
+// over all sizes.
 func WriteTable(out io.Writer, runs []*Run) error {
 	if len(runs) == 0 {
 		_, err := fmt.Fprintln(out, "No runs.")
@@ -26,14 +26,14 @@
 	return err
 }
 
-// writeHeader tells what the table is of, and which runs are left out.
+// writeHeader writes what the table is about, and how many runs are omitted.
 func writeHeader(text *strings.Builder, runs []*Run) {
 	first := runs[0]
-	left := 0
+	omitted := 0
 	var commits []string
 	for _, run := range runs {
 		if !run.Usable() {
-			left++
+			omitted++
 		}
 		if !slices.Contains(commits, run.Commit) {
 			commits = append(commits, run.Commit)
@@ -42,10 +42,10 @@
 	fmt.Fprintf(text, "Scenario `%s`: %d runs at commit %s on %d cores, %d MB, kernel %s, %s, seed %d.\n", first.Scenario,
 		len(runs), strings.Join(commits, ", "), first.Machine.Cores, first.Machine.MemoryMB, first.Machine.Kernel,
 		first.Machine.Go, first.Seed)
-	fmt.Fprintf(text, "Left out, as the machine was the limit or the run was ended early: %d.\n\n", left)
+	fmt.Fprintf(text, "Left out, as the machine was the limit or the run was ended early: %d.\n\n", omitted)
 }
 
-// sizesOf returns the sizes of the usable runs, in order.
+// sizesOf returns the distinct sizes of the usable runs, ascending.
 func sizesOf(runs []*Run) []int {
 	var sizes []int
 	for _, run := range runs {
@@ -81,6 +81,7 @@
 	text.WriteString(" too few | | | | |\n")
 }
 
+// mean returns the formatted mean of values; empty if there is none.
 func mean(values []float64) string {
 	if len(values) == 0 {
 		return ""
@@ -92,7 +93,7 @@
 	return formatNumber(sum / float64(len(values)))
 }
 
-// formatNumber writes a number to three digits or more.
+// formatNumber formats a number with at least three significant digits.
 func formatNumber(v float64) string {
 	switch size := math.Abs(v); {
 	case math.IsNaN(v):
--- a/internal/emulator/spec/read.go
+++ b/internal/emulator/spec/read.go
@@ -10,7 +10,7 @@
 	"github.com/BurntSushi/toml"
 )
 
-// Bounds of what may be asked for.
+// Limits of what a scenario file and the command line may ask for.
 const (
 	maxSidecars  = 2000
 	maxEndpoints = 2000
@@ -21,18 +21,21 @@
 	maxEvents    = 1000
 )
 
-// InputError is a fault in what the user gave: an option, the scenario file, a program
-// that is missing.
-type InputError struct{ Message string }
+// InputError is an error in the user's input: an option, the scenario file, or a program that is missing.
+type InputError struct{ err error }
 
-func (e *InputError) Error() string { return e.Message }
+// Error returns the message, which names the input at fault.
+func (e *InputError) Error() string { return e.err.Error() }
 
-// Invalid makes an InputError.
+// Unwrap returns the error that Invalid wrapped with %w, together with its message.
+func (e *InputError) Unwrap() error { return e.err }
+
+// Invalid returns an InputError with a message formatted as by fmt.Errorf, %w included.
 func Invalid(format string, args ...any) error {
-	return &InputError{fmt.Sprintf(format, args...)}
+	return &InputError{err: fmt.Errorf(format, args...)}
 }
 
-// Read reads a scenario file. It accepts no key that it does not know.
+// Read reads and validates a scenario file. Every error is an *InputError; unknown keys are errors.
 func Read(path string) (*File, error) {
 	var file File
 	meta, err := toml.DecodeFile(path, &file)
@@ -43,7 +46,7 @@
 		return nil, Invalid("%s: unknown key %s", path, unknown[0])
 	}
 	if err := file.validate(); err != nil {
-		return nil, Invalid("%s: %s", path, err)
+		return nil, Invalid("%s: %w", path, err)
 	}
 	return &file, nil
 }
@@ -56,7 +59,7 @@
 // Names returns the names of the scenarios, sorted.
 func (f *File) Names() []string { return slices.Sorted(maps.Keys(f.Scenarios)) }
 
-// Scenario returns a scenario by its name.
+// Scenario returns a scenario by its name. An unknown name is an *InputError.
 func (f *File) Scenario(name string) (Scenario, error) {
 	scenario, known := f.Scenarios[name]
 	if !known {
@@ -65,7 +68,7 @@
 	return scenario, nil
 }
 
-// Validate finds what is out of range in a size.
+// Validate returns an *InputError if a size is out of range.
 func (s Size) Validate() error {
 	switch {
 	case s.Sidecars < 1 || s.Sidecars > maxSidecars:
@@ -78,16 +81,16 @@
 	return nil
 }
 
-// rangedValue is a figure of the file and the range it has to be in.
+// rangedValue is a value of the file and the closed range that it has to be in.
 type rangedValue struct {
 	key      string
 	value    float64
 	min, max float64
 }
 
-// validate finds the first figure that is out of range.
+// validate returns an InputError for the first value that is not allowed.
 func (f *File) validate() error {
-	bounds := []rangedValue{
+	ranges := []rangedValue{
 		{"fleet.services", float64(f.Fleet.Services), 1, 100},
 		{"fleet.regions", float64(len(f.Fleet.Regions)), 1, 8},
 		{"fleet.zones_per_region", float64(f.Fleet.ZonesPerRegion), 1, 8},
@@ -116,7 +119,7 @@
 		{"limits.start_spread", f.Limits.StartSpread.Std().Seconds(), 0, maxDuration.Seconds()},
 		{"limits.ready", f.Limits.Ready.Std().Seconds(), 1, maxDuration.Seconds()},
 	}
-	if err := validateRanges(bounds); err != nil {
+	if err := validateRanges(ranges); err != nil {
 		return err
 	}
 	for i, class := range f.Load.Classes {
@@ -129,22 +132,23 @@
 	}
 	for _, name := range f.Names() {
 		if err := f.Scenarios[name].validate(); err != nil {
-			return Invalid("scenarios.%s.%s", name, err)
+			return Invalid("scenarios.%s.%w", name, err)
 		}
 	}
 	return nil
 }
 
-func validateRanges(bounds []rangedValue) error {
-	for _, b := range bounds {
-		if !(b.value >= b.min && b.value <= b.max) {
-			return Invalid("%s: %v is out of range, %v to %v", b.key, b.value, b.min, b.max)
+// validateRanges returns an InputError for the first value that is out of its range.
+func validateRanges(values []rangedValue) error {
+	for _, v := range values {
+		if !(v.value >= v.min && v.value <= v.max) {
+			return Invalid("%s: %v is out of range, %v to %v", v.key, v.value, v.min, v.max)
 		}
 	}
 	return nil
 }
 
-// validate finds what is out of range in a scenario.
+// validate returns an InputError for the first value of a scenario that is not allowed.
 func (s Scenario) validate() error {
 	phases := []rangedValue{
 		{"settle", s.Settle.Std().Seconds(), 0, maxDuration.Seconds()},
--- a/internal/emulator/spec/spec.go
+++ b/internal/emulator/spec/spec.go
@@ -1,5 +1,7 @@
-// Package spec reads what the emulator is to play: the scenario file and the sizes
-// that the command line gives.
+// Package spec defines what the emulator plays: the scenario file and the size of the fleet.
+//
+// It validates every value, so that the packages that use them need not. Values are stored with results: the JSON
+// keys equal the keys of the scenario file and must not change.
 package spec
 
 import "time"
@@ -15,7 +17,7 @@
 	Scenarios map[string]Scenario `toml:"scenarios" json:"-"`
 }
 
-// Fleet says how endpoints and sidecars spread.
+// Fleet describes how endpoints and sidecars are laid out.
 type Fleet struct {
 	Services           int      `toml:"services" json:"services"`
 	Regions            []string `toml:"regions" json:"regions"`
@@ -26,7 +28,7 @@
 	EndpointsPerWorker int      `toml:"endpoints_per_worker" json:"endpoints_per_worker"`
 }
 
-// Sidecar is what every sidecar is configured with.
+// Sidecar holds the settings of every sidecar.
 type Sidecar struct {
 	MemoryMB      int      `toml:"memory_mb" json:"memory_mb"`
 	Sockets       int      `toml:"sockets" json:"sockets"`
@@ -42,7 +44,7 @@
 	Tenants       int      `toml:"tenants" json:"tenants"`
 }
 
-// Endpoint is what every endpoint is like.
+// Endpoint holds the properties of every endpoint.
 type Endpoint struct {
 	Cores        int      `toml:"cores" json:"cores"`
 	ServiceTime  Duration `toml:"service_time" json:"service_time"`
@@ -51,22 +53,22 @@
 	ColdCapacity float64  `toml:"cold_share" json:"cold_share"`
 }
 
-// Registry is what discovery can do.
+// Registry holds the limits of the discovery server.
 type Registry struct {
 	CallsPerSecond float64  `toml:"calls_per_second" json:"calls_per_second"`
 	MaxQueueDelay  Duration `toml:"max_queue_delay" json:"max_queue_delay"`
 	History        int      `toml:"history" json:"history"`
 }
 
-// Load is what the clients of the real sidecars send.
+// Load describes the requests that are sent through real sidecars and, for comparison, directly.
 type Load struct {
 	CallsPerSecond       float64 `toml:"calls_per_second" json:"calls_per_second"`               // to each real sidecar
-	DirectCallsPerSecond float64 `toml:"direct_calls_per_second" json:"direct_calls_per_second"` // to endpoints, over all
+	DirectCallsPerSecond float64 `toml:"direct_calls_per_second" json:"direct_calls_per_second"` // over all endpoints
 	MaxInFlight          int     `toml:"max_in_flight" json:"max_in_flight"`
 	Classes              []Class `toml:"classes" json:"classes"`
 }
 
-// Class is one class of requests.
+// Class is a class of requests.
 type Class struct {
 	Name             string   `toml:"name" json:"name"`
 	Idempotency      string   `toml:"repeat" json:"repeat"` // pure, token or side_effect
@@ -75,29 +77,29 @@
 	Weight           float64  `toml:"share" json:"share"`
 }
 
-// How a class's requests may be repeated.
+// Values of Class.Idempotency.
 const (
 	Idempotent        = "pure"
 	IdempotentWithKey = "token"
 	NonIdempotent     = "side_effect"
 )
 
-// How sidecars hear of endpoints.
+// Values of Sidecar.Discovery.
 const (
 	DiscoverySubscribe = "subscribe"
 	DiscoveryAutomatic = "automatic"
 )
 
-// Limits bound every run.
+// Limits limit every run.
 type Limits struct {
 	MemoryMB    int      `toml:"memory_mb" json:"memory_mb"` // of all processes together
 	Duration    Duration `toml:"duration" json:"duration"`
 	Requests    int      `toml:"requests" json:"requests"`
-	StartSpread Duration `toml:"start_spread" json:"start_spread"` // over which sidecars start, at the largest size
-	Ready       Duration `toml:"ready" json:"ready"`               // in which the fleet has to be ready, or a change has to be in force
+	StartSpread Duration `toml:"start_spread" json:"start_spread"` // time over which sidecars start, at the largest size
+	Ready       Duration `toml:"ready" json:"ready"`               // time within which the fleet has to be ready
 }
 
-// Kind is what a scenario does.
+// Kind is the kind of a scenario.
 type Kind string
 
 // The kinds of scenario.
@@ -108,23 +110,23 @@
 	Zone    Kind = "zone"
 )
 
-// Scenario is one named entry of the file. Which figures it needs depends on its kind.
+// Scenario is a scenario of the file. Which values it needs depends on its kind.
 type Scenario struct {
 	Kind        Kind     `toml:"kind" json:"kind"`
 	Description string   `toml:"description" json:"description"`
-	Settle      Duration `toml:"settle" json:"settle"` // from all being ready to the first phase
-	Idle        Duration `toml:"rest" json:"rest"`     // a phase without load; 0: none
-	Loaded      Duration `toml:"loaded" json:"loaded"` // a phase with load and nothing else; 0: none
+	Settle      Duration `toml:"settle" json:"settle"` // time from the fleet's being ready to the first phase
+	Idle        Duration `toml:"rest" json:"rest"`     // length of the phase without load; 0: no such phase
+	Loaded      Duration `toml:"loaded" json:"loaded"` // length of the phase with load and nothing else; 0: no such phase
 
 	PerDay      int     `toml:"per_day" json:"per_day,omitempty"`         // events a day: changes or restarts
-	Compression float64 `toml:"compression" json:"compression,omitempty"` // how much faster than that they are played
-	Events      int     `toml:"events" json:"events,omitempty"`           // that are played
-	Burst       int     `toml:"burst" json:"burst,omitempty"`             // changes made at once after these
-
-	Drain          Duration `toml:"drain" json:"drain,omitempty"`   // from a planned restart's notice to the restart
-	DetectionDelay Duration `toml:"notice" json:"notice,omitempty"` // from a zone's loss to discovery's word of it
-	Outage         Duration `toml:"gone" json:"gone,omitempty"`     // how long a zone is away
-	Recovery       Duration `toml:"back" json:"back,omitempty"`     // how long it is watched once it is back
+	Compression float64 `toml:"compression" json:"compression,omitempty"` // how many times faster they are played
+	Events      int     `toml:"events" json:"events,omitempty"`           // number of events to play
+	Burst       int     `toml:"burst" json:"burst,omitempty"`             // number of changes to roll out without a pause after these
+
+	Drain          Duration `toml:"drain" json:"drain,omitempty"`   // time from the announcement of a restart to the restart
+	DetectionDelay Duration `toml:"notice" json:"notice,omitempty"` // time from a zone's failure to its removal from discovery
+	Outage         Duration `toml:"gone" json:"gone,omitempty"`     // duration of a zone's failure
+	Recovery       Duration `toml:"back" json:"back,omitempty"`     // time that is measured from its recovery
 }
 
 // Interval is the time from one event to the next.
@@ -133,29 +135,29 @@
 	return time.Duration(float64(day) / float64(s.PerDay) / s.Compression)
 }
 
-// Size is how large a fleet is played.
+// Size is the size of a fleet.
 type Size struct {
-	Sidecars  int `json:"sidecars"` // real ones included
+	Sidecars  int `json:"sidecars"` // real sidecars included
 	Endpoints int `json:"endpoints"`
-	Real      int `json:"real"`
+	Real      int `json:"real"` // sidecars with a process of their own
 }
 
-// Duration is a time.Duration that files write as text, such as 1.5s.
+// Duration is a time.Duration that is encoded as text, such as 1.5s.
 type Duration time.Duration
 
-// UnmarshalText reads a duration such as 1.5s.
+// UnmarshalText parses a duration such as 1.5s.
 func (d *Duration) UnmarshalText(text []byte) error {
 	parsed, err := time.ParseDuration(string(text))
 	*d = Duration(parsed)
 	return err
 }
 
-// MarshalText writes a duration such as 1.5s.
+// MarshalText formats a duration such as 1.5s.
 func (d Duration) MarshalText() ([]byte, error) {
 	return []byte(time.Duration(d).String()), nil
 }
 
-// Std returns the duration as the standard library's type.
+// Std returns the duration as a time.Duration.
 func (d Duration) Std() time.Duration { return time.Duration(d) }
 
 // Micros returns the duration in whole microseconds.
