--- a/cmd/emulator/commands.go
+++ b/cmd/emulator/commands.go
@@ -61,7 +61,8 @@
 	flags := command.Flags()
 	flags.StringVar(&c.file, "file", defaultFile, "scenario file")
 	flags.StringVar(&c.scenario, "scenario", "steady", "name of the scenario")
-	flags.StringVar(&c.sidecar, "sidecar", "", "program of a real sidecar (default: "+sidecarProgram+" beside this program)")
+	flags.StringVar(&c.sidecar, "sidecar", "",
+		"program of a real sidecar (default: "+sidecarProgram+" beside this program)")
 	flags.StringVar(&c.out, "out", "", "result file that runs are added to, as JSON lines")
 	flags.StringVar(&c.commit, "commit", "", "commit that the results name (default: that of the work tree)")
 	flags.Uint64Var(&c.seed, "seed", defaultSeed, "seed of all random choices")
@@ -108,7 +109,8 @@
 		return unknownCommit
 	}
 	commit := strings.TrimSpace(string(head))
-	if changes, err := exec.Command("git", "status", "--porcelain", "--untracked-files=no").Output(); err != nil || len(changes) > 0 {
+	changes, err := exec.Command("git", "status", "--porcelain", "--untracked-files=no").Output()
+	if err != nil || len(changes) > 0 {
 		commit += uncommittedShort
 	}
 	return commit
--- a/cmd/emulator/sweep.go
+++ b/cmd/emulator/sweep.go
@@ -36,7 +36,8 @@
 	flags := command.Flags()
 	flags.StringVar(&o.table, "table", "", "file for the Markdown table (default: standard output)")
 	flags.StringVar(&o.plot, "plot", "", "file for the SVG plot (default: none)")
-	flags.StringArrayVar(&o.metrics, "metric", nil, "metric to plot, as the table names it; may be repeated "+defaultMetric)
+	flags.StringArrayVar(&o.metrics, "metric", nil,
+		"metric to plot, as the table names it; may be repeated "+defaultMetric)
 }
 
 // writeFiles writes the table and the plot.
--- a/internal/emulator/fleet/config.go
+++ b/internal/emulator/fleet/config.go
@@ -150,13 +150,32 @@
 		WeightBy:     "request",
 		Classes:      c.classes(),
 		Tenants:      c.tenants(version),
-		Contract: contractSettings{AnswerGrace: answerGrace, PollInterval: options.PollInterval.Micros(),
-			SlowStartInitialFraction: c.File.Endpoint.ColdCapacity, DrainGrace: options.DrainGrace.Micros(), OverloadFactor: overloadFactor,
-			OverloadWindow: overloadWindow, SlowStartDuration: c.File.Endpoint.WarmUp.Micros()},
-		Limits: limitSettings{CancelAttempts: true, DialTimeout: options.DialTimeout.Micros(), KeepAlive: options.KeepAlive.Micros(),
-			MaxRetryAfter: options.MaxRetryAfter.Micros(), MaxOpenRequests: maxOpenRequests, MaxAttempts: options.MaxAttempts, Multiplex: 1,
-			Probes: true, RetryAfter: true},
-		Prices:    priceSettings{CrossZone: crossZonePrice, Probe: options.ProbePrice, WastedAttempt: wastedAttemptPrice, LateFailure: lateFailurePrice},
+		Contract: contractSettings{
+			AnswerGrace:              answerGrace,
+			PollInterval:             options.PollInterval.Micros(),
+			SlowStartInitialFraction: c.File.Endpoint.ColdCapacity,
+			DrainGrace:               options.DrainGrace.Micros(),
+			OverloadFactor:           overloadFactor,
+			OverloadWindow:           overloadWindow,
+			SlowStartDuration:        c.File.Endpoint.WarmUp.Micros(),
+		},
+		Limits: limitSettings{
+			CancelAttempts:  true,
+			DialTimeout:     options.DialTimeout.Micros(),
+			KeepAlive:       options.KeepAlive.Micros(),
+			MaxRetryAfter:   options.MaxRetryAfter.Micros(),
+			MaxOpenRequests: maxOpenRequests,
+			MaxAttempts:     options.MaxAttempts,
+			Multiplex:       1,
+			Probes:          true,
+			RetryAfter:      true,
+		},
+		Prices: priceSettings{
+			CrossZone:     crossZonePrice,
+			Probe:         options.ProbePrice,
+			WastedAttempt: wastedAttemptPrice,
+			LateFailure:   lateFailurePrice,
+		},
 		Goal:      goalSettings{Overall: 0.55, WorstWindow: 0.15, WorstClass: 0.05, WorstTenant: 0.25},
 		Reporting: reportingSettings{How: "probe", Fields: []string{options.LoadField}},
 	}
@@ -165,8 +184,13 @@
 func (c *Configurations) classes() []classSettings {
 	var classes []classSettings
 	for _, class := range c.File.Load.Classes {
-		encoded := classSettings{Name: class.Name, Idempotency: class.Idempotency, LatencyObjective: class.LatencyObjective.Micros(),
-			ClientTimeout: class.Timeout.Micros(), PriorityWeight: 1}
+		encoded := classSettings{
+			Name:             class.Name,
+			Idempotency:      class.Idempotency,
+			LatencyObjective: class.LatencyObjective.Micros(),
+			ClientTimeout:    class.Timeout.Micros(),
+			PriorityWeight:   1,
+		}
 		if class.Idempotency == spec.IdempotentWithKey {
 			encoded.DeduplicationScope, encoded.DeduplicationWindow = "cell", deduplicationWindow
 		}
--- a/internal/emulator/imports_test.go
+++ b/internal/emulator/imports_test.go
@@ -7,9 +7,9 @@
 	"testing"
 )
 
-// TestTheSidecarDoesWithoutTheEmulator keeps the emulator and what it requires out of
+// TestSidecarDoesNotDependOnTheEmulator keeps the emulator and what it requires out of
 // the sidecar's own packages.
-func TestTheSidecarDoesWithoutTheEmulator(t *testing.T) {
+func TestSidecarDoesNotDependOnTheEmulator(t *testing.T) {
 	listed, err := exec.Command("go", "list", "-deps", "oakproxy/balancer", "oakproxy/internal/sidecar", "oakproxy/cmd/sidecar").Output()
 	if err != nil {
 		t.Fatal(err)
--- a/internal/emulator/load/ready.go
+++ b/internal/emulator/load/ready.go
@@ -29,7 +29,7 @@
 func awaitReady(ctx context.Context, client *http.Client, target string) error {
 	ticker := time.NewTicker(readyPoll)
 	defer ticker.Stop()
-	for !isReady(ctx, client, target) {
+	for !IsReady(ctx, client, target) {
 		select {
 		case <-ticker.C:
 		case <-ctx.Done():
@@ -39,7 +39,8 @@
 	return nil
 }
 
-func isReady(ctx context.Context, client *http.Client, target string) bool {
+// IsReady says whether a sidecar, given by host and port, responds to a readiness check with 200.
+func IsReady(ctx context.Context, client *http.Client, target string) bool {
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+target+readyPath, nil)
 	if err != nil {
 		return false
--- a/internal/emulator/play/changes.go
+++ b/internal/emulator/play/changes.go
@@ -78,7 +78,8 @@
 	}
 	phase.Distributions = append(phase.Distributions,
 		result.NewDistribution("from a file's replacement to its being in force there", len(fromFile)+missing, fromFile),
-		result.NewDistribution("from the first file's replacement to a change's being in force", len(fromFirst)+missing, fromFirst))
+		result.NewDistribution("from the first file's replacement to a change's being in force",
+			len(fromFirst)+missing, fromFirst))
 	return nil
 }
 
@@ -122,7 +123,7 @@
 	if err != nil {
 		return nil, err
 	}
-	if _, err := callAll[worker.Names, control.Empty](ctx, r.sidecarWorkers, worker.ReloadSidecars, worker.Names{}); err != nil {
+	if _, err := callAll[control.Empty](ctx, r.sidecarWorkers, worker.ReloadSidecars, worker.Names{}); err != nil {
 		return nil, err
 	}
 	for _, s := range r.real {
@@ -170,7 +171,7 @@
 		realErr = r.awaitRealConfig(ctx, applied.at)
 	}()
 	request := worker.Await{Timeout: reloadTimeout}
-	simulated, err := callAll[worker.Await, worker.Completions](ctx, r.sidecarWorkers, worker.AwaitConfig, request)
+	simulated, err := callAll[worker.Completions](ctx, r.sidecarWorkers, worker.AwaitConfig, request)
 	waiting.Wait()
 	if err := errors.Join(err, realErr); err != nil {
 		return appliedTimes{}, err
--- a/internal/emulator/play/endpoints.go
+++ b/internal/emulator/play/endpoints.go
@@ -15,7 +15,7 @@
 	if r.endpointWorkers, err = r.startWorkers(worker.EndpointsRole, len(requests)); err != nil {
 		return err
 	}
-	started, err := callEach[worker.EndpointConfigs, worker.Incarnations](ctx, r.endpointWorkers, worker.StartEndpoints, requests)
+	started, err := callEach[worker.Incarnations](ctx, r.endpointWorkers, worker.StartEndpoints, requests)
 	if err != nil {
 		return err
 	}
@@ -74,7 +74,7 @@
 			requests = append(requests, worker.EndpointAction{Action: action, Names: some})
 		}
 	}
-	incarnations, err := callEach[worker.EndpointAction, worker.Incarnations](ctx, workers, worker.ActOnEndpoints, requests)
+	incarnations, err := callEach[worker.Incarnations](ctx, workers, worker.ActOnEndpoints, requests)
 	r.recordIncarnations(incarnations)
 	return err
 }
@@ -82,7 +82,8 @@
 // announce updates endpoints in discovery's list, and returns the version with the update.
 func (r *runner) announce(ctx context.Context, endpoints []fleet.Endpoint, health string) (worker.ListVersion, error) {
 	var version worker.ListVersion
-	err := r.registry.Call(ctx, worker.UpdateInstances, worker.Instances{Instances: r.instances(endpoints, health)}, &version)
+	update := worker.Instances{Instances: r.instances(endpoints, health)}
+	err := r.registry.Call(ctx, worker.UpdateInstances, update, &version)
 	return version, err
 }
 
--- a/internal/emulator/play/monitor.go
+++ b/internal/emulator/play/monitor.go
@@ -52,7 +52,8 @@
 		return
 	}
 	size := r.options.Size
-	fmt.Fprintf(r.options.Progress, "%s %d sidecars (%d real), %d endpoints, play %d: %3.0f s, %s; %d processes, %d MB, machine %.0f%% busy\n",
+	fmt.Fprintf(r.options.Progress,
+		"%s %d sidecars (%d real), %d endpoints, play %d: %3.0f s, %s; %d processes, %d MB, machine %.0f%% busy\n",
 		r.options.Name, size.Sidecars, size.Real, size.Endpoints, r.options.Play, elapsed.Seconds(), *r.phase.Load(),
 		len(r.group.Children()), residentKB/kbPerMB, busyShare*100)
 }
--- a/internal/emulator/play/options.go
+++ b/internal/emulator/play/options.go
@@ -59,7 +59,8 @@
 		return err
 	}
 	if int64(o.File.Limits.MemoryMB)*kbPerMB*2 >= memoryKB {
-		return spec.Invalid("limits.memory_mb: %d is not under half of this machine's %d MB", o.File.Limits.MemoryMB, memoryKB/kbPerMB)
+		return spec.Invalid("limits.memory_mb: %d is not under half of this machine's %d MB",
+			o.File.Limits.MemoryMB, memoryKB/kbPerMB)
 	}
 	return nil
 }
--- a/internal/emulator/play/real.go
+++ b/internal/emulator/play/real.go
@@ -3,19 +3,18 @@
 import (
 	"context"
 	"fmt"
-	"io"
 	"net"
 	"net/http"
 	"syscall"
 	"time"
 
 	"oakproxy/internal/emulator/fleet"
+	"oakproxy/internal/emulator/load"
 	"oakproxy/internal/emulator/process"
 	"oakproxy/internal/emulator/sidecarlog"
 )
 
 const (
-	readyPath      = "/health/ready"
 	readyPoll      = 20 * time.Millisecond
 	configVariable = "BALANCER_CONFIG" // environment variable with the path of the configuration file
 
@@ -87,7 +86,7 @@
 func (s *realSidecar) awaitReady(ctx context.Context) (time.Duration, error) {
 	client := http.Client{Transport: &http.Transport{DisableKeepAlives: true}}
 	for {
-		if isReady(ctx, &client, s.listen) {
+		if load.IsReady(ctx, &client, s.listen) {
 			return time.Since(s.started), nil
 		}
 		select {
@@ -97,17 +96,3 @@
 		}
 	}
 }
-
-func isReady(ctx context.Context, client *http.Client, address string) bool {
-	request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+address+readyPath, nil)
-	if err != nil {
-		return false
-	}
-	response, err := client.Do(request)
-	if err != nil {
-		return false
-	}
-	defer response.Body.Close()
-	_, _ = io.Copy(io.Discard, response.Body)
-	return response.StatusCode == http.StatusOK
-}
--- a/internal/emulator/play/replace.go
+++ b/internal/emulator/play/replace.go
@@ -27,7 +27,7 @@
 // awaitList waits until every simulated sidecar has received a version of the list.
 func (r *runner) awaitList(ctx context.Context, version worker.ListVersion, times *propagation) error {
 	request := worker.Await{Version: version.Number, Timeout: propagationTimeout}
-	received, err := callAll[worker.Await, worker.Completions](ctx, r.sidecarWorkers, worker.AwaitList, request)
+	received, err := callAll[worker.Completions](ctx, r.sidecarWorkers, worker.AwaitList, request)
 	if err != nil {
 		return err
 	}
--- a/internal/emulator/play/runner.go
+++ b/internal/emulator/play/runner.go
@@ -52,7 +52,7 @@
 	incarnations     map[string]worker.Incarnation // by endpoint name
 	version          int                           // of the configuration
 	requests         int                           // sent so far
-	excluded         map[string]bool               // names of endpoints and real sidecars that get no load, because they fail or restart
+	excluded         map[string]bool               // names of endpoints and real sidecars that get no load
 	peakKB           atomic.Int64
 	phase            atomic.Pointer[string] // for the progress line
 	stopping         atomic.Bool
--- a/internal/emulator/play/sidecars.go
+++ b/internal/emulator/play/sidecars.go
@@ -90,7 +90,9 @@
 
 // startSidecarSet starts real sidecars, and simulated ones by worker, each evenly over a duration, and waits
 // until they are ready.
-func (r *runner) startSidecarSet(ctx context.Context, realSidecars []*realSidecar, byWorker [][]fleet.Sidecar, over time.Duration) (startupTimes, error) {
+func (r *runner) startSidecarSet(
+	ctx context.Context, realSidecars []*realSidecar, byWorker [][]fleet.Sidecar, over time.Duration,
+) (startupTimes, error) {
 	var times startupTimes
 	var realErr, simulatedErr error
 	var starting sync.WaitGroup
@@ -108,7 +110,9 @@
 }
 
 // startAllReal starts real sidecars evenly over a duration, and waits until they are ready.
-func (r *runner) startAllReal(ctx context.Context, sidecars []*realSidecar, over time.Duration) (result.Distribution, error) {
+func (r *runner) startAllReal(
+	ctx context.Context, sidecars []*realSidecar, over time.Duration,
+) (result.Distribution, error) {
 	ctx, cancel := context.WithTimeout(ctx, over+r.spec().Limits.Ready.Std())
 	defer cancel()
 	times := make([]time.Duration, len(sidecars))
@@ -122,7 +126,8 @@
 		}()
 	}
 	starting.Wait()
-	return result.NewDistribution("from a real sidecar's start to its being ready", len(sidecars), times), errors.Join(failures...)
+	ready := result.NewDistribution("from a real sidecar's start to its being ready", len(sidecars), times)
+	return ready, errors.Join(failures...)
 }
 
 // startRealAfter starts a real sidecar after a delay, and returns how long it took to be ready.
@@ -137,7 +142,9 @@
 }
 
 // startSimulated starts simulated sidecars, given by worker, and waits until they are ready.
-func (r *runner) startSimulated(ctx context.Context, byWorker [][]fleet.Sidecar, over time.Duration) (result.Distribution, error) {
+func (r *runner) startSimulated(
+	ctx context.Context, byWorker [][]fleet.Sidecar, over time.Duration,
+) (result.Distribution, error) {
 	var workers []*workerProcess
 	var starts []worker.Sidecars
 	var awaits []worker.Await
@@ -156,10 +163,10 @@
 		starts, awaits = append(starts, start), append(awaits, await)
 		count += len(group)
 	}
-	if _, err := callEach[worker.Sidecars, control.Empty](ctx, workers, worker.StartSidecars, starts); err != nil {
+	if _, err := callEach[control.Empty](ctx, workers, worker.StartSidecars, starts); err != nil {
 		return result.Distribution{}, err
 	}
-	ready, err := callEach[worker.Await, worker.Completions](ctx, workers, worker.AwaitReady, awaits)
+	ready, err := callEach[worker.Completions](ctx, workers, worker.AwaitReady, awaits)
 	if err != nil {
 		return result.Distribution{}, err
 	}
--- a/internal/emulator/play/snapshot.go
+++ b/internal/emulator/play/snapshot.go
@@ -59,19 +59,22 @@
 }
 
 func (r *runner) countEndpoints(ctx context.Context) (endpoint.Counts, error) {
-	counts, err := callAll[control.Empty, endpoint.Counts](ctx, r.endpointWorkers, worker.CountEndpoints, control.Empty{})
-	var sum endpoint.Counts
-	for _, one := range counts {
-		sum.Add(one)
-	}
-	return sum, err
+	return sumCounts[endpoint.Counts](ctx, r.endpointWorkers, worker.CountEndpoints)
 }
 
 func (r *runner) countSimulated(ctx context.Context) (worker.SidecarCounts, error) {
-	counts, err := callAll[control.Empty, worker.SidecarCounts](ctx, r.sidecarWorkers, worker.CountSidecars, control.Empty{})
-	var sum worker.SidecarCounts
+	return sumCounts[worker.SidecarCounts](ctx, r.sidecarWorkers, worker.CountSidecars)
+}
+
+// sumCounts returns the sum of the counts of all workers.
+func sumCounts[Counts any, Sum interface {
+	*Counts
+	Add(Counts)
+}](ctx context.Context, workers []*workerProcess, kind control.Kind) (Counts, error) {
+	counts, err := callAll[Counts](ctx, workers, kind, control.Empty{})
+	var sum Counts
 	for _, one := range counts {
-		sum.Add(one)
+		Sum(&sum).Add(one)
 	}
 	return sum, err
 }
@@ -166,7 +169,8 @@
 		phase.Roles = append(phase.Roles, usage)
 		phase.OwnCPUShare += usage.CPUSeconds / phase.Seconds / float64(runtime.NumCPU())
 		if totals.nearLimit > 0 {
-			phase.Notes = append(phase.Notes, fmt.Sprintf("%d of %d processes of role %s are out of descriptors: connections were refused",
+			phase.Notes = append(phase.Notes, fmt.Sprintf(
+				"%d of %d processes of role %s are out of descriptors: connections were refused",
 				totals.nearLimit, totals.processes, totals.role))
 			phase.OutOfDescriptors = true
 		}
--- a/internal/emulator/play/worker.go
+++ b/internal/emulator/play/worker.go
@@ -47,7 +47,9 @@
 
 // callEach calls several workers concurrently, each with a body of its own. Bodies and responses are in the
 // order of the workers; the error joins all failures.
-func callEach[Request, Response any](ctx context.Context, workers []*workerProcess, kind control.Kind, bodies []Request) ([]Response, error) {
+func callEach[Response, Request any](
+	ctx context.Context, workers []*workerProcess, kind control.Kind, bodies []Request,
+) ([]Response, error) {
 	responses := make([]Response, len(workers))
 	failures := make([]error, len(workers))
 	var calls sync.WaitGroup
@@ -63,10 +65,12 @@
 }
 
 // callAll calls several workers concurrently with the same body.
-func callAll[Request, Response any](ctx context.Context, workers []*workerProcess, kind control.Kind, body Request) ([]Response, error) {
+func callAll[Response, Request any](
+	ctx context.Context, workers []*workerProcess, kind control.Kind, body Request,
+) ([]Response, error) {
 	bodies := make([]Request, len(workers))
 	for i := range bodies {
 		bodies[i] = body
 	}
-	return callEach[Request, Response](ctx, workers, kind, bodies)
+	return callEach[Response](ctx, workers, kind, bodies)
 }
--- a/internal/emulator/play/zone.go
+++ b/internal/emulator/play/zone.go
@@ -92,7 +92,8 @@
 		return err
 	}
 	phase.Events = 1
-	phase.Distributions = append(phase.Distributions, received.distribution("from discovery's word of the loss to its being heard"))
+	phase.Distributions = append(phase.Distributions,
+		received.distribution("from discovery's word of the loss to its being heard"))
 	return nil
 }
 
@@ -137,7 +138,8 @@
 		return err
 	}
 	phase.Events = 1
-	phase.Distributions = append(phase.Distributions, received.distribution("from discovery's word of the return to its being heard"),
+	phase.Distributions = append(phase.Distributions,
+		received.distribution("from discovery's word of the return to its being heard"),
 		startup.simulated, startup.real)
 	return nil
 }
--- a/internal/emulator/result/metrics.go
+++ b/internal/emulator/result/metrics.go
@@ -135,7 +135,8 @@
 			continue
 		}
 		beyond := usage.CPUSeconds - baseline.CPUSeconds/idle.Seconds*p.Seconds
-		metrics = append(metrics, p.metric(beyond*1e6/float64(each.requests), "µs", "%s, processor time of a request", each.role))
+		cost := beyond * 1e6 / float64(each.requests)
+		metrics = append(metrics, p.metric(cost, "µs", "%s, processor time of a request", each.role))
 	}
 	return metrics
 }
--- a/internal/emulator/result/summary.go
+++ b/internal/emulator/result/summary.go
@@ -34,21 +34,27 @@
 }
 
 func writePhase(table io.Writer, phase *Phase) {
-	fmt.Fprintf(table, "phase %s\t%.1f s, machine %.0f%% busy, %.0f%% by this run\n", phase.Name, phase.Seconds, phase.MachineCPUShare*100, phase.OwnCPUShare*100)
+	fmt.Fprintf(table, "phase %s\t%.1f s, machine %.0f%% busy, %.0f%% by this run\n",
+		phase.Name, phase.Seconds, phase.MachineCPUShare*100, phase.OwnCPUShare*100)
 	for _, usage := range phase.Roles {
 		if usage.Processes == 0 {
 			continue
 		}
 		per := perUnit(usage, phase.Seconds)
-		fmt.Fprintf(table, "  %s\t%d in %d processes\t%.3f %% of a core each\t%.1f MB each\t%.0f B/s read, %.0f B/s written each\t%d descriptors\n",
-			usage.Role, usage.Units, usage.Processes, per.cpuPercent, per.residentMB, per.readBytes, per.writeBytes, usage.Descriptors)
+		fmt.Fprintf(table, "  %s\t%d in %d processes\t%.3f %% of a core each\t%.1f MB each\t"+
+			"%.0f B/s read, %.0f B/s written each\t%d descriptors\n",
+			usage.Role, usage.Units, usage.Processes, per.cpuPercent, per.residentMB,
+			per.readBytes, per.writeBytes, usage.Descriptors)
 	}
 	d := phase.Discovery
-	fmt.Fprintf(table, "  discovery\t%.1f calls/s\t%d whole, %d changed, %d empty, %d unavailable\t%.0f B/s in, %.0f B/s out\n",
-		float64(d.ListCalls+d.WatchCalls)/phase.Seconds, d.CompleteResponses, d.DeltaResponses, d.EmptyResponses, d.Unavailable,
+	fmt.Fprintf(table, "  discovery\t%.1f calls/s\t%d whole, %d changed, %d empty, %d unavailable\t"+
+		"%.0f B/s in, %.0f B/s out\n",
+		float64(d.ListCalls+d.WatchCalls)/phase.Seconds, d.CompleteResponses, d.DeltaResponses,
+		d.EmptyResponses, d.Unavailable,
 		float64(d.BytesIn)/phase.Seconds, float64(d.BytesOut)/phase.Seconds)
 	e := phase.Endpoints
-	fmt.Fprintf(table, "  endpoints\t%.1f requests/s, %.1f probes/s\t%d rejected, %d duplicates\t%d connections open, %d accepted\n",
+	fmt.Fprintf(table, "  endpoints\t%.1f requests/s, %.1f probes/s\t%d rejected, %d duplicates\t"+
+		"%d connections open, %d accepted\n",
 		float64(e.Requests)/phase.Seconds, float64(e.HealthChecks)/phase.Seconds, e.Rejected, e.Duplicates,
 		e.Connections.Open, e.Connections.Accepted)
 	writeRequests(table, "through sidecars", phase.Proxied)
@@ -64,7 +70,8 @@
 		return
 	}
 	c := r.Counts
-	fmt.Fprintf(table, "  %s\t%.1f/s\tp50 %.2f, p99 %.2f, p99.9 %.2f, max %.1f ms\tserved %d, refused %d, failed %d, lost %d, mismatched %d, unsent %d, cancelled %d\n",
+	fmt.Fprintf(table, "  %s\t%.1f/s\tp50 %.2f, p99 %.2f, p99.9 %.2f, max %.1f ms\t"+
+		"served %d, refused %d, failed %d, lost %d, mismatched %d, unsent %d, cancelled %d\n",
 		what, float64(c.Planned)/max(r.Seconds, 1e-9), r.P50MS, r.P99MS, r.P999MS, r.MaxMS, c.Served, c.Rejected, c.Failed,
 		c.Lost(), c.Mismatched, c.Unsent, c.Cancelled)
 }
@@ -72,7 +79,8 @@
 func writeDistributions(table io.Writer, spreads []Distribution) {
 	for _, s := range spreads {
 		if s.Total > 0 {
-			fmt.Fprintf(table, "  %s\t%d of %d\tmedian %.0f, p99 %.0f, last %.0f ms\n", s.What, s.Total-s.Missing, s.Total, s.MedianMS, s.P99MS, s.MaxMS)
+			fmt.Fprintf(table, "  %s\t%d of %d\tmedian %.0f, p99 %.0f, last %.0f ms\n",
+				s.What, s.Total-s.Missing, s.Total, s.MedianMS, s.P99MS, s.MaxMS)
 		}
 	}
 }
--- a/internal/emulator/result/table.go
+++ b/internal/emulator/result/table.go
@@ -74,7 +74,8 @@
 		fmt.Fprintf(text, " %s |", mean(bySize[size]))
 	}
 	if f := series.Fit; f != nil {
-		fmt.Fprintf(text, " %s | %s | %s | %s | %s |\n", formatNumber(f.Intercept), formatNumber(f.Slope), formatNumber(f.RSquared),
+		fmt.Fprintf(text, " %s | %s | %s | %s | %s |\n",
+			formatNumber(f.Intercept), formatNumber(f.Slope), formatNumber(f.RSquared),
 			formatNumber(f.MaxResidual), formatNumber(f.PlayRange))
 		return
 	}
--- a/internal/emulator/spec/spec.go
+++ b/internal/emulator/spec/spec.go
@@ -121,10 +121,10 @@
 	PerDay      int     `toml:"per_day" json:"per_day,omitempty"`         // events a day: changes or restarts
 	Compression float64 `toml:"compression" json:"compression,omitempty"` // how many times faster they are played
 	Events      int     `toml:"events" json:"events,omitempty"`           // number of events to play
-	Burst       int     `toml:"burst" json:"burst,omitempty"`             // number of changes to roll out without a pause after these
+	Burst       int     `toml:"burst" json:"burst,omitempty"`             // number of changes in the burst after them
 
-	Drain          Duration `toml:"drain" json:"drain,omitempty"`   // time from the announcement of a restart to the restart
-	DetectionDelay Duration `toml:"notice" json:"notice,omitempty"` // time from a zone's failure to its removal from discovery
+	Drain          Duration `toml:"drain" json:"drain,omitempty"`   // from the announcement of a restart to it
+	DetectionDelay Duration `toml:"notice" json:"notice,omitempty"` // from a zone's failure to its removal
 	Outage         Duration `toml:"gone" json:"gone,omitempty"`     // duration of a zone's failure
 	Recovery       Duration `toml:"back" json:"back,omitempty"`     // time that is measured from its recovery
 }
--- a/internal/emulator/worker/sidecars.go
+++ b/internal/emulator/worker/sidecars.go
@@ -131,7 +131,8 @@
 }
 
 func (s *sidecarService) awaitList(ctx context.Context, request Await) (Completions, error) {
-	return s.await(ctx, request, func(*hostedSidecar) sidecarlog.Condition { return sidecarlog.ListReceived(request.Version) })
+	received := sidecarlog.ListReceived(request.Version)
+	return s.await(ctx, request, func(*hostedSidecar) sidecarlog.Condition { return received })
 }
 
 func (s *sidecarService) awaitConfig(ctx context.Context, request Await) (Completions, error) {
@@ -146,7 +147,9 @@
 
 // await waits until each sidecar of a request meets its condition. One that ends in the meantime is
 // neither completed nor missing.
-func (s *sidecarService) await(ctx context.Context, request Await, conditionOf func(*hostedSidecar) sidecarlog.Condition) (Completions, error) {
+func (s *sidecarService) await(
+	ctx context.Context, request Await, conditionOf func(*hostedSidecar) sidecarlog.Condition,
+) (Completions, error) {
 	ctx, cancel := context.WithTimeout(ctx, request.Timeout)
 	defer cancel()
 	var result Completions
