--- a/cmd/emulator/main_test.go
+++ b/cmd/emulator/main_test.go
@@ -266,13 +266,13 @@
 			e.checkNothingLeft(t)
 			runs, err := result.Read(out)
 			if err != nil || len(runs) != 1 || !strings.Contains(runs[0].Stopped, c.want) || runs[0].Usable() {
-				t.Errorf("kept %d runs, %v", len(runs), err)
+				t.Errorf("recorded %d runs, %v", len(runs), err)
 			}
 		})
 	}
 }
 
-// A sweep plays each size as often as asked for, and report makes the same table again.
+// A sweep plays each size as often as --plays says, and report reproduces its table.
 func TestSweepRunsEachSizeAndReportReproducesItsTable(t *testing.T) {
 	sidecar, err := sidecarPath()
 	if err != nil {
@@ -280,7 +280,8 @@
 	}
 	directory := t.TempDir()
 	at := func(name string) string { return filepath.Join(directory, name) }
-	e := newEmulator(t, "sweep", "--file", smallFile, "--sidecar", sidecar, "--sizes", "3,5", "--plays", "2", "--real", "1",
+	e := newEmulator(t, "sweep", "--file", smallFile, "--sidecar", sidecar, "--sizes", "3,5",
+		"--plays", "2", "--real", "1",
 		"--out", at("runs.jsonl"), "--table", at("table.md"), "--plot", at("plot.svg"))
 	if err := e.Run(); err != nil {
 		t.Fatalf("%v: %s", err, e.errors.String())
@@ -308,7 +309,7 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { e.Process.Kill() })
-	const children = 2 + 3 + 3 + 1 // real sidecars, endpoints, hollow sidecars, discovery
+	const children = 2 + 3 + 3 + 1 // real sidecars, and workers for endpoints, simulated sidecars and discovery
 	await(t, "the children", func() bool { return e.processes() > children })
 	return e
 }
--- a/internal/emulator/control/control_test.go
+++ b/internal/emulator/control/control_test.go
@@ -61,7 +61,8 @@
 	client, closeInput := startWorker(t)
 	closeInput()
 	for { // the end is seen a little later
-		if err := client.Call(t.Context(), kindDouble, 1, nil); errors.Is(err, ErrClosed) || errors.Is(err, io.ErrClosedPipe) {
+		err := client.Call(t.Context(), kindDouble, 1, nil)
+		if errors.Is(err, ErrClosed) || errors.Is(err, io.ErrClosedPipe) {
 			return
 		}
 	}
--- a/internal/emulator/control/server.go
+++ b/internal/emulator/control/server.go
@@ -13,7 +13,7 @@
 type server struct {
 	handlers Handlers
 
-	mu      sync.Mutex // held while a response is written
+	mu      sync.Mutex // locked while a response is written
 	encoder *json.Encoder
 }
 
@@ -55,7 +55,7 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	// When the output fails the emulator is gone: the input ends as well, and Serve returns.
+	// The output fails only when the emulator has ended. The input ends then as well, and Serve returns.
 	_ = s.encoder.Encode(reply)
 }
 
--- a/internal/emulator/endpoint/config.go
+++ b/internal/emulator/endpoint/config.go
@@ -7,13 +7,13 @@
 	defaultLoadField = "inflight"
 )
 
-// Config describes an endpoint. Site, Class and Block only describe its place.
+// Config describes an endpoint. Zone, MachineKind and Cell only describe its place.
 type Config struct {
-	Name    string
-	Address string // to listen on; with port 0 the system chooses one
-	Site    string
-	Class   string
-	Block   uint16
+	Name        string
+	Address     string // to listen on; with port 0 the system chooses one
+	Zone        string
+	MachineKind string
+	Cell        uint16
 
 	Cores       int           // requests served at a time; at least 1
 	ServiceTime time.Duration // of each request on a core
--- a/internal/emulator/endpoint/endpoint_test.go
+++ b/internal/emulator/endpoint/endpoint_test.go
@@ -121,13 +121,15 @@
 		{"GET", "/stats", "", 200, "inflight=0"},
 	} {
 		got := c.send(check.method, check.path, check.id)
-		if got.err != nil || got.status != check.status || got.body != check.body || got.header.Get(loadHeader) != "inflight=0" {
+		if got.err != nil || got.status != check.status || got.body != check.body ||
+			got.header.Get(loadHeader) != "inflight=0" {
 			t.Errorf("%+v: got %+v", check, got)
 		}
 	}
 	await(t, "third answer", func() bool { return e.Counts().Served == 3 })
 	got := e.Counts()
-	if got.Requests != 4 || got.MissingIDs != 1 || got.Duplicates != 1 || got.HealthChecks != 2 || got.BytesIn == 0 || got.BytesOut == 0 ||
+	if got.Requests != 4 || got.MissingIDs != 1 || got.Duplicates != 1 || got.HealthChecks != 2 ||
+		got.BytesIn == 0 || got.BytesOut == 0 ||
 		got.Connections != (httpconn.SetCounts{Accepted: 1, Open: 1, MaxOpen: 1}) {
 		t.Errorf("counts %+v", got)
 	}
--- a/internal/emulator/fleet/config.go
+++ b/internal/emulator/fleet/config.go
@@ -141,7 +141,7 @@
 	options := c.File.Sidecar
 	return settings{
 		Zones:        c.Layout.Zones,
-		MachineKinds: c.Layout.Kinds,
+		MachineKinds: c.Layout.MachineKinds,
 		Stages:       []string{"application"},
 		Discovery:    options.Discovery,
 		Balancers:    len(c.Layout.Sidecars),
--- a/internal/emulator/fleet/fleet_test.go
+++ b/internal/emulator/fleet/fleet_test.go
@@ -47,7 +47,8 @@
 // A sidecar parses the configurations, and their hashes differ by version only.
 func TestConfigurationsParseAndDifferByVersion(t *testing.T) {
 	file := shipped(t)
-	c := &Configurations{File: file, Layout: New(file, spec.Size{Sidecars: 12, Endpoints: 12}), Discovery: "127.0.0.1:1", Seed: 7}
+	layout := New(file, spec.Size{Sidecars: 12, Endpoints: 12})
+	c := &Configurations{File: file, Layout: layout, Discovery: "127.0.0.1:1", Seed: 7}
 	parse := func(number, version int) *config.Config {
 		text, err := c.Encode(c.Layout.Sidecars[number], "127.0.0.1:0", version)
 		if err != nil {
@@ -61,7 +62,8 @@
 	}
 	first, other, next := parse(0, 1), parse(5, 1), parse(0, 2)
 	s := first.Settings
-	if s.Balancers != 12 || !s.SubscribeToDiscovery || !s.Limits.Probes || len(s.Classes) != 3 || len(s.Tenants) != 4 || len(s.ReportFields) != 1 {
+	if s.Balancers != 12 || !s.SubscribeToDiscovery || !s.Limits.Probes || len(s.Classes) != 3 ||
+		len(s.Tenants) != 4 || len(s.ReportFields) != 1 {
 		t.Errorf("settings %+v", s)
 	}
 	if first.Hash() != other.Hash() {
--- a/internal/emulator/fleet/layout.go
+++ b/internal/emulator/fleet/layout.go
@@ -20,19 +20,19 @@
 
 // Layout is the plan of a fleet.
 type Layout struct {
-	Zones     []string // names of a region and a number, such as north-1
-	Kinds     []string
-	Endpoints []Endpoint
-	Sidecars  []Sidecar
+	Zones        []string // names of a region and a number, such as north-1
+	MachineKinds []string
+	Endpoints    []Endpoint
+	Sidecars     []Sidecar
 }
 
 // Endpoint is one endpoint's place in the fleet.
 type Endpoint struct {
-	Name    string
-	Zone    int
-	Kind    string
-	Block   uint16
-	Address string // to listen on, port 0
+	Name        string
+	Zone        int
+	MachineKind string
+	Cell        uint16
+	Address     string // to listen on, port 0
 }
 
 // Sidecar is one sidecar's place in the fleet. The sidecar at a position belongs to the same application as the
@@ -47,7 +47,7 @@
 // New lays out a fleet. Endpoints and sidecars are assigned to zones round-robin, and real sidecars are spread
 // evenly among the sidecars of each zone.
 func New(file *spec.File, size spec.Size) *Layout {
-	l := &Layout{Kinds: file.Fleet.Kinds}
+	l := &Layout{MachineKinds: file.Fleet.MachineKinds}
 	for _, region := range file.Fleet.Regions {
 		for number := range file.Fleet.ZonesPerRegion {
 			l.Zones = append(l.Zones, fmt.Sprintf("%s-%d", region, number+1))
@@ -66,11 +66,11 @@
 	zone, inZone := i%len(l.Zones), i/len(l.Zones)
 	service := inZone % options.Services
 	return Endpoint{
-		Name:    fmt.Sprintf("service-%02d-%s-%04d", service+1, l.Zones[zone], i),
-		Zone:    zone,
-		Kind:    l.Kinds[inZone%len(l.Kinds)],
-		Block:   uint16(inZone/options.CellSize*len(l.Zones) + zone),
-		Address: fmt.Sprintf("127.%d.%d.%d:0", firstZoneOctet+zone, inZone/hostsPerOctet, 1+inZone%hostsPerOctet),
+		Name:        fmt.Sprintf("service-%02d-%s-%04d", service+1, l.Zones[zone], i),
+		Zone:        zone,
+		MachineKind: l.MachineKinds[inZone%len(l.MachineKinds)],
+		Cell:        uint16(inZone/options.CellSize*len(l.Zones) + zone),
+		Address:     fmt.Sprintf("127.%d.%d.%d:0", firstZoneOctet+zone, inZone/hostsPerOctet, 1+inZone%hostsPerOctet),
 	}
 }
 
@@ -94,9 +94,9 @@
 	return endpoint.Config{
 		Name:         e.Name,
 		Address:      e.Address,
-		Site:         l.Zones[e.Zone],
-		Class:        e.Kind,
-		Block:        e.Block,
+		Zone:         l.Zones[e.Zone],
+		MachineKind:  e.MachineKind,
+		Cell:         e.Cell,
 		Cores:        file.Endpoint.Cores,
 		ServiceTime:  file.Endpoint.ServiceTime.Std(),
 		QueueLimit:   file.Endpoint.QueueLimit,
@@ -110,6 +110,6 @@
 
 // Instance returns the entry in discovery's list of an endpoint that listens on an address.
 func (l *Layout) Instance(e Endpoint, address, health string, startedMS int64) registry.Instance {
-	return registry.Instance{Host: e.Name, Address: address, Site: l.Zones[e.Zone], Class: e.Kind,
-		Block: e.Block, Health: health, Weight: 1, StartedMS: startedMS}
+	return registry.Instance{Host: e.Name, Address: address, Zone: l.Zones[e.Zone], MachineKind: e.MachineKind,
+		Cell: e.Cell, Health: health, Weight: 1, StartedMS: startedMS}
 }
--- a/internal/emulator/load/load_test.go
+++ b/internal/emulator/load/load_test.go
@@ -48,7 +48,8 @@
 }
 
 func TestScheduleMatchesThePlanAndItsSeed(t *testing.T) {
-	plan := Plan{Targets: []string{"a", "b"}, Rate: 1000, Duration: 10 * time.Second, Seed: 7, Tenants: []string{"t1", "t2"},
+	plan := Plan{Targets: []string{"a", "b"}, Rate: 1000, Duration: 10 * time.Second, Seed: 7,
+		Tenants: []string{"t1", "t2"},
 		Classes: []Class{{Name: "search", Weight: 3}, {Name: "checkout", HasIdempotencyKey: true, Weight: 1}}}
 	all := requests(t, plan)
 	if len(all) < 9500 || len(all) > 10500 {
@@ -59,7 +60,8 @@
 		seen[one.target]++
 		seen[one.tenant]++
 		seen[one.class.Name]++
-		if keyed := one.class.Name == "checkout"; (one.idempotencyKey != "") != keyed || (one.class.Method == http.MethodPost) != keyed {
+		keyed := one.class.Name == "checkout"
+		if (one.idempotencyKey != "") != keyed || (one.class.Method == http.MethodPost) != keyed {
 			t.Fatalf("request %+v", one)
 		}
 	}
@@ -80,12 +82,12 @@
 
 func TestInvalidPlansAreRejected(t *testing.T) {
 	for name, plan := range map[string]Plan{
-		"no target":   {Rate: 1, MaxRequests: 1},
-		"no rate":     {Targets: []string{"a"}, MaxRequests: 1},
-		"no end":      {Targets: []string{"a"}, Rate: 1},
-		"unnamed":     {Targets: []string{"a"}, Rate: 1, MaxRequests: 1, Classes: []Class{{Weight: 1}}},
-		"share of 0":  {Targets: []string{"a"}, Rate: 1, MaxRequests: 1, Classes: []Class{{Name: "x"}}},
-		"share below": {Targets: []string{"a"}, Rate: 1, MaxRequests: 1, Classes: []Class{{Name: "x", Weight: -1}}},
+		"no target":    {Rate: 1, MaxRequests: 1},
+		"no rate":      {Targets: []string{"a"}, MaxRequests: 1},
+		"no end":       {Targets: []string{"a"}, Rate: 1},
+		"unnamed":      {Targets: []string{"a"}, Rate: 1, MaxRequests: 1, Classes: []Class{{Weight: 1}}},
+		"weight of 0":  {Targets: []string{"a"}, Rate: 1, MaxRequests: 1, Classes: []Class{{Name: "x"}}},
+		"weight below": {Targets: []string{"a"}, Rate: 1, MaxRequests: 1, Classes: []Class{{Name: "x", Weight: -1}}},
 	} {
 		if report, err := Run(context.Background(), plan); err == nil {
 			t.Errorf("%s: got %+v", name, report)
@@ -101,7 +103,7 @@
 		case "/bad":
 			w.WriteHeader(http.StatusInternalServerError)
 		case "/other":
-			_, _ = io.WriteString(w, "an answer to another request")
+			_, _ = io.WriteString(w, "a response to another request")
 		case "/slow":
 			<-r.Context().Done()
 		case "/cut":
@@ -122,9 +124,11 @@
 		if name == "slow" {
 			class.Timeout = 20 * time.Millisecond
 		}
-		report := run(context.Background(), t, Plan{Targets: []string{address}, Rate: 10000, MaxRequests: 4, Classes: []Class{class}})
+		plan := Plan{Targets: []string{address}, Rate: 10000, MaxRequests: 4, Classes: []Class{class}}
+		report := run(context.Background(), t, plan)
 		got := report.Counts
-		if got.Connections == 0 || got.BytesOut == 0 || uint64(report.Latency.Count()) != want.Served || report.AllLatency.Count() != 4 {
+		if got.Connections == 0 || got.BytesOut == 0 || uint64(report.Latency.Count()) != want.Served ||
+			report.AllLatency.Count() != 4 {
 			t.Errorf("%s: report %+v", name, report)
 		}
 		got.Connections, got.BytesIn, got.BytesOut = 0, 0, 0
@@ -140,7 +144,8 @@
 		time.Sleep(serviceTime)
 		_, _ = io.WriteString(w, r.Header.Get("X-Correlation-Id"))
 	})
-	report := run(context.Background(), t, Plan{Targets: []string{address}, Rate: 1000, MaxRequests: 5, MaxInFlight: 1, Arrivals: Fixed})
+	report := run(context.Background(), t,
+		Plan{Targets: []string{address}, Rate: 1000, MaxRequests: 5, MaxInFlight: 1, Arrivals: Fixed})
 	const least = 5*serviceTime - 4*time.Millisecond
 	if report.Counts.Served != 5 || report.Latency.Max() < least || report.SendDelay.Max() < least-serviceTime {
 		t.Errorf("counts %+v, latency %v at most, lateness %v", report.Counts, report.Latency.Max(), report.SendDelay.Max())
@@ -182,14 +187,14 @@
 }
 
 func TestAwaitReadyPollsUntilReady(t *testing.T) {
-	var asked atomic.Int32
+	var polls atomic.Int32
 	address := target(t, func(w http.ResponseWriter, _ *http.Request) {
-		if asked.Add(1) < 3 {
+		if polls.Add(1) < 3 {
 			w.WriteHeader(http.StatusServiceUnavailable)
 		}
 	})
-	if err := AwaitReady(context.Background(), []string{address}); err != nil || asked.Load() != 3 {
-		t.Errorf("asked %d times, %v", asked.Load(), err)
+	if err := AwaitReady(context.Background(), []string{address}); err != nil || polls.Load() != 3 {
+		t.Errorf("polled %d times, %v", polls.Load(), err)
 	}
 	ended, cancel := context.WithCancel(context.Background())
 	cancel()
@@ -204,7 +209,8 @@
 		t.Fatal(err)
 	}
 	defer e.Close()
-	report := run(context.Background(), t, Plan{Targets: []string{e.Address()}, Rate: 2000, MaxRequests: 50, Direct: true, Seed: 1,
+	report := run(context.Background(), t, Plan{Targets: []string{e.Address()}, Rate: 2000, MaxRequests: 50,
+		Direct: true, Seed: 1,
 		Classes: []Class{{Name: "search", Weight: 1}, {Name: "checkout", HasIdempotencyKey: true, Weight: 1}}})
 	if got := e.Counts(); report.Counts.Served != 50 || got.Requests != 50 || got.Duplicates != 0 ||
 		report.Counts.BytesOut != got.BytesIn || !report.Direct {
@@ -230,7 +236,8 @@
 	if got := first.Counts; got.Planned != 5 || got.Served != 2 || got.Lost() != 3 {
 		t.Errorf("counts %+v", got)
 	}
-	if got := first.Latency; got.Count() != 2 || got.Quantile(0.5) != time.Millisecond || got.Max().Round(time.Millisecond) != time.Second {
+	if got := first.Latency; got.Count() != 2 || got.Quantile(0.5) != time.Millisecond ||
+		got.Max().Round(time.Millisecond) != time.Second {
 		t.Errorf("latency: %d, median %v, longest %v", got.Count(), got.Quantile(0.5), got.Max())
 	}
 	if err := json.Unmarshal([]byte(`{"latency":"`+strings.Repeat("x", 9)+`"}`), &received); err == nil {
--- a/internal/emulator/play/endpoints.go
+++ b/internal/emulator/play/endpoints.go
@@ -61,17 +61,17 @@
 
 // applyAction applies an action to endpoints, and records their new incarnations.
 func (r *runner) applyAction(ctx context.Context, action worker.Action, endpoints []fleet.Endpoint) error {
-	names := make([][]string, len(r.endpointWorkers)) // by worker
+	namesByWorker := make([][]string, len(r.endpointWorkers))
 	for _, e := range endpoints {
 		index := r.endpointWorkerOf[e.Name]
-		names[index] = append(names[index], e.Name)
+		namesByWorker[index] = append(namesByWorker[index], e.Name)
 	}
 	var workers []*workerProcess
 	var requests []worker.EndpointAction
-	for index, some := range names {
-		if len(some) > 0 {
+	for index, names := range namesByWorker {
+		if len(names) > 0 {
 			workers = append(workers, r.endpointWorkers[index])
-			requests = append(requests, worker.EndpointAction{Action: action, Names: some})
+			requests = append(requests, worker.EndpointAction{Action: action, Names: names})
 		}
 	}
 	incarnations, err := callEach[worker.Incarnations](ctx, workers, worker.ActOnEndpoints, requests)
--- a/internal/emulator/play/zone.go
+++ b/internal/emulator/play/zone.go
@@ -83,7 +83,7 @@
 	if err := pause(ctx, time.Until(detectedAt)); err != nil {
 		return err
 	}
-	version, err := r.announce(ctx, members.endpoints, registry.Gone)
+	version, err := r.announce(ctx, members.endpoints, registry.Removed)
 	if err != nil {
 		return err
 	}
--- a/internal/emulator/process/process_test.go
+++ b/internal/emulator/process/process_test.go
@@ -26,8 +26,8 @@
 		}
 	}
 	after, err := ReadUsage(os.Getpid())
-	if err != nil || after.Descriptors <= before.Descriptors || after.ResidentKB <= 0 || after.PeakKB < after.ResidentKB/2 ||
-		after.ReadBytes <= before.ReadBytes {
+	if err != nil || after.Descriptors <= before.Descriptors || after.ResidentKB <= 0 ||
+		after.PeakKB < after.ResidentKB/2 || after.ReadBytes <= before.ReadBytes {
 		t.Errorf("before %+v, after %+v, %v", before, after, err)
 	}
 }
--- a/internal/emulator/registry/counts.go
+++ b/internal/emulator/registry/counts.go
@@ -29,7 +29,7 @@
 	// CLOCK_THREAD_CPUTIME_ID, from a call's first byte to its response's last
 	// write; without the waits, and without the scheduler's and the poller's part.
 	HandlingCPU time.Duration
-	// ProcessCPU is the processor time of the whole process since New, by
+	// ProcessCPU is the processor time of the complete process since New, by
 	// getrusage. It is that of the registry only if that has a process of its own.
 	ProcessCPU time.Duration
 }
--- a/internal/emulator/registry/list.go
+++ b/internal/emulator/registry/list.go
@@ -11,19 +11,19 @@
 const (
 	Ready       = "Ready"
 	Terminating = "Terminating"
-	Gone        = "Gone" // only among changes
+	Removed     = "Gone" // only among changes
 )
 
 // Instance is an entry of the endpoint list.
 type Instance struct {
-	Host      string  `json:"host"`
-	Address   string  `json:"dial"`
-	Site      string  `json:"site"`
-	Class     string  `json:"class"`
-	Block     uint16  `json:"block"`
-	Health    string  `json:"health"`
-	Weight    float32 `json:"share"`
-	StartedMS int64   `json:"born_ms"`
+	Host        string  `json:"host"`
+	Address     string  `json:"dial"`
+	Zone        string  `json:"site"`
+	MachineKind string  `json:"class"`
+	Cell        uint16  `json:"block"`
+	Health      string  `json:"health"`
+	Weight      float32 `json:"share"`
+	StartedMS   int64   `json:"born_ms"`
 }
 
 // responseBody is the body of a response.
@@ -102,7 +102,7 @@
 // apply adds, replaces or, with health Gone, removes an instance.
 func (l *endpointList) apply(instance Instance) {
 	_, known := l.byName[instance.Host]
-	if instance.Health == Gone {
+	if instance.Health == Removed {
 		l.remove(instance.Host)
 		return
 	}
--- a/internal/emulator/registry/registry_test.go
+++ b/internal/emulator/registry/registry_test.go
@@ -101,30 +101,32 @@
 }
 
 func instance(name, health string) Instance {
-	return Instance{Host: name, Address: "127.0.0.1:1", Site: "a", Class: "m", Health: health, Weight: 1}
+	return Instance{Host: name, Address: "127.0.0.1:1", Zone: "a", MachineKind: "m", Health: health, Weight: 1}
 }
 
 func TestResponsesDependOnTheRequestedVersion(t *testing.T) {
 	w := newFixture(t, Options{History: 2})
 	w.Set([]Instance{instance("x", Ready), instance("y", Ready)})
 	w.Update(instance("x", Terminating))
-	w.Update(instance("x", Gone), instance("z", Ready))
+	w.Update(instance("x", Removed), instance("z", Ready))
 	w.expect(w.call(""), 3, true, "y=Ready", "z=Ready")
 	w.expect(w.call("?after=2"), 3, false, "x=Gone", "z=Ready")
 	w.expect(w.call("?after=1"), 3, false, "x=Gone", "z=Ready")
 	w.expect(w.call("?after=0"), 3, true, "y=Ready", "z=Ready") // older than the history
 	w.expect(w.call("?after=9"), 3, true, "y=Ready", "z=Ready") // of another numbering
 	w.expect(w.call("?after=3&wait_ms=1"), 3, false)
-	if got := w.Counts(); got.ListCalls != 1 || got.WatchCalls != 5 || got.CompleteResponses != 3 || got.DeltaResponses != 2 ||
-		got.EmptyResponses != 1 || got.BytesOut == 0 || got.BytesIn == 0 || got.HandlingCPU <= 0 || got.Connections.Accepted != 1 {
+	if got := w.Counts(); got.ListCalls != 1 || got.WatchCalls != 5 || got.CompleteResponses != 3 ||
+		got.DeltaResponses != 2 || got.EmptyResponses != 1 || got.BytesOut == 0 || got.BytesIn == 0 ||
+		got.HandlingCPU <= 0 || got.Connections.Accepted != 1 {
 		t.Errorf("counts %+v", got)
 	}
 }
 
 func TestInstanceEncodesAsTheDiscoveryProtocolSays(t *testing.T) {
-	const want = `{"host":"s","dial":"127.0.0.1:1","site":"a","class":"m","block":3,"health":"Ready","share":1,"born_ms":5}`
+	const want = `{"host":"s","dial":"127.0.0.1:1","site":"a","class":"m","block":3,` +
+		`"health":"Ready","share":1,"born_ms":5}`
 	given := instance("s", Ready)
-	given.Block, given.StartedMS = 3, 5
+	given.Cell, given.StartedMS = 3, 5
 	if got, err := json.Marshal(given); err != nil || string(got) != want {
 		t.Errorf("got %s (%v), want %s", got, err, want)
 	}
@@ -165,8 +167,8 @@
 	for range 3 {
 		w.expect(w.call(""), 0, true)
 	}
-	if took := time.Since(start); took < 20*time.Millisecond {
-		t.Errorf("three calls took %v at 10 ms each", took)
+	if elapsed := time.Since(start); elapsed < 20*time.Millisecond {
+		t.Errorf("three calls took %v at 10 ms each", elapsed)
 	}
 }
 
--- a/internal/emulator/registry/server.go
+++ b/internal/emulator/registry/server.go
@@ -35,7 +35,7 @@
 	// MaxQueueDelay is how long a call may wait to be admitted; one that would wait longer
 	// gets a 503 after it. 0: no limit.
 	MaxQueueDelay time.Duration
-	// History is the number of versions for which changes are kept; 0: 256.
+	// History is the number of versions for which changes are stored; 0: 256.
 	History int
 	// Logger logs faults; nil: slog.Default().
 	Logger *slog.Logger
--- a/internal/emulator/result/result_test.go
+++ b/internal/emulator/result/result_test.go
@@ -12,13 +12,13 @@
 	"oakproxy/internal/emulator/spec"
 )
 
-// runsOf makes runs of a sweep in which discovery's start takes bytes as given.
-func runsOf(sizes []int, plays int, bytes func(size, play int) float64) []*Run {
+// runsOf returns the runs of a sweep whose starts take as many seconds as given.
+func runsOf(sizes []int, plays int, seconds func(size, play int) float64) []*Run {
 	var runs []*Run
 	for play := 1; play <= plays; play++ {
 		for _, size := range sizes {
 			run := &Run{Scenario: "steady", Play: play, Size: spec.Size{Sidecars: size}}
-			run.Startup.Seconds = bytes(size, play)
+			run.Startup.Seconds = seconds(size, play)
 			runs = append(runs, run)
 		}
 	}
@@ -40,13 +40,14 @@
 
 func TestFitFindsTheLeastSquaresLine(t *testing.T) {
 	sizes := []int{10, 20, 40, 80}
-	// The plays lie one above and one below the line, alike at all sizes.
+	// At each size one play is above and one below the line, by the same distance.
 	runs := runsOf(sizes, 2, func(size, play int) float64 { return 3 + 0.5*float64(size) + float64(2*play-3) })
 	f := startSeries(t, runs).Fit
 	if f == nil {
 		t.Fatal("no line")
 	}
-	if !near(f.Intercept, 3) || !near(f.Slope, 0.5) || !near(f.MaxResidual, 1) || !near(f.Deviation, 1) || !near(f.PlayRange, 2) {
+	if !near(f.Intercept, 3) || !near(f.Slope, 0.5) || !near(f.MaxResidual, 1) || !near(f.Deviation, 1) ||
+		!near(f.PlayRange, 2) {
 		t.Errorf("got %+v", f)
 	}
 	if len(f.Residuals) != 8 || f.RSquared < 0.99 || f.RSquared >= 1 {
@@ -65,17 +66,17 @@
 	runs := runsOf([]int{10, 20, 40, 80}, 2, line)
 	runs[0].Saturated, runs[1].Stopped = true, "interrupted"
 	if s := startSeries(t, runs); s.Fit != nil || len(s.Points) != 6 {
-		t.Errorf("runs that are of no use are used: %+v", s)
+		t.Errorf("unusable runs are used: %+v", s)
 	}
 }
 
 func TestDistributionHasQuantilesAndMissing(t *testing.T) {
-	var took []time.Duration
+	var times []time.Duration
 	for i := 100; i > 0; i-- {
-		took = append(took, time.Duration(i)*time.Millisecond)
+		times = append(times, time.Duration(i)*time.Millisecond)
 	}
 	want := Distribution{What: "x", Total: 102, Missing: 2, MedianMS: 50, P99MS: 99, MaxMS: 100}
-	if got := NewDistribution("x", 102, took); got != want {
+	if got := NewDistribution("x", 102, times); got != want {
 		t.Errorf("got %+v, want %+v", got, want)
 	}
 	if got := NewDistribution("none", 3, nil); got.Missing != 3 || got.MaxMS != 0 {
@@ -83,7 +84,7 @@
 	}
 }
 
-// An event costs what a phase spends beyond its time in the phase without events.
+// The cost of an event is what a phase spends beyond the phase without events, over the same time.
 func TestEventMetricsAreRelativeToTheLoadedPhase(t *testing.T) {
 	usage := func(cpu float64) []RoleUsage {
 		return []RoleUsage{{Role: SimulatedSidecar, Processes: 1, Units: 10, CPUSeconds: cpu}}
@@ -121,7 +122,8 @@
 	if err := WriteTable(&table, read); err != nil {
 		t.Fatal(err)
 	}
-	if want := "| start: time to the last sidecar's being ready | s | 10.00 | 20.00 | 40.00 | 80.00 |"; !strings.Contains(table.String(), want) {
+	const want = "| start: time to the last sidecar's being ready | s | 10.00 | 20.00 | 40.00 | 80.00 |"
+	if !strings.Contains(table.String(), want) {
 		t.Errorf("no line %q in\n%s", want, table.String())
 	}
 	plot := filepath.Join(directory, "plot.svg")
--- a/internal/emulator/spec/read.go
+++ b/internal/emulator/spec/read.go
@@ -94,7 +94,7 @@
 		{"fleet.services", float64(f.Fleet.Services), 1, 100},
 		{"fleet.regions", float64(len(f.Fleet.Regions)), 1, 8},
 		{"fleet.zones_per_region", float64(f.Fleet.ZonesPerRegion), 1, 8},
-		{"fleet.kinds", float64(len(f.Fleet.Kinds)), 1, 8},
+		{"fleet.kinds", float64(len(f.Fleet.MachineKinds)), 1, 8},
 		{"fleet.cell_size", float64(f.Fleet.CellSize), 1, maxEndpoints},
 		{"fleet.hollow_per_worker", float64(f.Fleet.SimulatedPerWorker), 1, 200},
 		{"fleet.endpoints_per_worker", float64(f.Fleet.EndpointsPerWorker), 1, 200},
--- a/internal/emulator/spec/read_test.go
+++ b/internal/emulator/spec/read_test.go
@@ -31,7 +31,8 @@
 			t.Errorf("%+v: %v", size, err)
 		}
 	}
-	for _, size := range []Size{{0, 1, 0}, {1, 0, 0}, {1, 1, 2}, {200, 200, 101}, {1, 1, -1}, {maxSidecars + 1, 1, 0}, {1, maxEndpoints + 1, 0}} {
+	for _, size := range []Size{{0, 1, 0}, {1, 0, 0}, {1, 1, 2}, {200, 200, 101}, {1, 1, -1},
+		{maxSidecars + 1, 1, 0}, {1, maxEndpoints + 1, 0}} {
 		var bad *InputError
 		if err := size.Validate(); !errors.As(err, &bad) {
 			t.Errorf("%+v: %v", size, err)
--- a/internal/emulator/spec/spec.go
+++ b/internal/emulator/spec/spec.go
@@ -22,7 +22,7 @@
 	Services           int      `toml:"services" json:"services"`
 	Regions            []string `toml:"regions" json:"regions"`
 	ZonesPerRegion     int      `toml:"zones_per_region" json:"zones_per_region"`
-	Kinds              []string `toml:"kinds" json:"kinds"` // of machines
+	MachineKinds       []string `toml:"kinds" json:"kinds"`
 	CellSize           int      `toml:"cell_size" json:"cell_size"`
 	SimulatedPerWorker int      `toml:"hollow_per_worker" json:"hollow_per_worker"`
 	EndpointsPerWorker int      `toml:"endpoints_per_worker" json:"endpoints_per_worker"`
