--- a/internal/emulator/registry/registry_test.go
+++ b/internal/emulator/registry/registry_test.go
@@ -245,5 +245,5 @@
 	b.ReportMetric(float64(w.Counts().HandlingCPU.Nanoseconds())/float64(b.N), "cpu-ns/call")
 }
 
-func BenchmarkWholeList(b *testing.B)  { benchmarkCall(b, "") }
-func BenchmarkEmptyWatch(b *testing.B) { benchmarkCall(b, "?after=1") }
+func BenchmarkCompleteList(b *testing.B) { benchmarkCall(b, "") }
+func BenchmarkEmptyWatch(b *testing.B)   { benchmarkCall(b, "?after=1") }
