--- a/cmd/emulator/commands.go
+++ b/cmd/emulator/commands.go
@@ -1,6 +1,7 @@
 package main
 
 import (
+	"cmp"
 	"fmt"
 	"os"
 	"os/exec"
@@ -24,13 +25,13 @@
 	defaultReal      = 8
 	defaultSeed      = 1
 	unknownCommit    = "unknown"
-	uncommittedShort = "+"
+	uncommittedShort = "+" // suffix of the commit of a modified work tree
 )
 
-// rootCommand is the command line.
+// rootCommand is the root of the command line.
 type rootCommand struct {
 	*cobra.Command
-	began bool // the arguments were understood
+	parsed bool // the arguments have been parsed without error
 }
 
 func newRootCommand() *rootCommand {
@@ -40,13 +41,13 @@
 		SilenceUsage:  true,
 		SilenceErrors: true,
 	}}
-	root.PersistentPreRun = func(*cobra.Command, []string) { root.began = true }
+	root.PersistentPreRun = func(*cobra.Command, []string) { root.parsed = true }
 	root.AddCommand(newRunCommand(), newSweepCommand(), newReportCommand(), newListCommand(), newWorkerCommand())
 	return root
 }
 
-// common are the flags of commands that play.
-type common struct {
+// commonFlags are the flags of the commands that play a scenario.
+type commonFlags struct {
 	file     string
 	scenario string
 	sidecar  string
@@ -55,18 +56,20 @@
 	seed     uint64
 }
 
-func (c *common) register(command *cobra.Command) {
+// register adds the flags to a command.
+func (c *commonFlags) register(command *cobra.Command) {
 	flags := command.Flags()
 	flags.StringVar(&c.file, "file", defaultFile, "scenario file")
 	flags.StringVar(&c.scenario, "scenario", "steady", "name of the scenario")
-	flags.StringVar(&c.sidecar, "sidecar", "", "program of a real sidecar (default: "+sidecarProgram+" beside this program)")
+	flags.StringVar(&c.sidecar, "sidecar", "",
+		"program of a real sidecar (default: "+sidecarProgram+" beside this program)")
 	flags.StringVar(&c.out, "out", "", "result file that runs are added to, as JSON lines")
 	flags.StringVar(&c.commit, "commit", "", "commit that the results name (default: that of the work tree)")
 	flags.Uint64Var(&c.seed, "seed", defaultSeed, "seed of all random choices")
 }
 
-// options reads the scenario file and finds the programs.
-func (c *common) options() (play.Options, error) {
+// options reads the scenario file and locates the programs.
+func (c *commonFlags) options() (play.Options, error) {
 	file, err := spec.Read(c.file)
 	if err != nil {
 		return play.Options{}, err
@@ -99,21 +102,22 @@
 	}, nil
 }
 
-// workTreeCommit returns the commit of the work tree, with a mark where that has changed.
+// workTreeCommit returns the commit of the work tree, with a suffix if that is modified.
 func workTreeCommit() string {
 	head, err := exec.Command("git", "rev-parse", "--short", "HEAD").Output()
 	if err != nil {
 		return unknownCommit
 	}
 	commit := strings.TrimSpace(string(head))
-	if changes, err := exec.Command("git", "status", "--porcelain", "--untracked-files=no").Output(); err != nil || len(changes) > 0 {
+	changes, err := exec.Command("git", "status", "--porcelain", "--untracked-files=no").Output()
+	if err != nil || len(changes) > 0 {
 		commit += uncommittedShort
 	}
 	return commit
 }
 
 func newRunCommand() *cobra.Command {
-	var c common
+	var c commonFlags
 	var size spec.Size
 	command := &cobra.Command{
 		Use:   "run",
@@ -129,7 +133,7 @@
 			}
 			options.Size, options.Play = size, 1
 			run, err := play.Run(command.Context(), options)
-			return errorsAfter(err, c.keep(run))
+			return cmp.Or(err, c.record(run))
 		},
 	}
 	c.register(command)
@@ -140,16 +144,8 @@
 	return command
 }
 
-// errorsAfter returns the first error, or the second where there is none.
-func errorsAfter(first, second error) error {
-	if first != nil {
-		return first
-	}
-	return second
-}
-
-// keep prints a run and adds it to the result file.
-func (c *common) keep(run *result.Run) error {
+// record prints a run and appends it to the result file. A nil run has nothing to record.
+func (c *commonFlags) record(run *result.Run) error {
 	if run == nil {
 		return nil
 	}
@@ -184,7 +180,7 @@
 	return command
 }
 
-// newWorkerCommand is how the emulator starts its workers.
+// newWorkerCommand returns the hidden command by which the emulator starts its workers.
 func newWorkerCommand() *cobra.Command {
 	return &cobra.Command{
 		Use:    workerCommand + " ROLE",
--- a/cmd/emulator/main_test.go
+++ b/cmd/emulator/main_test.go
@@ -43,7 +43,7 @@
 	return path, nil
 })
 
-// emulator is a run of the program with a folder for temporary files of its own.
+// emulator is a run of the program with a directory of its own for temporary files.
 type emulator struct {
 	*exec.Cmd
 	scratch        string
@@ -70,7 +70,7 @@
 	return newEmulator(t, append(arguments, more...)...)
 }
 
-// processes counts the processes that have this run's folder in their environment.
+// processes counts the processes that have this run's directory in their environment.
 func (e *emulator) processes() int {
 	count := 0
 	paths, _ := filepath.Glob("/proc/[0-9]*/environ")
@@ -83,15 +83,15 @@
 	return count
 }
 
-// checkNothingLeft checks that no process and no file of the run are there.
+// checkNothingLeft checks that no process and no file of the run remain.
 func (e *emulator) checkNothingLeft(t *testing.T) {
 	t.Helper()
 	if n := e.processes(); n > 0 {
-		t.Errorf("%d processes are left", n)
+		t.Errorf("%d processes remain", n)
 	}
 	files, err := os.ReadDir(e.scratch)
 	if err != nil || len(files) > 0 {
-		t.Errorf("files are left: %v, %v", files, err)
+		t.Errorf("files remain: %v, %v", files, err)
 	}
 }
 
@@ -99,7 +99,7 @@
 	t.Helper()
 	for end := time.Now().Add(patience); !is(); time.Sleep(5 * time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatalf("waited in vain for: %s", what)
+			t.Fatalf("timed out waiting for %s", what)
 		}
 	}
 }
@@ -125,8 +125,8 @@
 
 const loadedName = "loaded"
 
-// Each scenario is played to its end: its sidecars carry requests, and get where they should.
-func TestScenarios(t *testing.T) {
+// Each scenario is played to its end: its sidecars forward requests, and all reach the expected states.
+func TestScenariosRunToTheirEnd(t *testing.T) {
 	for scenario, phases := range map[string][]string{
 		"steady":  {"rest", loadedName},
 		"replace": {loadedName, "replace"},
@@ -143,50 +143,50 @@
 				}
 				checkPhase(t, &phase)
 			}
-			if hollow := run.End.Hollow; hollow.Running != 12 || hollow.Failed != 0 {
-				t.Errorf("at the end: %+v", hollow)
+			if simulated := run.End.Simulated; simulated.Running != 12 || simulated.Failed != 0 {
+				t.Errorf("at the end: %+v", simulated)
 			}
-			if ready := run.Startup.HollowReady; ready.Of != 12 || ready.Missing != 0 {
+			if ready := run.Startup.SimulatedReady; ready.Total != 12 || ready.Missing != 0 {
 				t.Errorf("at the start: %+v", ready)
 			}
 		})
 	}
 }
 
-// checkPhase checks what holds on a busy machine, too.
+// checkPhase checks what also holds on a busy machine.
 func checkPhase(t *testing.T, phase *result.Phase) {
 	t.Helper()
-	if phase.Through != nil && phase.Through.Counts.Served == 0 {
-		t.Errorf("%s: no request was served: %+v", phase.Name, phase.Through.Counts)
+	if phase.Proxied != nil && phase.Proxied.Counts.Served == 0 {
+		t.Errorf("%s: no request was served: %+v", phase.Name, phase.Proxied.Counts)
 	}
-	if phase.Through == nil && phase.Name != "rest" {
+	if phase.Proxied == nil && phase.Name != "rest" {
 		t.Errorf("%s: no requests", phase.Name)
 	}
 	if phase.Endpoints.Duplicates > phase.Endpoints.Requests/2 {
 		t.Errorf("%s: %d of %d requests are duplicates", phase.Name, phase.Endpoints.Duplicates, phase.Endpoints.Requests)
 	}
-	for _, role := range []result.Role{result.RealSidecar, result.HollowSidecar, result.Endpoint, result.Discovery} {
+	for _, role := range []result.Role{result.RealSidecar, result.SimulatedSidecar, result.Endpoint, result.Discovery} {
 		usage := phase.Usage(role)
 		if usage == nil || usage.Processes == 0 || usage.ResidentMB <= 0 || usage.Descriptors <= 0 {
 			t.Errorf("%s: %s spends %+v", phase.Name, role, usage)
 		}
 	}
-	for _, spread := range phase.Spreads {
-		if spread.Of == 0 || spread.Missing > 0 {
+	for _, spread := range phase.Distributions {
+		if spread.Total == 0 || spread.Missing > 0 {
 			t.Errorf("%s: %+v", phase.Name, spread)
 		}
 	}
 }
 
-// Changes are handed out whole, and it is counted where they come into force.
-func TestChanges(t *testing.T) {
+// Each change replaces all files, and the sidecars that apply it are counted.
+func TestChangesAreRolledOutAndApplied(t *testing.T) {
 	run := playOnce(t, "changes")
 	if len(run.Phases) != 3 {
 		t.Fatalf("%d phases", len(run.Phases))
 	}
 	changes, burst := run.Phases[1], run.Phases[2]
-	if changes.Events != 2 || burst.Events != 3 || changes.HandedOutBytes == 0 {
-		t.Errorf("%d changes, then %d at once, %d bytes", changes.Events, burst.Events, changes.HandedOutBytes)
+	if changes.Events != 2 || burst.Events != 3 || changes.ConfigBytes == 0 {
+		t.Errorf("%d changes, then %d at once, %d bytes", changes.Events, burst.Events, changes.ConfigBytes)
 	}
 	for _, phase := range run.Phases {
 		checkPhase(t, &phase)
@@ -194,7 +194,7 @@
 }
 
 // changedFile writes the small scenario file with one change.
-func changedFile(t *testing.T, old, new string) string {
+func changedFile(t *testing.T, old, replacement string) string {
 	t.Helper()
 	text, err := os.ReadFile(smallFile)
 	if err != nil {
@@ -204,15 +204,15 @@
 		t.Fatalf("%q is not in the file", old)
 	}
 	path := filepath.Join(t.TempDir(), "changed.toml")
-	if err := os.WriteFile(path, []byte(strings.Replace(string(text), old, new, 1)), 0o600); err != nil {
+	if err := os.WriteFile(path, []byte(strings.Replace(string(text), old, replacement, 1)), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	return path
 }
 
 // Bad input ends with one line that names it, exit code 2, and nothing started.
-func TestBadInput(t *testing.T) {
-	changed := func(old, new string) string { return changedFile(t, old, new) }
+func TestBadInputEndsWithExitCode2(t *testing.T) {
+	changed := func(old, replacement string) string { return changedFile(t, old, replacement) }
 	for name, c := range map[string]struct {
 		arguments []string
 		want      string
@@ -266,21 +266,22 @@
 			e.checkNothingLeft(t)
 			runs, err := result.Read(out)
 			if err != nil || len(runs) != 1 || !strings.Contains(runs[0].Stopped, c.want) || runs[0].Usable() {
-				t.Errorf("kept %d runs, %v", len(runs), err)
+				t.Errorf("recorded %d runs, %v", len(runs), err)
 			}
 		})
 	}
 }
 
-// A sweep plays each size as often as asked for, and report makes the same table again.
-func TestSweep(t *testing.T) {
+// A sweep plays each size as often as --plays says, and report reproduces its table.
+func TestSweepRunsEachSizeAndReportReproducesItsTable(t *testing.T) {
 	sidecar, err := sidecarPath()
 	if err != nil {
 		t.Fatal(err)
 	}
 	directory := t.TempDir()
 	at := func(name string) string { return filepath.Join(directory, name) }
-	e := newEmulator(t, "sweep", "--file", smallFile, "--sidecar", sidecar, "--sizes", "3,5", "--plays", "2", "--real", "1",
+	e := newEmulator(t, "sweep", "--file", smallFile, "--sidecar", sidecar, "--sizes", "3,5",
+		"--plays", "2", "--real", "1",
 		"--out", at("runs.jsonl"), "--table", at("table.md"), "--plot", at("plot.svg"))
 	if err := e.Run(); err != nil {
 		t.Fatalf("%v: %s", err, e.errors.String())
@@ -300,7 +301,7 @@
 	}
 }
 
-// startRun starts a long run and waits until its sidecars are there.
+// startRun starts a long run and waits until its sidecars run.
 func startRun(t *testing.T) *emulator {
 	t.Helper()
 	e := newRun(t, "steady")
@@ -308,12 +309,12 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { e.Process.Kill() })
-	const children = 2 + 3 + 3 + 1 // real sidecars, endpoints, hollow sidecars, discovery
+	const children = 2 + 3 + 3 + 1 // real sidecars, and workers for endpoints, simulated sidecars and discovery
 	await(t, "the children", func() bool { return e.processes() > children })
 	return e
 }
 
-func TestSignalEndsAll(t *testing.T) {
+func TestSignalEndsTheRunAndItsChildren(t *testing.T) {
 	for _, signal := range []syscall.Signal{syscall.SIGINT, syscall.SIGTERM} {
 		e := startRun(t)
 		if err := e.Process.Signal(signal); err != nil {
@@ -330,7 +331,7 @@
 	}
 }
 
-func TestKilledEmulatorLeavesNothing(t *testing.T) {
+func TestKilledEmulatorLeavesNoProcessOrFile(t *testing.T) {
 	e := startRun(t)
 	if err := e.Process.Kill(); err != nil {
 		t.Fatal(err)
@@ -341,7 +342,7 @@
 }
 
 // The programs that are deployed hold no package of others, and nothing of the emulator.
-func TestNoForeignPackagesInTheSidecar(t *testing.T) {
+func TestSidecarHasNoExternalPackages(t *testing.T) {
 	list := exec.Command("go", "list", "-deps", "-f", "{{if not .Standard}}{{.ImportPath}}{{end}}",
 		"oakproxy/cmd/sidecar", "oakproxy/cmd/simhost", "oakproxy/balancer")
 	out, err := list.Output()
--- /dev/null
+++ b/internal/emulator/endpoint/pausegate.go
@@ -0,0 +1,38 @@
+package endpoint
+
+import "sync"
+
+// pauseGate blocks goroutines while it is paused. The zero value is not paused.
+type pauseGate struct {
+	mu      sync.Mutex
+	resumed chan struct{} // closed by resume; nil while the gate is not paused
+}
+
+// pause makes wait block.
+func (g *pauseGate) pause() {
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	if g.resumed == nil {
+		g.resumed = make(chan struct{})
+	}
+}
+
+// resume ends a pause.
+func (g *pauseGate) resume() {
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	if g.resumed != nil {
+		close(g.resumed)
+		g.resumed = nil
+	}
+}
+
+// wait returns once the gate is not paused.
+func (g *pauseGate) wait() {
+	g.mu.Lock()
+	resumed := g.resumed
+	g.mu.Unlock()
+	if resumed != nil {
+		<-resumed
+	}
+}
--- a/internal/emulator/fleet/fleet_test.go
+++ b/internal/emulator/fleet/fleet_test.go
@@ -16,7 +16,7 @@
 	return file
 }
 
-func TestLayout(t *testing.T) {
+func TestLayoutSpreadsTheFleetEvenly(t *testing.T) {
 	l := New(shipped(t), spec.Size{Sidecars: 860, Endpoints: 860, Real: 16})
 	names, addresses, zones := map[string]bool{}, map[string]bool{}, map[int]int{}
 	for _, e := range l.Endpoints {
@@ -32,24 +32,25 @@
 		}
 	}
 	realZones := map[int]bool{}
-	real := 0
+	realCount := 0
 	for _, s := range l.Sidecars {
 		if s.Real {
 			realZones[s.Zone] = true
-			real++
+			realCount++
 		}
 	}
-	if real != 16 || len(realZones) != 6 {
-		t.Errorf("%d real sidecars in %d zones", real, len(realZones))
+	if realCount != 16 || len(realZones) != 6 {
+		t.Errorf("%d real sidecars in %d zones", realCount, len(realZones))
 	}
 }
 
-// A sidecar takes the configurations, and versions differ for it where they should.
-func TestConfigurations(t *testing.T) {
+// A sidecar parses the configurations, and their hashes differ by version only.
+func TestConfigurationsParseAndDifferByVersion(t *testing.T) {
 	file := shipped(t)
-	c := &Configurations{File: file, Layout: New(file, spec.Size{Sidecars: 12, Endpoints: 12}), Discovery: "127.0.0.1:1", Seed: 7}
+	layout := New(file, spec.Size{Sidecars: 12, Endpoints: 12})
+	c := &Configurations{File: file, Layout: layout, Discovery: "127.0.0.1:1", Seed: 7}
 	parse := func(number, version int) *config.Config {
-		text, err := c.Text(c.Layout.Sidecars[number], "127.0.0.1:0", version)
+		text, err := c.Encode(c.Layout.Sidecars[number], "127.0.0.1:0", version)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -61,7 +62,8 @@
 	}
 	first, other, next := parse(0, 1), parse(5, 1), parse(0, 2)
 	s := first.Settings
-	if s.Balancers != 12 || !s.SubscribeToDiscovery || !s.Limits.Probes || len(s.Classes) != 3 || len(s.Tenants) != 4 || len(s.ReportFields) != 1 {
+	if s.Balancers != 12 || !s.SubscribeToDiscovery || !s.Limits.Probes || len(s.Classes) != 3 ||
+		len(s.Tenants) != 4 || len(s.ReportFields) != 1 {
 		t.Errorf("settings %+v", s)
 	}
 	if first.Hash() != other.Hash() {
--- a/internal/emulator/play/real.go
+++ b/internal/emulator/play/real.go
@@ -3,43 +3,42 @@
 import (
 	"context"
 	"fmt"
-	"io"
 	"net"
 	"net/http"
 	"syscall"
 	"time"
 
 	"oakproxy/internal/emulator/fleet"
+	"oakproxy/internal/emulator/load"
 	"oakproxy/internal/emulator/process"
 	"oakproxy/internal/emulator/sidecarlog"
 )
 
 const (
-	readyPath      = "/health/ready"
 	readyPoll      = 20 * time.Millisecond
-	configVariable = "BALANCER_CONFIG"
+	configVariable = "BALANCER_CONFIG" // environment variable with the path of the configuration file
 
-	// Real sidecars listen on 127.32.x.y, so that each has an address of its own and no
-	// connection of others takes the port.
+	// Real sidecars listen on 127.32.x.y, so that each has an address of its own and no outgoing
+	// connection of another process takes its port.
 	realOctet     = 32
 	hostsPerOctet = 250
 )
 
-// realSidecar is a sidecar in a process of its own.
+// realSidecar is a sidecar in a process of its own. Its child is nil while no process runs.
 type realSidecar struct {
 	fleet.Sidecar
-	listen  string
-	path    string // of its configuration file
-	events  *sidecarlog.Events
-	child   *process.Child
-	started time.Time
-	past    process.Usage // of earlier processes
+	listen    string
+	path      string // of its configuration file
+	events    *sidecarlog.Events
+	child     *process.Child
+	started   time.Time
+	pastUsage process.Usage // of earlier processes
 }
 
-// reserveAddress asks the system for a free port of a real sidecar's own address.
+// reserveAddress returns a free port of the real sidecar's own address. It is only free: nothing holds it.
 func reserveAddress(number int) (string, error) {
-	host := fmt.Sprintf("127.%d.%d.%d:0", realOctet, number/hostsPerOctet, 1+number%hostsPerOctet)
-	listener, err := net.Listen("tcp", host)
+	address := fmt.Sprintf("127.%d.%d.%d:0", realOctet, number/hostsPerOctet, 1+number%hostsPerOctet)
+	listener, err := net.Listen("tcp", address)
 	if err != nil {
 		return "", err
 	}
@@ -57,7 +56,7 @@
 		Path:        program.Path,
 		Arguments:   program.Arguments,
 		Environment: append([]string{configVariable + "=" + s.path}, program.Environment...),
-		Errors:      sidecarlog.NewWriter(s.events),
+		Stderr:      sidecarlog.NewWriter(s.events),
 	})
 	if err != nil {
 		return err
@@ -67,28 +66,27 @@
 	return nil
 }
 
-// killReal ends a real sidecar's process at once, as the loss of its machine does.
+// killReal kills a real sidecar's process, as the loss of its machine does.
 func (r *runner) killReal(s *realSidecar) error {
 	usage, err := process.ReadUsage(s.child.PID())
 	if err != nil {
 		return err
 	}
-	r.expectEnd(s.child)
+	r.expectExit(s.child)
 	if err := s.child.Signal(syscall.SIGKILL); err != nil {
 		return err
 	}
 	usage.CPU = s.child.CPU()
-	s.past.Add(process.Usage{CPU: usage.CPU, ReadBytes: usage.ReadBytes, WriteBytes: usage.WriteBytes})
+	s.pastUsage.Add(process.Usage{CPU: usage.CPU, ReadBytes: usage.ReadBytes, WriteBytes: usage.WriteBytes})
 	s.child = nil
 	return nil
 }
 
-// awaitReal waits until a real sidecar is ready, and returns how long that took from
-// its start.
+// awaitReady waits until a real sidecar is ready, and returns the time from its start.
 func (s *realSidecar) awaitReady(ctx context.Context) (time.Duration, error) {
 	client := http.Client{Transport: &http.Transport{DisableKeepAlives: true}}
 	for {
-		if isReady(ctx, &client, s.listen) {
+		if load.IsReady(ctx, &client, s.listen) {
 			return time.Since(s.started), nil
 		}
 		select {
@@ -98,17 +96,3 @@
 		}
 	}
 }
-
-func isReady(ctx context.Context, client *http.Client, address string) bool {
-	request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+address+readyPath, nil)
-	if err != nil {
-		return false
-	}
-	response, err := client.Do(request)
-	if err != nil {
-		return false
-	}
-	defer response.Body.Close()
-	_, _ = io.Copy(io.Discard, response.Body)
-	return response.StatusCode == http.StatusOK
-}
--- a/internal/emulator/play/replace.go
+++ b/internal/emulator/play/replace.go
@@ -10,66 +10,66 @@
 	"oakproxy/internal/emulator/worker"
 )
 
-// heardWithin is how long a change of the list may take until it counts as missing.
-const heardWithin = 10 * time.Second
+// propagationTimeout is how long a version of the endpoint list may take to reach a sidecar until it counts
+// as missing.
+const propagationTimeout = 10 * time.Second
 
-// heardTimes gathers how long sidecars took to hear of changes.
-type heardTimes struct {
-	took    []time.Duration
+// propagation collects how long versions of the endpoint list took to reach sidecars.
+type propagation struct {
+	delays  []time.Duration
 	missing int
 }
 
-func (h *heardTimes) spread(what string) result.Spread {
-	return result.NewSpread(what, len(h.took)+h.missing, h.took)
+func (p *propagation) distribution(what string) result.Distribution {
+	return result.NewDistribution(what, len(p.delays)+p.missing, p.delays)
 }
 
-// awaitHeard waits until every hollow sidecar has heard of a version of the list.
-func (r *runner) awaitHeard(ctx context.Context, version worker.Version, times *heardTimes) error {
-	asked := worker.Await{Seq: version.Seq, Within: heardWithin}
-	heard, err := callAll[worker.Await, worker.Arrivals](ctx, r.hosts, worker.AwaitHeard, asked)
+// awaitList waits until every simulated sidecar has received a version of the list.
+func (r *runner) awaitList(ctx context.Context, version worker.ListVersion, times *propagation) error {
+	request := worker.Await{Version: version.Number, Timeout: propagationTimeout}
+	received, err := callAll[worker.Completions](ctx, r.sidecarWorkers, worker.AwaitList, request)
 	if err != nil {
 		return err
 	}
-	for _, some := range heard {
-		times.missing += len(some.Missing)
-		for _, arrival := range some.Arrived {
-			// One that started later read it with its first list.
-			if arrival.Started.Before(version.At) {
-				times.took = append(times.took, arrival.At.Sub(version.At))
+	for _, completions := range received {
+		times.missing += len(completions.Missing)
+		for _, completion := range completions.Completed {
+			// A sidecar that started later got the version with its first list.
+			if completion.StartedAt.Before(version.CreatedAt) {
+				times.delays = append(times.delays, completion.At.Sub(version.CreatedAt))
 			}
 		}
 	}
 	return nil
 }
 
-// replacement is an endpoint that restarts, with the hollow sidecar of its application.
+// replacement is an endpoint that restarts, and the simulated sidecar of the same application.
 type replacement struct {
 	endpoint fleet.Endpoint
 	sidecar  fleet.Sidecar
-	host     int // of the sidecar
+	worker   int // index of the sidecar's
 }
 
-// playReplace restarts endpoints and their sidecars one after the other.
+// playReplace restarts endpoints and their sidecars one by one.
 func playReplace(ctx context.Context, r *runner) error {
 	chosen := r.chooseReplacements(r.options.Scenario.Events)
 	for _, c := range chosen {
-		r.spared[c.endpoint.Name] = true
+		r.excluded[c.endpoint.Name] = true
 	}
 	if err := r.measureLoaded(ctx); err != nil {
 		return err
 	}
-	return r.measure(ctx, "replace", 0, true, func(ctx context.Context, phase *result.Phase) error {
-		return r.replaceAll(ctx, phase, chosen)
-	})
+	return r.measure(ctx, phasePlan{name: "replace", loaded: true,
+		action: func(ctx context.Context, phase *result.Phase) error { return r.replaceAll(ctx, phase, chosen) }})
 }
 
-// chooseReplacements picks hollow sidecars, spread evenly over the fleet, that have an endpoint.
+// chooseReplacements chooses simulated sidecars that have an endpoint, evenly over the fleet.
 func (r *runner) chooseReplacements(count int) []replacement {
 	var all []replacement
-	for host, some := range r.hollow {
-		for _, s := range some {
+	for index, group := range r.simulated {
+		for _, s := range group {
 			if s.Position < len(r.layout.Endpoints) {
-				all = append(all, replacement{r.layout.Endpoints[s.Position], s, host})
+				all = append(all, replacement{endpoint: r.layout.Endpoints[s.Position], sidecar: s, worker: index})
 			}
 		}
 	}
@@ -81,17 +81,16 @@
 	return chosen
 }
 
-// replaced is what came of one replacement.
-type replaced struct {
-	drained, ready heardTimes
-	started        result.Spread
-	err            error
+// replacementResult is the outcome of one replacement.
+type replacementResult struct {
+	drain, ready propagation
+	startup      result.Distribution
+	err          error
 }
 
-// replaceAll plays replacements at the scenario's pace; they overlap where the drain
-// takes longer than that.
+// replaceAll starts replacements at the scenario's interval. They overlap if draining takes longer than that.
 func (r *runner) replaceAll(ctx context.Context, phase *result.Phase, chosen []replacement) error {
-	results := make(chan replaced, len(chosen))
+	results := make(chan replacementResult, len(chosen))
 	next := time.Now()
 	started := 0
 	for _, c := range chosen {
@@ -102,7 +101,7 @@
 		started++
 		go func() { results <- r.replace(ctx, c) }()
 	}
-	var drained, ready heardTimes
+	var drained, ready propagation
 	var restarts []time.Duration
 	var failure error
 	for range started {
@@ -111,27 +110,27 @@
 			failure = one.err
 			continue
 		}
-		drained.add(one.drained)
+		drained.add(one.drain)
 		ready.add(one.ready)
-		if one.started.Missing == 0 {
-			restarts = append(restarts, time.Duration(one.started.LastMS*float64(time.Millisecond)))
+		if one.startup.Missing == 0 {
+			restarts = append(restarts, time.Duration(one.startup.MaxMS*float64(time.Millisecond)))
 		}
 	}
 	phase.Events = started
-	phase.Spreads = append(phase.Spreads,
-		drained.spread("from discovery's word of a drain to its being heard"),
-		ready.spread("from discovery's word of a start to its being heard"),
-		result.NewSpread("from a replaced sidecar's start to its being ready", started, restarts))
+	phase.Distributions = append(phase.Distributions,
+		drained.distribution("from discovery's word of a drain to its being heard"),
+		ready.distribution("from discovery's word of a start to its being heard"),
+		result.NewDistribution("from a replaced sidecar's start to its being ready", started, restarts))
 	return failure
 }
 
-func (h *heardTimes) add(other heardTimes) {
-	h.took = append(h.took, other.took...)
-	h.missing += other.missing
+func (p *propagation) add(other propagation) {
+	p.delays = append(p.delays, other.delays...)
+	p.missing += other.missing
 }
 
-// replace drains an endpoint and its sidecar and starts both anew.
-func (r *runner) replace(ctx context.Context, c replacement) (done replaced) {
+// replace drains an endpoint and its sidecar and restarts both.
+func (r *runner) replace(ctx context.Context, c replacement) (done replacementResult) {
 	done.err = r.drainOne(ctx, c, &done)
 	if done.err == nil {
 		done.err = r.restartOne(ctx, c, &done)
@@ -139,39 +138,39 @@
 	return done
 }
 
-// drainOne announces the end of an endpoint, and ends its sidecar.
-func (r *runner) drainOne(ctx context.Context, c replacement, done *replaced) error {
-	ends := time.Now().Add(r.options.Scenario.Drain.Std())
+// drainOne announces that an endpoint terminates, drains it and shuts its sidecar down.
+func (r *runner) drainOne(ctx context.Context, c replacement, done *replacementResult) error {
+	end := time.Now().Add(r.options.Scenario.Drain.Std())
 	version, err := r.announce(ctx, []fleet.Endpoint{c.endpoint}, registry.Terminating)
 	if err != nil {
 		return err
 	}
-	if err := r.act(ctx, worker.Drain, []fleet.Endpoint{c.endpoint}); err != nil {
+	if err := r.applyAction(ctx, worker.Drain, []fleet.Endpoint{c.endpoint}); err != nil {
 		return err
 	}
 	names := worker.Names{Names: []string{c.sidecar.Name}}
-	if err := r.hosts[c.host].Call(ctx, worker.StopSidecars, names, nil); err != nil {
+	if err := r.sidecarWorkers[c.worker].Call(ctx, worker.StopSidecars, names, nil); err != nil {
 		return err
 	}
-	if err := r.awaitHeard(ctx, version, &done.drained); err != nil {
+	if err := r.awaitList(ctx, version, &done.drain); err != nil {
 		return err
 	}
-	return pause(ctx, time.Until(ends))
+	return pause(ctx, time.Until(end))
 }
 
-// restartOne starts an endpoint and its sidecar anew, and announces it.
-func (r *runner) restartOne(ctx context.Context, c replacement, done *replaced) error {
-	if err := r.act(ctx, worker.Restart, []fleet.Endpoint{c.endpoint}); err != nil {
+// restartOne restarts an endpoint and its sidecar, and announces the endpoint.
+func (r *runner) restartOne(ctx context.Context, c replacement, done *replacementResult) error {
+	if err := r.applyAction(ctx, worker.Restart, []fleet.Endpoint{c.endpoint}); err != nil {
 		return err
 	}
 	version, err := r.announce(ctx, []fleet.Endpoint{c.endpoint}, registry.Ready)
 	if err != nil {
 		return err
 	}
-	byHost := make([][]fleet.Sidecar, len(r.hosts))
-	byHost[c.host] = []fleet.Sidecar{c.sidecar}
-	if done.started, err = r.startHollow(ctx, byHost, 0); err != nil {
+	byWorker := make([][]fleet.Sidecar, len(r.sidecarWorkers))
+	byWorker[c.worker] = []fleet.Sidecar{c.sidecar}
+	if done.startup, err = r.startSimulated(ctx, byWorker, 0); err != nil {
 		return err
 	}
-	return r.awaitHeard(ctx, version, &done.ready)
+	return r.awaitList(ctx, version, &done.ready)
 }
--- a/internal/emulator/spec/read.go
+++ b/internal/emulator/spec/read.go
@@ -10,7 +10,7 @@
 	"github.com/BurntSushi/toml"
 )
 
-// Bounds of what may be asked for.
+// Limits of what a scenario file and the command line may ask for.
 const (
 	maxSidecars  = 2000
 	maxEndpoints = 2000
@@ -21,18 +21,21 @@
 	maxEvents    = 1000
 )
 
-// InputError is a fault in what the user gave: an option, the scenario file, a program
-// that is missing.
-type InputError struct{ Message string }
+// InputError is an error in the user's input: an option, the scenario file, or a program that is missing.
+type InputError struct{ err error }
 
-func (e *InputError) Error() string { return e.Message }
+// Error returns the message, which names the input at fault.
+func (e *InputError) Error() string { return e.err.Error() }
 
-// Invalid makes an InputError.
+// Unwrap returns the error that Invalid wrapped with %w, together with its message.
+func (e *InputError) Unwrap() error { return e.err }
+
+// Invalid returns an InputError with a message formatted as by fmt.Errorf, %w included.
 func Invalid(format string, args ...any) error {
-	return &InputError{fmt.Sprintf(format, args...)}
+	return &InputError{err: fmt.Errorf(format, args...)}
 }
 
-// Read reads a scenario file. It accepts no key that it does not know.
+// Read reads and validates a scenario file. Every error is an *InputError; unknown keys are errors.
 func Read(path string) (*File, error) {
 	var file File
 	meta, err := toml.DecodeFile(path, &file)
@@ -42,8 +45,8 @@
 	if unknown := meta.Undecoded(); len(unknown) > 0 {
 		return nil, Invalid("%s: unknown key %s", path, unknown[0])
 	}
-	if err := file.check(); err != nil {
-		return nil, Invalid("%s: %s", path, err)
+	if err := file.validate(); err != nil {
+		return nil, Invalid("%s: %w", path, err)
 	}
 	return &file, nil
 }
@@ -56,7 +59,7 @@
 // Names returns the names of the scenarios, sorted.
 func (f *File) Names() []string { return slices.Sorted(maps.Keys(f.Scenarios)) }
 
-// Scenario returns a scenario by its name.
+// Scenario returns a scenario by its name. An unknown name is an *InputError.
 func (f *File) Scenario(name string) (Scenario, error) {
 	scenario, known := f.Scenarios[name]
 	if !known {
@@ -65,8 +68,8 @@
 	return scenario, nil
 }
 
-// Check finds what is out of range in a size.
-func (s Size) Check() error {
+// Validate returns an *InputError if a size is out of range.
+func (s Size) Validate() error {
 	switch {
 	case s.Sidecars < 1 || s.Sidecars > maxSidecars:
 		return Invalid("sidecars: %d is out of range, 1 to %d", s.Sidecars, maxSidecars)
@@ -78,22 +81,22 @@
 	return nil
 }
 
-// bound is a figure of the file and the range it has to be in.
-type bound struct {
-	key             string
-	value           float64
-	least, greatest float64
+// rangedValue is a value of the file and the closed range that it has to be in.
+type rangedValue struct {
+	key      string
+	value    float64
+	min, max float64
 }
 
-// check finds the first figure that is out of range.
-func (f *File) check() error {
-	bounds := []bound{
+// validate returns an InputError for the first value that is not allowed.
+func (f *File) validate() error {
+	ranges := []rangedValue{
 		{"fleet.services", float64(f.Fleet.Services), 1, 100},
 		{"fleet.regions", float64(len(f.Fleet.Regions)), 1, 8},
 		{"fleet.zones_per_region", float64(f.Fleet.ZonesPerRegion), 1, 8},
-		{"fleet.kinds", float64(len(f.Fleet.Kinds)), 1, 8},
+		{"fleet.kinds", float64(len(f.Fleet.MachineKinds)), 1, 8},
 		{"fleet.cell_size", float64(f.Fleet.CellSize), 1, maxEndpoints},
-		{"fleet.hollow_per_worker", float64(f.Fleet.HollowPerWorker), 1, 200},
+		{"fleet.hollow_per_worker", float64(f.Fleet.SimulatedPerWorker), 1, 200},
 		{"fleet.endpoints_per_worker", float64(f.Fleet.EndpointsPerWorker), 1, 200},
 		{"sidecar.memory_mb", float64(f.Sidecar.MemoryMB), 16, 1024},
 		{"sidecar.sockets", float64(f.Sidecar.Sockets), 64, 4096},
@@ -103,7 +106,7 @@
 		{"endpoint.cores", float64(f.Endpoint.Cores), 1, 64},
 		{"endpoint.service_time", f.Endpoint.ServiceTime.Std().Seconds(), 0, 10},
 		{"endpoint.queue_limit", float64(f.Endpoint.QueueLimit), 0, 10_000},
-		{"endpoint.cold_share", f.Endpoint.ColdShare, 0, 1},
+		{"endpoint.cold_share", f.Endpoint.ColdCapacity, 0, 1},
 		{"registry.calls_per_second", f.Registry.CallsPerSecond, 0, 1e6},
 		{"registry.history", float64(f.Registry.History), 0, 1e6},
 		{"load.calls_per_second", f.Load.CallsPerSecond, 0, 10_000},
@@ -116,60 +119,61 @@
 		{"limits.start_spread", f.Limits.StartSpread.Std().Seconds(), 0, maxDuration.Seconds()},
 		{"limits.ready", f.Limits.Ready.Std().Seconds(), 1, maxDuration.Seconds()},
 	}
-	if err := checkBounds(bounds); err != nil {
+	if err := validateRanges(ranges); err != nil {
 		return err
 	}
 	for i, class := range f.Load.Classes {
-		if !slices.Contains([]string{RepeatPure, RepeatToken, RepeatSideEffect}, class.Repeat) {
-			return Invalid("load.classes[%d].repeat: %q is not known", i, class.Repeat)
+		if !slices.Contains([]string{Idempotent, IdempotentWithKey, NonIdempotent}, class.Idempotency) {
+			return Invalid("load.classes[%d].repeat: %q is not known", i, class.Idempotency)
 		}
 	}
 	if !slices.Contains([]string{DiscoverySubscribe, DiscoveryAutomatic}, f.Sidecar.Discovery) {
 		return Invalid("sidecar.discovery: %q is not known", f.Sidecar.Discovery)
 	}
 	for _, name := range f.Names() {
-		if err := f.Scenarios[name].check(); err != nil {
-			return Invalid("scenarios.%s.%s", name, err)
+		if err := f.Scenarios[name].validate(); err != nil {
+			return Invalid("scenarios.%s.%w", name, err)
 		}
 	}
 	return nil
 }
 
-func checkBounds(bounds []bound) error {
-	for _, b := range bounds {
-		if !(b.value >= b.least && b.value <= b.greatest) {
-			return Invalid("%s: %v is out of range, %v to %v", b.key, b.value, b.least, b.greatest)
+// validateRanges returns an InputError for the first value that is out of its range.
+func validateRanges(values []rangedValue) error {
+	for _, v := range values {
+		if !(v.value >= v.min && v.value <= v.max) {
+			return Invalid("%s: %v is out of range, %v to %v", v.key, v.value, v.min, v.max)
 		}
 	}
 	return nil
 }
 
-// check finds what is out of range in a scenario.
-func (s Scenario) check() error {
-	phases := []bound{
+// validate returns an InputError for the first value of a scenario that is not allowed.
+func (s Scenario) validate() error {
+	phases := []rangedValue{
 		{"settle", s.Settle.Std().Seconds(), 0, maxDuration.Seconds()},
-		{"rest", s.Rest.Std().Seconds(), 0, maxDuration.Seconds()},
+		{"rest", s.Idle.Std().Seconds(), 0, maxDuration.Seconds()},
 		{"loaded", s.Loaded.Std().Seconds(), 0, maxDuration.Seconds()},
 	}
-	events := []bound{
+	events := []rangedValue{
 		{"per_day", float64(s.PerDay), 1, 1e6},
 		{"compression", s.Compression, 1, 1e6},
 		{"events", float64(s.Events), 1, maxEvents},
 		{"burst", float64(s.Burst), 0, maxEvents},
 		{"drain", s.Drain.Std().Seconds(), 0, maxDuration.Seconds()},
 	}
-	outage := []bound{
-		{"notice", s.Notice.Std().Seconds(), 0, maxDuration.Seconds()},
-		{"gone", s.Gone.Std().Seconds(), 0.1, maxDuration.Seconds()},
-		{"back", s.Back.Std().Seconds(), 0.1, maxDuration.Seconds()},
+	outage := []rangedValue{
+		{"notice", s.DetectionDelay.Std().Seconds(), 0, maxDuration.Seconds()},
+		{"gone", s.Outage.Std().Seconds(), 0.1, maxDuration.Seconds()},
+		{"back", s.Recovery.Std().Seconds(), 0.1, maxDuration.Seconds()},
 	}
 	switch s.Kind {
 	case Steady:
-		return checkBounds(phases)
+		return validateRanges(phases)
 	case Changes, Replace:
-		return checkBounds(append(phases, events...))
+		return validateRanges(append(phases, events...))
 	case Zone:
-		return checkBounds(append(phases, outage...))
+		return validateRanges(append(phases, outage...))
 	}
 	return Invalid("kind: %q is not known", s.Kind)
 }
--- a/internal/emulator/worker/endpoints.go
+++ b/internal/emulator/worker/endpoints.go
@@ -11,108 +11,92 @@
 	"oakproxy/internal/emulator/endpoint"
 )
 
-// endpointsPlayer plays the endpoints of one zone.
-type endpointsPlayer struct {
+// endpointService is the endpoints role: it hosts a part of the fleet's endpoints.
+type endpointService struct {
 	mu        sync.Mutex
 	endpoints map[string]*endpoint.Endpoint
 	names     []string // in the order of their start
 }
 
-func newEndpointsPlayer() *endpointsPlayer {
-	return &endpointsPlayer{endpoints: map[string]*endpoint.Endpoint{}}
+func newEndpointService() *endpointService {
+	return &endpointService{endpoints: map[string]*endpoint.Endpoint{}}
 }
 
-func (p *endpointsPlayer) handlers() control.Handlers {
+func (s *endpointService) handlers() control.Handlers {
 	return control.Handlers{
-		StartEndpoints: control.Handle(p.start),
-		ActOnEndpoints: control.Handle(p.act),
-		CountEndpoints: control.Handle(p.count),
+		StartEndpoints: control.Handle(s.start),
+		ActOnEndpoints: control.Handle(s.apply),
+		CountEndpoints: control.Handle(s.count),
 	}
 }
 
-func (p *endpointsPlayer) start(_ context.Context, asked EndpointConfigs) (Lives, error) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	var started Lives
-	for _, config := range asked.Configs {
+func (s *endpointService) start(_ context.Context, request EndpointConfigs) (Incarnations, error) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	var started Incarnations
+	for _, config := range request.Configs {
 		e, err := endpoint.Start(config)
 		if err != nil {
-			return Lives{}, fmt.Errorf("%s: %w", config.Name, err)
+			return Incarnations{}, fmt.Errorf("%s: %w", config.Name, err)
 		}
-		p.endpoints[config.Name] = e
-		p.names = append(p.names, config.Name)
-		started.Lives = append(started.Lives, life(e))
+		s.endpoints[config.Name] = e
+		s.names = append(s.names, config.Name)
+		started.Endpoints = append(started.Endpoints, incarnationOf(e))
 	}
 	return started, nil
 }
 
-func life(e *endpoint.Endpoint) Life {
-	return Life{Name: e.Config().Name, Address: e.Address(), BornMS: e.BornMS()}
+func incarnationOf(e *endpoint.Endpoint) Incarnation {
+	return Incarnation{Name: e.Config().Name, Address: e.Address(), StartedMS: e.StartedMS()}
 }
 
-func (p *endpointsPlayer) act(_ context.Context, asked Act) (Lives, error) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	var touched Lives
-	for _, name := range p.names {
-		if !among(asked.Names, name) {
+func (s *endpointService) apply(_ context.Context, request EndpointAction) (Incarnations, error) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	var affected Incarnations
+	for _, name := range s.names {
+		if !matchesName(request.Names, name) {
 			continue
 		}
-		e := p.endpoints[name]
-		if err := perform(asked.Action, e); err != nil {
-			return Lives{}, fmt.Errorf("%s: %s: %w", asked.Action, name, err)
+		e := s.endpoints[name]
+		if err := applyAction(request.Action, e); err != nil {
+			return Incarnations{}, fmt.Errorf("%s: %s: %w", request.Action, name, err)
 		}
-		touched.Lives = append(touched.Lives, life(e))
+		affected.Endpoints = append(affected.Endpoints, incarnationOf(e))
 	}
-	if len(touched.Lives) < len(asked.Names) {
-		return Lives{}, fmt.Errorf("%s: not all of %v are here", asked.Action, asked.Names)
+	if len(affected.Endpoints) < len(request.Names) {
+		return Incarnations{}, fmt.Errorf("%s: some of %v are not hosted by this worker", request.Action, request.Names)
 	}
-	return touched, nil
+	return affected, nil
 }
 
-func perform(action Action, e *endpoint.Endpoint) error {
+func applyAction(action Action, e *endpoint.Endpoint) error {
 	switch action {
 	case Drain:
 		e.Drain()
 		return nil
 	case Restart:
 		return e.Restart()
-	case Vanish:
-		return e.Vanish()
+	case Disconnect:
+		return e.Disconnect()
 	}
-	return errors.New("no such action")
+	return errors.New("unknown action")
 }
 
-func (p *endpointsPlayer) count(context.Context, control.Empty) (endpoint.Counts, error) {
-	p.mu.Lock()
-	all := slices.Clone(p.names)
-	p.mu.Unlock()
+func (s *endpointService) count(context.Context, control.Empty) (endpoint.Counts, error) {
+	s.mu.Lock()
+	names := slices.Clone(s.names)
+	s.mu.Unlock()
 	var sum endpoint.Counts
-	for _, name := range all {
-		AddEndpointCounts(&sum, p.endpoints[name].Counts())
+	for _, name := range names {
+		sum.Add(s.endpoints[name].Counts())
 	}
 	return sum, nil
 }
 
-// AddEndpointCounts adds an endpoint's figures to those of others.
-func AddEndpointCounts(sum *endpoint.Counts, counts endpoint.Counts) {
-	sum.Requests += counts.Requests
-	sum.Served += counts.Served
-	sum.Rejected += counts.Rejected
-	sum.MissingID += counts.MissingID
-	sum.Duplicates += counts.Duplicates
-	sum.Abandoned += counts.Abandoned
-	sum.Probes += counts.Probes
-	sum.BytesIn += counts.BytesIn
-	sum.BytesOut += counts.BytesOut
-	sum.Connections.Accepted += counts.Connections.Accepted
-	sum.Connections.Open += counts.Connections.Open
-	sum.Connections.MaxOpen += counts.Connections.MaxOpen
-}
-
-func (p *endpointsPlayer) close() {
+func (s *endpointService) close() {
 	var closing sync.WaitGroup
-	for _, e := range p.endpoints {
+	for _, e := range s.endpoints {
 		closing.Add(1)
 		go func() {
 			defer closing.Done()
--- a/internal/emulator/worker/messages.go
+++ b/internal/emulator/worker/messages.go
@@ -1,5 +1,8 @@
-// Package worker is what the emulator's worker processes do: one plays discovery,
-// some play endpoints, some host sidecars, one sends requests.
+// Package worker implements the emulator's worker processes and the messages of their requests.
+//
+// A worker has one role: it hosts the discovery server, endpoints or simulated sidecars, or it sends
+// requests. It stops all that it started when its input ends. Messages are exchanged only between
+// processes of one build; of them only the counters are stored, in result files.
 package worker
 
 import (
@@ -12,143 +15,143 @@
 	"oakproxy/internal/emulator/sidecarlog"
 )
 
-// Role names what a worker process plays.
+// Role names what a worker process does.
 type Role string
 
 // The roles.
 const (
 	RegistryRole  Role = "registry"
 	EndpointsRole Role = "endpoints"
-	HollowRole    Role = "hollow"
+	SidecarsRole  Role = "hollow"
 	LoadRole      Role = "load"
 )
 
-// Requests of the registry role.
+// Requests of the registry role, each with the types of its request and response.
 const (
 	StartRegistry   control.Kind = "start registry"   // RegistryOptions, RegistryAddress
-	SetInstances    control.Kind = "set instances"    // Instances, Version
-	UpdateInstances control.Kind = "update instances" // Instances, Version
+	SetInstances    control.Kind = "set instances"    // Instances, ListVersion
+	UpdateInstances control.Kind = "update instances" // Instances, ListVersion
 	CountRegistry   control.Kind = "count registry"   // Empty, registry.Counts
 )
 
-// RegistryOptions are the settings of discovery.
+// RegistryOptions are the settings of the discovery server.
 type RegistryOptions struct {
 	CallsPerSecond float64
 	MaxQueueDelay  time.Duration
 	History        int
-	Scratch        string // a folder to remove when the emulator is gone
+	Scratch        string // a directory to remove when the emulator has ended
 }
 
-// RegistryAddress is where discovery listens.
+// RegistryAddress is where the discovery server listens.
 type RegistryAddress struct{ Address string }
 
-// Instances are entries of discovery's list.
+// Instances are entries of the discovery server's endpoint list.
 type Instances struct{ Instances []registry.Instance }
 
-// Version is a version of discovery's list, and when it came to be.
-type Version struct {
-	Seq uint64
-	At  time.Time
+// ListVersion is a version of the discovery server's endpoint list, and when it was made.
+type ListVersion struct {
+	Number    uint64
+	CreatedAt time.Time
 }
 
-// Requests of the endpoints role.
+// Requests of the endpoints role, each with the types of its request and response.
 const (
-	StartEndpoints control.Kind = "start endpoints"  // EndpointConfigs, Lives
-	ActOnEndpoints control.Kind = "act on endpoints" // Act, Lives
+	StartEndpoints control.Kind = "start endpoints"  // EndpointConfigs, Incarnations
+	ActOnEndpoints control.Kind = "act on endpoints" // EndpointAction, Incarnations
 	CountEndpoints control.Kind = "count endpoints"  // Empty, endpoint.Counts
 )
 
 // EndpointConfigs are endpoints to start.
 type EndpointConfigs struct{ Configs []endpoint.Config }
 
-// Action is what happens to an endpoint.
+// Action is a planned change or a fault of an endpoint.
 type Action string
 
 // The actions.
 const (
-	Drain   Action = "drain"
-	Restart Action = "restart"
-	Vanish  Action = "vanish"
+	Drain      Action = "drain"
+	Restart    Action = "restart"
+	Disconnect Action = "vanish"
 )
 
-// Act does something to the endpoints of these names, or to all where there are none.
-type Act struct {
+// EndpointAction applies an action to the endpoints of these names; without names, to all.
+type EndpointAction struct {
 	Action Action
 	Names  []string
 }
 
-// Life is where an endpoint is reached, and since when it lives.
-type Life struct {
-	Name    string
-	Address string
-	BornMS  int64
+// Incarnation is where an endpoint is reached, and since when its process runs.
+type Incarnation struct {
+	Name      string
+	Address   string
+	StartedMS int64
 }
 
-// Lives are the endpoints that a request was about.
-type Lives struct{ Lives []Life }
+// Incarnations are those of the endpoints of a request, after it.
+type Incarnations struct{ Endpoints []Incarnation }
 
-// Requests of the hollow role.
+// Requests of the sidecars role, each with the types of its request and response.
 const (
 	StartSidecars  control.Kind = "start sidecars"  // Sidecars, Empty
 	StopSidecars   control.Kind = "stop sidecars"   // Names, Empty
 	ReloadSidecars control.Kind = "reload sidecars" // Names, Empty
 	AwaitReady     control.Kind = "await ready"     // Await, Arrivals
-	AwaitHeard     control.Kind = "await heard"     // Await, Arrivals
-	AwaitInForce   control.Kind = "await in force"  // Await, Arrivals
+	AwaitList      control.Kind = "await heard"     // Await, Arrivals
+	AwaitConfig    control.Kind = "await in force"  // Await, Arrivals
 	CountSidecars  control.Kind = "count sidecars"  // Empty, SidecarCounts
 )
 
 // SidecarFile is a sidecar and its configuration file.
 type SidecarFile struct{ Name, Path string }
 
-// Sidecars are sidecars to start, evenly over a time.
+// Sidecars are sidecars to start, evenly over a duration.
 type Sidecars struct {
-	Files  []SidecarFile
-	Spread time.Duration
+	Files []SidecarFile
+	Over  time.Duration
 }
 
-// Names are the sidecars that a request is about; none: all.
+// Names are the sidecars of a request; without names, all that are running.
 type Names struct{ Names []string }
 
-// Await waits until each of the named sidecars, or all of them, has got there, at most
-// for a time: to a list of this version, or to the configuration that its file holds.
+// Await waits until each of the named sidecars, or each that is running, is ready, has received a list of
+// this version, or has applied the configuration of its file.
 type Await struct {
-	Names  []string
-	Seq    uint64
-	Within time.Duration
+	Names   []string
+	Version uint64
+	Timeout time.Duration
 }
 
-// Arrival is when one sidecar got there.
-type Arrival struct {
-	Name    string
-	Started time.Time // of the sidecar
-	At      time.Time
+// Completion is when one sidecar met the condition.
+type Completion struct {
+	Name      string
+	StartedAt time.Time // of the sidecar
+	At        time.Time
 }
 
-// Arrivals are those that came in time, and the names of the others.
-type Arrivals struct {
-	Arrived []Arrival
-	Missing []string
+// Completions are those within the timeout, and the names of the sidecars that missed it.
+type Completions struct {
+	Completed []Completion
+	Missing   []string
 }
 
-// SidecarCounts tell of all sidecars that a worker hosts or has hosted.
+// SidecarCounts are the counts of all sidecars that a worker hosts or has hosted.
 type SidecarCounts struct {
 	sidecarlog.Counts
 	Running      int
 	Goroutines   int
-	Failed       uint64 // sidecars that ended by themselves
+	Failed       uint64 // sidecars that ended with an error
 	FirstFailure string
 }
 
-// Requests of the load role.
+// Requests of the load role, each with the types of its request and response.
 const (
 	SendLoad control.Kind = "send load" // LoadPlans, LoadReports
 	StopLoad control.Kind = "stop load" // Empty, Empty: SendLoad ends with what it has
 )
 
-// LoadPlans are requests through sidecars and, for comparison, straight to endpoints.
-// A plan without targets is left out.
-type LoadPlans struct{ Through, Direct load.Plan }
+// LoadPlans are requests through sidecars and, for comparison, directly to endpoints. A plan without
+// targets is omitted.
+type LoadPlans struct{ Proxied, Direct load.Plan }
 
-// LoadReports tell what came of the plans; nil for one that was left out.
-type LoadReports struct{ Through, Direct *load.Report }
+// LoadReports are the results of the plans; nil for one that was omitted.
+type LoadReports struct{ Proxied, Direct *load.Report }
--- /dev/null
+++ b/internal/emulator/worker/sidecars.go
@@ -0,0 +1,299 @@
+package worker
+
+import (
+	"context"
+	"errors"
+	"fmt"
+	"os"
+	"runtime"
+	"slices"
+	"sync"
+	"time"
+
+	"oakproxy/internal/config"
+	"oakproxy/internal/emulator/control"
+	"oakproxy/internal/emulator/sidecarlog"
+	"oakproxy/internal/sidecar"
+)
+
+// errAlreadyRunning is returned for the start of a sidecar that is running.
+var errAlreadyRunning = errors.New("sidecar is already running")
+
+// sidecarService is the role that hosts simulated sidecars: sidecars that run the same code as one in a
+// process of its own, many to a process and without an application.
+type sidecarService struct {
+	mu         sync.Mutex
+	sidecars   map[string]*hostedSidecar // the latest incarnation of each
+	names      []string                  // in the order of their first start
+	pastCounts SidecarCounts             // of earlier incarnations
+}
+
+func newSidecarService() *sidecarService {
+	return &sidecarService{sidecars: map[string]*hostedSidecar{}}
+}
+
+func (s *sidecarService) handlers() control.Handlers {
+	return control.Handlers{
+		StartSidecars:  control.Handle(s.start),
+		StopSidecars:   control.Handle(s.stop),
+		ReloadSidecars: control.Handle(s.reload),
+		AwaitReady:     control.Handle(s.awaitReady),
+		AwaitList:      control.Handle(s.awaitList),
+		AwaitConfig:    control.Handle(s.awaitConfig),
+		CountSidecars:  control.Handle(s.count),
+	}
+}
+
+// start starts sidecars one by one, evenly over the time that the request gives.
+func (s *sidecarService) start(ctx context.Context, request Sidecars) (control.Empty, error) {
+	interval := request.Over / time.Duration(max(1, len(request.Files)))
+	for i, file := range request.Files {
+		if i > 0 && !sleep(ctx, interval) {
+			return control.Empty{}, ctx.Err()
+		}
+		if err := s.startOne(file); err != nil {
+			return control.Empty{}, fmt.Errorf("%s: %w", file.Name, err)
+		}
+	}
+	return control.Empty{}, nil
+}
+
+// sleep waits for a time and says whether ctx was not done before.
+func sleep(ctx context.Context, length time.Duration) bool {
+	timer := time.NewTimer(length)
+	defer timer.Stop()
+	select {
+	case <-timer.C:
+		return true
+	case <-ctx.Done():
+		return false
+	}
+}
+
+// startOne starts a sidecar for the first time, or again once it has ended.
+func (s *sidecarService) startOne(file SidecarFile) error {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	previous := s.sidecars[file.Name]
+	if previous != nil {
+		if previous.running() {
+			return errAlreadyRunning
+		}
+		s.pastCounts.Add(previous.counts())
+	}
+	next, err := startHosted(file)
+	if err != nil {
+		return err
+	}
+	if previous == nil {
+		s.names = append(s.names, file.Name)
+	}
+	s.sidecars[file.Name] = next
+	return nil
+}
+
+// stop shuts sidecars down gracefully, as SIGTERM does, and waits for them.
+func (s *sidecarService) stop(_ context.Context, request Names) (control.Empty, error) {
+	stopping := s.selected(request.Names)
+	for _, h := range stopping {
+		h.stop()
+	}
+	for _, h := range stopping {
+		<-h.done
+	}
+	return control.Empty{}, nil
+}
+
+// reload makes sidecars reload their files, as SIGHUP does.
+func (s *sidecarService) reload(_ context.Context, request Names) (control.Empty, error) {
+	for _, h := range s.selected(request.Names) {
+		h.requestReload()
+	}
+	return control.Empty{}, nil
+}
+
+// selected returns the sidecars of these names; without names, all that are running.
+func (s *sidecarService) selected(names []string) []*hostedSidecar {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	var chosen []*hostedSidecar
+	for _, name := range s.names {
+		h := s.sidecars[name]
+		if slices.Contains(names, name) || len(names) == 0 && h.running() {
+			chosen = append(chosen, h)
+		}
+	}
+	return chosen
+}
+
+func (s *sidecarService) awaitReady(ctx context.Context, request Await) (Completions, error) {
+	return s.await(ctx, request, func(*hostedSidecar) sidecarlog.Condition { return sidecarlog.Ready })
+}
+
+func (s *sidecarService) awaitList(ctx context.Context, request Await) (Completions, error) {
+	received := sidecarlog.ListReceived(request.Version)
+	return s.await(ctx, request, func(*hostedSidecar) sidecarlog.Condition { return received })
+}
+
+func (s *sidecarService) awaitConfig(ctx context.Context, request Await) (Completions, error) {
+	return s.await(ctx, request, func(h *hostedSidecar) sidecarlog.Condition {
+		cfg, err := readConfig(h.file.Path)
+		if err != nil {
+			return func(*sidecarlog.Events) (time.Time, bool) { return time.Time{}, false }
+		}
+		return sidecarlog.ConfigApplied(cfg.Hash())
+	})
+}
+
+// await waits until each sidecar of a request meets its condition. One that ends in the meantime is
+// neither completed nor missing.
+func (s *sidecarService) await(
+	ctx context.Context, request Await, conditionOf func(*hostedSidecar) sidecarlog.Condition,
+) (Completions, error) {
+	ctx, cancel := context.WithTimeout(ctx, request.Timeout)
+	defer cancel()
+	var result Completions
+	for _, h := range s.selected(request.Names) {
+		at, met := h.await(ctx, conditionOf(h))
+		switch {
+		case met:
+			result.Completed = append(result.Completed, Completion{Name: h.file.Name, StartedAt: h.started, At: at})
+		case h.running():
+			result.Missing = append(result.Missing, h.file.Name)
+		}
+	}
+	return result, nil
+}
+
+func (s *sidecarService) count(context.Context, control.Empty) (SidecarCounts, error) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	sum := s.pastCounts
+	for _, h := range s.sidecars {
+		sum.Add(h.counts())
+	}
+	sum.Goroutines = runtime.NumGoroutine()
+	return sum, nil
+}
+
+// Add adds the counts of other sidecars or incarnations.
+func (c *SidecarCounts) Add(other SidecarCounts) {
+	c.Running += other.Running
+	c.Counts.Add(other.Counts)
+	c.Failed += other.Failed
+	if c.FirstFailure == "" {
+		c.FirstFailure = other.FirstFailure
+	}
+}
+
+// Since returns the counts since an earlier reading. What is running is as it is now.
+func (c SidecarCounts) Since(earlier SidecarCounts) SidecarCounts {
+	c.Counts = c.Counts.Since(earlier.Counts)
+	c.Failed -= earlier.Failed
+	return c
+}
+
+// close stops the sidecars without waiting for their graceful shutdown: the process ends with them.
+func (s *sidecarService) close() {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	for _, h := range s.sidecars {
+		h.stop()
+	}
+}
+
+// hostedSidecar is one incarnation of a sidecar.
+type hostedSidecar struct {
+	file    SidecarFile
+	started time.Time
+	events  *sidecarlog.Events
+	stop    context.CancelFunc
+	done    chan struct{} // closed when the sidecar has ended
+	err     error         // how it ended; valid once done is closed
+
+	mu      sync.Mutex
+	reloads chan os.Signal // nil once the sidecar has ended
+}
+
+// readConfig reads a configuration file for a sidecar that shares its process.
+func readConfig(path string) (*config.Config, error) {
+	text, err := os.ReadFile(path)
+	if err != nil {
+		return nil, err
+	}
+	return config.Parse(text)
+}
+
+// startHosted starts a sidecar with its configuration file. It runs until its stop is called.
+func startHosted(file SidecarFile) (*hostedSidecar, error) {
+	cfg, err := readConfig(file.Path)
+	if err != nil {
+		return nil, err
+	}
+	ctx, stop := context.WithCancel(context.Background())
+	h := &hostedSidecar{
+		file:    file,
+		started: time.Now(),
+		events:  sidecarlog.New(),
+		stop:    stop,
+		reloads: make(chan os.Signal, 1),
+		done:    make(chan struct{}),
+	}
+	go func() {
+		defer close(h.done)
+		defer h.closeReloads()
+		h.err = sidecar.Run(ctx, cfg, config.ReloadOnSignal(file.Path, h.reloads), h.events.Logger())
+	}()
+	return h, nil
+}
+
+// requestReload has the effect of SIGHUP. A request while another is pending adds nothing.
+func (h *hostedSidecar) requestReload() {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	select {
+	case h.reloads <- nil:
+	default:
+	}
+}
+
+// closeReloads ends the reload requests of a sidecar that has ended.
+func (h *hostedSidecar) closeReloads() {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	close(h.reloads)
+	h.reloads = nil
+}
+
+// await waits until a condition is met, ctx is done or the sidecar has ended.
+func (h *hostedSidecar) await(ctx context.Context, condition sidecarlog.Condition) (time.Time, bool) {
+	ctx, cancel := context.WithCancel(ctx)
+	defer cancel()
+	go func() {
+		select {
+		case <-h.done:
+			cancel()
+		case <-ctx.Done():
+		}
+	}()
+	return h.events.Await(ctx, condition)
+}
+
+func (h *hostedSidecar) running() bool {
+	select {
+	case <-h.done:
+		return false
+	default:
+		return true
+	}
+}
+
+func (h *hostedSidecar) counts() SidecarCounts {
+	c := SidecarCounts{Counts: h.events.Counts()}
+	if h.running() {
+		c.Running = 1
+	} else if h.err != nil {
+		c.Failed, c.FirstFailure = 1, h.file.Name+": "+h.err.Error()
+	}
+	return c
+}
--- a/internal/emulator/worker/worker.go
+++ b/internal/emulator/worker/worker.go
@@ -3,43 +3,43 @@
 import (
 	"context"
 	"io"
-	"slices"
-
 	"oakproxy/internal/emulator/control"
 	"oakproxy/internal/emulator/spec"
+	"slices"
 )
 
-// player is what one role does.
-type player interface {
+// service implements one role.
+type service interface {
 	handlers() control.Handlers
-	close() // ends all that was started
+	close() // stops all that was started; no handler runs by then
 }
 
-// Run plays a role until the input ends or ctx does.
+// Run serves the requests of a role until the input ends or ctx is done, and stops what the role started.
+// An unknown role is a *spec.InputError.
 func Run(ctx context.Context, role Role, input io.Reader, output io.Writer) error {
-	played, err := newPlayer(role)
+	s, err := newService(role)
 	if err != nil {
 		return err
 	}
-	defer played.close()
-	return control.Serve(ctx, input, output, played.handlers())
+	defer s.close()
+	return control.Serve(ctx, input, output, s.handlers())
 }
 
-func newPlayer(role Role) (player, error) {
+func newService(role Role) (service, error) {
 	switch role {
 	case RegistryRole:
-		return &registryPlayer{}, nil
+		return &registryService{}, nil
 	case EndpointsRole:
-		return newEndpointsPlayer(), nil
-	case HollowRole:
-		return newHollowPlayer(), nil
+		return newEndpointService(), nil
+	case SidecarsRole:
+		return newSidecarService(), nil
 	case LoadRole:
-		return &loadPlayer{}, nil
+		return &loadService{}, nil
 	}
 	return nil, spec.Invalid("unknown role %q", role)
 }
 
-// among says whether a name is one of those given, or none are.
-func among(names []string, name string) bool {
+// matchesName says whether name is among names. No names match every name.
+func matchesName(names []string, name string) bool {
 	return len(names) == 0 || slices.Contains(names, name)
 }
