--- a/internal/asynclog/writer_test.go
+++ b/internal/asynclog/writer_test.go
@@ -9,12 +9,11 @@
 	"time"
 )
 
-// Lines leave in their order, and Close waits for them.
-func TestLinesLeaveInOrder(t *testing.T) {
+func TestWritesLinesInOrderAndCloseWaitsForThem(t *testing.T) {
 	var out bytes.Buffer
 	w := New(&out)
 	var want strings.Builder
-	for i := range maxLines / 2 {
+	for i := range maxQueuedLines / 2 {
 		fmt.Fprintf(w, "line %d\n", i)
 		fmt.Fprintf(&want, "line %d\n", i)
 	}
@@ -23,39 +22,43 @@
 		t.Errorf("%d bytes, want %d", out.Len(), want.Len())
 	}
 	if n, err := w.Write([]byte("late\n")); n != 5 || err != nil {
-		t.Errorf("after the end: %d, %v", n, err)
+		t.Errorf("Write after Close: %d, %v", n, err)
 	}
 }
 
-// A reader that stands still holds nobody up; what was left out meanwhile is told once it goes on.
-func TestStalledReader(t *testing.T) {
+// A reader that stalls blocks no writer; the lines dropped meanwhile are counted in the log once it reads on.
+func TestStalledReaderDropsAndCountsLines(t *testing.T) {
 	in, out := io.Pipe()
 	w := New(out)
-	const more = 100
-	for i := range maxLines + 1 + more { // one is with the reader
+	const excess = 100
+	const total = maxQueuedLines + 1 + excess // one is with the reader
+	for i := range total {
 		fmt.Fprintf(w, "line %d\n", i)
 	}
 	w.Close(0)
-	var text bytes.Buffer
 	go func() {
-		<-w.done
+		<-w.finished
 		out.Close()
 	}()
-	io.Copy(&text, in)
-	lines := strings.Count(text.String(), "\nline ") + 1
+	var text bytes.Buffer
+	if _, err := io.Copy(&text, in); err != nil {
+		t.Fatal(err)
+	}
+	written := strings.Count(text.String(), "\nline ") + 1
 	var dropped int
 	at := strings.Index(text.String(), "count=")
 	if at < 0 {
-		t.Fatal("what was left out is not told")
+		t.Fatal("the log does not count the dropped lines")
+	}
+	if _, err := fmt.Sscanf(text.String()[at:], "count=%d", &dropped); err != nil {
+		t.Fatal(err)
 	}
-	fmt.Sscanf(text.String()[at:], "count=%d", &dropped)
-	if lines+dropped != maxLines+1+more {
-		t.Errorf("%d lines and %d left out", lines, dropped)
+	if written+dropped != total {
+		t.Errorf("%d lines written and %d dropped, want %d together", written, dropped, total)
 	}
 }
 
-// Errors of the other writer are nobody's business.
-func TestBrokenReader(t *testing.T) {
+func TestErrorsOfTheReaderAreIgnored(t *testing.T) {
 	in, out := io.Pipe()
 	in.Close()
 	w := New(out)
