--- a/cmd/sidecar/faults_test.go
+++ b/cmd/sidecar/faults_test.go
@@ -84,9 +84,9 @@
 	})
 }
 
-func (w *faultyWorld) order(o faults.Order) {
+func (w *faultyWorld) order(i faults.Injection) {
 	w.t.Helper()
-	if err := o.Give(w.orders); err != nil {
+	if err := i.Store(w.orders); err != nil {
 		w.t.Fatal(err)
 	}
 }
@@ -112,7 +112,7 @@
 		}, 0},
 		"held up": {func(w *faultyWorld) {
 			for range 3 {
-				if err := faults.Hold(w.program.Process, 150*time.Millisecond); err != nil {
+				if err := faults.Pause(w.program.Process, 150*time.Millisecond); err != nil {
 					w.t.Fatal(err)
 				}
 				time.Sleep(100 * time.Millisecond)
@@ -120,18 +120,18 @@
 		}, 0},
 		"steps of the wall clock": {func(w *faultyWorld) {
 			for _, step := range []time.Duration{time.Hour, -time.Hour, 3 * time.Second, -3 * time.Second, 0} {
-				w.order(faults.Order{StepMS: step.Milliseconds()})
+				w.order(faults.Injection{WallClockStep: step})
 				w.call("/admin/cordon?name=s-1")
 				w.call("/admin/uncordon?name=s-1")
 				time.Sleep(50 * time.Millisecond)
 			}
 		}, 0},
 		"a disk with errors": {func(w *faultyWorld) {
-			for _, operation := range []string{"write", "sync", "rename", "read"} {
-				w.order(faults.Order{Fail: operation, Errno: int(syscall.EIO)})
+			for _, operation := range []faults.FileOperation{faults.Write, faults.Sync, faults.Rename, faults.Read} {
+				w.order(faults.Injection{FailOperation: operation, Errno: syscall.EIO})
 				time.Sleep(100 * time.Millisecond)
 			}
-			w.order(faults.Order{})
+			w.order(faults.Injection{})
 			w.call("/admin/cordon?name=s-1")
 		}, 0},
 		"new configurations in a row": {func(w *faultyWorld) {
@@ -170,7 +170,7 @@
 			old.signal(syscall.SIGTERM)
 			old.signal(syscall.SIGHUP)
 			old.signal(syscall.SIGTERM)
-			if err := faults.Hold(old.Process, 100*time.Millisecond); err != nil {
+			if err := faults.Pause(old.Process, 100*time.Millisecond); err != nil {
 				w.t.Fatal(err)
 			}
 			if err := old.Wait(); err != nil {
--- a/cmd/sidecar/main_test.go
+++ b/cmd/sidecar/main_test.go
@@ -38,7 +38,7 @@
 
 // runWithShims is main with shims of the disk and the wall clock.
 func runWithShims(orders string) {
-	if err := run(func(host *config.Host) { faults.Shim(host, orders) }); err != nil {
+	if err := run(func(host *config.Host) { faults.Inject(host, orders) }); err != nil {
 		fmt.Fprintln(os.Stderr, "sidecar:", err)
 		os.Exit(1)
 	}
--- a/cmd/sidecar/traffic_test.go
+++ b/cmd/sidecar/traffic_test.go
@@ -103,28 +103,28 @@
 // brokenNetwork is a proxy before an endpoint: some of its connections are late, silent, reset or cut.
 func brokenNetwork(t *testing.T, to string) (address string) {
 	t.Helper()
-	proxy, err := faults.NewProxy(to, func(connection int) faults.Fault {
+	proxy, err := faults.NewProxy(to, func(connection int) faults.ConnFault {
 		switch connection % 8 {
 		case 2:
-			return faults.Fault{Late: 100 * time.Millisecond}
+			return faults.ConnFault{Delay: 100 * time.Millisecond}
 		case 3:
-			return faults.Fault{ResetAfter: 300}
+			return faults.ConnFault{TruncateAfter: 300}
 		case 4:
-			return faults.Fault{PieceBytes: 3}
+			return faults.ConnFault{ChunkBytes: 3}
 		case 5:
-			return faults.Fault{Silent: true}
+			return faults.ConnFault{Blackhole: true}
 		case 6:
-			return faults.Fault{EndsAtOnce: true}
+			return faults.ConnFault{ResetOnAccept: true}
 		case 7:
-			return faults.Fault{ResetAfter: 90, HalfAnswers: true}
+			return faults.ConnFault{TruncateAfter: 90, CleanEnd: true}
 		}
-		return faults.Fault{}
+		return faults.ConnFault{}
 	})
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { proxy.Close() })
-	return proxy.Address
+	return proxy.Address()
 }
 
 // traffic is what the clients of a test send, and what came of it.
--- a/internal/faults/inject.go
+++ b/internal/faults/inject.go
@@ -2,6 +2,8 @@
 
 import (
 	"encoding/json"
+	"errors"
+	"fmt"
 	"os"
 	"syscall"
 	"time"
@@ -10,66 +12,100 @@
 	"oakproxy/internal/system"
 )
 
-// Order is what a test orders of the shims of a process: the text of a file that they read at each call, in JSON.
-type Order struct {
-	StepMS int64  // of the wall clock, either way
-	Fail   string // the operation on files that fails: read, write, sync, rename or none
-	Errno  int    // with which error
+// FileOperation names an operation of system.FileOps.
+type FileOperation string
+
+// The operations on files that can be made to fail.
+const (
+	Read   FileOperation = "read"
+	Write  FileOperation = "write"
+	Sync   FileOperation = "sync"
+	Rename FileOperation = "rename"
+)
+
+// Injection is the set of faults that a test injects into the disk and the wall clock of a process. The zero Injection
+// injects none. The test stores it in a file that the process reads at each call, see Inject.
+type Injection struct {
+	WallClockStep time.Duration // added to the wall clock; may be negative
+	FailOperation FileOperation // that fails; none if empty
+	Errno         syscall.Errno // with which it fails
 }
 
-// Give puts an order in force, at once for all that come after it.
-func (o Order) Give(path string) error {
-	text, err := json.Marshal(o)
+// Store puts an injection in force: every call of the process that comes after Store obeys it.
+func (i Injection) Store(path string) error {
+	text, err := json.Marshal(i)
 	if err != nil {
-		return err
+		return fmt.Errorf("encode the injection: %w", err)
 	}
-	if err := os.WriteFile(path+".new", text, 0o600); err != nil {
-		return err
+	temporary := path + ".new"
+	if err := os.WriteFile(temporary, text, 0o600); err != nil {
+		return fmt.Errorf("store the injection: %w", err)
+	}
+	if err := os.Rename(temporary, path); err != nil {
+		return fmt.Errorf("store the injection: %w", err)
 	}
-	return os.Rename(path+".new", path)
+	return nil
 }
 
-// Shim puts shims into a host of a sidecar, which obey the orders in a file. Without the file they do nothing.
-func Shim(host *config.Host, path string) {
-	order := func() (o Order) {
-		if text, err := os.ReadFile(path); err == nil {
-			json.Unmarshal(text, &o)
-		}
-		return o
+// loadInjection reads the injection in force. Without a readable one there is none.
+func loadInjection(path string) Injection {
+	var i Injection
+	text, err := os.ReadFile(path)
+	if err != nil || json.Unmarshal(text, &i) != nil {
+		return Injection{}
+	}
+	return i
+}
+
+// Inject replaces the file operations and the wall clock of a host by ones that obey the injection stored at path.
+func Inject(host *config.Host, path string) {
+	files := &faultyFiles{injection: path, native: system.FileOps{}.OrSystem()}
+	host.Files = system.FileOps{Read: files.read, Write: files.write, Sync: files.sync, Rename: files.rename}
+	host.Time.Wall = func() time.Time { return time.Now().Add(loadInjection(path).WallClockStep) }
+}
+
+// faultyFiles are file operations of which one may fail.
+type faultyFiles struct {
+	injection string // path of the injection in force
+	native    system.FileOps
+}
+
+// fail returns the error of an operation on a file, if one is injected.
+func (f *faultyFiles) fail(operation FileOperation, path string) error {
+	if i := loadInjection(f.injection); i.FailOperation == operation {
+		return &os.PathError{Op: string(operation), Path: path, Err: i.Errno}
 	}
-	fault := func(operation, path string) error {
-		if o := order(); o.Fail == operation {
-			return &os.PathError{Op: operation, Path: path, Err: syscall.Errno(o.Errno)}
+	return nil
+}
+
+func (f *faultyFiles) read(file *os.File, maxBytes int64) ([]byte, error) {
+	if err := f.fail(Read, file.Name()); err != nil {
+		return nil, err
+	}
+	return f.native.Read(file, maxBytes)
+}
+
+// write writes the first half of the text before it fails, as a disk does that runs full.
+func (f *faultyFiles) write(file *os.File, text []byte) error {
+	if err := f.fail(Write, file.Name()); err != nil {
+		if writeErr := f.native.Write(file, text[:len(text)/2]); writeErr != nil {
+			return errors.Join(err, writeErr)
 		}
-		return nil
+		return err
 	}
-	native := system.FileOps{}.OrSystem()
-	host.Files = system.FileOps{
-		Read: func(file *os.File, most int64) ([]byte, error) {
-			if err := fault("read", file.Name()); err != nil {
-				return nil, err
-			}
-			return native.Read(file, most)
-		},
-		Write: func(file *os.File, text []byte) error {
-			if err := fault("write", file.Name()); err != nil {
-				native.Write(file, text[:len(text)/2]) // a full disk takes a part
-				return err
-			}
-			return native.Write(file, text)
-		},
-		Sync: func(file *os.File) error {
-			if err := fault("sync", file.Name()); err != nil {
-				return err
-			}
-			return native.Sync(file)
-		},
-		Rename: func(from, to string) error {
-			if err := fault("rename", from); err != nil {
-				return err
-			}
-			return native.Rename(from, to)
-		},
+	return f.native.Write(file, text)
+}
+
+func (f *faultyFiles) sync(file *os.File) error {
+	if err := f.fail(Sync, file.Name()); err != nil {
+		return err
+	}
+	return f.native.Sync(file)
+}
+
+func (f *faultyFiles) rename(from, to string) error {
+	if err := f.fail(Rename, from); err != nil {
+		return err
 	}
-	host.Time.Wall = func() time.Time { return time.Now().Add(time.Duration(order().StepMS) * time.Millisecond) }
+	return f.native.Rename(from, to)
 }
--- a/internal/faults/proxy.go
+++ b/internal/faults/proxy.go
@@ -1,107 +1,110 @@
-// Package faults makes trouble for a running sidecar, for tests: a proxy before its endpoints, and shims of its disk
-// and wall clock, its signals and its descriptors.
+// Package faults injects faults into a running sidecar, for tests: a fault proxy before its endpoints, faults of its
+// disk and wall clock, pauses, and a limit on its descriptors.
+//
+// Faults are deterministic: the test chooses each one. The package checks nothing of what the sidecar makes of them.
 package faults
 
 import (
+	"fmt"
 	"io"
 	"net"
-	"sync"
 	"time"
 )
 
-// Fault is what becomes of one connection through a Proxy. The zero Fault leaves it alone.
-type Fault struct {
-	Late        time.Duration // until bytes go to the endpoint
-	Silent      bool          // what the client sends is read, and goes nowhere
-	ResetAfter  int           // bytes of the answers, after which the connection is reset; 0: never
-	PieceBytes  int           // answers come in writes of so many bytes; 0: as they are
-	EndsAtOnce  bool          // the connection is reset as soon as it is open
-	HalfAnswers bool          // the endpoint's side ends after ResetAfter bytes without a reset
+// ConnFault is the fault of one connection through a Proxy. The zero ConnFault is none.
+type ConnFault struct {
+	Delay         time.Duration // before anything is forwarded to the endpoint
+	Blackhole     bool          // what the client sends is read and not forwarded
+	ResetOnAccept bool          // the connection is reset as soon as it is accepted
+	TruncateAfter int           // bytes of the responses, after which the connection ends by a reset; 0: never
+	CleanEnd      bool          // a truncated connection ends by a FIN in place of a reset
+	ChunkBytes    int           // responses are written in chunks of at most so many bytes; 0: as they come
 }
 
-// Proxy is a TCP proxy before one address.
+// Proxy is a TCP proxy before one address, on loopback. NewProxy starts it; Close ends it.
 type Proxy struct {
-	Address string // where it listens, on loopback
-
-	to       string
-	choose   func(connection int) Fault
+	upstream string
+	choose   func(connection int) ConnFault
 	listener net.Listener
-
-	mu          sync.Mutex
-	connections int
 }
 
-// NewProxy starts a proxy before an address. choose names the fault of each connection, which count from 0. Close it.
-func NewProxy(to string, choose func(connection int) Fault) (*Proxy, error) {
+// NewProxy starts a proxy before an upstream address. choose names the fault of each connection by its number, which
+// counts from 0. Calls of it come one at a time.
+func NewProxy(upstream string, choose func(connection int) ConnFault) (*Proxy, error) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
-		return nil, err
+		return nil, fmt.Errorf("start a fault proxy before %s: %w", upstream, err)
 	}
-	p := &Proxy{Address: listener.Addr().String(), to: to, choose: choose, listener: listener}
+	p := &Proxy{upstream: upstream, choose: choose, listener: listener}
 	go p.accept()
 	return p, nil
 }
 
-// Close ends the listener. Connections go on.
+// Address returns the address at which the proxy listens.
+func (p *Proxy) Address() string { return p.listener.Addr().String() }
+
+// Close ends the listener. Connections go on until one of their sides ends.
 func (p *Proxy) Close() error { return p.listener.Close() }
 
+// accept serves each connection on a goroutine of its own until the listener is closed.
 func (p *Proxy) accept() {
-	for {
+	for number := 0; ; number++ {
 		conn, err := p.listener.Accept()
 		if err != nil {
 			return
 		}
-		p.mu.Lock()
-		number := p.connections
-		p.connections++
-		p.mu.Unlock()
-		go p.carry(conn.(*net.TCPConn), p.choose(number))
+		go p.serve(conn.(*net.TCPConn), p.choose(number))
 	}
 }
 
-// carry passes one connection on, with its fault.
-func (p *Proxy) carry(client *net.TCPConn, fault Fault) {
+// serve forwards one connection with its fault. Errors of either side end the connection, as on a real network.
+func (p *Proxy) serve(client *net.TCPConn, fault ConnFault) {
 	defer client.Close()
-	if fault.EndsAtOnce {
-		client.SetLinger(0)
+	if fault.ResetOnAccept {
+		resetOnClose(client)
 		return
 	}
-	if fault.Silent {
-		io.Copy(io.Discard, client)
+	if fault.Blackhole {
+		_, _ = io.Copy(io.Discard, client) // until the client ends, in whatever way
 		return
 	}
-	time.Sleep(fault.Late)
-	conn, err := net.Dial("tcp", p.to)
+	time.Sleep(fault.Delay)
+	conn, err := net.Dial("tcp", p.upstream)
 	if err != nil {
-		client.SetLinger(0)
+		resetOnClose(client)
 		return
 	}
 	endpoint := conn.(*net.TCPConn)
 	defer endpoint.Close()
 	go func() {
-		io.Copy(endpoint, client)
-		endpoint.CloseWrite()
+		_, _ = io.Copy(endpoint, client) // the endpoint sees how far it came
+		_ = endpoint.CloseWrite()        // fails where the endpoint has ended first
 	}()
-	fault.answer(client, endpoint)
+	fault.relayResponses(client, endpoint)
+}
+
+// resetOnClose makes Close send a reset.
+func resetOnClose(conn *net.TCPConn) {
+	_ = conn.SetLinger(0) // fails only on a connection that is closed
 }
 
-// answer passes the endpoint's bytes on until they end or the fault does.
-func (f Fault) answer(client, endpoint *net.TCPConn) {
-	passed, buffer := 0, make([]byte, 32<<10)
-	if f.PieceBytes > 0 {
-		buffer = buffer[:f.PieceBytes]
+// relayResponses forwards the endpoint's bytes to the client until either side ends or the fault does.
+func (f ConnFault) relayResponses(client, endpoint *net.TCPConn) {
+	forwarded, buffer := 0, make([]byte, 32<<10)
+	if f.ChunkBytes > 0 {
+		buffer = buffer[:f.ChunkBytes]
 	}
 	for {
-		n, err := endpoint.Read(buffer)
-		if f.ResetAfter > 0 && passed+n >= f.ResetAfter {
-			client.Write(buffer[:f.ResetAfter-passed])
-			if !f.HalfAnswers {
-				client.SetLinger(0)
+		n, readErr := endpoint.Read(buffer)
+		if f.TruncateAfter > 0 && forwarded+n >= f.TruncateAfter {
+			_, _ = client.Write(buffer[:f.TruncateAfter-forwarded]) // the connection ends in either case
+			if !f.CleanEnd {
+				resetOnClose(client)
 			}
 			return
 		}
-		passed += n
-		if _, failed := client.Write(buffer[:n]); failed != nil || err != nil {
+		forwarded += n
+		if _, err := client.Write(buffer[:n]); err != nil || readErr != nil {
 			return
 		}
 	}
