--- a/cmd/sidecar/faults_test.go
+++ b/cmd/sidecar/faults_test.go
@@ -17,29 +17,29 @@
 	"oakproxy/internal/faults"
 )
 
-// faultyWorld is a running program whose endpoints are behind a bad network, with traffic.
-type faultyWorld struct {
-	t       *testing.T
-	socket  *passedSocket
-	text    string // of the configuration
-	orders  string // file of the orders for its shims
-	ledger  *ledger
-	program *program
-	admin   string
+// faultyFleet is a running program with endpoints of which some are behind a fault proxy, and with traffic.
+type faultyFleet struct {
+	t         *testing.T
+	socket    *passedSocket
+	config    string // JSON
+	injection string // path of the faults that are injected into it
+	ledger    *ledger
+	program   *program
+	admin     string
 }
 
-// backends is how many endpoints such a program has.
-const backends = 12
+// faultyFleetSize is the number of endpoints of a faultyFleet.
+const faultyFleetSize = 12
 
-func newFaultyWorld(t *testing.T) *faultyWorld {
+func newFaultyFleet(t *testing.T) *faultyFleet {
 	t.Helper()
-	w := &faultyWorld{t: t, socket: newPassedSocket(t), ledger: &ledger{arrivals: map[string]arrival{}}}
-	w.orders = filepath.Join(t.TempDir(), "orders")
-	hosts := make([]string, backends)
+	w := &faultyFleet{t: t, socket: newPassedSocket(t), ledger: &ledger{arrivals: map[string]arrival{}}}
+	w.injection = filepath.Join(t.TempDir(), "injection")
+	hosts := make([]string, faultyFleetSize)
 	for i := range hosts {
-		address := newBackend(t, w.ledger)
+		address := newEndpoint(t, w.ledger)
 		if i%3 == 0 {
-			address = brokenNetwork(t, address)
+			address = newFaultProxy(t, address)
 		}
 		hosts[i] = fmt.Sprintf(`{"host":"s-%d","dial":%q,"site":"a","health":"Ready","share":1}`, i, address)
 	}
@@ -54,27 +54,27 @@
 	text := terminationConfig("127.0.0.1:1", "", 0)
 	from, to := strings.Index(text, `"known":`), strings.Index(text, `"settings":`)
 	text = text[:from] + `"known":` + list + "," + text[to:]
-	w.text = strings.Replace(text, `"discovery":"127.0.0.1:1"`, fmt.Sprintf(`"discovery":%q`, discovery.Listener.Addr()), 1)
+	w.config = strings.Replace(text, `"discovery":"127.0.0.1:1"`, fmt.Sprintf(`"discovery":%q`, discovery.Listener.Addr()), 1)
 	w.program, w.admin = w.launch()
 	return w
 }
 
 // launch starts a process of this sidecar and waits until it is ready.
-func (w *faultyWorld) launch() (p *program, admin string) {
+func (w *faultyFleet) launch() (p *program, admin string) {
 	w.t.Helper()
 	admin = freeAddress(w.t)
-	cmd := command(w.t, w.text)
+	cmd := command(w.t, w.config)
 	cmd.ExtraFiles = []*os.File{w.socket.file}
-	cmd.Env = append(cmd.Env, "BALANCER_PASSED_SOCKET=3", "BALANCER_ADMIN_ADDR="+admin, "TMPDIR="+w.socket.folder, ordersVar+"="+w.orders)
+	cmd.Env = append(cmd.Env, "BALANCER_PASSED_SOCKET=3", "BALANCER_ADMIN_ADDR="+admin, "TMPDIR="+w.socket.folder, injectionVar+"="+w.injection)
 	p = launch(w.t, cmd)
-	await(w.t, "the program to be ready", func() bool { return code("http://"+admin+"/admin/health") == http.StatusOK })
+	waitFor(w.t, "the program to be ready", func() bool { return statusOf("http://"+admin+"/admin/health") == http.StatusOK })
 	return p, admin
 }
 
-// call makes one call of staff, until it is a yes.
-func (w *faultyWorld) call(path string) {
+// adminCall repeats an admin call until it succeeds.
+func (w *faultyFleet) adminCall(path string) {
 	w.t.Helper()
-	await(w.t, path, func() bool {
+	waitFor(w.t, path, func() bool {
 		response, err := http.Post("http://"+w.admin+path, "", nil)
 		if err != nil {
 			return false
@@ -84,23 +84,23 @@
 	})
 }
 
-func (w *faultyWorld) order(i faults.Injection) {
+func (w *faultyFleet) inject(i faults.Injection) {
 	w.t.Helper()
-	if err := i.Store(w.orders); err != nil {
+	if err := i.Store(w.injection); err != nil {
 		w.t.Fatal(err)
 	}
 }
 
-// Whatever is done to a running process, it stays, each request that it passes on has its one answer, and it serves
-// when the trouble is over. No connection may end under a request but where clients are made to leave.
-func TestFaultsOfARunningProcess(t *testing.T) {
-	const crossing = 40 // at most: a client has one connection, and it is ended for good reason
+// Under each fault the process keeps running, each request that it forwards has exactly one response, and it serves once
+// the fault is over. No connection may end under a request except where clients are drained.
+func TestServesThroughFaults(t *testing.T) {
+	const maxCrossing = 40 // requests that cross the end of a drained connection; a client has one connection
 	for what, c := range map[string]struct {
-		do       func(w *faultyWorld)
+		inject   func(w *faultyFleet)
 		maxEnded int
 	}{
-		"nothing": {func(w *faultyWorld) {}, 0},
-		"no descriptors for a moment": {func(w *faultyWorld) {
+		"nothing": {func(w *faultyFleet) {}, 0},
+		"out of descriptors": {func(w *faultyFleet) {
 			before, err := faults.LimitDescriptors(w.program.Process, 8)
 			if err != nil {
 				w.t.Fatal(err)
@@ -110,7 +110,7 @@
 				w.t.Fatal(err)
 			}
 		}, 0},
-		"held up": {func(w *faultyWorld) {
+		"paused": {func(w *faultyFleet) {
 			for range 3 {
 				if err := faults.Pause(w.program.Process, 150*time.Millisecond); err != nil {
 					w.t.Fatal(err)
@@ -118,37 +118,37 @@
 				time.Sleep(100 * time.Millisecond)
 			}
 		}, 0},
-		"steps of the wall clock": {func(w *faultyWorld) {
+		"wall clock steps": {func(w *faultyFleet) {
 			for _, step := range []time.Duration{time.Hour, -time.Hour, 3 * time.Second, -3 * time.Second, 0} {
-				w.order(faults.Injection{WallClockStep: step})
-				w.call("/admin/cordon?name=s-1")
-				w.call("/admin/uncordon?name=s-1")
+				w.inject(faults.Injection{WallClockStep: step})
+				w.adminCall("/admin/cordon?name=s-1")
+				w.adminCall("/admin/uncordon?name=s-1")
 				time.Sleep(50 * time.Millisecond)
 			}
 		}, 0},
-		"a disk with errors": {func(w *faultyWorld) {
+		"disk errors": {func(w *faultyFleet) {
 			for _, operation := range []faults.FileOperation{faults.Write, faults.Sync, faults.Rename, faults.Read} {
-				w.order(faults.Injection{FailOperation: operation, Errno: syscall.EIO})
+				w.inject(faults.Injection{FailOperation: operation, Errno: syscall.EIO})
 				time.Sleep(100 * time.Millisecond)
 			}
-			w.order(faults.Injection{})
-			w.call("/admin/cordon?name=s-1")
+			w.inject(faults.Injection{})
+			w.adminCall("/admin/cordon?name=s-1")
 		}, 0},
-		"new configurations in a row": {func(w *faultyWorld) {
+		"configuration reloads": {func(w *faultyFleet) {
 			for i := range 20 {
-				w.program.replace(strings.Replace(w.text, `"target":300000`, fmt.Sprintf(`"target":%d`, 300000+i), 1))
+				w.program.replaceConfig(strings.Replace(w.config, `"target":300000`, fmt.Sprintf(`"target":%d`, 300000+i), 1))
 				w.program.signal(syscall.SIGHUP)
 				time.Sleep(10 * time.Millisecond)
 			}
 		}, 0},
-		"drained and resumed": {func(w *faultyWorld) {
+		"drained and resumed": {func(w *faultyFleet) {
 			for range 3 {
-				w.call("/admin/quiesce")
+				w.adminCall("/admin/quiesce")
 				time.Sleep(300 * time.Millisecond)
-				w.call("/admin/resume")
+				w.adminCall("/admin/resume")
 			}
-		}, crossing},
-		"handed over": {func(w *faultyWorld) {
+		}, maxCrossing},
+		"handed over": {func(w *faultyFleet) {
 			next, admin := w.launch()
 			old := w.program
 			w.program, w.admin = next, admin
@@ -157,10 +157,10 @@
 				w.t.Errorf("the old process ended with %v", err)
 			}
 			if n := old.log.count("aborted by shutdown"); n > 0 {
-				w.t.Errorf("%d requests cut off", n)
+				w.t.Errorf("%d requests aborted by shutdown", n)
 			}
-		}, crossing},
-		"handed over, no descriptors, a signal on its heels": {func(w *faultyWorld) {
+		}, maxCrossing},
+		"handed over, out of descriptors, repeated signals": {func(w *faultyFleet) {
 			next, admin := w.launch()
 			old := w.program
 			w.program, w.admin = next, admin
@@ -176,16 +176,16 @@
 			if err := old.Wait(); err != nil {
 				w.t.Errorf("the old process ended with %v", err)
 			}
-		}, crossing},
+		}, maxCrossing},
 	} {
 		t.Run(what, func(t *testing.T) {
 			t.Parallel()
-			w := newFaultyWorld(t)
-			f := begin(w.socket.address, w.ledger, 24)
-			await(t, "the first answers", func() bool { return f.served.Load() > 20 })
-			c.do(w)
+			w := newFaultyFleet(t)
+			f := startTraffic(w.socket.address, w.ledger, 24)
+			waitFor(t, "the first responses", func() bool { return f.served.Load() > 20 })
+			c.inject(w)
 			before := f.served.Load()
-			await(t, "answers afterwards", func() bool { return f.served.Load() > before+20 })
+			waitFor(t, "responses after the fault", func() bool { return f.served.Load() > before+20 })
 			f.stop()
 			f.check(t, c.maxEnded)
 			w.program.signal(syscall.SIGTERM)
@@ -196,11 +196,11 @@
 	}
 }
 
-// Whenever a process of a sidecar is ended, and whatever its clients have under way just then, the one that takes over
-// serves, and what either passes on has its one answer.
-func TestHandOverAtEveryMoment(t *testing.T) {
-	w := newFaultyWorld(t)
-	f := begin(w.socket.address, w.ledger, 24)
+// At whatever moment a process is shut down, the one that replaces it serves, and each request that either forwards has
+// exactly one response.
+func TestHandOverAtAnyMomentLosesNoRequest(t *testing.T) {
+	w := newFaultyFleet(t)
+	f := startTraffic(w.socket.address, w.ledger, 24)
 	for moment := time.Duration(0); moment <= 120*time.Millisecond; moment += 20 * time.Millisecond {
 		next, admin := w.launch()
 		old := w.program
@@ -211,17 +211,17 @@
 			t.Errorf("the old process ended with %v", err)
 		}
 		if n := old.log.count("aborted by shutdown"); n > 0 {
-			t.Errorf("%d requests cut off", n)
+			t.Errorf("%d requests aborted by shutdown", n)
 		}
 	}
 	f.stop()
 	f.check(t, 100)
 }
 
-// A process that stands still for a while tells endpoints no more time than clients have left once it goes on.
-func TestHeldUpProcessTellsWhatIsLeft(t *testing.T) {
-	const held, slack = 500 * time.Millisecond, 350 * time.Millisecond // more than 0.15 s: the machine may be busy
-	w := newFaultyWorld(t)
+// After a pause the process forwards no more remaining time than the clients have.
+func TestPausedProcessForwardsRemainingTime(t *testing.T) {
+	const pause, slack = 500 * time.Millisecond, 350 * time.Millisecond // slack for a busy machine
+	w := newFaultyFleet(t)
 	w.program.signal(syscall.SIGSTOP)
 	var ids []string
 	written := time.Now()
@@ -231,21 +231,21 @@
 			t.Fatal(err)
 		}
 		defer conn.Close()
-		id := fmt.Sprintf("held-%d", i)
+		id := fmt.Sprintf("paused-%d", i)
 		f := &traffic{ledger: w.ledger}
-		if err := f.write(conn, id, true); err != nil {
+		if err := f.writeRequest(conn, id, true); err != nil {
 			t.Fatal(err)
 		}
 		ids = append(ids, id)
 		go http.ReadResponse(bufio.NewReader(conn), nil)
 	}
-	time.Sleep(held)
+	time.Sleep(pause)
 	w.program.signal(syscall.SIGCONT)
 	time.Sleep(trafficTimeLeft)
 	for _, id := range ids {
 		a := w.ledger.of(id)
-		if left := trafficTimeLeft - a.at.Sub(written); a.times > 0 && a.told > left+slack {
-			t.Errorf("%s: the endpoint is told %v, its client has %v", id, a.told, left)
+		if remaining := trafficTimeLeft - a.at.Sub(written); a.count > 0 && a.timeLeft > remaining+slack {
+			t.Errorf("%s: %v of remaining time forwarded, its client has %v", id, a.timeLeft, remaining)
 		}
 	}
 	w.program.signal(syscall.SIGTERM)
@@ -254,27 +254,27 @@
 	}
 }
 
-// What staff were told yes to holds in the next process, whenever the one before is killed.
-func TestKilledWhileItStores(t *testing.T) {
-	w := newFaultyWorld(t)
+// Overrides whose admin calls succeeded are in force in the next process, whenever the previous one is killed.
+func TestKilledProcessKeepsConfirmedOverrides(t *testing.T) {
+	w := newFaultyFleet(t)
 	expected := map[string]bool{}
 	for round := range 12 {
-		out, path := round%2 == 0, "/admin/uncordon?name="
-		if out {
+		cordon, path := round%2 == 0, "/admin/uncordon?name="
+		if cordon {
 			path = "/admin/cordon?name="
 		}
 		killed := make(chan error, 1)
 		time.AfterFunc(time.Duration(round)*500*time.Microsecond, func() { killed <- w.program.Process.Kill() })
-		for i := range backends {
+		for i := range faultyFleetSize {
 			name := fmt.Sprintf("s-%d", i)
-			delete(expected, name) // a call that is killed may have been taken or not
+			delete(expected, name) // an interrupted call may or may not have taken effect
 			response, err := http.Post("http://"+w.admin+path+name, "", nil)
 			if err != nil {
 				break
 			}
 			response.Body.Close()
 			if response.StatusCode == http.StatusOK {
-				expected[name] = out
+				expected[name] = cordon
 			}
 		}
 		if err := <-killed; err != nil {
@@ -283,14 +283,14 @@
 		w.program.Wait()
 		w.program, w.admin = w.launch()
 		if n := w.program.log.count("operator state ignored"); n > 0 {
-			t.Error("the next process can't read the state")
+			t.Error("the next process ignores the stored state")
 		}
-		checkStored(t, filepath.Join(w.socket.folder, "oakproxy-state.json"), expected)
+		checkOverrides(t, filepath.Join(w.socket.folder, "oakproxy-state.json"), expected)
 	}
 }
 
-// checkStored compares the endpoints that are left out in a state file with what staff were told.
-func checkStored(t *testing.T, path string, expected map[string]bool) {
+// checkOverrides compares the cordoned endpoints in a state file with the admin calls that succeeded.
+func checkOverrides(t *testing.T, path string, expected map[string]bool) {
 	t.Helper()
 	var stored struct {
 		Hosts []struct {
@@ -305,13 +305,13 @@
 	if err != nil && len(expected) > 0 {
 		t.Fatal(err)
 	}
-	out := map[string]bool{}
+	cordoned := map[string]bool{}
 	for _, host := range stored.Hosts {
-		out[host.Host] = host.Out
+		cordoned[host.Host] = host.Out
 	}
 	for name, want := range expected {
-		if out[name] != want {
-			t.Errorf("%s: out %v, staff were told %v", name, out[name], want)
+		if cordoned[name] != want {
+			t.Errorf("%s: cordoned %v, want %v", name, cordoned[name], want)
 		}
 	}
 }
--- a/cmd/sidecar/frozen_test.go
+++ b/cmd/sidecar/frozen_test.go
@@ -111,7 +111,7 @@
 }
 
 // The program reads what the release before stored, and stores it under the same names and keys.
-func TestFilesOfTheReleaseBeforeAreReadAndWritten(t *testing.T) {
+func TestReadsAndWritesFilesOfThePreviousRelease(t *testing.T) {
 	socket := newPassedSocket(t)
 	for _, name := range []string{"oakproxy-state.json", "oakproxy-learned.json"} {
 		restoreFile(t, socket.folder, name)
@@ -123,7 +123,7 @@
 	cmd.ExtraFiles = []*os.File{socket.file}
 	cmd.Env = append(cmd.Env, "BALANCER_PASSED_SOCKET=3", "BALANCER_ADMIN_ADDR="+admin, "BALANCER_LOG_LEVEL=debug",
 		"TMPDIR="+socket.folder)
-	var log lines
+	var log logBuffer
 	cmd.Stderr = &log
 	if err := cmd.Start(); err != nil {
 		t.Fatal(err)
@@ -132,11 +132,11 @@
 		cmd.Process.Kill()
 		cmd.Wait()
 	}()
-	await(t, "health", func() bool { return code("http://"+admin+"/admin/health") == http.StatusOK })
+	waitFor(t, "health", func() bool { return statusOf("http://"+admin+"/admin/health") == http.StatusOK })
 	if log.count("hash="+releaseHash) == 0 {
 		t.Errorf("the hash of the configuration is no longer %s", releaseHash)
 	}
-	if got := code("http://" + socket.address + "/health/ready"); got != http.StatusServiceUnavailable {
+	if got := statusOf("http://" + socket.address + "/health/ready"); got != http.StatusServiceUnavailable {
 		t.Errorf("readiness of a sidecar that was drained: %d", got)
 	}
 
@@ -158,7 +158,7 @@
 	}
 
 	written := learned
-	await(t, "what was learned to be stored again", func() bool {
+	waitFor(t, "what was learned to be stored again", func() bool {
 		written = readJSON(t, socket.folder, "oakproxy-learned.json")
 		return written["at_ms"] != learned["at_ms"]
 	})
@@ -184,7 +184,7 @@
 	if want := []string{"oakproxy-learned.json", "oakproxy-process.0", "oakproxy-state.json", "oakproxy-state.lock"}; err != nil || !slices.Equal(names, want) {
 		t.Errorf("files %q (%v), want %q", names, err, want)
 	}
-	await(t, "the process to say that it is ready", func() bool {
+	waitFor(t, "the process to say that it is ready", func() bool {
 		text, err := os.ReadFile(filepath.Join(socket.folder, "oakproxy-process.0"))
 		return err == nil && string(text) == "ready"
 	})
@@ -194,7 +194,7 @@
 func TestRequestsKeepTheirForm(t *testing.T) {
 	received := make(chan *http.Request, 16)
 	probed := make(chan string, 256)
-	endpoint := serveEach(t, func(conn net.Conn) {
+	endpoint := serveConnections(t, func(conn net.Conn) {
 		readRequests(conn, func(r *http.Request) {
 			if r.URL.Path == "/stats" {
 				select {
@@ -209,7 +209,7 @@
 		})
 	})
 	asked := make(chan string, 256)
-	discovery := serveEach(t, func(conn net.Conn) {
+	discovery := serveConnections(t, func(conn net.Conn) {
 		readRequests(conn, func(r *http.Request) {
 			select {
 			case asked <- r.Method + " " + r.URL.RequestURI():
@@ -228,7 +228,7 @@
 		cmd.Process.Kill()
 		cmd.Wait()
 	}()
-	await(t, "readiness", func() bool { return code("http://"+listen+"/health/ready") == http.StatusOK })
+	waitFor(t, "readiness", func() bool { return statusOf("http://"+listen+"/health/ready") == http.StatusOK })
 	send := func(path, class string, more http.Header) {
 		t.Helper()
 		request, err := http.NewRequest(http.MethodPost, "http://"+listen+path, strings.NewReader("body"))
--- a/cmd/sidecar/largefleet_test.go
+++ b/cmd/sidecar/largefleet_test.go
@@ -20,21 +20,21 @@
 )
 
 const (
-	sizeEndpoints = 1024
-	sizeTenants   = 1024
-	sizePeers     = 1024
-	sizeSidecars  = 350
-	minMemoryMB   = 32 // the smallest limits that the platform documents
-	minSockets    = 256
+	largeEndpoints = 1024
+	largeTenants   = 1024
+	largePeers     = 1024
+	largeSidecars  = 350
+	minMemoryMB    = 32 // the smallest limits that the platform documents
+	minSockets     = 256
 )
 
-// sizeList lists the endpoints, the second half of them in the given state.
-func sizeList(seq int, whole bool, health, first, second string) []byte {
+// endpointList returns an endpoint list whose second half is in the given state.
+func endpointList(seq int, whole bool, health, first, second string) []byte {
 	var hosts []map[string]any
-	for i := range sizeEndpoints {
+	for i := range largeEndpoints {
 		h := map[string]any{"host": fmt.Sprintf("s-%08x", i), "dial": first, "site": "a", "class": "m",
 			"block": i / 8, "health": "Ready", "share": 1.0, "born_ms": 0}
-		if i >= sizeEndpoints/2 {
+		if i >= largeEndpoints/2 {
 			h["dial"], h["health"] = second, health
 		}
 		hosts = append(hosts, h)
@@ -46,41 +46,41 @@
 	return text
 }
 
-// counter is an endpoint that counts what it serves.
-type counter struct{ served atomic.Int64 }
+// countingEndpoint is an endpoint that counts what it serves.
+type countingEndpoint struct{ served atomic.Int64 }
 
-func (c *counter) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (c *countingEndpoint) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	if strings.HasPrefix(r.URL.Path, "/read") {
 		c.served.Add(1)
 	}
 	io.WriteString(w, "done")
 }
 
-// raced says whether the race detector is built in, which takes memory of its own.
-func raced() bool {
+// raceDetectorEnabled reports whether the race detector is built in, which takes memory of its own.
+func raceDetectorEnabled() bool {
 	info, _ := debug.ReadBuildInfo()
 	return info != nil && slices.Contains(info.Settings, debug.BuildSetting{Key: "-race", Value: "true"})
 }
 
-// A large fleet fits into the smallest limits: a configuration and a list at full
-// length are taken, requests go through, and half of the list can drain at once.
-func TestLargeFleet(t *testing.T) {
-	var ready, drains counter
+// A large fleet fits the smallest limits: a configuration and a list at full length are accepted, requests are served,
+// and half of the list can drain at once.
+func TestLargeFleetFitsSmallestLimits(t *testing.T) {
+	var ready, drains countingEndpoint
 	a, b := httptest.NewServer(&ready), httptest.NewServer(&drains)
 	defer a.Close()
 	defer b.Close()
 	first, second := a.Listener.Addr().String(), b.Listener.Addr().String()
 
-	news, watched := make(chan struct{}), make(chan struct{})
+	changed, watched := make(chan struct{}), make(chan struct{})
 	var once sync.Once
 	discovery := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		switch {
 		case r.FormValue("after") == "41" && r.FormValue("wait_ms") == "0":
-			w.Write(sizeList(42, true, "Ready", first, second))
+			w.Write(endpointList(42, true, "Ready", first, second))
 		case r.FormValue("after") == "42":
 			select {
-			case <-news:
-				w.Write(sizeList(43, false, "Terminating", first, second))
+			case <-changed:
+				w.Write(endpointList(43, false, "Terminating", first, second))
 			case <-r.Context().Done():
 			}
 		default:
@@ -90,20 +90,20 @@
 	}))
 	defer discovery.Close()
 
-	peers := make([]string, sizePeers)
+	peers := make([]string, largePeers)
 	for i := range peers {
 		peers[i] = fmt.Sprintf("10.3.%d.%d:7946", i/256, i%256)
 	}
-	tenants := make([]map[string]any, sizeTenants)
+	tenants := make([]map[string]any, largeTenants)
 	for i := range tenants {
-		tenants[i] = map[string]any{"name": fmt.Sprintf("tenant-%d", i), "allowance-per-s": 10.0, "share": 1.0 / sizeTenants}
+		tenants[i] = map[string]any{"name": fmt.Sprintf("tenant-%d", i), "allowance-per-s": 10.0, "share": 1.0 / largeTenants}
 	}
 	listen := freeAddress(t)
 	text, err := json.Marshal(map[string]any{"name": "n349", "listen": listen, "discovery": discovery.Listener.Addr().String(),
 		"seed": "1f", "limits": map[string]any{"cores": 1, "memory_mb": minMemoryMB, "sockets": minSockets},
-		"peer_listen": peers[sizeSidecars-1], "peers": peers, "known": json.RawMessage(sizeList(41, true, "Ready", first, second)),
+		"peer_listen": peers[largeSidecars-1], "peers": peers, "known": json.RawMessage(endpointList(41, true, "Ready", first, second)),
 		"settings": map[string]any{"areas": []string{"a"}, "skus": []string{"m"}, "discovery": "subscribe",
-			"peers-total": sizeSidecars, "position": sizeSidecars - 1, "tenants": tenants,
+			"peers-total": largeSidecars, "position": largeSidecars - 1, "tenants": tenants,
 			"contract":  map[string]any{"ask-within": 1_000_000, "drain-grace": 500_000},
 			"limits":    map[string]any{"keepalive": 5000000, "dial-timeout": 250000, "most-tries": 3, "probes": true},
 			"reporting": map[string]any{"how": "none"},
@@ -112,7 +112,7 @@
 		t.Fatal(err)
 	}
 	cmd := command(t, string(text))
-	var log lines
+	var log logBuffer
 	cmd.Stderr = &log
 	if err := cmd.Start(); err != nil {
 		t.Fatal(err)
@@ -124,7 +124,7 @@
 			t.Log(log.text.String())
 		}
 	}()
-	await(t, "the program to be ready", func() bool { return code("http://"+listen+"/health/ready") == http.StatusOK })
+	waitFor(t, "the program to be ready", func() bool { return statusOf("http://"+listen+"/health/ready") == http.StatusOK })
 
 	descriptors := 0
 	send := func(n int) {
@@ -142,7 +142,7 @@
 						continue
 					}
 					for name, value := range map[string]string{"X-Correlation-Id": fmt.Sprintf("%d-%d", n, i), "X-Service-Class": "read",
-						"X-Account": fmt.Sprintf("tenant-%d", i%sizeTenants), "X-Session-Key": strconv.Itoa(i), "X-Time-Left-Ms": "10000"} {
+						"X-Account": fmt.Sprintf("tenant-%d", i%largeTenants), "X-Session-Key": strconv.Itoa(i), "X-Time-Left-Ms": "10000"} {
 						r.Header.Set(name, value)
 					}
 					response, err := http.DefaultClient.Do(r)
@@ -171,23 +171,23 @@
 		close(next)
 		senders.Wait()
 	}
-	send(2 * sizeEndpoints)
+	send(2 * largeEndpoints)
 	if ready.served.Load() == 0 || drains.served.Load() == 0 {
 		t.Errorf("%d requests went to one half of the list, %d to the other", ready.served.Load(), drains.served.Load())
 	}
-	close(news)
+	close(changed)
 	select { // the next call comes once the list before it was handed on
 	case <-watched:
 	case <-time.After(20 * time.Second):
 		t.Fatal("no call after the change")
 	}
 	before := drains.served.Load()
-	send(sizeEndpoints + 1)
+	send(largeEndpoints + 1)
 	if late := drains.served.Load() - before; late > 0 {
-		t.Errorf("%d requests went to endpoints that drain", late)
+		t.Errorf("%d requests went to draining endpoints", late)
 	}
 	if descriptors > minSockets {
-		t.Errorf("%d descriptors open, granted are %d", descriptors, minSockets)
+		t.Errorf("%d descriptors open, the limit is %d", descriptors, minSockets)
 	}
 	status, err := os.ReadFile(filepath.Join("/proc", strconv.Itoa(cmd.Process.Pid), "status"))
 	if err != nil {
@@ -195,8 +195,8 @@
 	}
 	_, peak, _ := bytes.Cut(status, []byte("VmHWM:"))
 	kb, err := strconv.Atoi(string(bytes.Fields(peak)[0]))
-	if err != nil || kb > minMemoryMB<<10 && !raced() {
-		t.Errorf("%d kB of memory at the most (%v), granted are %d MB", kb, err, minMemoryMB)
+	if err != nil || kb > minMemoryMB<<10 && !raceDetectorEnabled() {
+		t.Errorf("peak memory %d kB (%v), the limit is %d MB", kb, err, minMemoryMB)
 	}
-	t.Logf("%d descriptors, %d kB of memory at the most", descriptors, kb)
+	t.Logf("%d descriptors, peak memory %d kB", descriptors, kb)
 }
--- a/cmd/sidecar/log_test.go
+++ b/cmd/sidecar/log_test.go
@@ -13,13 +13,13 @@
 	pipeSize    = 4096
 )
 
-// A log that nobody reads, or that is gone, neither holds a request up nor ends the process.
-func TestServesWithoutAReaderOfItsLog(t *testing.T) {
+// A log whose reader stalls or is gone neither blocks a request nor ends the process.
+func TestServesWithoutLogReader(t *testing.T) {
 	for what, gone := range map[string]bool{"stalled": false, "gone": true} {
 		t.Run(what, func(t *testing.T) {
 			listen := freeAddress(t)
-			cmd := command(t, withEndpoint(t, configText(listen)))
-			cmd.Env = append(cmd.Env, levelVar+"=debug")
+			cmd := command(t, withEndpoint(t, configJSON(listen)))
+			cmd.Env = append(cmd.Env, logLevelVar+"=debug")
 			in, out, err := os.Pipe()
 			if err != nil {
 				t.Fatal(err)
@@ -37,9 +37,9 @@
 			if gone {
 				in.Close()
 			}
-			await(t, "the program to be ready", func() bool { return code("http://"+listen+"/health/ready") == http.StatusOK })
+			waitFor(t, "the program to be ready", func() bool { return statusOf("http://"+listen+"/health/ready") == http.StatusOK })
 			for i := range 100 { // each leaves lines of over 200 bytes together
-				if got := ask(t, listen, "read"); got != http.StatusOK {
+				if got := requestStatus(t, listen, "read"); got != http.StatusOK {
 					t.Fatalf("request %d: %d", i, got)
 				}
 			}
--- a/cmd/sidecar/main_test.go
+++ b/cmd/sidecar/main_test.go
@@ -24,8 +24,8 @@
 // TestMain lets the test binary stand in for the program.
 func TestMain(m *testing.M) {
 	if os.Getenv("SIDECAR_TEST_RUN") != "" {
-		if orders := os.Getenv(ordersVar); orders != "" {
-			runWithShims(orders)
+		if injection := os.Getenv(injectionVar); injection != "" {
+			runWithInjection(injection)
 		}
 		main()
 		os.Exit(0)
@@ -33,19 +33,19 @@
 	os.Exit(m.Run())
 }
 
-// ordersVar names the file of the orders for the shims of a program that is run with them.
-const ordersVar = "SIDECAR_TEST_ORDERS"
+// injectionVar names the path of the faults to inject into a program.
+const injectionVar = "SIDECAR_TEST_INJECTION"
 
-// runWithShims is main with shims of the disk and the wall clock.
-func runWithShims(orders string) {
-	if err := run(func(host *config.Host) { faults.Inject(host, orders) }); err != nil {
+// runWithInjection is main with faults of the disk and the wall clock, see faults.Inject.
+func runWithInjection(injection string) {
+	if err := run(func(host *config.Host) { faults.Inject(host, injection) }); err != nil {
 		fmt.Fprintln(os.Stderr, "sidecar:", err)
 		os.Exit(1)
 	}
 	os.Exit(0)
 }
 
-// command runs the program with a configuration file of this text.
+// command returns a command that runs the program with a configuration file of this text.
 func command(t *testing.T, config string) *exec.Cmd {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "config.json")
@@ -67,7 +67,7 @@
 	return listener.Addr().String()
 }
 
-func configText(listen string) string {
+func configJSON(listen string) string {
 	return fmt.Sprintf(`{"name":"n0","listen":%q,"discovery":"127.0.0.1:1","seed":"1f",
 "limits":{"cores":1,"memory_mb":192,"sockets":1024},
 "known":{"seq":1,"whole":true,"hosts":[{"host":"s-1","dial":"127.0.0.1:1","site":"a","health":"Ready","share":1}]},
@@ -75,12 +75,12 @@
 "classes":[{"name":"read","repeat":"pure","target":600000,"give-up":1000000}]}}`, listen)
 }
 
-func TestBadConfigurationStopsWithOneLine(t *testing.T) {
-	good := configText("127.0.0.1:0")
+func TestInvalidConfigurationFailsWithOneLine(t *testing.T) {
+	good := configJSON("127.0.0.1:0")
 	for name, c := range map[string]struct{ text, key string }{
-		"no seed":         {strings.Replace(good, `"seed"`, `"sed"`, 1), "seed"},
-		"not JSON":        {good[:40], "JSON"},
-		"a class missing": {strings.Replace(good, `"classes"`, `"glasses"`, 1), "classes"},
+		"no seed":       {strings.Replace(good, `"seed"`, `"sed"`, 1), "seed"},
+		"not JSON":      {good[:40], "JSON"},
+		"missing class": {strings.Replace(good, `"classes"`, `"glasses"`, 1), "classes"},
 	} {
 		cmd := command(t, c.text)
 		out, err := cmd.CombinedOutput()
@@ -89,7 +89,7 @@
 			t.Errorf("%s: %v, want exit code 1", name, err)
 		}
 		if bytes.Count(out, []byte("\n")) != 1 || !bytes.Contains(out, []byte(c.key)) {
-			t.Errorf("%s: said %q, want one line with %q", name, out, c.key)
+			t.Errorf("%s: output %q, want one line with %q", name, out, c.key)
 		}
 	}
 	cmd := command(t, good)
@@ -99,40 +99,40 @@
 	}
 }
 
-// lines collects what the program writes.
-type lines struct {
+// logBuffer collects the output of a program.
+type logBuffer struct {
 	mu   sync.Mutex
 	text bytes.Buffer
 }
 
-func (l *lines) Write(p []byte) (int, error) {
+func (l *logBuffer) Write(p []byte) (int, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.text.Write(p)
 }
 
-func (l *lines) count(what string) int {
+func (l *logBuffer) count(what string) int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return strings.Count(l.text.String(), what)
 }
 
-func await(t *testing.T, what string, is func() bool) {
+func waitFor(t *testing.T, what string, is func() bool) {
 	t.Helper()
 	for end := time.Now().Add(20 * time.Second); !is(); time.Sleep(5 * time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatalf("waited in vain for: %s", what)
+			t.Fatalf("timed out waiting for: %s", what)
 		}
 	}
 }
 
-// SIGHUP, which by default ends a process, has the file read again; a bad file
-// changes nothing. SIGTERM ends the program, also with SIGHUP on its heels.
-func TestSignals(t *testing.T) {
+// SIGHUP, which by default ends a process, reloads the file; an invalid file changes nothing. SIGTERM shuts the program
+// down, also when SIGHUP follows at once.
+func TestSIGHUPReloadsAndSIGTERMShutsDown(t *testing.T) {
 	listen := freeAddress(t)
-	cmd := command(t, configText(listen))
+	cmd := command(t, configJSON(listen))
 	path := strings.TrimPrefix(cmd.Env[len(cmd.Env)-1], "BALANCER_CONFIG=")
-	var log lines
+	var log logBuffer
 	cmd.Stderr = &log
 	if err := cmd.Start(); err != nil {
 		t.Fatal(err)
@@ -146,7 +146,7 @@
 		response.Body.Close()
 		return response.StatusCode == http.StatusOK
 	}
-	await(t, "the program to be ready", ready)
+	waitFor(t, "the program to be ready", ready)
 	signal := func(s os.Signal) {
 		t.Helper()
 		if err := cmd.Process.Signal(s); err != nil {
@@ -161,22 +161,22 @@
 	}
 	replace("{")
 	signal(syscall.SIGHUP)
-	await(t, "the bad file's line", func() bool { return log.count("configuration not reloaded") == 1 })
+	waitFor(t, "the log line on the invalid file", func() bool { return log.count("configuration not reloaded") == 1 })
 	registry := make(chan string, 100)
 	discovery := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		registry <- r.URL.String()
 		io.WriteString(w, `{"seq":1,"whole":true,"hosts":[{"host":"s-1","dial":"127.0.0.1:1","site":"a","health":"Ready","share":1}]}`)
 	}))
 	defer discovery.Close()
-	replace(strings.Replace(configText(listen), "127.0.0.1:1", discovery.Listener.Addr().String(), 1))
+	replace(strings.Replace(configJSON(listen), "127.0.0.1:1", discovery.Listener.Addr().String(), 1))
 	signal(syscall.SIGHUP)
 	select {
 	case call := <-registry:
 		if call != "/registry/instances" {
-			t.Errorf("the first call of the new address: %s", call)
+			t.Errorf("the first call to the new address: %s", call)
 		}
 	case <-time.After(20 * time.Second):
-		t.Fatal("the new address is not asked")
+		t.Fatal("the new address is not polled")
 	}
 	if !ready() {
 		t.Error("the program is not ready after SIGHUP")
@@ -188,7 +188,7 @@
 	}
 }
 
-// passedSocket is a clients' socket that the processes of one sidecar inherit, and the folder that they share.
+// passedSocket is a listening socket that the processes of one sidecar inherit, and the directory that they share.
 type passedSocket struct {
 	address string
 	file    *os.File
@@ -197,20 +197,20 @@
 
 func newPassedSocket(t *testing.T) *passedSocket {
 	t.Helper()
-	held, err := net.Listen("tcp", "127.0.0.1:0")
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { held.Close() })
-	file, err := held.(*net.TCPListener).File()
+	t.Cleanup(func() { listener.Close() })
+	file, err := listener.(*net.TCPListener).File()
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { file.Close() })
-	return &passedSocket{held.Addr().String(), file, t.TempDir()}
+	return &passedSocket{listener.Addr().String(), file, t.TempDir()}
 }
 
-// launch starts a process on the socket, and returns what tells the status of its health.
+// launch starts a process on the socket. health returns the status of its health check.
 func (s *passedSocket) launch(t *testing.T, text string) (cmd *exec.Cmd, health func() int) {
 	t.Helper()
 	second := freeAddress(t)
@@ -224,16 +224,16 @@
 		cmd.Process.Kill()
 		cmd.Wait()
 	})
-	return cmd, func() int { return code("http://" + second + "/admin/health") }
+	return cmd, func() int { return statusOf("http://" + second + "/admin/health") }
 }
 
-// While the first process serves, a second one takes the same socket, says that
-// it is ready at its own second address, and goes on when the first is ended.
-func TestReplacedOnThePassedSocket(t *testing.T) {
+// While the first process serves, a second one inherits the same socket, reports ready at its own admin address, and
+// serves on when the first is shut down.
+func TestHandOverOnPassedSocket(t *testing.T) {
 	socket := newPassedSocket(t)
 	http.DefaultTransport.(*http.Transport).CloseIdleConnections()
 	launch := func() (*exec.Cmd, func() bool) {
-		cmd, health := socket.launch(t, configText("127.0.0.1:1")) // an address that it could not listen on
+		cmd, health := socket.launch(t, configJSON("127.0.0.1:1")) // an address that it could not listen on
 		return cmd, func() bool { return health() == http.StatusOK }
 	}
 	clients := func() bool { // over a connection that is kept, unlike code's
@@ -245,10 +245,10 @@
 		return response.StatusCode == http.StatusOK
 	}
 	first, healthy := launch()
-	await(t, "the first process to be ready", healthy)
-	await(t, "the clients' side", clients)
+	waitFor(t, "the first process to be ready", healthy)
+	waitFor(t, "readiness at the clients' address", clients)
 	second, healthy := launch()
-	await(t, "the second process to be ready", healthy)
+	waitFor(t, "the second process to be ready", healthy)
 	if err := first.Process.Signal(syscall.SIGTERM); err != nil {
 		t.Fatal(err)
 	}
@@ -266,24 +266,24 @@
 	}
 }
 
-// A second process that never becomes ready takes no client from the first.
-func TestProcessThatIsNeverReadyTakesNobody(t *testing.T) {
+// A second process that never becomes ready accepts no client's connection.
+func TestUnreadyProcessAcceptsNoClient(t *testing.T) {
 	socket := newPassedSocket(t)
-	_, first := socket.launch(t, configText("127.0.0.1:1"))
-	await(t, "the first process to be ready", func() bool { return first() == http.StatusOK })
-	known := configText("127.0.0.1:1")
+	_, first := socket.launch(t, configJSON("127.0.0.1:1"))
+	waitFor(t, "the first process to be ready", func() bool { return first() == http.StatusOK })
+	known := configJSON("127.0.0.1:1")
 	from, to := strings.Index(known, `[{"host"`), strings.Index(known, `]},`)
 	cmd, second := socket.launch(t, known[:from+1]+known[to:])
-	await(t, "the second process to answer", func() bool { return second() == http.StatusServiceUnavailable })
+	waitFor(t, "the second process to answer", func() bool { return second() == http.StatusServiceUnavailable })
 	ended := make(chan error, 1)
 	for i := range 400 {
-		if i == 200 { // taken back
+		if i == 200 { // rolled back
 			if err := cmd.Process.Signal(syscall.SIGTERM); err != nil {
 				t.Fatal(err)
 			}
 			go func() { ended <- cmd.Wait() }()
 		}
-		if got := code("http://" + socket.address + "/health/ready"); got != http.StatusOK {
+		if got := statusOf("http://" + socket.address + "/health/ready"); got != http.StatusOK {
 			t.Fatalf("connection %d: %d", i, got)
 		}
 	}
@@ -292,8 +292,8 @@
 	}
 }
 
-// code makes a call on a connection of its own; 0 is no answer.
-func code(url string) int {
+// statusOf makes a GET call on a connection of its own and returns the status; 0 means no response.
+func statusOf(url string) int {
 	client := http.Client{Transport: &http.Transport{DisableKeepAlives: true}}
 	response, err := client.Get(url)
 	if err != nil {
--- a/cmd/sidecar/reload_test.go
+++ b/cmd/sidecar/reload_test.go
@@ -15,7 +15,7 @@
 	"testing"
 )
 
-// withEndpoint has the configuration know an endpoint that answers 200.
+// withEndpoint starts an endpoint that answers 200 and names it in a configuration.
 func withEndpoint(t *testing.T, text string) string {
 	t.Helper()
 	endpoint := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) { io.WriteString(w, "done") }))
@@ -23,21 +23,21 @@
 	return strings.Replace(text, `"dial":"127.0.0.1:1"`, fmt.Sprintf(`"dial":%q`, endpoint.Listener.Addr()), 1)
 }
 
-// withSearch adds a class to the configuration.
-func withSearch(text string) string {
+// withSearchClass adds the class "search" to a configuration.
+func withSearchClass(text string) string {
 	return strings.Replace(text, `"classes":[`, `"classes":[{"name":"search","repeat":"pure","target":600000,"give-up":1000000},`, 1)
 }
 
-var lastID atomic.Int32
+var lastRequestID atomic.Int32
 
-// ask makes a request of a class and returns its status; 0 is no answer.
-func ask(t *testing.T, address, class string) int {
+// requestStatus sends a request of a class and returns the status of its response; 0 means no response.
+func requestStatus(t *testing.T, address, class string) int {
 	t.Helper()
 	r, err := http.NewRequest(http.MethodGet, "http://"+address+"/"+class, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
-	r.Header.Set("X-Correlation-Id", fmt.Sprint(lastID.Add(1)))
+	r.Header.Set("X-Correlation-Id", fmt.Sprint(lastRequestID.Add(1)))
 	r.Header.Set("X-Service-Class", class)
 	r.Header.Set("X-Time-Left-Ms", "20000")
 	client := http.Client{Transport: &http.Transport{DisableKeepAlives: true}}
@@ -49,20 +49,20 @@
 	return response.StatusCode
 }
 
-// program is a running one.
+// program is a running sidecar.
 type program struct {
 	*exec.Cmd
-	t    *testing.T
-	path string // of its configuration
-	log  *lines
+	t          *testing.T
+	configPath string // of its configuration
+	log        *logBuffer
 }
 
 func launch(t *testing.T, cmd *exec.Cmd) *program {
 	t.Helper()
-	p := &program{Cmd: cmd, t: t, log: &lines{}}
+	p := &program{Cmd: cmd, t: t, log: &logBuffer{}}
 	for _, variable := range cmd.Env {
 		if path, ok := strings.CutPrefix(variable, "BALANCER_CONFIG="); ok {
-			p.path = path
+			p.configPath = path
 		}
 	}
 	cmd.Stderr = p.log
@@ -73,14 +73,14 @@
 	return p
 }
 
-// replace puts another configuration in place of the file, whole.
-func (p *program) replace(text string) {
+// replaceConfig replaces the configuration file atomically.
+func (p *program) replaceConfig(text string) {
 	p.t.Helper()
-	next := p.path + ".next"
+	next := p.configPath + ".next"
 	if err := os.WriteFile(next, []byte(text), 0o600); err != nil {
 		p.t.Fatal(err)
 	}
-	if err := os.Rename(next, p.path); err != nil {
+	if err := os.Rename(next, p.configPath); err != nil {
 		p.t.Fatal(err)
 	}
 }
@@ -92,8 +92,8 @@
 	}
 }
 
-// ends sends SIGTERM and waits for the end without error.
-func (p *program) ends() {
+// terminate sends SIGTERM and checks that the program exits without error.
+func (p *program) terminate() {
 	p.t.Helper()
 	p.signal(syscall.SIGTERM)
 	if err := p.Wait(); err != nil {
@@ -101,34 +101,34 @@
 	}
 }
 
-// A class that is added to the file is answered after SIGHUP; a file cut short changes nothing.
-func TestReloadedClassIsAnswered(t *testing.T) {
+// A class that is added to the file is served after SIGHUP; a truncated file changes nothing.
+func TestReloadAddsClass(t *testing.T) {
 	listen := freeAddress(t)
-	text := withEndpoint(t, configText(listen))
+	text := withEndpoint(t, configJSON(listen))
 	p := launch(t, command(t, text))
-	await(t, "the program to be ready", func() bool { return code("http://"+listen+"/health/ready") == http.StatusOK })
-	if n := p.log.count("generation=1"); n != 1 || ask(t, listen, "search") != http.StatusBadRequest {
-		t.Errorf("%d lines on the first configuration, or the class is there", n)
+	waitFor(t, "the program to be ready", func() bool { return statusOf("http://"+listen+"/health/ready") == http.StatusOK })
+	if n := p.log.count("generation=1"); n != 1 || requestStatus(t, listen, "search") != http.StatusBadRequest {
+		t.Errorf("%d log lines on the first configuration, or the new class is known already", n)
 	}
-	p.replace(withSearch(text)[:300])
+	p.replaceConfig(withSearchClass(text)[:300])
 	p.signal(syscall.SIGHUP)
-	await(t, "the refusal", func() bool { return p.log.count("reloads_rejected=1") == 1 })
-	p.replace(withSearch(text))
+	waitFor(t, "the rejected reload", func() bool { return p.log.count("reloads_rejected=1") == 1 })
+	p.replaceConfig(withSearchClass(text))
 	p.signal(syscall.SIGHUP)
-	await(t, "the change", func() bool { return p.log.count("generation=2") == 1 })
-	if got := ask(t, listen, "search"); got != http.StatusOK {
-		t.Errorf("the new class is answered %d", got)
+	waitFor(t, "the reload", func() bool { return p.log.count("generation=2") == 1 })
+	if got := requestStatus(t, listen, "search"); got != http.StatusOK {
+		t.Errorf("the new class: status %d", got)
 	}
-	if got := ask(t, listen, "read"); got != http.StatusOK {
-		t.Errorf("the old class is answered %d", got)
+	if got := requestStatus(t, listen, "read"); got != http.StatusOK {
+		t.Errorf("the old class: status %d", got)
 	}
-	p.ends()
+	p.terminate()
 }
 
-// SIGHUP during the start leads to the file as it is by then.
-func TestSignalDuringTheStart(t *testing.T) {
+// SIGHUP during startup has the file read again after startup.
+func TestSIGHUPDuringStartup(t *testing.T) {
 	listen := freeAddress(t)
-	text := withEndpoint(t, configText(listen))
+	text := withEndpoint(t, configJSON(listen))
 	cmd := command(t, text)
 	path := filepath.Join(t.TempDir(), "pipe")
 	if err := syscall.Mkfifo(path, 0o600); err != nil {
@@ -140,51 +140,51 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	p.replace(withSearch(text))
+	p.replaceConfig(withSearchClass(text))
 	p.signal(syscall.SIGHUP)
 	io.WriteString(pipe, text)
 	pipe.Close()
-	await(t, "the change", func() bool { return p.log.count("generation=2") == 1 })
-	await(t, "the new class", func() bool { return ask(t, listen, "search") == http.StatusOK })
-	p.ends()
+	waitFor(t, "the reload", func() bool { return p.log.count("generation=2") == 1 })
+	waitFor(t, "the new class", func() bool { return requestStatus(t, listen, "search") == http.StatusOK })
+	p.terminate()
 }
 
-// While one process replaces the other both take up the file, and none of their clients meets the old one's rules.
-func TestSignalDuringAHandOver(t *testing.T) {
-	held, err := net.Listen("tcp", "127.0.0.1:0")
+// During a hand-over both processes reload the file, and no client is served by the old configuration.
+func TestSIGHUPDuringHandOver(t *testing.T) {
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer held.Close()
-	file, err := held.(*net.TCPListener).File()
+	defer listener.Close()
+	file, err := listener.(*net.TCPListener).File()
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer file.Close()
-	shared, text := t.TempDir(), withEndpoint(t, configText("127.0.0.1:1"))
-	begin := func() *program {
+	shared, text := t.TempDir(), withEndpoint(t, configJSON("127.0.0.1:1"))
+	start := func() *program {
 		second := freeAddress(t)
 		cmd := command(t, text)
 		cmd.ExtraFiles = []*os.File{file}
 		cmd.Env = append(cmd.Env, "BALANCER_PASSED_SOCKET=3", "BALANCER_ADMIN_ADDR="+second, "TMPDIR="+shared)
 		p := launch(t, cmd)
-		await(t, "the process to be ready", func() bool { return code("http://"+second+"/admin/health") == http.StatusOK })
+		waitFor(t, "the process to be ready", func() bool { return statusOf("http://"+second+"/admin/health") == http.StatusOK })
 		return p
 	}
-	first := begin()
-	second := begin()
+	first := start()
+	second := start()
 	for _, p := range []*program{first, second} {
-		p.replace(withSearch(text))
+		p.replaceConfig(withSearchClass(text))
 		p.signal(syscall.SIGHUP)
-		await(t, "the change", func() bool { return p.log.count("generation=2") == 1 })
+		waitFor(t, "the reload", func() bool { return p.log.count("generation=2") == 1 })
 	}
 	for i := range 100 {
 		if i == 50 {
-			first.ends()
+			first.terminate()
 		}
-		if got := ask(t, held.Addr().String(), "search"); got != http.StatusOK {
-			t.Fatalf("request %d of the new class is answered %d", i, got)
+		if got := requestStatus(t, listener.Addr().String(), "search"); got != http.StatusOK {
+			t.Fatalf("request %d of the new class: status %d", i, got)
 		}
 	}
-	second.ends()
+	second.terminate()
 }
--- a/cmd/sidecar/termination_test.go
+++ b/cmd/sidecar/termination_test.go
@@ -13,7 +13,7 @@
 	"time"
 )
 
-// hangingEndpoint takes requests and never answers them. It remembers their ids.
+// hangingEndpoint accepts requests, records their ids and never responds.
 type hangingEndpoint struct {
 	address string
 
@@ -24,11 +24,11 @@
 func newHangingEndpoint(t *testing.T) *hangingEndpoint {
 	t.Helper()
 	e := &hangingEndpoint{ids: map[string]bool{}}
-	e.address = serveEach(t, e.take)
+	e.address = serveConnections(t, e.serve)
 	return e
 }
 
-func (e *hangingEndpoint) take(conn net.Conn) {
+func (e *hangingEndpoint) serve(conn net.Conn) {
 	readRequests(conn, func(r *http.Request) {
 		e.mu.Lock()
 		defer e.mu.Unlock()
@@ -36,20 +36,20 @@
 	})
 }
 
-func (e *hangingEndpoint) got(id string) bool {
+func (e *hangingEndpoint) received(id string) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.ids[id]
 }
 
-// terminationConfig is a configuration with so many endpoints at one address and two classes, of which the longer
-// deadline is 0.7 s. With an endpoint for each request none is refused for the silence of others.
+// terminationConfig returns a configuration with a number of endpoints at one address and two classes, whose longest
+// deadline is 0.7 s. With an endpoint for each request none is rejected because others time out.
 func terminationConfig(listen, endpoint string, endpoints int) string {
 	hosts := make([]string, endpoints)
 	for i := range hosts {
 		hosts[i] = fmt.Sprintf(`{"host":"s-%d","dial":%q,"site":"a","health":"Ready","share":1}`, i, endpoint)
 	}
-	text := configText(listen)
+	text := configJSON(listen)
 	from, to := strings.Index(text, `[{"host"`), strings.Index(text, `]},`)
 	text = text[:from+1] + strings.Join(hosts, ",") + text[to:]
 	return strings.Replace(text, `"classes":[{"name":"read","repeat":"pure","target":600000,"give-up":1000000}]`,
@@ -57,7 +57,7 @@
 			`{"name":"order","repeat":"side_effect","target":300000,"give-up":700000}]`, 1)
 }
 
-// lateRequest is a request that comes on a resting connection some time after SIGTERM.
+// lateRequest is a request that is sent on an idle connection some time after SIGTERM.
 type lateRequest struct {
 	id, method, class string
 	after, timeLeft   time.Duration
@@ -71,7 +71,7 @@
 	return err
 }
 
-// answered reads the final answer and reports whether it is whole.
+// answered reads the response and reports whether it is complete.
 func (r *lateRequest) answered() bool {
 	response, err := http.ReadResponse(r.in, nil)
 	if err != nil {
@@ -81,16 +81,16 @@
 	return err == nil
 }
 
-// Whenever after SIGTERM a request comes on a connection that is still open, and however long its endpoint is
-// silent: what the process forwards has a whole final answer before the process ends.
-func TestTerminationAnswersWhatItForwards(t *testing.T) {
+// However long after SIGTERM a request comes on an open connection, and however long its endpoint does not respond: a
+// request that the process forwards has a complete response before the process exits.
+func TestShutdownAnswersForwardedRequests(t *testing.T) {
 	const (
 		step = 50 * time.Millisecond
 		last = 1400 * time.Millisecond // SIGKILL comes at the longest deadline and 0.7 s
 	)
 	endpoint, listen := newHangingEndpoint(t), freeAddress(t)
 	p := launch(t, command(t, terminationConfig(listen, endpoint.address, 100)))
-	await(t, "the program to be ready", func() bool { return code("http://"+listen+"/health/ready") == http.StatusOK })
+	waitFor(t, "the program to be ready", func() bool { return statusOf("http://"+listen+"/health/ready") == http.StatusOK })
 	var requests []*lateRequest
 	for after := time.Duration(0); after <= last; after += step {
 		for _, r := range []*lateRequest{
@@ -115,8 +115,8 @@
 		wait.Add(1)
 		time.AfterFunc(r.after, func() {
 			defer wait.Done()
-			if r.write() == nil && !r.answered() && endpoint.got(r.id) {
-				t.Errorf("%s, %v after SIGTERM: forwarded, and no whole answer", r.id, r.after)
+			if r.write() == nil && !r.answered() && endpoint.received(r.id) {
+				t.Errorf("%s, %v after SIGTERM: forwarded, and no complete response", r.id, r.after)
 			}
 		})
 	}
@@ -125,12 +125,12 @@
 		t.Errorf("the program ended with %v, want exit code 0", err)
 	}
 	if n := p.log.count("request aborted by shutdown"); n > 0 {
-		t.Errorf("%d requests aborted by the end of the process", n)
+		t.Errorf("%d requests aborted by shutdown", n)
 	}
 }
 
-// Whenever during its start a process is told to end, it ends, and takes nothing along.
-func TestTerminatedDuringTheStart(t *testing.T) {
+// At whatever moment of its startup a process gets SIGTERM, it exits, without error once it handles the signal.
+func TestSIGTERMDuringStartup(t *testing.T) {
 	endpoint := newHangingEndpoint(t)
 	for moment := time.Duration(0); moment < 60*time.Millisecond; moment += 3 * time.Millisecond {
 		t.Run(moment.String(), func(t *testing.T) {
@@ -142,12 +142,12 @@
 			go func() { ended <- p.Wait() }()
 			select {
 			case err := <-ended:
-				// Before the program has said that it handles the signal, the system ends it.
+				// Before the program handles the signal, the signal kills it.
 				if status := p.ProcessState.Sys().(syscall.WaitStatus); err != nil && status.Signal() != syscall.SIGTERM {
 					t.Error(err)
 				}
 			case <-time.After(20 * time.Second):
-				t.Fatal("it does not end")
+				t.Fatal("the process does not exit")
 			}
 		})
 	}
--- a/cmd/sidecar/traffic_test.go
+++ b/cmd/sidecar/traffic_test.go
@@ -17,14 +17,14 @@
 	"oakproxy/internal/faults"
 )
 
-// arrival is a whole request at an endpoint.
+// arrival records the complete requests with one id at the endpoints.
 type arrival struct {
-	times int           // that it came
-	told  time.Duration // that the client waits for the answer
-	at    time.Time
+	count    int           // of complete requests
+	timeLeft time.Duration // as the latest request states it
+	at       time.Time
 }
 
-// ledger is what the endpoints of a test got and answered, by X-Correlation-Id.
+// ledger records the requests that the endpoints of a test received, by X-Correlation-Id.
 type ledger struct {
 	mu       sync.Mutex
 	arrivals map[string]arrival
@@ -36,7 +36,7 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	a := l.arrivals[id]
-	l.arrivals[id] = arrival{a.times + 1, time.Duration(ms) * time.Millisecond, time.Now()}
+	l.arrivals[id] = arrival{a.count + 1, time.Duration(ms) * time.Millisecond, time.Now()}
 }
 
 func (l *ledger) of(id string) arrival {
@@ -45,8 +45,8 @@
 	return l.arrivals[id]
 }
 
-// serveEach serves each connection to an address of its own until the test ends.
-func serveEach(t *testing.T, serve func(net.Conn)) (address string) {
+// serveConnections listens at a free address until the test ends, and serves each connection on its own goroutine.
+func serveConnections(t *testing.T, serve func(net.Conn)) (address string) {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -65,13 +65,13 @@
 	return listener.Addr().String()
 }
 
-// newBackend starts an endpoint that takes up to 40 ms and never answers one request of thirty.
-func newBackend(t *testing.T, l *ledger) (address string) {
+// newEndpoint starts an endpoint that takes up to 40 ms for a request and never answers one in thirty.
+func newEndpoint(t *testing.T, l *ledger) (address string) {
 	t.Helper()
-	return serveEach(t, func(conn net.Conn) { serveBackend(conn, l) })
+	return serveConnections(t, func(conn net.Conn) { serveEndpoint(conn, l) })
 }
 
-func serveBackend(conn net.Conn, l *ledger) {
+func serveEndpoint(conn net.Conn, l *ledger) {
 	readRequests(conn, func(r *http.Request) {
 		l.record(r)
 		id, hash := r.Header.Get("X-Correlation-Id"), fnv.New32a()
@@ -84,8 +84,8 @@
 	})
 }
 
-// readRequests passes on each whole request of a connection until that ends, and closes it.
-func readRequests(conn net.Conn, take func(*http.Request)) {
+// readRequests calls handle for each complete request of a connection until the connection ends, and closes it.
+func readRequests(conn net.Conn, handle func(*http.Request)) {
 	defer conn.Close()
 	in := bufio.NewReader(conn)
 	for {
@@ -96,12 +96,12 @@
 		if _, err := io.Copy(io.Discard, r.Body); err != nil {
 			return
 		}
-		take(r)
+		handle(r)
 	}
 }
 
-// brokenNetwork is a proxy before an endpoint: some of its connections are late, silent, reset or cut.
-func brokenNetwork(t *testing.T, to string) (address string) {
+// newFaultProxy starts a proxy before an endpoint that delays, drops, resets or truncates some connections.
+func newFaultProxy(t *testing.T, to string) (address string) {
 	t.Helper()
 	proxy, err := faults.NewProxy(to, func(connection int) faults.ConnFault {
 		switch connection % 8 {
@@ -127,29 +127,29 @@
 	return proxy.Address()
 }
 
-// traffic is what the clients of a test send, and what came of it.
+// traffic runs the clients of a test and records what became of their requests.
 type traffic struct {
-	address string
-	ledger  *ledger
-	end     chan struct{}
-	clients sync.WaitGroup
+	address  string
+	ledger   *ledger
+	stopping chan struct{}
+	clients  sync.WaitGroup
 
 	answered, served atomic.Int64
 	mu               sync.Mutex
-	faults           []string
-	ended            []string             // ids of requests on connections that ended with no answer
-	left             map[string]time.Time // when clients left their requests, by id
+	violations       []string
+	unanswered       []string             // ids of requests whose connection ended without a response
+	abandoned        map[string]time.Time // when clients abandoned requests, by id
 }
 
 const trafficTimeLeft = 700 * time.Millisecond
 
-// maxLate is how long after its client has left a request may come to an endpoint here: 0.1 s until the attempt begins,
-// as long on the slowest connection, and what a busy machine takes.
-const maxLate = 500 * time.Millisecond
+// maxLateArrival limits how long after its client has abandoned it a request may arrive at an endpoint: 0.1 s until the
+// attempt starts, 0.1 s on the slowest connection, and slack for a busy machine.
+const maxLateArrival = 500 * time.Millisecond
 
-// begin starts so many clients, each of which keeps a connection and sends one request after another.
-func begin(address string, l *ledger, clients int) *traffic {
-	f := &traffic{address: address, ledger: l, end: make(chan struct{}), left: map[string]time.Time{}}
+// startTraffic starts clients that each keep a connection and send one request after another.
+func startTraffic(address string, l *ledger, clients int) *traffic {
+	f := &traffic{address: address, ledger: l, stopping: make(chan struct{}), abandoned: map[string]time.Time{}}
 	for i := range clients {
 		f.clients.Add(1)
 		go f.client(i)
@@ -157,33 +157,33 @@
 	return f
 }
 
-// stop ends the clients, each after the request that it has out.
+// stop ends the clients, each after its request in flight.
 func (f *traffic) stop() {
-	close(f.end)
+	close(f.stopping)
 	f.clients.Wait()
 }
 
-func (f *traffic) over() bool {
+func (f *traffic) stopped() bool {
 	select {
-	case <-f.end:
+	case <-f.stopping:
 		return true
 	default:
 		return false
 	}
 }
 
-func (f *traffic) fault(format string, args ...any) {
+func (f *traffic) violation(format string, args ...any) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.faults = append(f.faults, fmt.Sprintf(format, args...))
+	f.violations = append(f.violations, fmt.Sprintf(format, args...))
 }
 
-// client sends requests of both classes in turn. Now and then it leaves with a request out, or rests.
+// client sends requests of both classes in turn. Now and then it abandons a request or pauses.
 func (f *traffic) client(number int) {
 	defer f.clients.Done()
 	var conn net.Conn
 	var in *bufio.Reader
-	for i := 0; !f.over(); i++ {
+	for i := 0; !f.stopped(); i++ {
 		if conn == nil {
 			var err error
 			if conn, err = net.DialTimeout("tcp", f.address, 5*time.Second); err != nil {
@@ -193,13 +193,13 @@
 			}
 			in = bufio.NewReader(conn)
 		}
-		id := fmt.Sprintf("t%d-%d-%d", lastID.Add(1), number, i)
+		id := fmt.Sprintf("t%d-%d-%d", lastRequestID.Add(1), number, i)
 		if i%17 == 16 {
-			f.leave(conn, id)
+			f.abandon(conn, id)
 			conn = nil
 			continue
 		}
-		if !f.ask(conn, in, id, i) {
+		if !f.roundTrip(conn, in, id, i) {
 			conn.Close()
 			conn = nil
 		}
@@ -212,9 +212,9 @@
 	}
 }
 
-func (f *traffic) write(conn net.Conn, id string, unsafe bool) error {
+func (f *traffic) writeRequest(conn net.Conn, id string, nonIdempotent bool) error {
 	method, class := http.MethodGet, "read"
-	if unsafe {
+	if nonIdempotent {
 		method, class = http.MethodPost, "order"
 	}
 	_, err := fmt.Fprintf(conn, "%s /%s HTTP/1.1\r\nHost: api\r\nX-Service-Class: %s\r\nX-Correlation-Id: %s\r\n"+
@@ -222,38 +222,38 @@
 	return err
 }
 
-// leave writes a request and goes.
-func (f *traffic) leave(conn net.Conn, id string) {
-	f.write(conn, id, true)
+// abandon writes a request and closes the connection.
+func (f *traffic) abandon(conn net.Conn, id string) {
+	f.writeRequest(conn, id, true)
 	conn.Close()
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.left[id] = time.Now()
+	f.abandoned[id] = time.Now()
 }
 
-// ask sends one request and reports whether its connection may be used again.
-func (f *traffic) ask(conn net.Conn, in *bufio.Reader, id string, i int) bool {
-	unsafe := i%2 == 1
+// roundTrip sends one request and reports whether its connection may be used again.
+func (f *traffic) roundTrip(conn net.Conn, in *bufio.Reader, id string, i int) bool {
+	nonIdempotent := i%2 == 1
 	conn.SetDeadline(time.Now().Add(20 * time.Second))
 	var response *http.Response
-	err := f.write(conn, id, unsafe)
+	err := f.writeRequest(conn, id, nonIdempotent)
 	if err == nil {
 		response, err = http.ReadResponse(in, nil)
 	}
 	if err != nil {
-		f.noAnswer(id, err)
+		f.recordUnanswered(id, err)
 		return false
 	}
 	body, err := io.ReadAll(response.Body)
 	switch {
 	case err != nil:
-		f.fault("%s: an answer %d that broke off: %v", id, response.StatusCode, err)
+		f.violation("%s: truncated response %d: %v", id, response.StatusCode, err)
 	case response.StatusCode == http.StatusOK && string(body) != id:
-		f.fault("%s: another request's answer, %q", id, body)
-	case unsafe && f.ledger.of(id).times > 1:
-		f.fault("%s: unsafe, and run %d times", id, f.ledger.of(id).times)
-	case response.StatusCode == http.StatusServiceUnavailable && unsafe && f.ledger.of(id).times > 0:
-		f.fault("%s: unsafe, run, and refused as if it never had", id)
+		f.violation("%s: the response to another request, %q", id, body)
+	case nonIdempotent && f.ledger.of(id).count > 1:
+		f.violation("%s: not idempotent, and run %d times", id, f.ledger.of(id).count)
+	case response.StatusCode == http.StatusServiceUnavailable && nonIdempotent && f.ledger.of(id).count > 0:
+		f.violation("%s: not idempotent, run, and rejected as if it never had", id)
 	}
 	f.answered.Add(1)
 	if response.StatusCode == http.StatusOK {
@@ -262,41 +262,41 @@
 	return err == nil && !response.Close
 }
 
-// noAnswer records a connection that ended without one. A request may cross the end of a resting connection; one that
-// the sidecar passed on may not.
-func (f *traffic) noAnswer(id string, err error) {
+// recordUnanswered records a request whose connection ended without a response. A request may cross the end of an idle
+// connection; one that the sidecar forwarded may not.
+func (f *traffic) recordUnanswered(id string, err error) {
 	var timeout net.Error
 	if errors.As(err, &timeout) && timeout.Timeout() {
-		f.fault("%s: no answer in 20 s", id)
+		f.violation("%s: no response in 20 s", id)
 	}
 	f.mu.Lock()
-	f.ended = append(f.ended, id)
+	f.unanswered = append(f.unanswered, id)
 	f.mu.Unlock()
 }
 
-// check reports what went wrong. maxEnded is how many requests may have crossed the end of a connection.
-func (f *traffic) check(t *testing.T, maxEnded int) {
+// check reports violations. maxUnanswered limits the requests that crossed the end of a connection.
+func (f *traffic) check(t *testing.T, maxUnanswered int) {
 	t.Helper()
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	for _, fault := range f.faults {
-		t.Error(fault)
+	for _, violation := range f.violations {
+		t.Error(violation)
 	}
-	for _, id := range f.ended {
-		if n := f.ledger.of(id).times; n > 0 {
-			t.Errorf("%s: passed on %d times, and no answer", id, n)
+	for _, id := range f.unanswered {
+		if n := f.ledger.of(id).count; n > 0 {
+			t.Errorf("%s: forwarded %d times, and no response", id, n)
 		}
 	}
-	for id, at := range f.left {
-		if a := f.ledger.of(id); a.times > 0 && a.at.After(at.Add(maxLate)) {
-			t.Errorf("%s: passed on %v after its client had left", id, a.at.Sub(at))
+	for id, at := range f.abandoned {
+		if a := f.ledger.of(id); a.count > 0 && a.at.After(at.Add(maxLateArrival)) {
+			t.Errorf("%s: forwarded %v after its client had abandoned it", id, a.at.Sub(at))
 		}
 	}
-	if len(f.ended) > maxEnded {
-		t.Errorf("%d connections ended under requests, %d may: %v", len(f.ended), maxEnded, f.ended)
+	if len(f.unanswered) > maxUnanswered {
+		t.Errorf("%d connections ended under requests, at most %d may: %v", len(f.unanswered), maxUnanswered, f.unanswered)
 	}
 	if f.served.Load() == 0 {
 		t.Error("nothing was served")
 	}
-	t.Logf("%d answered, %d of them served, %d on connections that ended", f.answered.Load(), f.served.Load(), len(f.ended))
+	t.Logf("%d answered, %d of them served, %d on connections that ended", f.answered.Load(), f.served.Load(), len(f.unanswered))
 }
