--- a/cmd/sidecar/main_test.go
+++ b/cmd/sidecar/main_test.go
@@ -5,14 +5,11 @@
 	"errors"
 	"fmt"
 	"io"
-	"net"
 	"net/http"
 	"net/http/httptest"
 	"os"
 	"os/exec"
-	"path/filepath"
 	"strings"
-	"sync"
 	"syscall"
 	"testing"
 	"time"
@@ -45,36 +42,6 @@
 	os.Exit(0)
 }
 
-// command returns a command that runs the program with a configuration file of this text.
-func command(t *testing.T, config string) *exec.Cmd {
-	t.Helper()
-	path := filepath.Join(t.TempDir(), "config.json")
-	if err := os.WriteFile(path, []byte(config), 0o600); err != nil {
-		t.Fatal(err)
-	}
-	c := exec.Command(os.Args[0])
-	c.Env = append(os.Environ(), "SIDECAR_TEST_RUN=1", "BALANCER_CONFIG="+path)
-	return c
-}
-
-func freeAddress(t *testing.T) string {
-	t.Helper()
-	listener, err := net.Listen("tcp", "127.0.0.1:0")
-	if err != nil {
-		t.Fatal(err)
-	}
-	defer listener.Close()
-	return listener.Addr().String()
-}
-
-func configJSON(listen string) string {
-	return fmt.Sprintf(`{"name":"n0","listen":%q,"discovery":"127.0.0.1:1","seed":"1f",
-"limits":{"cores":1,"memory_mb":192,"sockets":1024},
-"known":{"seq":1,"whole":true,"hosts":[{"host":"s-1","dial":"127.0.0.1:1","site":"a","health":"Ready","share":1}]},
-"settings":{"areas":["a"],"skus":["m"],"discovery":"subscribe","limits":{"keepalive":5000000,"dial-timeout":250000},
-"classes":[{"name":"read","repeat":"pure","target":600000,"give-up":1000000}]}}`, listen)
-}
-
 func TestInvalidConfigurationFailsWithOneLine(t *testing.T) {
 	good := configJSON("127.0.0.1:0")
 	for name, c := range map[string]struct{ text, key string }{
@@ -99,33 +66,6 @@
 	}
 }
 
-// logBuffer collects the output of a program.
-type logBuffer struct {
-	mu   sync.Mutex
-	text bytes.Buffer
-}
-
-func (l *logBuffer) Write(p []byte) (int, error) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	return l.text.Write(p)
-}
-
-func (l *logBuffer) count(what string) int {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	return strings.Count(l.text.String(), what)
-}
-
-func waitFor(t *testing.T, what string, is func() bool) {
-	t.Helper()
-	for end := time.Now().Add(20 * time.Second); !is(); time.Sleep(5 * time.Millisecond) {
-		if time.Now().After(end) {
-			t.Fatalf("timed out waiting for: %s", what)
-		}
-	}
-}
-
 // SIGHUP, which by default ends a process, reloads the file; an invalid file changes nothing. SIGTERM shuts the program
 // down, also when SIGHUP follows at once.
 func TestSIGHUPReloadsAndSIGTERMShutsDown(t *testing.T) {
@@ -188,45 +128,6 @@
 	}
 }
 
-// passedSocket is a listening socket that the processes of one sidecar inherit, and the directory that they share.
-type passedSocket struct {
-	address string
-	file    *os.File
-	folder  string
-}
-
-func newPassedSocket(t *testing.T) *passedSocket {
-	t.Helper()
-	listener, err := net.Listen("tcp", "127.0.0.1:0")
-	if err != nil {
-		t.Fatal(err)
-	}
-	t.Cleanup(func() { listener.Close() })
-	file, err := listener.(*net.TCPListener).File()
-	if err != nil {
-		t.Fatal(err)
-	}
-	t.Cleanup(func() { file.Close() })
-	return &passedSocket{listener.Addr().String(), file, t.TempDir()}
-}
-
-// launch starts a process on the socket. health returns the status of its health check.
-func (s *passedSocket) launch(t *testing.T, text string) (cmd *exec.Cmd, health func() int) {
-	t.Helper()
-	second := freeAddress(t)
-	cmd = command(t, text)
-	cmd.ExtraFiles = []*os.File{s.file}
-	cmd.Env = append(cmd.Env, "BALANCER_PASSED_SOCKET=3", "BALANCER_ADMIN_ADDR="+second, "TMPDIR="+s.folder)
-	if err := cmd.Start(); err != nil {
-		t.Fatal(err)
-	}
-	t.Cleanup(func() {
-		cmd.Process.Kill()
-		cmd.Wait()
-	})
-	return cmd, func() int { return statusOf("http://" + second + "/admin/health") }
-}
-
 // While the first process serves, a second one inherits the same socket, reports ready at its own admin address, and
 // serves on when the first is shut down.
 func TestHandOverOnPassedSocket(t *testing.T) {
@@ -291,14 +192,3 @@
 		t.Errorf("the second process ended with %v, want exit code 0", err)
 	}
 }
-
-// statusOf makes a GET call on a connection of its own and returns the status; 0 means no response.
-func statusOf(url string) int {
-	client := http.Client{Transport: &http.Transport{DisableKeepAlives: true}}
-	response, err := client.Get(url)
-	if err != nil {
-		return 0
-	}
-	response.Body.Close()
-	return response.StatusCode
-}
--- /dev/null
+++ b/cmd/sidecar/program_test.go
@@ -0,0 +1,212 @@
+package main
+
+import (
+	"bytes"
+	"fmt"
+	"io"
+	"net"
+	"net/http"
+	"net/http/httptest"
+	"os"
+	"os/exec"
+	"path/filepath"
+	"strings"
+	"sync"
+	"sync/atomic"
+	"syscall"
+	"testing"
+	"time"
+)
+
+// command returns a command that runs the program with a configuration file of this text.
+func command(t *testing.T, config string) *exec.Cmd {
+	t.Helper()
+	path := filepath.Join(t.TempDir(), "config.json")
+	if err := os.WriteFile(path, []byte(config), 0o600); err != nil {
+		t.Fatal(err)
+	}
+	c := exec.Command(os.Args[0])
+	c.Env = append(os.Environ(), "SIDECAR_TEST_RUN=1", "BALANCER_CONFIG="+path)
+	return c
+}
+
+func freeAddress(t *testing.T) string {
+	t.Helper()
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer listener.Close()
+	return listener.Addr().String()
+}
+
+func configJSON(listen string) string {
+	return fmt.Sprintf(`{"name":"n0","listen":%q,"discovery":"127.0.0.1:1","seed":"1f",
+"limits":{"cores":1,"memory_mb":192,"sockets":1024},
+"known":{"seq":1,"whole":true,"hosts":[{"host":"s-1","dial":"127.0.0.1:1","site":"a","health":"Ready","share":1}]},
+"settings":{"areas":["a"],"skus":["m"],"discovery":"subscribe","limits":{"keepalive":5000000,"dial-timeout":250000},
+"classes":[{"name":"read","repeat":"pure","target":600000,"give-up":1000000}]}}`, listen)
+}
+
+// logBuffer collects the output of a program.
+type logBuffer struct {
+	mu   sync.Mutex
+	text bytes.Buffer
+}
+
+func (l *logBuffer) Write(p []byte) (int, error) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	return l.text.Write(p)
+}
+
+func (l *logBuffer) count(what string) int {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	return strings.Count(l.text.String(), what)
+}
+
+func waitFor(t *testing.T, what string, is func() bool) {
+	t.Helper()
+	for end := time.Now().Add(20 * time.Second); !is(); time.Sleep(5 * time.Millisecond) {
+		if time.Now().After(end) {
+			t.Fatalf("timed out waiting for: %s", what)
+		}
+	}
+}
+
+// passedSocket is a listening socket that the processes of one sidecar inherit, and the directory that they share.
+type passedSocket struct {
+	address string
+	file    *os.File
+	folder  string
+}
+
+func newPassedSocket(t *testing.T) *passedSocket {
+	t.Helper()
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { listener.Close() })
+	file, err := listener.(*net.TCPListener).File()
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { file.Close() })
+	return &passedSocket{listener.Addr().String(), file, t.TempDir()}
+}
+
+// launch starts a process on the socket. health returns the status of its health check.
+func (s *passedSocket) launch(t *testing.T, text string) (cmd *exec.Cmd, health func() int) {
+	t.Helper()
+	second := freeAddress(t)
+	cmd = command(t, text)
+	cmd.ExtraFiles = []*os.File{s.file}
+	cmd.Env = append(cmd.Env, "BALANCER_PASSED_SOCKET=3", "BALANCER_ADMIN_ADDR="+second, "TMPDIR="+s.folder)
+	if err := cmd.Start(); err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() {
+		cmd.Process.Kill()
+		cmd.Wait()
+	})
+	return cmd, func() int { return statusOf("http://" + second + "/admin/health") }
+}
+
+// statusOf makes a GET call on a connection of its own and returns the status; 0 means no response.
+func statusOf(url string) int {
+	client := http.Client{Transport: &http.Transport{DisableKeepAlives: true}}
+	response, err := client.Get(url)
+	if err != nil {
+		return 0
+	}
+	response.Body.Close()
+	return response.StatusCode
+}
+
+// withEndpoint starts an endpoint that answers 200 and names it in a configuration.
+func withEndpoint(t *testing.T, text string) string {
+	t.Helper()
+	endpoint := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) { io.WriteString(w, "done") }))
+	t.Cleanup(endpoint.Close)
+	return strings.Replace(text, `"dial":"127.0.0.1:1"`, fmt.Sprintf(`"dial":%q`, endpoint.Listener.Addr()), 1)
+}
+
+// withSearchClass adds the class "search" to a configuration.
+func withSearchClass(text string) string {
+	return strings.Replace(text, `"classes":[`, `"classes":[{"name":"search","repeat":"pure","target":600000,"give-up":1000000},`, 1)
+}
+
+var lastRequestID atomic.Int32
+
+// requestStatus sends a request of a class and returns the status of its response; 0 means no response.
+func requestStatus(t *testing.T, address, class string) int {
+	t.Helper()
+	r, err := http.NewRequest(http.MethodGet, "http://"+address+"/"+class, nil)
+	if err != nil {
+		t.Fatal(err)
+	}
+	r.Header.Set("X-Correlation-Id", fmt.Sprint(lastRequestID.Add(1)))
+	r.Header.Set("X-Service-Class", class)
+	r.Header.Set("X-Time-Left-Ms", "20000")
+	client := http.Client{Transport: &http.Transport{DisableKeepAlives: true}}
+	response, err := client.Do(r)
+	if err != nil {
+		return 0
+	}
+	response.Body.Close()
+	return response.StatusCode
+}
+
+// program is a running sidecar.
+type program struct {
+	*exec.Cmd
+	t          *testing.T
+	configPath string // of its configuration
+	log        *logBuffer
+}
+
+func launch(t *testing.T, cmd *exec.Cmd) *program {
+	t.Helper()
+	p := &program{Cmd: cmd, t: t, log: &logBuffer{}}
+	for _, variable := range cmd.Env {
+		if path, ok := strings.CutPrefix(variable, "BALANCER_CONFIG="); ok {
+			p.configPath = path
+		}
+	}
+	cmd.Stderr = p.log
+	if err := cmd.Start(); err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { cmd.Process.Kill() })
+	return p
+}
+
+// replaceConfig replaces the configuration file atomically.
+func (p *program) replaceConfig(text string) {
+	p.t.Helper()
+	next := p.configPath + ".next"
+	if err := os.WriteFile(next, []byte(text), 0o600); err != nil {
+		p.t.Fatal(err)
+	}
+	if err := os.Rename(next, p.configPath); err != nil {
+		p.t.Fatal(err)
+	}
+}
+
+func (p *program) signal(s os.Signal) {
+	p.t.Helper()
+	if err := p.Process.Signal(s); err != nil {
+		p.t.Fatal(err)
+	}
+}
+
+// terminate sends SIGTERM and checks that the program exits without error.
+func (p *program) terminate() {
+	p.t.Helper()
+	p.signal(syscall.SIGTERM)
+	if err := p.Wait(); err != nil {
+		p.t.Errorf("the program ended with %v, want exit code 0", err)
+	}
+}
--- a/cmd/sidecar/reload_test.go
+++ b/cmd/sidecar/reload_test.go
@@ -1,106 +1,15 @@
 package main
 
 import (
-	"fmt"
 	"io"
 	"net"
 	"net/http"
-	"net/http/httptest"
 	"os"
-	"os/exec"
 	"path/filepath"
-	"strings"
-	"sync/atomic"
 	"syscall"
 	"testing"
 )
 
-// withEndpoint starts an endpoint that answers 200 and names it in a configuration.
-func withEndpoint(t *testing.T, text string) string {
-	t.Helper()
-	endpoint := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) { io.WriteString(w, "done") }))
-	t.Cleanup(endpoint.Close)
-	return strings.Replace(text, `"dial":"127.0.0.1:1"`, fmt.Sprintf(`"dial":%q`, endpoint.Listener.Addr()), 1)
-}
-
-// withSearchClass adds the class "search" to a configuration.
-func withSearchClass(text string) string {
-	return strings.Replace(text, `"classes":[`, `"classes":[{"name":"search","repeat":"pure","target":600000,"give-up":1000000},`, 1)
-}
-
-var lastRequestID atomic.Int32
-
-// requestStatus sends a request of a class and returns the status of its response; 0 means no response.
-func requestStatus(t *testing.T, address, class string) int {
-	t.Helper()
-	r, err := http.NewRequest(http.MethodGet, "http://"+address+"/"+class, nil)
-	if err != nil {
-		t.Fatal(err)
-	}
-	r.Header.Set("X-Correlation-Id", fmt.Sprint(lastRequestID.Add(1)))
-	r.Header.Set("X-Service-Class", class)
-	r.Header.Set("X-Time-Left-Ms", "20000")
-	client := http.Client{Transport: &http.Transport{DisableKeepAlives: true}}
-	response, err := client.Do(r)
-	if err != nil {
-		return 0
-	}
-	response.Body.Close()
-	return response.StatusCode
-}
-
-// program is a running sidecar.
-type program struct {
-	*exec.Cmd
-	t          *testing.T
-	configPath string // of its configuration
-	log        *logBuffer
-}
-
-func launch(t *testing.T, cmd *exec.Cmd) *program {
-	t.Helper()
-	p := &program{Cmd: cmd, t: t, log: &logBuffer{}}
-	for _, variable := range cmd.Env {
-		if path, ok := strings.CutPrefix(variable, "BALANCER_CONFIG="); ok {
-			p.configPath = path
-		}
-	}
-	cmd.Stderr = p.log
-	if err := cmd.Start(); err != nil {
-		t.Fatal(err)
-	}
-	t.Cleanup(func() { cmd.Process.Kill() })
-	return p
-}
-
-// replaceConfig replaces the configuration file atomically.
-func (p *program) replaceConfig(text string) {
-	p.t.Helper()
-	next := p.configPath + ".next"
-	if err := os.WriteFile(next, []byte(text), 0o600); err != nil {
-		p.t.Fatal(err)
-	}
-	if err := os.Rename(next, p.configPath); err != nil {
-		p.t.Fatal(err)
-	}
-}
-
-func (p *program) signal(s os.Signal) {
-	p.t.Helper()
-	if err := p.Process.Signal(s); err != nil {
-		p.t.Fatal(err)
-	}
-}
-
-// terminate sends SIGTERM and checks that the program exits without error.
-func (p *program) terminate() {
-	p.t.Helper()
-	p.signal(syscall.SIGTERM)
-	if err := p.Wait(); err != nil {
-		p.t.Errorf("the program ended with %v, want exit code 0", err)
-	}
-}
-
 // A class that is added to the file is served after SIGHUP; a truncated file changes nothing.
 func TestReloadAddsClass(t *testing.T) {
 	listen := freeAddress(t)
