--- a/cmd/sidecar/faults_test.go
+++ b/cmd/sidecar/faults_test.go
@@ -25,7 +25,6 @@
 	injection string // path of the faults that are injected into it
 	ledger    *ledger
 	program   *program
-	admin     string
 }
 
 // faultyFleetSize is the number of endpoints of a faultyFleet.
@@ -55,27 +54,41 @@
 	from, to := strings.Index(text, `"known":`), strings.Index(text, `"settings":`)
 	text = text[:from] + `"known":` + list + "," + text[to:]
 	w.config = strings.Replace(text, `"discovery":"127.0.0.1:1"`, fmt.Sprintf(`"discovery":%q`, discovery.Listener.Addr()), 1)
-	w.program, w.admin = w.launch()
+	w.program = w.launch()
 	return w
 }
 
 // launch starts a process of this sidecar and waits until it is ready.
-func (w *faultyFleet) launch() (p *program, admin string) {
+func (w *faultyFleet) launch() *program {
 	w.t.Helper()
-	admin = freeAddress(w.t)
-	cmd := command(w.t, w.config)
-	cmd.ExtraFiles = []*os.File{w.socket.file}
-	cmd.Env = append(cmd.Env, "BALANCER_PASSED_SOCKET=3", "BALANCER_ADMIN_ADDR="+admin, "TMPDIR="+w.socket.folder, injectionVar+"="+w.injection)
-	p = launch(w.t, cmd)
-	waitFor(w.t, "the program to be ready", func() bool { return statusOf("http://"+admin+"/admin/health") == http.StatusOK })
-	return p, admin
+	p := w.socket.launch(w.t, w.config, injectionVar+"="+w.injection)
+	waitFor(w.t, "the program to be ready", p.healthy)
+	return p
+}
+
+// replaceProgram launches a process of this sidecar beside the running one, and returns the latter.
+func (w *faultyFleet) replaceProgram() (old *program) {
+	w.t.Helper()
+	old, w.program = w.program, w.launch()
+	return old
+}
+
+// waitForExit waits until a process that was replaced exits, without error and without aborted requests.
+func (w *faultyFleet) waitForExit(old *program) {
+	w.t.Helper()
+	if err := old.Wait(); err != nil {
+		w.t.Errorf("the old process ended with %v", err)
+	}
+	if n := old.log.count("aborted by shutdown"); n > 0 {
+		w.t.Errorf("%d requests aborted by shutdown", n)
+	}
 }
 
 // adminCall repeats an admin call until it succeeds.
 func (w *faultyFleet) adminCall(path string) {
 	w.t.Helper()
 	waitFor(w.t, path, func() bool {
-		response, err := http.Post("http://"+w.admin+path, "", nil)
+		response, err := http.Post("http://"+w.program.admin+path, "", nil)
 		if err != nil {
 			return false
 		}
@@ -149,21 +162,12 @@
 			}
 		}, maxCrossing},
 		"handed over": {func(w *faultyFleet) {
-			next, admin := w.launch()
-			old := w.program
-			w.program, w.admin = next, admin
+			old := w.replaceProgram()
 			old.signal(syscall.SIGTERM)
-			if err := old.Wait(); err != nil {
-				w.t.Errorf("the old process ended with %v", err)
-			}
-			if n := old.log.count("aborted by shutdown"); n > 0 {
-				w.t.Errorf("%d requests aborted by shutdown", n)
-			}
+			w.waitForExit(old)
 		}, maxCrossing},
 		"handed over, out of descriptors, repeated signals": {func(w *faultyFleet) {
-			next, admin := w.launch()
-			old := w.program
-			w.program, w.admin = next, admin
+			old := w.replaceProgram()
 			if _, err := faults.LimitDescriptors(old.Process, 8); err != nil {
 				w.t.Fatal(err)
 			}
@@ -202,17 +206,10 @@
 	w := newFaultyFleet(t)
 	f := startTraffic(w.socket.address, w.ledger, 24)
 	for moment := time.Duration(0); moment <= 120*time.Millisecond; moment += 20 * time.Millisecond {
-		next, admin := w.launch()
-		old := w.program
-		w.program, w.admin = next, admin
+		old := w.replaceProgram()
 		time.Sleep(moment)
 		old.signal(syscall.SIGTERM)
-		if err := old.Wait(); err != nil {
-			t.Errorf("the old process ended with %v", err)
-		}
-		if n := old.log.count("aborted by shutdown"); n > 0 {
-			t.Errorf("%d requests aborted by shutdown", n)
-		}
+		w.waitForExit(old)
 	}
 	f.stop()
 	f.check(t, 100)
@@ -268,7 +265,7 @@
 		for i := range faultyFleetSize {
 			name := fmt.Sprintf("s-%d", i)
 			delete(expected, name) // an interrupted call may or may not have taken effect
-			response, err := http.Post("http://"+w.admin+path+name, "", nil)
+			response, err := http.Post("http://"+w.program.admin+path+name, "", nil)
 			if err != nil {
 				break
 			}
@@ -281,7 +278,7 @@
 			t.Fatal(err)
 		}
 		w.program.Wait()
-		w.program, w.admin = w.launch()
+		w.program = w.launch()
 		if n := w.program.log.count("operator state ignored"); n > 0 {
 			t.Error("the next process ignores the stored state")
 		}
--- a/cmd/sidecar/largefleet_test.go
+++ b/cmd/sidecar/largefleet_test.go
@@ -62,34 +62,50 @@
 	return info != nil && slices.Contains(info.Settings, debug.BuildSetting{Key: "-race", Value: "true"})
 }
 
-// A large fleet fits the smallest limits: a configuration and a list at full length are accepted, requests are served,
-// and half of the list can drain at once.
-func TestLargeFleetFitsSmallestLimits(t *testing.T) {
-	var ready, drains countingEndpoint
-	a, b := httptest.NewServer(&ready), httptest.NewServer(&drains)
-	defer a.Close()
-	defer b.Close()
-	first, second := a.Listener.Addr().String(), b.Listener.Addr().String()
+// largeFleet is a discovery service that lists endpoints at full length, half of which drain once drain is closed.
+type largeFleet struct {
+	discovery   *httptest.Server
+	ready       countingEndpoint // the first half of the list
+	draining    countingEndpoint // the second half
+	first       string           // address of the first half
+	second      string           // address of the second half
+	drain       chan struct{}    // closed to drain the second half
+	drainPassed chan struct{}    // closed by the first call after the drain was listed
+	once        sync.Once
+}
 
-	changed, watched := make(chan struct{}), make(chan struct{})
-	var once sync.Once
-	discovery := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		switch {
-		case r.FormValue("after") == "41" && r.FormValue("wait_ms") == "0":
-			w.Write(endpointList(42, true, "Ready", first, second))
-		case r.FormValue("after") == "42":
-			select {
-			case <-changed:
-				w.Write(endpointList(43, false, "Terminating", first, second))
-			case <-r.Context().Done():
-			}
-		default:
-			once.Do(func() { close(watched) })
-			<-r.Context().Done()
+func newLargeFleet(t *testing.T) *largeFleet {
+	t.Helper()
+	f := &largeFleet{drain: make(chan struct{}), drainPassed: make(chan struct{})}
+	ready, draining := httptest.NewServer(&f.ready), httptest.NewServer(&f.draining)
+	t.Cleanup(ready.Close)
+	t.Cleanup(draining.Close)
+	f.first, f.second = ready.Listener.Addr().String(), draining.Listener.Addr().String()
+	f.discovery = httptest.NewServer(f)
+	t.Cleanup(f.discovery.Close)
+	return f
+}
+
+// ServeHTTP answers calls of discovery: version 42 to one that has 41, and 43 with the drain to one that has 42.
+func (f *largeFleet) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+	switch {
+	case r.FormValue("after") == "41" && r.FormValue("wait_ms") == "0":
+		w.Write(endpointList(42, true, "Ready", f.first, f.second))
+	case r.FormValue("after") == "42":
+		select {
+		case <-f.drain:
+			w.Write(endpointList(43, false, "Terminating", f.first, f.second))
+		case <-r.Context().Done():
 		}
-	}))
-	defer discovery.Close()
+	default:
+		f.once.Do(func() { close(f.drainPassed) })
+		<-r.Context().Done()
+	}
+}
 
+// config returns a configuration at full length that knows the fleet, within the smallest limits.
+func (f *largeFleet) config(t *testing.T, listen string) string {
+	t.Helper()
 	peers := make([]string, largePeers)
 	for i := range peers {
 		peers[i] = fmt.Sprintf("10.3.%d.%d:7946", i/256, i%256)
@@ -98,10 +114,9 @@
 	for i := range tenants {
 		tenants[i] = map[string]any{"name": fmt.Sprintf("tenant-%d", i), "allowance-per-s": 10.0, "share": 1.0 / largeTenants}
 	}
-	listen := freeAddress(t)
-	text, err := json.Marshal(map[string]any{"name": "n349", "listen": listen, "discovery": discovery.Listener.Addr().String(),
+	text, err := json.Marshal(map[string]any{"name": "n349", "listen": listen, "discovery": f.discovery.Listener.Addr().String(),
 		"seed": "1f", "limits": map[string]any{"cores": 1, "memory_mb": minMemoryMB, "sockets": minSockets},
-		"peer_listen": peers[largeSidecars-1], "peers": peers, "known": json.RawMessage(endpointList(41, true, "Ready", first, second)),
+		"peer_listen": peers[largeSidecars-1], "peers": peers, "known": json.RawMessage(endpointList(41, true, "Ready", f.first, f.second)),
 		"settings": map[string]any{"areas": []string{"a"}, "skus": []string{"m"}, "discovery": "subscribe",
 			"peers-total": largeSidecars, "position": largeSidecars - 1, "tenants": tenants,
 			"contract":  map[string]any{"ask-within": 1_000_000, "drain-grace": 500_000},
@@ -111,92 +126,113 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	cmd := command(t, string(text))
-	var log logBuffer
-	cmd.Stderr = &log
-	if err := cmd.Start(); err != nil {
+	return string(text)
+}
+
+// sendReads sends n requests of rotating tenants and keys, 16 at a time, each of which must be served. It returns the most
+// descriptors that the program had open meanwhile.
+func sendReads(t *testing.T, p *program, listen string, n int) (descriptors int) {
+	t.Helper()
+	var senders sync.WaitGroup
+	next := make(chan int)
+	for range 16 {
+		senders.Add(1)
+		go func() {
+			defer senders.Done()
+			for i := range next {
+				if err := sendRead(listen, n, i); err != nil {
+					t.Errorf("request %d of %d: %v", i, n, err)
+				}
+			}
+		}()
+	}
+	for i := range n {
+		next <- i
+		if i%50 == 0 {
+			open, err := os.ReadDir(fmt.Sprintf("/proc/%d/fd", p.Process.Pid))
+			if err != nil {
+				t.Error(err)
+			}
+			descriptors = max(descriptors, len(open))
+		}
+	}
+	close(next)
+	senders.Wait()
+	return descriptors
+}
+
+// sendRead sends request i of n. An error says that it was not served.
+func sendRead(listen string, n, i int) error {
+	r, err := http.NewRequest(http.MethodGet, "http://"+listen+"/read", nil)
+	if err != nil {
+		return err
+	}
+	for name, value := range map[string]string{"X-Correlation-Id": fmt.Sprintf("%d-%d", n, i), "X-Service-Class": "read",
+		"X-Account": fmt.Sprintf("tenant-%d", i%largeTenants), "X-Session-Key": strconv.Itoa(i), "X-Time-Left-Ms": "10000"} {
+		r.Header.Set(name, value)
+	}
+	response, err := http.DefaultClient.Do(r)
+	if err != nil {
+		return err
+	}
+	defer response.Body.Close()
+	if _, err := io.Copy(io.Discard, response.Body); err != nil {
+		return err
+	}
+	if response.StatusCode != http.StatusOK {
+		return fmt.Errorf("%s %v", response.Status, response.Header)
+	}
+	return nil
+}
+
+// peakMemoryKB returns the peak resident memory of a program.
+func peakMemoryKB(t *testing.T, p *program) int {
+	t.Helper()
+	status, err := os.ReadFile(filepath.Join("/proc", strconv.Itoa(p.Process.Pid), "status"))
+	if err != nil {
+		t.Fatal(err)
+	}
+	_, peak, _ := bytes.Cut(status, []byte("VmHWM:"))
+	kb, err := strconv.Atoi(string(bytes.Fields(peak)[0]))
+	if err != nil {
 		t.Fatal(err)
 	}
+	return kb
+}
+
+// A large fleet fits the smallest limits: a configuration and a list at full length are accepted, requests are served,
+// and half of the list can drain at once.
+func TestLargeFleetFitsSmallestLimits(t *testing.T) {
+	fleet, listen := newLargeFleet(t), freeAddress(t)
+	p := launch(t, command(t, fleet.config(t, listen)))
 	defer func() {
-		cmd.Process.Kill()
-		cmd.Wait()
 		if t.Failed() {
-			t.Log(log.text.String())
+			t.Log(p.log.String())
 		}
 	}()
 	waitFor(t, "the program to be ready", func() bool { return statusOf("http://"+listen+"/health/ready") == http.StatusOK })
 
-	descriptors := 0
-	send := func(n int) {
-		t.Helper()
-		var senders sync.WaitGroup
-		next := make(chan int)
-		for range 16 {
-			senders.Add(1)
-			go func() {
-				defer senders.Done()
-				for i := range next {
-					r, err := http.NewRequest(http.MethodGet, "http://"+listen+"/read", nil)
-					if err != nil {
-						t.Error(err)
-						continue
-					}
-					for name, value := range map[string]string{"X-Correlation-Id": fmt.Sprintf("%d-%d", n, i), "X-Service-Class": "read",
-						"X-Account": fmt.Sprintf("tenant-%d", i%largeTenants), "X-Session-Key": strconv.Itoa(i), "X-Time-Left-Ms": "10000"} {
-						r.Header.Set(name, value)
-					}
-					response, err := http.DefaultClient.Do(r)
-					if err != nil {
-						t.Errorf("request %d: %v", i, err)
-						continue
-					}
-					io.Copy(io.Discard, response.Body)
-					response.Body.Close()
-					if response.StatusCode != http.StatusOK {
-						t.Errorf("request %d of %d: %s %v", i, n, response.Status, response.Header)
-					}
-				}
-			}()
-		}
-		for i := range n {
-			next <- i
-			if i%50 == 0 {
-				open, err := os.ReadDir(fmt.Sprintf("/proc/%d/fd", cmd.Process.Pid))
-				if err != nil {
-					t.Error(err)
-				}
-				descriptors = max(descriptors, len(open))
-			}
-		}
-		close(next)
-		senders.Wait()
+	descriptors := sendReads(t, p, listen, 2*largeEndpoints)
+	if fleet.ready.served.Load() == 0 || fleet.draining.served.Load() == 0 {
+		t.Errorf("%d requests went to one half of the list, %d to the other", fleet.ready.served.Load(), fleet.draining.served.Load())
 	}
-	send(2 * largeEndpoints)
-	if ready.served.Load() == 0 || drains.served.Load() == 0 {
-		t.Errorf("%d requests went to one half of the list, %d to the other", ready.served.Load(), drains.served.Load())
-	}
-	close(changed)
-	select { // the next call comes once the list before it was handed on
-	case <-watched:
+	close(fleet.drain)
+	select { // the next call comes once the previous list was passed on
+	case <-fleet.drainPassed:
 	case <-time.After(20 * time.Second):
 		t.Fatal("no call after the change")
 	}
-	before := drains.served.Load()
-	send(largeEndpoints + 1)
-	if late := drains.served.Load() - before; late > 0 {
+	before := fleet.draining.served.Load()
+	descriptors = max(descriptors, sendReads(t, p, listen, largeEndpoints+1))
+	if late := fleet.draining.served.Load() - before; late > 0 {
 		t.Errorf("%d requests went to draining endpoints", late)
 	}
 	if descriptors > minSockets {
 		t.Errorf("%d descriptors open, the limit is %d", descriptors, minSockets)
 	}
-	status, err := os.ReadFile(filepath.Join("/proc", strconv.Itoa(cmd.Process.Pid), "status"))
-	if err != nil {
-		t.Fatal(err)
-	}
-	_, peak, _ := bytes.Cut(status, []byte("VmHWM:"))
-	kb, err := strconv.Atoi(string(bytes.Fields(peak)[0]))
-	if err != nil || kb > minMemoryMB<<10 && !raceDetectorEnabled() {
-		t.Errorf("peak memory %d kB (%v), the limit is %d MB", kb, err, minMemoryMB)
+	kb := peakMemoryKB(t, p)
+	if kb > minMemoryMB<<10 && !raceDetectorEnabled() {
+		t.Errorf("peak memory %d kB, the limit is %d MB", kb, minMemoryMB)
 	}
 	t.Logf("%d descriptors, peak memory %d kB", descriptors, kb)
 }
--- a/cmd/sidecar/main_test.go
+++ b/cmd/sidecar/main_test.go
@@ -70,14 +70,7 @@
 // down, also when SIGHUP follows at once.
 func TestSIGHUPReloadsAndSIGTERMShutsDown(t *testing.T) {
 	listen := freeAddress(t)
-	cmd := command(t, configJSON(listen))
-	path := strings.TrimPrefix(cmd.Env[len(cmd.Env)-1], "BALANCER_CONFIG=")
-	var log logBuffer
-	cmd.Stderr = &log
-	if err := cmd.Start(); err != nil {
-		t.Fatal(err)
-	}
-	defer cmd.Process.Kill()
+	p := launch(t, command(t, configJSON(listen)))
 	ready := func() bool {
 		response, err := http.Get("http://" + listen + "/health/ready")
 		if err != nil {
@@ -87,29 +80,17 @@
 		return response.StatusCode == http.StatusOK
 	}
 	waitFor(t, "the program to be ready", ready)
-	signal := func(s os.Signal) {
-		t.Helper()
-		if err := cmd.Process.Signal(s); err != nil {
-			t.Fatal(err)
-		}
-	}
-	replace := func(text string) {
-		t.Helper()
-		if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
-			t.Fatal(err)
-		}
-	}
-	replace("{")
-	signal(syscall.SIGHUP)
-	waitFor(t, "the log line on the invalid file", func() bool { return log.count("configuration not reloaded") == 1 })
+	p.replaceConfig("{")
+	p.signal(syscall.SIGHUP)
+	waitFor(t, "the log line on the invalid file", func() bool { return p.log.count("configuration not reloaded") == 1 })
 	registry := make(chan string, 100)
 	discovery := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		registry <- r.URL.String()
 		io.WriteString(w, `{"seq":1,"whole":true,"hosts":[{"host":"s-1","dial":"127.0.0.1:1","site":"a","health":"Ready","share":1}]}`)
 	}))
 	defer discovery.Close()
-	replace(strings.Replace(configJSON(listen), "127.0.0.1:1", discovery.Listener.Addr().String(), 1))
-	signal(syscall.SIGHUP)
+	p.replaceConfig(strings.Replace(configJSON(listen), "127.0.0.1:1", discovery.Listener.Addr().String(), 1))
+	p.signal(syscall.SIGHUP)
 	select {
 	case call := <-registry:
 		if call != "/registry/instances" {
@@ -121,9 +102,9 @@
 	if !ready() {
 		t.Error("the program is not ready after SIGHUP")
 	}
-	signal(syscall.SIGTERM)
-	signal(syscall.SIGHUP)
-	if err := cmd.Wait(); err != nil {
+	p.signal(syscall.SIGTERM)
+	p.signal(syscall.SIGHUP)
+	if err := p.Wait(); err != nil {
 		t.Errorf("the program ended with %v, want exit code 0", err)
 	}
 }
@@ -133,11 +114,8 @@
 func TestHandOverOnPassedSocket(t *testing.T) {
 	socket := newPassedSocket(t)
 	http.DefaultTransport.(*http.Transport).CloseIdleConnections()
-	launch := func() (*exec.Cmd, func() bool) {
-		cmd, health := socket.launch(t, configJSON("127.0.0.1:1")) // an address that it could not listen on
-		return cmd, func() bool { return health() == http.StatusOK }
-	}
-	clients := func() bool { // over a connection that is kept, unlike code's
+	launch := func() *program { return socket.launch(t, configJSON("127.0.0.1:1")) } // it could not listen there
+	clients := func() bool {                                                         // over a connection that is kept, unlike code's
 		response, err := http.Get("http://" + socket.address + "/health/ready")
 		if err != nil {
 			return false
@@ -145,44 +123,32 @@
 		response.Body.Close()
 		return response.StatusCode == http.StatusOK
 	}
-	first, healthy := launch()
-	waitFor(t, "the first process to be ready", healthy)
+	first := launch()
+	waitFor(t, "the first process to be ready", first.healthy)
 	waitFor(t, "readiness at the clients' address", clients)
-	second, healthy := launch()
-	waitFor(t, "the second process to be ready", healthy)
-	if err := first.Process.Signal(syscall.SIGTERM); err != nil {
-		t.Fatal(err)
-	}
-	if err := first.Wait(); err != nil {
-		t.Errorf("the first process ended with %v, want exit code 0", err)
-	}
-	if !healthy() || !clients() {
+	second := launch()
+	waitFor(t, "the second process to be ready", second.healthy)
+	first.terminate()
+	if !second.healthy() || !clients() {
 		t.Error("the second process does not serve alone")
 	}
-	if err := second.Process.Signal(syscall.SIGTERM); err != nil {
-		t.Fatal(err)
-	}
-	if err := second.Wait(); err != nil {
-		t.Errorf("the second process ended with %v, want exit code 0", err)
-	}
+	second.terminate()
 }
 
 // A second process that never becomes ready accepts no client's connection.
 func TestUnreadyProcessAcceptsNoClient(t *testing.T) {
 	socket := newPassedSocket(t)
-	_, first := socket.launch(t, configJSON("127.0.0.1:1"))
-	waitFor(t, "the first process to be ready", func() bool { return first() == http.StatusOK })
+	first := socket.launch(t, configJSON("127.0.0.1:1"))
+	waitFor(t, "the first process to be ready", first.healthy)
 	known := configJSON("127.0.0.1:1")
 	from, to := strings.Index(known, `[{"host"`), strings.Index(known, `]},`)
-	cmd, second := socket.launch(t, known[:from+1]+known[to:])
-	waitFor(t, "the second process to answer", func() bool { return second() == http.StatusServiceUnavailable })
+	second := socket.launch(t, known[:from+1]+known[to:])
+	waitFor(t, "the second process to answer", func() bool { return second.health() == http.StatusServiceUnavailable })
 	ended := make(chan error, 1)
 	for i := range 400 {
 		if i == 200 { // rolled back
-			if err := cmd.Process.Signal(syscall.SIGTERM); err != nil {
-				t.Fatal(err)
-			}
-			go func() { ended <- cmd.Wait() }()
+			second.signal(syscall.SIGTERM)
+			go func() { ended <- second.Wait() }()
 		}
 		if got := statusOf("http://" + socket.address + "/health/ready"); got != http.StatusOK {
 			t.Fatalf("connection %d: %d", i, got)
--- a/cmd/sidecar/program_test.go
+++ b/cmd/sidecar/program_test.go
@@ -60,6 +60,12 @@
 	return l.text.Write(p)
 }
 
+func (l *logBuffer) String() string {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	return l.text.String()
+}
+
 func (l *logBuffer) count(what string) int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -97,21 +103,17 @@
 	return &passedSocket{listener.Addr().String(), file, t.TempDir()}
 }
 
-// launch starts a process on the socket. health returns the status of its health check.
-func (s *passedSocket) launch(t *testing.T, text string) (cmd *exec.Cmd, health func() int) {
+// launch starts a process on the socket, with further variables in its environment.
+func (s *passedSocket) launch(t *testing.T, config string, env ...string) *program {
 	t.Helper()
-	second := freeAddress(t)
-	cmd = command(t, text)
+	admin := freeAddress(t)
+	cmd := command(t, config)
 	cmd.ExtraFiles = []*os.File{s.file}
-	cmd.Env = append(cmd.Env, "BALANCER_PASSED_SOCKET=3", "BALANCER_ADMIN_ADDR="+second, "TMPDIR="+s.folder)
-	if err := cmd.Start(); err != nil {
-		t.Fatal(err)
-	}
-	t.Cleanup(func() {
-		cmd.Process.Kill()
-		cmd.Wait()
-	})
-	return cmd, func() int { return statusOf("http://" + second + "/admin/health") }
+	cmd.Env = append(cmd.Env, "BALANCER_PASSED_SOCKET=3", "BALANCER_ADMIN_ADDR="+admin, "TMPDIR="+s.folder)
+	cmd.Env = append(cmd.Env, env...)
+	p := launch(t, cmd)
+	p.admin = admin
+	return p
 }
 
 // statusOf makes a GET call on a connection of its own and returns the status; 0 means no response.
@@ -163,10 +165,12 @@
 type program struct {
 	*exec.Cmd
 	t          *testing.T
-	configPath string // of its configuration
+	configPath string
+	admin      string // admin address; empty unless a passedSocket launched it
 	log        *logBuffer
 }
 
+// launch starts a program, which the end of the test kills unless it has exited.
 func launch(t *testing.T, cmd *exec.Cmd) *program {
 	t.Helper()
 	p := &program{Cmd: cmd, t: t, log: &logBuffer{}}
@@ -179,10 +183,18 @@
 	if err := cmd.Start(); err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { cmd.Process.Kill() })
+	t.Cleanup(func() {
+		cmd.Process.Kill()
+		cmd.Wait()
+	})
 	return p
 }
 
+// health returns the status of the program's health check; 0 means no response.
+func (p *program) health() int { return statusOf("http://" + p.admin + "/admin/health") }
+
+func (p *program) healthy() bool { return p.health() == http.StatusOK }
+
 // replaceConfig replaces the configuration file atomically.
 func (p *program) replaceConfig(text string) {
 	p.t.Helper()
--- a/cmd/sidecar/reload_test.go
+++ b/cmd/sidecar/reload_test.go
@@ -2,7 +2,6 @@
 
 import (
 	"io"
-	"net"
 	"net/http"
 	"os"
 	"path/filepath"
@@ -60,24 +59,10 @@
 
 // During a hand-over both processes reload the file, and no client is served by the old configuration.
 func TestSIGHUPDuringHandOver(t *testing.T) {
-	listener, err := net.Listen("tcp", "127.0.0.1:0")
-	if err != nil {
-		t.Fatal(err)
-	}
-	defer listener.Close()
-	file, err := listener.(*net.TCPListener).File()
-	if err != nil {
-		t.Fatal(err)
-	}
-	defer file.Close()
-	shared, text := t.TempDir(), withEndpoint(t, configJSON("127.0.0.1:1"))
+	socket, text := newPassedSocket(t), withEndpoint(t, configJSON("127.0.0.1:1"))
 	start := func() *program {
-		second := freeAddress(t)
-		cmd := command(t, text)
-		cmd.ExtraFiles = []*os.File{file}
-		cmd.Env = append(cmd.Env, "BALANCER_PASSED_SOCKET=3", "BALANCER_ADMIN_ADDR="+second, "TMPDIR="+shared)
-		p := launch(t, cmd)
-		waitFor(t, "the process to be ready", func() bool { return statusOf("http://"+second+"/admin/health") == http.StatusOK })
+		p := socket.launch(t, text)
+		waitFor(t, "the process to be ready", p.healthy)
 		return p
 	}
 	first := start()
@@ -91,7 +76,7 @@
 		if i == 50 {
 			first.terminate()
 		}
-		if got := requestStatus(t, listener.Addr().String(), "search"); got != http.StatusOK {
+		if got := requestStatus(t, socket.address, "search"); got != http.StatusOK {
 			t.Fatalf("request %d of the new class: status %d", i, got)
 		}
 	}
