--- a/cmd/sidecar/main_test.go
+++ b/cmd/sidecar/main_test.go
@@ -5,14 +5,11 @@
 	"errors"
 	"fmt"
 	"io"
-	"net"
 	"net/http"
 	"net/http/httptest"
 	"os"
 	"os/exec"
-	"path/filepath"
 	"strings"
-	"sync"
 	"syscall"
 	"testing"
 	"time"
@@ -24,8 +21,8 @@
 // TestMain lets the test binary stand in for the program.
 func TestMain(m *testing.M) {
 	if os.Getenv("SIDECAR_TEST_RUN") != "" {
-		if orders := os.Getenv(ordersVar); orders != "" {
-			runWithShims(orders)
+		if injection := os.Getenv(injectionVar); injection != "" {
+			runWithInjection(injection)
 		}
 		main()
 		os.Exit(0)
@@ -33,54 +30,24 @@
 	os.Exit(m.Run())
 }
 
-// ordersVar names the file of the orders for the shims of a program that is run with them.
-const ordersVar = "SIDECAR_TEST_ORDERS"
+// injectionVar names the path of the faults to inject into a program.
+const injectionVar = "SIDECAR_TEST_INJECTION"
 
-// runWithShims is main with shims of the disk and the wall clock.
-func runWithShims(orders string) {
-	if err := run(func(host *config.Host) { faults.Shim(host, orders) }); err != nil {
+// runWithInjection is main with faults of the disk and the wall clock, see faults.Inject.
+func runWithInjection(injection string) {
+	if err := run(func(host *config.Host) { faults.Inject(host, injection) }); err != nil {
 		fmt.Fprintln(os.Stderr, "sidecar:", err)
 		os.Exit(1)
 	}
 	os.Exit(0)
 }
 
-// command runs the program with a configuration file of this text.
-func command(t *testing.T, config string) *exec.Cmd {
-	t.Helper()
-	path := filepath.Join(t.TempDir(), "config.json")
-	if err := os.WriteFile(path, []byte(config), 0o600); err != nil {
-		t.Fatal(err)
-	}
-	c := exec.Command(os.Args[0])
-	c.Env = append(os.Environ(), "SIDECAR_TEST_RUN=1", "BALANCER_CONFIG="+path)
-	return c
-}
-
-func freeAddress(t *testing.T) string {
-	t.Helper()
-	listener, err := net.Listen("tcp", "127.0.0.1:0")
-	if err != nil {
-		t.Fatal(err)
-	}
-	defer listener.Close()
-	return listener.Addr().String()
-}
-
-func configText(listen string) string {
-	return fmt.Sprintf(`{"name":"n0","listen":%q,"discovery":"127.0.0.1:1","seed":"1f",
-"limits":{"cores":1,"memory_mb":192,"sockets":1024},
-"known":{"seq":1,"whole":true,"hosts":[{"host":"s-1","dial":"127.0.0.1:1","site":"a","health":"Ready","share":1}]},
-"settings":{"areas":["a"],"skus":["m"],"discovery":"subscribe","limits":{"keepalive":5000000,"dial-timeout":250000},
-"classes":[{"name":"read","repeat":"pure","target":600000,"give-up":1000000}]}}`, listen)
-}
-
-func TestBadConfigurationStopsWithOneLine(t *testing.T) {
-	good := configText("127.0.0.1:0")
+func TestInvalidConfigurationFailsWithOneLine(t *testing.T) {
+	good := configJSON("127.0.0.1:0")
 	for name, c := range map[string]struct{ text, key string }{
-		"no seed":         {strings.Replace(good, `"seed"`, `"sed"`, 1), "seed"},
-		"not JSON":        {good[:40], "JSON"},
-		"a class missing": {strings.Replace(good, `"classes"`, `"glasses"`, 1), "classes"},
+		"no seed":       {strings.Replace(good, `"seed"`, `"sed"`, 1), "seed"},
+		"not JSON":      {good[:40], "JSON"},
+		"missing class": {strings.Replace(good, `"classes"`, `"glasses"`, 1), "classes"},
 	} {
 		cmd := command(t, c.text)
 		out, err := cmd.CombinedOutput()
@@ -89,7 +56,7 @@
 			t.Errorf("%s: %v, want exit code 1", name, err)
 		}
 		if bytes.Count(out, []byte("\n")) != 1 || !bytes.Contains(out, []byte(c.key)) {
-			t.Errorf("%s: said %q, want one line with %q", name, out, c.key)
+			t.Errorf("%s: output %q, want one line with %q", name, out, c.key)
 		}
 	}
 	cmd := command(t, good)
@@ -99,45 +66,11 @@
 	}
 }
 
-// lines collects what the program writes.
-type lines struct {
-	mu   sync.Mutex
-	text bytes.Buffer
-}
-
-func (l *lines) Write(p []byte) (int, error) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	return l.text.Write(p)
-}
-
-func (l *lines) count(what string) int {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	return strings.Count(l.text.String(), what)
-}
-
-func await(t *testing.T, what string, is func() bool) {
-	t.Helper()
-	for end := time.Now().Add(20 * time.Second); !is(); time.Sleep(5 * time.Millisecond) {
-		if time.Now().After(end) {
-			t.Fatalf("waited in vain for: %s", what)
-		}
-	}
-}
-
-// SIGHUP, which by default ends a process, has the file read again; a bad file
-// changes nothing. SIGTERM ends the program, also with SIGHUP on its heels.
-func TestSignals(t *testing.T) {
+// SIGHUP, which by default ends a process, reloads the file; an invalid file changes nothing. SIGTERM shuts the program
+// down, also when SIGHUP follows at once.
+func TestSIGHUPReloadsAndSIGTERMShutsDown(t *testing.T) {
 	listen := freeAddress(t)
-	cmd := command(t, configText(listen))
-	path := strings.TrimPrefix(cmd.Env[len(cmd.Env)-1], "BALANCER_CONFIG=")
-	var log lines
-	cmd.Stderr = &log
-	if err := cmd.Start(); err != nil {
-		t.Fatal(err)
-	}
-	defer cmd.Process.Kill()
+	p := launch(t, command(t, configJSON(listen)))
 	ready := func() bool {
 		response, err := http.Get("http://" + listen + "/health/ready")
 		if err != nil {
@@ -146,97 +79,43 @@
 		response.Body.Close()
 		return response.StatusCode == http.StatusOK
 	}
-	await(t, "the program to be ready", ready)
-	signal := func(s os.Signal) {
-		t.Helper()
-		if err := cmd.Process.Signal(s); err != nil {
-			t.Fatal(err)
-		}
-	}
-	replace := func(text string) {
-		t.Helper()
-		if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
-			t.Fatal(err)
-		}
-	}
-	replace("{")
-	signal(syscall.SIGHUP)
-	await(t, "the bad file's line", func() bool { return log.count("configuration not reloaded") == 1 })
+	waitFor(t, "the program to be ready", ready)
+	p.replaceConfig("{")
+	p.signal(syscall.SIGHUP)
+	waitFor(t, "the log line on the invalid file", func() bool { return p.log.count("configuration not reloaded") == 1 })
 	registry := make(chan string, 100)
 	discovery := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		registry <- r.URL.String()
 		io.WriteString(w, `{"seq":1,"whole":true,"hosts":[{"host":"s-1","dial":"127.0.0.1:1","site":"a","health":"Ready","share":1}]}`)
 	}))
 	defer discovery.Close()
-	replace(strings.Replace(configText(listen), "127.0.0.1:1", discovery.Listener.Addr().String(), 1))
-	signal(syscall.SIGHUP)
+	p.replaceConfig(strings.Replace(configJSON(listen), "127.0.0.1:1", discovery.Listener.Addr().String(), 1))
+	p.signal(syscall.SIGHUP)
 	select {
 	case call := <-registry:
 		if call != "/registry/instances" {
-			t.Errorf("the first call of the new address: %s", call)
+			t.Errorf("the first call to the new address: %s", call)
 		}
 	case <-time.After(20 * time.Second):
-		t.Fatal("the new address is not asked")
+		t.Fatal("the new address is not polled")
 	}
 	if !ready() {
 		t.Error("the program is not ready after SIGHUP")
 	}
-	signal(syscall.SIGTERM)
-	signal(syscall.SIGHUP)
-	if err := cmd.Wait(); err != nil {
+	p.signal(syscall.SIGTERM)
+	p.signal(syscall.SIGHUP)
+	if err := p.Wait(); err != nil {
 		t.Errorf("the program ended with %v, want exit code 0", err)
 	}
 }
 
-// passedSocket is a clients' socket that the processes of one sidecar inherit, and the folder that they share.
-type passedSocket struct {
-	address string
-	file    *os.File
-	folder  string
-}
-
-func newPassedSocket(t *testing.T) *passedSocket {
-	t.Helper()
-	held, err := net.Listen("tcp", "127.0.0.1:0")
-	if err != nil {
-		t.Fatal(err)
-	}
-	t.Cleanup(func() { held.Close() })
-	file, err := held.(*net.TCPListener).File()
-	if err != nil {
-		t.Fatal(err)
-	}
-	t.Cleanup(func() { file.Close() })
-	return &passedSocket{held.Addr().String(), file, t.TempDir()}
-}
-
-// launch starts a process on the socket, and returns what tells the status of its health.
-func (s *passedSocket) launch(t *testing.T, text string) (cmd *exec.Cmd, health func() int) {
-	t.Helper()
-	second := freeAddress(t)
-	cmd = command(t, text)
-	cmd.ExtraFiles = []*os.File{s.file}
-	cmd.Env = append(cmd.Env, "BALANCER_PASSED_SOCKET=3", "BALANCER_ADMIN_ADDR="+second, "TMPDIR="+s.folder)
-	if err := cmd.Start(); err != nil {
-		t.Fatal(err)
-	}
-	t.Cleanup(func() {
-		cmd.Process.Kill()
-		cmd.Wait()
-	})
-	return cmd, func() int { return code("http://" + second + "/admin/health") }
-}
-
-// While the first process serves, a second one takes the same socket, says that
-// it is ready at its own second address, and goes on when the first is ended.
-func TestReplacedOnThePassedSocket(t *testing.T) {
+// While the first process serves, a second one inherits the same socket, reports ready at its own admin address, and
+// serves on when the first is shut down.
+func TestHandOverOnPassedSocket(t *testing.T) {
 	socket := newPassedSocket(t)
 	http.DefaultTransport.(*http.Transport).CloseIdleConnections()
-	launch := func() (*exec.Cmd, func() bool) {
-		cmd, health := socket.launch(t, configText("127.0.0.1:1")) // an address that it could not listen on
-		return cmd, func() bool { return health() == http.StatusOK }
-	}
-	clients := func() bool { // over a connection that is kept, unlike code's
+	launch := func() *program { return socket.launch(t, configJSON("127.0.0.1:1")) } // it could not listen there
+	clients := func() bool {                                                         // over a connection that is kept, unlike code's
 		response, err := http.Get("http://" + socket.address + "/health/ready")
 		if err != nil {
 			return false
@@ -244,46 +123,34 @@
 		response.Body.Close()
 		return response.StatusCode == http.StatusOK
 	}
-	first, healthy := launch()
-	await(t, "the first process to be ready", healthy)
-	await(t, "the clients' side", clients)
-	second, healthy := launch()
-	await(t, "the second process to be ready", healthy)
-	if err := first.Process.Signal(syscall.SIGTERM); err != nil {
-		t.Fatal(err)
-	}
-	if err := first.Wait(); err != nil {
-		t.Errorf("the first process ended with %v, want exit code 0", err)
-	}
-	if !healthy() || !clients() {
+	first := launch()
+	waitFor(t, "the first process to be ready", first.healthy)
+	waitFor(t, "readiness at the clients' address", clients)
+	second := launch()
+	waitFor(t, "the second process to be ready", second.healthy)
+	first.terminate()
+	if !second.healthy() || !clients() {
 		t.Error("the second process does not serve alone")
 	}
-	if err := second.Process.Signal(syscall.SIGTERM); err != nil {
-		t.Fatal(err)
-	}
-	if err := second.Wait(); err != nil {
-		t.Errorf("the second process ended with %v, want exit code 0", err)
-	}
+	second.terminate()
 }
 
-// A second process that never becomes ready takes no client from the first.
-func TestProcessThatIsNeverReadyTakesNobody(t *testing.T) {
+// A second process that never becomes ready accepts no client's connection.
+func TestUnreadyProcessAcceptsNoClient(t *testing.T) {
 	socket := newPassedSocket(t)
-	_, first := socket.launch(t, configText("127.0.0.1:1"))
-	await(t, "the first process to be ready", func() bool { return first() == http.StatusOK })
-	known := configText("127.0.0.1:1")
+	first := socket.launch(t, configJSON("127.0.0.1:1"))
+	waitFor(t, "the first process to be ready", first.healthy)
+	known := configJSON("127.0.0.1:1")
 	from, to := strings.Index(known, `[{"host"`), strings.Index(known, `]},`)
-	cmd, second := socket.launch(t, known[:from+1]+known[to:])
-	await(t, "the second process to answer", func() bool { return second() == http.StatusServiceUnavailable })
+	second := socket.launch(t, known[:from+1]+known[to:])
+	waitFor(t, "the second process to answer", func() bool { return second.health() == http.StatusServiceUnavailable })
 	ended := make(chan error, 1)
 	for i := range 400 {
-		if i == 200 { // taken back
-			if err := cmd.Process.Signal(syscall.SIGTERM); err != nil {
-				t.Fatal(err)
-			}
-			go func() { ended <- cmd.Wait() }()
+		if i == 200 { // rolled back
+			second.signal(syscall.SIGTERM)
+			go func() { ended <- second.Wait() }()
 		}
-		if got := code("http://" + socket.address + "/health/ready"); got != http.StatusOK {
+		if got := statusOf("http://" + socket.address + "/health/ready"); got != http.StatusOK {
 			t.Fatalf("connection %d: %d", i, got)
 		}
 	}
@@ -291,14 +158,3 @@
 		t.Errorf("the second process ended with %v, want exit code 0", err)
 	}
 }
-
-// code makes a call on a connection of its own; 0 is no answer.
-func code(url string) int {
-	client := http.Client{Transport: &http.Transport{DisableKeepAlives: true}}
-	response, err := client.Get(url)
-	if err != nil {
-		return 0
-	}
-	response.Body.Close()
-	return response.StatusCode
-}
