--- a/internal/downstream/listener.go
+++ b/internal/downstream/listener.go
@@ -35,7 +35,7 @@
 	closeDrain       = 500 * time.Millisecond // for a client to end its side after the sidecar has
 	maxDrainBytes    = 1 << 20                // bytes read behind a request, to find its client's end
 	rejectionTimeout = 20 * time.Millisecond  // for writing a rejection
-	MaxRejected      = 4                      // connections beyond the limit that are told so; out of socketSpare
+	MaxRejected      = 4                      // connections beyond the limit that are told so; out of reservedSockets
 	rejection        = "HTTP/1.1 503 Service Unavailable\r\nConnection: close\r\nRetry-After: 1\r\nContent-Length: 0\r\n\r\n"
 )
 
--- a/internal/sidecar/admin.go
+++ b/internal/sidecar/admin.go
@@ -17,10 +17,10 @@
 )
 
 const (
-	maxAdminCalls = 12              // callers at once: their descriptors are part of socketSpare
-	adminTimeout  = 2 * time.Second // for a call to come whole, and for its answer to leave
-	adminHead     = 4 << 10         // bytes of a call's head
-	adminBody     = 4 << 10         // bytes of a call's body, of which nothing is used
+	maxAdminConnections = 12              // callers at once: their descriptors are part of reservedSockets
+	adminTimeout        = 2 * time.Second // for a call to come whole, and for its answer to leave
+	maxAdminHeadBytes   = 4 << 10         // bytes of a call's head
+	maxAdminBodyBytes   = 4 << 10         // bytes of a call's body, of which nothing is used
 )
 
 // admin answers the operators' calls at the second address. It shares nothing
@@ -30,38 +30,38 @@
 	server *server
 	store  *operatorstate.Store
 	http   http.Server
-	calls  map[string]call
+	calls  map[string]adminCall
 }
 
-// call is what one path does.
-type call struct {
+// adminCall is what one path does.
+type adminCall struct {
 	method string
 	do     func(in *http.Request) error
 }
 
-// refusal is a call's no, with its status.
-type refusal struct {
-	code   int
-	reason string
+// callError is a call's no, with its status.
+type callError struct {
+	statusCode int
+	reason     string
 }
 
-func (r *refusal) Error() string { return r.reason }
+func (r *callError) Error() string { return r.reason }
 
 func newAdmin(s *server) *admin {
 	cfg := s.loop.current.Load()
 	a := &admin{server: s, store: &operatorstate.Store{Directory: cfg.Host.Directory, Sidecar: cfg.Name, Log: s.loop.log,
-		Files: cfg.Host.Files, Time: s.loop.time, Retention: s.loop.rampTime, Apply: s.hold}}
-	a.calls = map[string]call{
+		Files: cfg.Host.Files, Time: s.loop.operatorClock, Retention: s.loop.slowStartDuration, Apply: s.applyOperatorState}}
+	a.calls = map[string]adminCall{
 		"/admin/health":   {http.MethodGet, a.health},
-		"/admin/cordon":   {http.MethodPost, func(in *http.Request) error { return a.cordon(in, true) }},
-		"/admin/uncordon": {http.MethodPost, func(in *http.Request) error { return a.cordon(in, false) }},
-		"/admin/quiesce":  {http.MethodPost, func(*http.Request) error { return a.drain(true) }},
-		"/admin/resume":   {http.MethodPost, func(*http.Request) error { return a.drain(false) }},
+		"/admin/cordon":   {http.MethodPost, func(in *http.Request) error { return a.setCordon(in, true) }},
+		"/admin/uncordon": {http.MethodPost, func(in *http.Request) error { return a.setCordon(in, false) }},
+		"/admin/quiesce":  {http.MethodPost, func(*http.Request) error { return a.setDrained(true) }},
+		"/admin/resume":   {http.MethodPost, func(*http.Request) error { return a.setDrained(false) }},
 	}
-	a.http = http.Server{Handler: http.HandlerFunc(a.handle), ReadTimeout: adminTimeout, WriteTimeout: adminTimeout,
-		MaxHeaderBytes: adminHead, ErrorLog: slog.NewLogLogger(s.loop.log.Handler(), slog.LevelDebug),
+	a.http = http.Server{Handler: http.HandlerFunc(a.serveCall), ReadTimeout: adminTimeout, WriteTimeout: adminTimeout,
+		MaxHeaderBytes: maxAdminHeadBytes, ErrorLog: slog.NewLogLogger(s.loop.log.Handler(), slog.LevelDebug),
 		ConnContext: func(ctx context.Context, c net.Conn) context.Context {
-			return context.WithValue(ctx, connKey{}, c)
+			return context.WithValue(ctx, connContextKey{}, c)
 		}}
 	a.http.SetKeepAlivesEnabled(false) // one call to a connection
 	return a
@@ -71,8 +71,8 @@
 // runs, so that nothing is sent to an endpoint that is left out.
 func (a *admin) load() {
 	st := a.store.Load(a.server.loop.ctx)
-	a.server.drained.Store(st.Drained)
-	a.server.loop.mark(a.server.loop.clock.now(), st.Hosts)
+	a.server.drainedByOperator.Store(st.Drained)
+	a.server.loop.applyOverrides(a.server.loop.clock.now(), st.Hosts)
 }
 
 // serve answers calls until the loop ends, and follows what the other process of
@@ -93,11 +93,11 @@
 			}
 		}
 	}()
-	a.http.Serve(&downstream.Listener{Listener: listener, Log: a.server.log, MaxConnections: maxAdminCalls, MaxUsed: maxAdminCalls})
+	a.http.Serve(&downstream.Listener{Listener: listener, Log: a.server.log, MaxConnections: maxAdminConnections, MaxUsed: maxAdminConnections})
 }
 
-func (a *admin) handle(w http.ResponseWriter, in *http.Request) {
-	if ok := in.Context().Value(connKey{}).(*downstream.Conn).BeginRequest(); !ok {
+func (a *admin) serveCall(w http.ResponseWriter, in *http.Request) {
+	if ok := in.Context().Value(connContextKey{}).(*downstream.Conn).BeginRequest(); !ok {
 		panic(http.ErrAbortHandler) // it has just made room
 	}
 	w.Header().Set("Content-Type", "text/plain; charset=utf-8")
@@ -111,14 +111,14 @@
 		http.Error(w, "this call is "+c.method, http.StatusMethodNotAllowed)
 		return
 	}
-	if _, err := io.Copy(io.Discard, http.MaxBytesReader(w, in.Body, adminBody)); err != nil {
+	if _, err := io.Copy(io.Discard, http.MaxBytesReader(w, in.Body, maxAdminBodyBytes)); err != nil {
 		http.Error(w, "the call's body could not be read, or is too large", http.StatusBadRequest)
 		return
 	}
 	if err := c.do(in); err != nil {
 		code := http.StatusInternalServerError
-		if r, ok := err.(*refusal); ok {
-			code = r.code
+		if r, ok := err.(*callError); ok {
+			code = r.statusCode
 		}
 		http.Error(w, err.Error(), code)
 		return
@@ -129,32 +129,32 @@
 // health says whether this process is ready to serve. A drain by hand does not count:
 // a process that takes over in one must be found ready, too.
 func (a *admin) health(*http.Request) error {
-	if a.server.ending.Load() || !a.server.loop.listed.Load() {
-		return &refusal{http.StatusServiceUnavailable, "not ready"}
+	if a.server.terminating.Load() || !a.server.loop.endpointsKnown.Load() {
+		return &callError{http.StatusServiceUnavailable, "not ready"}
 	}
 	return nil
 }
 
-// cordon leaves an endpoint out, or lets it serve again.
-func (a *admin) cordon(in *http.Request, out bool) error {
+// setCordon leaves an endpoint out, or lets it serve again.
+func (a *admin) setCordon(in *http.Request, out bool) error {
 	query, err := url.ParseQuery(in.URL.RawQuery)
 	if err != nil {
-		return &refusal{http.StatusBadRequest, "the query could not be read"}
+		return &callError{http.StatusBadRequest, "the query could not be read"}
 	}
 	names := query["name"]
 	if len(names) != 1 || names[0] == "" {
-		return &refusal{http.StatusBadRequest, "name=ID must name one endpoint"}
+		return &callError{http.StatusBadRequest, "name=ID must name one endpoint"}
 	}
 	name, known := names[0], false
-	a.server.loop.runUrgent(func(balancer.Micros) { known = a.server.loop.knows(name) })
+	a.server.loop.runUrgent(func(balancer.Micros) { known = a.server.loop.knowsEndpoint(name) })
 	if !known {
-		return &refusal{http.StatusNotFound, "no endpoint has this name"}
+		return &callError{http.StatusNotFound, "no endpoint has this name"}
 	}
 	return a.store.Update(func(st *operatorstate.State) { st.SetCordon(name, out, a.store.Time.Now()) })
 }
 
-// drain has clients leave this sidecar, or lets them come again.
-func (a *admin) drain(on bool) error {
+// setDrained has clients leave this sidecar, or lets them come again.
+func (a *admin) setDrained(on bool) error {
 	return a.store.Update(func(st *operatorstate.State) { st.Drained = on })
 }
 
--- a/internal/sidecar/admin_test.go
+++ b/internal/sidecar/admin_test.go
@@ -103,7 +103,7 @@
 	e := sidecartest.NewEndpoint(t, sidecartest.Always(sidecartest.Served))
 	w := start(t, nil, ready("s-1", e.Address))
 	address := w.second(t.TempDir())
-	for range 3 * maxAdminCalls {
+	for range 3 * maxAdminConnections {
 		conn, err := net.Dial("tcp", address)
 		if err != nil {
 			t.Fatal(err)
@@ -184,7 +184,7 @@
 	w.dir.change(func() { w.dir.list = discovery.List{Seq: 1, Whole: true, Hosts: []discovery.Entry{again}} })
 	w.until("the news", func() bool {
 		var born int64
-		w.do(func() { born = w.loop.fleet[w.loop.ids["s-1"]].last.BornMS })
+		w.do(func() { born = w.loop.endpoints[w.loop.endpointIDs["s-1"]].entry.BornMS })
 		return born == again.BornMS
 	})
 	if got := read(); got != 503 {
@@ -200,7 +200,7 @@
 	w.dir.change(func() { w.dir.list = discovery.List{Seq: 4, Whole: true, Hosts: []discovery.Entry{again}} })
 	w.until("the endpoint to be listed", func() bool {
 		var listed bool
-		w.do(func() { listed = w.loop.ids["s-1"] != 0 })
+		w.do(func() { listed = w.loop.endpointIDs["s-1"] != 0 })
 		return listed
 	})
 	if got := read(); got != 503 {
@@ -222,7 +222,7 @@
 	first, second := start(t, nil, ready("s-1", e.Address)), start(t, nil, ready("s-1", e.Address))
 	one, two := first.second(dir), second.second(dir)
 	out := func(w *world) (out bool) {
-		w.do(func() { out = w.loop.marks["s-1"].Cordoned })
+		w.do(func() { out = w.loop.overrides["s-1"].Cordoned })
 		return out
 	}
 	if got := status(t, "POST", one, "/admin/cordon?name=s-1"); got != 200 {
@@ -257,7 +257,7 @@
 	a := newAdmin(newServer(l))
 	a.store.Directory = dir
 	a.load()
-	if !l.marks["s-1"].Cordoned {
+	if !l.overrides["s-1"].Cordoned {
 		t.Error("the stored state does not hold")
 	}
 }
@@ -272,7 +272,7 @@
 	address := w.second(dir)
 	good := `{"version":1,"sidecar":"n0","hosts":[{"host":"s-1","out":true}]}`
 	out := func() (out bool) {
-		w.do(func() { out = w.loop.marks["s-1"].Cordoned })
+		w.do(func() { out = w.loop.overrides["s-1"].Cordoned })
 		return out
 	}
 	for name, text := range map[string]string{
--- a/internal/sidecar/clients_test.go
+++ b/internal/sidecar/clients_test.go
@@ -142,9 +142,9 @@
 		{"bad hint", sidecartest.PayHead + "X-Correlation-Id: 2\r\nX-Weight-Hint: -1\r\n", httpmsg.MaxBufferedBytes, http.StatusBadRequest, false},
 		{"no room", sidecartest.PayHead + "X-Correlation-Id: 3\r\n", httpmsg.MaxBufferedBytes, http.StatusServiceUnavailable, true},
 	} {
-		taken := w.loop.up.Bodies.Used.Load()
+		taken := w.loop.upstream.Bodies.Used.Load()
 		if c.full {
-			w.loop.up.Bodies.Used.Add(int64(w.loop.cfg.Limits.MemoryMB) << 20)
+			w.loop.upstream.Bodies.Used.Add(int64(w.loop.cfg.Limits.MemoryMB) << 20)
 		}
 		conn := w.dial()
 		in := bufio.NewReader(conn)
@@ -164,9 +164,9 @@
 			t.Errorf("%s: the end of the connection: %v", c.name, err)
 		}
 		if c.full {
-			w.loop.up.Bodies.Used.Add(-int64(w.loop.cfg.Limits.MemoryMB) << 20)
+			w.loop.upstream.Bodies.Used.Add(-int64(w.loop.cfg.Limits.MemoryMB) << 20)
 		}
-		if held := w.loop.up.Bodies.Used.Load(); held != taken {
+		if held := w.loop.upstream.Bodies.Used.Load(); held != taken {
 			t.Errorf("%s: %d bytes are still held", c.name, held-taken)
 		}
 	}
@@ -306,13 +306,13 @@
 func TestBodiesAreBounded(t *testing.T) {
 	e := sidecartest.NewEndpoint(t, sidecartest.Always(sidecartest.Served))
 	w := start(t, nil, ready("s-1", e.Address))
-	w.loop.up.Bodies.Used.Add(int64(w.loop.cfg.Limits.MemoryMB) << 20 / bodiesPart)
+	w.loop.upstream.Bodies.Used.Add(int64(w.loop.cfg.Limits.MemoryMB) << 20 / bodyMemoryDivisor)
 	if got := w.send(w.request("pay", "x", 3*time.Second)); got.code != http.StatusServiceUnavailable || got.header.Get("Retry-After") == "" {
 		t.Errorf("beyond the limit: %+v", got)
 	}
-	w.loop.up.Bodies.Used.Store(0)
+	w.loop.upstream.Bodies.Used.Store(0)
 	if got := w.send(w.request("pay", "x", 3*time.Second)); got.code != http.StatusOK {
 		t.Errorf("with room again: %+v", got)
 	}
-	w.until("the bodies to be given back", func() bool { return w.loop.up.Bodies.Used.Load() == 0 })
+	w.until("the bodies to be given back", func() bool { return w.loop.upstream.Bodies.Used.Load() == 0 })
 }
--- a/internal/sidecar/close_test.go
+++ b/internal/sidecar/close_test.go
@@ -24,7 +24,7 @@
 		t.Run(what, func(t *testing.T) {
 			e := sidecartest.NewEndpoint(t, sidecartest.Always(sidecartest.Served))
 			w := start(t, nil, ready("s-1", e.Address))
-			dial := sidecartest.BlockDials(&w.loop.up.Dialer, e.Address)
+			dial := sidecartest.BlockDials(&w.loop.upstream.Dialer, e.Address)
 			conn := w.dial()
 			var text strings.Builder
 			w.request("pay", "x", time.Minute).Write(&text)
--- a/internal/sidecar/discovery_test.go
+++ b/internal/sidecar/discovery_test.go
@@ -131,9 +131,9 @@
 				var seq uint64
 				w.until("the list", func() bool {
 					w.do(func() {
-						aims, seq = nil, w.loop.from.Newest
-						for name, id := range w.loop.ids {
-							if w.loop.fleet[id].target != nil {
+						aims, seq = nil, w.loop.position.Newest
+						for name, id := range w.loop.endpointIDs {
+							if w.loop.endpoints[id].target != nil {
 								aims = append(aims, name)
 							}
 						}
@@ -210,7 +210,7 @@
 	e := sidecartest.NewEndpoint(t, sidecartest.Always(sidecartest.Served))
 	w := start(t, nil, ready("s-1", e.Address))
 	var before, after *upstream.Endpoint
-	w.do(func() { before = w.loop.fleet[1].target })
+	w.do(func() { before = w.loop.endpoints[1].target })
 	born := time.Now().UnixMilli() - 500
 	restarted := ready("s-1", e.Address)
 	restarted.BornMS = born
@@ -218,18 +218,18 @@
 	got := make(chan []balancer.Endpoint, 1)
 	w.do(func() {
 		w.loop.balancer = &listSpy{decider: w.spy, got: got}
-		w.loop.members(w.loop.clock.now(), balancer.ListDelta, discovery.List{Seq: 2, Hosts: []discovery.Entry{restarted, strange}})
+		w.loop.updateEndpoints(w.loop.clock.now(), balancer.ListDelta, discovery.List{Seq: 2, Hosts: []discovery.Entry{restarted, strange}})
 		w.loop.balancer = w.spy
-		after = w.loop.fleet[1].target
+		after = w.loop.endpoints[1].target
 	})
 	entries := <-got
 	want := []balancer.Endpoint{
-		{ID: 1, Name: hashed("s-1"), Zone: 0, MachineKind: 0, State: balancer.Ready, Weight: 1, StartTime: born * 1000},
-		{ID: 2, Name: hashed("s-9"), Zone: config.UnknownName, MachineKind: config.UnknownName, Cell: 4, State: balancer.Draining}}
+		{ID: 1, Name: hashName("s-1"), Zone: 0, MachineKind: 0, State: balancer.Ready, Weight: 1, StartTime: born * 1000},
+		{ID: 2, Name: hashName("s-9"), Zone: config.UnknownName, MachineKind: config.UnknownName, Cell: 4, State: balancer.Draining}}
 	if !slices.Equal(entries, want) {
 		t.Errorf("entries %+v, want %+v", entries, want)
 	}
-	if before == after || !w.loop.up.Retired(before) || w.loop.up.Retired(after) {
+	if before == after || !w.loop.upstream.Retired(before) || w.loop.upstream.Retired(after) {
 		t.Error("the endpoint that restarted kept its old target")
 	}
 	if now := w.loop.clock.now(); entries[0].StartTime > now || now-entries[0].StartTime > time.Minute.Microseconds() {
@@ -281,8 +281,8 @@
 		w.until("the end of the old client's connections", func() bool { return old.conns.Load() == 0 })
 		old = moved
 		w.do(func() {
-			watch := w.loop.disc
-			if w.loop.reload(&next); w.loop.disc != watch {
+			watch := w.loop.discovery
+			if w.loop.reload(&next); w.loop.discovery != watch {
 				t.Error("a configuration that is in force already begins a new watch")
 			}
 		})
@@ -320,7 +320,7 @@
 			if whole {
 				kind = balancer.ListFull
 			}
-			w.loop.members(w.loop.clock.now(), kind, discovery.List{Whole: whole, Hosts: hosts})
+			w.loop.updateEndpoints(w.loop.clock.now(), kind, discovery.List{Whole: whole, Hosts: hosts})
 		})
 	}
 	for i := range 50 {
@@ -331,8 +331,8 @@
 	list(false, gone)
 	list(false, gone)
 	w.do(func() {
-		if len(w.loop.fleet) != 1 || len(w.loop.ids) != 1 || w.loop.fleet[1] == nil {
-			t.Errorf("%d endpoints and %d names are kept, want the one with an attempt out", len(w.loop.fleet), len(w.loop.ids))
+		if len(w.loop.endpoints) != 1 || len(w.loop.endpointIDs) != 1 || w.loop.endpoints[1] == nil {
+			t.Errorf("%d endpoints and %d names are kept, want the one with an attempt out", len(w.loop.endpoints), len(w.loop.endpointIDs))
 		}
 	})
 	close(answer)
@@ -340,13 +340,13 @@
 		t.Errorf("the request in hand: %+v", got)
 	}
 	w.do(func() {
-		if len(w.loop.fleet) != 0 || len(w.loop.ids) != 0 {
-			t.Errorf("%d endpoints and %d names are kept, want none", len(w.loop.fleet), len(w.loop.ids))
+		if len(w.loop.endpoints) != 0 || len(w.loop.endpointIDs) != 0 {
+			t.Errorf("%d endpoints and %d names are kept, want none", len(w.loop.endpoints), len(w.loop.endpointIDs))
 		}
 	})
 	list(true, ready("s-1", e.Address))
 	w.do(func() {
-		if id := w.loop.ids["s-1"]; id != 52 {
+		if id := w.loop.endpointIDs["s-1"]; id != 52 {
 			t.Errorf("the endpoint that is back has number %d, want a new one, 52", id)
 		}
 	})
--- a/internal/sidecar/durability_test.go
+++ b/internal/sidecar/durability_test.go
@@ -26,11 +26,11 @@
 	if got := status(t, "POST", address, "/admin/resume"); got != http.StatusInternalServerError {
 		t.Errorf("a call that can't be stored: %d", got)
 	}
-	if got := w.send(w.request("read", "", time.Minute)); got.code != http.StatusOK || w.server.isReady() {
+	if got := w.send(w.request("read", "", time.Minute)); got.code != http.StatusOK || w.server.acceptsRequests() {
 		t.Errorf("a request meanwhile: %+v", got)
 	}
 	disk.Mend()
-	if got := status(t, "POST", address, "/admin/resume"); got != http.StatusOK || !w.server.isReady() {
+	if got := status(t, "POST", address, "/admin/resume"); got != http.StatusOK || !w.server.acceptsRequests() {
 		t.Errorf("the call afterwards: %d", got)
 	}
 }
@@ -41,15 +41,15 @@
 	e := sidecartest.NewEndpoint(t, sidecartest.Always(sidecartest.Served))
 	w := start(t, nil, ready("s-1", e.Address))
 	dir := filepath.Join(t.TempDir(), "later")
-	w.server.sit(t.Context(), dir)
-	if w.server.seat.Load() != nil {
+	w.server.acquireSlot(t.Context(), dir)
+	if w.server.slot.Load() != nil {
 		t.Fatal("a place in a folder that there is not")
 	}
-	go w.server.company(t.Context(), dir)
+	go w.server.followPeers(t.Context(), dir)
 	if err := os.Mkdir(dir, 0o700); err != nil {
 		t.Fatal(err)
 	}
-	w.until("a place", func() bool { return w.server.seat.Load() != nil })
+	w.until("a place", func() bool { return w.server.slot.Load() != nil })
 	other, err := handover.AcquireSlot(dir)
 	if err != nil {
 		t.Fatal(err)
@@ -57,7 +57,7 @@
 	if err := other.MarkReady(); err != nil {
 		t.Fatal(err)
 	}
-	w.until("the other process", w.server.relieved)
+	w.until("the other process", w.server.replaced)
 	path := filepath.Join(dir, "oakproxy-process.1") // the place after that of the sidecar itself
 	if err := os.Rename(path, path+".gone"); err != nil {
 		t.Fatal(err)
@@ -65,7 +65,7 @@
 	if err := os.Symlink(path, path); err != nil { // ELOOP: it can't be looked at
 		t.Fatal(err)
 	}
-	if !w.server.relieved() {
+	if !w.server.replaced() {
 		t.Error("the other process is not seen any more")
 	}
 }
@@ -86,7 +86,7 @@
 		var ages []time.Duration
 		w.do(func() {
 			for _, name := range []string{"s-1", "s-2"} {
-				ages = append(ages, time.Duration(w.loop.clock.now()-w.loop.fleet[w.loop.ids[name]].start)*time.Microsecond)
+				ages = append(ages, time.Duration(w.loop.clock.now()-w.loop.endpoints[w.loop.endpointIDs[name]].startedAt)*time.Microsecond)
 			}
 		})
 		if ages[0] > sidecartest.Patience || ages[0] < -2*discovery.MinSkew {
--- a/internal/sidecar/ending_test.go
+++ b/internal/sidecar/ending_test.go
@@ -34,8 +34,8 @@
 			t.Parallel()
 			e := sidecartest.NewEndpoint(t, sidecartest.Always(sidecartest.Served))
 			w := start(t, nil, ready("s-1", e.Address))
-			w.server.acceptFor = 3 * time.Second // a busy machine may be slow to connect
-			dial := sidecartest.BlockDials(&w.loop.up.Dialer, e.Address)
+			w.server.drainPeriod = 3 * time.Second // a busy machine may be slow to connect
+			dial := sidecartest.BlockDials(&w.loop.upstream.Dialer, e.Address)
 			text := head + "1\r\n\r\n0123456789"
 			conn := w.dial()
 			io.WriteString(conn, text[:split])
@@ -44,7 +44,7 @@
 				<-dial.Begun
 			}
 			w.stop()
-			w.until("the end of service", w.server.leaving)
+			w.until("the end of service", w.server.draining)
 			if what == "and a new SIGHUP" {
 				next := *w.loop.cfg
 				w.do(func() { w.loop.reload(&next) })
@@ -126,7 +126,7 @@
 		return requests > 0
 	})
 	limit := w.loop.cfg.Limits.Sockets
-	if own := 2*w.server.clients.MaxConnections + downstream.MaxRejected + maxAdminCalls + 4; own > limit {
+	if own := 2*w.server.clients.MaxConnections + downstream.MaxRejected + maxAdminConnections + 4; own > limit {
 		t.Errorf("clients, endpoints and operators may take %d descriptors of %d", own, limit)
 	}
 	if open := w.server.clients.Count(); open > w.server.clients.MaxConnections+downstream.MaxRejected {
--- a/internal/sidecar/gate_test.go
+++ b/internal/sidecar/gate_test.go
@@ -27,7 +27,7 @@
 		s["classes"].([]any)[1].(map[string]any)["window"] = window.Microseconds()
 		s["limits"].(map[string]any)["dial-timeout"] = sidecartest.Patience.Microseconds()
 	}, ready("s-1", broken.Address))
-	dial := sidecartest.BlockDials(&w.loop.up.Dialer, slow.Address)
+	dial := sidecartest.BlockDials(&w.loop.upstream.Dialer, slow.Address)
 	answer := make(chan reply, 1)
 	go func() { answer <- w.send(w.request("pay", "x", time.Minute)) }()
 	w.until("the first attempt", func() bool { n, _ := broken.Seen(); return n == 1 })
@@ -36,7 +36,7 @@
 	})
 	w.until("the news", func() bool {
 		var n int
-		w.do(func() { n = len(w.loop.fleet) })
+		w.do(func() { n = len(w.loop.endpoints) })
 		return n == 2
 	})
 	close(reset)
@@ -59,7 +59,7 @@
 		t.Run(name, func(t *testing.T) {
 			e := sidecartest.NewEndpoint(t, sidecartest.Always(sidecartest.Served))
 			w := start(t, func(s map[string]any) { s["limits"].(map[string]any)["cancel"] = may }, ready("s-1", e.Address))
-			dial := sidecartest.BlockDials(&w.loop.up.Dialer, e.Address)
+			dial := sidecartest.BlockDials(&w.loop.upstream.Dialer, e.Address)
 			conn := w.dial()
 			w.request("pay", "x", time.Minute).Write(conn)
 			<-dial.Begun
--- a/internal/sidecar/handler.go
+++ b/internal/sidecar/handler.go
@@ -16,48 +16,48 @@
 	"oakproxy/internal/upstream"
 )
 
-// turnAway answers a request whose body may not be read yet, and ends its
+// rejectUnread answers a request whose body may not be read yet, and ends its
 // connection.
-func turnAway(w http.ResponseWriter, in *http.Request, a answer) {
+func rejectUnread(w http.ResponseWriter, in *http.Request, a finalResponse) {
 	w.Header().Set("Connection", "close")
-	writeAnswer(w, a)
+	writeFinalResponse(w, a)
 	if http.NewResponseController(w).Flush() != nil {
 		return // the client is gone
 	}
-	downstream.NewBody(in.Context().Value(connKey{}).(*downstream.Conn), in.Body).Discard(downstream.MaxLinger)
+	downstream.NewBody(in.Context().Value(connContextKey{}).(*downstream.Conn), in.Body).Discard(downstream.MaxLinger)
 }
 
 // readyPath is where the application asks whether it may send requests.
 const readyPath = "/health/ready"
 
-// handle reads a request, whole or as much as is held, and answers it.
-func (s *server) handle(w http.ResponseWriter, in *http.Request) {
-	c := in.Context().Value(connKey{}).(*downstream.Conn)
+// serveRequest reads a request, whole or as much as is held, and answers it.
+func (s *server) serveRequest(w http.ResponseWriter, in *http.Request) {
+	c := in.Context().Value(connContextKey{}).(*downstream.Conn)
 	age := system.LastDataAge(c.Conn) // it may have waited for this process
 	arrived := s.loop.clock.now() - age.Microseconds()
 	times := stages.RequestTimes{Arrived: time.Now()}
 	req, err := s.readHead(in, c, arrived)
 	if err != nil {
-		reject(w, in, err)
+		rejectInvalid(w, in, err)
 		return
 	}
 	held := int64(httpmsg.MaxBufferedBytes)
 	if in.ContentLength >= 0 {
 		held = min(held, in.ContentLength)
 	}
-	if !s.loop.up.Bodies.Reserve(held) {
-		turnAway(w, in, answer{code: http.StatusServiceUnavailable, retryAfter: busyRetry.Microseconds()})
+	if !s.loop.upstream.Bodies.Reserve(held) {
+		rejectUnread(w, in, finalResponse{code: http.StatusServiceUnavailable, retryAfter: busyRetryAfter.Microseconds()})
 		return
 	}
-	defer s.loop.up.Bodies.Release(held)
+	defer s.loop.upstream.Bodies.Release(held)
 	from := downstream.NewBody(c, in.Body)
 	body, whole, err := readBody(from, held, in.ContentLength)
 	switch {
 	case (err != nil || !whole) && s.admission.isClosed():
-		turnAway(w, in, refusalAtTermination)
+		rejectUnread(w, in, terminatingResponse)
 		return
 	case err != nil:
-		reject(w, in, err)
+		rejectInvalid(w, in, err)
 		return
 	case !c.BeginRequest(): // it has just made room for another
 		panic(http.ErrAbortHandler)
@@ -67,7 +67,7 @@
 		left := time.Duration(req.Deadline-arrived) * time.Microsecond
 		m.Upload = &upstream.Upload{Length: in.ContentLength, TimeLeft: left, Body: from, Failed: make(chan error, 1)}
 		req.StreamingBody, req.Deadline = true, arrived+upstream.MaxUploadTime.Microseconds()
-		s.request(w, in, c, nil, req, m, times)
+		s.forward(w, in, c, nil, req, m, times)
 		return
 	}
 	if req.Deadline > 0 { // its time counts from its last byte
@@ -81,15 +81,15 @@
 		if !alone {
 			w.Header().Set("Connection", "close")
 		}
-		s.ready(w)
+		s.handleReady(w)
 		return
 	}
 	if s.admission.isClosed() {
-		refuseTerminating(w)
+		rejectTerminating(w)
 		return
 	}
 	times.BodyRead = time.Now()
-	s.request(w, in, c, c.AwaitResponse(alone), req, m, times)
+	s.forward(w, in, c, c.AwaitResponse(alone), req, m, times)
 }
 
 // readHead checks a request's head and reads what the balancer has to know of it.
@@ -99,7 +99,7 @@
 		return req, downstream.NewBadRequest("Content-Length beside another, or beside Transfer-Encoding")
 	}
 	if in.URL.Path != readyPath {
-		if req, err = s.parse(in, arrived); err != nil {
+		if req, err = s.parseRequest(in, arrived); err != nil {
 			return req, err
 		}
 	}
@@ -132,45 +132,45 @@
 	return nil, false, downstream.NewBadRequest("the body could not be read")
 }
 
-// request takes one request and gives its one final answer. left is closed when its client
+// forward takes one request and gives its one final answer. left is closed when its client
 // leaves and net/http can't tell; it may be nil.
-func (s *server) request(w http.ResponseWriter, in *http.Request, c *downstream.Conn, left <-chan struct{},
+func (s *server) forward(w http.ResponseWriter, in *http.Request, c *downstream.Conn, left <-chan struct{},
 	req balancer.Request, m *upstream.Request, times stages.RequestTimes) {
-	open := newOpenRequest(in, c, times.Arrived, s.loop.clock.time(req.Deadline))
+	open := newOpenRequest(in, c, times.Arrived, s.loop.clock.timeAt(req.Deadline))
 	var failed <-chan error
 	var stop <-chan struct{}
 	if m.Upload != nil {
 		failed, stop = m.Upload.Failed, s.admission.closed
 		open.upload, open.timeLeft = true, m.Upload.TimeLeft
 	}
-	if !s.inHand.add(open) {
-		reject(w, in, downstream.NewRequestError(http.StatusConflict, "a request with this X-Correlation-Id is open"))
+	if !s.inFlight.add(open) {
+		rejectInvalid(w, in, downstream.NewRequestError(http.StatusConflict, "a request with this X-Correlation-Id is open"))
 		return
 	}
-	defer s.inHand.remove(open)
+	defer s.inFlight.remove(open)
 	if m.Upload != nil {
 		defer m.Upload.Finish()
 	}
-	r := &request{answer: make(chan answer, 1), message: m, gone: c.ClientLeft, times: times}
-	s.loop.post(func(now balancer.Micros) { s.loop.take(now, r, req) })
-	abandon := func() { s.loop.post(func(now balancer.Micros) { s.loop.gone(now, r) }) }
+	r := &request{response: make(chan finalResponse, 1), message: m, clientLeft: c.ClientLeft, times: times}
+	s.loop.post(func(now balancer.Micros) { s.loop.admit(now, r, req) })
+	abandon := func() { s.loop.post(func(now balancer.Micros) { s.loop.clientGone(now, r) }) }
 	for {
 		select {
-		case a := <-r.answer:
+		case a := <-r.response:
 			defer a.close()
 			if m.Upload != nil {
-				defer s.hearOut(w, c, m.Upload)
+				defer s.drainUpload(w, c, m.Upload)
 			}
-			s.reply(w, c, r, a)
-			s.inHand.remove(open)
+			s.writeResponse(w, c, r, a)
+			s.inFlight.remove(open)
 			return
 		case <-stop:
 			stop = nil
 			if m.Upload.Stop() { // else its last byte may be out, and its answer is awaited
 				abandon()
-				refuseTerminating(w)
-				s.inHand.remove(open)
-				s.hearOut(w, c, m.Upload)
+				rejectTerminating(w)
+				s.inFlight.remove(open)
+				s.drainUpload(w, c, m.Upload)
 				return
 			}
 		case err := <-failed:
@@ -178,7 +178,7 @@
 			if errors.Is(err, os.ErrDeadlineExceeded) {
 				panic(http.ErrAbortHandler)
 			}
-			reject(w, in, downstream.NewBadRequest("the body could not be read"))
+			rejectInvalid(w, in, downstream.NewBadRequest("the body could not be read"))
 			return
 		case <-left:
 			abandon()
@@ -192,30 +192,30 @@
 	}
 }
 
-// reply writes the final answer.
-func (s *server) reply(w http.ResponseWriter, c *downstream.Conn, r *request, a answer) {
+// writeResponse writes the final answer.
+func (s *server) writeResponse(w http.ResponseWriter, c *downstream.Conn, r *request, a finalResponse) {
 	r.times.Answered = time.Now()
 	upload := r.message.Upload
 	// Clients send one request at a time. What came behind this one is no request:
 	// only the client's own word says that it is one.
 	behind := c.BeginResponse()
 	late := upload != nil && !(upload.ReachedEOF.Load() && c.RequestRead(upload.Length))
-	if behind || late || s.clients.Crowded() || s.leaving() {
+	if behind || late || s.clients.Crowded() || s.draining() {
 		w.Header().Set("Connection", "close")
 	}
-	writeAnswer(w, a)
-	if a.rest == nil {
-		s.record(r)
+	writeFinalResponse(w, a)
+	if a.remainder == nil {
+		s.recordStages(r)
 		return
 	}
-	if err := downstream.Relay(w, c, a.rest); err != nil {
+	if err := downstream.Relay(w, c, a.remainder); err != nil {
 		c.ResetOnClose()
 		panic(http.ErrAbortHandler)
 	}
 }
 
-// record counts the stages of a request that is answered, if its attempt's times are known.
-func (s *server) record(r *request) {
+// recordStages counts the stages of a request that is answered, if its attempt's times are known.
+func (s *server) recordStages(r *request) {
 	if r.times.Attempt.Received.IsZero() {
 		return
 	}
@@ -223,8 +223,8 @@
 	s.loop.stages.Record(&r.times)
 }
 
-// hearOut lets a client that has its answer write its body to the end.
-func (s *server) hearOut(w http.ResponseWriter, c *downstream.Conn, u *upstream.Upload) {
+// drainUpload lets a client that has its answer write its body to the end.
+func (s *server) drainUpload(w http.ResponseWriter, c *downstream.Conn, u *upstream.Upload) {
 	if u.ReachedEOF.Load() {
 		c.SetReadDeadline(time.Time{})
 		return
@@ -232,18 +232,18 @@
 	http.NewResponseController(w).Flush()
 	u.Finish()
 	most := upstream.MaxUploadTime
-	if s.ending.Load() {
+	if s.terminating.Load() {
 		most = downstream.MaxLinger
 	}
 	u.Body.Discard(most)
 }
 
-func writeAnswer(w http.ResponseWriter, a answer) {
+func writeFinalResponse(w http.ResponseWriter, a finalResponse) {
 	httpmsg.CopyEndToEnd(w.Header(), a.header)
 	if a.retryAfter > 0 {
 		w.Header().Set("Retry-After", strconv.FormatFloat(float64(a.retryAfter)/1e6, 'f', 3, 64))
 	}
-	if a.rest == nil {
+	if a.remainder == nil {
 		a.length = int64(len(a.body))
 	}
 	if a.length >= 0 {
--- a/internal/sidecar/hear_test.go
+++ b/internal/sidecar/hear_test.go
@@ -159,7 +159,7 @@
 							}
 						})
 						synctest.Wait()
-						for !l.listed.Load() {
+						for !l.endpointsKnown.Load() {
 							if took := time.Since(began); took > c.want {
 								t.Fatalf("seed %d: not ready %v after the start", seed, took)
 							}
--- a/internal/sidecar/host_test.go
+++ b/internal/sidecar/host_test.go
@@ -33,7 +33,7 @@
 	own := configure(t, w.dir.address, nil)
 	own.Host = config.OwnProcessHost()
 	runOnce(t, own)
-	if limit, want := debug.SetMemoryLimit(-1), int64(own.Limits.MemoryMB)<<20/10*heapPart; limit != want {
+	if limit, want := debug.SetMemoryLimit(-1), int64(own.Limits.MemoryMB)<<20/10*heapTenths; limit != want {
 		t.Errorf("the memory limit is %d after a sidecar with a process of its own, want %d", limit, want)
 	}
 }
--- a/internal/sidecar/inhand.go
+++ b/internal/sidecar/inhand.go
@@ -10,11 +10,11 @@
 
 // openRequest is a client's request from the moment it was read until the last byte of its answer was written.
 type openRequest struct {
-	id    string // X-Correlation-Id
-	class string
-	conn  *downstream.Conn
-	since time.Time
-	until time.Time // when its client's time is up; of an upload, when it is given up
+	id        string // X-Correlation-Id
+	class     string
+	conn      *downstream.Conn
+	arrivedAt time.Time
+	deadline  time.Time // when its client's time is up; of an upload, when it is given up
 
 	upload   bool          // its body is passed on while it comes, and its time counts from the last byte
 	timeLeft time.Duration // of an upload, from then on
@@ -22,17 +22,17 @@
 
 func newOpenRequest(in *http.Request, c *downstream.Conn, since, until time.Time) *openRequest {
 	return &openRequest{id: in.Header.Get("X-Correlation-Id"), class: in.Header.Get("X-Service-Class"), conn: c,
-		since: since, until: until}
+		arrivedAt: since, deadline: until}
 }
 
-// inHand is the set of open requests, by X-Correlation-Id: no two with one id are open at once.
-type inHand struct {
+// inFlightRequests is the set of open requests, by X-Correlation-Id: no two with one id are open at once.
+type inFlightRequests struct {
 	mu   sync.Mutex
 	byID map[string]*openRequest
 }
 
 // add takes a request into the set and reports whether none with its id was there.
-func (h *inHand) add(r *openRequest) bool {
+func (h *inFlightRequests) add(r *openRequest) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if h.byID[r.id] != nil {
@@ -46,7 +46,7 @@
 }
 
 // remove takes a request out of the set, unless it has left it already: its answer is written, or its client has left.
-func (h *inHand) remove(r *openRequest) {
+func (h *inFlightRequests) remove(r *openRequest) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if h.byID[r.id] == r {
@@ -55,7 +55,7 @@
 }
 
 // all returns the open requests, in no particular order.
-func (h *inHand) all() []*openRequest {
+func (h *inFlightRequests) all() []*openRequest {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	list := make([]*openRequest, 0, len(h.byID))
@@ -66,17 +66,17 @@
 }
 
 // count returns how many requests are open.
-func (h *inHand) count() int {
+func (h *inFlightRequests) count() int {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return len(h.byID)
 }
 
-// latest returns when the time of the last of the open requests is up, given that no body came to its end after
+// latestDeadline returns when the time of the last of the open requests is up, given that no body came to its end after
 // closed, and whether there is any.
-func (h *inHand) latest(closed time.Time) (due time.Time, any bool) {
+func (h *inFlightRequests) latestDeadline(closed time.Time) (due time.Time, any bool) {
 	for _, r := range h.all() {
-		until := r.until
+		until := r.deadline
 		if r.upload {
 			until = closed.Add(r.timeLeft)
 		}
--- a/internal/sidecar/limits_test.go
+++ b/internal/sidecar/limits_test.go
@@ -13,13 +13,13 @@
 	e := sidecartest.NewEndpoint(t, sidecartest.Always(sidecartest.Served))
 	w := start(t, nil, ready("s-1", e.Address))
 	w.until("other connections to end", func() bool { return w.server.clients.Count() == 0 })
-	whole, room := w.server.clients.MaxConnections, w.loop.up.Bodies.Limit.Load()
+	whole, room := w.server.clients.MaxConnections, w.loop.upstream.Bodies.Limit.Load()
 	dir := t.TempDir()
 	own, err := handover.AcquireSlot(dir)
 	if err != nil {
 		t.Fatal(err)
 	}
-	w.server.seat.Store(own)
+	w.server.slot.Store(own)
 	for range whole {
 		w.dial()
 	}
@@ -28,22 +28,22 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	go w.server.company(t.Context(), dir)
-	half := (w.loop.cfg.Limits.Sockets/2 - socketSpare) / 2
+	go w.server.followPeers(t.Context(), dir)
+	half := (w.loop.cfg.Limits.Sockets/2 - reservedSockets) / 2
 	w.until("connections beyond its part to end", func() bool { return w.server.clients.Count() == half })
-	w.until("the part", func() bool { return w.loop.up.Bodies.Limit.Load() == room/2 })
-	if !w.server.accompanied() || w.server.relieved() {
+	w.until("the part", func() bool { return w.loop.upstream.Bodies.Limit.Load() == room/2 })
+	if !w.server.hasPeer() || w.server.replaced() {
 		t.Error("the other process is not seen, or taken for ready")
 	}
 	if err := other.MarkReady(); err != nil {
 		t.Fatal(err)
 	}
-	if !w.server.relieved() {
+	if !w.server.replaced() {
 		t.Error("the other process is not seen to be ready")
 	}
 	other.Release()
 	w.until("the limits to be whole again", func() bool {
 		most, _ := w.server.clients.Limits()
-		return most == whole && w.loop.up.Bodies.Limit.Load() == room
+		return most == whole && w.loop.upstream.Bodies.Limit.Load() == room
 	})
 }
--- a/internal/sidecar/loop.go
+++ b/internal/sidecar/loop.go
@@ -19,27 +19,27 @@
 )
 
 const (
-	maxEvents         = 1024 // waiting for the loop
-	maxPriorityEvents = 16   // the same of those that go first
-	pruneEvery        = time.Second
-	statsEvery        = 2 * time.Second
-	missEvery         = time.Second // lines on failures of discovery, where one follows the other
+	maxQueuedEvents       = 1024 // waiting for the loop
+	maxQueuedUrgentEvents = 16   // the same of those that go first
+	pruneInterval         = time.Second
+	statsInterval         = 2 * time.Second
+	failureLogInterval    = time.Second // lines on failures of discovery, where one follows the other
 )
 
 // clock gives the balancer's time: microseconds that never run backwards, from
 // the Unix time at the start on, so that discovery's times map onto it as they
 // are.
 type clock struct {
-	base time.Time
-	unix balancer.Micros // Unix time at the base, by the wall clock of then
+	start       time.Time
+	startMicros balancer.Micros // Unix time at the base, by the wall clock of then
 }
 
 func newClock(wall func() time.Time) clock { return clock{time.Now(), wall().UnixMicro()} }
 
-func (c clock) now() balancer.Micros { return c.unix + time.Since(c.base).Microseconds() }
+func (c clock) now() balancer.Micros { return c.startMicros + time.Since(c.start).Microseconds() }
 
-func (c clock) time(at balancer.Micros) time.Time {
-	return c.base.Add(time.Duration(at-c.unix) * time.Microsecond)
+func (c clock) timeAt(at balancer.Micros) time.Time {
+	return c.start.Add(time.Duration(at-c.startMicros) * time.Microsecond)
 }
 
 // decider is what the loop needs of a *balancer.Balancer.
@@ -63,71 +63,71 @@
 // its Actions. It never waits for the network; what it starts reports back
 // through events.
 type loop struct {
-	log    *slog.Logger
-	clock  clock
-	time   system.Clock // of what outlives the process
-	up     *upstream.Client
-	disc   *discovery.Client
-	events chan func(now balancer.Micros)
-	urgent chan func(now balancer.Micros) // goes ahead of events
-	ctx    context.Context                // ends with the loop
-	listed atomic.Bool                    // endpoints are known
-	stages stages.Recorder                // of requests served
-
-	current atomic.Pointer[config.Snapshot] // the configuration in force
-	relimit func()                          // has its limits hold when they have changed; may be nil
-	closes  func() downstream.CloseCounts   // of clients' connections; may be nil
+	log            *slog.Logger
+	clock          clock
+	operatorClock  system.Clock // of what outlives the process
+	upstream       *upstream.Client
+	discovery      *discovery.Client
+	events         chan func(now balancer.Micros)
+	urgent         chan func(now balancer.Micros) // goes ahead of events
+	ctx            context.Context                // ends with the loop
+	endpointsKnown atomic.Bool                    // endpoints are known
+	stages         stages.Recorder                // of requests served
+
+	current       atomic.Pointer[config.Snapshot] // the configuration in force
+	limitsChanged func()                          // has its limits hold when they have changed; may be nil
+	closeCounts   func() downstream.CloseCounts   // of clients' connections; may be nil
 
 	// Below: the loop's goroutine alone.
-	cfg       *config.Config // that of current
-	refused   int            // configurations that were not taken
-	balancer  decider
-	requests  map[uint64]*request
-	lastID    uint64
-	ids       map[string]uint32 // of endpoints, by host name
-	lastEP    uint32            // the latest id given; none is given twice
-	fleet     map[uint32]*member
-	marks     map[string]operatorstate.Override                   // what operators set, by host name
-	learned   *balancer.Estimates                                 // to begin with; may be nil
-	keep      func(now balancer.Micros, known balancer.Estimates) // takes what is known once a second; may be nil
-	from      discovery.Position                                  // of the watch
-	heard     balancer.Micros                                     // when discovery answered last, or the start
-	calls     callCounts                                          // of discovery
-	unheard   bool                                                // the last call failed
-	warned    balancer.Micros                                     // of such a failure
-	stopWatch context.CancelFunc
-	stats     balancer.Stats // when last recorded, as are dials and asked
-	dials     upstream.Counts
-	asked     callCounts
-	lag       time.Duration // longest wait of an event since then
-	staged    stages.Totals // when last recorded, as are closed
-	closed    downstream.CloseCounts
+	cfg             *config.Config // that of current
+	rejectedReloads int            // configurations that were not taken
+	balancer        decider
+	requests        map[uint64]*request
+	lastRequestID   uint64
+	endpointIDs     map[string]uint32 // of endpoints, by host name
+	lastEndpointID  uint32            // the latest id given; none is given twice
+	endpoints       map[uint32]*endpoint
+	overrides       map[string]operatorstate.Override                   // what operators set, by host name
+	warmStart       *balancer.Estimates                                 // to begin with; may be nil
+	saveEstimates   func(now balancer.Micros, known balancer.Estimates) // takes what is known once a second; may be nil
+	position        discovery.Position                                  // of the watch
+	lastListAt      balancer.Micros                                     // when discovery answered last, or the start
+	calls           callCounts                                          // of discovery
+	failing         bool                                                // the last call failed
+	lastWarningAt   balancer.Micros                                     // of such a failure
+	stopWatch       context.CancelFunc
+	lastStats       balancer.Stats // when last recorded, as are dials and asked
+	lastUpstream    upstream.Counts
+	lastCalls       callCounts
+	maxEventWait    time.Duration // longest wait of an event since then
+	lastStages      stages.Totals // when last recorded, as are closed
+	lastCloses      downstream.CloseCounts
 }
 
 // request is the ledger's entry for a request that the balancer may still
 // speak of: no final answer is out, or attempts are.
 type request struct {
-	id       uint64
-	message  *upstream.Request
-	deadline balancer.Micros
-	answer   chan answer // takes the one final answer
-	over     bool        // the final answer is out, or the client is gone
-	attempts []started
-	out      int         // attempts without outcome
-	gone     func() bool // whether the client has left, by a look at its connection; may be nil
-	times    stages.RequestTimes
+	id         uint64
+	message    *upstream.Request
+	deadline   balancer.Micros
+	response   chan finalResponse // takes the one final answer
+	finished   bool               // the final answer is out, or the client is gone
+	attempts   []attempt
+	inFlight   int         // attempts without outcome
+	clientLeft func() bool // whether the client has left, by a look at its connection; may be nil
+	times      stages.RequestTimes
 }
 
-// started is an attempt that is under way.
-type started struct {
+// attempt is an attempt that is under way.
+type attempt struct {
 	cancel context.CancelFunc
 	gate   *upstream.Gate
 }
 
-// end marks that nothing new may begin for the request. An attempt that has not begun is
+// finish marks that nothing new may begin for the request. An attempt that has not begun is
 // called off whether or not the settings let one be cancelled: nobody knows of it yet.
-func (r *request) end() {
-	r.over = true
+func (r *request) finish() {
+	r.finished = true
 	for _, a := range r.attempts {
 		if a.gate.Close() {
 			a.cancel()
@@ -135,33 +135,33 @@
 	}
 }
 
-// timed takes the times of the attempt that was answered, where those of the request are whole: its
+// recordTimes takes the times of the attempt that was answered, where those of the request are whole: its
 // first and only attempt, with nothing to pass on while it came.
-func (r *request) timed(times stages.AttemptTimes) {
-	if !r.over && len(r.attempts) == 1 && r.message.Upload == nil {
+func (r *request) recordTimes(times stages.AttemptTimes) {
+	if !r.finished && len(r.attempts) == 1 && r.message.Upload == nil {
 		r.times.Attempt = times
 	}
 }
 
-// answer is the final answer to a request.
-type answer struct {
-	code       int
-	retryAfter balancer.Micros
-	header     http.Header
-	body       []byte
-	rest       *upstream.BodyStream // what follows body, while it comes
-	length     int64                // of the whole, where there is a rest; -1 if unknown
-	held       func()               // gives back the room for body
+// finalResponse is the final answer to a request.
+type finalResponse struct {
+	code        int
+	retryAfter  balancer.Micros
+	header      http.Header
+	body        []byte
+	remainder   *upstream.BodyStream // what follows body, while it comes
+	length      int64                // of the whole, where there is a rest; -1 if unknown
+	releaseBody func()               // gives back the room for body
 }
 
 func newLoop(ctx context.Context, cfg *config.Config, log *slog.Logger) (*loop, error) {
 	times := cfg.Host.Time.OrSystem()
 	l := &loop{
-		log: log, clock: newClock(times.Wall), time: times, ctx: ctx,
-		up: upstream.NewClient(cfg, connections(cfg), httpmsg.NewMemoryBudget(bodyMemory(cfg))), disc: newDiscoveryFor(cfg),
-		events:   make(chan func(balancer.Micros), maxEvents),
-		urgent:   make(chan func(balancer.Micros), maxPriorityEvents),
-		requests: map[uint64]*request{}, ids: map[string]uint32{}, fleet: map[uint32]*member{}, marks: map[string]operatorstate.Override{},
+		log: log, clock: newClock(times.Wall), operatorClock: times, ctx: ctx,
+		upstream: upstream.NewClient(cfg, maxConnections(cfg), httpmsg.NewMemoryBudget(bodyMemoryLimit(cfg))), discovery: newDiscoveryClient(cfg),
+		events:   make(chan func(balancer.Micros), maxQueuedEvents),
+		urgent:   make(chan func(balancer.Micros), maxQueuedUrgentEvents),
+		requests: map[uint64]*request{}, endpointIDs: map[string]uint32{}, endpoints: map[uint32]*endpoint{}, overrides: map[string]operatorstate.Override{},
 		stopWatch: func() {},
 	}
 	l.activate(config.NewSnapshot(cfg))
@@ -173,21 +173,21 @@
 // run handles events until the loop's context ends.
 func (l *loop) run() {
 	now := l.clock.now()
-	l.heard = now
+	l.lastListAt = now
 	l.logConfiguration(nil, nil)
 	l.balancer.Start(now)
-	if l.learned != nil {
-		l.balancer.Restore(l.learned)
+	if l.warmStart != nil {
+		l.balancer.Restore(l.warmStart)
 	}
 	if len(l.cfg.KnownEndpoints.Hosts) > 0 {
-		l.members(now, balancer.ListCached, l.cfg.KnownEndpoints)
+		l.updateEndpoints(now, balancer.ListCached, l.cfg.KnownEndpoints)
 	}
 	if !l.cfg.Settings.SubscribeToDiscovery {
 		l.Watch(true)
 	}
-	prune := time.NewTicker(pruneEvery)
+	prune := time.NewTicker(pruneInterval)
 	defer prune.Stop()
-	stats := time.NewTicker(statsEvery)
+	stats := time.NewTicker(statsInterval)
 	defer stats.Stop()
 	for {
 		select {
@@ -202,9 +202,9 @@
 		case event := <-l.events:
 			event(l.clock.now())
 		case <-prune.C:
-			l.up.Prune()
-			if l.keep != nil {
-				l.keep(l.clock.now(), l.balancer.Estimates())
+			l.upstream.Prune()
+			if l.saveEstimates != nil {
+				l.saveEstimates(l.clock.now(), l.balancer.Estimates())
 			}
 		case <-stats.C:
 			l.logStats(l.clock.now())
@@ -216,29 +216,29 @@
 
 // logStats records what was counted since the last such line; a quiet time leaves none.
 func (l *loop) logStats(now balancer.Micros) {
-	stats, up := l.balancer.Stats(now), l.up.Counts()
+	stats, up := l.balancer.Stats(now), l.upstream.Counts()
 	staged := l.stages.Totals()
 	var closed downstream.CloseCounts
-	if l.closes != nil {
-		closed = l.closes()
+	if l.closeCounts != nil {
+		closed = l.closeCounts()
 	}
-	if stats.Requests != l.stats.Requests {
+	if stats.Requests != l.lastStats.Requests {
 		inForce := l.current.Load()
-		l.log.Info("statistics", "balancer", stats.Since(&l.stats), "list_age_ms", (now-l.heard)/1000, "list_seq", l.from.Newest, "discovery_calls", l.calls.since(l.asked), "dials", up.Dials-l.dials.Dials,
-			"dial_ms", (up.DialTime-l.dials.DialTime).Milliseconds()/int64(max(1, up.Dials-l.dials.Dials)),
-			"dial_failed", up.Failed-l.dials.Failed, "connection_limit", up.LimitReached-l.dials.LimitReached, "connections", up.Open, "event_wait_ms", float64(l.lag.Microseconds())/1000,
-			"stages_us", staged.MeansSince(l.staged), "client_closes", closed.Since(l.closed),
-			"generation", inForce.Generation, "hash", inForce.FileHash, "reloads", inForce.Generation-config.FirstGeneration, "reloads_rejected", l.refused)
+		l.log.Info("statistics", "balancer", stats.Since(&l.lastStats), "list_age_ms", (now-l.lastListAt)/1000, "list_seq", l.position.Newest, "discovery_calls", l.calls.since(l.lastCalls), "dials", up.Dials-l.lastUpstream.Dials,
+			"dial_ms", (up.DialTime-l.lastUpstream.DialTime).Milliseconds()/int64(max(1, up.Dials-l.lastUpstream.Dials)),
+			"dial_failed", up.Failed-l.lastUpstream.Failed, "connection_limit", up.LimitReached-l.lastUpstream.LimitReached, "connections", up.Open, "event_wait_ms", float64(l.maxEventWait.Microseconds())/1000,
+			"stages_us", staged.MeansSince(l.lastStages), "client_closes", closed.Since(l.lastCloses),
+			"generation", inForce.Generation, "hash", inForce.FileHash, "reloads", inForce.Generation-config.FirstGeneration, "reloads_rejected", l.rejectedReloads)
 	}
-	l.staged, l.closed = staged, closed
-	l.stats, l.dials, l.asked, l.lag = stats, up, l.calls, 0
+	l.lastStages, l.lastCloses = staged, closed
+	l.lastStats, l.lastUpstream, l.lastCalls, l.maxEventWait = stats, up, l.calls, 0
 }
 
 // post hands an event to the loop. It must not be called from the loop.
 func (l *loop) post(event func(now balancer.Micros)) {
 	posted := time.Now()
 	timed := func(now balancer.Micros) {
-		l.lag = max(l.lag, time.Since(posted))
+		l.maxEventWait = max(l.maxEventWait, time.Since(posted))
 		event(now)
 	}
 	select {
@@ -262,10 +262,10 @@
 	}
 }
 
-// take passes a new request to the balancer.
-func (l *loop) take(now balancer.Micros, r *request, in balancer.Request) {
-	l.lastID++
-	r.id, in.ID, r.deadline = l.lastID, l.lastID, in.Deadline
+// admit passes a new request to the balancer.
+func (l *loop) admit(now balancer.Micros, r *request, in balancer.Request) {
+	l.lastRequestID++
+	r.id, in.ID, r.deadline = l.lastRequestID, l.lastRequestID, in.Deadline
 	l.requests[r.id] = r
 	r.times.Dequeued = time.Now()
 	if in.ReceivedUnder == &l.cfg.Settings {
@@ -274,7 +274,7 @@
 	if up := r.message.Upload; up != nil {
 		up.OnWritten = func() {
 			l.post(func(at balancer.Micros) {
-				if !r.over {
+				if !r.finished {
 					r.deadline = at + time.Until(up.Deadline()).Microseconds()
 					l.balancer.HandleBodyWritten(at, r.id, r.deadline)
 				}
@@ -285,47 +285,47 @@
 	l.forget(r)
 }
 
-// gone tells that the client went away.
-func (l *loop) gone(now balancer.Micros, r *request) {
-	if r.over {
-		unread := <-r.answer
+// clientGone tells that the client went away.
+func (l *loop) clientGone(now balancer.Micros, r *request) {
+	if r.finished {
+		unread := <-r.response
 		unread.close()
 		return
 	}
 	l.trace(r, "client disconnected", "attempts", len(r.attempts))
-	r.end()
+	r.finish()
 	l.balancer.HandleClientGone(now, r.id)
 	l.forget(r)
 }
 
-// outcome tells how an attempt ended: exactly once for each, also after the
+// handleOutcome tells how an attempt ended: exactly once for each, also after the
 // request's end, when the balancer still learns from it.
-func (l *loop) outcome(now balancer.Micros, r *request, o balancer.Outcome, res upstream.Result) {
-	r.out--
-	l.trace(r, "attempt finished", "number", o.Attempt, "status", o.Status, "error", res.Err, "after_us", o.Latency, "over", r.over)
+func (l *loop) handleOutcome(now balancer.Micros, r *request, o balancer.Outcome, res upstream.Result) {
+	r.inFlight--
+	l.trace(r, "attempt finished", "number", o.Attempt, "status", o.Status, "error", res.Err, "after_us", o.Latency, "over", r.finished)
 	if res.Status == balancer.OK {
-		r.timed(res.Times)
-		l.finish(r, answer{code: http.StatusOK, header: res.Header, body: res.Body,
-			rest: res.Rest, length: res.Length, held: res.Release})
+		r.recordTimes(res.Times)
+		l.respond(r, finalResponse{code: http.StatusOK, header: res.Header, body: res.Body,
+			remainder: res.Rest, length: res.Length, releaseBody: res.Release})
 	}
-	o.Answered, o.LoadReport = r.over, l.loadOf(res)
+	o.Answered, o.LoadReport = r.finished, l.currentLoadReport(res)
 	l.balancer.HandleOutcome(now, o)
 	l.forget(r)
 }
 
-// finish gives the final answer, unless one is out already.
-func (l *loop) finish(r *request, a answer) {
-	if r != nil && !r.over {
+// respond gives the final answer, unless one is out already.
+func (l *loop) respond(r *request, a finalResponse) {
+	if r != nil && !r.finished {
 		l.trace(r, "final response", "code", a.code, "attempts", len(r.attempts))
-		r.end()
-		r.answer <- a // it has room for the one
+		r.finish()
+		r.response <- a // it has room for the one
 		return
 	}
 	a.close()
 }
 
 func (l *loop) forget(r *request) {
-	if r.over && r.out == 0 {
+	if r.finished && r.inFlight == 0 {
 		delete(l.requests, r.id)
 	}
 }
@@ -333,22 +333,22 @@
 // Send starts an attempt.
 func (l *loop) Send(id uint64, endpoint uint32, latest balancer.Micros) {
 	r, t := l.requests[id], l.acquire(endpoint)
-	now, g := l.clock.now(), &upstream.Gate{ClientGone: r.gone}
+	now, g := l.clock.now(), &upstream.Gate{ClientGone: r.clientLeft}
 	if latest > 0 {
-		g.NotAfter = l.clock.time(latest)
+		g.NotAfter = l.clock.timeAt(latest)
 	}
-	ctx, cancel := context.WithDeadline(l.ctx, l.clock.time(r.deadline))
+	ctx, cancel := context.WithDeadline(l.ctx, l.clock.timeAt(r.deadline))
 	o := balancer.Outcome{ID: id, Attempt: len(r.attempts), Endpoint: endpoint}
 	l.trace(r, "attempt started", "number", o.Attempt, "endpoint", endpoint, "known", t != nil)
 	if len(r.attempts) == 0 {
 		r.times.Sent = time.Now()
 	}
-	r.attempts = append(r.attempts, started{cancel, g})
-	r.out++
+	r.attempts = append(r.attempts, attempt{cancel, g})
+	r.inFlight++
 	go func() {
 		res := upstream.Result{Status: balancer.NotSent}
 		if t != nil {
-			res = l.up.Attempt(ctx, t, r.message, g)
+			res = l.upstream.Attempt(ctx, t, r.message, g)
 		}
 		cancel()
 		l.post(func(at balancer.Micros) {
@@ -358,7 +358,7 @@
 					o.Latency = time.Since(up.WrittenAt).Microseconds()
 				}
 			}
-			l.outcome(at, r, o, res)
+			l.handleOutcome(at, r, o, res)
 			l.release(endpoint)
 		})
 	}()
@@ -366,12 +366,12 @@
 
 // Reject answers that a retry is harmless, and when it is welcome.
 func (l *loop) Reject(id uint64, retryAfter balancer.Micros) {
-	l.finish(l.requests[id], answer{code: http.StatusServiceUnavailable, retryAfter: retryAfter})
+	l.respond(l.requests[id], finalResponse{code: http.StatusServiceUnavailable, retryAfter: retryAfter})
 }
 
 // Fail answers that the request failed.
 func (l *loop) Fail(id uint64) {
-	l.finish(l.requests[id], answer{code: http.StatusBadGateway})
+	l.respond(l.requests[id], finalResponse{code: http.StatusBadGateway})
 }
 
 // Cancel gives an attempt up: its connection is closed, its outcome still comes.
@@ -394,10 +394,10 @@
 	go func() {
 		res := upstream.Result{Status: balancer.NotSent}
 		if t != nil {
-			res = l.up.Probe(l.ctx, t)
+			res = l.upstream.Probe(l.ctx, t)
 		}
 		l.post(func(now balancer.Micros) {
-			l.balancer.HandleProbe(now, endpoint, res.Status, res.Took.Microseconds(), l.loadOf(res))
+			l.balancer.HandleProbe(now, endpoint, res.Status, res.Took.Microseconds(), l.currentLoadReport(res))
 			l.release(endpoint)
 		})
 	}()
@@ -414,11 +414,11 @@
 func (l *loop) Log(line string) { l.log.Info(line) }
 
 // close ends what an answer holds. It comes once for each, also where nobody takes it.
-func (a *answer) close() {
-	if a.rest != nil {
-		a.rest.Close()
+func (a *finalResponse) close() {
+	if a.remainder != nil {
+		a.remainder.Close()
 	}
-	if a.held != nil {
-		a.held()
+	if a.releaseBody != nil {
+		a.releaseBody()
 	}
 }
--- a/internal/sidecar/parse.go
+++ b/internal/sidecar/parse.go
@@ -11,37 +11,37 @@
 	"oakproxy/internal/downstream"
 )
 
-// reject turns a request away, with its connection: what else a client sends
+// rejectInvalid turns a request away, with its connection: what else a client sends
 // that gets this much wrong is not worth reading.
-func reject(w http.ResponseWriter, in *http.Request, err error) {
+func rejectInvalid(w http.ResponseWriter, in *http.Request, err error) {
 	code := http.StatusBadRequest
 	var b *downstream.RequestError
 	if errors.As(err, &b) {
 		code = b.StatusCode
 	}
 	reason := err.Error() + "\n"
-	turnAway(w, in, answer{code: code, body: []byte(reason),
+	rejectUnread(w, in, finalResponse{code: code, body: []byte(reason),
 		header: http.Header{"Content-Type": {"text/plain; charset=utf-8"}, "X-Content-Type-Options": {"nosniff"}}})
 }
 
-// single headers have one value. A second one could be the one that somebody
+// singleValueHeaders headers have one value. A second one could be the one that somebody
 // else on the way goes by.
-var single = []string{"X-Correlation-Id", "X-Service-Class", "X-Account", "X-Session-Key",
+var singleValueHeaders = []string{"X-Correlation-Id", "X-Service-Class", "X-Account", "X-Session-Key",
 	"X-Time-Left-Ms", "X-Repeat", "X-Weight-Hint", "Idempotency-Key"}
 
-// hashed makes a number of a name, the same at every sidecar.
-func hashed(name string) uint64 {
+// hashName makes a number of a name, the same at every sidecar.
+func hashName(name string) uint64 {
 	hash := fnv.New64a()
 	hash.Write([]byte(name))
 	return hash.Sum64()
 }
 
-// parse reads the headers of a request.
-func (s *server) parse(in *http.Request, arrived balancer.Micros) (balancer.Request, error) {
+// parseRequest reads the headers of a request.
+func (s *server) parseRequest(in *http.Request, arrived balancer.Micros) (balancer.Request, error) {
 	inForce := s.loop.current.Load()
 	req := balancer.Request{ReceivedUnder: &inForce.Settings}
 	h := in.Header
-	for _, name := range single {
+	for _, name := range singleValueHeaders {
 		if len(h[name]) > 1 {
 			return req, downstream.NewBadRequest("%s is there %d times", name, len(h[name]))
 		}
@@ -78,14 +78,14 @@
 		return req, downstream.NewBadRequest("X-Time-Left-Ms: %q is not a whole number of milliseconds", h.Get("X-Time-Left-Ms"))
 	}
 	left = min(left, uint64(maxTimeLeft.Milliseconds()))
-	req.Deadline = arrived + int64(left)*1000 - answerMargin.Microseconds()
+	req.Deadline = arrived + int64(left)*1000 - responseMargin.Microseconds()
 	if len(inForce.Tenants) > 0 {
 		if req.Tenant, ok = inForce.Tenants[h.Get("X-Account")]; !ok {
 			return req, downstream.NewBadRequest("X-Account: %q is not a known tenant", h.Get("X-Account"))
 		}
 	}
 	if key := h.Get("X-Session-Key"); key != "" {
-		req.Key = hashed(key)
+		req.Key = hashName(key)
 	}
 	if hint := h.Get("X-Weight-Hint"); hint != "" {
 		micros, err := strconv.ParseUint(hint, 10, 63)
--- a/internal/sidecar/processes.go
+++ b/internal/sidecar/processes.go
@@ -9,12 +9,12 @@
 )
 
 const (
-	seatPoll = 100 * time.Millisecond
-	heapPart = 8 // tenths of the memory limit: the runtime does not count all
+	slotPollInterval = 100 * time.Millisecond
+	heapTenths       = 8 // tenths of the memory limit: the runtime does not count all
 )
 
-// sit takes a place among the processes of this sidecar; where none is to be had for now, company goes on trying.
-func (s *server) sit(ctx context.Context, dir string) {
+// acquireSlot takes a place among the processes of this sidecar; where none is to be had for now, company goes on trying.
+func (s *server) acquireSlot(ctx context.Context, dir string) {
 	var own *handover.Slot
 	err := system.RetryAtStart(ctx, func() (err error) {
 		own, err = handover.AcquireSlot(dir)
@@ -24,28 +24,28 @@
 		s.log.Warn("process slot not acquired", "error", err)
 		return
 	}
-	s.seat.Store(own)
+	s.slot.Store(own)
 }
 
-// company has the server live with other processes of its sidecar until ctx ends:
+// followPeers has the server live with other processes of its sidecar until ctx ends:
 // it takes its part of what the platform grants them together.
-func (s *server) company(ctx context.Context, dir string) {
-	tick := time.NewTicker(seatPoll)
+func (s *server) followPeers(ctx context.Context, dir string) {
+	tick := time.NewTicker(slotPollInterval)
 	defer tick.Stop()
 	notified, of := false, 1
 	for {
-		if s.seat.Load() == nil {
+		if s.slot.Load() == nil {
 			if own, err := handover.AcquireSlot(dir); err == nil {
-				s.seat.Store(own)
+				s.slot.Store(own)
 			}
 		}
-		if own := s.seat.Load(); own != nil {
+		if own := s.slot.Load(); own != nil {
 			if alive, _ := own.Peers(); alive+1 != of {
 				of = alive + 1
-				s.share(of)
+				s.setProcesses(of)
 				s.log.Info("processes of this sidecar", "count", of)
 			}
-			if !notified && s.loop.listed.Load() {
+			if !notified && s.loop.endpointsKnown.Load() {
 				notified = own.MarkReady() == nil // a full disk may take it later
 			}
 		}
@@ -57,29 +57,29 @@
 	}
 }
 
-// share limits this process to one of n equal parts of the sidecar's limits.
-func (s *server) share(n int) {
-	s.limits.Lock()
-	defer s.limits.Unlock()
+// setProcesses limits this process to one of n equal parts of the sidecar's limits.
+func (s *server) setProcesses(n int) {
+	s.limitsMu.Lock()
+	defer s.limitsMu.Unlock()
 	s.processes = n
-	s.limit()
+	s.applyLimits()
 }
 
-// relimit has limits that have changed hold.
-func (s *server) relimit() {
-	s.limits.Lock()
-	defer s.limits.Unlock()
-	s.limit()
+// reapplyLimits has limits that have changed hold.
+func (s *server) reapplyLimits() {
+	s.limitsMu.Lock()
+	defer s.limitsMu.Unlock()
+	s.applyLimits()
 }
 
-// limit sets this process's part of the limits. It holds s.limits.
-func (s *server) limit() {
+// applyLimits sets this process's part of the limits. It holds s.limits.
+func (s *server) applyLimits() {
 	cfg, n := s.loop.current.Load(), s.processes
-	most := max(minConnections, (cfg.Limits.Sockets/n-socketSpare)/2)
-	s.clients.SetLimits(most, cfg.Limits.Sockets/crowdPart/n)
-	s.loop.up.SetMaxConnections(most)
-	s.loop.up.Bodies.Limit.Store(int64(cfg.Limits.MemoryMB) << 20 / bodiesPart / int64(n))
+	most := max(minConnections, (cfg.Limits.Sockets/n-reservedSockets)/2)
+	s.clients.SetLimits(most, cfg.Limits.Sockets/crowdedDivisor/n)
+	s.loop.upstream.SetMaxConnections(most)
+	s.loop.upstream.Bodies.Limit.Store(int64(cfg.Limits.MemoryMB) << 20 / bodyMemoryDivisor / int64(n))
 	if limit := cfg.Host.LimitMemory; limit != nil {
-		limit(int64(cfg.Limits.MemoryMB) << 20 / 10 * heapPart / int64(n))
+		limit(int64(cfg.Limits.MemoryMB) << 20 / 10 * heapTenths / int64(n))
 	}
 }
--- a/internal/sidecar/reload.go
+++ b/internal/sidecar/reload.go
@@ -19,7 +19,7 @@
 // endpoints and what is known of them stay.
 func (l *loop) reload(next *config.Config) {
 	if next.Err != nil {
-		l.refuse(next.Err)
+		l.rejectReload(next.Err)
 		return
 	}
 	old, merged := l.cfg, l.cfg.Merge(next)
@@ -32,14 +32,14 @@
 	}
 	withdrawn, err := l.balancer.Reconfigure(merged.Settings)
 	if err != nil {
-		l.refuse(err)
+		l.rejectReload(err)
 		return
 	}
 	l.activate(l.current.Load().ReplacedBy(merged, next.Hash()))
-	l.withdraw(withdrawn)
-	l.up.Configure(merged)
-	if old.Limits != merged.Limits && l.relimit != nil {
-		l.relimit()
+	l.cancelUnsent(withdrawn)
+	l.upstream.Configure(merged)
+	if old.Limits != merged.Limits && l.limitsChanged != nil {
+		l.limitsChanged()
 	}
 	if old.ChangesDiscovery(merged) {
 		l.restartWatch()
@@ -47,11 +47,11 @@
 	l.logConfiguration(old.ChangedParts(merged), restart)
 }
 
-// refuse records that a configuration can't be taken.
-func (l *loop) refuse(err error) {
-	l.refused++
+// rejectReload records that a configuration can't be taken.
+func (l *loop) rejectReload(err error) {
+	l.rejectedReloads++
 	inForce := l.current.Load()
-	l.log.Error("configuration not reloaded", "error", err, "reloads_rejected", l.refused,
+	l.log.Error("configuration not reloaded", "error", err, "reloads_rejected", l.rejectedReloads,
 		"generation", inForce.Generation, "hash", inForce.FileHash)
 }
 
@@ -68,8 +68,8 @@
 	l.log.Info("configuration in force", attributes...)
 }
 
-// withdraw keeps attempts from beginning. Those that have begun go on.
-func (l *loop) withdraw(attempts []balancer.AttemptID) {
+// cancelUnsent keeps attempts from beginning. Those that have begun go on.
+func (l *loop) cancelUnsent(attempts []balancer.AttemptID) {
 	for _, a := range attempts {
 		if started := l.requests[a.Request].attempts[a.Attempt]; started.gate.Close() {
 			started.cancel()
@@ -80,22 +80,22 @@
 // restartWatch has discovery asked for its whole list by the configuration in force: versions may be another
 // service's.
 func (l *loop) restartWatch() {
-	old := l.disc
-	l.disc = newDiscoveryFor(l.cfg)
-	l.from.After, l.from.VersionResetAt = nil, time.Now().Add(discovery.MovedVersionGrace)
+	old := l.discovery
+	l.discovery = newDiscoveryClient(l.cfg)
+	l.position.After, l.position.VersionResetAt = nil, time.Now().Add(discovery.MovedVersionGrace)
 	l.Watch(true)
 	old.HTTP.CloseIdleConnections()
 }
 
-// loadOf returns a result's load report, unless reports have come to name other figures since it was read.
-func (l *loop) loadOf(res upstream.Result) []float32 {
-	if res.Report != l.up.Report.Load() {
+// currentLoadReport returns a result's load report, unless reports have come to name other figures since it was read.
+func (l *loop) currentLoadReport(res upstream.Result) []float32 {
+	if res.Report != l.upstream.Report.Load() {
 		return nil
 	}
 	return res.Load
 }
 
-// rampTime is how long an endpoint takes to be warm.
-func (l *loop) rampTime() time.Duration {
+// slowStartDuration is how long an endpoint takes to be warm.
+func (l *loop) slowStartDuration() time.Duration {
 	return time.Duration(l.current.Load().Settings.Contract.SlowStartDuration) * time.Microsecond
 }
--- a/internal/sidecar/reload_test.go
+++ b/internal/sidecar/reload_test.go
@@ -183,7 +183,7 @@
 			w.loop.post(func(balancer.Micros) { <-busy })
 			answer := make(chan reply)
 			go func() { answer <- w.send(w.request("pay", "x", time.Minute)) }()
-			w.until("the request to be read", func() bool { return w.server.inHand.count() == 1 })
+			w.until("the request to be read", func() bool { return w.server.inFlight.count() == 1 })
 			go w.loop.runUrgent(func(balancer.Micros) { w.loop.reload(next) })
 			w.until("the reload to wait", func() bool { return len(w.loop.urgent) == 1 })
 			close(busy)
@@ -220,7 +220,7 @@
 			w := start(t, nil, ready("s-1", sidecartest.NewEndpoint(t, serve).Address), ready("s-2", sidecartest.NewEndpoint(t, serve).Address))
 			dialling, goOn := make(chan struct{}), make(chan struct{})
 			w.do(func() {
-				w.loop.up.Dialer.Control = func(string, string, syscall.RawConn) error {
+				w.loop.upstream.Dialer.Control = func(string, string, syscall.RawConn) error {
 					if dials.Add(1) == c.held {
 						close(dialling)
 						<-goOn
@@ -340,20 +340,20 @@
 	w.until("the watch", func() bool { return w.dir.count() == 2 })
 	drained := ready("s-1", e.Address)
 	drained.Health = "Terminating"
-	var before, after map[uint32]member
+	var before, after map[uint32]endpoint
 	var watch, same *discovery.Client
-	members := func() map[uint32]member {
-		all := map[uint32]member{}
-		for id, m := range w.loop.fleet {
+	members := func() map[uint32]endpoint {
+		all := map[uint32]endpoint{}
+		for id, m := range w.loop.endpoints {
 			all[id] = *m
 		}
 		return all
 	}
 	w.do(func() {
 		now := w.loop.clock.now()
-		w.loop.members(now, balancer.ListDelta, discovery.List{Hosts: []discovery.Entry{drained}})
-		w.loop.mark(now, []operatorstate.Override{{Name: "s-2", Cordoned: true}})
-		before, watch = members(), w.loop.disc
+		w.loop.updateEndpoints(now, balancer.ListDelta, discovery.List{Hosts: []discovery.Entry{drained}})
+		w.loop.applyOverrides(now, []operatorstate.Override{{Name: "s-2", Cordoned: true}})
+		before, watch = members(), w.loop.discovery
 	})
 	next := *configure(t, w.dir.address, func(s map[string]any) {
 		limits := s["limits"].(map[string]any)
@@ -362,28 +362,28 @@
 	})
 	next.Limits.Sockets = 128
 	var old, read upstream.Result
-	old.Load, old.Report = w.loop.up.LoadReport("failed_ps=1,pending=2")
+	old.Load, old.Report = w.loop.upstream.LoadReport("failed_ps=1,pending=2")
 	w.do(func() {
 		w.loop.reload(&next)
-		after, same = members(), w.loop.disc
-		read.Load, read.Report = w.loop.up.LoadReport("failed_ps=1,pending=2")
-		if load := w.loop.loadOf(read); len(load) != 1 || load[0] != 2 {
+		after, same = members(), w.loop.discovery
+		read.Load, read.Report = w.loop.upstream.LoadReport("failed_ps=1,pending=2")
+		if load := w.loop.currentLoadReport(read); len(load) != 1 || load[0] != 2 {
 			t.Errorf("a report by the new fields: %v", load)
 		}
-		if load := w.loop.loadOf(old); load != nil {
+		if load := w.loop.currentLoadReport(old); load != nil {
 			t.Errorf("a report that was read by the old fields tells %v", load)
 		}
 	})
-	if len(before) != 2 || before[1] != after[1] || before[2] != after[2] || !w.loop.marks["s-2"].Cordoned {
+	if len(before) != 2 || before[1] != after[1] || before[2] != after[2] || !w.loop.overrides["s-2"].Cordoned {
 		t.Errorf("endpoints %+v, were %+v", after, before)
 	}
 	if watch != same || w.dir.count() != 2 {
 		t.Error("a change of settings asks discovery again")
 	}
-	if got, want := w.loop.up.Limits(), (upstream.ConnectionLimits{DialTimeout: 7 * time.Millisecond, MaxIdle: 3 * time.Millisecond, MaxConnections: connections(&next)}); got != want {
+	if got, want := w.loop.upstream.Limits(), (upstream.ConnectionLimits{DialTimeout: 7 * time.Millisecond, MaxIdle: 3 * time.Millisecond, MaxConnections: maxConnections(&next)}); got != want {
 		t.Errorf("limits %+v, want %+v", got, want)
 	}
-	if most, maxAsked := w.server.clients.Limits(); most != connections(&next) || maxAsked != 128/crowdPart {
+	if most, maxAsked := w.server.clients.Limits(); most != maxConnections(&next) || maxAsked != 128/crowdedDivisor {
 		t.Errorf("%d connections of clients, %d asked on", most, maxAsked)
 	}
 }
@@ -411,15 +411,15 @@
 	}
 
 	w = start(t, nil, ready("s-1", e.Address))
-	w.server.acceptFor = sidecartest.Patience
-	w.server.drained.Store(true)
+	w.server.drainPeriod = sidecartest.Patience
+	w.server.drainedByOperator.Store(true)
 	w.reload(searching)
 	got := w.send(w.request("search", "x", time.Minute))
-	if got.code != http.StatusOK || w.server.isReady() {
+	if got.code != http.StatusOK || w.server.acceptsRequests() {
 		t.Errorf("in a drain by hand: %+v", got)
 	}
 	w.stop()
-	w.until("the end of service", w.server.leaving)
+	w.until("the end of service", w.server.draining)
 	w.reload(func(s map[string]any) {
 		s["classes"] = []any{map[string]any{"name": "find", "repeat": "side_effect", "target": 1, "give-up": 1}}
 	})
--- a/internal/sidecar/server.go
+++ b/internal/sidecar/server.go
@@ -20,16 +20,16 @@
 )
 
 const (
-	answerMargin = 2 * time.Millisecond   // of a client's time, kept for writing the final answer: some have 40 ms in all
-	sweepEvery   = 20 * time.Millisecond  // while clients are to leave
-	minQuiet     = 200 * time.Millisecond // without a request, after which a client that is to leave is made to:
-	minSilent    = time.Second            // the application's clients use most connections sooner, new ones at once
-	socketSpare  = 32                     // descriptors for discovery, logs and the runtime
-	busyRetry    = time.Second            // wait told to clients that find all room for bodies in use
-	maxTimeLeft  = time.Minute            // that a request gets
-	maxIDLength  = 256                    // characters of an id: an id of the protocol has 16
-	crowdPart    = 6                      // of the descriptors: clients hold twice as many for requests at most
-	bodiesPart   = 8                      // of the memory, this part may hold bodies of requests
+	responseMargin    = 2 * time.Millisecond   // of a client's time, kept for writing the final answer: some have 40 ms in all
+	sweepInterval     = 20 * time.Millisecond  // while clients are to leave
+	minIdleUsed       = 200 * time.Millisecond // without a request, after which a client that is to leave is made to:
+	minIdleUnused     = time.Second            // the application's clients use most connections sooner, new ones at once
+	reservedSockets   = 32                     // descriptors for discovery, logs and the runtime
+	busyRetryAfter    = time.Second            // wait told to clients that find all room for bodies in use
+	maxTimeLeft       = time.Minute            // that a request gets
+	maxIDLength       = 256                    // characters of an id: an id of the protocol has 16
+	crowdedDivisor    = 6                      // of the descriptors: clients hold twice as many for requests at most
+	bodyMemoryDivisor = 8                      // of the memory, this part may hold bodies of requests
 
 	// A client that takes longer is silent, slow on purpose or dead, and 3 s are the
 	// most it may stay.
@@ -40,21 +40,21 @@
 
 // server takes the application's requests.
 type server struct {
-	loop      *loop
-	log       *slog.Logger
-	http      http.Server
-	clients   *downstream.Listener
-	ending    atomic.Bool
-	admission *requestAdmission
-	drained   atomic.Bool // by hand
+	loop              *loop
+	log               *slog.Logger
+	http              http.Server
+	clients           *downstream.Listener
+	terminating       atomic.Bool
+	admission         *requestAdmission
+	drainedByOperator atomic.Bool // by hand
 
-	inHand inHand
+	inFlight inFlightRequests
 
-	limits    sync.Mutex // held while they are set
+	limitsMu  sync.Mutex // held while they are set
 	processes int        // of this sidecar, among which the limits are shared
 
-	acceptFor time.Duration                 // after SIGTERM
-	seat      atomic.Pointer[handover.Slot] // among the processes of this sidecar; nil where there can be no other
+	drainPeriod time.Duration                 // after SIGTERM
+	slot        atomic.Pointer[handover.Slot] // among the processes of this sidecar; nil where there can be no other
 }
 
 // Run serves until ctx ends, then answers what it has taken and returns. Any number of new configurations may come
@@ -87,26 +87,26 @@
 	}()
 	if cfg.Passed != "" { // another process may take over
 		m := warmstart.NewStore(loopCtx, cfg.Name, cfg.Host, log)
-		l.learned, l.keep = m.Load(l.clock.now()), m.Save
+		l.warmStart, l.saveEstimates = m.Load(l.clock.now()), m.Save
 	}
 	s := newServer(l)
-	s.share(1)
+	s.setProcesses(1)
 	if cfg.Passed != "" {
-		s.sit(ctx, cfg.Host.Directory)
-		go s.company(loopCtx, cfg.Host.Directory)
+		s.acquireSlot(ctx, cfg.Host.Directory)
+		go s.followPeers(loopCtx, cfg.Host.Directory)
 	}
 	if second != nil {
 		a := newAdmin(s)
 		a.load()
 		go a.serve(second)
 	}
-	defer l.up.SetMaxConnections(0) // the process may live on: idle connections end with the sidecar
+	defer l.upstream.SetMaxConnections(0) // the process may live on: idle connections end with the sidecar
 	return s.serve(ctx, listener)
 }
 
-// connections is the most that clients may hold, and the most to endpoints:
+// maxConnections is the most that clients may hold, and the most to endpoints:
 // every client's request has one attempt at a time.
-func connections(cfg *config.Config) int { return (cfg.Limits.Sockets - socketSpare) / 2 }
+func maxConnections(cfg *config.Config) int { return (cfg.Limits.Sockets - reservedSockets) / 2 }
 
 // minConnections are left to each of two processes, however few descriptors there are.
 const minConnections = 12
@@ -114,12 +114,12 @@
 func (s *server) serve(ctx context.Context, listener net.Listener) error {
 	s.clients.Listener = listener
 	go s.loop.run()
-	go s.usher()
+	go s.closeIdleWhileDraining()
 	served := make(chan error, 1)
 	go func() {
 		// A process that takes over leaves clients to the other one until it can serve them.
-		for s.accompanied() && !s.loop.listed.Load() && ctx.Err() == nil {
-			time.Sleep(sweepEvery)
+		for s.hasPeer() && !s.loop.endpointsKnown.Load() && ctx.Err() == nil {
+			time.Sleep(sweepInterval)
 		}
 		if ctx.Err() == nil {
 			served <- s.http.Serve(s.clients)
@@ -136,15 +136,15 @@
 	return nil
 }
 
-// connKey finds the connection of a request in its context.
-type connKey struct{}
+// connContextKey finds the connection of a request in its context.
+type connContextKey struct{}
 
 func newServer(l *loop) *server {
 	s := &server{loop: l, log: l.log, processes: 1, admission: newRequestAdmission(),
-		clients: &downstream.Listener{Log: l.log, MaxConnections: connections(l.cfg), MaxUsed: l.cfg.Limits.Sockets / crowdPart}, acceptFor: acceptAfter}
-	l.relimit, l.closes = s.relimit, s.clients.CloseCounts
+		clients: &downstream.Listener{Log: l.log, MaxConnections: maxConnections(l.cfg), MaxUsed: l.cfg.Limits.Sockets / crowdedDivisor}, drainPeriod: defaultDrainPeriod}
+	l.limitsChanged, l.closeCounts = s.reapplyLimits, s.clients.CloseCounts
 	// Not a ServeMux: it would redirect paths that endpoints are to see as they are.
-	s.http = http.Server{Handler: http.HandlerFunc(s.handle),
+	s.http = http.Server{Handler: http.HandlerFunc(s.serveRequest),
 		ReadHeaderTimeout: readTimeout, WriteTimeout: maxTimeLeft + writeTimeout, IdleTimeout: idleTimeout,
 		MaxHeaderBytes: upstream.MaxHeadBytes, ConnState: func(c net.Conn, state http.ConnState) {
 			if state == http.StateIdle {
@@ -152,14 +152,14 @@
 			}
 		}, ErrorLog: slog.NewLogLogger(l.log.Handler(), slog.LevelWarn),
 		ConnContext: func(ctx context.Context, c net.Conn) context.Context {
-			return context.WithValue(ctx, connKey{}, c)
+			return context.WithValue(ctx, connContextKey{}, c)
 		}}
 	return s
 }
 
-// accompanied says whether another process of this sidecar runs.
-func (s *server) accompanied() bool {
-	seat := s.seat.Load()
+// hasPeer says whether another process of this sidecar runs.
+func (s *server) hasPeer() bool {
+	seat := s.slot.Load()
 	if seat == nil {
 		return false
 	}
@@ -167,9 +167,9 @@
 	return alive > 0
 }
 
-// relieved says whether another process serves the clients that come from now on.
-func (s *server) relieved() bool {
-	seat := s.seat.Load()
+// replaced says whether another process serves the clients that come from now on.
+func (s *server) replaced() bool {
+	seat := s.slot.Load()
 	if seat == nil {
 		return false
 	}
@@ -177,18 +177,18 @@
 	return ready > 0
 }
 
-// leaving says that clients are to go elsewhere: every answer ends its connection.
-func (s *server) leaving() bool { return s.ending.Load() || s.drained.Load() }
+// draining says that clients are to go elsewhere: every answer ends its connection.
+func (s *server) draining() bool { return s.terminating.Load() || s.drainedByOperator.Load() }
 
-// usher makes connections end on which no request comes, while clients are to leave.
-func (s *server) usher() {
-	tick := time.NewTicker(sweepEvery)
+// closeIdleWhileDraining makes connections end on which no request comes, while clients are to leave.
+func (s *server) closeIdleWhileDraining() {
+	tick := time.NewTicker(sweepInterval)
 	defer tick.Stop()
 	for {
 		select {
 		case <-tick.C:
-			if s.leaving() {
-				s.clients.CloseIdle(minQuiet, minSilent)
+			if s.draining() {
+				s.clients.CloseIdle(minIdleUsed, minIdleUnused)
 			}
 		case <-s.loop.ctx.Done():
 			return
@@ -196,25 +196,27 @@
 	}
 }
 
-// hold makes what operators have set hold.
-func (s *server) hold(st operatorstate.State) {
-	if s.drained.Swap(st.Drained) != st.Drained {
+// applyOperatorState makes what operators have set hold.
+func (s *server) applyOperatorState(st operatorstate.State) {
+	if s.drainedByOperator.Swap(st.Drained) != st.Drained {
 		s.log.Info("operator override", "drained", st.Drained)
 	}
-	s.loop.runUrgent(func(now balancer.Micros) { s.loop.mark(now, st.Hosts) })
+	s.loop.runUrgent(func(now balancer.Micros) { s.loop.applyOverrides(now, st.Hosts) })
 }
 
-// isReady says whether clients may send requests here.
-func (s *server) isReady() bool { return !s.leaving() && s.loop.listed.Load() }
+// acceptsRequests says whether clients may send requests here.
+func (s *server) acceptsRequests() bool { return !s.draining() && s.loop.endpointsKnown.Load() }
 
-func (s *server) ready(w http.ResponseWriter) {
-	if s.leaving() {
+func (s *server) handleReady(w http.ResponseWriter) {
+	if s.draining() {
 		w.Header().Set("Connection", "close")
 	}
-	if !s.isReady() {
+	if !s.acceptsRequests() {
 		w.WriteHeader(http.StatusServiceUnavailable)
 	}
 }
 
-// bodyMemory is the memory, in bytes, that a configuration grants to the bodies of requests and answers.
-func bodyMemory(cfg *config.Config) int64 { return int64(cfg.Limits.MemoryMB) << 20 / bodiesPart }
+// bodyMemoryLimit is the memory, in bytes, that a configuration grants to the bodies of requests and answers.
+func bodyMemoryLimit(cfg *config.Config) int64 {
+	return int64(cfg.Limits.MemoryMB) << 20 / bodyMemoryDivisor
+}
--- a/internal/sidecar/sidecar_test.go
+++ b/internal/sidecar/sidecar_test.go
@@ -138,7 +138,7 @@
 			})
 			var given int64
 			given, _ = strconv.ParseInt(e.Request(0).Header.Get("X-Time-Left-Ms"), 10, 64)
-			if most := left - answerMargin; given <= 0 || given > most.Milliseconds() {
+			if most := left - responseMargin; given <= 0 || given > most.Milliseconds() {
 				t.Errorf("the endpoint was given %d ms of %v, want at most %v", given, left, most)
 			}
 			if took := time.Duration(w.loop.clock.now()-sent) * time.Microsecond; took < left/2 {
@@ -301,7 +301,7 @@
 	first, second := sidecartest.NewEndpoint(t, sidecartest.Always(sidecartest.Served)), sidecartest.NewEndpoint(t, sidecartest.Always(sidecartest.Served))
 	w := start(t, nil, ready("s-1", first.Address))
 	dialling, go_ := make(chan struct{}), make(chan struct{})
-	w.loop.up.Dialer.Control = func(_, address string, _ syscall.RawConn) error {
+	w.loop.upstream.Dialer.Control = func(_, address string, _ syscall.RawConn) error {
 		if address == first.Address {
 			close(dialling)
 			<-go_
@@ -318,7 +318,7 @@
 	})
 	w.until("the news", func() bool {
 		moved := false
-		w.do(func() { moved = w.loop.fleet[1].target == nil && w.loop.fleet[2] != nil })
+		w.do(func() { moved = w.loop.endpoints[1].target == nil && w.loop.endpoints[2] != nil })
 		return moved
 	})
 	close(go_)
@@ -339,7 +339,7 @@
 	answer := make(chan struct{})
 	e := sidecartest.NewEndpoint(t, sidecartest.PayWaits(answer))
 	w := start(t, nil, ready("s-1", e.Address))
-	w.server.acceptFor = 3 * time.Second // a busy machine may be slow to connect
+	w.server.drainPeriod = 3 * time.Second // a busy machine may be slow to connect
 	idle, err := net.Dial("tcp", strings.TrimPrefix(w.url, "http://"))
 	if err != nil {
 		t.Fatal(err)
--- a/internal/sidecar/silence_test.go
+++ b/internal/sidecar/silence_test.go
@@ -281,7 +281,7 @@
 	go l.run()
 	t.Cleanup(func() {
 		stop()
-		l.disc.HTTP.CloseIdleConnections()
+		l.discovery.HTTP.CloseIdleConnections()
 		synctest.Wait()
 	})
 	return l
@@ -292,8 +292,8 @@
 func barred(l *loop, name string) bool {
 	got := make(chan bool)
 	l.post(func(int64) {
-		id := l.ids[name]
-		got <- id == 0 || l.fleet[id].target == nil
+		id := l.endpointIDs[name]
+		got <- id == 0 || l.endpoints[id].target == nil
 	})
 	return <-got
 }
--- a/internal/sidecar/stream_test.go
+++ b/internal/sidecar/stream_test.go
@@ -51,14 +51,14 @@
 				}
 				// The client has the last byte a little sooner than the endpoint's connection is given back.
 				w.until("the connection to be given back", func() bool {
-					idle := w.loop.up.IdleConnections()
-					return w.loop.up.Counts().Open == idle && (idle == 1) == c.reused
+					idle := w.loop.upstream.IdleConnections()
+					return w.loop.upstream.Counts().Open == idle && (idle == 1) == c.reused
 				})
 			}
 			if _, conns := e.Seen(); (conns == 1) != c.reused {
 				t.Errorf("%d connections", conns)
 			}
-			w.until("the room to be given back", func() bool { return w.loop.up.Bodies.Used.Load() == 0 })
+			w.until("the room to be given back", func() bool { return w.loop.upstream.Bodies.Used.Load() == 0 })
 		})
 	}
 }
--- a/internal/sidecar/syscalls_test.go
+++ b/internal/sidecar/syscalls_test.go
@@ -58,7 +58,7 @@
 func TestClientThatLeavesBehindItsBody(t *testing.T) {
 	e := sidecartest.NewEndpoint(t, sidecartest.Always(sidecartest.Served))
 	w := start(t, nil, ready("s-1", e.Address))
-	dial := sidecartest.BlockDials(&w.loop.up.Dialer, e.Address)
+	dial := sidecartest.BlockDials(&w.loop.upstream.Dialer, e.Address)
 	conn := w.dial()
 	go func() {
 		fmt.Fprintf(conn, "%sX-Correlation-Id: 1\r\nContent-Length: %d\r\n\r\n%s", sidecartest.PayHead, 2*httpmsg.MaxBufferedBytes, strings.Repeat("x", 2*httpmsg.MaxBufferedBytes))
@@ -66,7 +66,7 @@
 	}()
 	<-dial.Begun
 	sidecartest.Await(t, "the client's end", func() bool {
-		for _, r := range w.server.inHand.all() {
+		for _, r := range w.server.inFlight.all() {
 			if r.conn.ClientLeft() {
 				return true
 			}
--- a/internal/sidecar/termination.go
+++ b/internal/sidecar/termination.go
@@ -11,7 +11,7 @@
 // Termination ends the process after SIGTERM in phases. None waits for another one's time limit: each request has its
 // answer by its own deadline, and no request is taken that could not have it.
 //
-//	leaving    from SIGTERM for acceptFor: connections and requests are taken as before; each answer ends its
+//	leaving    from SIGTERM for drainPeriod: connections and requests are taken as before; each answer ends its
 //	           connection, and so does a pause between requests
 //	closed     admission is closed: connections without a request end, a request that is read now is refused before
 //	           any attempt, and a body that is passed on is stopped short of its last byte
@@ -19,12 +19,12 @@
 //	ended      nothing is in hand: what is left is closed
 
 const (
-	acceptAfter     = 600 * time.Millisecond // after SIGTERM: clients go on connecting for 0.4 s, and what comes up to 0.7 s after it is owed an answer
-	killAfter       = 700 * time.Millisecond // SIGKILL comes so long after SIGTERM and the longest deadline,
-	maxKillDeadline = 3 * time.Second        // of which no more than this counts
-	killMargin      = 150 * time.Millisecond // ahead of SIGKILL for ending what is half read
-	answerGrace     = 500 * time.Millisecond // after its client's time is up a request may still be answered
-	endGrace        = 600 * time.Millisecond // with nothing in hand, for clients to end their side: over closeDrain
+	defaultDrainPeriod = 600 * time.Millisecond // after SIGTERM: clients go on connecting for 0.4 s, and what comes up to 0.7 s after it is owed an answer
+	killAfter          = 700 * time.Millisecond // SIGKILL comes so long after SIGTERM and the longest deadline,
+	maxKillDeadline    = 3 * time.Second        // of which no more than this counts
+	killMargin         = 150 * time.Millisecond // ahead of SIGKILL for ending what is half read
+	responseGrace      = 500 * time.Millisecond // after its client's time is up a request may still be answered
+	endGrace           = 600 * time.Millisecond // with nothing in hand, for clients to end their side: over closeDrain
 )
 
 // requestAdmission says whether requests are taken. It closes once, at termination.
@@ -46,23 +46,23 @@
 	}
 }
 
-// refusalAtTermination answers what is read once admission is closed. Nothing of it was sent anywhere: another process
+// terminatingResponse answers what is read once admission is closed. Nothing of it was sent anywhere: another process
 // can serve it at once.
-var refusalAtTermination = answer{code: http.StatusServiceUnavailable}
+var terminatingResponse = finalResponse{code: http.StatusServiceUnavailable}
 
-// refuseTerminating answers a request that was read whole, and ends its connection.
-func refuseTerminating(w http.ResponseWriter) {
+// rejectTerminating answers a request that was read whole, and ends its connection.
+func rejectTerminating(w http.ResponseWriter) {
 	w.Header().Set("Connection", "close")
-	writeAnswer(w, refusalAtTermination)
+	writeFinalResponse(w, terminatingResponse)
 }
 
 // terminate ends the service without losing a request.
 func (s *server) terminate() {
-	s.ending.Store(true)
+	s.terminating.Store(true)
 	begun := time.Now()
 	s.logPhase("shutdown started", begun)
-	closing := begun.Add(s.acceptFor)
-	if !s.relieved() {
+	closing := begun.Add(s.drainPeriod)
+	if !s.replaced() {
 		time.Sleep(time.Until(closing))
 	}
 	if err := s.clients.Listener.Close(); err != nil && !errors.Is(err, net.ErrClosed) {
@@ -72,29 +72,29 @@
 	time.Sleep(time.Until(closing))
 	s.admission.close()
 	s.logPhase("admission closed", begun)
-	s.answerAll(begun, time.Now())
+	s.awaitInFlight(begun, time.Now())
 	s.logPhase("shutdown complete", begun)
 	s.http.Close()
 	requests, stages := s.loop.stages.Summary()
 	s.log.Info("stage latencies", "requests", requests, "median/p99_us", stages)
 }
 
-// answerAll waits until every request in hand has its answer and every connection has ended. What clients leave
+// awaitInFlight waits until every request in hand has its answer and every connection has ended. What clients leave
 // half written is refused shortly before SIGKILL may come, counted from begun.
-func (s *server) answerAll(begun, closed time.Time) {
+func (s *server) awaitInFlight(begun, closed time.Time) {
 	partialUntil := begun.Add(min(s.loop.current.Load().LongestClientTimeout(), maxKillDeadline) + killAfter - killMargin)
 	idle := time.Time{} // since when nothing is in hand
 	// The first wait is for a connection that is being accepted just now.
-	for time.Sleep(sweepEvery); s.clients.Count() > 0; time.Sleep(sweepEvery) {
+	for time.Sleep(sweepInterval); s.clients.Count() > 0; time.Sleep(sweepInterval) {
 		now := time.Now()
 		s.clients.CloseIdle(0, 0)
 		if now.After(partialUntil) {
 			s.clients.RejectPartial()
 		}
-		if due, any := s.inHand.latest(closed); any {
+		if due, any := s.inFlight.latestDeadline(closed); any {
 			idle = time.Time{}
-			if now.After(due.Add(answerGrace)) {
-				s.cutOff()
+			if now.After(due.Add(responseGrace)) {
+				s.abortInFlight()
 				return
 			}
 			continue
@@ -111,16 +111,16 @@
 // logPhase records that a phase of termination begins, and what there is at that moment.
 func (s *server) logPhase(phase string, begun time.Time) {
 	s.log.Info(phase, "after_ms", time.Since(begun).Milliseconds(), "connections", s.clients.Count(),
-		"requests", s.inHand.count(), "replaced", s.relieved())
+		"requests", s.inFlight.count(), "replaced", s.replaced())
 }
 
-// cutOff records each request that the end of the process leaves without its whole answer, and has its client see that
+// abortInFlight records each request that the end of the process leaves without its whole answer, and has its client see that
 // it is not whole.
-func (s *server) cutOff() {
-	for _, r := range s.inHand.all() {
+func (s *server) abortInFlight() {
+	for _, r := range s.inFlight.all() {
 		r.conn.ResetOnClose()
 		s.log.Error("request aborted by shutdown", "id", r.id, "class", r.class,
-			"age_ms", time.Since(r.since).Milliseconds(), "remaining_ms", time.Until(r.until).Milliseconds(),
+			"age_ms", time.Since(r.arrivedAt).Milliseconds(), "remaining_ms", time.Until(r.deadline).Milliseconds(),
 			"connection_age_ms", time.Since(r.conn.AcceptedAt).Milliseconds(), "requests_on_connection", r.conn.Requests)
 	}
 }
--- a/internal/sidecar/termination_test.go
+++ b/internal/sidecar/termination_test.go
@@ -27,7 +27,7 @@
 			c.(map[string]any)["give-up"] = giveUp.Microseconds()
 		}
 	}, ready("s-1", e.Address))
-	w.server.acceptFor = 0
+	w.server.drainPeriod = 0
 	return w, e, func() {
 		w.stop()
 		w.until("admission to be closed", w.server.admission.isClosed)
@@ -168,7 +168,7 @@
 	})
 	closeAdmission()
 	// Shortest deadline and SIGKILL are over; the request's is not.
-	time.Sleep(killAfter + answerGrace + endGrace)
+	time.Sleep(killAfter + responseGrace + endGrace)
 	close(answer)
 	if got := <-got; got.code != http.StatusOK {
 		t.Errorf("the request in hand: %+v", got)
@@ -178,22 +178,22 @@
 
 // The end of the process waits for the latest deadline of what is in hand.
 func TestLatestDeadlineInHand(t *testing.T) {
-	var h inHand
+	var h inFlightRequests
 	now := time.Now()
-	if _, any := h.latest(now); any {
+	if _, any := h.latestDeadline(now); any {
 		t.Error("something is in hand")
 	}
-	a := &openRequest{id: "a", until: now.Add(time.Second)}
-	b := &openRequest{id: "b", until: now.Add(time.Hour), upload: true, timeLeft: 3 * time.Second}
+	a := &openRequest{id: "a", deadline: now.Add(time.Second)}
+	b := &openRequest{id: "b", deadline: now.Add(time.Hour), upload: true, timeLeft: 3 * time.Second}
 	if !h.add(a) || !h.add(b) || h.add(&openRequest{id: "a"}) {
 		t.Fatal("add")
 	}
-	if due, any := h.latest(now); !any || !due.Equal(now.Add(3*time.Second)) {
+	if due, any := h.latestDeadline(now); !any || !due.Equal(now.Add(3*time.Second)) {
 		t.Errorf("due in %v, want 3 s", due.Sub(now))
 	}
 	h.remove(b)
 	h.remove(&openRequest{id: "a"}) // another one of this id
-	if due, any := h.latest(now); !any || !due.Equal(now.Add(time.Second)) {
+	if due, any := h.latestDeadline(now); !any || !due.Equal(now.Add(time.Second)) {
 		t.Errorf("due in %v, want 1 s", due.Sub(now))
 	}
 }
@@ -204,7 +204,7 @@
 	e := sidecartest.NewEndpoint(t, sidecartest.PayWaits(answer))
 	listener := &sidecartest.FaultyListener{}
 	w := startBehind(t, func(inner net.Listener) net.Listener { listener.Listener = inner; return listener }, ready("s-1", e.Address))
-	w.server.acceptFor = 0
+	w.server.drainPeriod = 0
 	got := make(chan reply)
 	go func() { got <- w.send(w.request("pay", "x", time.Minute)) }()
 	w.until("the attempt", func() bool { n, _ := e.Seen(); return n == 1 })
--- a/internal/sidecar/upload_test.go
+++ b/internal/sidecar/upload_test.go
@@ -63,7 +63,7 @@
 	if n, conns := e.Seen(); n != 7 || conns != 1 {
 		t.Errorf("%d requests on %d connections, want 7 on 1", n, conns)
 	}
-	w.until("the room to be given back", func() bool { return w.loop.up.Bodies.Used.Load() == 0 })
+	w.until("the room to be given back", func() bool { return w.loop.upstream.Bodies.Used.Load() == 0 })
 }
 
 // A client may write slowly, and its time counts from the last byte.
@@ -115,7 +115,7 @@
 			if took := time.Since(began); took > sidecartest.Patience/2 {
 				t.Errorf("it took %v", took)
 			}
-			w.until("the room to be given back", func() bool { return w.loop.up.Bodies.Used.Load() == 0 })
+			w.until("the room to be given back", func() bool { return w.loop.upstream.Bodies.Used.Load() == 0 })
 			w.until("the request to be forgotten", func() bool {
 				var n int
 				w.do(func() { n = len(w.loop.requests) })
--- a/internal/sidecar/watch.go
+++ b/internal/sidecar/watch.go
@@ -20,7 +20,7 @@
 	}
 	ctx, stop := context.WithCancel(l.ctx)
 	l.stopWatch = stop
-	from, disc, subscribe := l.from, l.disc, l.cfg.Settings.SubscribeToDiscovery
+	from, disc, subscribe := l.position, l.discovery, l.cfg.Settings.SubscribeToDiscovery
 	tell := func(event func(now balancer.Micros)) {
 		l.post(func(now balancer.Micros) {
 			if ctx.Err() == nil { // else the watch was ended meanwhile
@@ -29,19 +29,19 @@
 		})
 	}
 	heard := func(list discovery.List) {
-		tell(func(now balancer.Micros) { l.hear(now, list) })
+		tell(func(now balancer.Micros) { l.handleList(now, list) })
 	}
 	malformed := func(err error) {
-		tell(func(now balancer.Micros) { l.miss(now, err) })
+		tell(func(now balancer.Micros) { l.handleWatchFailure(now, err) })
 	}
 	go func() {
 		for ctx.Err() == nil {
 			err := disc.Watch(ctx, from, heard, malformed)
 			next := make(chan discovery.Position, 1)
 			tell(func(now balancer.Micros) {
-				l.miss(now, err)
+				l.handleWatchFailure(now, err)
 				l.balancer.HandleEndpoints(now, balancer.ListFailed, nil)
-				next <- l.from
+				next <- l.position
 			})
 			if subscribe {
 				return // when to ask again is the balancer's decision
@@ -57,53 +57,53 @@
 
 // callCounts counts calls of discovery by how they ended, and entries of lists that
 // could not be used.
-type callCounts struct{ answered, silent, failed, malformed, lost uint64 }
+type callCounts struct{ answered, timedOut, failed, malformed, unusableEntries uint64 }
 
 // since tells what was counted since then, and how.
 func (c callCounts) since(old callCounts) string {
 	return fmt.Sprintf("[answered:%d timeout:%d failed:%d malformed:%d unusable_entries:%d]", c.answered-old.answered,
-		c.silent-old.silent, c.failed-old.failed, c.malformed-old.malformed, c.lost-old.lost)
+		c.timedOut-old.timedOut, c.failed-old.failed, c.malformed-old.malformed, c.unusableEntries-old.unusableEntries)
 }
 
-// hear takes an answer of discovery.
-func (l *loop) hear(now balancer.Micros, list discovery.List) {
-	if l.unheard {
-		l.log.Info("discovery recovered", "list_age_ms", (now-l.heard)/1000, "seq", list.Seq)
+// handleList takes an answer of discovery.
+func (l *loop) handleList(now balancer.Micros, list discovery.List) {
+	if l.failing {
+		l.log.Info("discovery recovered", "list_age_ms", (now-l.lastListAt)/1000, "seq", list.Seq)
 	}
-	l.unheard, l.heard = false, now
+	l.failing, l.lastListAt = false, now
 	l.calls.answered++
 	l.log.Debug("endpoint list received", "seq", list.Seq, "whole", list.Whole, "hosts", len(list.Hosts))
-	l.calls.lost += uint64(list.Unusable)
+	l.calls.unusableEntries += uint64(list.Unusable)
 	kind := balancer.ListDelta
 	if list.Whole {
 		kind = balancer.ListFull
 	}
-	l.members(now, kind, list)
+	l.updateEndpoints(now, kind, list)
 }
 
-// miss takes the failure of a call of discovery.
-func (l *loop) miss(now balancer.Micros, err error) {
+// handleWatchFailure takes the failure of a call of discovery.
+func (l *loop) handleWatchFailure(now balancer.Micros, err error) {
 	var bad *discovery.MalformedError
 	switch {
 	case errors.As(err, &bad):
 		l.calls.malformed++
 	case errors.Is(err, context.DeadlineExceeded):
-		l.calls.silent++
+		l.calls.timedOut++
 	default:
 		l.calls.failed++
 	}
 	if errors.Is(err, discovery.ErrOutdated) {
-		l.from.After = nil // its changes since another numbering's version mean nothing
+		l.position.After = nil // its changes since another numbering's version mean nothing
 	}
-	if !l.unheard || now-l.warned >= missEvery.Microseconds() {
-		l.warned = now
-		l.log.Warn("discovery call failed", "error", err, "list_age_ms", (now-l.heard)/1000)
+	if !l.failing || now-l.lastWarningAt >= failureLogInterval.Microseconds() {
+		l.lastWarningAt = now
+		l.log.Warn("discovery call failed", "error", err, "list_age_ms", (now-l.lastListAt)/1000)
 	}
-	l.unheard = true
+	l.failing = true
 }
 
-// newDiscoveryFor returns the client of the discovery that a configuration names.
-func newDiscoveryFor(cfg *config.Config) *discovery.Client {
+// newDiscoveryClient returns the client of the discovery that a configuration names.
+func newDiscoveryClient(cfg *config.Config) *discovery.Client {
 	c := &cfg.Settings.Contract
 	return discovery.NewClient(discovery.Options{Address: cfg.Discovery, Wait: cfg.DiscoveryWait, Dial: cfg.DiscoveryDial,
 		Subscribe:    cfg.Settings.SubscribeToDiscovery,
--- a/internal/sidecar/world_test.go
+++ b/internal/sidecar/world_test.go
@@ -262,7 +262,7 @@
 	if err != nil {
 		w.t.Fatal(err)
 	}
-	w.loop.up.ReuseDelay = 0 // most tests use a connection again at once
+	w.loop.upstream.ReuseDelay = 0 // most tests use a connection again at once
 	w.spy = &spy{decider: w.loop.balancer}
 	w.loop.balancer = w.spy
 	w.server = newServer(w.loop)
