--- a/internal/sidecar/admin_test.go
+++ b/internal/sidecar/admin_test.go
@@ -17,8 +17,8 @@
 	"oakproxy/internal/sidecartest"
 )
 
-// second gives a running sidecar its second address, and a folder for its state.
-func (w *world) second(dir string) string {
+// startAdmin gives a running sidecar its second address, and a folder for its state.
+func (w *harness) startAdmin(dir string) string {
 	w.t.Helper()
 	listener, err := listenAdmin(w.t.Context(), "127.0.0.1:0")
 	if err != nil {
@@ -31,9 +31,9 @@
 	return listener.Addr().String()
 }
 
-// ask sends bytes to the second address and returns all that comes until the
+// rawCall sends bytes to the second address and returns all that comes until the
 // end of the connection.
-func ask(t *testing.T, address, text string) string {
+func rawCall(t *testing.T, address, text string) string {
 	t.Helper()
 	conn, err := net.Dial("tcp", address)
 	if err != nil {
@@ -49,8 +49,8 @@
 	return string(got)
 }
 
-// status makes one call and returns its status.
-func status(t *testing.T, method, address, path string) int {
+// callStatus makes one call and returns its status.
+func callStatus(t *testing.T, method, address, path string) int {
 	t.Helper()
 	r, err := http.NewRequest(method, "http://"+address+path, nil)
 	if err != nil {
@@ -67,10 +67,10 @@
 }
 
 // What is no call gets a no that says why, one answer to a connection.
-func TestAdminBadCalls(t *testing.T) {
+func TestAdminRejectsInvalidCalls(t *testing.T) {
 	e := sidecartest.NewEndpoint(t, sidecartest.Always(sidecartest.Served))
 	w := start(t, nil, ready("s-1", e.Address))
-	address := w.second(t.TempDir())
+	address := w.startAdmin(t.TempDir())
 	for name, c := range map[string]struct{ text, want string }{
 		"health":         {"GET /admin/health HTTP/1.1\r\nHost: a\r\n\r\n", "HTTP/1.1 200"},
 		"two calls":      {strings.Repeat("GET /admin/health HTTP/1.1\r\nHost: a\r\n\r\n", 2), "HTTP/1.1 200"},
@@ -86,7 +86,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			got := ask(t, address, c.text)
+			got := rawCall(t, address, c.text)
 			if !strings.HasPrefix(got, c.want) && got != "" || strings.Count(got, "HTTP/1.1") > 1 { // a reset may swallow the answer
 				t.Errorf("got %q, want %s", got, c.want)
 			}
@@ -99,10 +99,10 @@
 
 // Callers that hold connections and say nothing delay nobody: the one that has
 // waited longest makes room.
-func TestAdminAnswersBesideSilentCallers(t *testing.T) {
+func TestAdminAnswersDespiteSilentCallers(t *testing.T) {
 	e := sidecartest.NewEndpoint(t, sidecartest.Always(sidecartest.Served))
 	w := start(t, nil, ready("s-1", e.Address))
-	address := w.second(t.TempDir())
+	address := w.startAdmin(t.TempDir())
 	for range 3 * maxAdminConnections {
 		conn, err := net.Dial("tcp", address)
 		if err != nil {
@@ -111,7 +111,7 @@
 		defer conn.Close()
 	}
 	began := time.Now()
-	if got := status(t, http.MethodGet, address, "/admin/health"); got != http.StatusOK {
+	if got := callStatus(t, http.MethodGet, address, "/admin/health"); got != http.StatusOK {
 		t.Errorf("health: %d", got)
 	}
 	if took := time.Since(began); took >= adminTimeout {
@@ -122,22 +122,22 @@
 // Before the sidecar knows endpoints, and once it is ending, health is a no.
 func TestAdminHealthFollowsReadiness(t *testing.T) {
 	e := sidecartest.NewEndpoint(t, sidecartest.Always(sidecartest.Served))
-	w := &world{t: t, dir: newDirectory(t)}
-	w.launch(configure(t, w.dir.address, nil))
-	address := w.second(t.TempDir())
-	health := func() int { return status(t, http.MethodGet, address, "/admin/health") }
+	w := &harness{t: t, discovery: newFakeDiscovery(t)}
+	w.launch(configure(t, w.discovery.address, nil))
+	address := w.startAdmin(t.TempDir())
+	health := func() int { return callStatus(t, http.MethodGet, address, "/admin/health") }
 	if got := health(); got != http.StatusServiceUnavailable {
 		t.Errorf("without endpoints: %d", got)
 	}
-	w.dir.change(func() {
-		w.dir.list = discovery.List{Seq: 1, Whole: true, Hosts: []discovery.Entry{ready("s-1", e.Address)}}
+	w.discovery.change(func() {
+		w.discovery.list = discovery.List{Seq: 1, Whole: true, Hosts: []discovery.Entry{ready("s-1", e.Address)}}
 	})
-	w.until("health", func() bool { return health() == http.StatusOK })
+	w.await("health", func() bool { return health() == http.StatusOK })
 	w.stop()
-	w.until("the end of health", func() bool { return health() == http.StatusServiceUnavailable })
+	w.await("the end of health", func() bool { return health() == http.StatusServiceUnavailable })
 }
 
-func TestBadAdminAddress(t *testing.T) {
+func TestInvalidAdminAddressFailsTheStart(t *testing.T) {
 	for _, address := range []string{"9100", "127.0.0.1"} {
 		if err := config.CheckAdminAddress(address); err == nil || !strings.Contains(err.Error(), "admin_addr") {
 			t.Errorf("%q: %v, want an error that names admin_addr", address, err)
@@ -150,11 +150,11 @@
 
 // What operators leave out gets nothing from the yes on, whatever discovery says
 // of it, and is used again after the call back.
-func TestCordonOverCalls(t *testing.T) {
+func TestCordonByAdminCalls(t *testing.T) {
 	e := sidecartest.NewEndpoint(t, sidecartest.Always(sidecartest.Served))
 	w := start(t, nil, ready("s-1", e.Address))
 	dir := t.TempDir()
-	address := w.second(dir)
+	address := w.startAdmin(dir)
 	read := func() int { return w.send(w.request("read", "", time.Minute)).code }
 	for _, c := range []struct {
 		method, path string
@@ -164,7 +164,7 @@
 		{"POST", "/admin/cordon?name=%zz", 400}, {"POST", "/admin/cordon?name=s-2", 404}, {"GET", "/admin/cordon?name=s-1", 405},
 		{"POST", "/admin/uncordon?name=s-2", 404}, {"POST", "/admin/uncordon?name=s-1", 200},
 	} {
-		if got := status(t, c.method, address, c.path); got != c.want {
+		if got := callStatus(t, c.method, address, c.path); got != c.want {
 			t.Errorf("%s %s: %d, want %d", c.method, c.path, got, c.want)
 		}
 	}
@@ -172,7 +172,7 @@
 		t.Fatalf("before any call: %d", got)
 	}
 	for range 2 { // the second changes nothing
-		if got := status(t, "POST", address, "/admin/cordon?name=s-1"); got != 200 {
+		if got := callStatus(t, "POST", address, "/admin/cordon?name=s-1"); got != 200 {
 			t.Fatalf("the call out: %d", got)
 		}
 	}
@@ -181,10 +181,10 @@
 	}
 	again := ready("s-1", e.Address)
 	again.BornMS = time.Now().UnixMilli()
-	w.dir.change(func() { w.dir.list = discovery.List{Seq: 1, Whole: true, Hosts: []discovery.Entry{again}} })
-	w.until("the news", func() bool {
+	w.discovery.change(func() { w.discovery.list = discovery.List{Seq: 1, Whole: true, Hosts: []discovery.Entry{again}} })
+	w.await("the news", func() bool {
 		var born int64
-		w.do(func() { born = w.loop.endpoints[w.loop.endpointIDs["s-1"]].entry.BornMS })
+		w.runInLoop(func() { born = w.loop.endpoints[w.loop.endpointIDs["s-1"]].entry.BornMS })
 		return born == again.BornMS
 	})
 	if got := read(); got != 503 {
@@ -192,15 +192,15 @@
 	}
 	// Neither a list without it nor one that has it again is a call back.
 	for seq, hosts := range map[uint64][]discovery.Entry{2: {}, 3: {again}} {
-		w.dir.change(func() { w.dir.list = discovery.List{Seq: seq, Whole: true, Hosts: hosts} })
+		w.discovery.change(func() { w.discovery.list = discovery.List{Seq: seq, Whole: true, Hosts: hosts} })
 	}
-	if got := status(t, "POST", address, "/admin/cordon?name=s-1"); got != 200 {
+	if got := callStatus(t, "POST", address, "/admin/cordon?name=s-1"); got != 200 {
 		t.Errorf("a call for one that is out and may be gone: %d", got)
 	}
-	w.dir.change(func() { w.dir.list = discovery.List{Seq: 4, Whole: true, Hosts: []discovery.Entry{again}} })
-	w.until("the endpoint to be listed", func() bool {
+	w.discovery.change(func() { w.discovery.list = discovery.List{Seq: 4, Whole: true, Hosts: []discovery.Entry{again}} })
+	w.await("the endpoint to be listed", func() bool {
 		var listed bool
-		w.do(func() { listed = w.loop.endpointIDs["s-1"] != 0 })
+		w.runInLoop(func() { listed = w.loop.endpointIDs["s-1"] != 0 })
 		return listed
 	})
 	if got := read(); got != 503 {
@@ -209,48 +209,48 @@
 	if n, _ := e.Seen(); n != 1 {
 		t.Errorf("the endpoint that is out got %d requests, want the first alone", n)
 	}
-	if got := status(t, "POST", address, "/admin/uncordon?name=s-1"); got != 200 {
+	if got := callStatus(t, "POST", address, "/admin/uncordon?name=s-1"); got != 200 {
 		t.Errorf("the call back: %d", got)
 	}
-	w.until("a request to be served", func() bool { return read() == 200 })
+	w.await("a request to be served", func() bool { return read() == 200 })
 }
 
 // What one process is told holds in the other, and in one that starts later.
-func TestStateIsSharedAndOutlivesAProcess(t *testing.T) {
+func TestOperatorStateIsSharedAndOutlivesAProcess(t *testing.T) {
 	e := sidecartest.NewEndpoint(t, sidecartest.Always(sidecartest.Served))
 	dir := t.TempDir()
 	first, second := start(t, nil, ready("s-1", e.Address)), start(t, nil, ready("s-1", e.Address))
-	one, two := first.second(dir), second.second(dir)
-	out := func(w *world) (out bool) {
-		w.do(func() { out = w.loop.overrides["s-1"].Cordoned })
+	one, two := first.startAdmin(dir), second.startAdmin(dir)
+	out := func(w *harness) (out bool) {
+		w.runInLoop(func() { out = w.loop.overrides["s-1"].Cordoned })
 		return out
 	}
-	if got := status(t, "POST", one, "/admin/cordon?name=s-1"); got != 200 {
+	if got := callStatus(t, "POST", one, "/admin/cordon?name=s-1"); got != 200 {
 		t.Fatal(got)
 	}
 	if !out(first) {
 		t.Error("it does not hold where the call was answered")
 	}
-	first.until("the other process to follow", func() bool { return out(second) })
-	third := &world{t: t, dir: first.dir}
-	third.launch(configure(t, first.dir.address, nil, ready("s-1", e.Address)))
-	third.second(dir)
-	first.until("the third process to follow", func() bool { return out(third) })
-	if got := status(t, "POST", two, "/admin/uncordon?name=s-1"); got != 200 {
+	first.await("the other process to follow", func() bool { return out(second) })
+	third := &harness{t: t, discovery: first.discovery}
+	third.launch(configure(t, first.discovery.address, nil, ready("s-1", e.Address)))
+	third.startAdmin(dir)
+	first.await("the third process to follow", func() bool { return out(third) })
+	if got := callStatus(t, "POST", two, "/admin/uncordon?name=s-1"); got != 200 {
 		t.Fatal(got)
 	}
-	first.until("the call back to hold everywhere", func() bool { return !out(first) && !out(second) && !out(third) })
+	first.await("the call back to hold everywhere", func() bool { return !out(first) && !out(second) && !out(third) })
 }
 
 // The state of before the start holds before the first request.
-func TestStateIsLoadedBeforeTheStart(t *testing.T) {
+func TestOperatorStateIsLoadedBeforeTheStart(t *testing.T) {
 	e := sidecartest.NewEndpoint(t, sidecartest.Always(sidecartest.Served))
 	dir := t.TempDir()
 	w := start(t, nil, ready("s-1", e.Address))
-	if got := status(t, "POST", w.second(dir), "/admin/cordon?name=s-1"); got != 200 {
+	if got := callStatus(t, "POST", w.startAdmin(dir), "/admin/cordon?name=s-1"); got != 200 {
 		t.Fatal(got)
 	}
-	l, err := newLoop(t.Context(), configure(t, w.dir.address, nil, ready("s-1", e.Address)), w.loop.log)
+	l, err := newLoop(t.Context(), configure(t, w.discovery.address, nil, ready("s-1", e.Address)), w.loop.log)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -264,15 +264,15 @@
 
 // A file that makes no sense is ignored, and the next call makes a good one. One
 // that can't be written makes the call a no, and nothing of it holds.
-func TestDamagedAndUnwritableState(t *testing.T) {
+func TestDamagedAndUnwritableOperatorState(t *testing.T) {
 	e := sidecartest.NewEndpoint(t, sidecartest.Always(sidecartest.Served))
 	w := start(t, nil, ready("s-1", e.Address))
 	dir := t.TempDir()
 	path := filepath.Join(dir, operatorstate.FileName)
-	address := w.second(dir)
+	address := w.startAdmin(dir)
 	good := `{"version":1,"sidecar":"n0","hosts":[{"host":"s-1","out":true}]}`
 	out := func() (out bool) {
-		w.do(func() { out = w.loop.overrides["s-1"].Cordoned })
+		w.runInLoop(func() { out = w.loop.overrides["s-1"].Cordoned })
 		return out
 	}
 	for name, text := range map[string]string{
@@ -282,33 +282,33 @@
 		if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 			t.Fatal(err)
 		}
-		if got := status(t, "POST", address, "/admin/uncordon?name=s-1"); got != 200 || out() {
+		if got := callStatus(t, "POST", address, "/admin/uncordon?name=s-1"); got != 200 || out() {
 			t.Errorf("%s: answer %d, out %v", name, got, out())
 		}
 	}
 	if err := os.WriteFile(path, []byte(good), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	w.until("a good file to hold", out)
+	w.await("a good file to hold", out)
 	if err := os.WriteFile(path, []byte(good[:30]), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	if err := os.RemoveAll(dir); err != nil {
 		t.Fatal(err)
 	}
-	if got := status(t, "POST", address, "/admin/uncordon?name=s-1"); got != 500 || !out() {
+	if got := callStatus(t, "POST", address, "/admin/uncordon?name=s-1"); got != 500 || !out() {
 		t.Errorf("without its folder: answer %d, out %v", got, out())
 	}
 }
 
 // A drain by hand sends clients away without losing a request, and its end undoes
 // all of it. Calls repeated change nothing.
-func TestDrainByHand(t *testing.T) {
+func TestOperatorDrain(t *testing.T) {
 	answer := make(chan struct{})
 	e := sidecartest.NewEndpoint(t, sidecartest.PayWaits(answer))
 	w := start(t, nil, ready("s-1", e.Address))
-	address := w.second(t.TempDir())
-	front := func() int { return status(t, "GET", strings.TrimPrefix(w.url, "http://"), "/health/ready") }
+	address := w.startAdmin(t.TempDir())
+	front := func() int { return callStatus(t, "GET", strings.TrimPrefix(w.url, "http://"), "/health/ready") }
 	ask := func(conn net.Conn, in *bufio.Reader) *http.Response {
 		t.Helper()
 		w.request("read", "", time.Minute).Write(conn)
@@ -326,15 +326,15 @@
 	}
 	held := make(chan reply)
 	go func() { held <- w.send(w.request("pay", "x", time.Minute)) }()
-	w.until("the request in hand", func() bool { n, _ := e.Seen(); return n == 2 })
+	w.await("the request in hand", func() bool { n, _ := e.Seen(); return n == 2 })
 	for range 2 {
-		if got := status(t, "POST", address, "/admin/quiesce"); got != 200 {
+		if got := callStatus(t, "POST", address, "/admin/quiesce"); got != 200 {
 			t.Fatalf("quiesce: %d", got)
 		}
 		if got := front(); got != 503 {
 			t.Errorf("readiness in the drain: %d", got)
 		}
-		if got := status(t, "GET", address, "/admin/health"); got != 200 {
+		if got := callStatus(t, "GET", address, "/admin/health"); got != 200 {
 			t.Errorf("health in the drain: %d", got)
 		}
 	}
@@ -353,7 +353,7 @@
 		t.Errorf("the request in hand: %+v", got)
 	}
 	for range 2 {
-		if got := status(t, "POST", address, "/admin/resume"); got != 200 {
+		if got := callStatus(t, "POST", address, "/admin/resume"); got != 200 {
 			t.Fatalf("resume: %d", got)
 		}
 		if got := front(); got != 200 {
--- a/internal/sidecar/clients_test.go
+++ b/internal/sidecar/clients_test.go
@@ -15,7 +15,7 @@
 	"oakproxy/internal/sidecartest"
 )
 
-func (w *world) dial() net.Conn {
+func (w *harness) dial() net.Conn {
 	w.t.Helper()
 	conn, err := net.Dial("tcp", strings.TrimPrefix(w.url, "http://"))
 	if err != nil {
@@ -27,7 +27,7 @@
 }
 
 // raw sends bytes on a new connection and returns all that comes until its end.
-func (w *world) raw(text string) string {
+func (w *harness) raw(text string) string {
 	w.t.Helper()
 	conn := w.dial()
 	io.WriteString(conn, text)
@@ -41,7 +41,7 @@
 // A request can hide in the body of one whose length is stated in two ways. The
 // head that decides is turned away, and nothing behind it is ever read as a
 // request. net/http shows its handlers no trace of the second length.
-func TestNoRequestHidesInABody(t *testing.T) {
+func TestRequestSmuggledInABodyIsNotServed(t *testing.T) {
 	e := sidecartest.NewEndpoint(t, sidecartest.Always(sidecartest.Served))
 	w := start(t, nil, ready("s-1", e.Address))
 	hidden := sidecartest.ReadHead + "X-Correlation-Id: 2\r\n\r\n"
@@ -77,7 +77,7 @@
 
 // A body in chunks alone is good HTTP/1.1 and is served. Its connection ends
 // with it, as it does where more came than the one request.
-func TestChunkedAndCrowdedRequests(t *testing.T) {
+func TestChunkedAndPipelinedRequests(t *testing.T) {
 	e := sidecartest.NewEndpoint(t, sidecartest.Always(sidecartest.Served))
 	w := start(t, nil, ready("s-1", e.Address))
 	for name, text := range map[string]string{
@@ -101,7 +101,7 @@
 }
 
 // What can't be a request is turned away before its body is read, or closed on.
-func TestRubbish(t *testing.T) {
+func TestInvalidRequestsAreRejected(t *testing.T) {
 	e := sidecartest.NewEndpoint(t, sidecartest.Always(sidecartest.Served))
 	w := start(t, nil, ready("s-1", e.Address))
 	for name, c := range map[string]struct{ text, want string }{
@@ -130,7 +130,7 @@
 // A client that is still sending its body when it is turned away can send it to
 // the end, within the limit, and then finds its answer and not a reset. Asking
 // for its connection to be closed changes nothing of that.
-func TestTurnedAwayWhileSending(t *testing.T) {
+func TestClientRejectedWhileSendingReadsItsResponse(t *testing.T) {
 	e := sidecartest.NewEndpoint(t, sidecartest.Always(sidecartest.Served))
 	w := start(t, nil, ready("s-1", e.Address))
 	for _, c := range []struct {
@@ -177,7 +177,7 @@
 
 // Clients that say nothing, too little, or nothing more are closed on in time.
 // 3 s are the most that they may stay, so 2.9 s is what the limits are held to.
-func TestSilentClientsAreClosed(t *testing.T) {
+func TestIdleAndSlowClientsAreClosed(t *testing.T) {
 	for _, limit := range []time.Duration{readTimeout, idleTimeout} {
 		if limit < 2*time.Second || limit > 2900*time.Millisecond {
 			t.Errorf("limit of %v", limit)
@@ -202,7 +202,7 @@
 
 // The deadline for reading a request must be gone once it is read: net/http
 // takes its passing for the client's going and ends the request's context.
-func TestAnswerLaterThanTheReadTimeout(t *testing.T) {
+func TestResponseLaterThanTheReadTimeout(t *testing.T) {
 	t.Parallel()
 	e := sidecartest.NewEndpoint(t, func(e *sidecartest.Endpoint, conn net.Conn, in *bufio.Reader) {
 		for e.Next(in) != nil {
@@ -219,7 +219,7 @@
 }
 
 // An id that is open here belongs to that request alone.
-func TestSecondRequestWithAnOpenID(t *testing.T) {
+func TestDuplicateCorrelationIDIsRejected(t *testing.T) {
 	answer := make(chan struct{})
 	e := sidecartest.NewEndpoint(t, func(e *sidecartest.Endpoint, conn net.Conn, in *bufio.Reader) {
 		for e.Next(in) != nil {
@@ -230,7 +230,7 @@
 	w := start(t, nil, ready("s-1", e.Address))
 	first, same := make(chan reply), w.request("pay", "", time.Minute)
 	go func() { first <- w.send(same.Clone(context.Background())) }()
-	w.until("the first to be taken", func() bool { n, _ := e.Seen(); return n == 1 })
+	w.await("the first to be taken", func() bool { n, _ := e.Seen(); return n == 1 })
 	if got := w.send(same.Clone(context.Background())); got.code != http.StatusConflict {
 		t.Errorf("the second: %+v", got)
 	}
@@ -246,20 +246,20 @@
 // Silent connections must not keep others out, nor use up the descriptors that
 // attempts need: beyond the limit the longest silent one is closed. One with a
 // request open is not.
-func TestConnectionsOfClientsAreBounded(t *testing.T) {
+func TestClientConnectionsAreLimited(t *testing.T) {
 	answer := make(chan struct{})
 	e := sidecartest.NewEndpoint(t, sidecartest.PayWaits(answer))
 	w := start(t, nil, ready("s-1", e.Address))
 	first := make(chan reply)
 	go func() { first <- w.send(w.request("pay", "x", time.Minute)) }()
-	w.until("the first to be taken", func() bool { n, _ := e.Seen(); return n == 1 })
-	w.until("other connections to end", func() bool { return w.server.clients.Count() == 1 })
+	w.await("the first to be taken", func() bool { n, _ := e.Seen(); return n == 1 })
+	w.await("other connections to end", func() bool { return w.server.clients.Count() == 1 })
 	oldest := w.dial()
-	w.until("the oldest", func() bool { return w.server.clients.Count() == 2 })
+	w.await("the oldest", func() bool { return w.server.clients.Count() == 2 })
 	for range w.server.clients.MaxConnections - 2 {
 		w.dial()
 	}
-	w.until("all room to be taken", func() bool { return w.server.clients.Count() == w.server.clients.MaxConnections })
+	w.await("all room to be taken", func() bool { return w.server.clients.Count() == w.server.clients.MaxConnections })
 	if got := w.send(w.request("read", "", 3*time.Second)); got.code != http.StatusOK {
 		t.Errorf("beyond the limit: %+v", got)
 	}
@@ -279,10 +279,10 @@
 
 // Clients that ask once and keep the connection must not hold all that clients
 // may have: beyond a part of it, an answer ends its connection.
-func TestAnswersEndConnectionsWhenCrowded(t *testing.T) {
+func TestResponsesCloseConnectionsWhenCrowded(t *testing.T) {
 	e := sidecartest.NewEndpoint(t, sidecartest.Always(sidecartest.Served))
 	w := start(t, nil, ready("s-1", e.Address))
-	w.until("other connections to end", func() bool { return w.server.clients.Count() == 0 })
+	w.await("other connections to end", func() bool { return w.server.clients.Count() == 0 })
 	const maxAsked = 3 // few enough for all requests to come before a connection has been idle for long
 	most, _ := w.server.clients.Limits()
 	w.server.clients.SetLimits(most, maxAsked)
@@ -297,13 +297,13 @@
 			t.Fatalf("request %d: Connection: close %v, want %v", i, response.Close, want)
 		}
 		if response.Close {
-			w.until("the end of the connection", func() bool { return w.server.clients.Count() == w.server.clients.MaxUsed })
+			w.await("the end of the connection", func() bool { return w.server.clients.Count() == w.server.clients.MaxUsed })
 		}
 	}
 }
 
 // Bodies are bounded together: what is too much is refused before it is read.
-func TestBodiesAreBounded(t *testing.T) {
+func TestBodyMemoryIsLimited(t *testing.T) {
 	e := sidecartest.NewEndpoint(t, sidecartest.Always(sidecartest.Served))
 	w := start(t, nil, ready("s-1", e.Address))
 	w.loop.upstream.Bodies.Used.Add(int64(w.loop.cfg.Limits.MemoryMB) << 20 / bodyMemoryDivisor)
@@ -314,5 +314,5 @@
 	if got := w.send(w.request("pay", "x", 3*time.Second)); got.code != http.StatusOK {
 		t.Errorf("with room again: %+v", got)
 	}
-	w.until("the bodies to be given back", func() bool { return w.loop.upstream.Bodies.Used.Load() == 0 })
+	w.await("the bodies to be given back", func() bool { return w.loop.upstream.Bodies.Used.Load() == 0 })
 }
--- a/internal/sidecar/close_test.go
+++ b/internal/sidecar/close_test.go
@@ -13,7 +13,7 @@
 
 // A client that sends something behind its request and leaves has gone, however much that
 // was, though net/http reads one byte of it and no end.
-func TestClientThatLeavesBehindMoreBytes(t *testing.T) {
+func TestClientThatLeavesAfterExtraBytesIsNoticed(t *testing.T) {
 	for what, c := range map[string]struct{ with, later string }{
 		"one byte with the request":        {"x", ""},
 		"a request with the request":       {sidecartest.ReadHead + "X-Correlation-Id: 99\r\n\r\n", ""},
@@ -32,13 +32,13 @@
 			<-dial.Begun
 			io.WriteString(conn, c.later)
 			conn.Close()
-			w.until("the client's going", func() bool {
-				w.spy.mu.Lock()
-				defer w.spy.mu.Unlock()
-				return slices.Contains(w.spy.events, "gone")
+			w.await("the client's going", func() bool {
+				w.recorder.mu.Lock()
+				defer w.recorder.mu.Unlock()
+				return slices.Contains(w.recorder.events, "gone")
 			})
 			close(dial.Unblock)
-			w.until("the outcome", func() bool { return len(w.spy.statuses()) == 1 })
+			w.await("the outcome", func() bool { return len(w.recorder.statuses()) == 1 })
 			if n, _ := e.Seen(); n != 0 {
 				t.Errorf("the endpoint got %d requests", n)
 			}
@@ -48,7 +48,7 @@
 
 // A client that sends something behind its request and stays has its answer, and the end of
 // the connection; what it sent is no request.
-func TestBytesBehindARequestCostNoAnswer(t *testing.T) {
+func TestExtraBytesAfterARequestCostNoResponse(t *testing.T) {
 	e := sidecartest.NewEndpoint(t, sidecartest.Always(sidecartest.Served))
 	w := start(t, nil, ready("s-1", e.Address))
 	for what, behind := range map[string]string{
--- a/internal/sidecar/discovery_test.go
+++ b/internal/sidecar/discovery_test.go
@@ -21,7 +21,7 @@
 )
 
 // count says how often the balancer was told a list of a kind.
-func (s *spy) count(kind balancer.ListUpdate) (n int) {
+func (s *balancerRecorder) count(kind balancer.ListUpdate) (n int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, k := range s.lists {
@@ -37,39 +37,39 @@
 
 // The watch goes on from the version known, 0 included: asked without one,
 // discovery would answer with the whole list each time and never wait.
-func TestWatchGoesOnFromTheVersionKnown(t *testing.T) {
+func TestWatchResumesFromTheKnownVersion(t *testing.T) {
 	e := sidecartest.NewEndpoint(t, sidecartest.Always(sidecartest.Served))
 	w := startWith(t, nil, longWaits, ready("s-1", e.Address))
-	w.until("the waiting call", func() bool { return w.dir.count() == 2 })
-	w.dir.mu.Lock()
-	calls := slices.Clone(w.dir.calls)
-	w.dir.mu.Unlock()
+	w.await("the waiting call", func() bool { return w.discovery.count() == 2 })
+	w.discovery.mu.Lock()
+	calls := slices.Clone(w.discovery.calls)
+	w.discovery.mu.Unlock()
 	if calls[0] != "after=0&wait_ms=0" || !regexp.MustCompile(`^after=0&wait_ms=1[1-5]\d{3}$`).MatchString(calls[1]) {
 		t.Errorf("calls %q", calls)
 	}
 	// A change reaches the balancer; the next call asks for what is newer.
 	second := sidecartest.NewEndpoint(t, sidecartest.Always(sidecartest.Served))
-	w.dir.change(func() {
-		w.dir.list = discovery.List{Seq: 7, Whole: true, Hosts: []discovery.Entry{ready("s-2", second.Address)}}
+	w.discovery.change(func() {
+		w.discovery.list = discovery.List{Seq: 7, Whole: true, Hosts: []discovery.Entry{ready("s-2", second.Address)}}
 	})
-	w.until("the call after the change", func() bool { return w.dir.count() == 3 })
-	w.until("the change", func() bool { return w.spy.count(balancer.ListFull) == 1 })
+	w.await("the call after the change", func() bool { return w.discovery.count() == 3 })
+	w.await("the change", func() bool { return w.recorder.count(balancer.ListFull) == 1 })
 	if got := w.send(w.request("pay", "x", 3*time.Second)); got.code != http.StatusOK {
 		t.Errorf("answer %+v", got)
 	}
 	if n, _ := second.Seen(); n != 1 {
 		t.Errorf("the endpoint of the new list got %d requests, want 1", n)
 	}
-	w.dir.mu.Lock()
-	defer w.dir.mu.Unlock()
-	if last := w.dir.calls[2]; !strings.HasPrefix(last, "after=7&wait_ms=1") {
+	w.discovery.mu.Lock()
+	defer w.discovery.mu.Unlock()
+	if last := w.discovery.calls[2]; !strings.HasPrefix(last, "after=7&wait_ms=1") {
 		t.Errorf("the call after the change: %q", last)
 	}
 }
 
 // While discovery is down, or talks nonsense, the balancer is told so and the
 // last list serves; when it is back, its list replaces the old one.
-func TestDiscoveryDownAndBack(t *testing.T) {
+func TestDiscoveryOutageAndRecovery(t *testing.T) {
 	for name, broken := range map[string]string{
 		"down": "", "not JSON": "<html>", "wrong type": `{"seq":"x"}`, "unknown state": `{"seq":9,"whole":true,"hosts":[{"host":"s","health":"?"}]}`,
 		"cut short": `{"seq":9,"whole":true,"hosts":[`, "no version": `{"whole":true,"hosts":[]}`, "no address": `{"seq":9,"whole":true,"hosts":[{"host":"s","health":"Ready","dial":"x"}]}`,
@@ -78,18 +78,18 @@
 			t.Parallel()
 			e, second := sidecartest.NewEndpoint(t, sidecartest.Always(sidecartest.Served)), sidecartest.NewEndpoint(t, sidecartest.Always(sidecartest.Served))
 			w := start(t, nil, ready("s-1", e.Address))
-			w.until("the watch", func() bool { return w.dir.count() >= 2 })
-			w.dir.change(func() { w.dir.down, w.dir.broken = broken == "", broken })
+			w.await("the watch", func() bool { return w.discovery.count() >= 2 })
+			w.discovery.change(func() { w.discovery.down, w.discovery.malformed = broken == "", broken })
 			// The change itself is answered with the news that there is none; calls after it fail.
-			w.until("the failure and one more", func() bool { return w.spy.count(balancer.ListFailed) >= 2 })
+			w.await("the failure and one more", func() bool { return w.recorder.count(balancer.ListFailed) >= 2 })
 			if got := w.send(w.request("pay", "x", 3*time.Second)); got.code != http.StatusOK {
 				t.Errorf("without discovery: %+v", got)
 			}
-			w.dir.change(func() {
-				w.dir.down, w.dir.broken = false, ""
-				w.dir.list = discovery.List{Seq: 1, Whole: true, Hosts: []discovery.Entry{ready("s-2", second.Address)}}
+			w.discovery.change(func() {
+				w.discovery.down, w.discovery.malformed = false, ""
+				w.discovery.list = discovery.List{Seq: 1, Whole: true, Hosts: []discovery.Entry{ready("s-2", second.Address)}}
 			})
-			w.until("the new list", func() bool { return w.spy.count(balancer.ListFull) >= 1 })
+			w.await("the new list", func() bool { return w.recorder.count(balancer.ListFull) >= 1 })
 			if got := w.send(w.request("pay", "x", 3*time.Second)); got.code != http.StatusOK {
 				t.Errorf("with discovery back: %+v", got)
 			}
@@ -102,7 +102,7 @@
 
 // An entry that can't be used costs neither the rest of its list nor the drains in it,
 // and nothing goes on to an endpoint that it names: that may no longer be ready.
-func TestOneBadEntryDoesNotCostTheList(t *testing.T) {
+func TestUnusableEntryDoesNotInvalidateTheList(t *testing.T) {
 	e := sidecartest.NewEndpoint(t, sidecartest.Always(sidecartest.Served))
 	good, drains := entry("s-1", "Ready", e.Address), entry("s-2", "Terminating", e.Address)
 	for name, c := range map[string]struct {
@@ -122,15 +122,15 @@
 		for _, whole := range []bool{false, true} {
 			t.Run(fmt.Sprintf("%s, whole %v", name, whole), func(t *testing.T) {
 				w := start(t, nil, ready("s-1", e.Address), ready("s-2", e.Address), ready("s-3", e.Address))
-				w.until("the watch", func() bool { return w.dir.count() >= 2 })
-				w.dir.change(func() {
-					w.dir.list.Seq = 9
-					w.dir.broken = fmt.Sprintf(`{"seq":9,"whole":%v,"hosts":[%s,%s,%s]}`, whole, good, c.text, drains)
+				w.await("the watch", func() bool { return w.discovery.count() >= 2 })
+				w.discovery.change(func() {
+					w.discovery.list.Seq = 9
+					w.discovery.malformed = fmt.Sprintf(`{"seq":9,"whole":%v,"hosts":[%s,%s,%s]}`, whole, good, c.text, drains)
 				})
 				var aims []string
 				var seq uint64
-				w.until("the list", func() bool {
-					w.do(func() {
+				w.await("the list", func() bool {
+					w.runInLoop(func() {
 						aims, seq = nil, w.loop.position.Newest
 						for name, id := range w.loop.endpointIDs {
 							if w.loop.endpoints[id].target != nil {
@@ -149,7 +149,7 @@
 					t.Errorf("something may go to %q, want %q", got, want)
 				}
 				var list discovery.List
-				if err := json.Unmarshal([]byte(w.dir.broken), &list); err != nil || list.Unusable != c.lost || list.FirstError == nil {
+				if err := json.Unmarshal([]byte(w.discovery.malformed), &list); err != nil || list.Unusable != c.lost || list.FirstError == nil {
 					t.Errorf("lost %d (%v, %v), want %d", list.Unusable, list.FirstError, err, c.lost)
 				}
 			})
@@ -163,25 +163,25 @@
 
 // Where lists are pushed the balancer never asks: the sidecar watches its agent
 // by itself, and begins again after a failure.
-func TestPushedLists(t *testing.T) {
+func TestPushedListsAreWatchedWithoutSubscription(t *testing.T) {
 	e, second := sidecartest.NewEndpoint(t, sidecartest.Always(sidecartest.Served)), sidecartest.NewEndpoint(t, sidecartest.Always(sidecartest.Served))
 	w := start(t, func(s map[string]any) { s["discovery"] = "automatic" }, ready("s-1", e.Address))
-	w.until("the watch", func() bool { return w.dir.count() >= 2 })
-	w.dir.change(func() { w.dir.down = true })
-	w.until("the failure", func() bool { return w.spy.count(balancer.ListFailed) >= 1 })
-	w.dir.change(func() {
-		w.dir.down = false
-		w.dir.list = discovery.List{Seq: 3, Whole: true, Hosts: []discovery.Entry{ready("s-2", second.Address)}}
+	w.await("the watch", func() bool { return w.discovery.count() >= 2 })
+	w.discovery.change(func() { w.discovery.down = true })
+	w.await("the failure", func() bool { return w.recorder.count(balancer.ListFailed) >= 1 })
+	w.discovery.change(func() {
+		w.discovery.down = false
+		w.discovery.list = discovery.List{Seq: 3, Whole: true, Hosts: []discovery.Entry{ready("s-2", second.Address)}}
 	})
-	w.until("the new list", func() bool { return w.spy.count(balancer.ListFull) >= 1 })
+	w.await("the new list", func() bool { return w.recorder.count(balancer.ListFull) >= 1 })
 }
 
 // A sidecar that knows no endpoint is not ready until discovery has named one.
-func TestReadyWithTheFirstList(t *testing.T) {
+func TestReadyWithTheFirstEndpointList(t *testing.T) {
 	e := sidecartest.NewEndpoint(t, sidecartest.Always(sidecartest.Served))
-	w := &world{t: t, dir: newDirectory(t)}
-	w.dir.down = true
-	w.launch(configure(t, w.dir.address, nil))
+	w := &harness{t: t, discovery: newFakeDiscovery(t)}
+	w.discovery.down = true
+	w.launch(configure(t, w.discovery.address, nil))
 	status := func() int {
 		response, err := http.Get(w.url + "/health/ready")
 		if err != nil {
@@ -190,36 +190,36 @@
 		response.Body.Close()
 		return response.StatusCode
 	}
-	w.until("a first answer", func() bool { return status() != 0 })
+	w.await("a first answer", func() bool { return status() != 0 })
 	if code := status(); code != http.StatusServiceUnavailable {
 		t.Errorf("without any list: %d, want 503", code)
 	}
-	w.dir.change(func() {
-		w.dir.down = false
-		w.dir.list = discovery.List{Seq: 1, Whole: true, Hosts: []discovery.Entry{ready("s-1", e.Address)}}
+	w.discovery.change(func() {
+		w.discovery.down = false
+		w.discovery.list = discovery.List{Seq: 1, Whole: true, Hosts: []discovery.Entry{ready("s-1", e.Address)}}
 	})
-	w.until("ready", func() bool { return status() == http.StatusOK })
-	if last := w.dir.calls[0]; last != "" {
+	w.await("ready", func() bool { return status() == http.StatusOK })
+	if last := w.discovery.calls[0]; last != "" {
 		t.Errorf("without any list the first call was %q, want one for the whole list", last)
 	}
 }
 
 // What discovery says of an endpoint reaches the balancer, and an endpoint keeps
 // its id across lists; one that has restarted is a new target.
-func TestMembers(t *testing.T) {
+func TestEndpointKeepsItsIDAcrossLists(t *testing.T) {
 	e := sidecartest.NewEndpoint(t, sidecartest.Always(sidecartest.Served))
 	w := start(t, nil, ready("s-1", e.Address))
 	var before, after *upstream.Endpoint
-	w.do(func() { before = w.loop.endpoints[1].target })
+	w.runInLoop(func() { before = w.loop.endpoints[1].target })
 	born := time.Now().UnixMilli() - 500
 	restarted := ready("s-1", e.Address)
 	restarted.BornMS = born
 	strange := discovery.Entry{Name: "s-9", Dial: "127.0.0.1:1", Site: "nowhere", Class: "odd", Block: 4, Health: "Terminating"}
 	got := make(chan []balancer.Endpoint, 1)
-	w.do(func() {
-		w.loop.balancer = &listSpy{decider: w.spy, got: got}
+	w.runInLoop(func() {
+		w.loop.balancer = &listRecorder{decider: w.recorder, got: got}
 		w.loop.updateEndpoints(w.loop.clock.now(), balancer.ListDelta, discovery.List{Seq: 2, Hosts: []discovery.Entry{restarted, strange}})
-		w.loop.balancer = w.spy
+		w.loop.balancer = w.recorder
 		after = w.loop.endpoints[1].target
 	})
 	entries := <-got
@@ -237,19 +237,19 @@
 	}
 }
 
-type listSpy struct {
+type listRecorder struct {
 	decider
 	got chan []balancer.Endpoint
 }
 
-func (s *listSpy) HandleEndpoints(now balancer.Micros, kind balancer.ListUpdate, entries []balancer.Endpoint) {
+func (s *listRecorder) HandleEndpoints(now balancer.Micros, kind balancer.ListUpdate, entries []balancer.Endpoint) {
 	s.got <- slices.Clone(entries)
 	s.decider.HandleEndpoints(now, kind, entries)
 }
 
 // A new configuration moves the watch: the new address is asked for its whole
 // list, and nothing that the old one says later counts. A request in hand stays.
-func TestReloadMovesTheWatch(t *testing.T) {
+func TestReloadMovesTheWatchToTheNewDiscovery(t *testing.T) {
 	answer := make(chan struct{})
 	e := sidecartest.NewEndpoint(t, func(e *sidecartest.Endpoint, conn net.Conn, in *bufio.Reader) {
 		for e.Next(in) != nil {
@@ -259,28 +259,28 @@
 	})
 	second := sidecartest.NewEndpoint(t, sidecartest.Always(sidecartest.Served))
 	w := startWith(t, nil, longWaits, ready("s-1", e.Address))
-	w.until("the watch", func() bool { return w.dir.count() == 2 })
+	w.await("the watch", func() bool { return w.discovery.count() == 2 })
 	held := make(chan reply)
 	go func() { held <- w.send(w.request("pay", "x", time.Minute)) }()
-	w.until("the request in hand", func() bool { n, _ := e.Seen(); return n == 1 })
+	w.await("the request in hand", func() bool { n, _ := e.Seen(); return n == 1 })
 
-	old := w.dir
+	old := w.discovery
 	for range 2 { // it may come again
-		moved := newDirectory(t, ready("s-2", second.Address))
+		moved := newFakeDiscovery(t, ready("s-2", second.Address))
 		next := *w.loop.cfg
 		next.Discovery = moved.address
-		lists := w.spy.count(balancer.ListFull)
-		w.do(func() { w.loop.reload(&next) })
-		w.until("the new list", func() bool { return w.spy.count(balancer.ListFull) > lists })
+		lists := w.recorder.count(balancer.ListFull)
+		w.runInLoop(func() { w.loop.reload(&next) })
+		w.await("the new list", func() bool { return w.recorder.count(balancer.ListFull) > lists })
 		moved.mu.Lock()
 		if first := moved.calls[0]; first != "" {
 			t.Errorf("the first call asked for %q, want the whole list", first)
 		}
 		moved.mu.Unlock()
-		w.until("the new watch", func() bool { return moved.count() == 2 })
-		w.until("the end of the old client's connections", func() bool { return old.conns.Load() == 0 })
+		w.await("the new watch", func() bool { return moved.count() == 2 })
+		w.await("the end of the old client's connections", func() bool { return old.conns.Load() == 0 })
 		old = moved
-		w.do(func() {
+		w.runInLoop(func() {
 			watch := w.loop.discovery
 			if w.loop.reload(&next); w.loop.discovery != watch {
 				t.Error("a configuration that is in force already begins a new watch")
@@ -302,7 +302,7 @@
 // Endpoints come and go all day under new names. One that is gone is forgotten
 // once nothing is out there; its number is never given again, so that what comes
 // late is not taken for another's.
-func TestGoneEndpointsAreForgotten(t *testing.T) {
+func TestRemovedEndpointsAreForgotten(t *testing.T) {
 	answer := make(chan struct{})
 	e := sidecartest.NewEndpoint(t, func(e *sidecartest.Endpoint, conn net.Conn, in *bufio.Reader) {
 		for e.Next(in) != nil {
@@ -313,9 +313,9 @@
 	w := start(t, nil, ready("s-1", e.Address))
 	held := make(chan reply)
 	go func() { held <- w.send(w.request("pay", "x", time.Minute)) }()
-	w.until("the request in hand", func() bool { n, _ := e.Seen(); return n == 1 })
+	w.await("the request in hand", func() bool { n, _ := e.Seen(); return n == 1 })
 	list := func(whole bool, hosts ...discovery.Entry) {
-		w.do(func() {
+		w.runInLoop(func() {
 			kind := balancer.ListDelta
 			if whole {
 				kind = balancer.ListFull
@@ -330,7 +330,7 @@
 	gone.Health = "Gone"
 	list(false, gone)
 	list(false, gone)
-	w.do(func() {
+	w.runInLoop(func() {
 		if len(w.loop.endpoints) != 1 || len(w.loop.endpointIDs) != 1 || w.loop.endpoints[1] == nil {
 			t.Errorf("%d endpoints and %d names are kept, want the one with an attempt out", len(w.loop.endpoints), len(w.loop.endpointIDs))
 		}
@@ -339,13 +339,13 @@
 	if got := <-held; got.code != http.StatusOK {
 		t.Errorf("the request in hand: %+v", got)
 	}
-	w.do(func() {
+	w.runInLoop(func() {
 		if len(w.loop.endpoints) != 0 || len(w.loop.endpointIDs) != 0 {
 			t.Errorf("%d endpoints and %d names are kept, want none", len(w.loop.endpoints), len(w.loop.endpointIDs))
 		}
 	})
 	list(true, ready("s-1", e.Address))
-	w.do(func() {
+	w.runInLoop(func() {
 		if id := w.loop.endpointIDs["s-1"]; id != 52 {
 			t.Errorf("the endpoint that is back has number %d, want a new one, 52", id)
 		}
--- a/internal/sidecar/durability_test.go
+++ b/internal/sidecar/durability_test.go
@@ -15,29 +15,29 @@
 )
 
 // A fault of the folder costs no request and no connection: only what staff ask for is a no meanwhile.
-func TestServingOverDiskFaults(t *testing.T) {
+func TestServesDespiteDiskFaults(t *testing.T) {
 	e, disk := sidecartest.NewEndpoint(t, sidecartest.Always(sidecartest.Served)), &sidecartest.FaultyDisk{}
 	w := startWith(t, nil, func(c *config.Config) { c.Host.Files = disk.FileOps() }, ready("s-1", e.Address))
-	address := w.second(t.TempDir())
-	if got := status(t, "POST", address, "/admin/quiesce"); got != http.StatusOK {
+	address := w.startAdmin(t.TempDir())
+	if got := callStatus(t, "POST", address, "/admin/quiesce"); got != http.StatusOK {
 		t.Fatal(got)
 	}
 	disk.Fail("sync", syscall.EIO)
-	if got := status(t, "POST", address, "/admin/resume"); got != http.StatusInternalServerError {
+	if got := callStatus(t, "POST", address, "/admin/resume"); got != http.StatusInternalServerError {
 		t.Errorf("a call that can't be stored: %d", got)
 	}
 	if got := w.send(w.request("read", "", time.Minute)); got.code != http.StatusOK || w.server.acceptsRequests() {
 		t.Errorf("a request meanwhile: %+v", got)
 	}
 	disk.Mend()
-	if got := status(t, "POST", address, "/admin/resume"); got != http.StatusOK || !w.server.acceptsRequests() {
+	if got := callStatus(t, "POST", address, "/admin/resume"); got != http.StatusOK || !w.server.acceptsRequests() {
 		t.Errorf("the call afterwards: %d", got)
 	}
 }
 
 // A place among the processes is taken once the folder lets it be, and who was seen there stays seen while it can't
 // be looked at.
-func TestSeatsOverFaults(t *testing.T) {
+func TestProcessSlotDespiteFaults(t *testing.T) {
 	e := sidecartest.NewEndpoint(t, sidecartest.Always(sidecartest.Served))
 	w := start(t, nil, ready("s-1", e.Address))
 	dir := filepath.Join(t.TempDir(), "later")
@@ -49,7 +49,7 @@
 	if err := os.Mkdir(dir, 0o700); err != nil {
 		t.Fatal(err)
 	}
-	w.until("a place", func() bool { return w.server.slot.Load() != nil })
+	w.await("a place", func() bool { return w.server.slot.Load() != nil })
 	other, err := handover.AcquireSlot(dir)
 	if err != nil {
 		t.Fatal(err)
@@ -57,7 +57,7 @@
 	if err := other.MarkReady(); err != nil {
 		t.Fatal(err)
 	}
-	w.until("the other process", w.server.replaced)
+	w.await("the other process", w.server.replaced)
 	path := filepath.Join(dir, "oakproxy-process.1") // the place after that of the sidecar itself
 	if err := os.Rename(path, path+".gone"); err != nil {
 		t.Fatal(err)
@@ -71,20 +71,20 @@
 }
 
 // A process that starts with its clock off by an hour tells by discovery's date which endpoints have just started.
-func TestStartsByAnotherClockThanDiscoverys(t *testing.T) {
+func TestEndpointStartTimesDespiteClockSkew(t *testing.T) {
 	e := sidecartest.NewEndpoint(t, sidecartest.Always(sidecartest.Served))
 	for _, step := range []time.Duration{-time.Hour, 0, time.Hour} {
 		times := &sidecartest.SteppedClock{}
 		times.Step(step)
 		young, old := ready("s-1", e.Address), ready("s-2", e.Address)
 		young.BornMS, old.BornMS = time.Now().UnixMilli(), time.Now().Add(-2*time.Hour).UnixMilli()
-		w := &world{t: t, dir: newDirectory(t, young, old)}
-		cfg := configure(t, w.dir.address, nil) // it knows no list but discovery's
+		w := &harness{t: t, discovery: newFakeDiscovery(t, young, old)}
+		cfg := configure(t, w.discovery.address, nil) // it knows no list but discovery's
 		cfg.Host.Time = times.Clock()
 		w.launch(cfg)
 		w.untilReady()
 		var ages []time.Duration
-		w.do(func() {
+		w.runInLoop(func() {
 			for _, name := range []string{"s-1", "s-2"} {
 				ages = append(ages, time.Duration(w.loop.clock.now()-w.loop.endpoints[w.loop.endpointIDs[name]].startedAt)*time.Microsecond)
 			}
--- a/internal/sidecar/ending_test.go
+++ b/internal/sidecar/ending_test.go
@@ -18,7 +18,7 @@
 // At SIGTERM a request may be in hand, half written or still to come on a connection that is
 // open, and a new configuration may arrive in the middle: each has its answer, which ends its
 // connection, and the sidecar ends once all are out.
-func TestTerminationWithRequestsOnTheWay(t *testing.T) {
+func TestShutdownAnswersRequestsUnderWay(t *testing.T) {
 	head := sidecartest.PayHead + "Content-Length: 10\r\nX-Correlation-Id: "
 	for what, split := range map[string]int{
 		"connected":         0,
@@ -39,15 +39,15 @@
 			text := head + "1\r\n\r\n0123456789"
 			conn := w.dial()
 			io.WriteString(conn, text[:split])
-			w.until("the connection", func() bool { return w.server.clients.Count() > 0 })
+			w.await("the connection", func() bool { return w.server.clients.Count() > 0 })
 			if split == len(text) {
 				<-dial.Begun
 			}
 			w.stop()
-			w.until("the end of service", w.server.draining)
+			w.await("the end of service", w.server.draining)
 			if what == "and a new SIGHUP" {
 				next := *w.loop.cfg
-				w.do(func() { w.loop.reload(&next) })
+				w.runInLoop(func() { w.loop.reload(&next) })
 			}
 			io.WriteString(conn, text[split:])
 			close(dial.Unblock)
@@ -80,11 +80,11 @@
 
 // Idle clients may take all connections that clients may have while discovery is down: when
 // it is back its list is heard, and requests go to what it names.
-func TestIdleClientsLeaveRoomForDiscovery(t *testing.T) {
+func TestIdleClientsDoNotStarveDiscovery(t *testing.T) {
 	first, second := sidecartest.NewEndpoint(t, sidecartest.Always(sidecartest.Served)), sidecartest.NewEndpoint(t, sidecartest.Always(sidecartest.Served))
 	w := start(t, nil, ready("s-1", first.Address))
-	w.until("the watch", func() bool { return w.dir.count() >= 2 })
-	w.dir.change(func() { w.dir.down = true })
+	w.await("the watch", func() bool { return w.discovery.count() >= 2 })
+	w.discovery.change(func() { w.discovery.down = true })
 	// Clients that come again at once when they are closed.
 	end, ended := make(chan struct{}), make(chan struct{})
 	n := w.server.clients.MaxConnections + 2*downstream.MaxRejected
@@ -115,12 +115,12 @@
 			}
 		}()
 	}
-	w.until("all connections to be taken", func() bool { return w.server.clients.Count() >= w.server.clients.MaxConnections })
-	w.dir.change(func() {
-		w.dir.down = false
-		w.dir.list = discovery.List{Seq: 1, Whole: true, Hosts: []discovery.Entry{ready("s-2", second.Address)}}
+	w.await("all connections to be taken", func() bool { return w.server.clients.Count() >= w.server.clients.MaxConnections })
+	w.discovery.change(func() {
+		w.discovery.down = false
+		w.discovery.list = discovery.List{Seq: 1, Whole: true, Hosts: []discovery.Entry{ready("s-2", second.Address)}}
 	})
-	w.until("a request at the new endpoint", func() bool {
+	w.await("a request at the new endpoint", func() bool {
 		w.send(w.request("read", "", 3*time.Second))
 		requests, _ := second.Seen()
 		return requests > 0
@@ -140,7 +140,7 @@
 
 // An answer without a length that is reset, or whose head promised more, is never whole:
 // where nothing of it is out the client hears of a failure, else it finds a broken answer.
-func TestAnswerThatBreaksOffIsNeverWhole(t *testing.T) {
+func TestTruncatedResponseIsNeverComplete(t *testing.T) {
 	for what, begin := range map[string]string{
 		"without a length":     "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\npart",
 		"of HTTP/1.0":          "HTTP/1.0 200 OK\r\n\r\npart",
--- a/internal/sidecar/gate_test.go
+++ b/internal/sidecar/gate_test.go
@@ -15,7 +15,7 @@
 
 // A repeat of a keyed request is decided within the window and waits for its connection
 // until after it: it is not sent, and the client has its answer.
-func TestRepeatIsNotSentAfterItsWindow(t *testing.T) {
+func TestRetryIsNotSentAfterItsWindow(t *testing.T) {
 	const window = 2 * time.Second // long enough to decide on the repeat within it
 	reset := make(chan struct{})
 	broken := sidecartest.NewEndpoint(t, func(e *sidecartest.Endpoint, conn net.Conn, in *bufio.Reader) {
@@ -30,13 +30,13 @@
 	dial := sidecartest.BlockDials(&w.loop.upstream.Dialer, slow.Address)
 	answer := make(chan reply, 1)
 	go func() { answer <- w.send(w.request("pay", "x", time.Minute)) }()
-	w.until("the first attempt", func() bool { n, _ := broken.Seen(); return n == 1 })
-	w.dir.change(func() {
-		w.dir.list = discovery.List{Seq: 1, Whole: true, Hosts: []discovery.Entry{ready("s-1", broken.Address), ready("s-2", slow.Address)}}
+	w.await("the first attempt", func() bool { n, _ := broken.Seen(); return n == 1 })
+	w.discovery.change(func() {
+		w.discovery.list = discovery.List{Seq: 1, Whole: true, Hosts: []discovery.Entry{ready("s-1", broken.Address), ready("s-2", slow.Address)}}
 	})
-	w.until("the news", func() bool {
+	w.await("the news", func() bool {
 		var n int
-		w.do(func() { n = len(w.loop.endpoints) })
+		w.runInLoop(func() { n = len(w.loop.endpoints) })
 		return n == 2
 	})
 	close(reset)
@@ -54,7 +54,7 @@
 
 // A client that leaves while its request is dialled for has gone, whatever the settings
 // say of cancelling.
-func TestNothingIsSentForAClientThatLeft(t *testing.T) {
+func TestNothingIsSentForADisconnectedClient(t *testing.T) {
 	for name, may := range map[string]bool{"may cancel": true, "may not cancel": false} {
 		t.Run(name, func(t *testing.T) {
 			e := sidecartest.NewEndpoint(t, sidecartest.Always(sidecartest.Served))
@@ -65,8 +65,8 @@
 			<-dial.Begun
 			conn.Close()
 			close(dial.Unblock) // at once: that it has left need not have been heard by then
-			w.until("the outcome", func() bool { return len(w.spy.statuses()) == 1 })
-			if all := w.spy.statuses(); !slices.Equal(all, []balancer.Status{balancer.NotSent}) {
+			w.await("the outcome", func() bool { return len(w.recorder.statuses()) == 1 })
+			if all := w.recorder.statuses(); !slices.Equal(all, []balancer.Status{balancer.NotSent}) {
 				t.Errorf("outcomes %v, want moot", all)
 			}
 			if n, _ := e.Seen(); n != 0 {
--- a/internal/sidecar/hear_test.go
+++ b/internal/sidecar/hear_test.go
@@ -14,34 +14,37 @@
 
 // outage is a way in which discovery can be out of reach, and back.
 type outage struct {
-	begin, end func(dir *silence)
-	turn       time.Duration // that calls wait for once it is back, where lists are asked for
+	begin, end func(dir *scriptedDiscovery)
+	queueDelay time.Duration // that calls wait for once it is back, where lists are asked for
 }
 
-func (s *silence) set(change func()) {
+func (s *scriptedDiscovery) set(change func()) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	change()
 }
 
 var outages = map[string]outage{
-	"silent once":             {func(dir *silence) { dir.silenced() }, func(*silence) {}, 0},
-	"silent once, overbooked": {func(dir *silence) { dir.silenced() }, func(dir *silence) {}, 2 * time.Second},
-	"reset once":              {func(dir *silence) { dir.reset() }, func(*silence) {}, 0},
-	"refused": {func(dir *silence) { dir.set(func() { dir.down = true }); dir.reset() },
-		func(dir *silence) { dir.set(func() { dir.down = false }) }, 0},
-	"refused, overbooked": {func(dir *silence) { dir.set(func() { dir.down = true }); dir.reset() },
-		func(dir *silence) { dir.set(func() { dir.down = false }) }, 2 * time.Second},
-	"refused late": {func(dir *silence) { dir.set(func() { dir.down, dir.turn = true, time.Second }); dir.reset() },
-		func(dir *silence) { dir.set(func() { dir.down, dir.turn = false, 0 }) }, 0},
-	"hanging": {func(dir *silence) { dir.listen(false); dir.reset() }, func(dir *silence) { dir.listen(true) }, 0},
-	"hanging, overbooked": {func(dir *silence) { dir.listen(false); dir.reset() },
-		func(dir *silence) { dir.listen(true) }, 2 * time.Second},
+	"silent once":             {func(dir *scriptedDiscovery) { dir.silenceOpenCalls() }, func(*scriptedDiscovery) {}, 0},
+	"silent once, overbooked": {func(dir *scriptedDiscovery) { dir.silenceOpenCalls() }, func(dir *scriptedDiscovery) {}, 2 * time.Second},
+	"reset once":              {func(dir *scriptedDiscovery) { dir.resetConnections() }, func(*scriptedDiscovery) {}, 0},
+	"refused": {func(dir *scriptedDiscovery) { dir.set(func() { dir.down = true }); dir.resetConnections() },
+		func(dir *scriptedDiscovery) { dir.set(func() { dir.down = false }) }, 0},
+	"refused, overbooked": {func(dir *scriptedDiscovery) { dir.set(func() { dir.down = true }); dir.resetConnections() },
+		func(dir *scriptedDiscovery) { dir.set(func() { dir.down = false }) }, 2 * time.Second},
+	"refused late": {func(dir *scriptedDiscovery) {
+		dir.set(func() { dir.down, dir.queueDelay = true, time.Second })
+		dir.resetConnections()
+	},
+		func(dir *scriptedDiscovery) { dir.set(func() { dir.down, dir.queueDelay = false, 0 }) }, 0},
+	"hanging": {func(dir *scriptedDiscovery) { dir.setResponsive(false); dir.resetConnections() }, func(dir *scriptedDiscovery) { dir.setResponsive(true) }, 0},
+	"hanging, overbooked": {func(dir *scriptedDiscovery) { dir.setResponsive(false); dir.resetConnections() },
+		func(dir *scriptedDiscovery) { dir.setResponsive(true) }, 2 * time.Second},
 }
 
 // Whatever has become of the calls before, a change is applied 6 s after discovery has it and
 // can be reached at the latest, the first second of which the tests do without.
-func TestChangesAreHeardInTime(t *testing.T) {
+func TestChangesApplyInTimeAfterAnOutage(t *testing.T) {
 	const within = 6 * time.Second
 	settings := map[string]func(map[string]any){}
 	for name, alter := range deployments {
@@ -57,20 +60,20 @@
 			t.Run(what+", "+name, func(t *testing.T) {
 				for seed := range uint64(12) {
 					synctest.Test(t, func(t *testing.T) {
-						dir, dial := newSilence(t)
-						l := watching(t, dial, alter, seed)
-						dir.watched()
+						dir, dial := newScriptedDiscovery(t)
+						l := startWatching(t, dial, alter, seed)
+						dir.awaitOpenCall()
 						time.Sleep(time.Duration(seed) * 170 * time.Millisecond)
 						o.begin(dir)
 						// How long it is out of reach falls into every part of a call and a pause.
 						time.Sleep(time.Duration(seed%6) * (6*time.Second + 510*time.Millisecond))
 						if l.cfg.Settings.SubscribeToDiscovery {
-							dir.set(func() { dir.turn = o.turn })
+							dir.set(func() { dir.queueDelay = o.queueDelay })
 						}
-						dir.drain()
+						dir.drainEndpoint()
 						o.end(dir)
 						reached := time.Now()
-						for !barred(l, "s-1") {
+						for !unreachable(l, "s-1") {
 							if took := time.Since(reached); took > within {
 								t.Fatalf("seed %d: a change is not heard of %v after discovery could be reached", seed, took)
 							}
@@ -85,16 +88,16 @@
 
 // While discovery is out of reach, the calls of a fleet that lost it at once stay spread,
 // and few enough for it to answer those that wait when it is back.
-func TestCallsOfAFleetStaySpread(t *testing.T) {
+func TestDiscoveryCallsOfAFleetStaySpread(t *testing.T) {
 	const sidecars, span = 350, 20 * time.Second
 	synctest.Test(t, func(t *testing.T) {
-		dir, dial := newSilence(t)
+		dir, dial := newScriptedDiscovery(t)
 		for seed := range uint64(sidecars) {
-			watching(t, dial, deployments["asked, grace 2 s"], seed)
+			startWatching(t, dial, deployments["asked, grace 2 s"], seed)
 		}
 		time.Sleep(5 * time.Second)
 		dir.set(func() { dir.down = true })
-		dir.reset()
+		dir.resetConnections()
 		time.Sleep(10 * time.Second)
 		dir.set(func() { dir.calls = nil })
 		time.Sleep(span)
@@ -124,37 +127,37 @@
 	const within = 10 * time.Second
 	for what, c := range map[string]struct {
 		known bool
-		begin func(dir *silence)
+		begin func(dir *scriptedDiscovery)
 		after time.Duration // discovery is back
 		want  time.Duration // ready by then, from the start or from that
 	}{
-		"an old list, discovery hangs":           {true, func(dir *silence) { dir.listen(false) }, 30 * time.Second, 0},
-		"an old list, discovery refuses":         {true, func(dir *silence) { dir.set(func() { dir.down = true }) }, 30 * time.Second, 0},
-		"no list":                                {false, func(*silence) {}, 0, within},
-		"no list, discovery overbooked":          {false, func(dir *silence) { dir.set(func() { dir.turn = 2500 * time.Millisecond }) }, 0, within},
-		"no list, discovery hangs for a while":   {false, func(dir *silence) { dir.listen(false) }, 3 * time.Second, within},
-		"no list, discovery refuses for a while": {false, func(dir *silence) { dir.set(func() { dir.down = true }) }, 3 * time.Second, within},
-		"no list, discovery hangs for long":      {false, func(dir *silence) { dir.listen(false) }, 20 * time.Second, 20*time.Second + 6*time.Second},
-		"no list, discovery refuses for long":    {false, func(dir *silence) { dir.set(func() { dir.down = true }) }, 20 * time.Second, 26 * time.Second},
+		"an old list, discovery hangs":           {true, func(dir *scriptedDiscovery) { dir.setResponsive(false) }, 30 * time.Second, 0},
+		"an old list, discovery refuses":         {true, func(dir *scriptedDiscovery) { dir.set(func() { dir.down = true }) }, 30 * time.Second, 0},
+		"no list":                                {false, func(*scriptedDiscovery) {}, 0, within},
+		"no list, discovery overbooked":          {false, func(dir *scriptedDiscovery) { dir.set(func() { dir.queueDelay = 2500 * time.Millisecond }) }, 0, within},
+		"no list, discovery hangs for a while":   {false, func(dir *scriptedDiscovery) { dir.setResponsive(false) }, 3 * time.Second, within},
+		"no list, discovery refuses for a while": {false, func(dir *scriptedDiscovery) { dir.set(func() { dir.down = true }) }, 3 * time.Second, within},
+		"no list, discovery hangs for long":      {false, func(dir *scriptedDiscovery) { dir.setResponsive(false) }, 20 * time.Second, 20*time.Second + 6*time.Second},
+		"no list, discovery refuses for long":    {false, func(dir *scriptedDiscovery) { dir.set(func() { dir.down = true }) }, 20 * time.Second, 26 * time.Second},
 	} {
 		for name, alter := range deployments {
 			t.Run(what+", "+name, func(t *testing.T) {
 				for seed := range uint64(8) {
 					synctest.Test(t, func(t *testing.T) {
-						dir, dial := newSilence(t)
+						dir, dial := newScriptedDiscovery(t)
 						c.begin(dir)
 						if strings.HasPrefix(name, "pushed") {
-							dir.turn = 0 // an agent has its list at hand
+							dir.queueDelay = 0 // an agent has its list at hand
 						}
 						began := time.Now()
-						l := watchingWith(t, dial, func(cfg *config.Config) {
+						l := startWatchingWith(t, dial, func(cfg *config.Config) {
 							if cfg.Seed = seed; !c.known {
 								cfg.KnownEndpoints = discovery.List{}
 							}
 						}, alter)
 						time.AfterFunc(c.after, func() {
 							if c.after > 0 {
-								dir.listen(true)
+								dir.setResponsive(true)
 								dir.set(func() { dir.down = false })
 							}
 						})
@@ -169,9 +172,9 @@
 							return
 						}
 						// Ready from an old list: what has drained since is heard of as soon as can be.
-						dir.drain()
+						dir.drainEndpoint()
 						time.Sleep(time.Until(began.Add(c.after + 6*time.Second)))
-						if !barred(l, "s-1") {
+						if !unreachable(l, "s-1") {
 							t.Errorf("seed %d: sends go to what drained before discovery was back", seed)
 						}
 					})
--- a/internal/sidecar/host_test.go
+++ b/internal/sidecar/host_test.go
@@ -14,14 +14,14 @@
 
 // A sidecar that shares its process leaves that process's memory limit and files alone;
 // one that has the process to itself limits its memory.
-func TestHosts(t *testing.T) {
+func TestMemoryLimitDependsOnTheHost(t *testing.T) {
 	t.Setenv("TMPDIR", t.TempDir())
 	before := debug.SetMemoryLimit(-1)
 	defer debug.SetMemoryLimit(before)
 	debug.SetMemoryLimit(math.MaxInt64)
 
 	w := start(t, nil, ready("s-1", sidecartest.NewEndpoint(t, sidecartest.Always(sidecartest.Served)).Address))
-	shared := configure(t, w.dir.address, nil)
+	shared := configure(t, w.discovery.address, nil)
 	runOnce(t, shared)
 	if limit := debug.SetMemoryLimit(-1); limit != math.MaxInt64 {
 		t.Errorf("the memory limit is %d after a sidecar that shares its process", limit)
@@ -30,7 +30,7 @@
 		t.Errorf("files after a sidecar that shares its process: %v, %v", files, err)
 	}
 
-	own := configure(t, w.dir.address, nil)
+	own := configure(t, w.discovery.address, nil)
 	own.Host = config.OwnProcessHost()
 	runOnce(t, own)
 	if limit, want := debug.SetMemoryLimit(-1), int64(own.Limits.MemoryMB)<<20/10*heapTenths; limit != want {
--- a/internal/sidecar/limits_test.go
+++ b/internal/sidecar/limits_test.go
@@ -9,10 +9,10 @@
 
 // Two processes have the limits of one sidecar between them, and the one that stays
 // has them whole again. What is idle beyond its part is closed.
-func TestProcessesShareTheLimits(t *testing.T) {
+func TestProcessesShareLimits(t *testing.T) {
 	e := sidecartest.NewEndpoint(t, sidecartest.Always(sidecartest.Served))
 	w := start(t, nil, ready("s-1", e.Address))
-	w.until("other connections to end", func() bool { return w.server.clients.Count() == 0 })
+	w.await("other connections to end", func() bool { return w.server.clients.Count() == 0 })
 	whole, room := w.server.clients.MaxConnections, w.loop.upstream.Bodies.Limit.Load()
 	dir := t.TempDir()
 	own, err := handover.AcquireSlot(dir)
@@ -23,15 +23,15 @@
 	for range whole {
 		w.dial()
 	}
-	w.until("all room to be taken", func() bool { return w.server.clients.Count() == whole })
+	w.await("all room to be taken", func() bool { return w.server.clients.Count() == whole })
 	other, err := handover.AcquireSlot(dir)
 	if err != nil {
 		t.Fatal(err)
 	}
 	go w.server.followPeers(t.Context(), dir)
 	half := (w.loop.cfg.Limits.Sockets/2 - reservedSockets) / 2
-	w.until("connections beyond its part to end", func() bool { return w.server.clients.Count() == half })
-	w.until("the part", func() bool { return w.loop.upstream.Bodies.Limit.Load() == room/2 })
+	w.await("connections beyond its part to end", func() bool { return w.server.clients.Count() == half })
+	w.await("the part", func() bool { return w.loop.upstream.Bodies.Limit.Load() == room/2 })
 	if !w.server.hasPeer() || w.server.replaced() {
 		t.Error("the other process is not seen, or taken for ready")
 	}
@@ -42,7 +42,7 @@
 		t.Error("the other process is not seen to be ready")
 	}
 	other.Release()
-	w.until("the limits to be whole again", func() bool {
+	w.await("the limits to be whole again", func() bool {
 		most, _ := w.server.clients.Limits()
 		return most == whole && w.loop.upstream.Bodies.Limit.Load() == room
 	})
--- a/internal/sidecar/reload_test.go
+++ b/internal/sidecar/reload_test.go
@@ -38,31 +38,31 @@
 	return nil
 }
 
-// without leaves a class out of the settings.
-func without(name string) func(settings map[string]any) {
+// withoutClass leaves a class out of the settings.
+func withoutClass(name string) func(settings map[string]any) {
 	return func(s map[string]any) {
 		s["classes"] = slices.DeleteFunc(classes(s), func(c any) bool { return c.(map[string]any)["name"] == name })
 	}
 }
 
-// searching adds a class ahead of the others.
-func searching(s map[string]any) {
+// withSearchClass adds a class ahead of the others.
+func withSearchClass(s map[string]any) {
 	added := map[string]any{"name": "search", "repeat": "side_effect", "target": 600000, "give-up": 3000000}
 	s["classes"] = append([]any{added}, classes(s)...)
 }
 
 // reload has the sidecar take up changed settings, and returns what it logs.
-func (w *world) reload(alter func(settings map[string]any)) string {
+func (w *harness) reload(alter func(settings map[string]any)) string {
 	w.t.Helper()
-	next := configure(w.t, w.dir.address, alter)
-	return w.logged(func() { w.loop.reload(next) })
+	next := configure(w.t, w.discovery.address, alter)
+	return w.captureLog(func() { w.loop.reload(next) })
 }
 
-// logged runs f in the loop and returns what the loop logs meanwhile.
-func (w *world) logged(f func()) string {
+// captureLog runs f in the loop and returns what the loop logs meanwhile.
+func (w *harness) captureLog(f func()) string {
 	w.t.Helper()
 	var text bytes.Buffer
-	w.do(func() {
+	w.runInLoop(func() {
 		old := w.loop.log
 		w.loop.log = slog.New(slog.NewTextHandler(&text, nil))
 		f()
@@ -87,12 +87,12 @@
 		}
 	}
 	check("at the start", map[string]int{"search": 400, "read": 200, "pay": 200, "order": 200})
-	if log := w.reload(searching); !strings.Contains(log, `msg="configuration in force" generation=2 hash=`) ||
+	if log := w.reload(withSearchClass); !strings.Contains(log, `msg="configuration in force" generation=2 hash=`) ||
 		!strings.Contains(log, "changed=[classes]") || strings.Count(log, "\n") != 1 {
 		t.Errorf("logged %q", log)
 	}
 	check("with a class more", map[string]int{"search": 200, "read": 200, "pay": 200, "order": 200})
-	w.reload(func(s map[string]any) { without("pay")(s); slices.Reverse(classes(s)) })
+	w.reload(func(s map[string]any) { withoutClass("pay")(s); slices.Reverse(classes(s)) })
 	check("with two classes less, and the others reversed", map[string]int{"search": 400, "read": 200, "pay": 400, "close": 200, "order": 200})
 	tenants := func(names ...string) func(map[string]any) {
 		return func(s map[string]any) {
@@ -111,10 +111,10 @@
 
 // A request in hand is answered under the class that it began under: its repeat is sent, and its late outcome is
 // taken, while the class is moved, changed or taken away.
-func TestRequestInHandOverAReload(t *testing.T) {
+func TestInFlightRequestSurvivesAReload(t *testing.T) {
 	for name, alter := range map[string]func(map[string]any){
-		"moved": func(s map[string]any) { slices.Reverse(classes(s)) }, "gone": without("pay"),
-		"added ahead": searching, "less time": func(s map[string]any) { class(s, "pay")["give-up"] = 1 },
+		"moved": func(s map[string]any) { slices.Reverse(classes(s)) }, "gone": withoutClass("pay"),
+		"added ahead": withSearchClass, "less time": func(s map[string]any) { class(s, "pay")["give-up"] = 1 },
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -134,7 +134,7 @@
 			w := start(t, nil, ready("s-1", first.Address), ready("s-2", second.Address))
 			held := make(chan reply)
 			go func() { held <- w.send(w.request("pay", "x", time.Minute)) }()
-			w.until("the request in hand", func() bool { return seen.Load() == 1 })
+			w.await("the request in hand", func() bool { return seen.Load() == 1 })
 			w.reload(alter)
 			close(answer)
 			if got := <-held; got.code != http.StatusOK || got.body != "done" {
@@ -145,8 +145,8 @@
 					t.Errorf("an endpoint got %d requests, want 1 of the class", n)
 				}
 			}
-			w.until("nothing to be in hand", func() (none bool) {
-				w.do(func() { none = len(w.loop.requests) == 0 })
+			w.await("nothing to be in hand", func() (none bool) {
+				w.runInLoop(func() { none = len(w.loop.requests) == 0 })
 				return none
 			})
 		})
@@ -155,7 +155,7 @@
 
 // A request that was read before a reload and reaches the loop after it is served as what it was read as: it is
 // repeated like one of its own class, and not like one of the class that has taken its place, which is unsafe.
-func TestRequestReadBeforeAReload(t *testing.T) {
+func TestRequestReadBeforeAReloadKeepsItsClass(t *testing.T) {
 	order := func(names ...string) func(map[string]any) {
 		return func(s map[string]any) {
 			var list []any
@@ -178,14 +178,14 @@
 			t.Parallel()
 			e := sidecartest.NewEndpoint(t, sidecartest.FirstThen(sidecartest.Failing, sidecartest.Served))
 			w := start(t, nil, ready("s-1", e.Address), ready("s-2", e.Address))
-			next := configure(t, w.dir.address, c.alter)
+			next := configure(t, w.discovery.address, c.alter)
 			busy := make(chan struct{})
 			w.loop.post(func(balancer.Micros) { <-busy })
 			answer := make(chan reply)
 			go func() { answer <- w.send(w.request("pay", "x", time.Minute)) }()
-			w.until("the request to be read", func() bool { return w.server.inFlight.count() == 1 })
+			w.await("the request to be read", func() bool { return w.server.inFlight.count() == 1 })
 			go w.loop.runUrgent(func(balancer.Micros) { w.loop.reload(next) })
-			w.until("the reload to wait", func() bool { return len(w.loop.urgent) == 1 })
+			w.await("the reload to wait", func() bool { return len(w.loop.urgent) == 1 })
 			close(busy)
 			if got := <-answer; got.code != c.code {
 				t.Errorf("answer %+v, want %d", got, c.code)
@@ -199,7 +199,7 @@
 
 // A repeat that waits for its connection when its class turns unsafe never begins, and the client is promised
 // nothing; a first attempt goes on.
-func TestUnsafeClassHoldsForAttemptsNotYetSent(t *testing.T) {
+func TestReloadToUnsafeClassAppliesToUnsentAttempts(t *testing.T) {
 	for name, c := range map[string]struct {
 		held int32 // the dial that waits
 		code int
@@ -219,7 +219,7 @@
 			}
 			w := start(t, nil, ready("s-1", sidecartest.NewEndpoint(t, serve).Address), ready("s-2", sidecartest.NewEndpoint(t, serve).Address))
 			dialling, goOn := make(chan struct{}), make(chan struct{})
-			w.do(func() {
+			w.runInLoop(func() {
 				w.loop.upstream.Dialer.Control = func(string, string, syscall.RawConn) error {
 					if dials.Add(1) == c.held {
 						close(dialling)
@@ -245,15 +245,15 @@
 
 // The hash goes by what is in force, not by how the file is written or which sidecar reads it. A file that equals
 // what is in force does nothing; what can't change in a process is named.
-func TestEqualConfigurationDoesNothing(t *testing.T) {
+func TestEqualConfigurationChangesNothing(t *testing.T) {
 	e := sidecartest.NewEndpoint(t, sidecartest.Always(sidecartest.Served))
 	w := start(t, nil, ready("s-1", e.Address))
 	first := w.loop.current.Load()
 	if log := w.reload(nil); log != "" || w.loop.current.Load() != first {
 		t.Errorf("logged %q, generation %d", log, w.loop.current.Load().Generation)
 	}
-	log := w.logged(func() {
-		next := *configure(t, w.dir.address, nil)
+	log := w.captureLog(func() {
+		next := *configure(t, w.discovery.address, nil)
 		next.Name, next.Listen, next.Seed, next.Limits.MemoryMB = "n1", "127.0.0.1:1", 7, 64
 		w.loop.reload(&next)
 	})
@@ -281,7 +281,7 @@
 }
 
 // What can't be taken changes nothing: one line names the key, and it is counted.
-func TestUnusableFileChangesNothing(t *testing.T) {
+func TestInvalidConfigurationChangesNothing(t *testing.T) {
 	e := sidecartest.NewEndpoint(t, sidecartest.Always(sidecartest.Served))
 	w := start(t, nil, ready("s-1", e.Address))
 	first := w.loop.current.Load()
@@ -289,7 +289,7 @@
 	signals := make(chan os.Signal, 1)
 	defer close(signals)
 	configs := config.ReloadOnSignal(path, signals)
-	good := `{"name":"n0","listen":"127.0.0.1:0","discovery":"` + w.dir.address + `","seed":"8c1f30d27a5be964",` +
+	good := `{"name":"n0","listen":"127.0.0.1:0","discovery":"` + w.discovery.address + `","seed":"8c1f30d27a5be964",` +
 		`"limits":{"memory_mb":192,"sockets":256},"settings":` + sidecartest.SettingsText + `}`
 	tried := 0
 	for _, c := range []struct{ old, new, key string }{
@@ -314,7 +314,7 @@
 		signals <- syscall.SIGHUP
 		next := <-configs
 		tried++
-		log := w.logged(func() { w.loop.reload(next) })
+		log := w.captureLog(func() { w.loop.reload(next) })
 		if strings.Count(log, "\n") != 1 || !strings.Contains(log, `msg="configuration not reloaded"`) ||
 			!strings.Contains(log, c.key) || !strings.Contains(log, fmt.Sprintf("reloads_rejected=%d", tried)) {
 			t.Errorf("%s: logged %q, want one line with %q and the count %d", c.new, log, c.key, tried)
@@ -326,7 +326,7 @@
 	if got := w.send(w.request("pay", "x", time.Minute)); got.code != http.StatusOK {
 		t.Errorf("answer %+v", got)
 	}
-	counts := w.logged(func() { w.loop.logStats(w.loop.clock.now()) })
+	counts := w.captureLog(func() { w.loop.logStats(w.loop.clock.now()) })
 	if want := fmt.Sprintf("generation=1 hash=%s reloads=0 reloads_rejected=%d", first.FileHash, tried); !strings.Contains(counts, want) {
 		t.Errorf("counts %q, want %q", counts, want)
 	}
@@ -334,10 +334,10 @@
 
 // What operators and discovery have told of endpoints stays over a change of settings, which does not ask
 // discovery again; limits hold at once, for connections, too.
-func TestReloadKeepsEndpointsAndTakesLimits(t *testing.T) {
+func TestReloadKeepsEndpointsAndAppliesLimits(t *testing.T) {
 	e := sidecartest.NewEndpoint(t, sidecartest.Always(sidecartest.Served))
 	w := startWith(t, nil, longWaits, ready("s-1", e.Address), ready("s-2", e.Address))
-	w.until("the watch", func() bool { return w.dir.count() == 2 })
+	w.await("the watch", func() bool { return w.discovery.count() == 2 })
 	drained := ready("s-1", e.Address)
 	drained.Health = "Terminating"
 	var before, after map[uint32]endpoint
@@ -349,13 +349,13 @@
 		}
 		return all
 	}
-	w.do(func() {
+	w.runInLoop(func() {
 		now := w.loop.clock.now()
 		w.loop.updateEndpoints(now, balancer.ListDelta, discovery.List{Hosts: []discovery.Entry{drained}})
 		w.loop.applyOverrides(now, []operatorstate.Override{{Name: "s-2", Cordoned: true}})
 		before, watch = members(), w.loop.discovery
 	})
-	next := *configure(t, w.dir.address, func(s map[string]any) {
+	next := *configure(t, w.discovery.address, func(s map[string]any) {
 		limits := s["limits"].(map[string]any)
 		limits["dial-timeout"], limits["keepalive"], limits["most-held"] = 7000, 4000, 9
 		s["reporting"] = map[string]any{"how": "probe", "fields": []string{"pending"}}
@@ -363,7 +363,7 @@
 	next.Limits.Sockets = 128
 	var old, read upstream.Result
 	old.Load, old.Report = w.loop.upstream.LoadReport("failed_ps=1,pending=2")
-	w.do(func() {
+	w.runInLoop(func() {
 		w.loop.reload(&next)
 		after, same = members(), w.loop.discovery
 		read.Load, read.Report = w.loop.upstream.LoadReport("failed_ps=1,pending=2")
@@ -377,7 +377,7 @@
 	if len(before) != 2 || before[1] != after[1] || before[2] != after[2] || !w.loop.overrides["s-2"].Cordoned {
 		t.Errorf("endpoints %+v, were %+v", after, before)
 	}
-	if watch != same || w.dir.count() != 2 {
+	if watch != same || w.discovery.count() != 2 {
 		t.Error("a change of settings asks discovery again")
 	}
 	if got, want := w.loop.upstream.Limits(), (upstream.ConnectionLimits{DialTimeout: 7 * time.Millisecond, MaxIdle: 3 * time.Millisecond, MaxConnections: maxConnections(&next)}); got != want {
@@ -390,17 +390,17 @@
 
 // Before the first event, in a drain by hand and after SIGTERM a reload holds like at any other time, and ends
 // nothing early: requests of before have the time that they began with.
-func TestReloadAtTheEdges(t *testing.T) {
+func TestReloadBeforeTheStartAndWhileDraining(t *testing.T) {
 	e := sidecartest.NewEndpoint(t, sidecartest.Always(sidecartest.Served))
-	w := &world{t: t, dir: newDirectory(t, ready("s-1", e.Address))}
-	cfg := configure(t, w.dir.address, nil, ready("s-1", e.Address))
+	w := &harness{t: t, discovery: newFakeDiscovery(t, ready("s-1", e.Address))}
+	cfg := configure(t, w.discovery.address, nil, ready("s-1", e.Address))
 	l, err := newLoop(t.Context(), cfg, slog.New(slog.DiscardHandler))
 	if err != nil {
 		t.Fatal(err)
 	}
 	done := make(chan struct{})
 	go func() {
-		l.runUrgent(func(balancer.Micros) { l.reload(configure(t, w.dir.address, searching)) })
+		l.runUrgent(func(balancer.Micros) { l.reload(configure(t, w.discovery.address, withSearchClass)) })
 		close(done)
 	}()
 	sidecartest.Await(t, "the reload to wait", func() bool { return len(l.urgent) == 1 })
@@ -413,13 +413,13 @@
 	w = start(t, nil, ready("s-1", e.Address))
 	w.server.drainPeriod = sidecartest.Patience
 	w.server.drainedByOperator.Store(true)
-	w.reload(searching)
+	w.reload(withSearchClass)
 	got := w.send(w.request("search", "x", time.Minute))
 	if got.code != http.StatusOK || w.server.acceptsRequests() {
 		t.Errorf("in a drain by hand: %+v", got)
 	}
 	w.stop()
-	w.until("the end of service", w.server.draining)
+	w.await("the end of service", w.server.draining)
 	w.reload(func(s map[string]any) {
 		s["classes"] = []any{map[string]any{"name": "find", "repeat": "side_effect", "target": 1, "give-up": 1}}
 	})
--- a/internal/sidecar/sidecar_test.go
+++ b/internal/sidecar/sidecar_test.go
@@ -38,7 +38,7 @@
 
 // How far a request is sent again follows from its class and from what is known
 // of the attempt before. All are seen by the client as one final answer.
-func TestResendLimits(t *testing.T) {
+func TestRetryLimits(t *testing.T) {
 	reset := func(e *sidecartest.Endpoint, conn net.Conn, in *bufio.Reader) {
 		for e.Next(in) != nil {
 			if n, _ := e.Seen(); n == 1 {
@@ -90,28 +90,28 @@
 
 // Each attempt has one outcome, told in order, and the last says that the
 // request is settled.
-func TestOutcomesAreToldOnceAndInOrder(t *testing.T) {
+func TestOutcomesAreReportedOnceAndInOrder(t *testing.T) {
 	e := sidecartest.NewEndpoint(t, sidecartest.FirstThen(sidecartest.TurnedAway, sidecartest.Served))
 	w := start(t, nil, ready("s-1", e.Address), ready("s-2", e.Address))
 	w.send(w.request("order", "x", 3*time.Second))
-	w.until("two outcomes", func() bool { return len(w.spy.statuses()) >= 2 })
-	w.spy.mu.Lock()
-	defer w.spy.mu.Unlock()
-	if len(w.spy.outcomes) != 2 {
-		t.Fatalf("%d outcomes, want 2", len(w.spy.outcomes))
+	w.await("two outcomes", func() bool { return len(w.recorder.statuses()) >= 2 })
+	w.recorder.mu.Lock()
+	defer w.recorder.mu.Unlock()
+	if len(w.recorder.outcomes) != 2 {
+		t.Fatalf("%d outcomes, want 2", len(w.recorder.outcomes))
 	}
-	first, second := w.spy.outcomes[0], w.spy.outcomes[1]
+	first, second := w.recorder.outcomes[0], w.recorder.outcomes[1]
 	if first.Attempt != 0 || first.Status != balancer.Rejected || first.Answered ||
 		second.Attempt != 1 || second.Status != balancer.OK || !second.Answered ||
 		first.ID != second.ID || first.Endpoint == second.Endpoint {
-		t.Errorf("outcomes %+v", w.spy.outcomes)
+		t.Errorf("outcomes %+v", w.recorder.outcomes)
 	}
 }
 
 // The final answer to a request whose endpoint keeps silent comes before the
 // client's time is up. The balancer learns of a time-out, also where its own
 // timer for the same instant calls the attempt off first.
-func TestDeadlineAnswer(t *testing.T) {
+func TestResponseAtTheDeadline(t *testing.T) {
 	for class, code := range map[string]int{"read": 503, "pay": 503, "close": 502, "order": 502} {
 		t.Run(class, func(t *testing.T) {
 			e := sidecartest.NewEndpoint(t, sidecartest.Silent)
@@ -122,16 +122,16 @@
 			if got.code != code {
 				t.Errorf("answer %d (%v), want %d", got.code, got.err, code)
 			}
-			w.until("the outcome", func() bool { return len(w.spy.statuses()) > 0 })
-			if all := w.spy.statuses(); !slices.Equal(all, []balancer.Status{balancer.Timeout}) {
+			w.await("the outcome", func() bool { return len(w.recorder.statuses()) > 0 })
+			if all := w.recorder.statuses(); !slices.Equal(all, []balancer.Status{balancer.Timeout}) {
 				t.Errorf("outcomes %v, want one time-out", all)
 			}
-			w.until("the timer", func() bool {
-				w.spy.mu.Lock()
-				defer w.spy.mu.Unlock()
-				return slices.Contains(w.spy.events, "timer")
+			w.await("the timer", func() bool {
+				w.recorder.mu.Lock()
+				defer w.recorder.mu.Unlock()
+				return slices.Contains(w.recorder.events, "timer")
 			})
-			w.do(func() {
+			w.runInLoop(func() {
 				if len(w.loop.requests) != 0 {
 					t.Error("the ledger still holds the request")
 				}
@@ -150,7 +150,7 @@
 
 // What the balancer gives up is answered at once, and the client is told when to
 // come back.
-func TestRefusedAtOnceWithRetryAfter(t *testing.T) {
+func TestRejectedAtOnceWithRetryAfter(t *testing.T) {
 	e := sidecartest.NewEndpoint(t, sidecartest.Always(sidecartest.TurnedAway))
 	w := start(t, nil, ready("s-1", e.Address))
 	began := time.Now()
@@ -166,7 +166,7 @@
 
 // A client that goes away ends its request: the attempt is given up by closing
 // its connection, and its outcome is still told, settled.
-func TestClientGone(t *testing.T) {
+func TestClientDisconnects(t *testing.T) {
 	closed := make(chan struct{})
 	e := sidecartest.NewEndpoint(t, func(e *sidecartest.Endpoint, conn net.Conn, in *bufio.Reader) {
 		e.Next(in)
@@ -176,27 +176,27 @@
 	w := start(t, nil, ready("s-1", e.Address))
 	ctx, cancel := context.WithCancel(context.Background())
 	go w.send(w.request("pay", "x", time.Minute).WithContext(ctx))
-	w.until("the attempt", func() bool { n, _ := e.Seen(); return n == 1 })
+	w.await("the attempt", func() bool { n, _ := e.Seen(); return n == 1 })
 	cancel()
 	select {
 	case <-closed:
 	case <-time.After(sidecartest.Patience):
 		t.Fatal("the attempt's connection stays open")
 	}
-	w.until("the outcome", func() bool { return len(w.spy.statuses()) == 1 })
-	w.spy.mu.Lock()
-	defer w.spy.mu.Unlock()
-	if o := w.spy.outcomes[0]; o.Status != balancer.Cancelled || !o.Answered {
+	w.await("the outcome", func() bool { return len(w.recorder.statuses()) == 1 })
+	w.recorder.mu.Lock()
+	defer w.recorder.mu.Unlock()
+	if o := w.recorder.outcomes[0]; o.Status != balancer.Cancelled || !o.Answered {
 		t.Errorf("outcome %+v, want cancelled and settled", o)
 	}
-	if w.spy.events[0] != "gone" {
-		t.Errorf("events %v, want the client's going first", w.spy.events)
+	if w.recorder.events[0] != "gone" {
+		t.Errorf("events %v, want the client's going first", w.recorder.events)
 	}
 }
 
 // A client that has only stopped sending has gone away, too, and must not read
 // a whole answer that no endpoint made.
-func TestHalfClosedClientGetsNoAnswer(t *testing.T) {
+func TestHalfClosedClientGetsNoResponse(t *testing.T) {
 	e := sidecartest.NewEndpoint(t, sidecartest.Silent)
 	w := start(t, nil, ready("s-1", e.Address))
 	conn, err := net.Dial("tcp", strings.TrimPrefix(w.url, "http://"))
@@ -205,7 +205,7 @@
 	}
 	defer conn.Close()
 	w.request("pay", "x", time.Minute).Write(conn)
-	w.until("the attempt", func() bool { n, _ := e.Seen(); return n == 1 })
+	w.await("the attempt", func() bool { n, _ := e.Seen(); return n == 1 })
 	conn.(*net.TCPConn).CloseWrite()
 	conn.SetReadDeadline(time.Now().Add(sidecartest.Patience))
 	if got, err := io.ReadAll(conn); len(got) > 0 {
@@ -226,18 +226,18 @@
 	w := start(t, func(s map[string]any) { s["limits"].(map[string]any)["cancel"] = false }, ready("s-1", e.Address))
 	ctx, cancel := context.WithCancel(context.Background())
 	go w.send(w.request("pay", "x", time.Minute).WithContext(ctx))
-	w.until("the attempt", func() bool { n, _ := e.Seen(); return n == 1 })
+	w.await("the attempt", func() bool { n, _ := e.Seen(); return n == 1 })
 	cancel()
-	w.until("the client's going", func() bool {
-		w.spy.mu.Lock()
-		defer w.spy.mu.Unlock()
-		return slices.Contains(w.spy.events, "gone")
+	w.await("the client's going", func() bool {
+		w.recorder.mu.Lock()
+		defer w.recorder.mu.Unlock()
+		return slices.Contains(w.recorder.events, "gone")
 	})
 	close(answer)
-	w.until("the outcome", func() bool { return len(w.spy.statuses()) == 1 })
-	w.spy.mu.Lock()
-	defer w.spy.mu.Unlock()
-	if o := w.spy.outcomes[0]; o.Status != balancer.OK || !o.Answered {
+	w.await("the outcome", func() bool { return len(w.recorder.statuses()) == 1 })
+	w.recorder.mu.Lock()
+	defer w.recorder.mu.Unlock()
+	if o := w.recorder.outcomes[0]; o.Status != balancer.OK || !o.Answered {
 		t.Errorf("outcome %+v, want served and settled", o)
 	}
 }
@@ -297,7 +297,7 @@
 
 // An endpoint told draining while a send to it waits for its connection gets
 // nothing, and the request goes elsewhere.
-func TestDrainDuringDialGoesElsewhere(t *testing.T) {
+func TestDrainDuringDialRetriesElsewhere(t *testing.T) {
 	first, second := sidecartest.NewEndpoint(t, sidecartest.Always(sidecartest.Served)), sidecartest.NewEndpoint(t, sidecartest.Always(sidecartest.Served))
 	w := start(t, nil, ready("s-1", first.Address))
 	dialling, go_ := make(chan struct{}), make(chan struct{})
@@ -313,12 +313,12 @@
 	<-dialling
 	draining := ready("s-1", first.Address)
 	draining.Health = "Terminating"
-	w.dir.change(func() {
-		w.dir.list = discovery.List{Seq: 1, Whole: true, Hosts: []discovery.Entry{draining, ready("s-2", second.Address)}}
+	w.discovery.change(func() {
+		w.discovery.list = discovery.List{Seq: 1, Whole: true, Hosts: []discovery.Entry{draining, ready("s-2", second.Address)}}
 	})
-	w.until("the news", func() bool {
+	w.await("the news", func() bool {
 		moved := false
-		w.do(func() { moved = w.loop.endpoints[1].target == nil && w.loop.endpoints[2] != nil })
+		w.runInLoop(func() { moved = w.loop.endpoints[1].target == nil && w.loop.endpoints[2] != nil })
 		return moved
 	})
 	close(go_)
@@ -328,14 +328,14 @@
 	if n, _ := first.Seen(); n != 0 {
 		t.Errorf("the draining endpoint got %d requests", n)
 	}
-	if all := w.spy.statuses(); !slices.Equal(all, []balancer.Status{balancer.NotSent, balancer.OK}) {
+	if all := w.recorder.statuses(); !slices.Equal(all, []balancer.Status{balancer.NotSent, balancer.OK}) {
 		t.Errorf("outcomes %v, want moot and served", all)
 	}
 }
 
 // After SIGTERM, what was taken is served, idle connections are closed, new
 // ones still come for a while, and the sidecar ends without error.
-func TestTermination(t *testing.T) {
+func TestGracefulShutdown(t *testing.T) {
 	answer := make(chan struct{})
 	e := sidecartest.NewEndpoint(t, sidecartest.PayWaits(answer))
 	w := start(t, nil, ready("s-1", e.Address))
@@ -355,7 +355,7 @@
 
 	held := make(chan reply)
 	go func() { held <- w.send(w.request("pay", "x", time.Minute)) }()
-	w.until("the request in hand", func() bool { n, _ := e.Seen(); return n == 2 })
+	w.await("the request in hand", func() bool { n, _ := e.Seen(); return n == 2 })
 	w.stop()
 	idle.SetReadDeadline(time.Now().Add(sidecartest.Patience))
 	if _, err := in.ReadByte(); err != io.EOF {
@@ -372,7 +372,7 @@
 	if late, err := http.ReadResponse(bufio.NewReader(conn), nil); err != nil || late.StatusCode != 200 || !late.Close {
 		t.Errorf("a request after SIGTERM: %v, %v; want 200 and Connection: close", late, err)
 	}
-	w.until("the end of accepting", func() bool {
+	w.await("the end of accepting", func() bool {
 		conn, err := net.Dial("tcp", strings.TrimPrefix(w.url, "http://"))
 		if err == nil {
 			conn.Close()
--- a/internal/sidecar/stream_test.go
+++ b/internal/sidecar/stream_test.go
@@ -26,7 +26,7 @@
 
 // A large answer reaches the client whole however its end is told, and the
 // connection serves on where its end was not the answer's.
-func TestLargeAnswersPass(t *testing.T) {
+func TestLargeResponsesAreStreamed(t *testing.T) {
 	body := strings.Repeat("0123456789abcdef", large/16)
 	for name, c := range map[string]struct {
 		answer string
@@ -50,7 +50,7 @@
 					t.Errorf("answer %d of %d bytes, %v", got.code, len(got.body), got.err)
 				}
 				// The client has the last byte a little sooner than the endpoint's connection is given back.
-				w.until("the connection to be given back", func() bool {
+				w.await("the connection to be given back", func() bool {
 					idle := w.loop.upstream.IdleConnections()
 					return w.loop.upstream.Counts().Open == idle && (idle == 1) == c.reused
 				})
@@ -58,14 +58,14 @@
 			if _, conns := e.Seen(); (conns == 1) != c.reused {
 				t.Errorf("%d connections", conns)
 			}
-			w.until("the room to be given back", func() bool { return w.loop.upstream.Bodies.Used.Load() == 0 })
+			w.await("the room to be given back", func() bool { return w.loop.upstream.Bodies.Used.Load() == 0 })
 		})
 	}
 }
 
 // What the endpoint gives of a large answer is passed on at once, not when the
 // answer ends, and the request's time no longer runs.
-func TestLargeAnswerIsPassedOnAtOnce(t *testing.T) {
+func TestLargeResponseIsStreamedAtOnce(t *testing.T) {
 	const first = "the first bytes"
 	read, left := make(chan struct{}), 500*time.Millisecond
 	e := sidecartest.NewEndpoint(t, func(e *sidecartest.Endpoint, conn net.Conn, in *bufio.Reader) {
@@ -94,7 +94,7 @@
 
 // An answer that breaks after it was begun looks broken to the client, and is not
 // asked for again.
-func TestBrokenLargeAnswerLooksBroken(t *testing.T) {
+func TestTruncatedLargeResponseLooksTruncated(t *testing.T) {
 	part := strings.Repeat("x", 200<<10)
 	for name, c := range map[string]struct {
 		answer, version string
--- a/internal/sidecar/syscalls_test.go
+++ b/internal/sidecar/syscalls_test.go
@@ -19,7 +19,7 @@
 
 // A connection that waited while accepts failed may hold a request for so long: its endpoint is told no more time
 // than its client has left.
-func TestTimeSpentInTheBacklogCounts(t *testing.T) {
+func TestTimeInTheAcceptBacklogCounts(t *testing.T) {
 	var came time.Time
 	e := sidecartest.NewEndpoint(t, func(e *sidecartest.Endpoint, conn net.Conn, in *bufio.Reader) {
 		for e.Next(in) != nil {
@@ -28,7 +28,7 @@
 		}
 	})
 	listener := &sidecartest.FaultyListener{}
-	w := startBehind(t, func(inner net.Listener) net.Listener { listener.Listener = inner; return listener }, ready("s-1", e.Address))
+	w := startWithListener(t, func(inner net.Listener) net.Listener { listener.Listener = inner; return listener }, ready("s-1", e.Address))
 	const failures = 100 // with acceptPause after each, over 0.5 s
 	listener.Fail(slices.Repeat([]error{syscall.ENFILE}, failures))
 	w.dial() // may still be taken by the accept that is under way
@@ -55,7 +55,7 @@
 
 // A client that has written a whole long body and left is gone, though its bytes are still to be read: no attempt begins
 // for it.
-func TestClientThatLeavesBehindItsBody(t *testing.T) {
+func TestClientThatLeavesAfterItsBodyIsNoticed(t *testing.T) {
 	e := sidecartest.NewEndpoint(t, sidecartest.Always(sidecartest.Served))
 	w := start(t, nil, ready("s-1", e.Address))
 	dial := sidecartest.BlockDials(&w.loop.upstream.Dialer, e.Address)
@@ -74,7 +74,7 @@
 		return false
 	})
 	close(dial.Unblock)
-	w.until("the outcome", func() bool { return len(w.spy.statuses()) == 1 })
+	w.await("the outcome", func() bool { return len(w.recorder.statuses()) == 1 })
 	if n, conns := e.Seen(); n != 0 {
 		t.Errorf("the endpoint got %d requests on %d connections", n, conns)
 	}
--- a/internal/sidecar/termination_test.go
+++ b/internal/sidecar/termination_test.go
@@ -18,8 +18,8 @@
 
 const usualGiveUp = 3 * time.Second
 
-// terminating starts a sidecar before an endpoint, and returns what closes its admission and waits for that.
-func terminating(t *testing.T, serve func(*sidecartest.Endpoint, net.Conn, *bufio.Reader), giveUp time.Duration) (w *world, e *sidecartest.Endpoint, close func()) {
+// startTerminating starts a sidecar before an endpoint, and returns what closes its admission and waits for that.
+func startTerminating(t *testing.T, serve func(*sidecartest.Endpoint, net.Conn, *bufio.Reader), giveUp time.Duration) (w *harness, e *sidecartest.Endpoint, close func()) {
 	t.Helper()
 	e = sidecartest.NewEndpoint(t, serve)
 	w = start(t, func(s map[string]any) {
@@ -30,12 +30,12 @@
 	w.server.drainPeriod = 0
 	return w, e, func() {
 		w.stop()
-		w.until("admission to be closed", w.server.admission.isClosed)
+		w.await("admission to be closed", w.server.admission.isClosed)
 	}
 }
 
-// finished waits for the sidecar to end.
-func (w *world) finished() {
+// awaitEnd waits for the sidecar to end.
+func (w *harness) awaitEnd() {
 	w.t.Helper()
 	select {
 	case err := <-w.ended:
@@ -47,8 +47,8 @@
 	}
 }
 
-// endsWith reads one answer with this status and the end of the connection.
-func endsWith(t *testing.T, conn net.Conn, code int) {
+// requireLastResponse reads one answer with this status and the end of the connection.
+func requireLastResponse(t *testing.T, conn net.Conn, code int) {
 	t.Helper()
 	in := bufio.NewReader(conn)
 	response, err := http.ReadResponse(in, nil)
@@ -62,21 +62,21 @@
 }
 
 // What comes to its last byte once admission is closed is refused before any attempt, wherever the close found it.
-func TestRequestsAreRefusedOnceAdmissionIsClosed(t *testing.T) {
+func TestRequestsAreRejectedOnceAdmissionIsClosed(t *testing.T) {
 	body := "0123456789"
 	text := sidecartest.PayHead + fmt.Sprintf("X-Correlation-Id: 1\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
 	for split := 1; split < len(text); split += 9 {
 		t.Run(fmt.Sprintf("after %d bytes", split), func(t *testing.T) {
 			t.Parallel()
-			w, e, closeAdmission := terminating(t, sidecartest.Always(sidecartest.Served), usualGiveUp)
+			w, e, closeAdmission := startTerminating(t, sidecartest.Always(sidecartest.Served), usualGiveUp)
 			conn := w.dial()
 			io.WriteString(conn, text[:split])
-			w.until("the bytes to be read", func() bool { return w.read() >= int64(split) })
+			w.await("the bytes to be read", func() bool { return w.partialBytes() >= int64(split) })
 			closeAdmission()
 			io.WriteString(conn, text[split:])
-			endsWith(t, conn, http.StatusServiceUnavailable)
+			requireLastResponse(t, conn, http.StatusServiceUnavailable)
 			conn.Close()
-			w.finished()
+			w.awaitEnd()
 			if n, _ := e.Seen(); n != 0 {
 				t.Errorf("the endpoint got %d requests", n)
 			}
@@ -84,11 +84,11 @@
 	}
 }
 
-// read counts the bytes of requests that are being read.
-func (w *world) read() (bytes int64) { return w.server.clients.PartialBytes() }
+// partialBytes counts the bytes of requests that are being read.
+func (w *harness) partialBytes() (bytes int64) { return w.server.clients.PartialBytes() }
 
 // A request that stays half written is refused, too, ahead of SIGKILL; a connection on which nothing came is closed.
-func TestHalfARequestIsRefusedAtTheEnd(t *testing.T) {
+func TestPartialRequestIsRejectedBeforeTheKill(t *testing.T) {
 	const refused = http.StatusServiceUnavailable
 	for what, c := range map[string]struct {
 		text string
@@ -101,18 +101,18 @@
 	} {
 		t.Run(what, func(t *testing.T) {
 			t.Parallel()
-			w, e, closeAdmission := terminating(t, sidecartest.Always(sidecartest.Served), 100*time.Millisecond)
+			w, e, closeAdmission := startTerminating(t, sidecartest.Always(sidecartest.Served), 100*time.Millisecond)
 			idle, conn := w.dial(), w.dial()
 			io.WriteString(conn, c.text)
-			w.until("the bytes to be read", func() bool { return w.read() == int64(len(c.text)) })
+			w.await("the bytes to be read", func() bool { return w.partialBytes() == int64(len(c.text)) })
 			closeAdmission()
 			if got, err := io.ReadAll(idle); err != nil || len(got) > 0 {
 				t.Errorf("the idle connection read %q, %v; want its end", got, err)
 			}
 			idle.Close()
-			endsWith(t, conn, c.code)
+			requireLastResponse(t, conn, c.code)
 			conn.Close()
-			w.finished()
+			w.awaitEnd()
 			if n, _ := e.Seen(); n != 0 {
 				t.Errorf("the endpoint got %d requests", n)
 			}
@@ -122,28 +122,28 @@
 
 // A body that is passed on when admission closes never comes to its last byte, and its client is refused. One whose
 // last byte was out before that has its answer.
-func TestUploadsAtTermination(t *testing.T) {
+func TestUploadsDuringShutdown(t *testing.T) {
 	const size = 2 * httpmsg.MaxBufferedBytes
 	head := sidecartest.PayHead + fmt.Sprintf("X-Correlation-Id: 1\r\nContent-Length: %d\r\n\r\n", size)
 	t.Run("on its way", func(t *testing.T) {
-		w, e, closeAdmission := terminating(t, sidecartest.Always(sidecartest.Served), usualGiveUp)
+		w, e, closeAdmission := startTerminating(t, sidecartest.Always(sidecartest.Served), usualGiveUp)
 		conn := w.dial()
 		io.WriteString(conn, head+strings.Repeat("x", size-1))
-		w.until("the attempt", func() bool { _, conns := e.Seen(); return conns == 1 })
+		w.await("the attempt", func() bool { _, conns := e.Seen(); return conns == 1 })
 		closeAdmission()
-		endsWith(t, conn, http.StatusServiceUnavailable)
+		requireLastResponse(t, conn, http.StatusServiceUnavailable)
 		conn.Close()
-		w.finished()
+		w.awaitEnd()
 		if n, _ := e.Seen(); n != 0 {
 			t.Errorf("the endpoint got %d whole requests", n)
 		}
 	})
 	t.Run("written", func(t *testing.T) {
 		answer := make(chan struct{})
-		w, e, closeAdmission := terminating(t, sidecartest.PayWaits(answer), usualGiveUp)
+		w, e, closeAdmission := startTerminating(t, sidecartest.PayWaits(answer), usualGiveUp)
 		conn := w.dial()
 		io.WriteString(conn, head+strings.Repeat("x", size))
-		w.until("the whole request at the endpoint", func() bool { n, _ := e.Seen(); return n == 1 })
+		w.await("the whole request at the endpoint", func() bool { n, _ := e.Seen(); return n == 1 })
 		closeAdmission()
 		close(answer)
 		response, err := http.ReadResponse(bufio.NewReader(conn), nil)
@@ -151,18 +151,18 @@
 			t.Fatalf("%v, %v; want 200", response, err)
 		}
 		conn.Close()
-		w.finished()
+		w.awaitEnd()
 	})
 }
 
 // A request in hand keeps the time that it came with: neither a new configuration with shorter deadlines nor the end
 // of the process takes any of it.
-func TestRequestInHandKeepsItsTime(t *testing.T) {
+func TestInFlightRequestKeepsItsDeadline(t *testing.T) {
 	answer := make(chan struct{})
-	w, e, closeAdmission := terminating(t, sidecartest.PayWaits(answer), usualGiveUp)
+	w, e, closeAdmission := startTerminating(t, sidecartest.PayWaits(answer), usualGiveUp)
 	got := make(chan reply)
 	go func() { got <- w.send(w.request("pay", "x", time.Minute)) }()
-	w.until("the attempt", func() bool { n, _ := e.Seen(); return n == 1 })
+	w.await("the attempt", func() bool { n, _ := e.Seen(); return n == 1 })
 	w.reload(func(s map[string]any) {
 		s["classes"] = []any{map[string]any{"name": "find", "repeat": "side_effect", "target": 1, "give-up": 1}}
 	})
@@ -173,11 +173,11 @@
 	if got := <-got; got.code != http.StatusOK {
 		t.Errorf("the request in hand: %+v", got)
 	}
-	w.finished()
+	w.awaitEnd()
 }
 
 // The end of the process waits for the latest deadline of what is in hand.
-func TestLatestDeadlineInHand(t *testing.T) {
+func TestLatestDeadlineInFlight(t *testing.T) {
 	var h inFlightRequests
 	now := time.Now()
 	if _, any := h.latestDeadline(now); any {
@@ -199,18 +199,18 @@
 }
 
 // A listener that is broken for good ends the process, and what is in hand has its answer first.
-func TestBrokenListenerEndsWithAnswers(t *testing.T) {
+func TestListenerFailureStillAnswersInFlightRequests(t *testing.T) {
 	answer := make(chan struct{})
 	e := sidecartest.NewEndpoint(t, sidecartest.PayWaits(answer))
 	listener := &sidecartest.FaultyListener{}
-	w := startBehind(t, func(inner net.Listener) net.Listener { listener.Listener = inner; return listener }, ready("s-1", e.Address))
+	w := startWithListener(t, func(inner net.Listener) net.Listener { listener.Listener = inner; return listener }, ready("s-1", e.Address))
 	w.server.drainPeriod = 0
 	got := make(chan reply)
 	go func() { got <- w.send(w.request("pay", "x", time.Minute)) }()
-	w.until("the attempt", func() bool { n, _ := e.Seen(); return n == 1 })
+	w.await("the attempt", func() bool { n, _ := e.Seen(); return n == 1 })
 	listener.Fail([]error{syscall.EBADF})
 	w.dial() // ends the accept that is under way
-	w.until("admission to be closed", w.server.admission.isClosed)
+	w.await("admission to be closed", w.server.admission.isClosed)
 	close(answer)
 	if got := <-got; got.code != http.StatusOK {
 		t.Errorf("the request in hand: %+v", got)
--- a/internal/sidecar/upload_test.go
+++ b/internal/sidecar/upload_test.go
@@ -16,8 +16,8 @@
 	"oakproxy/internal/sidecartest"
 )
 
-// sum answers each request with the length of its body.
-func sum(e *sidecartest.Endpoint, conn net.Conn, in *bufio.Reader) {
+// checksumBody answers each request with the length of its body.
+func checksumBody(e *sidecartest.Endpoint, conn net.Conn, in *bufio.Reader) {
 	for r := e.Next(in); r != nil; r = e.Next(in) {
 		body, _ := io.ReadAll(r.Body)
 		text := fmt.Sprint(len(body))
@@ -27,9 +27,9 @@
 
 // A large body reaches the endpoint whole, by its length or in chunks, on a new
 // connection and on a used one, and its client's connection serves on.
-func TestLargeBodiesPass(t *testing.T) {
+func TestLargeBodiesAreStreamed(t *testing.T) {
 	body := strings.Repeat("0123456789abcdef", large/16)
-	e := sidecartest.NewEndpoint(t, sum)
+	e := sidecartest.NewEndpoint(t, checksumBody)
 	w := start(t, nil, ready("s-1", e.Address))
 	for name, framed := range map[string]string{
 		"by length": fmt.Sprintf("Content-Length: %d\r\n\r\n%s", len(body), body),
@@ -63,13 +63,13 @@
 	if n, conns := e.Seen(); n != 7 || conns != 1 {
 		t.Errorf("%d requests on %d connections, want 7 on 1", n, conns)
 	}
-	w.until("the room to be given back", func() bool { return w.loop.upstream.Bodies.Used.Load() == 0 })
+	w.await("the room to be given back", func() bool { return w.loop.upstream.Bodies.Used.Load() == 0 })
 }
 
 // A client may write slowly, and its time counts from the last byte.
 func TestSlowBodyIsAwaited(t *testing.T) {
 	t.Parallel()
-	e := sidecartest.NewEndpoint(t, sum)
+	e := sidecartest.NewEndpoint(t, checksumBody)
 	w := start(t, nil, ready("s-1", e.Address))
 	const piece = 8 << 10 // an eighth of a second each: 64 kB a second, or a few bytes in all of 2 s
 	for name, size := range map[string]int{"tiny": 16, "held": 48 << 10, "passed on": 192 << 10} {
@@ -97,7 +97,7 @@
 
 // A body that stops, breaks or is too long ends in an error or a close, the endpoint
 // never has a whole request, and nothing stays held.
-func TestBrokenBodies(t *testing.T) {
+func TestTruncatedBodies(t *testing.T) {
 	const part = 200 << 10
 	for name, c := range map[string]struct{ framed, want string }{
 		"stops":          {fmt.Sprintf("Content-Length: %d\r\n\r\n%s", large, strings.Repeat("x", part)), ""},
@@ -106,7 +106,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			e := sidecartest.NewEndpoint(t, sum)
+			e := sidecartest.NewEndpoint(t, checksumBody)
 			w := start(t, nil, ready("s-1", e.Address))
 			began := time.Now()
 			if got := w.raw(sidecartest.PayHead + "X-Correlation-Id: 1\r\n" + c.framed); !strings.HasPrefix(got, c.want) || strings.Contains(got, " 200 ") {
@@ -115,10 +115,10 @@
 			if took := time.Since(began); took > sidecartest.Patience/2 {
 				t.Errorf("it took %v", took)
 			}
-			w.until("the room to be given back", func() bool { return w.loop.upstream.Bodies.Used.Load() == 0 })
-			w.until("the request to be forgotten", func() bool {
+			w.await("the room to be given back", func() bool { return w.loop.upstream.Bodies.Used.Load() == 0 })
+			w.await("the request to be forgotten", func() bool {
 				var n int
-				w.do(func() { n = len(w.loop.requests) })
+				w.runInLoop(func() { n = len(w.loop.requests) })
 				return n == 0
 			})
 			if n, _ := e.Seen(); n != 0 {
@@ -130,12 +130,12 @@
 
 // A client that goes while its body comes in chunks has sent no request: what it leaves
 // must not reach an endpoint as if it were one, however little of it there is.
-func TestChunkedBodyThatBreaksOffIsNoRequest(t *testing.T) {
-	e := sidecartest.NewEndpoint(t, sum)
+func TestTruncatedChunkedBodyIsNoRequest(t *testing.T) {
+	e := sidecartest.NewEndpoint(t, checksumBody)
 	w := start(t, nil, ready("s-1", e.Address))
 	// That the client is gone is heard as late as can be, once an endpoint would have the request.
-	w.do(func() {
-		w.spy.beforeGone = func() {
+	w.runInLoop(func() {
+		w.recorder.beforeGone = func() {
 			sidecartest.Await(t, "the request at the endpoint", func() bool { n, _ := e.Seen(); return n > 0 })
 		}
 	})
@@ -160,7 +160,7 @@
 			if got, _ := io.ReadAll(conn); len(got) > 0 && !strings.HasPrefix(string(got), "HTTP/1.1 400") {
 				t.Errorf("a client that %s %s got %q", end, what, got)
 			}
-			w.until("the connection to be over", func() bool { return w.server.clients.Count() == 0 })
+			w.await("the connection to be over", func() bool { return w.server.clients.Count() == 0 })
 		}
 	}
 	if n, _ := e.Seen(); n != 0 {
@@ -170,7 +170,7 @@
 
 // An endpoint that gives up a large body that it has only begun to read never ran
 // it. The client is refused at once, and may write to the end before it reads that.
-func TestEndpointThatTurnsALargeBodyAway(t *testing.T) {
+func TestEndpointRejectsALargeBody(t *testing.T) {
 	for name, answer := range map[string]string{"with an answer": sidecartest.TurnedAway, "by closing": ""} {
 		t.Run(name, func(t *testing.T) {
 			e := sidecartest.NewEndpoint(t, func(_ *sidecartest.Endpoint, conn net.Conn, in *bufio.Reader) {
@@ -194,7 +194,7 @@
 			if _, err := io.Copy(io.Discard, in); err != nil {
 				t.Errorf("the end of the connection: %v", err)
 			}
-			if all := w.spy.statuses(); len(all) != 1 || all[0] != balancer.ConnectFailed {
+			if all := w.recorder.statuses(); len(all) != 1 || all[0] != balancer.ConnectFailed {
 				t.Errorf("outcomes %v, want one that proves it never ran", all)
 			}
 		})
@@ -203,11 +203,11 @@
 
 // While nothing beyond the held part of a body was read, the request goes on to
 // another endpoint.
-func TestLargeBodyGoesElsewhere(t *testing.T) {
-	e := sidecartest.NewEndpoint(t, sum)
+func TestLargeBodyIsRetriedElsewhere(t *testing.T) {
+	e := sidecartest.NewEndpoint(t, checksumBody)
 	w := start(t, nil, ready("s-1", sidecartest.ClosedAddress(t)), ready("s-2", e.Address))
 	body := strings.Repeat("x", large)
-	refused := func() bool { return slices.Contains(w.spy.statuses(), balancer.ConnectFailed) }
+	refused := func() bool { return slices.Contains(w.recorder.statuses(), balancer.ConnectFailed) }
 	const least = 8
 	// Which endpoint is drawn first is chance: on until one request met the one that refuses connections.
 	for sent, end := 0, time.Now().Add(sidecartest.Patience); sent < least || !refused(); sent++ {
--- a/internal/sidecar/world_test.go
+++ b/internal/sidecar/world_test.go
@@ -21,22 +21,22 @@
 	"oakproxy/internal/sidecartest"
 )
 
-// directory is a discovery service with one list.
-type directory struct {
+// fakeDiscovery is a discovery service with one list.
+type fakeDiscovery struct {
 	address string
 
-	mu     sync.Mutex
-	list   discovery.List
-	down   bool
-	broken string // an answer to give in place of the list
-	calls  []string
-	news   chan struct{} // closed and replaced with every change
-	conns  atomic.Int32  // open connections
+	mu        sync.Mutex
+	list      discovery.List
+	down      bool
+	malformed string // an answer to give in place of the list
+	calls     []string
+	changed   chan struct{} // closed and replaced with every change
+	conns     atomic.Int32  // open connections
 }
 
-func newDirectory(t *testing.T, hosts ...discovery.Entry) *directory {
+func newFakeDiscovery(t *testing.T, hosts ...discovery.Entry) *fakeDiscovery {
 	t.Helper()
-	d := &directory{list: discovery.List{Whole: true, Hosts: hosts}, news: make(chan struct{})}
+	d := &fakeDiscovery{list: discovery.List{Whole: true, Hosts: hosts}, changed: make(chan struct{})}
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -55,11 +55,11 @@
 	return d
 }
 
-func (d *directory) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (d *fakeDiscovery) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	d.mu.Lock()
 	d.calls = append(d.calls, r.URL.RawQuery)
-	after, wait, news := r.FormValue("after"), r.FormValue("wait_ms"), d.news
-	waits := after == fmt.Sprint(d.list.Seq) && wait != "0" && !d.down && d.broken == ""
+	after, wait, news := r.FormValue("after"), r.FormValue("wait_ms"), d.changed
+	waits := after == fmt.Sprint(d.list.Seq) && wait != "0" && !d.down && d.malformed == ""
 	d.mu.Unlock()
 	if waits {
 		ms, _ := strconv.Atoi(wait)
@@ -76,8 +76,8 @@
 	case d.down:
 		w.WriteHeader(http.StatusServiceUnavailable)
 		json.NewEncoder(w).Encode(d.list) // which must not be believed
-	case d.broken != "":
-		io.WriteString(w, d.broken)
+	case d.malformed != "":
+		io.WriteString(w, d.malformed)
 	case after == fmt.Sprint(d.list.Seq):
 		json.NewEncoder(w).Encode(discovery.List{Seq: d.list.Seq, Hosts: []discovery.Entry{}})
 	default:
@@ -86,15 +86,15 @@
 }
 
 // change alters the service and wakes the calls that wait.
-func (d *directory) change(alter func()) {
+func (d *fakeDiscovery) change(alter func()) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	alter()
-	close(d.news)
-	d.news = make(chan struct{})
+	close(d.changed)
+	d.changed = make(chan struct{})
 }
 
-func (d *directory) count() int {
+func (d *fakeDiscovery) count() int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return len(d.calls)
@@ -105,8 +105,8 @@
 	return discovery.Entry{Name: name, Dial: address, Site: "a", Class: "m1", Health: "Ready", Share: 1}
 }
 
-// spy passes everything on to the balancer and keeps what it was told.
-type spy struct {
+// balancerRecorder passes everything on to the balancer and keeps what it was told.
+type balancerRecorder struct {
 	decider
 	mu       sync.Mutex
 	outcomes []balancer.Outcome
@@ -118,47 +118,47 @@
 	beforeGone func() // called in the loop, ahead of the balancer; may be nil
 }
 
-func (s *spy) HandleOutcome(now balancer.Micros, o balancer.Outcome) {
-	s.note(func() {
+func (s *balancerRecorder) HandleOutcome(now balancer.Micros, o balancer.Outcome) {
+	s.record(func() {
 		s.outcomes = append(s.outcomes, o)
 		s.events = append(s.events, "outcome")
 	})
 	s.decider.HandleOutcome(now, o)
 }
 
-func (s *spy) HandleTimer(now balancer.Micros, token uint32) {
+func (s *balancerRecorder) HandleTimer(now balancer.Micros, token uint32) {
 	if token >= 1<<20 { // names a request
-		s.note(func() { s.events = append(s.events, "timer") })
+		s.record(func() { s.events = append(s.events, "timer") })
 	}
 	s.decider.HandleTimer(now, token)
 }
 
-func (s *spy) HandleClientGone(now balancer.Micros, id uint64) {
-	s.note(func() { s.events = append(s.events, "gone") })
+func (s *balancerRecorder) HandleClientGone(now balancer.Micros, id uint64) {
+	s.record(func() { s.events = append(s.events, "gone") })
 	if s.beforeGone != nil {
 		s.beforeGone()
 	}
 	s.decider.HandleClientGone(now, id)
 }
 
-func (s *spy) HandleEndpoints(now balancer.Micros, kind balancer.ListUpdate, entries []balancer.Endpoint) {
+func (s *balancerRecorder) HandleEndpoints(now balancer.Micros, kind balancer.ListUpdate, entries []balancer.Endpoint) {
 	s.decider.HandleEndpoints(now, kind, entries)
-	s.note(func() { s.lists = append(s.lists, kind) })
+	s.record(func() { s.lists = append(s.lists, kind) })
 }
 
-func (s *spy) HandleProbe(now balancer.Micros, id uint32, status balancer.Status, latency balancer.Micros, load []float32) {
-	s.note(func() { s.probes, s.loads = append(s.probes, status), append(s.loads, load) })
+func (s *balancerRecorder) HandleProbe(now balancer.Micros, id uint32, status balancer.Status, latency balancer.Micros, load []float32) {
+	s.record(func() { s.probes, s.loads = append(s.probes, status), append(s.loads, load) })
 	s.decider.HandleProbe(now, id, status, latency, load)
 }
 
-func (s *spy) note(f func()) {
+func (s *balancerRecorder) record(f func()) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	f()
 }
 
 // statuses returns how the attempts ended so far.
-func (s *spy) statuses() (all []balancer.Status) {
+func (s *balancerRecorder) statuses() (all []balancer.Status) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, o := range s.outcomes {
@@ -167,16 +167,16 @@
 	return all
 }
 
-// world is a running sidecar with its surroundings.
-type world struct {
-	t      *testing.T
-	url    string
-	loop   *loop
-	server *server
-	spy    *spy
-	dir    *directory
-	stop   context.CancelFunc // as SIGTERM does
-	ended  chan error
+// harness is a running sidecar with its surroundings.
+type harness struct {
+	t         *testing.T
+	url       string
+	loop      *loop
+	server    *server
+	recorder  *balancerRecorder
+	discovery *fakeDiscovery
+	stop      context.CancelFunc // as SIGTERM does
+	ended     chan error
 
 	wrap func(net.Listener) net.Listener // of clients; may be nil
 }
@@ -206,16 +206,16 @@
 }
 
 // start runs a sidecar that knows these endpoints, and waits until it is ready.
-func start(t *testing.T, alter func(settings map[string]any), hosts ...discovery.Entry) *world {
+func start(t *testing.T, alter func(settings map[string]any), hosts ...discovery.Entry) *harness {
 	t.Helper()
 	return startWith(t, alter, nil, hosts...)
 }
 
 // startWith does that with a configuration that a test has changed.
-func startWith(t *testing.T, alter func(settings map[string]any), change func(*config.Config), hosts ...discovery.Entry) *world {
+func startWith(t *testing.T, alter func(settings map[string]any), change func(*config.Config), hosts ...discovery.Entry) *harness {
 	t.Helper()
-	w := &world{t: t, dir: newDirectory(t, hosts...)}
-	cfg := configure(t, w.dir.address, alter, hosts...)
+	w := &harness{t: t, discovery: newFakeDiscovery(t, hosts...)}
+	cfg := configure(t, w.discovery.address, alter, hosts...)
 	if change != nil {
 		change(cfg)
 	}
@@ -224,18 +224,18 @@
 	return w
 }
 
-// startBehind does that with a listener of clients that a test has wrapped.
-func startBehind(t *testing.T, wrap func(net.Listener) net.Listener, hosts ...discovery.Entry) *world {
+// startWithListener does that with a listener of clients that a test has wrapped.
+func startWithListener(t *testing.T, wrap func(net.Listener) net.Listener, hosts ...discovery.Entry) *harness {
 	t.Helper()
-	w := &world{t: t, dir: newDirectory(t, hosts...), wrap: wrap}
-	w.launch(configure(t, w.dir.address, nil, hosts...))
+	w := &harness{t: t, discovery: newFakeDiscovery(t, hosts...), wrap: wrap}
+	w.launch(configure(t, w.discovery.address, nil, hosts...))
 	w.untilReady()
 	return w
 }
 
-func (w *world) untilReady() {
+func (w *harness) untilReady() {
 	w.t.Helper()
-	w.until("ready", func() bool {
+	w.await("ready", func() bool {
 		response, err := http.Get(w.url + "/health/ready")
 		if err != nil {
 			return false
@@ -246,7 +246,7 @@
 }
 
 // launch runs a sidecar until the test ends.
-func (w *world) launch(cfg *config.Config) {
+func (w *harness) launch(cfg *config.Config) {
 	w.t.Helper()
 	listener, err := net.Listen("tcp", cfg.Listen)
 	if err != nil {
@@ -263,8 +263,8 @@
 		w.t.Fatal(err)
 	}
 	w.loop.upstream.ReuseDelay = 0 // most tests use a connection again at once
-	w.spy = &spy{decider: w.loop.balancer}
-	w.loop.balancer = w.spy
+	w.recorder = &balancerRecorder{decider: w.loop.balancer}
+	w.loop.balancer = w.recorder
 	w.server = newServer(w.loop)
 	ctx, stop := context.WithCancel(context.Background())
 	w.stop = stop
@@ -280,14 +280,14 @@
 	})
 }
 
-// until waits for something to become true.
-func (w *world) until(what string, is func() bool) {
+// await waits for something to become true.
+func (w *harness) await(what string, is func() bool) {
 	w.t.Helper()
 	sidecartest.Await(w.t, what, is)
 }
 
-// do runs f in the loop and waits for it.
-func (w *world) do(f func()) {
+// runInLoop runs f in the loop and waits for it.
+func (w *harness) runInLoop(f func()) {
 	w.t.Helper()
 	done := make(chan struct{})
 	w.loop.post(func(balancer.Micros) {
@@ -300,7 +300,7 @@
 var lastID atomic.Uint32 // of requests made by request
 
 // request makes a client's request of a class.
-func (w *world) request(class, body string, timeLeft time.Duration) *http.Request {
+func (w *harness) request(class, body string, timeLeft time.Duration) *http.Request {
 	w.t.Helper()
 	method := http.MethodPost
 	if class == "read" {
@@ -327,7 +327,7 @@
 	err    error
 }
 
-func (w *world) send(r *http.Request) reply {
+func (w *harness) send(r *http.Request) reply {
 	transport := &http.Transport{DisableKeepAlives: true}
 	response, err := (&http.Client{Transport: transport, Timeout: sidecartest.Patience}).Do(r)
 	if err != nil {
