--- /dev/null
+++ b/internal/admin/admin_test.go
@@ -0,0 +1,135 @@
+package admin
+
+import (
+	"errors"
+	"io"
+	"log/slog"
+	"net/http"
+	"strings"
+	"testing"
+	"time"
+
+	"oakproxy/internal/operatorstate"
+	"oakproxy/internal/sidecartest"
+	"oakproxy/internal/system"
+)
+
+// fakeSidecar is ready or not, and knows the endpoint s-1.
+type fakeSidecar struct{ ready bool }
+
+func (f fakeSidecar) Ready() bool                    { return f.ready }
+func (f fakeSidecar) KnowsEndpoint(name string) bool { return name == "s-1" }
+
+// serve runs a server on a new store until the test ends. It returns the server's URL and what the store last put in
+// force.
+func serve(t *testing.T, sidecar Sidecar, files system.FileOps) (url string, applied <-chan operatorstate.State) {
+	t.Helper()
+	states := make(chan operatorstate.State, 16)
+	log := slog.New(slog.DiscardHandler)
+	store := &operatorstate.Store{Directory: t.TempDir(), Sidecar: "n0", Log: log, Files: files,
+		Time: system.Clock{}.OrSystem(), Retention: func() time.Duration { return time.Minute },
+		Apply: func(state operatorstate.State) { states <- state }}
+	listener, err := Listen(t.Context(), "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	ended := make(chan error, 1)
+	s := NewServer(sidecar, store, log)
+	go func() { ended <- s.Serve(t.Context(), listener) }()
+	t.Cleanup(func() { // the context of the test has ended
+		if err := <-ended; !errors.Is(err, http.ErrServerClosed) {
+			t.Errorf("the server ended with %v, want %v", err, http.ErrServerClosed)
+		}
+	})
+	return "http://" + listener.Addr().String(), states
+}
+
+// makeCall makes one call and returns its status and the text of its response.
+func makeCall(t *testing.T, method, url, body string) (status int, text string) {
+	t.Helper()
+	in, err := http.NewRequest(method, url, strings.NewReader(body))
+	if err != nil {
+		t.Fatal(err)
+	}
+	client := http.Client{Timeout: sidecartest.Patience, Transport: &http.Transport{DisableKeepAlives: true}}
+	response, err := client.Do(in)
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer response.Body.Close()
+	read, err := io.ReadAll(response.Body)
+	if err != nil {
+		t.Fatal(err)
+	}
+	return response.StatusCode, string(read)
+}
+
+func TestCallsAnswerWithTheirStatus(t *testing.T) {
+	for name, test := range map[string]struct {
+		ready              bool
+		method, path, body string
+		status             int
+		text               string
+	}{
+		"ready":              {true, "GET", "/admin/health", "", 200, "ok\n"},
+		"not ready":          {false, "GET", "/admin/health", "", 503, "not ready\n"},
+		"unknown path":       {true, "GET", "/admin/none", "", 404, "no such call\n"},
+		"wrong method":       {true, "GET", "/admin/quiesce", "", 405, "this call is POST\n"},
+		"unknown endpoint":   {true, "POST", "/admin/cordon?name=s-2", "", 404, "no endpoint has this name\n"},
+		"no endpoint":        {true, "POST", "/admin/cordon", "", 400, "name=ID must name one endpoint\n"},
+		"two endpoints":      {true, "POST", "/admin/uncordon?name=s-1&name=s-1", "", 400, "name=ID must name one endpoint\n"},
+		"unreadable query":   {true, "POST", "/admin/cordon?name=%zz", "", 400, "the query could not be read\n"},
+		"body that is small": {true, "POST", "/admin/resume", "x", 200, "ok\n"},
+		"body too large": {true, "POST", "/admin/resume", strings.Repeat("x", maxBodyBytes+1), 400,
+			"the call's body could not be read, or is too large\n"},
+	} {
+		t.Run(name, func(t *testing.T) {
+			url, _ := serve(t, fakeSidecar{test.ready}, system.FileOps{})
+			status, text := makeCall(t, test.method, url+test.path, test.body)
+			if status != test.status || text != test.text {
+				t.Errorf("got %d %q, want %d %q", status, text, test.status, test.text)
+			}
+		})
+	}
+}
+
+func TestCallsPutTheirStateInForce(t *testing.T) {
+	url, applied := serve(t, fakeSidecar{true}, system.FileOps{})
+	for _, test := range []struct {
+		path              string
+		cordoned, drained bool
+	}{
+		{"/admin/cordon?name=s-1", true, false},
+		{"/admin/quiesce", true, true},
+		{"/admin/uncordon?name=s-1", false, true},
+		{"/admin/resume", false, false},
+	} {
+		if status, text := makeCall(t, "POST", url+test.path, ""); status != http.StatusOK {
+			t.Fatalf("%s: %d %q", test.path, status, text)
+		}
+		sidecartest.Await(t, test.path+" in force", func() bool { // the store may apply a state again
+			var state operatorstate.State
+			select {
+			case state = <-applied:
+			default:
+				return false
+			}
+			cordoned := len(state.Hosts) == 1 && state.Hosts[0].Name == "s-1" && state.Hosts[0].Cordoned
+			return cordoned == test.cordoned && state.Drained == test.drained
+		})
+	}
+}
+
+func TestCallThatCannotBeStoredFails(t *testing.T) {
+	disk := &sidecartest.FaultyDisk{}
+	url, applied := serve(t, fakeSidecar{true}, disk.FileOps())
+	disk.Fail("sync", io.ErrShortWrite)
+	if status, text := makeCall(t, "POST", url+"/admin/quiesce", ""); status != http.StatusInternalServerError {
+		t.Errorf("got %d %q, want %d", status, text, http.StatusInternalServerError)
+	}
+	for len(applied) > 0 { // the state of before
+		if state := <-applied; state.Drained {
+			t.Errorf("%+v is in force", state)
+		}
+	}
+}
--- a/internal/sidecar/admin_test.go
+++ b/internal/sidecar/admin_test.go
@@ -11,6 +11,7 @@
 	"testing"
 	"time"
 
+	"oakproxy/internal/admin"
 	"oakproxy/internal/config"
 	"oakproxy/internal/discovery"
 	"oakproxy/internal/operatorstate"
@@ -20,14 +21,14 @@
 // startAdmin gives a running sidecar its second address, and a folder for its state.
 func (w *harness) startAdmin(dir string) string {
 	w.t.Helper()
-	listener, err := listenAdmin(w.t.Context(), "127.0.0.1:0")
+	listener, err := admin.Listen(w.t.Context(), "127.0.0.1:0")
 	if err != nil {
 		w.t.Fatal(err)
 	}
 	w.t.Cleanup(func() { listener.Close() })
-	a := newAdmin(w.server)
-	a.store.Directory = dir
-	go a.serve(listener)
+	store := w.server.newOperatorStore()
+	store.Directory = dir
+	go admin.NewServer(w.server, store, w.server.log).Serve(w.loop.ctx, listener)
 	return listener.Addr().String()
 }
 
@@ -43,7 +44,7 @@
 	conn.SetDeadline(time.Now().Add(sidecartest.Patience))
 	io.WriteString(conn, text)
 	got, err := io.ReadAll(conn)
-	if e, ok := err.(net.Error); ok && e.Timeout() {
+	if timedOut(err) {
 		t.Errorf("the connection stays open; so far: %q", got)
 	}
 	return string(got)
@@ -103,7 +104,7 @@
 	e := sidecartest.NewEndpoint(t, sidecartest.Always(sidecartest.Served))
 	w := start(t, nil, ready("s-1", e.Address))
 	address := w.startAdmin(t.TempDir())
-	for range 3 * maxAdminConnections {
+	for range 3 * admin.MaxConnections {
 		conn, err := net.Dial("tcp", address)
 		if err != nil {
 			t.Fatal(err)
@@ -114,7 +115,7 @@
 	if got := callStatus(t, http.MethodGet, address, "/admin/health"); got != http.StatusOK {
 		t.Errorf("health: %d", got)
 	}
-	if took := time.Since(began); took >= adminTimeout {
+	if took := time.Since(began); took >= admin.CallTimeout {
 		t.Errorf("the answer took %v, as long as silent callers may stay", took)
 	}
 }
@@ -143,7 +144,7 @@
 			t.Errorf("%q: %v, want an error that names admin_addr", address, err)
 		}
 	}
-	if _, err := listenAdmin(t.Context(), "127.0.0.1:99999"); err == nil || !strings.Contains(err.Error(), "admin_addr") {
+	if _, err := admin.Listen(t.Context(), "127.0.0.1:99999"); err == nil || !strings.Contains(err.Error(), "admin_addr") {
 		t.Errorf("a port that there is not: %v", err)
 	}
 }
@@ -184,7 +185,7 @@
 	w.discovery.change(func() { w.discovery.list = discovery.List{Seq: 1, Whole: true, Hosts: []discovery.Entry{again}} })
 	w.await("the news", func() bool {
 		var born int64
-		w.runInLoop(func() { born = w.loop.endpoints[w.loop.endpointIDs["s-1"]].entry.BornMS })
+		w.runInLoop(func() { born = w.loop.endpoints.byID[w.loop.endpoints.ids["s-1"]].entry.BornMS })
 		return born == again.BornMS
 	})
 	if got := read(); got != 503 {
@@ -200,7 +201,7 @@
 	w.discovery.change(func() { w.discovery.list = discovery.List{Seq: 4, Whole: true, Hosts: []discovery.Entry{again}} })
 	w.await("the endpoint to be listed", func() bool {
 		var listed bool
-		w.runInLoop(func() { listed = w.loop.endpointIDs["s-1"] != 0 })
+		w.runInLoop(func() { listed = w.loop.endpoints.ids["s-1"] != 0 })
 		return listed
 	})
 	if got := read(); got != 503 {
@@ -222,7 +223,7 @@
 	first, second := start(t, nil, ready("s-1", e.Address)), start(t, nil, ready("s-1", e.Address))
 	one, two := first.startAdmin(dir), second.startAdmin(dir)
 	out := func(w *harness) (out bool) {
-		w.runInLoop(func() { out = w.loop.overrides["s-1"].Cordoned })
+		w.runInLoop(func() { out = w.loop.endpoints.overrides["s-1"].Cordoned })
 		return out
 	}
 	if got := callStatus(t, "POST", one, "/admin/cordon?name=s-1"); got != 200 {
@@ -254,10 +255,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	a := newAdmin(newServer(l))
-	a.store.Directory = dir
-	a.load()
-	if !l.overrides["s-1"].Cordoned {
+	s := newServer(l)
+	store := s.newOperatorStore()
+	store.Directory = dir
+	s.restoreOperatorState(t.Context(), store)
+	if !l.endpoints.overrides["s-1"].Cordoned {
 		t.Error("the stored state does not hold")
 	}
 }
@@ -272,7 +274,7 @@
 	address := w.startAdmin(dir)
 	good := `{"version":1,"sidecar":"n0","hosts":[{"host":"s-1","out":true}]}`
 	out := func() (out bool) {
-		w.runInLoop(func() { out = w.loop.overrides["s-1"].Cordoned })
+		w.runInLoop(func() { out = w.loop.endpoints.overrides["s-1"].Cordoned })
 		return out
 	}
 	for name, text := range map[string]string{
--- a/internal/sidecar/clients_test.go
+++ b/internal/sidecar/clients_test.go
@@ -11,6 +11,9 @@
 	"testing"
 	"time"
 
+	"oakproxy/internal/admin"
+	"oakproxy/internal/discovery"
+	"oakproxy/internal/downstream"
 	"oakproxy/internal/httpmsg"
 	"oakproxy/internal/sidecartest"
 )
@@ -32,7 +35,7 @@
 	conn := w.dial()
 	io.WriteString(conn, text)
 	got, err := io.ReadAll(conn)
-	if e, ok := err.(net.Error); ok && e.Timeout() {
+	if timedOut(err) {
 		w.t.Errorf("the connection stays open; so far: %q", got)
 	}
 	return string(got)
@@ -265,7 +268,7 @@
 	}
 	if _, err := oldest.Read(make([]byte, 1)); err == nil {
 		t.Error("the longest silent connection can still be read")
-	} else if e, ok := err.(net.Error); ok && e.Timeout() {
+	} else if timedOut(err) {
 		t.Error("the longest silent connection stays open")
 	}
 	if n := w.server.clients.Count(); n > w.server.clients.MaxConnections {
@@ -316,3 +319,63 @@
 	}
 	w.await("the bodies to be given back", func() bool { return w.loop.upstream.Bodies.Used.Load() == 0 })
 }
+
+// Idle clients may take all connections that clients may have while discovery is down: when
+// it is back its list is heard, and requests go to what it names.
+func TestIdleClientsDoNotStarveDiscovery(t *testing.T) {
+	first, second := sidecartest.NewEndpoint(t, sidecartest.Always(sidecartest.Served)), sidecartest.NewEndpoint(t, sidecartest.Always(sidecartest.Served))
+	w := start(t, nil, ready("s-1", first.Address))
+	w.await("the watch", func() bool { return w.discovery.count() >= 2 })
+	w.discovery.change(func() { w.discovery.down = true })
+	// Clients that come again at once when they are closed.
+	end, ended := make(chan struct{}), make(chan struct{})
+	n := w.server.clients.MaxConnections + 2*downstream.MaxRejected
+	for range n {
+		go func() {
+			defer func() { ended <- struct{}{} }()
+			for {
+				conn, err := net.Dial("tcp", strings.TrimPrefix(w.url, "http://"))
+				if err != nil {
+					t.Error(err)
+					return
+				}
+				over := make(chan struct{})
+				go func() {
+					select {
+					case <-end:
+					case <-over:
+					}
+					conn.Close()
+				}()
+				conn.Read(make([]byte, 1)) // until the sidecar closes it
+				close(over)
+				select {
+				case <-end:
+					return
+				case <-time.After(10 * time.Millisecond): // each is one of many: none may turn into a flood
+				}
+			}
+		}()
+	}
+	w.await("all connections to be taken", func() bool { return w.server.clients.Count() >= w.server.clients.MaxConnections })
+	w.discovery.change(func() {
+		w.discovery.down = false
+		w.discovery.list = discovery.List{Seq: 1, Whole: true, Hosts: []discovery.Entry{ready("s-2", second.Address)}}
+	})
+	w.await("a request at the new endpoint", func() bool {
+		w.send(w.request("read", "", 3*time.Second))
+		requests, _ := second.Seen()
+		return requests > 0
+	})
+	limit := w.loop.cfg.Limits.Sockets
+	if own := 2*w.server.clients.MaxConnections + downstream.MaxRejected + admin.MaxConnections + 4; own > limit {
+		t.Errorf("clients, endpoints and operators may take %d descriptors of %d", own, limit)
+	}
+	if open := w.server.clients.Count(); open > w.server.clients.MaxConnections+downstream.MaxRejected {
+		t.Errorf("%d connections of clients, limit %d", open, w.server.clients.MaxConnections)
+	}
+	close(end)
+	for range n {
+		<-ended
+	}
+}
--- a/internal/sidecar/discovery_test.go
+++ b/internal/sidecar/discovery_test.go
@@ -131,9 +131,9 @@
 				var seq uint64
 				w.await("the list", func() bool {
 					w.runInLoop(func() {
-						aims, seq = nil, w.loop.position.Newest
-						for name, id := range w.loop.endpointIDs {
-							if w.loop.endpoints[id].target != nil {
+						aims, seq = nil, w.loop.watcher.position.Newest
+						for name, id := range w.loop.endpoints.ids {
+							if w.loop.endpoints.byID[id].target != nil {
 								aims = append(aims, name)
 							}
 						}
@@ -210,7 +210,7 @@
 	e := sidecartest.NewEndpoint(t, sidecartest.Always(sidecartest.Served))
 	w := start(t, nil, ready("s-1", e.Address))
 	var before, after *upstream.Endpoint
-	w.runInLoop(func() { before = w.loop.endpoints[1].target })
+	w.runInLoop(func() { before = w.loop.endpoints.byID[1].target })
 	born := time.Now().UnixMilli() - 500
 	restarted := ready("s-1", e.Address)
 	restarted.BornMS = born
@@ -220,7 +220,7 @@
 		w.loop.balancer = &listRecorder{decider: w.recorder, got: got}
 		w.loop.updateEndpoints(w.loop.clock.now(), balancer.ListDelta, discovery.List{Seq: 2, Hosts: []discovery.Entry{restarted, strange}})
 		w.loop.balancer = w.recorder
-		after = w.loop.endpoints[1].target
+		after = w.loop.endpoints.byID[1].target
 	})
 	entries := <-got
 	want := []balancer.Endpoint{
@@ -281,8 +281,8 @@
 		w.await("the end of the old client's connections", func() bool { return old.conns.Load() == 0 })
 		old = moved
 		w.runInLoop(func() {
-			watch := w.loop.discovery
-			if w.loop.reload(&next); w.loop.discovery != watch {
+			watch := w.loop.watcher.client
+			if w.loop.reload(&next); w.loop.watcher.client != watch {
 				t.Error("a configuration that is in force already begins a new watch")
 			}
 		})
@@ -331,8 +331,8 @@
 	list(false, gone)
 	list(false, gone)
 	w.runInLoop(func() {
-		if len(w.loop.endpoints) != 1 || len(w.loop.endpointIDs) != 1 || w.loop.endpoints[1] == nil {
-			t.Errorf("%d endpoints and %d names are kept, want the one with an attempt out", len(w.loop.endpoints), len(w.loop.endpointIDs))
+		if len(w.loop.endpoints.byID) != 1 || len(w.loop.endpoints.ids) != 1 || w.loop.endpoints.byID[1] == nil {
+			t.Errorf("%d endpoints and %d names are kept, want the one with an attempt out", len(w.loop.endpoints.byID), len(w.loop.endpoints.ids))
 		}
 	})
 	close(answer)
@@ -340,13 +340,13 @@
 		t.Errorf("the request in hand: %+v", got)
 	}
 	w.runInLoop(func() {
-		if len(w.loop.endpoints) != 0 || len(w.loop.endpointIDs) != 0 {
-			t.Errorf("%d endpoints and %d names are kept, want none", len(w.loop.endpoints), len(w.loop.endpointIDs))
+		if len(w.loop.endpoints.byID) != 0 || len(w.loop.endpoints.ids) != 0 {
+			t.Errorf("%d endpoints and %d names are kept, want none", len(w.loop.endpoints.byID), len(w.loop.endpoints.ids))
 		}
 	})
 	list(true, ready("s-1", e.Address))
 	w.runInLoop(func() {
-		if id := w.loop.endpointIDs["s-1"]; id != 52 {
+		if id := w.loop.endpoints.ids["s-1"]; id != 52 {
 			t.Errorf("the endpoint that is back has number %d, want a new one, 52", id)
 		}
 	})
--- a/internal/sidecar/endpoints.go
+++ b/internal/sidecar/endpoints.go
@@ -5,138 +5,157 @@
 	"oakproxy/internal/config"
 	"oakproxy/internal/discovery"
 	"oakproxy/internal/operatorstate"
+	"oakproxy/internal/system"
 	"oakproxy/internal/upstream"
 )
 
-// endpoint is what the loop holds of an endpoint until it is gone and nothing is
-// out there any more. Endpoints come and go all day under ever new names.
+// endpointTable maps host names and the balancer's ids to where endpoints are reached. An id is never given twice, so
+// that a late outcome is not taken for another endpoint's. The loop's goroutine owns the table.
+type endpointTable struct {
+	byID      map[uint32]*endpoint
+	ids       map[string]uint32 // by host name
+	lastID    uint32
+	overrides map[string]operatorstate.Override // what operators set, by host name
+	retire    func(*upstream.Endpoint)          // closes a target: an attempt not yet sent there is not sent
+}
+
+func newEndpointTable(retire func(*upstream.Endpoint)) endpointTable {
+	return endpointTable{byID: map[uint32]*endpoint{}, ids: map[string]uint32{},
+		overrides: map[string]operatorstate.Override{}, retire: retire}
+}
+
+// endpoint is an entry of the table. It stays until the endpoint is removed and nothing is in flight there: endpoints
+// come and go all day under new names, and the table must not grow with them.
 type endpoint struct {
 	name      string
-	entry     discovery.Entry    // discovery's latest word of it
-	startedAt balancer.Micros    // of its process, by the loop's clock; 0 for long ago
-	target    *upstream.Endpoint // nil unless ready and not left out
+	entry     discovery.Entry    // the latest of discovery
+	startedAt balancer.Micros    // start of its process, by the loop's clock; 0 for long ago
+	target    *upstream.Endpoint // nil unless ready and not cordoned
 	inFlight  int                // attempts and probes without outcome
 	removed   bool
 }
 
-// updateStart returns when an endpoint's process started, by the loop's clock. It stays as it was first made out for each.
-func (m *endpoint) updateStart(h discovery.Entry, skew balancer.Micros) balancer.Micros {
+// updateStart returns when the endpoint's process started, by the loop's clock. It is computed once for each process:
+// the clock skew is estimated anew with each list, and a start must not move with it.
+func (e *endpoint) updateStart(entry discovery.Entry, skew balancer.Micros) balancer.Micros {
 	switch {
-	case h.BornMS <= 0:
-		m.startedAt = 0
-	case m.startedAt == 0 || m.entry.BornMS != h.BornMS:
-		m.startedAt = max(1, h.BornMS*1000-skew)
+	case entry.BornMS <= 0:
+		e.startedAt = 0
+	case e.startedAt == 0 || e.entry.BornMS != entry.BornMS:
+		e.startedAt = max(1, entry.BornMS*1000-skew)
 	}
-	return m.startedAt
+	return e.startedAt
 }
 
-// updateEndpoints passes on a list and brings the targets in line with it.
-func (l *loop) updateEndpoints(now balancer.Micros, kind balancer.ListUpdate, list discovery.List) {
-	older := list.Seq < l.position.Newest
-	l.position = discovery.Position{After: &list.Seq, Newest: list.Seq, VersionResetAt: l.clock.timeAt(now).Add(l.discovery.VersionResetTimeout)}
-	if list.Unusable > 0 {
-		l.log.Warn("unusable entries in the endpoint list", "unusable", list.Unusable, "total", len(list.Hosts), "first_error", list.FirstError)
-	}
-	skew := list.ClockSkew(now)
-	entries := make([]balancer.Endpoint, 0, len(list.Hosts))
-	named := map[uint32]bool{}
-	for _, h := range list.Hosts {
-		id := l.endpointIDs[h.Name]
+// endpointUpdate is a list of discovery and how to read it.
+type endpointUpdate struct {
+	list  discovery.List
+	kind  balancer.ListUpdate
+	older bool // the list may be older than what is known: it undoes no drain
+	skew  balancer.Micros
+	cfg   *config.Config // names zones and kinds of machines
+}
+
+// update brings the table in line with a list. It returns what to tell the balancer, and whether any endpoint of the
+// table can be reached.
+func (t *endpointTable) update(u *endpointUpdate) (entries []balancer.Endpoint, ready bool) {
+	entries = make([]balancer.Endpoint, 0, len(u.list.Hosts))
+	listed := map[uint32]bool{}
+	for _, entry := range u.list.Hosts {
+		id := t.ids[entry.Name]
 		if id == 0 {
-			if discovery.States[h.Health] == balancer.Removed {
+			if discovery.States[entry.Health] == balancer.Removed {
 				continue
 			}
-			l.lastEndpointID++
-			id = l.lastEndpointID
-			l.endpointIDs[h.Name], l.endpoints[id] = id, &endpoint{name: h.Name}
+			id = t.add(entry.Name)
 		}
-		if e := l.endpoints[id]; older && e.entry.Health == "Terminating" && e.entry.BornMS == h.BornMS {
-			h.Health = e.entry.Health // what was told is not undone by what may be older
+		e := t.byID[id]
+		if u.older && e.entry.Health == "Terminating" && e.entry.BornMS == entry.BornMS {
+			entry.Health = e.entry.Health
 		}
-		named[id] = true
-		e := balancer.Endpoint{ID: id, Name: hashName(h.Name), Zone: config.NameIndex(l.cfg.Zones, h.Site), MachineKind: config.NameIndex(l.cfg.MachineKinds, h.Class),
-			Cell: h.Block, State: discovery.States[h.Health], Weight: h.Share}
-		e.StartTime = l.endpoints[id].updateStart(h, skew)
-		entries = append(entries, e)
-		l.retarget(id, h)
+		listed[id] = true
+		entries = append(entries, balancer.Endpoint{
+			ID: id, Name: hashName(entry.Name),
+			Zone:        config.NameIndex(u.cfg.Zones, entry.Site),
+			MachineKind: config.NameIndex(u.cfg.MachineKinds, entry.Class),
+			Cell:        entry.Block, State: discovery.States[entry.Health], Weight: entry.Share,
+			StartTime: e.updateStart(entry, u.skew),
+		})
+		t.retarget(id, entry)
 	}
-	ready := false
-	for id, e := range l.endpoints {
-		if kind != balancer.ListDelta && !named[id] {
-			l.retarget(id, discovery.Entry{Health: "Gone"})
+	for id, e := range t.byID {
+		if u.kind != balancer.ListDelta && !listed[id] {
+			t.retarget(id, discovery.Entry{Health: "Gone"})
 		}
 		ready = ready || e.target != nil
 	}
-	l.endpointsKnown.Store(ready)
-	l.balancer.HandleEndpoints(now, kind, entries)
+	return entries, ready
 }
 
-// retarget points an endpoint's id at where it is reached now. A target that drains,
-// is gone or has restarted is closed, so that a send on its way does not start.
-func (l *loop) retarget(id uint32, h discovery.Entry) {
-	e, state := l.endpoints[id], discovery.States[h.Health]
-	e.entry, e.removed = h, state == balancer.Removed
-	if l.overrides[e.name].Cordoned {
-		state = balancer.Draining // as good as that
+func (t *endpointTable) add(name string) (id uint32) {
+	t.lastID++
+	t.ids[name], t.byID[t.lastID] = t.lastID, &endpoint{name: name}
+	return t.lastID
+}
+
+// retarget points an endpoint's id at where it is reached now. The target of an endpoint that drains, is removed or
+// has restarted is retired, so that an attempt on its way there is not sent.
+func (t *endpointTable) retarget(id uint32, entry discovery.Entry) {
+	e, state := t.byID[id], discovery.States[entry.Health]
+	e.entry, e.removed = entry, state == balancer.Removed
+	if t.overrides[e.name].Cordoned {
+		state = balancer.Draining // nothing new goes to either
 	}
-	if t := e.target; t != nil && (state != balancer.Ready || t.Address != h.Dial || t.StartedMS != h.BornMS) {
-		l.upstream.Retire(t)
+	if old := e.target; old != nil &&
+		(state != balancer.Ready || old.Address != entry.Dial || old.StartedMS != entry.BornMS) {
+		t.retire(old)
 		e.target = nil
 	}
 	if e.target == nil && state == balancer.Ready {
-		e.target = &upstream.Endpoint{Address: h.Dial, StartedMS: h.BornMS}
+		e.target = &upstream.Endpoint{Address: entry.Dial, StartedMS: entry.BornMS}
 	}
-	l.forgetIfUnused(id)
+	t.forgetIfUnused(id)
 }
 
-// knowsEndpoint says whether operators may speak of an endpoint of this name.
-func (l *loop) knowsEndpoint(name string) bool {
-	return l.endpointIDs[name] != 0 || l.overrides[name].Cordoned
+// knows reports whether operators may name this host: discovery lists it, or it is cordoned.
+func (t *endpointTable) knows(name string) bool {
+	return t.ids[name] != 0 || t.overrides[name].Cordoned
 }
 
-// applyOverrides makes what operators set hold: what they leave out has no target, so that
-// a send on its way does not start.
-func (l *loop) applyOverrides(now balancer.Micros, marks []operatorstate.Override) {
-	next := make(map[string]operatorstate.Override, len(marks))
-	for _, m := range marks {
-		next[m.Name] = m
+// setOverrides replaces what operators have set, and returns the overrides that are new or have changed. A cordon
+// that is missing was lifted: it becomes an override that lifts it from the present time on.
+func (t *endpointTable) setOverrides(set []operatorstate.Override, present func() system.Timestamp) (
+	changed []operatorstate.Override) {
+	next := make(map[string]operatorstate.Override, len(set))
+	for _, o := range set {
+		next[o.Name] = o
 	}
-	for name, m := range l.overrides {
-		if _, ok := next[name]; !ok && m.Cordoned {
-			present := l.operatorClock.Now()
-			next[name] = operatorstate.Override{Name: name, SinceMS: present.UnixMS, UpMS: present.UpMS}
+	for name, o := range t.overrides {
+		if _, ok := next[name]; !ok && o.Cordoned {
+			at := present()
+			next[name] = operatorstate.Override{Name: name, SinceMS: at.UnixMS, UpMS: at.UpMS}
 		}
 	}
-	old := l.overrides
-	l.overrides = next
-	for name, m := range next {
-		if was, ok := old[name]; ok && was == m {
-			continue
-		}
-		if id := l.endpointIDs[name]; id != 0 {
-			l.retarget(id, l.endpoints[id].entry)
-		}
-		l.log.Info("operator override", "host", name, "cordoned", m.Cordoned)
-		since := now // at the latest
-		if age, known := l.operatorClock.Age(m.Since()); known {
-			since = now - max(0, age.Microseconds())
+	for name, o := range next {
+		if old, ok := t.overrides[name]; !ok || old != o {
+			changed = append(changed, o)
 		}
-		l.balancer.Cordon(now, hashName(name), m.Cordoned, since)
 	}
+	t.overrides = next
+	return changed
 }
 
-func (l *loop) forgetIfUnused(id uint32) {
-	if e := l.endpoints[id]; e.removed && e.inFlight == 0 {
-		delete(l.endpointIDs, e.name)
-		delete(l.endpoints, id)
+// retargetByName applies a changed override to the host's target, if discovery lists the host.
+func (t *endpointTable) retargetByName(name string) {
+	if id := t.ids[name]; id != 0 {
+		t.retarget(id, t.byID[id].entry)
 	}
 }
 
-// acquire counts something out to an endpoint and returns where that is reached,
-// nil if nothing may go there. The balancer may know an endpoint for a moment
-// longer than the loop does.
-func (l *loop) acquire(id uint32) *upstream.Endpoint {
-	e := l.endpoints[id]
+// acquire counts an attempt or probe as in flight and returns where the endpoint is reached, nil if nothing may be
+// sent there. The balancer may know an endpoint for a moment longer than the table does.
+func (t *endpointTable) acquire(id uint32) *upstream.Endpoint {
+	e := t.byID[id]
 	if e == nil {
 		return nil
 	}
@@ -144,10 +163,17 @@
 	return e.target
 }
 
-// release is the end of what acquire began.
-func (l *loop) release(id uint32) {
-	if e := l.endpoints[id]; e != nil {
+// release ends what acquire began.
+func (t *endpointTable) release(id uint32) {
+	if e := t.byID[id]; e != nil {
 		e.inFlight--
-		l.forgetIfUnused(id)
+		t.forgetIfUnused(id)
+	}
+}
+
+func (t *endpointTable) forgetIfUnused(id uint32) {
+	if e := t.byID[id]; e.removed && e.inFlight == 0 {
+		delete(t.ids, e.name)
+		delete(t.byID, id)
 	}
 }
--- a/internal/sidecar/harness_test.go
+++ b/internal/sidecar/harness_test.go
@@ -3,6 +3,7 @@
 import (
 	"context"
 	"encoding/json"
+	"errors"
 	"fmt"
 	"io"
 	"log/slog"
@@ -290,7 +291,7 @@
 func (w *harness) runInLoop(f func()) {
 	w.t.Helper()
 	done := make(chan struct{})
-	w.loop.post(func(balancer.Micros) {
+	w.loop.events.post(func(balancer.Micros) {
 		f()
 		close(done)
 	})
@@ -337,3 +338,9 @@
 	body, err := io.ReadAll(response.Body)
 	return reply{response.StatusCode, response.Header, string(body), err}
 }
+
+// timedOut reports whether a read or write ended by its deadline.
+func timedOut(err error) bool {
+	var timeout net.Error
+	return errors.As(err, &timeout) && timeout.Timeout()
+}
--- a/internal/sidecar/inflight.go
+++ b/internal/sidecar/inflight.go
@@ -1,89 +1,89 @@
 package sidecar
 
 import (
-	"net/http"
 	"sync"
 	"time"
 
 	"oakproxy/internal/downstream"
 )
 
-// openRequest is a client's request from the moment it was read until the last byte of its answer was written.
+// openRequest is a client's request from the moment it was read until the last byte of its response was written.
 type openRequest struct {
 	id        string // X-Correlation-Id
 	class     string
 	conn      *downstream.Conn
 	arrivedAt time.Time
-	deadline  time.Time // when its client's time is up; of an upload, when it is given up
+	deadline  time.Time // the client's; of an upload, when it is given up
 
-	upload   bool          // its body is passed on while it comes, and its time counts from the last byte
+	upload   bool          // its body is streamed, and its client's time counts from the last byte
 	timeLeft time.Duration // of an upload, from then on
 }
 
-func newOpenRequest(in *http.Request, c *downstream.Conn, since, until time.Time) *openRequest {
-	return &openRequest{id: in.Header.Get("X-Correlation-Id"), class: in.Header.Get("X-Service-Class"), conn: c,
-		arrivedAt: since, deadline: until}
+func newOpenRequest(x *exchange, deadline time.Time) *openRequest {
+	return &openRequest{id: x.in.Header.Get("X-Correlation-Id"), class: x.in.Header.Get("X-Service-Class"),
+		conn: x.conn, arrivedAt: x.times.Arrived, deadline: deadline}
 }
 
-// inFlightRequests is the set of open requests, by X-Correlation-Id: no two with one id are open at once.
+// inFlightRequests is the set of open requests, by X-Correlation-Id: no two with one id are open at once. Any
+// goroutine may use it; the zero value is empty.
 type inFlightRequests struct {
 	mu   sync.Mutex
 	byID map[string]*openRequest
 }
 
 // add takes a request into the set and reports whether none with its id was there.
-func (h *inFlightRequests) add(r *openRequest) bool {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	if h.byID[r.id] != nil {
+func (f *inFlightRequests) add(r *openRequest) bool {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	if f.byID[r.id] != nil {
 		return false
 	}
-	if h.byID == nil {
-		h.byID = map[string]*openRequest{}
+	if f.byID == nil {
+		f.byID = map[string]*openRequest{}
 	}
-	h.byID[r.id] = r
+	f.byID[r.id] = r
 	return true
 }
 
-// remove takes a request out of the set, unless it has left it already: its answer is written, or its client has left.
-func (h *inFlightRequests) remove(r *openRequest) {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	if h.byID[r.id] == r {
-		delete(h.byID, r.id)
+// remove takes a request out of the set, if it is still there.
+func (f *inFlightRequests) remove(r *openRequest) {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	if f.byID[r.id] == r {
+		delete(f.byID, r.id)
 	}
 }
 
 // all returns the open requests, in no particular order.
-func (h *inFlightRequests) all() []*openRequest {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	list := make([]*openRequest, 0, len(h.byID))
-	for _, r := range h.byID {
+func (f *inFlightRequests) all() []*openRequest {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	list := make([]*openRequest, 0, len(f.byID))
+	for _, r := range f.byID {
 		list = append(list, r)
 	}
 	return list
 }
 
 // count returns how many requests are open.
-func (h *inFlightRequests) count() int {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	return len(h.byID)
+func (f *inFlightRequests) count() int {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	return len(f.byID)
 }
 
-// latestDeadline returns when the time of the last of the open requests is up, given that no body came to its end after
-// closed, and whether there is any.
-func (h *inFlightRequests) latestDeadline(closed time.Time) (due time.Time, any bool) {
-	for _, r := range h.all() {
-		until := r.deadline
+// latestDeadline returns the latest deadline of the open requests, and whether there is any. Uploads count as if
+// their last byte had come when admission closed: none that comes later is passed on.
+func (f *inFlightRequests) latestDeadline(admissionClosed time.Time) (latest time.Time, found bool) {
+	for _, r := range f.all() {
+		deadline := r.deadline
 		if r.upload {
-			until = closed.Add(r.timeLeft)
+			deadline = admissionClosed.Add(r.timeLeft)
 		}
-		if until.After(due) {
-			due = until
+		if deadline.After(latest) {
+			latest = deadline
 		}
-		any = true
+		found = true
 	}
-	return due, any
+	return latest, found
 }
--- a/internal/sidecar/loop.go
+++ b/internal/sidecar/loop.go
@@ -19,30 +19,11 @@
 )
 
 const (
-	maxQueuedEvents       = 1024 // waiting for the loop
-	maxQueuedUrgentEvents = 16   // the same of those that go first
-	pruneInterval         = time.Second
-	statsInterval         = 2 * time.Second
-	failureLogInterval    = time.Second // lines on failures of discovery, where one follows the other
+	pruneInterval = time.Second
+	statsInterval = 2 * time.Second
 )
 
-// clock gives the balancer's time: microseconds that never run backwards, from
-// the Unix time at the start on, so that discovery's times map onto it as they
-// are.
-type clock struct {
-	start       time.Time
-	startMicros balancer.Micros // Unix time at the base, by the wall clock of then
-}
-
-func newClock(wall func() time.Time) clock { return clock{time.Now(), wall().UnixMicro()} }
-
-func (c clock) now() balancer.Micros { return c.startMicros + time.Since(c.start).Microseconds() }
-
-func (c clock) timeAt(at balancer.Micros) time.Time {
-	return c.start.Add(time.Duration(at-c.startMicros) * time.Microsecond)
-}
-
-// decider is what the loop needs of a *balancer.Balancer.
+// decider is what the loop needs of a *balancer.Balancer. Tests put recorders in its place.
 type decider interface {
 	Start(now balancer.Micros)
 	HandleEndpoints(now balancer.Micros, kind balancer.ListUpdate, entries []balancer.Endpoint)
@@ -59,110 +40,49 @@
 	Stats(now balancer.Micros) balancer.Stats
 }
 
-// loop owns the balancer: one goroutine passes it every event and carries out
-// its Actions. It never waits for the network; what it starts reports back
-// through events.
+// loop owns the balancer and the tables: one goroutine, that of run, passes the balancer every event and carries out
+// its Actions. It never waits for the network. What it starts runs in other goroutines, which report back through
+// the event queue.
+//
+// The fields of the first group may be used by any goroutine, those of the second are set before run and do not
+// change, and those of the third belong to the loop's goroutine.
 type loop struct {
 	log            *slog.Logger
 	clock          clock
-	operatorClock  system.Clock // of what outlives the process
+	operatorClock  system.Clock    // dates what outlives the process
+	ctx            context.Context // ends with the loop; the balancer's Actions carry no context of their own
 	upstream       *upstream.Client
-	discovery      *discovery.Client
-	events         chan func(now balancer.Micros)
-	urgent         chan func(now balancer.Micros) // goes ahead of events
-	ctx            context.Context                // ends with the loop
-	endpointsKnown atomic.Bool                    // endpoints are known
-	stages         stages.Recorder                // of requests served
+	events         eventQueue
+	endpointsKnown atomic.Bool                     // an endpoint can be reached
+	stages         stages.Recorder                 // of requests served
+	current        atomic.Pointer[config.Snapshot] // the configuration in force
 
-	current       atomic.Pointer[config.Snapshot] // the configuration in force
-	limitsChanged func()                          // has its limits hold when they have changed; may be nil
-	closeCounts   func() downstream.CloseCounts   // of clients' connections; may be nil
+	limitsChanged func()                                              // applies limits that a reload changed; may be nil
+	closeCounts   func() downstream.CloseCounts                       // counts clients' connections closed; may be nil
+	warmStart     *balancer.Estimates                                 // to start with; may be nil
+	saveEstimates func(now balancer.Micros, known balancer.Estimates) // called at each pruneInterval; may be nil
 
-	// Below: the loop's goroutine alone.
 	cfg             *config.Config // that of current
-	rejectedReloads int            // configurations that were not taken
+	rejectedReloads int
 	balancer        decider
-	requests        map[uint64]*request
-	lastRequestID   uint64
-	endpointIDs     map[string]uint32 // of endpoints, by host name
-	lastEndpointID  uint32            // the latest id given; none is given twice
-	endpoints       map[uint32]*endpoint
-	overrides       map[string]operatorstate.Override                   // what operators set, by host name
-	warmStart       *balancer.Estimates                                 // to begin with; may be nil
-	saveEstimates   func(now balancer.Micros, known balancer.Estimates) // takes what is known once a second; may be nil
-	position        discovery.Position                                  // of the watch
-	lastListAt      balancer.Micros                                     // when discovery answered last, or the start
-	calls           callCounts                                          // of discovery
-	failing         bool                                                // the last call failed
-	lastWarningAt   balancer.Micros                                     // of such a failure
-	stopWatch       context.CancelFunc
-	lastStats       balancer.Stats // when last recorded, as are dials and asked
-	lastUpstream    upstream.Counts
-	lastCalls       callCounts
-	maxEventWait    time.Duration // longest wait of an event since then
-	lastStages      stages.Totals // when last recorded, as are closed
-	lastCloses      downstream.CloseCounts
-}
-
-// request is the ledger's entry for a request that the balancer may still
-// speak of: no final answer is out, or attempts are.
-type request struct {
-	id         uint64
-	message    *upstream.Request
-	deadline   balancer.Micros
-	response   chan finalResponse // takes the one final answer
-	finished   bool               // the final answer is out, or the client is gone
-	attempts   []attempt
-	inFlight   int         // attempts without outcome
-	clientLeft func() bool // whether the client has left, by a look at its connection; may be nil
-	times      stages.RequestTimes
-}
-
-// attempt is an attempt that is under way.
-type attempt struct {
-	cancel context.CancelFunc
-	gate   *upstream.Gate
-}
-
-// finish marks that nothing new may begin for the request. An attempt that has not begun is
-// called off whether or not the settings let one be cancelled: nobody knows of it yet.
-func (r *request) finish() {
-	r.finished = true
-	for _, a := range r.attempts {
-		if a.gate.Close() {
-			a.cancel()
-		}
-	}
-}
-
-// recordTimes takes the times of the attempt that was answered, where those of the request are whole: its
-// first and only attempt, with nothing to pass on while it came.
-func (r *request) recordTimes(times stages.AttemptTimes) {
-	if !r.finished && len(r.attempts) == 1 && r.message.Upload == nil {
-		r.times.Attempt = times
-	}
-}
-
-// finalResponse is the final answer to a request.
-type finalResponse struct {
-	code        int
-	retryAfter  balancer.Micros
-	header      http.Header
-	body        []byte
-	remainder   *upstream.BodyStream // what follows body, while it comes
-	length      int64                // of the whole, where there is a rest; -1 if unknown
-	releaseBody func()               // gives back the room for body
+	requests        requestTable
+	endpoints       endpointTable
+	watcher         discoveryWatcher
+	stats           statsLogger
 }
 
+// newLoop returns a loop that ends with ctx. It does nothing until run is called.
 func newLoop(ctx context.Context, cfg *config.Config, log *slog.Logger) (*loop, error) {
 	times := cfg.Host.Time.OrSystem()
+	client := upstream.NewClient(cfg, maxConnections(cfg), httpmsg.NewMemoryBudget(bodyMemoryLimit(cfg)))
 	l := &loop{
 		log: log, clock: newClock(times.Wall), operatorClock: times, ctx: ctx,
-		upstream: upstream.NewClient(cfg, maxConnections(cfg), httpmsg.NewMemoryBudget(bodyMemoryLimit(cfg))), discovery: newDiscoveryClient(cfg),
-		events:   make(chan func(balancer.Micros), maxQueuedEvents),
-		urgent:   make(chan func(balancer.Micros), maxQueuedUrgentEvents),
-		requests: map[uint64]*request{}, endpointIDs: map[string]uint32{}, endpoints: map[uint32]*endpoint{}, overrides: map[string]operatorstate.Override{},
-		stopWatch: func() {},
+		upstream:  client,
+		events:    newEventQueue(ctx.Done()),
+		requests:  newRequestTable(),
+		endpoints: newEndpointTable(client.Retire),
+		watcher:   newDiscoveryWatcher(cfg, log),
+		stats:     statsLogger{log: log},
 	}
 	l.activate(config.NewSnapshot(cfg))
 	var err error
@@ -172,35 +92,23 @@
 
 // run handles events until the loop's context ends.
 func (l *loop) run() {
-	now := l.clock.now()
-	l.lastListAt = now
-	l.logConfiguration(nil, nil)
-	l.balancer.Start(now)
-	if l.warmStart != nil {
-		l.balancer.Restore(l.warmStart)
-	}
-	if len(l.cfg.KnownEndpoints.Hosts) > 0 {
-		l.updateEndpoints(now, balancer.ListCached, l.cfg.KnownEndpoints)
-	}
-	if !l.cfg.Settings.SubscribeToDiscovery {
-		l.Watch(true)
-	}
+	l.start(l.clock.now())
 	prune := time.NewTicker(pruneInterval)
 	defer prune.Stop()
 	stats := time.NewTicker(statsInterval)
 	defer stats.Stop()
 	for {
 		select {
-		case event := <-l.urgent:
-			event(l.clock.now())
+		case e := <-l.events.urgent:
+			e(l.clock.now())
 			continue
 		default:
 		}
 		select {
-		case event := <-l.urgent:
-			event(l.clock.now())
-		case event := <-l.events:
-			event(l.clock.now())
+		case e := <-l.events.urgent:
+			e(l.clock.now())
+		case e := <-l.events.queued:
+			e(l.clock.now())
 		case <-prune.C:
 			l.upstream.Prune()
 			if l.saveEstimates != nil {
@@ -214,78 +122,59 @@
 	}
 }
 
-// logStats records what was counted since the last such line; a quiet time leaves none.
-func (l *loop) logStats(now balancer.Micros) {
-	stats, up := l.balancer.Stats(now), l.upstream.Counts()
-	staged := l.stages.Totals()
-	var closed downstream.CloseCounts
-	if l.closeCounts != nil {
-		closed = l.closeCounts()
-	}
-	if stats.Requests != l.lastStats.Requests {
-		inForce := l.current.Load()
-		l.log.Info("statistics", "balancer", stats.Since(&l.lastStats), "list_age_ms", (now-l.lastListAt)/1000, "list_seq", l.position.Newest, "discovery_calls", l.calls.since(l.lastCalls), "dials", up.Dials-l.lastUpstream.Dials,
-			"dial_ms", (up.DialTime-l.lastUpstream.DialTime).Milliseconds()/int64(max(1, up.Dials-l.lastUpstream.Dials)),
-			"dial_failed", up.Failed-l.lastUpstream.Failed, "connection_limit", up.LimitReached-l.lastUpstream.LimitReached, "connections", up.Open, "event_wait_ms", float64(l.maxEventWait.Microseconds())/1000,
-			"stages_us", staged.MeansSince(l.lastStages), "client_closes", closed.Since(l.lastCloses),
-			"generation", inForce.Generation, "hash", inForce.FileHash, "reloads", inForce.Generation-config.FirstGeneration, "reloads_rejected", l.rejectedReloads)
+// start gives the balancer what is known at the start and begins the watch of discovery.
+func (l *loop) start(now balancer.Micros) {
+	l.watcher.lastListAt = now
+	l.logConfiguration(nil, nil)
+	l.balancer.Start(now)
+	if l.warmStart != nil {
+		l.balancer.Restore(l.warmStart)
 	}
-	l.lastStages, l.lastCloses = staged, closed
-	l.lastStats, l.lastUpstream, l.lastCalls, l.maxEventWait = stats, up, l.calls, 0
-}
-
-// post hands an event to the loop. It must not be called from the loop.
-func (l *loop) post(event func(now balancer.Micros)) {
-	posted := time.Now()
-	timed := func(now balancer.Micros) {
-		l.maxEventWait = max(l.maxEventWait, time.Since(posted))
-		event(now)
+	if len(l.cfg.KnownEndpoints.Hosts) > 0 {
+		l.updateEndpoints(now, balancer.ListCached, l.cfg.KnownEndpoints)
 	}
-	select {
-	case l.events <- timed:
-	case <-l.ctx.Done():
+	if !l.cfg.Settings.SubscribeToDiscovery {
+		l.Watch(true)
 	}
 }
 
-// runUrgent has the loop do something ahead of all events that wait, and waits until
-// it is done, or the loop has ended.
-func (l *loop) runUrgent(event func(now balancer.Micros)) {
-	done := make(chan struct{})
-	select {
-	case l.urgent <- func(now balancer.Micros) { event(now); close(done) }:
-	case <-l.ctx.Done():
-		return
-	}
-	select {
-	case <-done:
-	case <-l.ctx.Done():
+// logStats logs what was counted since the last call.
+func (l *loop) logStats(now balancer.Micros) {
+	c := counters{balancer: l.balancer.Stats(now), upstream: l.upstream.Counts(), calls: l.watcher.calls,
+		stages: l.stages.Totals()}
+	if l.closeCounts != nil {
+		c.closes = l.closeCounts()
 	}
+	l.stats.record(&c, gauges{listAgeMS: l.watcher.listAgeMS(now), listVersion: l.watcher.position.Newest,
+		maxEventWait: l.events.takeMaxWait(), inForce: l.current.Load(), rejectedReloads: l.rejectedReloads})
 }
 
 // admit passes a new request to the balancer.
 func (l *loop) admit(now balancer.Micros, r *request, in balancer.Request) {
-	l.lastRequestID++
-	r.id, in.ID, r.deadline = l.lastRequestID, l.lastRequestID, in.Deadline
-	l.requests[r.id] = r
+	l.requests.add(r)
+	in.ID, r.deadline = r.id, in.Deadline
 	r.times.Dequeued = time.Now()
 	if in.ReceivedUnder == &l.cfg.Settings {
 		in.ReceivedUnder = nil // nothing has changed since it was read
 	}
-	if up := r.message.Upload; up != nil {
-		up.OnWritten = func() {
-			l.post(func(at balancer.Micros) {
-				if !r.finished {
-					r.deadline = at + time.Until(up.Deadline()).Microseconds()
-					l.balancer.HandleBodyWritten(at, r.id, r.deadline)
-				}
-			})
+	if upload := r.message.Upload; upload != nil {
+		upload.OnWritten = func() {
+			l.events.post(func(at balancer.Micros) { l.handleBodyWritten(at, r) })
 		}
 	}
 	l.balancer.HandleRequest(now, in)
-	l.forget(r)
+	l.requests.forgetIfDone(r)
+}
+
+// handleBodyWritten takes the end of a streamed body, from which the client's time counts.
+func (l *loop) handleBodyWritten(now balancer.Micros, r *request) {
+	if !r.finished {
+		r.deadline = now + time.Until(r.message.Upload.Deadline()).Microseconds()
+		l.balancer.HandleBodyWritten(now, r.id, r.deadline)
+	}
 }
 
-// clientGone tells that the client went away.
+// clientGone ends a request whose client went away, and releases the response that it did not read.
 func (l *loop) clientGone(now balancer.Micros, r *request) {
 	if r.finished {
 		unread := <-r.response
@@ -295,130 +184,168 @@
 	l.trace(r, "client disconnected", "attempts", len(r.attempts))
 	r.finish()
 	l.balancer.HandleClientGone(now, r.id)
-	l.forget(r)
+	l.requests.forgetIfDone(r)
 }
 
-// handleOutcome tells how an attempt ended: exactly once for each, also after the
-// request's end, when the balancer still learns from it.
-func (l *loop) handleOutcome(now balancer.Micros, r *request, o balancer.Outcome, res upstream.Result) {
+// handleOutcome takes the end of an attempt. It is called exactly once for each, also after the request's end: the
+// balancer still learns from it.
+func (l *loop) handleOutcome(now balancer.Micros, r *request, o balancer.Outcome, result upstream.Result) {
 	r.inFlight--
-	l.trace(r, "attempt finished", "number", o.Attempt, "status", o.Status, "error", res.Err, "after_us", o.Latency, "over", r.finished)
-	if res.Status == balancer.OK {
-		r.recordTimes(res.Times)
-		l.respond(r, finalResponse{code: http.StatusOK, header: res.Header, body: res.Body,
-			remainder: res.Rest, length: res.Length, releaseBody: res.Release})
+	l.trace(r, "attempt finished", "number", o.Attempt, "status", o.Status, "error", result.Err,
+		"after_us", o.Latency, "over", r.finished)
+	if result.Status == balancer.OK {
+		r.recordTimes(result.Times)
+		l.respond(r, finalResponse{code: http.StatusOK, header: result.Header, body: result.Body,
+			remainder: result.Rest, length: result.Length, releaseBody: result.Release})
 	}
-	o.Answered, o.LoadReport = r.finished, l.currentLoadReport(res)
+	o.Answered, o.LoadReport = r.finished, l.currentLoadReport(result)
 	l.balancer.HandleOutcome(now, o)
-	l.forget(r)
+	l.requests.forgetIfDone(r)
 }
 
-// respond gives the final answer, unless one is out already.
-func (l *loop) respond(r *request, a finalResponse) {
+// respond gives a request its final response, unless it is finished already or unknown.
+func (l *loop) respond(r *request, response finalResponse) {
 	if r != nil && !r.finished {
-		l.trace(r, "final response", "code", a.code, "attempts", len(r.attempts))
+		l.trace(r, "final response", "code", response.code, "attempts", len(r.attempts))
 		r.finish()
-		r.response <- a // it has room for the one
+		r.response <- response // its buffer holds the one
 		return
 	}
-	a.close()
-}
-
-func (l *loop) forget(r *request) {
-	if r.finished && r.inFlight == 0 {
-		delete(l.requests, r.id)
-	}
+	response.close()
 }
 
 // Send starts an attempt.
 func (l *loop) Send(id uint64, endpoint uint32, latest balancer.Micros) {
-	r, t := l.requests[id], l.acquire(endpoint)
-	now, g := l.clock.now(), &upstream.Gate{ClientGone: r.clientLeft}
+	r, target := l.requests.byID[id], l.endpoints.acquire(endpoint)
+	now, gate := l.clock.now(), &upstream.Gate{ClientGone: r.clientLeft}
 	if latest > 0 {
-		g.NotAfter = l.clock.timeAt(latest)
+		gate.NotAfter = l.clock.timeAt(latest)
 	}
 	ctx, cancel := context.WithDeadline(l.ctx, l.clock.timeAt(r.deadline))
 	o := balancer.Outcome{ID: id, Attempt: len(r.attempts), Endpoint: endpoint}
-	l.trace(r, "attempt started", "number", o.Attempt, "endpoint", endpoint, "known", t != nil)
+	l.trace(r, "attempt started", "number", o.Attempt, "endpoint", endpoint, "known", target != nil)
 	if len(r.attempts) == 0 {
 		r.times.Sent = time.Now()
 	}
-	r.attempts = append(r.attempts, attempt{cancel, g})
+	r.attempts = append(r.attempts, attempt{cancel, gate})
 	r.inFlight++
 	go func() {
-		res := upstream.Result{Status: balancer.NotSent}
-		if t != nil {
-			res = l.upstream.Attempt(ctx, t, r.message, g)
+		result := upstream.Result{Status: balancer.NotSent}
+		if target != nil {
+			result = l.upstream.Attempt(ctx, target, r.message, gate)
 		}
 		cancel()
-		l.post(func(at balancer.Micros) {
-			o.Status, o.Latency = res.Status, at-now
-			if up := r.message.Upload; up != nil {
-				if o.BodyConsumed = up.Consumed.Load() || up.Phase.Load() != upstream.UploadStreaming; !up.WrittenAt.IsZero() {
-					o.Latency = time.Since(up.WrittenAt).Microseconds()
+		l.events.post(func(at balancer.Micros) {
+			o.Status, o.Latency = result.Status, at-now
+			if upload := r.message.Upload; upload != nil {
+				o.BodyConsumed = upload.Consumed.Load() || upload.Phase.Load() != upstream.UploadStreaming
+				if !upload.WrittenAt.IsZero() {
+					o.Latency = time.Since(upload.WrittenAt).Microseconds()
 				}
 			}
-			l.handleOutcome(at, r, o, res)
-			l.release(endpoint)
+			l.handleOutcome(at, r, o, result)
+			l.endpoints.release(endpoint)
 		})
 	}()
 }
 
-// Reject answers that a retry is harmless, and when it is welcome.
+// Reject answers that a retry is harmless, and after which time it is welcome.
 func (l *loop) Reject(id uint64, retryAfter balancer.Micros) {
-	l.respond(l.requests[id], finalResponse{code: http.StatusServiceUnavailable, retryAfter: retryAfter})
+	l.respond(l.requests.byID[id], finalResponse{code: http.StatusServiceUnavailable, retryAfter: retryAfter})
 }
 
 // Fail answers that the request failed.
 func (l *loop) Fail(id uint64) {
-	l.respond(l.requests[id], finalResponse{code: http.StatusBadGateway})
+	l.respond(l.requests.byID[id], finalResponse{code: http.StatusBadGateway})
 }
 
-// Cancel gives an attempt up: its connection is closed, its outcome still comes.
+// Cancel closes an attempt's connection. Its outcome still comes.
 func (l *loop) Cancel(id uint64, attempt int) {
-	if r := l.requests[id]; r != nil && attempt >= 0 && attempt < len(r.attempts) {
+	if r := l.requests.byID[id]; r != nil && attempt >= 0 && attempt < len(r.attempts) {
 		r.attempts[attempt].cancel()
 	}
 }
 
-// StartTimer gives a token back after a while.
+// StartTimer gives a token back to the balancer after a delay.
 func (l *loop) StartTimer(delay balancer.Micros, token uint32) {
 	time.AfterFunc(time.Duration(delay)*time.Microsecond, func() {
-		l.post(func(now balancer.Micros) { l.balancer.HandleTimer(now, token) })
+		l.events.post(func(now balancer.Micros) { l.balancer.HandleTimer(now, token) })
 	})
 }
 
 // Probe asks an endpoint for its load.
 func (l *loop) Probe(endpoint uint32) {
-	t := l.acquire(endpoint)
+	target := l.endpoints.acquire(endpoint)
 	go func() {
-		res := upstream.Result{Status: balancer.NotSent}
-		if t != nil {
-			res = l.upstream.Probe(l.ctx, t)
+		result := upstream.Result{Status: balancer.NotSent}
+		if target != nil {
+			result = l.upstream.Probe(l.ctx, target)
 		}
-		l.post(func(now balancer.Micros) {
-			l.balancer.HandleProbe(now, endpoint, res.Status, res.Took.Microseconds(), l.currentLoadReport(res))
-			l.release(endpoint)
+		l.events.post(func(now balancer.Micros) {
+			l.balancer.HandleProbe(now, endpoint, result.Status, result.Took.Microseconds(), l.currentLoadReport(result))
+			l.endpoints.release(endpoint)
 		})
 	}()
 }
 
-// trace records what becomes of one request, where the log has lines of level debug.
-func (l *loop) trace(r *request, event string, attributes ...any) {
-	if l.log.Enabled(l.ctx, slog.LevelDebug) {
-		l.log.Debug(event, append([]any{"id", r.message.Header.Get("X-Correlation-Id")}, attributes...)...)
+// Watch begins to watch the endpoint list, from the last version on, or ends that. With the settings that subscribe,
+// the balancer decides when to begin again after a failure; without, the watch does so by itself.
+func (l *loop) Watch(on bool) {
+	if !on {
+		l.watcher.stop()
+		return
 	}
+	l.watcher.start(l.ctx, &l.events, l, !l.cfg.Settings.SubscribeToDiscovery)
 }
 
-// Log records a line of the balancer's.
+// Log logs a line of the balancer's.
 func (l *loop) Log(line string) { l.log.Info(line) }
 
-// close ends what an answer holds. It comes once for each, also where nobody takes it.
-func (a *finalResponse) close() {
-	if a.remainder != nil {
-		a.remainder.Close()
+// handleList takes an endpoint list that discovery sent.
+func (l *loop) handleList(now balancer.Micros, list discovery.List) {
+	l.watcher.recordList(now, &list)
+	kind := balancer.ListDelta
+	if list.Whole {
+		kind = balancer.ListFull
 	}
-	if a.releaseBody != nil {
-		a.releaseBody()
+	l.updateEndpoints(now, kind, list)
+}
+
+// handleMalformedList takes the failure of one call of a watch that goes on.
+func (l *loop) handleMalformedList(now balancer.Micros, err error) { l.watcher.recordFailure(now, err) }
+
+// handleWatchEnded takes the failure that ended a watch.
+func (l *loop) handleWatchEnded(now balancer.Micros, err error) {
+	l.watcher.recordFailure(now, err)
+	l.balancer.HandleEndpoints(now, balancer.ListFailed, nil)
+}
+
+// updateEndpoints brings the endpoint table in line with a list, and then the balancer.
+func (l *loop) updateEndpoints(now balancer.Micros, kind balancer.ListUpdate, list discovery.List) {
+	older := l.watcher.advance(l.clock.timeAt(now), &list)
+	entries, ready := l.endpoints.update(&endpointUpdate{list: list, kind: kind, older: older,
+		skew: list.ClockSkew(now), cfg: l.cfg})
+	l.endpointsKnown.Store(ready)
+	l.balancer.HandleEndpoints(now, kind, entries)
+}
+
+// applyOverrides puts in force what operators have set. A cordoned endpoint loses its target, so that an attempt on
+// its way there is not sent.
+func (l *loop) applyOverrides(now balancer.Micros, overrides []operatorstate.Override) {
+	for _, o := range l.endpoints.setOverrides(overrides, l.operatorClock.Now) {
+		l.endpoints.retargetByName(o.Name)
+		l.log.Info("operator override", "host", o.Name, "cordoned", o.Cordoned)
+		since := now // if its age is unknown
+		if age, known := l.operatorClock.Age(o.Since()); known {
+			since = now - max(0, age.Microseconds())
+		}
+		l.balancer.Cordon(now, hashName(o.Name), o.Cordoned, since)
+	}
+}
+
+// trace logs what becomes of one request, at level debug.
+func (l *loop) trace(r *request, message string, attributes ...any) {
+	if l.log.Enabled(l.ctx, slog.LevelDebug) {
+		l.log.Debug(message, append([]any{"id", r.message.Header.Get("X-Correlation-Id")}, attributes...)...)
 	}
 }
--- a/internal/sidecar/parse.go
+++ b/internal/sidecar/parse.go
@@ -1,42 +1,29 @@
 package sidecar
 
 import (
-	"errors"
 	"hash/fnv"
 	"net/http"
 	"strconv"
 	"strings"
 
 	"oakproxy/balancer"
+	"oakproxy/internal/config"
 	"oakproxy/internal/downstream"
 )
 
-// rejectInvalid turns a request away, with its connection: what else a client sends
-// that gets this much wrong is not worth reading.
-func rejectInvalid(w http.ResponseWriter, in *http.Request, err error) {
-	code := http.StatusBadRequest
-	var b *downstream.RequestError
-	if errors.As(err, &b) {
-		code = b.StatusCode
-	}
-	reason := err.Error() + "\n"
-	rejectUnread(w, in, finalResponse{code: code, body: []byte(reason),
-		header: http.Header{"Content-Type": {"text/plain; charset=utf-8"}, "X-Content-Type-Options": {"nosniff"}}})
-}
-
-// singleValueHeaders headers have one value. A second one could be the one that somebody
-// else on the way goes by.
+// singleValueHeaders may come once. Another parser on the way could go by the second value.
 var singleValueHeaders = []string{"X-Correlation-Id", "X-Service-Class", "X-Account", "X-Session-Key",
 	"X-Time-Left-Ms", "X-Repeat", "X-Weight-Hint", "Idempotency-Key"}
 
-// hashName makes a number of a name, the same at every sidecar.
+// hashName returns a number for a name, the same at every sidecar.
 func hashName(name string) uint64 {
 	hash := fnv.New64a()
 	hash.Write([]byte(name))
 	return hash.Sum64()
 }
 
-// parseRequest reads the headers of a request.
+// parseRequest returns what the balancer must know of a request that arrived at a time of the loop's clock. Its errors
+// are downstream.RequestErrors.
 func (s *server) parseRequest(in *http.Request, arrived balancer.Micros) (balancer.Request, error) {
 	inForce := s.loop.current.Load()
 	req := balancer.Request{ReceivedUnder: &inForce.Settings}
@@ -49,39 +36,55 @@
 	if id := h.Get("X-Correlation-Id"); id == "" || len(id) > maxIDLength {
 		return req, downstream.NewBadRequest("X-Correlation-Id: %d characters, must be 1 to %d", len(id), maxIDLength)
 	}
-	name := h.Get("X-Service-Class")
+	if err := parseClass(in, inForce, &req); err != nil {
+		return req, err
+	}
+	left, err := strconv.ParseUint(h.Get("X-Time-Left-Ms"), 10, 63)
+	if err != nil {
+		return req, downstream.NewBadRequest("X-Time-Left-Ms: %q is not a whole number of milliseconds",
+			h.Get("X-Time-Left-Ms"))
+	}
+	left = min(left, uint64(maxTimeLeft.Milliseconds()))
+	req.Deadline = arrived + int64(left)*1000 - responseMargin.Microseconds()
+	err = parseOptional(h, inForce, &req)
+	return req, err
+}
+
+// parseClass sets the request's class, and checks that its path, method and body are as the class demands.
+func parseClass(in *http.Request, inForce *config.Snapshot, req *balancer.Request) error {
+	name := in.Header.Get("X-Service-Class")
 	class, ok := inForce.Classes[name]
 	if !ok {
-		return req, downstream.NewBadRequest("X-Service-Class: %q is not a known class", name)
+		return downstream.NewBadRequest("X-Service-Class: %q is not a known class", name)
 	}
 	if first, _, _ := strings.Cut(strings.TrimPrefix(in.URL.Path, "/"), "/"); first != name {
-		return req, downstream.NewBadRequest("the path is not of X-Service-Class %q", name)
+		return downstream.NewBadRequest("the path is not of X-Service-Class %q", name)
 	}
 	req.Class = class
-	method, keyed := http.MethodPost, h.Get("Idempotency-Key") != ""
+	method, hasKey := http.MethodPost, in.Header.Get("Idempotency-Key") != ""
 	switch inForce.Settings.Classes[class].Idempotency {
 	case balancer.Idempotent:
 		method = http.MethodGet
 	case balancer.IdempotentWithKey:
-		if !keyed {
-			return req, downstream.NewBadRequest("Idempotency-Key is missing")
+		if !hasKey {
+			return downstream.NewBadRequest("Idempotency-Key is missing")
 		}
 	}
 	if in.Method != method {
-		return req, downstream.NewRequestError(http.StatusMethodNotAllowed, "requests of this class are %s", method)
+		return downstream.NewRequestError(http.StatusMethodNotAllowed, "requests of this class are %s", method)
 	}
 	if method == http.MethodGet && in.ContentLength != 0 {
-		return req, downstream.NewBadRequest("a GET has no body")
-	}
-	left, err := strconv.ParseUint(h.Get("X-Time-Left-Ms"), 10, 63)
-	if err != nil {
-		return req, downstream.NewBadRequest("X-Time-Left-Ms: %q is not a whole number of milliseconds", h.Get("X-Time-Left-Ms"))
+		return downstream.NewBadRequest("a GET has no body")
 	}
-	left = min(left, uint64(maxTimeLeft.Milliseconds()))
-	req.Deadline = arrived + int64(left)*1000 - responseMargin.Microseconds()
+	return nil
+}
+
+// parseOptional sets what headers say of the request that not all clients send.
+func parseOptional(h http.Header, inForce *config.Snapshot, req *balancer.Request) error {
 	if len(inForce.Tenants) > 0 {
+		var ok bool
 		if req.Tenant, ok = inForce.Tenants[h.Get("X-Account")]; !ok {
-			return req, downstream.NewBadRequest("X-Account: %q is not a known tenant", h.Get("X-Account"))
+			return downstream.NewBadRequest("X-Account: %q is not a known tenant", h.Get("X-Account"))
 		}
 	}
 	if key := h.Get("X-Session-Key"); key != "" {
@@ -90,7 +93,7 @@
 	if hint := h.Get("X-Weight-Hint"); hint != "" {
 		micros, err := strconv.ParseUint(hint, 10, 63)
 		if err != nil {
-			return req, downstream.NewBadRequest("X-Weight-Hint: %q is not a whole number of microseconds", hint)
+			return downstream.NewBadRequest("X-Weight-Hint: %q is not a whole number of microseconds", hint)
 		}
 		req.WorkHint, req.HasWorkHint = int64(micros), true
 	}
@@ -99,7 +102,7 @@
 		req.ClientRetry = true
 	case "", "0":
 	default:
-		return req, downstream.NewBadRequest("X-Repeat: %q is neither 0 nor 1", h.Get("X-Repeat"))
+		return downstream.NewBadRequest("X-Repeat: %q is neither 0 nor 1", h.Get("X-Repeat"))
 	}
-	return req, nil
+	return nil
 }
--- a/internal/sidecar/reload.go
+++ b/internal/sidecar/reload.go
@@ -5,7 +5,6 @@
 
 	"oakproxy/balancer"
 	"oakproxy/internal/config"
-	"oakproxy/internal/discovery"
 	"oakproxy/internal/upstream"
 )
 
@@ -15,8 +14,8 @@
 	l.current.Store(s)
 }
 
-// reload takes up a new configuration in one step, or refuses it and changes nothing. Requests in hand, the list of
-// endpoints and what is known of them stay.
+// reload puts a new configuration in force in one step, or rejects it and changes nothing. Requests in flight, the
+// endpoint table and what is known of endpoints stay.
 func (l *loop) reload(next *config.Config) {
 	if next.Err != nil {
 		l.rejectReload(next.Err)
@@ -47,7 +46,7 @@
 	l.logConfiguration(old.ChangedParts(merged), restart)
 }
 
-// rejectReload records that a configuration can't be taken.
+// rejectReload logs that a configuration can't be put in force.
 func (l *loop) rejectReload(err error) {
 	l.rejectedReloads++
 	inForce := l.current.Load()
@@ -55,7 +54,7 @@
 		"generation", inForce.Generation, "hash", inForce.FileHash)
 }
 
-// logConfiguration records what is in force from now on, what has changed with it, and what has not.
+// logConfiguration logs what is in force from now on, which parts have changed, and which keys need a restart.
 func (l *loop) logConfiguration(changed, restart []string) {
 	inForce := l.current.Load()
 	attributes := []any{"generation", inForce.Generation, "hash", inForce.FileHash, "discovery", inForce.Discovery}
@@ -68,34 +67,29 @@
 	l.log.Info("configuration in force", attributes...)
 }
 
-// cancelUnsent keeps attempts from beginning. Those that have begun go on.
+// cancelUnsent keeps attempts from being sent that the new configuration does not allow. Those already sent go on.
 func (l *loop) cancelUnsent(attempts []balancer.AttemptID) {
 	for _, a := range attempts {
-		if started := l.requests[a.Request].attempts[a.Attempt]; started.gate.Close() {
-			started.cancel()
-		}
+		l.requests.byID[a.Request].attempts[a.Attempt].cancelUnsent()
 	}
 }
 
-// restartWatch has discovery asked for its whole list by the configuration in force: versions may be another
-// service's.
+// restartWatch asks the discovery of the configuration in force for its complete list.
 func (l *loop) restartWatch() {
-	old := l.discovery
-	l.discovery = newDiscoveryClient(l.cfg)
-	l.position.After, l.position.VersionResetAt = nil, time.Now().Add(discovery.MovedVersionGrace)
+	old := l.watcher.replaceClient(l.cfg)
 	l.Watch(true)
 	old.HTTP.CloseIdleConnections()
 }
 
-// currentLoadReport returns a result's load report, unless reports have come to name other figures since it was read.
-func (l *loop) currentLoadReport(res upstream.Result) []float32 {
-	if res.Report != l.upstream.Report.Load() {
+// currentLoadReport returns the load report of a result, nil if it was read by an earlier configuration's rules.
+func (l *loop) currentLoadReport(result upstream.Result) []float32 {
+	if result.Report != l.upstream.Report.Load() {
 		return nil
 	}
-	return res.Load
+	return result.Load
 }
 
-// slowStartDuration is how long an endpoint takes to be warm.
+// slowStartDuration is how long an endpoint takes to warm up.
 func (l *loop) slowStartDuration() time.Duration {
 	return time.Duration(l.current.Load().Settings.Contract.SlowStartDuration) * time.Microsecond
 }
--- a/internal/sidecar/reload_test.go
+++ b/internal/sidecar/reload_test.go
@@ -63,10 +63,10 @@
 	w.t.Helper()
 	var text bytes.Buffer
 	w.runInLoop(func() {
-		old := w.loop.log
-		w.loop.log = slog.New(slog.NewTextHandler(&text, nil))
+		old, captured := w.loop.log, slog.New(slog.NewTextHandler(&text, nil))
+		w.loop.log, w.loop.watcher.log, w.loop.stats.log = captured, captured, captured
 		f()
-		w.loop.log = old
+		w.loop.log, w.loop.watcher.log, w.loop.stats.log = old, old, old
 	})
 	return text.String()
 }
@@ -146,7 +146,7 @@
 				}
 			}
 			w.await("nothing to be in hand", func() (none bool) {
-				w.runInLoop(func() { none = len(w.loop.requests) == 0 })
+				w.runInLoop(func() { none = len(w.loop.requests.byID) == 0 })
 				return none
 			})
 		})
@@ -180,12 +180,12 @@
 			w := start(t, nil, ready("s-1", e.Address), ready("s-2", e.Address))
 			next := configure(t, w.discovery.address, c.alter)
 			busy := make(chan struct{})
-			w.loop.post(func(balancer.Micros) { <-busy })
+			w.loop.events.post(func(balancer.Micros) { <-busy })
 			answer := make(chan reply)
 			go func() { answer <- w.send(w.request("pay", "x", time.Minute)) }()
 			w.await("the request to be read", func() bool { return w.server.inFlight.count() == 1 })
-			go w.loop.runUrgent(func(balancer.Micros) { w.loop.reload(next) })
-			w.await("the reload to wait", func() bool { return len(w.loop.urgent) == 1 })
+			go w.loop.events.runUrgent(func(balancer.Micros) { w.loop.reload(next) })
+			w.await("the reload to wait", func() bool { return len(w.loop.events.urgent) == 1 })
 			close(busy)
 			if got := <-answer; got.code != c.code {
 				t.Errorf("answer %+v, want %d", got, c.code)
@@ -344,7 +344,7 @@
 	var watch, same *discovery.Client
 	members := func() map[uint32]endpoint {
 		all := map[uint32]endpoint{}
-		for id, m := range w.loop.endpoints {
+		for id, m := range w.loop.endpoints.byID {
 			all[id] = *m
 		}
 		return all
@@ -353,7 +353,7 @@
 		now := w.loop.clock.now()
 		w.loop.updateEndpoints(now, balancer.ListDelta, discovery.List{Hosts: []discovery.Entry{drained}})
 		w.loop.applyOverrides(now, []operatorstate.Override{{Name: "s-2", Cordoned: true}})
-		before, watch = members(), w.loop.discovery
+		before, watch = members(), w.loop.watcher.client
 	})
 	next := *configure(t, w.discovery.address, func(s map[string]any) {
 		limits := s["limits"].(map[string]any)
@@ -365,7 +365,7 @@
 	old.Load, old.Report = w.loop.upstream.LoadReport("failed_ps=1,pending=2")
 	w.runInLoop(func() {
 		w.loop.reload(&next)
-		after, same = members(), w.loop.discovery
+		after, same = members(), w.loop.watcher.client
 		read.Load, read.Report = w.loop.upstream.LoadReport("failed_ps=1,pending=2")
 		if load := w.loop.currentLoadReport(read); len(load) != 1 || load[0] != 2 {
 			t.Errorf("a report by the new fields: %v", load)
@@ -374,7 +374,7 @@
 			t.Errorf("a report that was read by the old fields tells %v", load)
 		}
 	})
-	if len(before) != 2 || before[1] != after[1] || before[2] != after[2] || !w.loop.overrides["s-2"].Cordoned {
+	if len(before) != 2 || before[1] != after[1] || before[2] != after[2] || !w.loop.endpoints.overrides["s-2"].Cordoned {
 		t.Errorf("endpoints %+v, were %+v", after, before)
 	}
 	if watch != same || w.discovery.count() != 2 {
@@ -400,10 +400,10 @@
 	}
 	done := make(chan struct{})
 	go func() {
-		l.runUrgent(func(balancer.Micros) { l.reload(configure(t, w.discovery.address, withSearchClass)) })
+		l.events.runUrgent(func(balancer.Micros) { l.reload(configure(t, w.discovery.address, withSearchClass)) })
 		close(done)
 	}()
-	sidecartest.Await(t, "the reload to wait", func() bool { return len(l.urgent) == 1 })
+	sidecartest.Await(t, "the reload to wait", func() bool { return len(l.events.urgent) == 1 })
 	go l.run()
 	<-done
 	if now := l.current.Load(); now.Generation != 2 || len(now.Classes) != 5 {
--- /dev/null
+++ b/internal/sidecar/response.go
@@ -0,0 +1,107 @@
+package sidecar
+
+import (
+	"errors"
+	"net/http"
+	"strconv"
+	"time"
+
+	"oakproxy/internal/downstream"
+	"oakproxy/internal/httpmsg"
+	"oakproxy/internal/upstream"
+)
+
+// writeResponse writes the final response, and relays what follows its buffered part.
+func (s *server) writeResponse(w http.ResponseWriter, c *downstream.Conn, r *request, response finalResponse) {
+	r.times.Answered = time.Now()
+	// Clients send one request at a time. What came behind this one is not served as a request: nothing but the
+	// client's own framing says that it is one.
+	behind := c.BeginResponse()
+	bodyPending := false
+	if upload := r.message.Upload; upload != nil {
+		bodyPending = !upload.ReachedEOF.Load() || !c.RequestRead(upload.Length)
+	}
+	if behind || bodyPending || s.clients.Crowded() || s.draining() {
+		w.Header().Set("Connection", "close")
+	}
+	writeFinalResponse(w, response)
+	if response.remainder == nil {
+		s.recordStages(r)
+		return
+	}
+	if err := downstream.Relay(w, c, response.remainder); err != nil {
+		c.ResetOnClose()
+		panic(http.ErrAbortHandler)
+	}
+}
+
+// recordStages counts the stages of a request that is answered, if the times of its attempt are known.
+func (s *server) recordStages(r *request) {
+	if r.times.Attempt.Received.IsZero() {
+		return
+	}
+	r.times.Replied = time.Now()
+	s.loop.stages.Record(&r.times)
+}
+
+// drainUpload lets a client that has its response send its body to the end.
+func (s *server) drainUpload(w http.ResponseWriter, c *downstream.Conn, upload *upstream.Upload) {
+	if upload.ReachedEOF.Load() {
+		clearReadDeadline(c)
+		return
+	}
+	_ = http.NewResponseController(w).Flush() // of a client that is gone, Discard finds the end
+	upload.Finish()
+	limit := upstream.MaxUploadTime
+	if s.terminating.Load() {
+		limit = downstream.MaxLinger
+	}
+	upload.Body.Discard(limit)
+}
+
+// rejectUnread responds to a request whose body may not be read yet, and ends its connection.
+func rejectUnread(w http.ResponseWriter, in *http.Request, response finalResponse) {
+	w.Header().Set("Connection", "close")
+	writeFinalResponse(w, response)
+	if http.NewResponseController(w).Flush() != nil {
+		return // the client is gone
+	}
+	downstream.NewBody(connOf(in), in.Body).Discard(downstream.MaxLinger)
+}
+
+// rejectInvalid responds to a request that breaks the protocol, with status 400 or that of a downstream.RequestError,
+// and ends its connection: what else such a client sends is not worth reading.
+func rejectInvalid(w http.ResponseWriter, in *http.Request, err error) {
+	code := http.StatusBadRequest
+	var invalid *downstream.RequestError
+	if errors.As(err, &invalid) {
+		code = invalid.StatusCode
+	}
+	reason := err.Error() + "\n"
+	rejectUnread(w, in, finalResponse{code: code, body: []byte(reason), header: http.Header{
+		"Content-Type": {"text/plain; charset=utf-8"}, "X-Content-Type-Options": {"nosniff"}}})
+}
+
+// rejectTerminating responds to a request that was read once admission had closed, and ends its connection.
+func rejectTerminating(w http.ResponseWriter) {
+	w.Header().Set("Connection", "close")
+	writeFinalResponse(w, terminatingResponse)
+}
+
+// writeFinalResponse writes the head and the buffered part of the body.
+func writeFinalResponse(w http.ResponseWriter, response finalResponse) {
+	httpmsg.CopyEndToEnd(w.Header(), response.header)
+	if response.retryAfter > 0 {
+		w.Header().Set("Retry-After", strconv.FormatFloat(float64(response.retryAfter)/1e6, 'f', 3, 64))
+	}
+	if response.remainder == nil {
+		response.length = int64(len(response.body))
+	}
+	if response.length >= 0 {
+		w.Header().Set("Content-Length", strconv.FormatInt(response.length, 10))
+	}
+	// net/http counts from the head of the request, which may be long ago.
+	http.NewResponseController(w).SetWriteDeadline(time.Now().Add(writeTimeout))
+	w.WriteHeader(response.code)
+	w.Write(response.body)
+}
--- a/internal/sidecar/sendgate_test.go
+++ b/internal/sidecar/sendgate_test.go
@@ -36,7 +36,7 @@
 	})
 	w.await("the news", func() bool {
 		var n int
-		w.runInLoop(func() { n = len(w.loop.endpoints) })
+		w.runInLoop(func() { n = len(w.loop.endpoints.byID) })
 		return n == 2
 	})
 	close(reset)
--- a/internal/sidecar/shutdown.go
+++ b/internal/sidecar/shutdown.go
@@ -8,26 +8,29 @@
 	"time"
 )
 
-// Termination ends the process after SIGTERM in phases. None waits for another one's time limit: each request has its
-// answer by its own deadline, and no request is taken that could not have it.
+// Shutdown ends the sidecar after SIGTERM in phases. None waits for another one's time limit: each request has its
+// response by its own deadline, and none is admitted that could not have it.
 //
-//	leaving    from SIGTERM for drainPeriod: connections and requests are taken as before; each answer ends its
-//	           connection, and so does a pause between requests
-//	closed     admission is closed: connections without a request end, a request that is read now is refused before
-//	           any attempt, and a body that is passed on is stopped short of its last byte
-//	answering  requests in hand are answered by their deadlines
-//	ended      nothing is in hand: what is left is closed
+//	draining          from SIGTERM for the drain period: connections and requests are admitted as before; each
+//	                  response ends its connection, and so does a pause between requests
+//	admission closed  connections without a request end, a request that is read now is rejected before any attempt,
+//	                  and a body that is streamed is stopped short of its last byte
+//	answering         requests in flight are answered by their deadlines
+//	ended             nothing is in flight: connections that remain are closed
 
 const (
-	defaultDrainPeriod = 600 * time.Millisecond // after SIGTERM: clients go on connecting for 0.4 s, and what comes up to 0.7 s after it is owed an answer
-	killAfter          = 700 * time.Millisecond // SIGKILL comes so long after SIGTERM and the longest deadline,
-	maxKillDeadline    = 3 * time.Second        // of which no more than this counts
-	killMargin         = 150 * time.Millisecond // ahead of SIGKILL for ending what is half read
-	responseGrace      = 500 * time.Millisecond // after its client's time is up a request may still be answered
-	endGrace           = 600 * time.Millisecond // with nothing in hand, for clients to end their side: over closeDrain
+	// defaultDrainPeriod is the drain period. Clients go on connecting for 0.4 s after SIGTERM, and what comes up to
+	// 0.7 s after it is owed a response.
+	defaultDrainPeriod = 600 * time.Millisecond
+
+	killAfter       = 700 * time.Millisecond // SIGKILL comes so long after SIGTERM and the longest client timeout
+	maxKillDeadline = 3 * time.Second        // the most that counts of that timeout
+	killMargin      = 150 * time.Millisecond // before SIGKILL, partial requests are rejected
+	responseGrace   = 500 * time.Millisecond // after its deadline, a request in flight may still be answered
+	endGrace        = 600 * time.Millisecond // with nothing in flight, for clients to close: more than half-closing takes
 )
 
-// requestAdmission says whether requests are taken. It closes once, at termination.
+// requestAdmission says whether requests are admitted. It closes once, at shutdown, and may be used by any goroutine.
 type requestAdmission struct {
 	once   sync.Once
 	closed chan struct{}
@@ -46,76 +49,71 @@
 	}
 }
 
-// terminatingResponse answers what is read once admission is closed. Nothing of it was sent anywhere: another process
+// terminatingResponse answers what is read once admission is closed. Nothing of it was forwarded, and another process
 // can serve it at once.
 var terminatingResponse = finalResponse{code: http.StatusServiceUnavailable}
 
-// rejectTerminating answers a request that was read whole, and ends its connection.
-func rejectTerminating(w http.ResponseWriter) {
-	w.Header().Set("Connection", "close")
-	writeFinalResponse(w, terminatingResponse)
-}
-
-// terminate ends the service without losing a request.
+// terminate shuts the server down without losing a request.
 func (s *server) terminate() {
 	s.terminating.Store(true)
-	begun := time.Now()
-	s.logPhase("shutdown started", begun)
-	closing := begun.Add(s.drainPeriod)
+	started := time.Now()
+	s.logPhase("shutdown started", started)
+	drained := started.Add(s.drainPeriod)
 	if !s.replaced() {
-		time.Sleep(time.Until(closing))
+		time.Sleep(time.Until(drained))
 	}
 	if err := s.clients.Listener.Close(); err != nil && !errors.Is(err, net.ErrClosed) {
-		s.log.Warn("closing the listener failed", "error", err) // what is in hand is owed its answer all the same
+		s.log.Warn("closing the listener failed", "error", err) // what is in flight is owed its response all the same
 	}
-	s.logPhase("listener closed", begun)
-	time.Sleep(time.Until(closing))
+	s.logPhase("listener closed", started)
+	time.Sleep(time.Until(drained))
 	s.admission.close()
-	s.logPhase("admission closed", begun)
-	s.awaitInFlight(begun, time.Now())
-	s.logPhase("shutdown complete", begun)
+	s.logPhase("admission closed", started)
+	s.awaitInFlight(started, time.Now())
+	s.logPhase("shutdown complete", started)
 	s.http.Close()
 	requests, stages := s.loop.stages.Summary()
 	s.log.Info("stage latencies", "requests", requests, "median/p99_us", stages)
 }
 
-// awaitInFlight waits until every request in hand has its answer and every connection has ended. What clients leave
-// half written is refused shortly before SIGKILL may come, counted from begun.
-func (s *server) awaitInFlight(begun, closed time.Time) {
-	partialUntil := begun.Add(min(s.loop.current.Load().LongestClientTimeout(), maxKillDeadline) + killAfter - killMargin)
-	idle := time.Time{} // since when nothing is in hand
+// awaitInFlight waits until every request in flight has its response and every connection has ended. Requests that
+// are still partial are rejected shortly before SIGKILL may come, counted from started.
+func (s *server) awaitInFlight(started, admissionClosed time.Time) {
+	longestTimeout := min(s.loop.current.Load().LongestClientTimeout(), maxKillDeadline)
+	partialDeadline := started.Add(longestTimeout + killAfter - killMargin)
+	idleSince := time.Time{} // when nothing was left in flight; zero while something is
 	// The first wait is for a connection that is being accepted just now.
 	for time.Sleep(sweepInterval); s.clients.Count() > 0; time.Sleep(sweepInterval) {
 		now := time.Now()
 		s.clients.CloseIdle(0, 0)
-		if now.After(partialUntil) {
+		if now.After(partialDeadline) {
 			s.clients.RejectPartial()
 		}
-		if due, any := s.inFlight.latestDeadline(closed); any {
-			idle = time.Time{}
-			if now.After(due.Add(responseGrace)) {
+		if latest, found := s.inFlight.latestDeadline(admissionClosed); found {
+			idleSince = time.Time{}
+			if now.After(latest.Add(responseGrace)) {
 				s.abortInFlight()
 				return
 			}
 			continue
 		}
-		if idle.IsZero() {
-			idle = now
+		if idleSince.IsZero() {
+			idleSince = now
 		}
-		if now.Sub(idle) > endGrace && now.Sub(partialUntil) > endGrace {
+		if now.Sub(idleSince) > endGrace && now.Sub(partialDeadline) > endGrace {
 			return
 		}
 	}
 }
 
-// logPhase records that a phase of termination begins, and what there is at that moment.
-func (s *server) logPhase(phase string, begun time.Time) {
-	s.log.Info(phase, "after_ms", time.Since(begun).Milliseconds(), "connections", s.clients.Count(),
+// logPhase logs that a phase of shutdown begins, and what is open at that moment.
+func (s *server) logPhase(phase string, started time.Time) {
+	s.log.Info(phase, "after_ms", time.Since(started).Milliseconds(), "connections", s.clients.Count(),
 		"requests", s.inFlight.count(), "replaced", s.replaced())
 }
 
-// abortInFlight records each request that the end of the process leaves without its whole answer, and has its client see that
-// it is not whole.
+// abortInFlight logs each request that the end of the process leaves without its complete response. Its connection is
+// reset when it is closed, so that its client does not take a partial response for a complete one.
 func (s *server) abortInFlight() {
 	for _, r := range s.inFlight.all() {
 		r.conn.ResetOnClose()
--- a/internal/sidecar/shutdown_test.go
+++ b/internal/sidecar/shutdown_test.go
@@ -19,7 +19,7 @@
 const usualGiveUp = 3 * time.Second
 
 // startTerminating starts a sidecar before an endpoint, and returns what closes its admission and waits for that.
-func startTerminating(t *testing.T, serve func(*sidecartest.Endpoint, net.Conn, *bufio.Reader), giveUp time.Duration) (w *harness, e *sidecartest.Endpoint, close func()) {
+func startTerminating(t *testing.T, serve func(*sidecartest.Endpoint, net.Conn, *bufio.Reader), giveUp time.Duration) (w *harness, e *sidecartest.Endpoint, closeAdmission func()) {
 	t.Helper()
 	e = sidecartest.NewEndpoint(t, serve)
 	w = start(t, func(s map[string]any) {
@@ -180,7 +180,7 @@
 func TestLatestDeadlineInFlight(t *testing.T) {
 	var h inFlightRequests
 	now := time.Now()
-	if _, any := h.latestDeadline(now); any {
+	if _, found := h.latestDeadline(now); found {
 		t.Error("something is in hand")
 	}
 	a := &openRequest{id: "a", deadline: now.Add(time.Second)}
@@ -188,12 +188,12 @@
 	if !h.add(a) || !h.add(b) || h.add(&openRequest{id: "a"}) {
 		t.Fatal("add")
 	}
-	if due, any := h.latestDeadline(now); !any || !due.Equal(now.Add(3*time.Second)) {
+	if due, found := h.latestDeadline(now); !found || !due.Equal(now.Add(3*time.Second)) {
 		t.Errorf("due in %v, want 3 s", due.Sub(now))
 	}
 	h.remove(b)
 	h.remove(&openRequest{id: "a"}) // another one of this id
-	if due, any := h.latestDeadline(now); !any || !due.Equal(now.Add(time.Second)) {
+	if due, found := h.latestDeadline(now); !found || !due.Equal(now.Add(time.Second)) {
 		t.Errorf("due in %v, want 1 s", due.Sub(now))
 	}
 }
@@ -224,3 +224,66 @@
 		t.Error("the sidecar does not end")
 	}
 }
+
+// At SIGTERM a request may be in hand, half written or still to come on a connection that is
+// open, and a new configuration may arrive in the middle: each has its answer, which ends its
+// connection, and the sidecar ends once all are out.
+func TestShutdownAnswersRequestsUnderWay(t *testing.T) {
+	head := sidecartest.PayHead + "Content-Length: 10\r\nX-Correlation-Id: "
+	for what, split := range map[string]int{
+		"connected":         0,
+		"half a line":       7,
+		"half a head":       len(head) / 2,
+		"a head, no body":   len(head) + len("1\r\n\r\n"),
+		"half a body":       len(head) + len("1\r\n\r\n") + 5,
+		"all but one byte":  len(head) + len("1\r\n\r\n") + 9,
+		"a request in hand": len(head) + len("1\r\n\r\n") + 10,
+		"and a new SIGHUP":  len(head) / 2,
+	} {
+		t.Run(what, func(t *testing.T) {
+			t.Parallel()
+			e := sidecartest.NewEndpoint(t, sidecartest.Always(sidecartest.Served))
+			w := start(t, nil, ready("s-1", e.Address))
+			w.server.drainPeriod = 3 * time.Second // a busy machine may be slow to connect
+			dial := sidecartest.BlockDials(&w.loop.upstream.Dialer, e.Address)
+			text := head + "1\r\n\r\n0123456789"
+			conn := w.dial()
+			io.WriteString(conn, text[:split])
+			w.await("the connection", func() bool { return w.server.clients.Count() > 0 })
+			if split == len(text) {
+				<-dial.Begun
+			}
+			w.stop()
+			w.await("the end of service", w.server.draining)
+			if what == "and a new SIGHUP" {
+				next := *w.loop.cfg
+				w.runInLoop(func() { w.loop.reload(&next) })
+			}
+			io.WriteString(conn, text[split:])
+			close(dial.Unblock)
+			in := bufio.NewReader(conn)
+			response, err := http.ReadResponse(in, nil)
+			if err != nil || response.StatusCode != http.StatusOK || !response.Close {
+				t.Fatalf("%v, %v; want 200 and Connection: close", response, err)
+			}
+			if got, err := io.ReadAll(response.Body); err != nil || string(got) != "done" {
+				t.Errorf("the answer %q, %v", got, err)
+			}
+			if _, err := in.ReadByte(); err != io.EOF {
+				t.Errorf("then %v, want the end", err)
+			}
+			conn.Close()
+			select {
+			case err := <-w.ended:
+				if err != nil {
+					t.Errorf("the sidecar ended with %v", err)
+				}
+			case <-time.After(sidecartest.Patience):
+				t.Error("the sidecar does not end")
+			}
+			if n, _ := e.Seen(); n != 1 {
+				t.Errorf("the endpoint got %d requests, want 1", n)
+			}
+		})
+	}
+}
--- a/internal/sidecar/sidecar_test.go
+++ b/internal/sidecar/sidecar_test.go
@@ -132,7 +132,7 @@
 				return slices.Contains(w.recorder.events, "timer")
 			})
 			w.runInLoop(func() {
-				if len(w.loop.requests) != 0 {
+				if len(w.loop.requests.byID) != 0 {
 					t.Error("the ledger still holds the request")
 				}
 			})
@@ -300,11 +300,11 @@
 func TestDrainDuringDialRetriesElsewhere(t *testing.T) {
 	first, second := sidecartest.NewEndpoint(t, sidecartest.Always(sidecartest.Served)), sidecartest.NewEndpoint(t, sidecartest.Always(sidecartest.Served))
 	w := start(t, nil, ready("s-1", first.Address))
-	dialling, go_ := make(chan struct{}), make(chan struct{})
+	dialling, proceed := make(chan struct{}), make(chan struct{})
 	w.loop.upstream.Dialer.Control = func(_, address string, _ syscall.RawConn) error {
 		if address == first.Address {
 			close(dialling)
-			<-go_
+			<-proceed
 		}
 		return nil
 	}
@@ -318,10 +318,10 @@
 	})
 	w.await("the news", func() bool {
 		moved := false
-		w.runInLoop(func() { moved = w.loop.endpoints[1].target == nil && w.loop.endpoints[2] != nil })
+		w.runInLoop(func() { moved = w.loop.endpoints.byID[1].target == nil && w.loop.endpoints.byID[2] != nil })
 		return moved
 	})
-	close(go_)
+	close(proceed)
 	if got := <-answer; got.code != http.StatusOK {
 		t.Errorf("answer %+v", got)
 	}
--- a/internal/sidecar/slot.go
+++ b/internal/sidecar/slot.go
@@ -10,43 +10,43 @@
 
 const (
 	slotPollInterval = 100 * time.Millisecond
-	heapTenths       = 8 // tenths of the memory limit: the runtime does not count all
+	heapTenths       = 8 // tenths of the memory limit for the Go heap: the runtime does not count all memory
 )
 
-// acquireSlot takes a place among the processes of this sidecar; where none is to be had for now, company goes on trying.
+// acquireSlot takes a slot among the processes of this sidecar. If none is to be had for now, followPeers retries.
 func (s *server) acquireSlot(ctx context.Context, dir string) {
-	var own *handover.Slot
+	var slot *handover.Slot
 	err := system.RetryAtStart(ctx, func() (err error) {
-		own, err = handover.AcquireSlot(dir)
+		slot, err = handover.AcquireSlot(dir)
 		return err
 	})
 	if err != nil {
 		s.log.Warn("process slot not acquired", "error", err)
 		return
 	}
-	s.slot.Store(own)
+	s.slot.Store(slot)
 }
 
-// followPeers has the server live with other processes of its sidecar until ctx ends:
-// it takes its part of what the platform grants them together.
+// followPeers watches the other processes of this sidecar until ctx ends. It shares the sidecar's limits with them,
+// and marks this process as ready once it knows an endpoint.
 func (s *server) followPeers(ctx context.Context, dir string) {
 	tick := time.NewTicker(slotPollInterval)
 	defer tick.Stop()
-	notified, of := false, 1
+	markedReady, processes := false, 1
 	for {
 		if s.slot.Load() == nil {
-			if own, err := handover.AcquireSlot(dir); err == nil {
-				s.slot.Store(own)
+			if slot, err := handover.AcquireSlot(dir); err == nil {
+				s.slot.Store(slot)
 			}
 		}
-		if own := s.slot.Load(); own != nil {
-			if alive, _ := own.Peers(); alive+1 != of {
-				of = alive + 1
-				s.setProcesses(of)
-				s.log.Info("processes of this sidecar", "count", of)
+		if slot := s.slot.Load(); slot != nil {
+			if alive, _ := slot.Peers(); alive+1 != processes {
+				processes = alive + 1
+				s.setProcesses(processes)
+				s.log.Info("processes of this sidecar", "count", processes)
 			}
-			if !notified && s.loop.endpointsKnown.Load() {
-				notified = own.MarkReady() == nil // a full disk may take it later
+			if !markedReady && s.loop.endpointsKnown.Load() {
+				markedReady = slot.MarkReady() == nil // a full disk may take it later
 			}
 		}
 		select {
@@ -57,6 +57,26 @@
 	}
 }
 
+// hasPeer reports whether another process of this sidecar runs.
+func (s *server) hasPeer() bool {
+	slot := s.slot.Load()
+	if slot == nil {
+		return false
+	}
+	alive, _ := slot.Peers()
+	return alive > 0
+}
+
+// replaced reports whether another process serves the clients that come from now on.
+func (s *server) replaced() bool {
+	slot := s.slot.Load()
+	if slot == nil {
+		return false
+	}
+	_, ready := slot.Peers()
+	return ready > 0
+}
+
 // setProcesses limits this process to one of n equal parts of the sidecar's limits.
 func (s *server) setProcesses(n int) {
 	s.limitsMu.Lock()
@@ -65,19 +85,19 @@
 	s.applyLimits()
 }
 
-// reapplyLimits has limits that have changed hold.
+// reapplyLimits applies limits that a new configuration has changed.
 func (s *server) reapplyLimits() {
 	s.limitsMu.Lock()
 	defer s.limitsMu.Unlock()
 	s.applyLimits()
 }
 
-// applyLimits sets this process's part of the limits. It holds s.limits.
+// applyLimits sets this process's part of the limits in force. The caller holds limitsMu.
 func (s *server) applyLimits() {
 	cfg, n := s.loop.current.Load(), s.processes
-	most := max(minConnections, (cfg.Limits.Sockets/n-reservedSockets)/2)
-	s.clients.SetLimits(most, cfg.Limits.Sockets/crowdedDivisor/n)
-	s.loop.upstream.SetMaxConnections(most)
+	connections := max(minConnections, (cfg.Limits.Sockets/n-reservedSockets)/2)
+	s.clients.SetLimits(connections, cfg.Limits.Sockets/crowdedDivisor/n)
+	s.loop.upstream.SetMaxConnections(connections)
 	s.loop.upstream.Bodies.Limit.Store(int64(cfg.Limits.MemoryMB) << 20 / bodyMemoryDivisor / int64(n))
 	if limit := cfg.Host.LimitMemory; limit != nil {
 		limit(int64(cfg.Limits.MemoryMB) << 20 / 10 * heapTenths / int64(n))
--- /dev/null
+++ b/internal/sidecar/statistics.go
@@ -0,0 +1,56 @@
+package sidecar
+
+import (
+	"log/slog"
+	"time"
+
+	"oakproxy/balancer"
+	"oakproxy/internal/config"
+	"oakproxy/internal/downstream"
+	"oakproxy/internal/stages"
+	"oakproxy/internal/upstream"
+)
+
+// counters are what the parts of the sidecar have counted since the start.
+type counters struct {
+	balancer balancer.Stats
+	upstream upstream.Counts
+	calls    callCounts // of discovery
+	stages   stages.Totals
+	closes   downstream.CloseCounts // of clients' connections
+}
+
+// gauges are what the statistics say of the moment.
+type gauges struct {
+	listAgeMS       balancer.Micros
+	listVersion     uint64
+	maxEventWait    time.Duration // since the last line
+	inForce         *config.Snapshot
+	rejectedReloads int
+}
+
+// statsLogger logs what was counted since it was last called. The loop's goroutine owns it.
+type statsLogger struct {
+	log  *slog.Logger
+	last counters
+}
+
+// record logs one line of statistics, unless there was no request.
+func (l *statsLogger) record(c *counters, g gauges) {
+	last := &l.last
+	if c.balancer.Requests != last.balancer.Requests {
+		dials := c.upstream.Dials - last.upstream.Dials
+		l.log.Info("statistics",
+			"balancer", c.balancer.Since(&last.balancer),
+			"list_age_ms", g.listAgeMS, "list_seq", g.listVersion, "discovery_calls", c.calls.since(last.calls),
+			"dials", dials,
+			"dial_ms", (c.upstream.DialTime-last.upstream.DialTime).Milliseconds()/int64(max(1, dials)),
+			"dial_failed", c.upstream.Failed-last.upstream.Failed,
+			"connection_limit", c.upstream.LimitReached-last.upstream.LimitReached, "connections", c.upstream.Open,
+			"event_wait_ms", float64(g.maxEventWait.Microseconds())/1000,
+			"stages_us", c.stages.MeansSince(last.stages), "client_closes", c.closes.Since(last.closes),
+			"generation", g.inForce.Generation, "hash", g.inForce.FileHash,
+			"reloads", g.inForce.Generation-config.FirstGeneration, "reloads_rejected", g.rejectedReloads)
+	}
+	l.last = *c
+}
--- a/internal/sidecar/stream_test.go
+++ b/internal/sidecar/stream_test.go
@@ -10,6 +10,7 @@
 	"testing"
 	"time"
 
+	"oakproxy/internal/httpmsg"
 	"oakproxy/internal/sidecartest"
 )
 
@@ -133,3 +134,39 @@
 		})
 	}
 }
+
+// An answer without a length that is reset, or whose head promised more, is never whole:
+// where nothing of it is out the client hears of a failure, else it finds a broken answer.
+func TestTruncatedResponseIsNeverComplete(t *testing.T) {
+	for what, begin := range map[string]string{
+		"without a length":     "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\npart",
+		"of HTTP/1.0":          "HTTP/1.0 200 OK\r\n\r\npart",
+		"half a line":          "HTTP/1.1 200 O",
+		"a head alone":         "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\n",
+		"a body cut short":     "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\npart",
+		"chunks, no last one":  "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\npart\r\n",
+		"a large one, no size": "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n" + strings.Repeat("x", httpmsg.MaxBufferedBytes+100),
+	} {
+		t.Run(what, func(t *testing.T) {
+			t.Parallel()
+			e := sidecartest.NewEndpoint(t, resetAfter(begin))
+			w := start(t, nil, ready("s-1", e.Address))
+			got := w.send(w.request("order", "x", 3*time.Second))
+			if got.err == nil && got.code == http.StatusOK {
+				t.Errorf("the client has %d bytes as a whole answer", len(got.body))
+			}
+			if n, _ := e.Seen(); n != 1 {
+				t.Errorf("an unsafe request was sent %d times", n)
+			}
+		})
+	}
+}
+
+// resetAfter begins an answer and resets the connection.
+func resetAfter(begin string) func(*sidecartest.Endpoint, net.Conn, *bufio.Reader) {
+	return func(e *sidecartest.Endpoint, conn net.Conn, in *bufio.Reader) {
+		e.Next(in)
+		io.WriteString(conn, begin)
+		conn.(*net.TCPConn).SetLinger(0)
+	}
+}
--- a/internal/sidecar/upload_test.go
+++ b/internal/sidecar/upload_test.go
@@ -118,7 +118,7 @@
 			w.await("the room to be given back", func() bool { return w.loop.upstream.Bodies.Used.Load() == 0 })
 			w.await("the request to be forgotten", func() bool {
 				var n int
-				w.runInLoop(func() { n = len(w.loop.requests) })
+				w.runInLoop(func() { n = len(w.loop.requests.byID) })
 				return n == 0
 			})
 			if n, _ := e.Seen(); n != 0 {
--- a/internal/sidecar/watch_test.go
+++ b/internal/sidecar/watch_test.go
@@ -281,7 +281,7 @@
 	go l.run()
 	t.Cleanup(func() {
 		stop()
-		l.discovery.HTTP.CloseIdleConnections()
+		l.watcher.client.HTTP.CloseIdleConnections()
 		synctest.Wait()
 	})
 	return l
@@ -291,9 +291,9 @@
 // endpoint has no target, or a closed one.
 func unreachable(l *loop, name string) bool {
 	got := make(chan bool)
-	l.post(func(int64) {
-		id := l.endpointIDs[name]
-		got <- id == 0 || l.endpoints[id].target == nil
+	l.events.post(func(int64) {
+		id := l.endpoints.ids[name]
+		got <- id == 0 || l.endpoints.byID[id].target == nil
 	})
 	return <-got
 }
@@ -432,7 +432,7 @@
 				signal := time.Now()
 				moved := *l.cfg
 				moved.Discovery = "127.0.0.1:2"
-				l.post(func(int64) { l.reload(&moved) })
+				l.events.post(func(int64) { l.reload(&moved) })
 				synctest.Wait()
 				next.mu.Lock()
 				calls := len(next.calls)
@@ -494,9 +494,9 @@
 		t.Fatal("the answer could be used")
 	}
 	requireDrained(t, l, told)
-	l.post(func(int64) {
-		if l.calls.malformed == 0 {
-			t.Errorf("calls %+v, want a malformed one", l.calls)
+	l.events.post(func(int64) {
+		if l.watcher.calls.malformed == 0 {
+			t.Errorf("calls %+v, want a malformed one", l.watcher.calls)
 		}
 	})
 	synctest.Wait()
--- a/internal/sidecar/watcher.go
+++ b/internal/sidecar/watcher.go
@@ -4,6 +4,7 @@
 	"context"
 	"errors"
 	"fmt"
+	"log/slog"
 	"time"
 
 	"oakproxy/balancer"
@@ -12,94 +13,140 @@
 	"oakproxy/internal/system"
 )
 
-// Watch begins to watch discovery's list, from the last version on, or ends it.
-func (l *loop) Watch(on bool) {
-	l.stopWatch()
-	if !on {
-		return
-	}
-	ctx, stop := context.WithCancel(l.ctx)
-	l.stopWatch = stop
-	from, disc, subscribe := l.position, l.discovery, l.cfg.Settings.SubscribeToDiscovery
-	tell := func(event func(now balancer.Micros)) {
-		l.post(func(now balancer.Micros) {
+// failureLogInterval is the least time between two log lines on failures of discovery that follow each other.
+const failureLogInterval = time.Second
+
+// discoveryWatcher watches the endpoint list and counts the calls of discovery. The loop's goroutine owns it; the
+// goroutine of a watch that was started works on copies and reports back through the event queue.
+type discoveryWatcher struct {
+	log      *slog.Logger
+	client   *discovery.Client
+	position discovery.Position // to watch from
+	stop     context.CancelFunc // ends the watch that was started last
+
+	lastListAt    balancer.Micros // when discovery answered last, or the start of the loop
+	failing       bool            // the last call failed
+	lastWarningAt balancer.Micros // when a failure was logged last
+	calls         callCounts
+}
+
+func newDiscoveryWatcher(cfg *config.Config, log *slog.Logger) discoveryWatcher {
+	return discoveryWatcher{log: log, client: newDiscoveryClient(cfg), stop: func() {}}
+}
+
+// watchHandler takes what a watch reports, in the loop's goroutine.
+type watchHandler interface {
+	handleList(now balancer.Micros, list discovery.List)
+	handleMalformedList(now balancer.Micros, err error)
+	handleWatchEnded(now balancer.Micros, err error)
+}
+
+// start ends the watch there is and begins one from the last version on, until ctx ends. If it fails with retry set,
+// it is begun again after a delay; else the handler decides when.
+func (w *discoveryWatcher) start(ctx context.Context, events *eventQueue, h watchHandler, retry bool) {
+	w.stop()
+	ctx, w.stop = context.WithCancel(ctx)
+	position, client := w.position, w.client
+	post := func(e event) {
+		events.post(func(now balancer.Micros) {
 			if ctx.Err() == nil { // else the watch was ended meanwhile
-				event(now)
+				e(now)
 			}
 		})
 	}
-	heard := func(list discovery.List) {
-		tell(func(now balancer.Micros) { l.handleList(now, list) })
+	onList := func(list discovery.List) {
+		post(func(now balancer.Micros) { h.handleList(now, list) })
 	}
-	malformed := func(err error) {
-		tell(func(now balancer.Micros) { l.handleWatchFailure(now, err) })
+	onMalformed := func(err error) {
+		post(func(now balancer.Micros) { h.handleMalformedList(now, err) })
 	}
 	go func() {
 		for ctx.Err() == nil {
-			err := disc.Watch(ctx, from, heard, malformed)
+			err := client.Watch(ctx, position, onList, onMalformed)
 			next := make(chan discovery.Position, 1)
-			tell(func(now balancer.Micros) {
-				l.handleWatchFailure(now, err)
-				l.balancer.HandleEndpoints(now, balancer.ListFailed, nil)
-				next <- l.position
+			post(func(now balancer.Micros) {
+				h.handleWatchEnded(now, err)
+				next <- w.position
 			})
-			if subscribe {
-				return // when to ask again is the balancer's decision
+			if !retry {
+				return
 			}
-			system.Sleep(ctx, discovery.Jitter(disc.RetryDelay)) // the balancer never asks: the watch begins again by itself
+			system.Sleep(ctx, discovery.Jitter(client.RetryDelay))
 			select {
-			case from = <-next:
+			case position = <-next:
 			case <-ctx.Done():
 			}
 		}
 	}()
 }
 
-// callCounts counts calls of discovery by how they ended, and entries of lists that
-// could not be used.
-type callCounts struct{ answered, timedOut, failed, malformed, unusableEntries uint64 }
-
-// since tells what was counted since then, and how.
-func (c callCounts) since(old callCounts) string {
-	return fmt.Sprintf("[answered:%d timeout:%d failed:%d malformed:%d unusable_entries:%d]", c.answered-old.answered,
-		c.timedOut-old.timedOut, c.failed-old.failed, c.malformed-old.malformed, c.unusableEntries-old.unusableEntries)
+// replaceClient has the next watch call the discovery of cfg for its complete list: versions may be those of another
+// service. It returns the client that was used so far.
+func (w *discoveryWatcher) replaceClient(cfg *config.Config) (old *discovery.Client) {
+	old = w.client
+	w.client = newDiscoveryClient(cfg)
+	w.position.After, w.position.VersionResetAt = nil, time.Now().Add(discovery.MovedVersionGrace)
+	return old
 }
 
-// handleList takes an answer of discovery.
-func (l *loop) handleList(now balancer.Micros, list discovery.List) {
-	if l.failing {
-		l.log.Info("discovery recovered", "list_age_ms", (now-l.lastListAt)/1000, "seq", list.Seq)
+// recordList counts a list that discovery answered with.
+func (w *discoveryWatcher) recordList(now balancer.Micros, list *discovery.List) {
+	if w.failing {
+		w.log.Info("discovery recovered", "list_age_ms", w.listAgeMS(now), "seq", list.Seq)
 	}
-	l.failing, l.lastListAt = false, now
-	l.calls.answered++
-	l.log.Debug("endpoint list received", "seq", list.Seq, "whole", list.Whole, "hosts", len(list.Hosts))
-	l.calls.unusableEntries += uint64(list.Unusable)
-	kind := balancer.ListDelta
-	if list.Whole {
-		kind = balancer.ListFull
-	}
-	l.updateEndpoints(now, kind, list)
+	w.failing, w.lastListAt = false, now
+	w.calls.answered++
+	w.log.Debug("endpoint list received", "seq", list.Seq, "whole", list.Whole, "hosts", len(list.Hosts))
+	w.calls.unusableEntries += uint64(list.Unusable)
 }
 
-// handleWatchFailure takes the failure of a call of discovery.
-func (l *loop) handleWatchFailure(now balancer.Micros, err error) {
-	var bad *discovery.MalformedError
+// recordFailure counts a call of discovery that failed.
+func (w *discoveryWatcher) recordFailure(now balancer.Micros, err error) {
+	var malformed *discovery.MalformedError
 	switch {
-	case errors.As(err, &bad):
-		l.calls.malformed++
+	case errors.As(err, &malformed):
+		w.calls.malformed++
 	case errors.Is(err, context.DeadlineExceeded):
-		l.calls.timedOut++
+		w.calls.timedOut++
 	default:
-		l.calls.failed++
+		w.calls.failed++
 	}
 	if errors.Is(err, discovery.ErrOutdated) {
-		l.position.After = nil // its changes since another numbering's version mean nothing
+		w.position.After = nil // versions were numbered anew: changes since the old one mean nothing
+	}
+	if !w.failing || now-w.lastWarningAt >= failureLogInterval.Microseconds() {
+		w.lastWarningAt = now
+		w.log.Warn("discovery call failed", "error", err, "list_age_ms", w.listAgeMS(now))
 	}
-	if !l.failing || now-l.lastWarningAt >= failureLogInterval.Microseconds() {
-		l.lastWarningAt = now
-		l.log.Warn("discovery call failed", "error", err, "list_age_ms", (now-l.lastListAt)/1000)
+	w.failing = true
+}
+
+// advance moves the position past a list, and reports whether the list may be older than one that came before.
+func (w *discoveryWatcher) advance(at time.Time, list *discovery.List) (older bool) {
+	older = list.Seq < w.position.Newest
+	version := list.Seq
+	w.position = discovery.Position{After: &version, Newest: version,
+		VersionResetAt: at.Add(w.client.VersionResetTimeout)}
+	if list.Unusable > 0 {
+		w.log.Warn("unusable entries in the endpoint list",
+			"unusable", list.Unusable, "total", len(list.Hosts), "first_error", list.FirstError)
 	}
-	l.failing = true
+	return older
+}
+
+// listAgeMS returns the milliseconds since discovery answered last.
+func (w *discoveryWatcher) listAgeMS(now balancer.Micros) balancer.Micros {
+	return (now - w.lastListAt) / 1000
+}
+
+// callCounts counts calls of discovery by how they ended, and entries of lists that could not be used.
+type callCounts struct{ answered, timedOut, failed, malformed, unusableEntries uint64 }
+
+// since describes what was counted since an earlier state.
+func (c callCounts) since(old callCounts) string {
+	return fmt.Sprintf("[answered:%d timeout:%d failed:%d malformed:%d unusable_entries:%d]",
+		c.answered-old.answered, c.timedOut-old.timedOut, c.failed-old.failed, c.malformed-old.malformed,
+		c.unusableEntries-old.unusableEntries)
 }
 
 // newDiscoveryClient returns the client of the discovery that a configuration names.
