--- a/internal/sidecar/admin_test.go
+++ b/internal/sidecar/admin_test.go
@@ -68,7 +68,7 @@
 
 // An invalid call is rejected with the reason, and its connection carries one response.
 func TestAdminRejectsInvalidCalls(t *testing.T) {
-	e := sidecartest.NewEndpoint(t, sidecartest.Always(sidecartest.Served))
+	e := newServingEndpoint(t)
 	w := start(t, nil, ready("s-1", e.Address))
 	address := w.startAdmin(t.TempDir())
 	for name, c := range map[string]struct{ text, want string }{
@@ -99,7 +99,7 @@
 
 // Callers that hold connections and stay silent delay no other call: the longest silent connection is closed.
 func TestAdminAnswersDespiteSilentCallers(t *testing.T) {
-	e := sidecartest.NewEndpoint(t, sidecartest.Always(sidecartest.Served))
+	e := newServingEndpoint(t)
 	w := start(t, nil, ready("s-1", e.Address))
 	address := w.startAdmin(t.TempDir())
 	for range 3 * admin.MaxConnections {
@@ -120,7 +120,7 @@
 
 // Health fails before the sidecar knows endpoints, and once it shuts down.
 func TestAdminHealthFollowsReadiness(t *testing.T) {
-	e := sidecartest.NewEndpoint(t, sidecartest.Always(sidecartest.Served))
+	e := newServingEndpoint(t)
 	w := &harness{t: t, discovery: newFakeDiscovery(t)}
 	w.launch(configure(t, w.discovery.address, nil))
 	address := w.startAdmin(t.TempDir())
@@ -150,7 +150,7 @@
 // A cordoned endpoint gets no request from the call's response on, whatever discovery says of it, and is used again
 // once uncordoned.
 func TestCordonByAdminCalls(t *testing.T) {
-	e := sidecartest.NewEndpoint(t, sidecartest.Always(sidecartest.Served))
+	e := newServingEndpoint(t)
 	w := start(t, nil, ready("s-1", e.Address))
 	dir := t.TempDir()
 	address := w.startAdmin(dir)
@@ -187,7 +187,7 @@
 		return born == again.BornMS
 	})
 	if got := read(); got != 503 {
-		t.Errorf("after discovery told of its restart: %d", got)
+		t.Errorf("after discovery listed its restart: %d", got)
 	}
 	// Neither a list without it nor one that has it again is a call back.
 	for seq, hosts := range map[uint64][]discovery.Entry{2: {}, 3: {again}} {
@@ -216,7 +216,7 @@
 
 // An override set in one process applies in the other, and in one that starts later.
 func TestOperatorStateIsSharedAndOutlivesAProcess(t *testing.T) {
-	e := sidecartest.NewEndpoint(t, sidecartest.Always(sidecartest.Served))
+	e := newServingEndpoint(t)
 	dir := t.TempDir()
 	first, second := start(t, nil, ready("s-1", e.Address)), start(t, nil, ready("s-1", e.Address))
 	one, two := first.startAdmin(dir), second.startAdmin(dir)
@@ -243,7 +243,7 @@
 
 // Stored overrides apply before the first request.
 func TestOperatorStateIsLoadedBeforeTheStart(t *testing.T) {
-	e := sidecartest.NewEndpoint(t, sidecartest.Always(sidecartest.Served))
+	e := newServingEndpoint(t)
 	dir := t.TempDir()
 	w := start(t, nil, ready("s-1", e.Address))
 	if got := callStatus(t, "POST", w.startAdmin(dir), "/admin/cordon?name=s-1"); got != 200 {
@@ -265,7 +265,7 @@
 // A damaged state file is ignored, and the next call replaces it. If it can't be written, the call fails and changes
 // nothing.
 func TestDamagedAndUnwritableOperatorState(t *testing.T) {
-	e := sidecartest.NewEndpoint(t, sidecartest.Always(sidecartest.Served))
+	e := newServingEndpoint(t)
 	w := start(t, nil, ready("s-1", e.Address))
 	dir := t.TempDir()
 	path := filepath.Join(dir, operatorstate.FileName)
@@ -324,8 +324,8 @@
 	if ask(used, in).Close {
 		t.Error("before the drain an answer ends its connection")
 	}
-	held := make(chan reply)
-	go func() { held <- w.send(w.request("pay", "x", time.Minute)) }()
+	pending := make(chan reply)
+	go func() { pending <- w.send(w.request("pay", "x", time.Minute)) }()
 	w.await("the request in flight", func() bool { n, _ := e.Seen(); return n == 2 })
 	for range 2 {
 		if got := callStatus(t, "POST", address, "/admin/quiesce"); got != 200 {
@@ -349,7 +349,7 @@
 		}
 	}
 	close(answer)
-	if got := <-held; got.code != 200 || got.body != "done" {
+	if got := <-pending; got.code != 200 || got.body != "done" {
 		t.Errorf("the request in flight: %+v", got)
 	}
 	for range 2 {
--- a/internal/sidecar/clients_test.go
+++ b/internal/sidecar/clients_test.go
@@ -44,7 +44,7 @@
 // A second request can be smuggled in the body of one whose length is framed in two ways. The request is rejected by
 // its head, and nothing behind it is read as a request. net/http does not show its handlers the second length.
 func TestRequestSmuggledInABodyIsNotServed(t *testing.T) {
-	e := sidecartest.NewEndpoint(t, sidecartest.Always(sidecartest.Served))
+	e := newServingEndpoint(t)
 	w := start(t, nil, ready("s-1", e.Address))
 	hidden := sidecartest.ReadHead + "X-Correlation-Id: 2\r\n\r\n"
 	body := "0\r\n\r\n" + hidden
@@ -80,7 +80,7 @@
 // A body in chunks is valid HTTP/1.1 and is served. Its connection ends with the response, as it does where more than
 // the one request came.
 func TestChunkedAndPipelinedRequests(t *testing.T) {
-	e := sidecartest.NewEndpoint(t, sidecartest.Always(sidecartest.Served))
+	e := newServingEndpoint(t)
 	w := start(t, nil, ready("s-1", e.Address))
 	for name, text := range map[string]string{
 		"chunked": sidecartest.PayHead + "X-Correlation-Id: 1\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nbody\r\n0\r\n\r\n",
@@ -104,7 +104,7 @@
 
 // What is no valid request is rejected before its body is read, or its connection is closed.
 func TestInvalidRequestsAreRejected(t *testing.T) {
-	e := sidecartest.NewEndpoint(t, sidecartest.Always(sidecartest.Served))
+	e := newServingEndpoint(t)
 	w := start(t, nil, ready("s-1", e.Address))
 	for name, c := range map[string]struct{ text, want string }{
 		"a length beyond the limit": {sidecartest.PayHead + "X-Correlation-Id: 1\r\nContent-Length: 3000000000\r\n\r\n", "HTTP/1.1 413"},
@@ -132,7 +132,7 @@
 // A client that is rejected while it still sends its body can send it to the end, within the limit, and then reads its
 // response and not a reset. Asking for Connection: close changes nothing of that.
 func TestClientRejectedWhileSendingReadsItsResponse(t *testing.T) {
-	e := sidecartest.NewEndpoint(t, sidecartest.Always(sidecartest.Served))
+	e := newServingEndpoint(t)
 	w := start(t, nil, ready("s-1", e.Address))
 	for _, c := range []struct {
 		name, head string
@@ -141,7 +141,7 @@
 	}{
 		{"too large", sidecartest.PayHead + "X-Correlation-Id: 1\r\n", httpmsg.MaxBodyBytes + 1, http.StatusRequestEntityTooLarge, false},
 		{"bad hint", sidecartest.PayHead + "X-Correlation-Id: 2\r\nX-Weight-Hint: -1\r\n", httpmsg.MaxBufferedBytes, http.StatusBadRequest, false},
-		{"no room", sidecartest.PayHead + "X-Correlation-Id: 3\r\n", httpmsg.MaxBufferedBytes, http.StatusServiceUnavailable, true},
+		{"no memory", sidecartest.PayHead + "X-Correlation-Id: 3\r\n", httpmsg.MaxBufferedBytes, http.StatusServiceUnavailable, true},
 	} {
 		taken := w.loop.upstream.Bodies.Used.Load()
 		if c.full {
@@ -167,8 +167,8 @@
 		if c.full {
 			w.loop.upstream.Bodies.Used.Add(-int64(w.loop.cfg.Limits.MemoryMB) << 20)
 		}
-		if held := w.loop.upstream.Bodies.Used.Load(); held != taken {
-			t.Errorf("%s: %d bytes are still reserved", c.name, held-taken)
+		if reserved := w.loop.upstream.Bodies.Used.Load(); reserved != taken {
+			t.Errorf("%s: %d bytes are still reserved", c.name, reserved-taken)
 		}
 	}
 	if n, _ := e.Seen(); n != 0 {
@@ -184,7 +184,7 @@
 			t.Errorf("limit of %v", limit)
 		}
 	}
-	e := sidecartest.NewEndpoint(t, sidecartest.Always(sidecartest.Served))
+	e := newServingEndpoint(t)
 	w := start(t, nil, ready("s-1", e.Address))
 	for name, c := range map[string]struct{ text, want string }{
 		"nothing":          {"", ""},
@@ -280,12 +280,12 @@
 // Clients that send one request and keep the connection must not hold all connections: beyond a part of them, a
 // response ends its connection.
 func TestResponsesCloseConnectionsWhenCrowded(t *testing.T) {
-	e := sidecartest.NewEndpoint(t, sidecartest.Always(sidecartest.Served))
+	e := newServingEndpoint(t)
 	w := start(t, nil, ready("s-1", e.Address))
 	w.await("other connections to end", func() bool { return w.server.clients.Count() == 0 })
 	const maxAsked = 3 // few enough for all requests to come before a connection has been idle for long
-	most, _ := w.server.clients.Limits()
-	w.server.clients.SetLimits(most, maxAsked)
+	limit, _ := w.server.clients.Limits()
+	w.server.clients.SetLimits(limit, maxAsked)
 	for i := range maxAsked + 3 {
 		conn := w.dial()
 		w.request("read", "", time.Minute).Write(conn)
@@ -304,7 +304,7 @@
 
 // The memory for bodies is limited: a request beyond it is rejected before its body is read.
 func TestBodyMemoryIsLimited(t *testing.T) {
-	e := sidecartest.NewEndpoint(t, sidecartest.Always(sidecartest.Served))
+	e := newServingEndpoint(t)
 	w := start(t, nil, ready("s-1", e.Address))
 	w.loop.upstream.Bodies.Used.Add(int64(w.loop.cfg.Limits.MemoryMB) << 20 / bodyMemoryDivisor)
 	if got := w.send(w.request("pay", "x", 3*time.Second)); got.code != http.StatusServiceUnavailable || got.header.Get("Retry-After") == "" {
@@ -312,7 +312,7 @@
 	}
 	w.loop.upstream.Bodies.Used.Store(0)
 	if got := w.send(w.request("pay", "x", 3*time.Second)); got.code != http.StatusOK {
-		t.Errorf("with room again: %+v", got)
+		t.Errorf("with memory again: %+v", got)
 	}
 	w.await("the bodies to be given back", func() bool { return w.loop.upstream.Bodies.Used.Load() == 0 })
 }
@@ -320,7 +320,7 @@
 // Idle clients may hold all client connections while discovery is down. When it is back its list applies, and requests
 // go to the endpoints that it lists.
 func TestIdleClientsDoNotStarveDiscovery(t *testing.T) {
-	first, second := sidecartest.NewEndpoint(t, sidecartest.Always(sidecartest.Served)), sidecartest.NewEndpoint(t, sidecartest.Always(sidecartest.Served))
+	first, second := newServingEndpoint(t), newServingEndpoint(t)
 	w := start(t, nil, ready("s-1", first.Address))
 	w.await("the watch", func() bool { return w.discovery.count() >= 2 })
 	w.discovery.change(func() { w.discovery.down = true })
--- a/internal/sidecar/discovery_test.go
+++ b/internal/sidecar/discovery_test.go
@@ -20,7 +20,7 @@
 	"oakproxy/internal/upstream"
 )
 
-// count says how often the balancer was told a list of a kind.
+// count returns how many lists of a kind the balancer was given.
 func (s *balancerRecorder) count(kind balancer.ListUpdate) (n int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -38,7 +38,7 @@
 // The watch resumes from the version known, 0 included: called without one, discovery would send the complete list
 // each time and never wait.
 func TestWatchResumesFromTheKnownVersion(t *testing.T) {
-	e := sidecartest.NewEndpoint(t, sidecartest.Always(sidecartest.Served))
+	e := newServingEndpoint(t)
 	w := startWith(t, nil, longWaits, ready("s-1", e.Address))
 	w.await("the waiting call", func() bool { return w.discovery.count() == 2 })
 	w.discovery.mu.Lock()
@@ -48,7 +48,7 @@
 		t.Errorf("calls %q", calls)
 	}
 	// A change reaches the balancer; the next call asks for what is newer.
-	second := sidecartest.NewEndpoint(t, sidecartest.Always(sidecartest.Served))
+	second := newServingEndpoint(t)
 	w.discovery.change(func() {
 		w.discovery.list = discovery.List{Seq: 7, Whole: true, Hosts: []discovery.Entry{ready("s-2", second.Address)}}
 	})
@@ -76,11 +76,11 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			e, second := sidecartest.NewEndpoint(t, sidecartest.Always(sidecartest.Served)), sidecartest.NewEndpoint(t, sidecartest.Always(sidecartest.Served))
+			e, second := newServingEndpoint(t), newServingEndpoint(t)
 			w := start(t, nil, ready("s-1", e.Address))
 			w.await("the watch", func() bool { return w.discovery.count() >= 2 })
 			w.discovery.change(func() { w.discovery.down, w.discovery.malformed = broken == "", broken })
-			// The change itself is answered with the news that there is none; calls after it fail.
+			// The open call fails, and so do those after it.
 			w.await("the failure and one more", func() bool { return w.recorder.count(balancer.ListFailed) >= 2 })
 			if got := w.send(w.request("pay", "x", 3*time.Second)); got.code != http.StatusOK {
 				t.Errorf("without discovery: %+v", got)
@@ -103,7 +103,7 @@
 // An unusable entry costs neither the other entries of its list nor the drains in it, and nothing more is sent to an
 // endpoint that it names: that may no longer be ready.
 func TestUnusableEntryDoesNotInvalidateTheList(t *testing.T) {
-	e := sidecartest.NewEndpoint(t, sidecartest.Always(sidecartest.Served))
+	e := newServingEndpoint(t)
 	good, drains := entry("s-1", "Ready", e.Address), entry("s-2", "Terminating", e.Address)
 	for name, c := range map[string]struct {
 		text string
@@ -142,7 +142,7 @@
 				})
 				slices.Sort(aims)
 				want := c.aims
-				if whole { // what it does not name has left
+				if whole { // what a complete list does not name is removed
 					want = "s-1"
 				}
 				if got := strings.Join(aims, " "); got != want {
@@ -164,7 +164,7 @@
 // Where lists are pushed the balancer does not subscribe: the sidecar watches its agent by itself, and begins again
 // after a failure.
 func TestPushedListsAreWatchedWithoutSubscription(t *testing.T) {
-	e, second := sidecartest.NewEndpoint(t, sidecartest.Always(sidecartest.Served)), sidecartest.NewEndpoint(t, sidecartest.Always(sidecartest.Served))
+	e, second := newServingEndpoint(t), newServingEndpoint(t)
 	w := start(t, func(s map[string]any) { s["discovery"] = "automatic" }, ready("s-1", e.Address))
 	w.await("the watch", func() bool { return w.discovery.count() >= 2 })
 	w.discovery.change(func() { w.discovery.down = true })
@@ -178,7 +178,7 @@
 
 // A sidecar that knows no endpoint is not ready until discovery has listed one.
 func TestReadyWithTheFirstEndpointList(t *testing.T) {
-	e := sidecartest.NewEndpoint(t, sidecartest.Always(sidecartest.Served))
+	e := newServingEndpoint(t)
 	w := &harness{t: t, discovery: newFakeDiscovery(t)}
 	w.discovery.down = true
 	w.launch(configure(t, w.discovery.address, nil))
@@ -200,14 +200,14 @@
 	})
 	w.await("ready", func() bool { return status() == http.StatusOK })
 	if last := w.discovery.calls[0]; last != "" {
-		t.Errorf("without any list the first call was %q, want one for the whole list", last)
+		t.Errorf("without any list the first call was %q, want one for the complete list", last)
 	}
 }
 
 // What discovery lists of an endpoint reaches the balancer, and an endpoint keeps its id across lists. One that has
 // restarted is a new target.
 func TestEndpointKeepsItsIDAcrossLists(t *testing.T) {
-	e := sidecartest.NewEndpoint(t, sidecartest.Always(sidecartest.Served))
+	e := newServingEndpoint(t)
 	w := start(t, nil, ready("s-1", e.Address))
 	var before, after *upstream.Endpoint
 	w.runInLoop(func() { before = w.loop.endpoints.byID[1].target })
@@ -257,11 +257,11 @@
 			io.WriteString(conn, sidecartest.Served)
 		}
 	})
-	second := sidecartest.NewEndpoint(t, sidecartest.Always(sidecartest.Served))
+	second := newServingEndpoint(t)
 	w := startWith(t, nil, longWaits, ready("s-1", e.Address))
 	w.await("the watch", func() bool { return w.discovery.count() == 2 })
-	held := make(chan reply)
-	go func() { held <- w.send(w.request("pay", "x", time.Minute)) }()
+	pending := make(chan reply)
+	go func() { pending <- w.send(w.request("pay", "x", time.Minute)) }()
 	w.await("the request in flight", func() bool { n, _ := e.Seen(); return n == 1 })
 
 	old := w.discovery
@@ -274,7 +274,7 @@
 		w.await("the new list", func() bool { return w.recorder.count(balancer.ListFull) > lists })
 		moved.mu.Lock()
 		if first := moved.calls[0]; first != "" {
-			t.Errorf("the first call asked for %q, want the whole list", first)
+			t.Errorf("the first call asked for %q, want the complete list", first)
 		}
 		moved.mu.Unlock()
 		w.await("the new watch", func() bool { return moved.count() == 2 })
@@ -294,7 +294,7 @@
 		t.Errorf("the endpoint of the new list got %d requests, want 1", n)
 	}
 	close(answer)
-	if got := <-held; got.code != http.StatusOK {
+	if got := <-pending; got.code != http.StatusOK {
 		t.Errorf("the request in flight: %+v", got)
 	}
 }
@@ -310,8 +310,8 @@
 		}
 	})
 	w := start(t, nil, ready("s-1", e.Address))
-	held := make(chan reply)
-	go func() { held <- w.send(w.request("pay", "x", time.Minute)) }()
+	pending := make(chan reply)
+	go func() { pending <- w.send(w.request("pay", "x", time.Minute)) }()
 	w.await("the request in flight", func() bool { n, _ := e.Seen(); return n == 1 })
 	list := func(whole bool, hosts ...discovery.Entry) {
 		w.runInLoop(func() {
@@ -335,7 +335,7 @@
 		}
 	})
 	close(answer)
-	if got := <-held; got.code != http.StatusOK {
+	if got := <-pending; got.code != http.StatusOK {
 		t.Errorf("the request in flight: %+v", got)
 	}
 	w.runInLoop(func() {
--- a/internal/sidecar/extrabytes_test.go
+++ b/internal/sidecar/extrabytes_test.go
@@ -22,7 +22,7 @@
 		"something with it and more after": {"x", strings.Repeat("y", 5000)},
 	} {
 		t.Run(what, func(t *testing.T) {
-			e := sidecartest.NewEndpoint(t, sidecartest.Always(sidecartest.Served))
+			e := newServingEndpoint(t)
 			w := start(t, nil, ready("s-1", e.Address))
 			dial := sidecartest.BlockDials(&w.loop.upstream.Dialer, e.Address)
 			conn := w.dial()
@@ -49,7 +49,7 @@
 // A client that sends extra bytes after its request and stays gets its response and the end of the connection. The
 // extra bytes are no request.
 func TestExtraBytesAfterARequestCostNoResponse(t *testing.T) {
-	e := sidecartest.NewEndpoint(t, sidecartest.Always(sidecartest.Served))
+	e := newServingEndpoint(t)
 	w := start(t, nil, ready("s-1", e.Address))
 	for what, behind := range map[string]string{
 		"a byte": "x", "a request": sidecartest.ReadHead + "X-Correlation-Id: 99\r\n\r\n", "a lot": strings.Repeat("x", 200<<10),
--- a/internal/sidecar/faults_test.go
+++ b/internal/sidecar/faults_test.go
@@ -16,7 +16,7 @@
 
 // A disk fault costs no request and no connection: only admin calls fail meanwhile.
 func TestServesDespiteDiskFaults(t *testing.T) {
-	e, disk := sidecartest.NewEndpoint(t, sidecartest.Always(sidecartest.Served)), &sidecartest.FaultyDisk{}
+	e, disk := newServingEndpoint(t), &sidecartest.FaultyDisk{}
 	w := startWith(t, nil, func(c *config.Config) { c.Host.Files = disk.FileOps() }, ready("s-1", e.Address))
 	address := w.startAdmin(t.TempDir())
 	if got := callStatus(t, "POST", address, "/admin/quiesce"); got != http.StatusOK {
@@ -38,7 +38,7 @@
 // A process slot is acquired once the directory allows it, and a peer that was seen there counts as alive while its
 // slot can't be read.
 func TestProcessSlotDespiteFaults(t *testing.T) {
-	e := sidecartest.NewEndpoint(t, sidecartest.Always(sidecartest.Served))
+	e := newServingEndpoint(t)
 	w := start(t, nil, ready("s-1", e.Address))
 	dir := filepath.Join(t.TempDir(), "later")
 	w.server.acquireSlot(t.Context(), dir)
@@ -72,7 +72,7 @@
 
 // A process whose clock is off by an hour computes from discovery's date which endpoints have just started.
 func TestEndpointStartTimesDespiteClockSkew(t *testing.T) {
-	e := sidecartest.NewEndpoint(t, sidecartest.Always(sidecartest.Served))
+	e := newServingEndpoint(t)
 	for _, step := range []time.Duration{-time.Hour, 0, time.Hour} {
 		times := &sidecartest.SteppedClock{}
 		times.Step(step)
--- a/internal/sidecar/harness_test.go
+++ b/internal/sidecar/harness_test.go
@@ -9,9 +9,7 @@
 	"log/slog"
 	"net"
 	"net/http"
-	"strconv"
 	"strings"
-	"sync"
 	"sync/atomic"
 	"testing"
 	"time"
@@ -22,152 +20,11 @@
 	"oakproxy/internal/sidecartest"
 )
 
-// fakeDiscovery is a discovery service with one list.
-type fakeDiscovery struct {
-	address string
-
-	mu        sync.Mutex
-	list      discovery.List
-	down      bool
-	malformed string // sent in place of the list, if set
-	calls     []string
-	changed   chan struct{} // closed and replaced with every change
-	conns     atomic.Int32  // open connections
-}
-
-func newFakeDiscovery(t *testing.T, hosts ...discovery.Entry) *fakeDiscovery {
-	t.Helper()
-	d := &fakeDiscovery{list: discovery.List{Whole: true, Hosts: hosts}, changed: make(chan struct{})}
-	listener, err := net.Listen("tcp", "127.0.0.1:0")
-	if err != nil {
-		t.Fatal(err)
-	}
-	d.address = listener.Addr().String()
-	server := &http.Server{Handler: d, ConnState: func(_ net.Conn, state http.ConnState) {
-		switch state {
-		case http.StateNew:
-			d.conns.Add(1)
-		case http.StateClosed:
-			d.conns.Add(-1)
-		}
-	}}
-	go server.Serve(listener)
-	t.Cleanup(func() { server.Close() })
-	return d
-}
-
-func (d *fakeDiscovery) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	d.mu.Lock()
-	d.calls = append(d.calls, r.URL.RawQuery)
-	after, wait, news := r.FormValue("after"), r.FormValue("wait_ms"), d.changed
-	waits := after == fmt.Sprint(d.list.Seq) && wait != "0" && !d.down && d.malformed == ""
-	d.mu.Unlock()
-	if waits {
-		ms, _ := strconv.Atoi(wait)
-		select {
-		case <-news:
-		case <-time.After(time.Duration(ms) * time.Millisecond):
-		case <-r.Context().Done():
-			return
-		}
-	}
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	switch {
-	case d.down:
-		w.WriteHeader(http.StatusServiceUnavailable)
-		json.NewEncoder(w).Encode(d.list) // which must not be believed
-	case d.malformed != "":
-		io.WriteString(w, d.malformed)
-	case after == fmt.Sprint(d.list.Seq):
-		json.NewEncoder(w).Encode(discovery.List{Seq: d.list.Seq, Hosts: []discovery.Entry{}})
-	default:
-		json.NewEncoder(w).Encode(d.list)
-	}
-}
-
-// change alters the service and wakes the calls that wait.
-func (d *fakeDiscovery) change(alter func()) {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	alter()
-	close(d.changed)
-	d.changed = make(chan struct{})
-}
-
-func (d *fakeDiscovery) count() int {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	return len(d.calls)
-}
-
 // ready is discovery's entry for an endpoint.
 func ready(name, address string) discovery.Entry {
 	return discovery.Entry{Name: name, Dial: address, Site: "a", Class: "m1", Health: "Ready", Share: 1}
 }
 
-// balancerRecorder passes all events to the balancer and records them.
-type balancerRecorder struct {
-	decider
-	mu       sync.Mutex
-	outcomes []balancer.Outcome
-	events   []string
-	lists    []balancer.ListUpdate
-	probes   []balancer.Status
-	loads    [][]float32
-
-	beforeGone func() // called in the loop, ahead of the balancer; may be nil
-}
-
-func (s *balancerRecorder) HandleOutcome(now balancer.Micros, o balancer.Outcome) {
-	s.record(func() {
-		s.outcomes = append(s.outcomes, o)
-		s.events = append(s.events, "outcome")
-	})
-	s.decider.HandleOutcome(now, o)
-}
-
-func (s *balancerRecorder) HandleTimer(now balancer.Micros, token uint32) {
-	if token >= 1<<20 { // names a request
-		s.record(func() { s.events = append(s.events, "timer") })
-	}
-	s.decider.HandleTimer(now, token)
-}
-
-func (s *balancerRecorder) HandleClientGone(now balancer.Micros, id uint64) {
-	s.record(func() { s.events = append(s.events, "gone") })
-	if s.beforeGone != nil {
-		s.beforeGone()
-	}
-	s.decider.HandleClientGone(now, id)
-}
-
-func (s *balancerRecorder) HandleEndpoints(now balancer.Micros, kind balancer.ListUpdate, entries []balancer.Endpoint) {
-	s.decider.HandleEndpoints(now, kind, entries)
-	s.record(func() { s.lists = append(s.lists, kind) })
-}
-
-func (s *balancerRecorder) HandleProbe(now balancer.Micros, id uint32, status balancer.Status, latency balancer.Micros, load []float32) {
-	s.record(func() { s.probes, s.loads = append(s.probes, status), append(s.loads, load) })
-	s.decider.HandleProbe(now, id, status, latency, load)
-}
-
-func (s *balancerRecorder) record(f func()) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	f()
-}
-
-// statuses returns how the attempts ended so far.
-func (s *balancerRecorder) statuses() (all []balancer.Status) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	for _, o := range s.outcomes {
-		all = append(all, o.Status)
-	}
-	return all
-}
-
 // harness is a running sidecar with its surroundings.
 type harness struct {
 	t         *testing.T
@@ -344,3 +201,9 @@
 	var timeout net.Error
 	return errors.As(err, &timeout) && timeout.Timeout()
 }
+
+// newServingEndpoint starts an endpoint that serves each request.
+func newServingEndpoint(t *testing.T) *sidecartest.Endpoint {
+	t.Helper()
+	return sidecartest.NewEndpoint(t, sidecartest.Always(sidecartest.Served))
+}
--- a/internal/sidecar/host_test.go
+++ b/internal/sidecar/host_test.go
@@ -9,7 +9,6 @@
 	"testing"
 
 	"oakproxy/internal/config"
-	"oakproxy/internal/sidecartest"
 )
 
 // A sidecar that shares its process leaves that process's memory limit and files alone; one that has the process to
@@ -20,7 +19,7 @@
 	defer debug.SetMemoryLimit(before)
 	debug.SetMemoryLimit(math.MaxInt64)
 
-	w := start(t, nil, ready("s-1", sidecartest.NewEndpoint(t, sidecartest.Always(sidecartest.Served)).Address))
+	w := start(t, nil, ready("s-1", newServingEndpoint(t).Address))
 	shared := configure(t, w.discovery.address, nil)
 	runOnce(t, shared)
 	if limit := debug.SetMemoryLimit(-1); limit != math.MaxInt64 {
--- a/internal/sidecar/outage_test.go
+++ b/internal/sidecar/outage_test.go
@@ -107,13 +107,13 @@
 		for _, c := range dir.calls {
 			slots[c.at.UnixMilli()/100]++
 		}
-		most := 0
+		busiest := 0
 		for _, n := range slots {
-			most = max(most, n)
+			busiest = max(busiest, n)
 		}
 		mean := float64(len(dir.calls)) / span.Seconds() / sidecars
-		if mean > 0.75 || float64(most) > 3*mean*sidecars/10 {
-			t.Errorf("%.2f calls a second of each sidecar, up to %d of all within 0.1 s", mean, most)
+		if mean > 0.75 || float64(busiest) > 3*mean*sidecars/10 {
+			t.Errorf("%.2f calls a second of each sidecar, up to %d of all within 0.1 s", mean, busiest)
 		}
 		if len(dir.calls) == 0 {
 			t.Error("no calls at all")
--- /dev/null
+++ b/internal/sidecar/recorder_test.go
@@ -0,0 +1,68 @@
+package sidecar
+
+import (
+	"oakproxy/balancer"
+	"sync"
+)
+
+// balancerRecorder passes all events to the balancer and records them.
+type balancerRecorder struct {
+	decider
+	mu       sync.Mutex
+	outcomes []balancer.Outcome
+	events   []string
+	lists    []balancer.ListUpdate
+	probes   []balancer.Status
+	loads    [][]float32
+
+	beforeGone func() // called in the loop, ahead of the balancer; may be nil
+}
+
+func (s *balancerRecorder) HandleOutcome(now balancer.Micros, o balancer.Outcome) {
+	s.record(func() {
+		s.outcomes = append(s.outcomes, o)
+		s.events = append(s.events, "outcome")
+	})
+	s.decider.HandleOutcome(now, o)
+}
+
+func (s *balancerRecorder) HandleTimer(now balancer.Micros, token uint32) {
+	if token >= 1<<20 { // names a request
+		s.record(func() { s.events = append(s.events, "timer") })
+	}
+	s.decider.HandleTimer(now, token)
+}
+
+func (s *balancerRecorder) HandleClientGone(now balancer.Micros, id uint64) {
+	s.record(func() { s.events = append(s.events, "gone") })
+	if s.beforeGone != nil {
+		s.beforeGone()
+	}
+	s.decider.HandleClientGone(now, id)
+}
+
+func (s *balancerRecorder) HandleEndpoints(now balancer.Micros, kind balancer.ListUpdate, entries []balancer.Endpoint) {
+	s.decider.HandleEndpoints(now, kind, entries)
+	s.record(func() { s.lists = append(s.lists, kind) })
+}
+
+func (s *balancerRecorder) HandleProbe(now balancer.Micros, id uint32, status balancer.Status, latency balancer.Micros, load []float32) {
+	s.record(func() { s.probes, s.loads = append(s.probes, status), append(s.loads, load) })
+	s.decider.HandleProbe(now, id, status, latency, load)
+}
+
+func (s *balancerRecorder) record(f func()) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	f()
+}
+
+// statuses returns how the attempts ended so far.
+func (s *balancerRecorder) statuses() (all []balancer.Status) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	for _, o := range s.outcomes {
+		all = append(all, o.Status)
+	}
+	return all
+}
--- a/internal/sidecar/reload_test.go
+++ b/internal/sidecar/reload_test.go
@@ -74,7 +74,7 @@
 // A class is served from the reload on that adds it, and rejected from the one on that removes it; the others are
 // served under their own rules wherever they stand. The same goes for tenants.
 func TestReloadedClassesAndTenants(t *testing.T) {
-	e := sidecartest.NewEndpoint(t, sidecartest.Always(sidecartest.Served))
+	e := newServingEndpoint(t)
 	w := start(t, nil, ready("s-1", e.Address))
 	check := func(when string, want map[string]int) {
 		t.Helper()
@@ -132,12 +132,12 @@
 			}
 			first, second := sidecartest.NewEndpoint(t, serve), sidecartest.NewEndpoint(t, serve)
 			w := start(t, nil, ready("s-1", first.Address), ready("s-2", second.Address))
-			held := make(chan reply)
-			go func() { held <- w.send(w.request("pay", "x", time.Minute)) }()
+			pending := make(chan reply)
+			go func() { pending <- w.send(w.request("pay", "x", time.Minute)) }()
 			w.await("the request in flight", func() bool { return seen.Load() == 1 })
 			w.reload(alter)
 			close(answer)
-			if got := <-held; got.code != http.StatusOK || got.body != "done" {
+			if got := <-pending; got.code != http.StatusOK || got.body != "done" {
 				t.Errorf("response %+v", got)
 			}
 			for _, e := range []*sidecartest.Endpoint{first, second} {
@@ -201,8 +201,8 @@
 // nothing. A first attempt goes on.
 func TestReloadToUnsafeClassAppliesToUnsentAttempts(t *testing.T) {
 	for name, c := range map[string]struct {
-		held int32 // the dial that waits
-		code int
+		blocked int32 // the dial that waits
+		code    int
 	}{"a repeat": {2, http.StatusBadGateway}, "a first attempt": {1, http.StatusOK}} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -221,7 +221,7 @@
 			dialling, goOn := make(chan struct{}), make(chan struct{})
 			w.runInLoop(func() {
 				w.loop.upstream.Dialer.Control = func(string, string, syscall.RawConn) error {
-					if dials.Add(1) == c.held {
+					if dials.Add(1) == c.blocked {
 						close(dialling)
 						<-goOn
 					}
@@ -246,7 +246,7 @@
 // The hash depends on what is in force, not on how the file is written or which sidecar reads it. A file that equals
 // what is in force changes nothing; keys that need a restart are logged.
 func TestEqualConfigurationChangesNothing(t *testing.T) {
-	e := sidecartest.NewEndpoint(t, sidecartest.Always(sidecartest.Served))
+	e := newServingEndpoint(t)
 	w := start(t, nil, ready("s-1", e.Address))
 	first := w.loop.current.Load()
 	if log := w.reload(nil); log != "" || w.loop.current.Load() != first {
@@ -282,7 +282,7 @@
 
 // An invalid configuration changes nothing: one log line names the key, and the rejection is counted.
 func TestInvalidConfigurationChangesNothing(t *testing.T) {
-	e := sidecartest.NewEndpoint(t, sidecartest.Always(sidecartest.Served))
+	e := newServingEndpoint(t)
 	w := start(t, nil, ready("s-1", e.Address))
 	first := w.loop.current.Load()
 	path := filepath.Join(t.TempDir(), "config.json")
@@ -335,7 +335,7 @@
 // What operators and discovery have set for endpoints survives a change of settings, which does not call discovery
 // again. Limits apply at once, to connections, too.
 func TestReloadKeepsEndpointsAndAppliesLimits(t *testing.T) {
-	e := sidecartest.NewEndpoint(t, sidecartest.Always(sidecartest.Served))
+	e := newServingEndpoint(t)
 	w := startWith(t, nil, longWaits, ready("s-1", e.Address), ready("s-2", e.Address))
 	w.await("the watch", func() bool { return w.discovery.count() == 2 })
 	drained := ready("s-1", e.Address)
@@ -383,15 +383,15 @@
 	if got, want := w.loop.upstream.Limits(), (upstream.ConnectionLimits{DialTimeout: 7 * time.Millisecond, MaxIdle: 3 * time.Millisecond, MaxConnections: maxConnections(&next)}); got != want {
 		t.Errorf("limits %+v, want %+v", got, want)
 	}
-	if most, maxAsked := w.server.clients.Limits(); most != maxConnections(&next) || maxAsked != 128/crowdedDivisor {
-		t.Errorf("%d connections of clients, %d asked on", most, maxAsked)
+	if connections, used := w.server.clients.Limits(); connections != maxConnections(&next) || used != 128/crowdedDivisor {
+		t.Errorf("%d connections of clients, %d used", connections, used)
 	}
 }
 
 // Before the first event, in a drain by operators and after SIGTERM a reload applies as at any other time and ends
 // nothing early: requests of before keep their deadlines.
 func TestReloadBeforeTheStartAndWhileDraining(t *testing.T) {
-	e := sidecartest.NewEndpoint(t, sidecartest.Always(sidecartest.Served))
+	e := newServingEndpoint(t)
 	w := &harness{t: t, discovery: newFakeDiscovery(t, ready("s-1", e.Address))}
 	cfg := configure(t, w.discovery.address, nil, ready("s-1", e.Address))
 	l, err := newLoop(t.Context(), cfg, slog.New(slog.DiscardHandler))
--- a/internal/sidecar/sendgate_test.go
+++ b/internal/sidecar/sendgate_test.go
@@ -22,7 +22,7 @@
 		e.Next(in)
 		<-reset
 	})
-	slow := sidecartest.NewEndpoint(t, sidecartest.Always(sidecartest.Served))
+	slow := newServingEndpoint(t)
 	w := start(t, func(s map[string]any) {
 		s["classes"].([]any)[1].(map[string]any)["window"] = window.Microseconds()
 		s["limits"].(map[string]any)["dial-timeout"] = sidecartest.Patience.Microseconds()
@@ -57,7 +57,7 @@
 func TestNothingIsSentForADisconnectedClient(t *testing.T) {
 	for name, may := range map[string]bool{"may cancel": true, "may not cancel": false} {
 		t.Run(name, func(t *testing.T) {
-			e := sidecartest.NewEndpoint(t, sidecartest.Always(sidecartest.Served))
+			e := newServingEndpoint(t)
 			w := start(t, func(s map[string]any) { s["limits"].(map[string]any)["cancel"] = may }, ready("s-1", e.Address))
 			dial := sidecartest.BlockDials(&w.loop.upstream.Dialer, e.Address)
 			conn := w.dial()
--- a/internal/sidecar/shutdown_test.go
+++ b/internal/sidecar/shutdown_test.go
@@ -16,16 +16,16 @@
 	"oakproxy/internal/sidecartest"
 )
 
-const usualGiveUp = 3 * time.Second
+const usualTimeout = 3 * time.Second
 
 // startTerminating starts a sidecar with one endpoint. closeAdmission begins its shutdown and waits until admission is
 // closed.
-func startTerminating(t *testing.T, serve func(*sidecartest.Endpoint, net.Conn, *bufio.Reader), giveUp time.Duration) (w *harness, e *sidecartest.Endpoint, closeAdmission func()) {
+func startTerminating(t *testing.T, serve func(*sidecartest.Endpoint, net.Conn, *bufio.Reader), clientTimeout time.Duration) (w *harness, e *sidecartest.Endpoint, closeAdmission func()) {
 	t.Helper()
 	e = sidecartest.NewEndpoint(t, serve)
 	w = start(t, func(s map[string]any) {
 		for _, c := range s["classes"].([]any) {
-			c.(map[string]any)["give-up"] = giveUp.Microseconds()
+			c.(map[string]any)["give-up"] = clientTimeout.Microseconds()
 		}
 	}, ready("s-1", e.Address))
 	w.server.drainPeriod = 0
@@ -70,7 +70,7 @@
 	for split := 1; split < len(text); split += 9 {
 		t.Run(fmt.Sprintf("after %d bytes", split), func(t *testing.T) {
 			t.Parallel()
-			w, e, closeAdmission := startTerminating(t, sidecartest.Always(sidecartest.Served), usualGiveUp)
+			w, e, closeAdmission := startTerminating(t, sidecartest.Always(sidecartest.Served), usualTimeout)
 			conn := w.dial()
 			io.WriteString(conn, text[:split])
 			w.await("the bytes to be read", func() bool { return w.partialBytes() >= int64(split) })
@@ -128,7 +128,7 @@
 	const size = 2 * httpmsg.MaxBufferedBytes
 	head := sidecartest.PayHead + fmt.Sprintf("X-Correlation-Id: 1\r\nContent-Length: %d\r\n\r\n", size)
 	t.Run("on its way", func(t *testing.T) {
-		w, e, closeAdmission := startTerminating(t, sidecartest.Always(sidecartest.Served), usualGiveUp)
+		w, e, closeAdmission := startTerminating(t, sidecartest.Always(sidecartest.Served), usualTimeout)
 		conn := w.dial()
 		io.WriteString(conn, head+strings.Repeat("x", size-1))
 		w.await("the attempt", func() bool { _, conns := e.Seen(); return conns == 1 })
@@ -137,15 +137,15 @@
 		conn.Close()
 		w.awaitEnd()
 		if n, _ := e.Seen(); n != 0 {
-			t.Errorf("the endpoint got %d whole requests", n)
+			t.Errorf("the endpoint got %d complete requests", n)
 		}
 	})
 	t.Run("written", func(t *testing.T) {
 		answer := make(chan struct{})
-		w, e, closeAdmission := startTerminating(t, sidecartest.PayWaits(answer), usualGiveUp)
+		w, e, closeAdmission := startTerminating(t, sidecartest.PayWaits(answer), usualTimeout)
 		conn := w.dial()
 		io.WriteString(conn, head+strings.Repeat("x", size))
-		w.await("the whole request at the endpoint", func() bool { n, _ := e.Seen(); return n == 1 })
+		w.await("the complete request at the endpoint", func() bool { n, _ := e.Seen(); return n == 1 })
 		closeAdmission()
 		close(answer)
 		response, err := http.ReadResponse(bufio.NewReader(conn), nil)
@@ -161,7 +161,7 @@
 // shutdown shortens it.
 func TestInFlightRequestKeepsItsDeadline(t *testing.T) {
 	answer := make(chan struct{})
-	w, e, closeAdmission := startTerminating(t, sidecartest.PayWaits(answer), usualGiveUp)
+	w, e, closeAdmission := startTerminating(t, sidecartest.PayWaits(answer), usualTimeout)
 	got := make(chan reply)
 	go func() { got <- w.send(w.request("pay", "x", time.Minute)) }()
 	w.await("the attempt", func() bool { n, _ := e.Seen(); return n == 1 })
@@ -243,7 +243,7 @@
 	} {
 		t.Run(what, func(t *testing.T) {
 			t.Parallel()
-			e := sidecartest.NewEndpoint(t, sidecartest.Always(sidecartest.Served))
+			e := newServingEndpoint(t)
 			w := start(t, nil, ready("s-1", e.Address))
 			w.server.drainPeriod = 3 * time.Second // a busy machine may be slow to connect
 			dial := sidecartest.BlockDials(&w.loop.upstream.Dialer, e.Address)
--- a/internal/sidecar/sidecar_test.go
+++ b/internal/sidecar/sidecar_test.go
@@ -20,7 +20,7 @@
 )
 
 func TestServesAndReusesConnections(t *testing.T) {
-	e := sidecartest.NewEndpoint(t, sidecartest.Always(sidecartest.Served))
+	e := newServingEndpoint(t)
 	w := start(t, nil, ready("s-1", e.Address))
 	for _, class := range []string{"read", "pay", "close", "order"} {
 		body := "body of " + class
@@ -136,8 +136,8 @@
 			})
 			var given int64
 			given, _ = strconv.ParseInt(e.Request(0).Header.Get("X-Time-Left-Ms"), 10, 64)
-			if most := left - responseMargin; given <= 0 || given > most.Milliseconds() {
-				t.Errorf("the endpoint was given %d ms of %v, want at most %v", given, left, most)
+			if limit := left - responseMargin; given <= 0 || given > limit.Milliseconds() {
+				t.Errorf("the endpoint was given %d ms of %v, want at most %v", given, left, limit)
 			}
 			if took := time.Duration(w.loop.clock.now()-sent) * time.Microsecond; took < left/2 {
 				t.Errorf("the request was given up after %v of %v", took, left)
@@ -240,7 +240,7 @@
 
 // Malformed requests are rejected with the reason, and reach no endpoint.
 func TestMalformedRequests(t *testing.T) {
-	e := sidecartest.NewEndpoint(t, sidecartest.Always(sidecartest.Served))
+	e := newServingEndpoint(t)
 	w := start(t, func(s map[string]any) {
 		s["tenants"] = []any{map[string]any{"name": "acme", "share": 1, "allowance-per-s": 10}}
 	}, ready("s-1", e.Address))
@@ -294,7 +294,7 @@
 // An endpoint that begins to drain while an attempt waits for its connection gets nothing, and the request is retried
 // elsewhere.
 func TestDrainDuringDialRetriesElsewhere(t *testing.T) {
-	first, second := sidecartest.NewEndpoint(t, sidecartest.Always(sidecartest.Served)), sidecartest.NewEndpoint(t, sidecartest.Always(sidecartest.Served))
+	first, second := newServingEndpoint(t), newServingEndpoint(t)
 	w := start(t, nil, ready("s-1", first.Address))
 	dialling, proceed := make(chan struct{}), make(chan struct{})
 	w.loop.upstream.Dialer.Control = func(_, address string, _ syscall.RawConn) error {
@@ -349,8 +349,8 @@
 	}
 	io.Copy(io.Discard, response.Body)
 
-	held := make(chan reply)
-	go func() { held <- w.send(w.request("pay", "x", time.Minute)) }()
+	pending := make(chan reply)
+	go func() { pending <- w.send(w.request("pay", "x", time.Minute)) }()
 	w.await("the request in flight", func() bool { n, _ := e.Seen(); return n == 2 })
 	w.stop()
 	idle.SetReadDeadline(time.Now().Add(sidecartest.Patience))
@@ -376,7 +376,7 @@
 		return err != nil
 	})
 	close(answer)
-	if got := <-held; got.code != http.StatusOK || got.body != "done" {
+	if got := <-pending; got.code != http.StatusOK || got.body != "done" {
 		t.Errorf("the request in flight: %+v", got)
 	}
 	select {
--- a/internal/sidecar/stream_test.go
+++ b/internal/sidecar/stream_test.go
@@ -14,7 +14,7 @@
 	"oakproxy/internal/sidecartest"
 )
 
-const large = 3 << 20 // bytes: more than is held, and than sockets take
+const large = 3 << 20 // bytes: more than is buffered, and than sockets hold
 
 // inChunks writes a body in chunks of this size, without their end.
 func inChunks(body string, size int) string {
@@ -125,7 +125,7 @@
 			io.ReadFull(response.Body, make([]byte, 1000))
 			close(taken)
 			if n, err := io.Copy(io.Discard, response.Body); err == nil {
-				t.Errorf("%d bytes read as whole", n)
+				t.Errorf("%d bytes read as complete", n)
 			}
 			if n, _ := e.Seen(); n != 1 {
 				t.Errorf("%d requests reached the endpoint, want 1", n)
@@ -152,7 +152,7 @@
 			w := start(t, nil, ready("s-1", e.Address))
 			got := w.send(w.request("order", "x", 3*time.Second))
 			if got.err == nil && got.code == http.StatusOK {
-				t.Errorf("the client has %d bytes as a whole answer", len(got.body))
+				t.Errorf("the client has %d bytes as a complete response", len(got.body))
 			}
 			if n, _ := e.Seen(); n != 1 {
 				t.Errorf("an unsafe request was sent %d times", n)
--- a/internal/sidecar/syscalls_test.go
+++ b/internal/sidecar/syscalls_test.go
@@ -42,21 +42,21 @@
 	var ms int
 	fmt.Sscan(e.Request(0).Header.Get("X-Time-Left-Ms"), &ms)
 	waited := came.Sub(written)
-	if told, left := time.Duration(ms)*time.Millisecond, 3*time.Second-waited; told > left+toldSlack {
-		t.Errorf("the endpoint is told %v, its client has %v", told, left)
+	if given, left := time.Duration(ms)*time.Millisecond, 3*time.Second-waited; given > left+deadlineSlack {
+		t.Errorf("the endpoint is given %v, its client has %v", given, left)
 	}
 	if waited < failures*system.AcceptRetryDelay/2 {
 		t.Errorf("the request waited %v only", waited)
 	}
 }
 
-// toldSlack is how much more than its client has left an endpoint may be told.
-const toldSlack = 150 * time.Millisecond
+// deadlineSlack is how much more than its client has left an endpoint may be given.
+const deadlineSlack = 150 * time.Millisecond
 
 // A client that disconnects after sending a whole long body is noticed, though its bytes are still unread: no attempt
 // is started for it.
 func TestClientThatLeavesAfterItsBodyIsNoticed(t *testing.T) {
-	e := sidecartest.NewEndpoint(t, sidecartest.Always(sidecartest.Served))
+	e := newServingEndpoint(t)
 	w := start(t, nil, ready("s-1", e.Address))
 	dial := sidecartest.BlockDials(&w.loop.upstream.Dialer, e.Address)
 	conn := w.dial()
--- a/internal/sidecar/upload_test.go
+++ b/internal/sidecar/upload_test.go
@@ -34,14 +34,14 @@
 	for name, framed := range map[string]string{
 		"by length": fmt.Sprintf("Content-Length: %d\r\n\r\n%s", len(body), body),
 		"in chunks": "Transfer-Encoding: chunked\r\n\r\n" + inChunks(body, 10_000) + "0\r\n\r\n",
-		"held":      fmt.Sprintf("Content-Length: %d\r\n\r\n%s", httpmsg.MaxBufferedBytes, body[:httpmsg.MaxBufferedBytes]),
+		"buffered":  fmt.Sprintf("Content-Length: %d\r\n\r\n%s", httpmsg.MaxBufferedBytes, body[:httpmsg.MaxBufferedBytes]),
 		"asked for": "Expect: 100-continue\r\n" + fmt.Sprintf("Content-Length: %d\r\n\r\n%s", len(body), body),
 	} {
 		conn := w.dial()
 		in := bufio.NewReader(conn)
 		for i := range 2 {
 			want, size := "200 OK", len(body)
-			if name == "held" {
+			if name == "buffered" {
 				size = httpmsg.MaxBufferedBytes
 			}
 			fmt.Fprintf(conn, "%sX-Correlation-Id: %s%d\r\n%s", sidecartest.PayHead, name[:1], i, framed)
@@ -55,7 +55,7 @@
 			if got, _ := io.ReadAll(response.Body); string(got) != fmt.Sprint(size) {
 				t.Errorf("%s: the endpoint read %s bytes", name, got)
 			}
-			if name == "in chunks" { // its end is not told apart from what follows
+			if name == "in chunks" { // its end can not be told apart from what follows
 				break
 			}
 		}
@@ -72,7 +72,7 @@
 	e := sidecartest.NewEndpoint(t, checksumBody)
 	w := start(t, nil, ready("s-1", e.Address))
 	const piece = 8 << 10 // an eighth of a second each: 64 kB a second, or a few bytes in all of 2 s
-	for name, size := range map[string]int{"tiny": 16, "held": 48 << 10, "passed on": 192 << 10} {
+	for name, size := range map[string]int{"tiny": 16, "buffered": 48 << 10, "streamed": 192 << 10} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			conn := w.dial()
@@ -122,7 +122,7 @@
 				return n == 0
 			})
 			if n, _ := e.Seen(); n != 0 {
-				t.Errorf("the endpoint read %d whole requests", n)
+				t.Errorf("the endpoint read %d complete requests", n)
 			}
 		})
 	}
--- a/internal/sidecar/watch_test.go
+++ b/internal/sidecar/watch_test.go
@@ -6,21 +6,16 @@
 	"context"
 	"encoding/json"
 	"fmt"
-	"io"
 	"log/slog"
 	"net"
-	"net/http"
 	"slices"
-	"strconv"
 	"strings"
-	"sync"
 	"testing"
 	"testing/synctest"
 	"time"
 
 	"oakproxy/internal/config"
 	"oakproxy/internal/discovery"
-	"oakproxy/internal/system"
 )
 
 // The tests here run on a fake clock, with pipes in place of sockets.
@@ -31,208 +26,6 @@
 	slack       = 50 * time.Millisecond // that every limit is longer by on sockets
 )
 
-// pipes is a listener whose connections are pipes within the process.
-type pipes struct {
-	conns chan net.Conn
-	end   chan struct{}
-	once  sync.Once
-}
-
-func newPipes() *pipes { return &pipes{conns: make(chan net.Conn), end: make(chan struct{})} }
-
-func (p *pipes) Accept() (net.Conn, error) {
-	select {
-	case c := <-p.conns:
-		return c, nil
-	case <-p.end:
-		return nil, net.ErrClosed
-	}
-}
-
-func (p *pipes) Close() error {
-	p.once.Do(func() { close(p.end) })
-	return nil
-}
-
-func (p *pipes) Addr() net.Addr { return &net.TCPAddr{} }
-
-func (p *pipes) dial(ctx context.Context, _, _ string) (net.Conn, error) {
-	ours, theirs := net.Pipe()
-	select {
-	case p.conns <- theirs:
-		return ours, nil
-	case <-p.end:
-		return nil, net.ErrClosed
-	case <-ctx.Done():
-		return nil, ctx.Err()
-	}
-}
-
-// recordedCall is a call that the registry of a test took.
-type recordedCall struct {
-	at     time.Time
-	wait   time.Duration
-	silent bool // it was never answered
-}
-
-// scriptedDiscovery is a registry whose open calls fall silent when a test says so.
-type scriptedDiscovery struct {
-	mu               sync.Mutex
-	list             discovery.List
-	calls            []recordedCall
-	open             int           // calls that wait for news, and have not fallen silent
-	silencing        chan struct{} // closed: calls open then are never answered
-	resetting        chan struct{} // closed: connections of calls open then are reset
-	changed          chan struct{} // closed: the list has changed
-	unresponsive     bool          // calls made while it is are never answered
-	queueDelay       time.Duration // that a call waits for its turn
-	down             bool          // calls made while it is end with 503
-	malformedReplies []string      // to answer the next calls with, in place of the list
-	openReply        string        // the same for the one that is open
-}
-
-func (s *scriptedDiscovery) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	ms, _ := strconv.Atoi(r.FormValue("wait_ms"))
-	wait := time.Duration(ms) * time.Millisecond
-	s.mu.Lock()
-	i, mute := len(s.calls), s.silencing
-	s.calls = append(s.calls, recordedCall{at: time.Now(), wait: wait})
-	news := r.FormValue("after") != strconv.FormatUint(s.list.Seq, 10)
-	cut, fresh, deaf, down, turn, words := s.resetting, s.changed, s.unresponsive, s.down, s.queueDelay, ""
-	if len(s.malformedReplies) > 0 {
-		words, s.malformedReplies = s.malformedReplies[0], s.malformedReplies[1:]
-	}
-	s.mu.Unlock()
-	if turn > 0 { // a timer of no time at all, in a bubble with -race, now and then crashes Go 1.26's runtime
-		system.Sleep(r.Context(), turn)
-	}
-	if down {
-		w.WriteHeader(http.StatusServiceUnavailable)
-		return
-	}
-	if words != "" {
-		io.WriteString(w, words)
-		return
-	}
-	if deaf {
-		<-r.Context().Done()
-		return
-	}
-	if wait > 0 && !news {
-		s.addOpen(1)
-		var over, reset, muted bool
-		select {
-		case <-time.After(wait):
-		case <-fresh:
-		case <-r.Context().Done():
-			over = true
-		case <-cut:
-			reset = true
-		case <-mute:
-			muted = true
-		}
-		s.addOpen(-1)
-		switch {
-		case over:
-			return
-		case reset:
-			panic(http.ErrAbortHandler)
-		case muted:
-			s.mu.Lock()
-			s.calls[i].silent = true
-			s.mu.Unlock()
-			<-r.Context().Done()
-			return
-		}
-	}
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	if wait > 0 && s.openReply != "" {
-		io.WriteString(w, s.openReply)
-		s.openReply = ""
-		return
-	}
-	answer := discovery.List{Seq: s.list.Seq, Hosts: []discovery.Entry{}}
-	if r.FormValue("after") != strconv.FormatUint(s.list.Seq, 10) {
-		answer = s.list
-	}
-	json.NewEncoder(w).Encode(answer)
-}
-
-// drainEndpoint has the endpoint drain, and answers the open calls with the change.
-func (s *scriptedDiscovery) drainEndpoint() {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	draining := ready("s-1", "127.0.0.1:1")
-	draining.Health = "Terminating"
-	s.list = discovery.List{Seq: s.list.Seq + 1, Whole: true, Hosts: []discovery.Entry{draining}}
-	close(s.changed)
-	s.changed = make(chan struct{})
-}
-
-// setResponsive sets whether calls are answered from now on.
-func (s *scriptedDiscovery) setResponsive(is bool) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	s.unresponsive = !is
-}
-
-// replyToOpenCall answers the open call with this text.
-func (s *scriptedDiscovery) replyToOpenCall(words string) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	s.openReply = words
-}
-
-// pendingReplies returns how many malformed replies are still to be sent.
-func (s *scriptedDiscovery) pendingReplies() int {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	return len(s.malformedReplies) + len(s.openReply)
-}
-
-// resetConnections ends the connections of all open calls.
-func (s *scriptedDiscovery) resetConnections() {
-	s.mu.Lock()
-	close(s.resetting)
-	s.resetting = make(chan struct{})
-	s.mu.Unlock()
-	synctest.Wait()
-}
-
-// addOpen counts a call that begins (1) or ends (-1) to wait for a change.
-func (s *scriptedDiscovery) addOpen(n int) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	s.open += n
-}
-
-// awaitOpenCall waits until a call waits for a change.
-func (s *scriptedDiscovery) awaitOpenCall() {
-	for {
-		synctest.Wait()
-		s.mu.Lock()
-		waits := s.open > 0
-		s.mu.Unlock()
-		if waits {
-			return
-		}
-		time.Sleep(time.Millisecond)
-	}
-}
-
-// silenceOpenCalls keeps all open calls from being answered, ever, and returns the last of them.
-func (s *scriptedDiscovery) silenceOpenCalls() recordedCall {
-	s.mu.Lock()
-	close(s.silencing)
-	s.silencing = make(chan struct{})
-	s.mu.Unlock()
-	synctest.Wait()
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	return s.calls[len(s.calls)-1]
-}
-
 // startScripted starts a loop that knows one endpoint and watches a scripted discovery.
 func startScripted(t *testing.T, alter func(settings map[string]any)) (*loop, *scriptedDiscovery) {
 	t.Helper()
@@ -240,22 +33,6 @@
 	return startWatching(t, dial, alter), dir
 }
 
-// newScriptedDiscovery starts a discovery that lists one endpoint, and returns how to dial it.
-func newScriptedDiscovery(t *testing.T) (*scriptedDiscovery, dialer) {
-	listener := newPipes()
-	dir := &scriptedDiscovery{list: discovery.List{Seq: 1, Whole: true, Hosts: []discovery.Entry{ready("s-1", "127.0.0.1:1")}},
-		silencing: make(chan struct{}), resetting: make(chan struct{}), changed: make(chan struct{})}
-	server := &http.Server{Handler: dir, ErrorLog: slog.NewLogLogger(slog.DiscardHandler, slog.LevelError)}
-	go server.Serve(listener)
-	t.Cleanup(func() {
-		server.Close()
-		listener.Close()
-	})
-	return dir, listener.dial
-}
-
-type dialer = func(ctx context.Context, network, address string) (net.Conn, error)
-
 // startWatching starts a loop that knows the endpoint as ready, with a seed of its own if one is given.
 func startWatching(t *testing.T, dial dialer, alter func(settings map[string]any), seed ...uint64) *loop {
 	t.Helper()
@@ -311,12 +88,12 @@
 
 // requireDrained fails the test if an attempt may still be sent to the endpoint once the grace for a change that
 // counts as notified at that time is over.
-func requireDrained(t *testing.T, l *loop, told time.Time) {
+func requireDrained(t *testing.T, l *loop, notified time.Time) {
 	t.Helper()
 	grace := time.Duration(l.cfg.Settings.Contract.DrainGrace) * time.Microsecond
-	time.Sleep(time.Until(told.Add(grace + slack)))
+	time.Sleep(time.Until(notified.Add(grace + slack)))
 	if !unreachable(l, "s-1") {
-		t.Errorf("sends still go to the endpoint %v after its drain counts as told", time.Since(told))
+		t.Errorf("sends still go to the endpoint %v after its drain counts as notified", time.Since(notified))
 	}
 }
 
@@ -485,12 +262,12 @@
 	for dir.pendingReplies() > 0 {
 		time.Sleep(time.Millisecond)
 	}
-	told := time.Now()
+	notified := time.Now()
 	synctest.Wait()
 	if unreachable(l, "s-1") {
 		t.Fatal("the answer could be used")
 	}
-	requireDrained(t, l, told)
+	requireDrained(t, l, notified)
 	l.events.post(func(int64) {
 		if l.watcher.calls.malformed == 0 {
 			t.Errorf("calls %+v, want a malformed one", l.watcher.calls)
