--- a/internal/sidecar/reload_test.go
+++ b/internal/sidecar/reload_test.go
@@ -111,7 +111,7 @@
 
 // A request in flight is served under the class that it began under: its retry is sent, and its late outcome is
 // reported, while the class is moved, changed or removed.
-func TestInFlightRequestSurvivesAReload(t *testing.T) {
+func TestRequestStartedBeforeAReloadIsServed(t *testing.T) {
 	for name, alter := range map[string]func(map[string]any){
 		"moved": func(s map[string]any) { slices.Reverse(classes(s)) }, "gone": withoutClass("pay"),
 		"added ahead": withSearchClass, "less time": func(s map[string]any) { class(s, "pay")["give-up"] = 1 },
--- a/internal/sidecar/shutdown_test.go
+++ b/internal/sidecar/shutdown_test.go
@@ -90,7 +90,7 @@
 func (w *harness) partialBytes() (bytes int64) { return w.server.clients.PartialBytes() }
 
 // A request that stays partial is rejected, too, before SIGKILL. A connection on which nothing came is closed.
-func TestPartialRequestIsRejectedBeforeTheKill(t *testing.T) {
+func TestPartialRequestIsRejectedAfterAdmissionCloses(t *testing.T) {
 	const refused = http.StatusServiceUnavailable
 	for what, c := range map[string]struct {
 		text string
@@ -159,7 +159,7 @@
 
 // A request in flight keeps the deadline that it came with: neither a new configuration with shorter timeouts nor
 // shutdown shortens it.
-func TestInFlightRequestKeepsItsDeadline(t *testing.T) {
+func TestInFlightRequestKeepsItsDeadlineAtTermination(t *testing.T) {
 	answer := make(chan struct{})
 	w, e, closeAdmission := startTerminating(t, sidecartest.PayWaits(answer), usualTimeout)
 	got := make(chan reply)
@@ -179,7 +179,7 @@
 }
 
 // Shutdown waits for the latest deadline of the requests in flight.
-func TestLatestDeadlineInFlight(t *testing.T) {
+func TestLatestDeadlineOnceAdmissionIsClosed(t *testing.T) {
 	var h inFlightRequests
 	now := time.Now()
 	if _, found := h.latestDeadline(now); found {
@@ -201,7 +201,7 @@
 }
 
 // A listener that fails for good ends the sidecar, after requests in flight have their responses.
-func TestListenerFailureStillAnswersInFlightRequests(t *testing.T) {
+func TestBrokenListenerStillAnswersInFlightRequests(t *testing.T) {
 	answer := make(chan struct{})
 	e := sidecartest.NewEndpoint(t, sidecartest.PayWaits(answer))
 	listener := &sidecartest.FaultyListener{}
@@ -229,7 +229,7 @@
 
 // At SIGTERM a request may be in flight, partial or still to come on an open connection, and a new configuration may
 // come meanwhile: each gets its response, which ends its connection, and the sidecar ends after the last.
-func TestShutdownAnswersRequestsUnderWay(t *testing.T) {
+func TestTerminationAnswersRequestsUnderWay(t *testing.T) {
 	head := sidecartest.PayHead + "Content-Length: 10\r\nX-Correlation-Id: "
 	for what, split := range map[string]int{
 		"connected":           0,
--- a/internal/sidecar/sidecar_test.go
+++ b/internal/sidecar/sidecar_test.go
@@ -331,7 +331,7 @@
 
 // After SIGTERM, requests in flight are served, idle connections are closed, new connections are accepted for a while,
 // and the sidecar ends without error.
-func TestGracefulShutdown(t *testing.T) {
+func TestGracefulTermination(t *testing.T) {
 	answer := make(chan struct{})
 	e := sidecartest.NewEndpoint(t, sidecartest.PayWaits(answer))
 	w := start(t, nil, ready("s-1", e.Address))
--- a/internal/sidecar/stream_test.go
+++ b/internal/sidecar/stream_test.go
@@ -94,7 +94,7 @@
 }
 
 // A response that is truncated after relaying began looks truncated to the client, and the request is not retried.
-func TestTruncatedLargeResponseLooksTruncated(t *testing.T) {
+func TestBrokenLargeResponseLooksTruncated(t *testing.T) {
 	part := strings.Repeat("x", 200<<10)
 	for name, c := range map[string]struct {
 		answer, version string
--- a/internal/sidecar/upload_test.go
+++ b/internal/sidecar/upload_test.go
@@ -97,7 +97,7 @@
 
 // A body that stalls, is truncated or too large ends in an error or a close. The endpoint never reads a complete
 // request, and no memory stays reserved.
-func TestTruncatedBodies(t *testing.T) {
+func TestBrokenBodies(t *testing.T) {
 	const part = 200 << 10
 	for name, c := range map[string]struct{ framed, want string }{
 		"stops":          {fmt.Sprintf("Content-Length: %d\r\n\r\n%s", large, strings.Repeat("x", part)), ""},
