--- a/internal/sidecar/admin_test.go
+++ b/internal/sidecar/admin_test.go
@@ -87,7 +87,8 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			got := rawCall(t, address, c.text)
-			if !strings.HasPrefix(got, c.want) && got != "" || strings.Count(got, "HTTP/1.1") > 1 { // a reset may discard the response
+			if !strings.HasPrefix(got, c.want) && got != "" ||
+				strings.Count(got, "HTTP/1.1") > 1 { // a reset may discard the response
 				t.Errorf("got %q, want %s", got, c.want)
 			}
 			if c.want == "HTTP/1.1 200" && got == "" {
@@ -142,7 +143,8 @@
 			t.Errorf("%q: %v, want an error that names admin_addr", address, err)
 		}
 	}
-	if _, err := admin.Listen(t.Context(), "127.0.0.1:99999"); err == nil || !strings.Contains(err.Error(), "admin_addr") {
+	if _, err := admin.Listen(t.Context(), "127.0.0.1:99999"); err == nil ||
+		!strings.Contains(err.Error(), "admin_addr") {
 		t.Errorf("a port that there is not: %v", err)
 	}
 }
@@ -180,7 +182,9 @@
 	}
 	again := ready("s-1", e.Address)
 	again.BornMS = time.Now().UnixMilli()
-	w.discovery.change(func() { w.discovery.list = discovery.List{Seq: 1, Whole: true, Hosts: []discovery.Entry{again}} })
+	w.discovery.change(
+		func() { w.discovery.list = discovery.List{Seq: 1, Whole: true, Hosts: []discovery.Entry{again}} },
+	)
 	w.await("the change", func() bool {
 		var born int64
 		w.runInLoop(func() { born = w.loop.endpoints.byID[w.loop.endpoints.ids["s-1"]].entry.BornMS })
@@ -196,7 +200,9 @@
 	if got := callStatus(t, "POST", address, "/admin/cordon?name=s-1"); got != 200 {
 		t.Errorf("a call for one that is out and may be gone: %d", got)
 	}
-	w.discovery.change(func() { w.discovery.list = discovery.List{Seq: 4, Whole: true, Hosts: []discovery.Entry{again}} })
+	w.discovery.change(
+		func() { w.discovery.list = discovery.List{Seq: 4, Whole: true, Hosts: []discovery.Entry{again}} },
+	)
 	w.await("the endpoint to be listed", func() bool {
 		var listed bool
 		w.runInLoop(func() { listed = w.loop.endpoints.ids["s-1"] != 0 })
--- a/internal/sidecar/clients_test.go
+++ b/internal/sidecar/clients_test.go
@@ -54,7 +54,8 @@
 		"in small print": fmt.Sprintf("transfer-encoding:chunked\ncontent-length:%d\n", len(body)),
 	} {
 		got := w.raw(sidecartest.PayHead + "X-Correlation-Id: 1\r\n" + head + "\r\n" + body)
-		if strings.Count(got, "HTTP/1.1") != 1 || !strings.HasPrefix(got, "HTTP/1.1 400") || !strings.Contains(got, "Transfer-Encoding") {
+		if strings.Count(got, "HTTP/1.1") != 1 || !strings.HasPrefix(got, "HTTP/1.1 400") ||
+			!strings.Contains(got, "Transfer-Encoding") {
 			t.Errorf("%s: got %q", name, got)
 		}
 	}
@@ -67,7 +68,15 @@
 	} else {
 		io.Copy(io.Discard, response.Body)
 	}
-	io.WriteString(conn, fmt.Sprintf("\r\n%sX-Correlation-Id: 4\r\nContent-Length: %d\r\nTransfer-Encoding: chunked\r\n\r\n%s", sidecartest.PayHead, len(body), body))
+	io.WriteString(
+		conn,
+		fmt.Sprintf(
+			"\r\n%sX-Correlation-Id: 4\r\nContent-Length: %d\r\nTransfer-Encoding: chunked\r\n\r\n%s",
+			sidecartest.PayHead,
+			len(body),
+			body,
+		),
+	)
 	rest, _ := io.ReadAll(in)
 	if strings.Count(string(rest), "HTTP/1.1") != 1 || !strings.HasPrefix(string(rest), "HTTP/1.1 400") {
 		t.Errorf("after an empty line: got %q", rest)
@@ -259,7 +268,10 @@
 	for range w.server.clients.MaxConnections - 2 {
 		w.dial()
 	}
-	w.await("all connections to be taken", func() bool { return w.server.clients.Count() == w.server.clients.MaxConnections })
+	w.await(
+		"all connections to be taken",
+		func() bool { return w.server.clients.Count() == w.server.clients.MaxConnections },
+	)
 	if got := w.send(w.request("read", "", 3*time.Second)); got.code != http.StatusOK {
 		t.Errorf("beyond the limit: %+v", got)
 	}
@@ -297,7 +309,10 @@
 			t.Fatalf("request %d: Connection: close %v, want %v", i, response.Close, want)
 		}
 		if response.Close {
-			w.await("the end of the connection", func() bool { return w.server.clients.Count() == w.server.clients.MaxUsed })
+			w.await(
+				"the end of the connection",
+				func() bool { return w.server.clients.Count() == w.server.clients.MaxUsed },
+			)
 		}
 	}
 }
@@ -307,7 +322,8 @@
 	e := newServingEndpoint(t)
 	w := start(t, nil, ready("s-1", e.Address))
 	w.loop.upstream.Bodies.Used.Add(int64(w.loop.cfg.Limits.MemoryMB) << 20 / bodyMemoryDivisor)
-	if got := w.send(w.request("pay", "x", 3*time.Second)); got.code != http.StatusServiceUnavailable || got.header.Get("Retry-After") == "" {
+	if got := w.send(w.request("pay", "x", 3*time.Second)); got.code != http.StatusServiceUnavailable ||
+		got.header.Get("Retry-After") == "" {
 		t.Errorf("beyond the limit: %+v", got)
 	}
 	w.loop.upstream.Bodies.Used.Store(0)
@@ -354,7 +370,10 @@
 			}
 		}()
 	}
-	w.await("all connections to be taken", func() bool { return w.server.clients.Count() >= w.server.clients.MaxConnections })
+	w.await(
+		"all connections to be taken",
+		func() bool { return w.server.clients.Count() >= w.server.clients.MaxConnections },
+	)
 	w.discovery.change(func() {
 		w.discovery.down = false
 		w.discovery.list = discovery.List{Seq: 1, Whole: true, Hosts: []discovery.Entry{ready("s-2", second.Address)}}
--- a/internal/sidecar/discovery_test.go
+++ b/internal/sidecar/discovery_test.go
@@ -87,7 +87,11 @@
 			}
 			w.discovery.change(func() {
 				w.discovery.down, w.discovery.malformed = false, ""
-				w.discovery.list = discovery.List{Seq: 1, Whole: true, Hosts: []discovery.Entry{ready("s-2", second.Address)}}
+				w.discovery.list = discovery.List{
+					Seq:   1,
+					Whole: true,
+					Hosts: []discovery.Entry{ready("s-2", second.Address)},
+				}
 			})
 			w.await("the new list", func() bool { return w.recorder.count(balancer.ListFull) >= 1 })
 			if got := w.send(w.request("pay", "x", 3*time.Second)); got.code != http.StatusOK {
@@ -125,7 +129,13 @@
 				w.await("the watch", func() bool { return w.discovery.count() >= 2 })
 				w.discovery.change(func() {
 					w.discovery.list.Seq = 9
-					w.discovery.malformed = fmt.Sprintf(`{"seq":9,"whole":%v,"hosts":[%s,%s,%s]}`, whole, good, c.text, drains)
+					w.discovery.malformed = fmt.Sprintf(
+						`{"seq":9,"whole":%v,"hosts":[%s,%s,%s]}`,
+						whole,
+						good,
+						c.text,
+						drains,
+					)
 				})
 				var aims []string
 				var seq uint64
@@ -149,7 +159,8 @@
 					t.Errorf("something may go to %q, want %q", got, want)
 				}
 				var list discovery.List
-				if err := json.Unmarshal([]byte(w.discovery.malformed), &list); err != nil || list.Unusable != c.lost || list.FirstError == nil {
+				if err := json.Unmarshal([]byte(w.discovery.malformed), &list); err != nil || list.Unusable != c.lost ||
+					list.FirstError == nil {
 					t.Errorf("lost %d (%v, %v), want %d", list.Unusable, list.FirstError, err, c.lost)
 				}
 			})
@@ -214,18 +225,44 @@
 	born := time.Now().UnixMilli() - 500
 	restarted := ready("s-1", e.Address)
 	restarted.BornMS = born
-	strange := discovery.Entry{Name: "s-9", Dial: "127.0.0.1:1", Site: "nowhere", Class: "odd", Block: 4, Health: "Terminating"}
+	strange := discovery.Entry{
+		Name:   "s-9",
+		Dial:   "127.0.0.1:1",
+		Site:   "nowhere",
+		Class:  "odd",
+		Block:  4,
+		Health: "Terminating",
+	}
 	got := make(chan []balancer.Endpoint, 1)
 	w.runInLoop(func() {
 		w.loop.balancer = &listRecorder{decider: w.recorder, got: got}
-		w.loop.updateEndpoints(w.loop.clock.now(), balancer.ListDelta, discovery.List{Seq: 2, Hosts: []discovery.Entry{restarted, strange}})
+		w.loop.updateEndpoints(
+			w.loop.clock.now(),
+			balancer.ListDelta,
+			discovery.List{Seq: 2, Hosts: []discovery.Entry{restarted, strange}},
+		)
 		w.loop.balancer = w.recorder
 		after = w.loop.endpoints.byID[1].target
 	})
 	entries := <-got
 	want := []balancer.Endpoint{
-		{ID: 1, Name: hashName("s-1"), Zone: 0, MachineKind: 0, State: balancer.Ready, Weight: 1, StartTime: born * 1000},
-		{ID: 2, Name: hashName("s-9"), Zone: config.UnknownName, MachineKind: config.UnknownName, Cell: 4, State: balancer.Draining}}
+		{
+			ID:          1,
+			Name:        hashName("s-1"),
+			Zone:        0,
+			MachineKind: 0,
+			State:       balancer.Ready,
+			Weight:      1,
+			StartTime:   born * 1000,
+		},
+		{
+			ID:          2,
+			Name:        hashName("s-9"),
+			Zone:        config.UnknownName,
+			MachineKind: config.UnknownName,
+			Cell:        4,
+			State:       balancer.Draining,
+		}}
 	if !slices.Equal(entries, want) {
 		t.Errorf("entries %+v, want %+v", entries, want)
 	}
@@ -331,7 +368,11 @@
 	list(false, gone)
 	w.runInLoop(func() {
 		if len(w.loop.endpoints.byID) != 1 || len(w.loop.endpoints.ids) != 1 || w.loop.endpoints.byID[1] == nil {
-			t.Errorf("%d endpoints and %d names are kept, want the one with an attempt out", len(w.loop.endpoints.byID), len(w.loop.endpoints.ids))
+			t.Errorf(
+				"%d endpoints and %d names are kept, want the one with an attempt out",
+				len(w.loop.endpoints.byID),
+				len(w.loop.endpoints.ids),
+			)
 		}
 	})
 	close(answer)
@@ -340,7 +381,11 @@
 	}
 	w.runInLoop(func() {
 		if len(w.loop.endpoints.byID) != 0 || len(w.loop.endpoints.ids) != 0 {
-			t.Errorf("%d endpoints and %d names are kept, want none", len(w.loop.endpoints.byID), len(w.loop.endpoints.ids))
+			t.Errorf(
+				"%d endpoints and %d names are kept, want none",
+				len(w.loop.endpoints.byID),
+				len(w.loop.endpoints.ids),
+			)
 		}
 	})
 	list(true, ready("s-1", e.Address))
--- a/internal/sidecar/extrabytes_test.go
+++ b/internal/sidecar/extrabytes_test.go
@@ -54,8 +54,11 @@
 	for what, behind := range map[string]string{
 		"a byte": "x", "a request": sidecartest.ReadHead + "X-Correlation-Id: 99\r\n\r\n", "a lot": strings.Repeat("x", 200<<10),
 	} {
-		got := w.raw(sidecartest.ReadHead + "X-Correlation-Id: " + strings.ReplaceAll(what, " ", "") + "\r\n\r\n" + behind)
-		if strings.Count(got, "HTTP/1.1") != 1 || !strings.HasPrefix(got, "HTTP/1.1 200") || !strings.HasSuffix(got, "done") {
+		got := w.raw(
+			sidecartest.ReadHead + "X-Correlation-Id: " + strings.ReplaceAll(what, " ", "") + "\r\n\r\n" + behind,
+		)
+		if strings.Count(got, "HTTP/1.1") != 1 || !strings.HasPrefix(got, "HTTP/1.1 200") ||
+			!strings.HasSuffix(got, "done") {
 			t.Errorf("%s: got %q", what, got)
 		}
 	}
--- a/internal/sidecar/faults_test.go
+++ b/internal/sidecar/faults_test.go
@@ -86,7 +86,12 @@
 		var ages []time.Duration
 		w.runInLoop(func() {
 			for _, name := range []string{"s-1", "s-2"} {
-				ages = append(ages, time.Duration(w.loop.clock.now()-w.loop.endpoints.byID[w.loop.endpoints.ids[name]].startedAt)*time.Microsecond)
+				ages = append(
+					ages,
+					time.Duration(
+						w.loop.clock.now()-w.loop.endpoints.byID[w.loop.endpoints.ids[name]].startedAt,
+					)*time.Microsecond,
+				)
 			}
 		})
 		if ages[0] > sidecartest.Patience || ages[0] < -2*discovery.MinSkew {
--- a/internal/sidecar/harness_test.go
+++ b/internal/sidecar/harness_test.go
@@ -40,7 +40,12 @@
 }
 
 // configure returns a configuration that knows the given list.
-func configure(t *testing.T, discoveryAddress string, alter func(settings map[string]any), hosts ...discovery.Entry) *config.Config {
+func configure(
+	t *testing.T,
+	discoveryAddress string,
+	alter func(settings map[string]any),
+	hosts ...discovery.Entry,
+) *config.Config {
 	t.Helper()
 	var settings map[string]any
 	if err := json.Unmarshal([]byte(sidecartest.SettingsText), &settings); err != nil {
@@ -70,7 +75,12 @@
 }
 
 // startWith does that with a configuration that a test has changed.
-func startWith(t *testing.T, alter func(settings map[string]any), change func(*config.Config), hosts ...discovery.Entry) *harness {
+func startWith(
+	t *testing.T,
+	alter func(settings map[string]any),
+	change func(*config.Config),
+	hosts ...discovery.Entry,
+) *harness {
 	t.Helper()
 	w := &harness{t: t, discovery: newFakeDiscovery(t, hosts...)}
 	cfg := configure(t, w.discovery.address, alter, hosts...)
--- a/internal/sidecar/outage_test.go
+++ b/internal/sidecar/outage_test.go
@@ -25,19 +25,38 @@
 }
 
 var outages = map[string]outage{
-	"silent once":             {func(dir *scriptedDiscovery) { dir.silenceOpenCalls() }, func(*scriptedDiscovery) {}, 0},
-	"silent once, overbooked": {func(dir *scriptedDiscovery) { dir.silenceOpenCalls() }, func(dir *scriptedDiscovery) {}, 2 * time.Second},
-	"reset once":              {func(dir *scriptedDiscovery) { dir.resetConnections() }, func(*scriptedDiscovery) {}, 0},
+	"silent once": {
+		func(dir *scriptedDiscovery) { dir.silenceOpenCalls() },
+		func(*scriptedDiscovery) {},
+		0,
+	},
+	"silent once, overbooked": {
+		func(dir *scriptedDiscovery) { dir.silenceOpenCalls() },
+		func(dir *scriptedDiscovery) {},
+		2 * time.Second,
+	},
+	"reset once": {
+		func(dir *scriptedDiscovery) { dir.resetConnections() },
+		func(*scriptedDiscovery) {},
+		0,
+	},
 	"refused": {func(dir *scriptedDiscovery) { dir.set(func() { dir.down = true }); dir.resetConnections() },
 		func(dir *scriptedDiscovery) { dir.set(func() { dir.down = false }) }, 0},
-	"refused, overbooked": {func(dir *scriptedDiscovery) { dir.set(func() { dir.down = true }); dir.resetConnections() },
-		func(dir *scriptedDiscovery) { dir.set(func() { dir.down = false }) }, 2 * time.Second},
+	"refused, overbooked": {
+		func(dir *scriptedDiscovery) { dir.set(func() { dir.down = true }); dir.resetConnections() },
+		func(dir *scriptedDiscovery) { dir.set(func() { dir.down = false }) },
+		2 * time.Second,
+	},
 	"refused late": {func(dir *scriptedDiscovery) {
 		dir.set(func() { dir.down, dir.queueDelay = true, time.Second })
 		dir.resetConnections()
 	},
 		func(dir *scriptedDiscovery) { dir.set(func() { dir.down, dir.queueDelay = false, 0 }) }, 0},
-	"hanging": {func(dir *scriptedDiscovery) { dir.setResponsive(false); dir.resetConnections() }, func(dir *scriptedDiscovery) { dir.setResponsive(true) }, 0},
+	"hanging": {
+		func(dir *scriptedDiscovery) { dir.setResponsive(false); dir.resetConnections() },
+		func(dir *scriptedDiscovery) { dir.setResponsive(true) },
+		0,
+	},
 	"hanging, overbooked": {func(dir *scriptedDiscovery) { dir.setResponsive(false); dir.resetConnections() },
 		func(dir *scriptedDiscovery) { dir.setResponsive(true) }, 2 * time.Second},
 }
@@ -75,7 +94,11 @@
 						reached := time.Now()
 						for !unreachable(l, "s-1") {
 							if took := time.Since(reached); took > within {
-								t.Fatalf("seed %d: a change is not heard of %v after discovery could be reached", seed, took)
+								t.Fatalf(
+									"seed %d: a change is not heard of %v after discovery could be reached",
+									seed,
+									took,
+								)
 							}
 							time.Sleep(20 * time.Millisecond)
 						}
--- a/internal/sidecar/recorder_test.go
+++ b/internal/sidecar/recorder_test.go
@@ -46,7 +46,13 @@
 	s.record(func() { s.lists = append(s.lists, kind) })
 }
 
-func (s *balancerRecorder) HandleProbe(now balancer.Micros, id uint32, status balancer.Status, latency balancer.Micros, load []float32) {
+func (s *balancerRecorder) HandleProbe(
+	now balancer.Micros,
+	id uint32,
+	status balancer.Status,
+	latency balancer.Micros,
+	load []float32,
+) {
 	s.record(func() { s.probes, s.loads = append(s.probes, status), append(s.loads, load) })
 	s.decider.HandleProbe(now, id, status, latency, load)
 }
--- a/internal/sidecar/reload_test.go
+++ b/internal/sidecar/reload_test.go
@@ -93,7 +93,10 @@
 	}
 	check("with a class more", map[string]int{"search": 200, "read": 200, "pay": 200, "order": 200})
 	w.reload(func(s map[string]any) { withoutClass("pay")(s); slices.Reverse(classes(s)) })
-	check("with two classes less, and the others reversed", map[string]int{"search": 400, "read": 200, "pay": 400, "close": 200, "order": 200})
+	check(
+		"with two classes less, and the others reversed",
+		map[string]int{"search": 400, "read": 200, "pay": 400, "close": 200, "order": 200},
+	)
 	tenants := func(names ...string) func(map[string]any) {
 		return func(s map[string]any) {
 			var list []any
@@ -217,7 +220,12 @@
 					}
 				}
 			}
-			w := start(t, nil, ready("s-1", sidecartest.NewEndpoint(t, serve).Address), ready("s-2", sidecartest.NewEndpoint(t, serve).Address))
+			w := start(
+				t,
+				nil,
+				ready("s-1", sidecartest.NewEndpoint(t, serve).Address),
+				ready("s-2", sidecartest.NewEndpoint(t, serve).Address),
+			)
 			dialling, goOn := make(chan struct{}), make(chan struct{})
 			w.runInLoop(func() {
 				w.loop.upstream.Dialer.Control = func(string, string, syscall.RawConn) error {
@@ -257,7 +265,8 @@
 		next.Name, next.Listen, next.Seed, next.Limits.MemoryMB = "n1", "127.0.0.1:1", 7, 64
 		w.loop.reload(&next)
 	})
-	if !strings.Contains(log, `needs_restart="[name listen seed limits.memory_mb]"`) || w.loop.current.Load() != first ||
+	if !strings.Contains(log, `needs_restart="[name listen seed limits.memory_mb]"`) ||
+		w.loop.current.Load() != first ||
 		strings.Count(log, "\n") != 1 {
 		t.Errorf("logged %q", log)
 	}
@@ -327,7 +336,10 @@
 		t.Errorf("response %+v", got)
 	}
 	counts := w.captureLog(func() { w.loop.logStats(w.loop.clock.now()) })
-	if want := fmt.Sprintf("generation=1 hash=%s reloads=0 reloads_rejected=%d", first.FileHash, tried); !strings.Contains(counts, want) {
+	if want := fmt.Sprintf("generation=1 hash=%s reloads=0 reloads_rejected=%d", first.FileHash, tried); !strings.Contains(
+		counts,
+		want,
+	) {
 		t.Errorf("counts %q, want %q", counts, want)
 	}
 }
@@ -374,7 +386,8 @@
 			t.Errorf("a report that was read by the old fields tells %v", load)
 		}
 	})
-	if len(before) != 2 || before[1] != after[1] || before[2] != after[2] || !w.loop.endpoints.overrides["s-2"].Cordoned {
+	if len(before) != 2 || before[1] != after[1] || before[2] != after[2] ||
+		!w.loop.endpoints.overrides["s-2"].Cordoned {
 		t.Errorf("endpoints %+v, were %+v", after, before)
 	}
 	if watch != same || w.discovery.count() != 2 {
@@ -383,7 +396,8 @@
 	if got, want := w.loop.upstream.Limits(), (upstream.ConnectionLimits{DialTimeout: 7 * time.Millisecond, MaxIdle: 3 * time.Millisecond, MaxConnections: maxConnections(&next)}); got != want {
 		t.Errorf("limits %+v, want %+v", got, want)
 	}
-	if connections, used := w.server.clients.Limits(); connections != maxConnections(&next) || used != 128/crowdedDivisor {
+	if connections, used := w.server.clients.Limits(); connections != maxConnections(&next) ||
+		used != 128/crowdedDivisor {
 		t.Errorf("%d connections of clients, %d used", connections, used)
 	}
 }
--- a/internal/sidecar/scripteddiscovery_test.go
+++ b/internal/sidecar/scripteddiscovery_test.go
@@ -223,8 +223,12 @@
 // newScriptedDiscovery starts a discovery that lists one endpoint, and returns how to dial it.
 func newScriptedDiscovery(t *testing.T) (*scriptedDiscovery, dialer) {
 	listener := newPipes()
-	dir := &scriptedDiscovery{list: discovery.List{Seq: 1, Whole: true, Hosts: []discovery.Entry{ready("s-1", "127.0.0.1:1")}},
-		silencing: make(chan struct{}), resetting: make(chan struct{}), changed: make(chan struct{})}
+	dir := &scriptedDiscovery{
+		list:      discovery.List{Seq: 1, Whole: true, Hosts: []discovery.Entry{ready("s-1", "127.0.0.1:1")}},
+		silencing: make(chan struct{}),
+		resetting: make(chan struct{}),
+		changed:   make(chan struct{}),
+	}
 	server := &http.Server{Handler: dir, ErrorLog: slog.NewLogLogger(slog.DiscardHandler, slog.LevelError)}
 	go server.Serve(listener)
 	t.Cleanup(func() {
--- a/internal/sidecar/sendgate_test.go
+++ b/internal/sidecar/sendgate_test.go
@@ -32,7 +32,11 @@
 	go func() { answer <- w.send(w.request("pay", "x", time.Minute)) }()
 	w.await("the first attempt", func() bool { n, _ := broken.Seen(); return n == 1 })
 	w.discovery.change(func() {
-		w.discovery.list = discovery.List{Seq: 1, Whole: true, Hosts: []discovery.Entry{ready("s-1", broken.Address), ready("s-2", slow.Address)}}
+		w.discovery.list = discovery.List{
+			Seq:   1,
+			Whole: true,
+			Hosts: []discovery.Entry{ready("s-1", broken.Address), ready("s-2", slow.Address)},
+		}
 	})
 	w.await("the change", func() bool {
 		var n int
@@ -58,7 +62,11 @@
 	for name, may := range map[string]bool{"may cancel": true, "may not cancel": false} {
 		t.Run(name, func(t *testing.T) {
 			e := newServingEndpoint(t)
-			w := start(t, func(s map[string]any) { s["limits"].(map[string]any)["cancel"] = may }, ready("s-1", e.Address))
+			w := start(
+				t,
+				func(s map[string]any) { s["limits"].(map[string]any)["cancel"] = may },
+				ready("s-1", e.Address),
+			)
 			dial := sidecartest.BlockDials(&w.loop.upstream.Dialer, e.Address)
 			conn := w.dial()
 			w.request("pay", "x", time.Minute).Write(conn)
--- a/internal/sidecar/shutdown_test.go
+++ b/internal/sidecar/shutdown_test.go
@@ -20,7 +20,11 @@
 
 // startTerminating starts a sidecar with one endpoint. closeAdmission begins its shutdown and waits until admission is
 // closed.
-func startTerminating(t *testing.T, serve func(*sidecartest.Endpoint, net.Conn, *bufio.Reader), clientTimeout time.Duration) (w *harness, e *sidecartest.Endpoint, closeAdmission func()) {
+func startTerminating(
+	t *testing.T,
+	serve func(*sidecartest.Endpoint, net.Conn, *bufio.Reader),
+	clientTimeout time.Duration,
+) (w *harness, e *sidecartest.Endpoint, closeAdmission func()) {
 	t.Helper()
 	e = sidecartest.NewEndpoint(t, serve)
 	w = start(t, func(s map[string]any) {
@@ -205,7 +209,11 @@
 	answer := make(chan struct{})
 	e := sidecartest.NewEndpoint(t, sidecartest.PayWaits(answer))
 	listener := &sidecartest.FaultyListener{}
-	w := startWithListener(t, func(inner net.Listener) net.Listener { listener.Listener = inner; return listener }, ready("s-1", e.Address))
+	w := startWithListener(
+		t,
+		func(inner net.Listener) net.Listener { listener.Listener = inner; return listener },
+		ready("s-1", e.Address),
+	)
 	w.server.drainPeriod = 0
 	got := make(chan reply)
 	go func() { got <- w.send(w.request("pay", "x", time.Minute)) }()
--- a/internal/sidecar/sidecar_test.go
+++ b/internal/sidecar/sidecar_test.go
@@ -79,7 +79,14 @@
 			w := start(t, nil, ready("s-1", e.Address), second)
 			got := w.send(w.request(c.class, "x", 3*time.Second))
 			if n, _ := e.Seen(); got.code != c.code || n != c.attempts || got.err != nil {
-				t.Errorf("response %d (%v) after %d attempts, want %d after %d", got.code, got.err, n, c.code, c.attempts)
+				t.Errorf(
+					"response %d (%v) after %d attempts, want %d after %d",
+					got.code,
+					got.err,
+					n,
+					c.code,
+					c.attempts,
+				)
 			}
 			if got.code == http.StatusOK && got.body != "done" {
 				t.Errorf("body %q", got.body)
@@ -310,7 +317,11 @@
 	draining := ready("s-1", first.Address)
 	draining.Health = "Terminating"
 	w.discovery.change(func() {
-		w.discovery.list = discovery.List{Seq: 1, Whole: true, Hosts: []discovery.Entry{draining, ready("s-2", second.Address)}}
+		w.discovery.list = discovery.List{
+			Seq:   1,
+			Whole: true,
+			Hosts: []discovery.Entry{draining, ready("s-2", second.Address)},
+		}
 	})
 	w.await("the change", func() bool {
 		moved := false
--- a/internal/sidecar/stages_test.go
+++ b/internal/sidecar/stages_test.go
@@ -9,7 +9,12 @@
 
 // The stages of a request that its first attempt served are counted; those of one that took two attempts are not.
 func TestStagesOfServedRequests(t *testing.T) {
-	served, turnsAway := newServingEndpoint(t), sidecartest.NewEndpoint(t, sidecartest.FirstThen(sidecartest.TurnedAway, sidecartest.Served))
+	served, turnsAway := newServingEndpoint(
+		t,
+	), sidecartest.NewEndpoint(
+		t,
+		sidecartest.FirstThen(sidecartest.TurnedAway, sidecartest.Served),
+	)
 	for _, test := range []struct {
 		endpoint *sidecartest.Endpoint
 		counted  uint64
--- a/internal/sidecar/stream_test.go
+++ b/internal/sidecar/stream_test.go
@@ -47,7 +47,8 @@
 			})
 			w := start(t, nil, ready("s-1", e.Address))
 			for range 2 {
-				if got := w.send(w.request("read", "", time.Minute)); got.code != 200 || got.body != body || got.err != nil {
+				if got := w.send(w.request("read", "", time.Minute)); got.code != 200 || got.body != body ||
+					got.err != nil {
 					t.Errorf("response %d of %d bytes, %v", got.code, len(got.body), got.err)
 				}
 				// The client has the last byte a little sooner than the endpoint's connection is given back.
@@ -117,7 +118,11 @@
 			})
 			w := start(t, nil, ready("s-1", e.Address))
 			conn := w.dial()
-			fmt.Fprintf(conn, "GET /read HTTP/%s\r\nHost: a\r\nX-Service-Class: read\r\nX-Time-Left-Ms: 9000\r\nX-Correlation-Id: 1\r\n\r\n", c.version)
+			fmt.Fprintf(
+				conn,
+				"GET /read HTTP/%s\r\nHost: a\r\nX-Service-Class: read\r\nX-Time-Left-Ms: 9000\r\nX-Correlation-Id: 1\r\n\r\n",
+				c.version,
+			)
 			response, err := http.ReadResponse(bufio.NewReader(conn), nil)
 			if err != nil || response.StatusCode != 200 {
 				t.Fatalf("%v, %v", response, err)
--- a/internal/sidecar/syscalls_test.go
+++ b/internal/sidecar/syscalls_test.go
@@ -28,7 +28,11 @@
 		}
 	})
 	listener := &sidecartest.FaultyListener{}
-	w := startWithListener(t, func(inner net.Listener) net.Listener { listener.Listener = inner; return listener }, ready("s-1", e.Address))
+	w := startWithListener(
+		t,
+		func(inner net.Listener) net.Listener { listener.Listener = inner; return listener },
+		ready("s-1", e.Address),
+	)
 	const failures = 100 // with acceptPause after each, over 0.5 s
 	listener.Fail(slices.Repeat([]error{syscall.ENFILE}, failures))
 	w.dial() // may still be taken by the accept that is under way
@@ -61,7 +65,13 @@
 	dial := sidecartest.BlockDials(&w.loop.upstream.Dialer, e.Address)
 	conn := w.dial()
 	go func() {
-		fmt.Fprintf(conn, "%sX-Correlation-Id: 1\r\nContent-Length: %d\r\n\r\n%s", sidecartest.PayHead, 2*httpmsg.MaxBufferedBytes, strings.Repeat("x", 2*httpmsg.MaxBufferedBytes))
+		fmt.Fprintf(
+			conn,
+			"%sX-Correlation-Id: 1\r\nContent-Length: %d\r\n\r\n%s",
+			sidecartest.PayHead,
+			2*httpmsg.MaxBufferedBytes,
+			strings.Repeat("x", 2*httpmsg.MaxBufferedBytes),
+		)
 		conn.Close()
 	}()
 	<-dial.Begun
--- a/internal/sidecar/upload_test.go
+++ b/internal/sidecar/upload_test.go
@@ -109,7 +109,11 @@
 			e := sidecartest.NewEndpoint(t, checksumBody)
 			w := start(t, nil, ready("s-1", e.Address))
 			began := time.Now()
-			if got := w.raw(sidecartest.PayHead + "X-Correlation-Id: 1\r\n" + c.framed); !strings.HasPrefix(got, c.want) || strings.Contains(got, " 200 ") {
+			if got := w.raw(sidecartest.PayHead + "X-Correlation-Id: 1\r\n" + c.framed); !strings.HasPrefix(
+				got,
+				c.want,
+			) ||
+				strings.Contains(got, " 200 ") {
 				t.Errorf("got %q, want %q", got, c.want)
 			}
 			if took := time.Since(began); took > sidecartest.Patience/2 {
@@ -155,7 +159,13 @@
 		} {
 			id++
 			conn := w.dial().(*net.TCPConn)
-			fmt.Fprintf(conn, "%sX-Correlation-Id: %d\r\nTransfer-Encoding: chunked\r\n\r\n%s", sidecartest.PayHead, id, part)
+			fmt.Fprintf(
+				conn,
+				"%sX-Correlation-Id: %d\r\nTransfer-Encoding: chunked\r\n\r\n%s",
+				sidecartest.PayHead,
+				id,
+				part,
+			)
 			leave(conn)
 			if got, _ := io.ReadAll(conn); len(got) > 0 && !strings.HasPrefix(string(got), "HTTP/1.1 400") {
 				t.Errorf("a client that %s %s got %q", end, what, got)
@@ -182,7 +192,13 @@
 			})
 			w := start(t, nil, ready("s-1", e.Address))
 			conn := w.dial()
-			fmt.Fprintf(conn, "%sX-Correlation-Id: 1\r\nContent-Length: %d\r\n\r\n%s", sidecartest.PayHead, large, strings.Repeat("x", 2*httpmsg.MaxBufferedBytes))
+			fmt.Fprintf(
+				conn,
+				"%sX-Correlation-Id: 1\r\nContent-Length: %d\r\n\r\n%s",
+				sidecartest.PayHead,
+				large,
+				strings.Repeat("x", 2*httpmsg.MaxBufferedBytes),
+			)
 			in := bufio.NewReader(conn)
 			response, err := http.ReadResponse(in, nil)
 			if err != nil || response.StatusCode != 503 || response.Header.Get("Retry-After") == "" || !response.Close {
--- a/internal/sidecar/watch_test.go
+++ b/internal/sidecar/watch_test.go
@@ -44,7 +44,12 @@
 }
 
 // startWatchingWith is startWatching with a configuration that the test has changed.
-func startWatchingWith(t *testing.T, dial dialer, change func(*config.Config), alter func(settings map[string]any)) *loop {
+func startWatchingWith(
+	t *testing.T,
+	dial dialer,
+	change func(*config.Config),
+	alter func(settings map[string]any),
+) *loop {
 	t.Helper()
 	cfg := configure(t, "127.0.0.1:1", alter, ready("s-1", "127.0.0.1:1"))
 	cfg.KnownEndpoints.Seq, cfg.DiscoveryDial = 1, dial
@@ -116,7 +121,14 @@
 					if unreachable(l, "s-1") {
 						t.Fatal("nothing may go to the endpoint before the change was heard of")
 					}
-					requireDrained(t, l, slices.MaxFunc([]time.Time{fell.Add(silentLimit), open.at.Add(open.wait + waitedLimit)}, time.Time.Compare))
+					requireDrained(
+						t,
+						l,
+						slices.MaxFunc(
+							[]time.Time{fell.Add(silentLimit), open.at.Add(open.wait + waitedLimit)},
+							time.Time.Compare,
+						),
+					)
 				})
 			})
 		}
@@ -137,7 +149,8 @@
 				calls := slices.Clone(dir.calls)
 				dir.mu.Unlock()
 				for _, c := range calls[1:] {
-					if waits[c.wait] = true; c.wait < 1500*time.Millisecond || c.wait > 2*time.Second || c.wait+discovery.WatchGrace > within {
+					if waits[c.wait] = true; c.wait < 1500*time.Millisecond || c.wait > 2*time.Second ||
+						c.wait+discovery.WatchGrace > within {
 						t.Errorf("a call waits %v where a list may be %v old", c.wait, within)
 					}
 				}
