--- a/internal/sidecar/clients_test.go
+++ b/internal/sidecar/clients_test.go
@@ -11,11 +11,14 @@
 	"testing"
 	"time"
 
+	"oakproxy/internal/admin"
+	"oakproxy/internal/discovery"
+	"oakproxy/internal/downstream"
 	"oakproxy/internal/httpmsg"
 	"oakproxy/internal/sidecartest"
 )
 
-func (w *world) dial() net.Conn {
+func (w *harness) dial() net.Conn {
 	w.t.Helper()
 	conn, err := net.Dial("tcp", strings.TrimPrefix(w.url, "http://"))
 	if err != nil {
@@ -27,22 +30,21 @@
 }
 
 // raw sends bytes on a new connection and returns all that comes until its end.
-func (w *world) raw(text string) string {
+func (w *harness) raw(text string) string {
 	w.t.Helper()
 	conn := w.dial()
 	io.WriteString(conn, text)
 	got, err := io.ReadAll(conn)
-	if e, ok := err.(net.Error); ok && e.Timeout() {
+	if timedOut(err) {
 		w.t.Errorf("the connection stays open; so far: %q", got)
 	}
 	return string(got)
 }
 
-// A request can hide in the body of one whose length is stated in two ways. The
-// head that decides is turned away, and nothing behind it is ever read as a
-// request. net/http shows its handlers no trace of the second length.
-func TestNoRequestHidesInABody(t *testing.T) {
-	e := sidecartest.NewEndpoint(t, sidecartest.Always(sidecartest.Served))
+// A second request can be smuggled in the body of one whose length is framed in two ways. The request is rejected by
+// its head, and nothing behind it is read as a request. net/http does not show its handlers the second length.
+func TestRequestSmuggledInABodyIsNotServed(t *testing.T) {
+	e := newServingEndpoint(t)
 	w := start(t, nil, ready("s-1", e.Address))
 	hidden := sidecartest.ReadHead + "X-Correlation-Id: 2\r\n\r\n"
 	body := "0\r\n\r\n" + hidden
@@ -52,7 +54,8 @@
 		"in small print": fmt.Sprintf("transfer-encoding:chunked\ncontent-length:%d\n", len(body)),
 	} {
 		got := w.raw(sidecartest.PayHead + "X-Correlation-Id: 1\r\n" + head + "\r\n" + body)
-		if strings.Count(got, "HTTP/1.1") != 1 || !strings.HasPrefix(got, "HTTP/1.1 400") || !strings.Contains(got, "Transfer-Encoding") {
+		if strings.Count(got, "HTTP/1.1") != 1 || !strings.HasPrefix(got, "HTTP/1.1 400") ||
+			!strings.Contains(got, "Transfer-Encoding") {
 			t.Errorf("%s: got %q", name, got)
 		}
 	}
@@ -65,7 +68,15 @@
 	} else {
 		io.Copy(io.Discard, response.Body)
 	}
-	io.WriteString(conn, fmt.Sprintf("\r\n%sX-Correlation-Id: 4\r\nContent-Length: %d\r\nTransfer-Encoding: chunked\r\n\r\n%s", sidecartest.PayHead, len(body), body))
+	io.WriteString(
+		conn,
+		fmt.Sprintf(
+			"\r\n%sX-Correlation-Id: 4\r\nContent-Length: %d\r\nTransfer-Encoding: chunked\r\n\r\n%s",
+			sidecartest.PayHead,
+			len(body),
+			body,
+		),
+	)
 	rest, _ := io.ReadAll(in)
 	if strings.Count(string(rest), "HTTP/1.1") != 1 || !strings.HasPrefix(string(rest), "HTTP/1.1 400") {
 		t.Errorf("after an empty line: got %q", rest)
@@ -75,10 +86,10 @@
 	}
 }
 
-// A body in chunks alone is good HTTP/1.1 and is served. Its connection ends
-// with it, as it does where more came than the one request.
-func TestChunkedAndCrowdedRequests(t *testing.T) {
-	e := sidecartest.NewEndpoint(t, sidecartest.Always(sidecartest.Served))
+// A body in chunks is valid HTTP/1.1 and is served. Its connection ends with the response, as it does where more than
+// the one request came.
+func TestChunkedAndPipelinedRequests(t *testing.T) {
+	e := newServingEndpoint(t)
 	w := start(t, nil, ready("s-1", e.Address))
 	for name, text := range map[string]string{
 		"chunked": sidecartest.PayHead + "X-Correlation-Id: 1\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nbody\r\n0\r\n\r\n",
@@ -100,9 +111,9 @@
 	}
 }
 
-// What can't be a request is turned away before its body is read, or closed on.
-func TestRubbish(t *testing.T) {
-	e := sidecartest.NewEndpoint(t, sidecartest.Always(sidecartest.Served))
+// What is no valid request is rejected before its body is read, or its connection is closed.
+func TestInvalidRequestsAreRejected(t *testing.T) {
+	e := newServingEndpoint(t)
 	w := start(t, nil, ready("s-1", e.Address))
 	for name, c := range map[string]struct{ text, want string }{
 		"a length beyond the limit": {sidecartest.PayHead + "X-Correlation-Id: 1\r\nContent-Length: 3000000000\r\n\r\n", "HTTP/1.1 413"},
@@ -115,7 +126,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			if got := w.raw(c.text); !strings.HasPrefix(got, c.want) && got != "" { // a reset may swallow the answer
+			if got := w.raw(c.text); !strings.HasPrefix(got, c.want) && got != "" { // a reset may discard the response
 				t.Errorf("got %q, want %s", got, c.want)
 			}
 		})
@@ -127,11 +138,10 @@
 	})
 }
 
-// A client that is still sending its body when it is turned away can send it to
-// the end, within the limit, and then finds its answer and not a reset. Asking
-// for its connection to be closed changes nothing of that.
-func TestTurnedAwayWhileSending(t *testing.T) {
-	e := sidecartest.NewEndpoint(t, sidecartest.Always(sidecartest.Served))
+// A client that is rejected while it still sends its body can send it to the end, within the limit, and then reads its
+// response and not a reset. Asking for Connection: close changes nothing of that.
+func TestClientRejectedWhileSendingReadsItsResponse(t *testing.T) {
+	e := newServingEndpoint(t)
 	w := start(t, nil, ready("s-1", e.Address))
 	for _, c := range []struct {
 		name, head string
@@ -140,11 +150,11 @@
 	}{
 		{"too large", sidecartest.PayHead + "X-Correlation-Id: 1\r\n", httpmsg.MaxBodyBytes + 1, http.StatusRequestEntityTooLarge, false},
 		{"bad hint", sidecartest.PayHead + "X-Correlation-Id: 2\r\nX-Weight-Hint: -1\r\n", httpmsg.MaxBufferedBytes, http.StatusBadRequest, false},
-		{"no room", sidecartest.PayHead + "X-Correlation-Id: 3\r\n", httpmsg.MaxBufferedBytes, http.StatusServiceUnavailable, true},
+		{"no memory", sidecartest.PayHead + "X-Correlation-Id: 3\r\n", httpmsg.MaxBufferedBytes, http.StatusServiceUnavailable, true},
 	} {
-		taken := w.loop.up.Bodies.Used.Load()
+		taken := w.loop.upstream.Bodies.Used.Load()
 		if c.full {
-			w.loop.up.Bodies.Used.Add(int64(w.loop.cfg.Limits.MemoryMB) << 20)
+			w.loop.upstream.Bodies.Used.Add(int64(w.loop.cfg.Limits.MemoryMB) << 20)
 		}
 		conn := w.dial()
 		in := bufio.NewReader(conn)
@@ -164,10 +174,10 @@
 			t.Errorf("%s: the end of the connection: %v", c.name, err)
 		}
 		if c.full {
-			w.loop.up.Bodies.Used.Add(-int64(w.loop.cfg.Limits.MemoryMB) << 20)
+			w.loop.upstream.Bodies.Used.Add(-int64(w.loop.cfg.Limits.MemoryMB) << 20)
 		}
-		if held := w.loop.up.Bodies.Used.Load(); held != taken {
-			t.Errorf("%s: %d bytes are still held", c.name, held-taken)
+		if reserved := w.loop.upstream.Bodies.Used.Load(); reserved != taken {
+			t.Errorf("%s: %d bytes are still reserved", c.name, reserved-taken)
 		}
 	}
 	if n, _ := e.Seen(); n != 0 {
@@ -175,15 +185,15 @@
 	}
 }
 
-// Clients that say nothing, too little, or nothing more are closed on in time.
-// 3 s are the most that they may stay, so 2.9 s is what the limits are held to.
-func TestSilentClientsAreClosed(t *testing.T) {
+// Connections of clients that send nothing, too slowly, or nothing more are closed in time. They may stay for 3 s at
+// most, so the limits must add up to 2.9 s.
+func TestIdleAndSlowClientsAreClosed(t *testing.T) {
 	for _, limit := range []time.Duration{readTimeout, idleTimeout} {
 		if limit < 2*time.Second || limit > 2900*time.Millisecond {
 			t.Errorf("limit of %v", limit)
 		}
 	}
-	e := sidecartest.NewEndpoint(t, sidecartest.Always(sidecartest.Served))
+	e := newServingEndpoint(t)
 	w := start(t, nil, ready("s-1", e.Address))
 	for name, c := range map[string]struct{ text, want string }{
 		"nothing":          {"", ""},
@@ -200,9 +210,9 @@
 	}
 }
 
-// The deadline for reading a request must be gone once it is read: net/http
-// takes its passing for the client's going and ends the request's context.
-func TestAnswerLaterThanTheReadTimeout(t *testing.T) {
+// The read deadline must be cleared once a request is read: net/http takes its passing for a disconnect and ends the
+// request's context.
+func TestResponseLaterThanTheReadTimeout(t *testing.T) {
 	t.Parallel()
 	e := sidecartest.NewEndpoint(t, func(e *sidecartest.Endpoint, conn net.Conn, in *bufio.Reader) {
 		for e.Next(in) != nil {
@@ -218,8 +228,8 @@
 	}
 }
 
-// An id that is open here belongs to that request alone.
-func TestSecondRequestWithAnOpenID(t *testing.T) {
+// A request is rejected while another one with its correlation id is open.
+func TestDuplicateCorrelationIDIsRejected(t *testing.T) {
 	answer := make(chan struct{})
 	e := sidecartest.NewEndpoint(t, func(e *sidecartest.Endpoint, conn net.Conn, in *bufio.Reader) {
 		for e.Next(in) != nil {
@@ -230,7 +240,7 @@
 	w := start(t, nil, ready("s-1", e.Address))
 	first, same := make(chan reply), w.request("pay", "", time.Minute)
 	go func() { first <- w.send(same.Clone(context.Background())) }()
-	w.until("the first to be taken", func() bool { n, _ := e.Seen(); return n == 1 })
+	w.await("the first to be taken", func() bool { n, _ := e.Seen(); return n == 1 })
 	if got := w.send(same.Clone(context.Background())); got.code != http.StatusConflict {
 		t.Errorf("the second: %+v", got)
 	}
@@ -243,29 +253,31 @@
 	}
 }
 
-// Silent connections must not keep others out, nor use up the descriptors that
-// attempts need: beyond the limit the longest silent one is closed. One with a
-// request open is not.
-func TestConnectionsOfClientsAreBounded(t *testing.T) {
+// Silent connections must neither keep others out nor use up the descriptors that attempts need: beyond the limit the
+// longest silent one is closed, but none with a request open.
+func TestClientConnectionsAreLimited(t *testing.T) {
 	answer := make(chan struct{})
 	e := sidecartest.NewEndpoint(t, sidecartest.PayWaits(answer))
 	w := start(t, nil, ready("s-1", e.Address))
 	first := make(chan reply)
 	go func() { first <- w.send(w.request("pay", "x", time.Minute)) }()
-	w.until("the first to be taken", func() bool { n, _ := e.Seen(); return n == 1 })
-	w.until("other connections to end", func() bool { return w.server.clients.Count() == 1 })
+	w.await("the first to be taken", func() bool { n, _ := e.Seen(); return n == 1 })
+	w.await("other connections to end", func() bool { return w.server.clients.Count() == 1 })
 	oldest := w.dial()
-	w.until("the oldest", func() bool { return w.server.clients.Count() == 2 })
+	w.await("the oldest", func() bool { return w.server.clients.Count() == 2 })
 	for range w.server.clients.MaxConnections - 2 {
 		w.dial()
 	}
-	w.until("all room to be taken", func() bool { return w.server.clients.Count() == w.server.clients.MaxConnections })
+	w.await(
+		"all connections to be taken",
+		func() bool { return w.server.clients.Count() == w.server.clients.MaxConnections },
+	)
 	if got := w.send(w.request("read", "", 3*time.Second)); got.code != http.StatusOK {
 		t.Errorf("beyond the limit: %+v", got)
 	}
 	if _, err := oldest.Read(make([]byte, 1)); err == nil {
 		t.Error("the longest silent connection can still be read")
-	} else if e, ok := err.(net.Error); ok && e.Timeout() {
+	} else if timedOut(err) {
 		t.Error("the longest silent connection stays open")
 	}
 	if n := w.server.clients.Count(); n > w.server.clients.MaxConnections {
@@ -277,15 +289,15 @@
 	}
 }
 
-// Clients that ask once and keep the connection must not hold all that clients
-// may have: beyond a part of it, an answer ends its connection.
-func TestAnswersEndConnectionsWhenCrowded(t *testing.T) {
-	e := sidecartest.NewEndpoint(t, sidecartest.Always(sidecartest.Served))
+// Clients that send one request and keep the connection must not hold all connections: beyond a part of them, a
+// response ends its connection.
+func TestResponsesCloseConnectionsWhenCrowded(t *testing.T) {
+	e := newServingEndpoint(t)
 	w := start(t, nil, ready("s-1", e.Address))
-	w.until("other connections to end", func() bool { return w.server.clients.Count() == 0 })
+	w.await("other connections to end", func() bool { return w.server.clients.Count() == 0 })
 	const maxAsked = 3 // few enough for all requests to come before a connection has been idle for long
-	most, _ := w.server.clients.Limits()
-	w.server.clients.SetLimits(most, maxAsked)
+	limit, _ := w.server.clients.Limits()
+	w.server.clients.SetLimits(limit, maxAsked)
 	for i := range maxAsked + 3 {
 		conn := w.dial()
 		w.request("read", "", time.Minute).Write(conn)
@@ -297,22 +309,89 @@
 			t.Fatalf("request %d: Connection: close %v, want %v", i, response.Close, want)
 		}
 		if response.Close {
-			w.until("the end of the connection", func() bool { return w.server.clients.Count() == w.server.clients.MaxUsed })
+			w.await(
+				"the end of the connection",
+				func() bool { return w.server.clients.Count() == w.server.clients.MaxUsed },
+			)
 		}
 	}
 }
 
-// Bodies are bounded together: what is too much is refused before it is read.
-func TestBodiesAreBounded(t *testing.T) {
-	e := sidecartest.NewEndpoint(t, sidecartest.Always(sidecartest.Served))
+// The memory for bodies is limited: a request beyond it is rejected before its body is read.
+func TestBodyMemoryIsLimited(t *testing.T) {
+	e := newServingEndpoint(t)
 	w := start(t, nil, ready("s-1", e.Address))
-	w.loop.up.Bodies.Used.Add(int64(w.loop.cfg.Limits.MemoryMB) << 20 / bodiesPart)
-	if got := w.send(w.request("pay", "x", 3*time.Second)); got.code != http.StatusServiceUnavailable || got.header.Get("Retry-After") == "" {
+	w.loop.upstream.Bodies.Used.Add(int64(w.loop.cfg.Limits.MemoryMB) << 20 / bodyMemoryDivisor)
+	if got := w.send(w.request("pay", "x", 3*time.Second)); got.code != http.StatusServiceUnavailable ||
+		got.header.Get("Retry-After") == "" {
 		t.Errorf("beyond the limit: %+v", got)
 	}
-	w.loop.up.Bodies.Used.Store(0)
+	w.loop.upstream.Bodies.Used.Store(0)
 	if got := w.send(w.request("pay", "x", 3*time.Second)); got.code != http.StatusOK {
-		t.Errorf("with room again: %+v", got)
+		t.Errorf("with memory again: %+v", got)
+	}
+	w.await("the bodies to be given back", func() bool { return w.loop.upstream.Bodies.Used.Load() == 0 })
+}
+
+// Idle clients may hold all client connections while discovery is down. When it is back its list applies, and requests
+// go to the endpoints that it lists.
+func TestIdleClientsDoNotStarveDiscovery(t *testing.T) {
+	first, second := newServingEndpoint(t), newServingEndpoint(t)
+	w := start(t, nil, ready("s-1", first.Address))
+	w.await("the watch", func() bool { return w.discovery.count() >= 2 })
+	w.discovery.change(func() { w.discovery.down = true })
+	// Clients that come again at once when they are closed.
+	end, ended := make(chan struct{}), make(chan struct{})
+	n := w.server.clients.MaxConnections + 2*downstream.MaxRejected
+	for range n {
+		go func() {
+			defer func() { ended <- struct{}{} }()
+			for {
+				conn, err := net.Dial("tcp", strings.TrimPrefix(w.url, "http://"))
+				if err != nil {
+					t.Error(err)
+					return
+				}
+				over := make(chan struct{})
+				go func() {
+					select {
+					case <-end:
+					case <-over:
+					}
+					conn.Close()
+				}()
+				conn.Read(make([]byte, 1)) // until the sidecar closes it
+				close(over)
+				select {
+				case <-end:
+					return
+				case <-time.After(10 * time.Millisecond): // each is one of many: none may turn into a flood
+				}
+			}
+		}()
+	}
+	w.await(
+		"all connections to be taken",
+		func() bool { return w.server.clients.Count() >= w.server.clients.MaxConnections },
+	)
+	w.discovery.change(func() {
+		w.discovery.down = false
+		w.discovery.list = discovery.List{Seq: 1, Whole: true, Hosts: []discovery.Entry{ready("s-2", second.Address)}}
+	})
+	w.await("a request at the new endpoint", func() bool {
+		w.send(w.request("read", "", 3*time.Second))
+		requests, _ := second.Seen()
+		return requests > 0
+	})
+	limit := w.loop.cfg.Limits.Sockets
+	if own := 2*w.server.clients.MaxConnections + downstream.MaxRejected + admin.MaxConnections + 4; own > limit {
+		t.Errorf("clients, endpoints and operators may take %d descriptors of %d", own, limit)
+	}
+	if open := w.server.clients.Count(); open > w.server.clients.MaxConnections+downstream.MaxRejected {
+		t.Errorf("%d connections of clients, limit %d", open, w.server.clients.MaxConnections)
+	}
+	close(end)
+	for range n {
+		<-ended
 	}
-	w.until("the bodies to be given back", func() bool { return w.loop.up.Bodies.Used.Load() == 0 })
 }
--- a/internal/sidecar/close_test.go
+++ b/internal/sidecar/extrabytes_test.go
@@ -11,9 +11,9 @@
 	"oakproxy/internal/sidecartest"
 )
 
-// A client that sends something behind its request and leaves has gone, however much that
-// was, though net/http reads one byte of it and no end.
-func TestClientThatLeavesBehindMoreBytes(t *testing.T) {
+// A client that sends extra bytes after its request and disconnects is noticed, however many they are, though net/http
+// reads one of them and no end.
+func TestClientThatLeavesAfterExtraBytesIsNoticed(t *testing.T) {
 	for what, c := range map[string]struct{ with, later string }{
 		"one byte with the request":        {"x", ""},
 		"a request with the request":       {sidecartest.ReadHead + "X-Correlation-Id: 99\r\n\r\n", ""},
@@ -22,9 +22,9 @@
 		"something with it and more after": {"x", strings.Repeat("y", 5000)},
 	} {
 		t.Run(what, func(t *testing.T) {
-			e := sidecartest.NewEndpoint(t, sidecartest.Always(sidecartest.Served))
+			e := newServingEndpoint(t)
 			w := start(t, nil, ready("s-1", e.Address))
-			dial := sidecartest.BlockDials(&w.loop.up.Dialer, e.Address)
+			dial := sidecartest.BlockDials(&w.loop.upstream.Dialer, e.Address)
 			conn := w.dial()
 			var text strings.Builder
 			w.request("pay", "x", time.Minute).Write(&text)
@@ -32,13 +32,13 @@
 			<-dial.Begun
 			io.WriteString(conn, c.later)
 			conn.Close()
-			w.until("the client's going", func() bool {
-				w.spy.mu.Lock()
-				defer w.spy.mu.Unlock()
-				return slices.Contains(w.spy.events, "gone")
+			w.await("the client's going", func() bool {
+				w.recorder.mu.Lock()
+				defer w.recorder.mu.Unlock()
+				return slices.Contains(w.recorder.events, "gone")
 			})
 			close(dial.Unblock)
-			w.until("the outcome", func() bool { return len(w.spy.statuses()) == 1 })
+			w.await("the outcome", func() bool { return len(w.recorder.statuses()) == 1 })
 			if n, _ := e.Seen(); n != 0 {
 				t.Errorf("the endpoint got %d requests", n)
 			}
@@ -46,16 +46,19 @@
 	}
 }
 
-// A client that sends something behind its request and stays has its answer, and the end of
-// the connection; what it sent is no request.
-func TestBytesBehindARequestCostNoAnswer(t *testing.T) {
-	e := sidecartest.NewEndpoint(t, sidecartest.Always(sidecartest.Served))
+// A client that sends extra bytes after its request and stays gets its response and the end of the connection. The
+// extra bytes are no request.
+func TestExtraBytesAfterARequestCostNoResponse(t *testing.T) {
+	e := newServingEndpoint(t)
 	w := start(t, nil, ready("s-1", e.Address))
 	for what, behind := range map[string]string{
 		"a byte": "x", "a request": sidecartest.ReadHead + "X-Correlation-Id: 99\r\n\r\n", "a lot": strings.Repeat("x", 200<<10),
 	} {
-		got := w.raw(sidecartest.ReadHead + "X-Correlation-Id: " + strings.ReplaceAll(what, " ", "") + "\r\n\r\n" + behind)
-		if strings.Count(got, "HTTP/1.1") != 1 || !strings.HasPrefix(got, "HTTP/1.1 200") || !strings.HasSuffix(got, "done") {
+		got := w.raw(
+			sidecartest.ReadHead + "X-Correlation-Id: " + strings.ReplaceAll(what, " ", "") + "\r\n\r\n" + behind,
+		)
+		if strings.Count(got, "HTTP/1.1") != 1 || !strings.HasPrefix(got, "HTTP/1.1 200") ||
+			!strings.HasSuffix(got, "done") {
 			t.Errorf("%s: got %q", what, got)
 		}
 	}
--- /dev/null
+++ b/internal/sidecar/forward.go
@@ -0,0 +1,84 @@
+package sidecar
+
+import (
+	"errors"
+	"net/http"
+	"os"
+
+	"oakproxy/balancer"
+	"oakproxy/internal/downstream"
+)
+
+// forward passes a request to the loop and responds to it, once: with the final response of the loop, or by ending
+// the connection of a client that is gone or whose body fails.
+func (s *server) forward(x *exchange) {
+	open := newOpenRequest(x, s.loop.clock.timeAt(x.request.Deadline))
+	var uploadFailed <-chan error
+	var admissionClosed <-chan struct{}
+	upload := x.message.Upload
+	if upload != nil {
+		uploadFailed, admissionClosed = upload.Failed, s.admission.closed
+		open.upload, open.timeLeft = true, upload.TimeLeft
+	}
+	if !s.inFlight.add(open) {
+		rejectInvalid(x.w, x.in,
+			downstream.NewRequestError(http.StatusConflict, "a request with this X-Correlation-Id is open"))
+		return
+	}
+	defer s.inFlight.remove(open)
+	if upload != nil {
+		defer upload.Finish()
+	}
+	r := &request{response: make(chan finalResponse, 1), message: x.message, clientLeft: x.conn.ClientLeft, times: x.times}
+	s.admit(r, x.request)
+	for {
+		select {
+		case response := <-r.response:
+			s.respond(x, r, open, response)
+			return
+		case <-admissionClosed:
+			admissionClosed = nil
+			if upload.Stop() { // else its last byte may be out, and the response is awaited
+				s.abandon(r)
+				rejectTerminating(x.w)
+				s.inFlight.remove(open)
+				s.drainUpload(x.w, x.conn, upload)
+				return
+			}
+		case err := <-uploadFailed:
+			s.abandon(r)
+			if errors.Is(err, os.ErrDeadlineExceeded) {
+				panic(http.ErrAbortHandler)
+			}
+			rejectInvalid(x.w, x.in, downstream.NewBadRequest("the body could not be read"))
+			return
+		case <-x.clientLeft:
+			s.abandon(r)
+			panic(http.ErrAbortHandler)
+		case <-x.in.Context().Done():
+			s.abandon(r)
+			// A client that has only closed its sending side must not read a complete response that no endpoint gave.
+			panic(http.ErrAbortHandler)
+		}
+	}
+}
+
+// admit has the loop pass a request to the balancer.
+func (s *server) admit(r *request, in balancer.Request) {
+	s.loop.events.post(func(now balancer.Micros) { s.loop.admit(now, r, in) })
+}
+
+// abandon has the loop end a request whose final response nobody takes.
+func (s *server) abandon(r *request) {
+	s.loop.events.post(func(now balancer.Micros) { s.loop.clientGone(now, r) })
+}
+
+// respond writes the final response. The request is in flight until its last byte is written.
+func (s *server) respond(x *exchange, r *request, open *openRequest, response finalResponse) {
+	defer response.close()
+	if upload := x.message.Upload; upload != nil {
+		defer s.drainUpload(x.w, x.conn, upload)
+	}
+	s.writeResponse(x.w, x.conn, r, response)
+	s.inFlight.remove(open)
+}
--- a/internal/sidecar/host_test.go
+++ b/internal/sidecar/host_test.go
@@ -9,19 +9,18 @@
 	"testing"
 
 	"oakproxy/internal/config"
-	"oakproxy/internal/sidecartest"
 )
 
-// A sidecar that shares its process leaves that process's memory limit and files alone;
-// one that has the process to itself limits its memory.
-func TestHosts(t *testing.T) {
+// A sidecar that shares its process leaves that process's memory limit and files alone; one that has the process to
+// itself limits its memory.
+func TestMemoryLimitDependsOnTheHost(t *testing.T) {
 	t.Setenv("TMPDIR", t.TempDir())
 	before := debug.SetMemoryLimit(-1)
 	defer debug.SetMemoryLimit(before)
 	debug.SetMemoryLimit(math.MaxInt64)
 
-	w := start(t, nil, ready("s-1", sidecartest.NewEndpoint(t, sidecartest.Always(sidecartest.Served)).Address))
-	shared := configure(t, w.dir.address, nil)
+	w := start(t, nil, ready("s-1", newServingEndpoint(t).Address))
+	shared := configure(t, w.discovery.address, nil)
 	runOnce(t, shared)
 	if limit := debug.SetMemoryLimit(-1); limit != math.MaxInt64 {
 		t.Errorf("the memory limit is %d after a sidecar that shares its process", limit)
@@ -30,10 +29,10 @@
 		t.Errorf("files after a sidecar that shares its process: %v, %v", files, err)
 	}
 
-	own := configure(t, w.dir.address, nil)
+	own := configure(t, w.discovery.address, nil)
 	own.Host = config.OwnProcessHost()
 	runOnce(t, own)
-	if limit, want := debug.SetMemoryLimit(-1), int64(own.Limits.MemoryMB)<<20/10*heapPart; limit != want {
+	if limit, want := debug.SetMemoryLimit(-1), int64(own.Limits.MemoryMB)<<20/10*heapTenths; limit != want {
 		t.Errorf("the memory limit is %d after a sidecar with a process of its own, want %d", limit, want)
 	}
 }
--- a/internal/sidecar/reload.go
+++ b/internal/sidecar/reload.go
@@ -5,7 +5,6 @@
 
 	"oakproxy/balancer"
 	"oakproxy/internal/config"
-	"oakproxy/internal/discovery"
 	"oakproxy/internal/upstream"
 )
 
@@ -15,11 +14,11 @@
 	l.current.Store(s)
 }
 
-// reload takes up a new configuration in one step, or refuses it and changes nothing. Requests in hand, the list of
-// endpoints and what is known of them stay.
+// reload puts a new configuration in force in one step, or rejects it and changes nothing. Requests in flight, the
+// endpoint table and what is known of endpoints stay.
 func (l *loop) reload(next *config.Config) {
 	if next.Err != nil {
-		l.refuse(next.Err)
+		l.rejectReload(next.Err)
 		return
 	}
 	old, merged := l.cfg, l.cfg.Merge(next)
@@ -32,14 +31,14 @@
 	}
 	withdrawn, err := l.balancer.Reconfigure(merged.Settings)
 	if err != nil {
-		l.refuse(err)
+		l.rejectReload(err)
 		return
 	}
 	l.activate(l.current.Load().ReplacedBy(merged, next.Hash()))
-	l.withdraw(withdrawn)
-	l.up.Configure(merged)
-	if old.Limits != merged.Limits && l.relimit != nil {
-		l.relimit()
+	l.cancelUnsent(withdrawn)
+	l.upstream.Configure(merged)
+	if old.Limits != merged.Limits && l.limitsChanged != nil {
+		l.limitsChanged()
 	}
 	if old.ChangesDiscovery(merged) {
 		l.restartWatch()
@@ -47,15 +46,15 @@
 	l.logConfiguration(old.ChangedParts(merged), restart)
 }
 
-// refuse records that a configuration can't be taken.
-func (l *loop) refuse(err error) {
-	l.refused++
+// rejectReload logs that a configuration can't be put in force.
+func (l *loop) rejectReload(err error) {
+	l.rejectedReloads++
 	inForce := l.current.Load()
-	l.log.Error("configuration not reloaded", "error", err, "reloads_rejected", l.refused,
+	l.log.Error("configuration not reloaded", "error", err, "reloads_rejected", l.rejectedReloads,
 		"generation", inForce.Generation, "hash", inForce.FileHash)
 }
 
-// logConfiguration records what is in force from now on, what has changed with it, and what has not.
+// logConfiguration logs what is in force from now on, which parts have changed, and which keys need a restart.
 func (l *loop) logConfiguration(changed, restart []string) {
 	inForce := l.current.Load()
 	attributes := []any{"generation", inForce.Generation, "hash", inForce.FileHash, "discovery", inForce.Discovery}
@@ -68,34 +67,29 @@
 	l.log.Info("configuration in force", attributes...)
 }
 
-// withdraw keeps attempts from beginning. Those that have begun go on.
-func (l *loop) withdraw(attempts []balancer.AttemptID) {
+// cancelUnsent keeps attempts from being sent that the new configuration does not allow. Those already sent go on.
+func (l *loop) cancelUnsent(attempts []balancer.AttemptID) {
 	for _, a := range attempts {
-		if started := l.requests[a.Request].attempts[a.Attempt]; started.gate.Close() {
-			started.cancel()
-		}
+		l.requests.byID[a.Request].attempts[a.Attempt].cancelUnsent()
 	}
 }
 
-// restartWatch has discovery asked for its whole list by the configuration in force: versions may be another
-// service's.
+// restartWatch asks the discovery of the configuration in force for its complete list.
 func (l *loop) restartWatch() {
-	old := l.disc
-	l.disc = newDiscoveryFor(l.cfg)
-	l.from.After, l.from.VersionResetAt = nil, time.Now().Add(discovery.MovedVersionGrace)
+	old := l.watcher.replaceClient(l.cfg)
 	l.Watch(true)
 	old.HTTP.CloseIdleConnections()
 }
 
-// loadOf returns a result's load report, unless reports have come to name other figures since it was read.
-func (l *loop) loadOf(res upstream.Result) []float32 {
-	if res.Report != l.up.Report.Load() {
+// currentLoadReport returns the load report of a result, nil if it was read by an earlier configuration's rules.
+func (l *loop) currentLoadReport(result upstream.Result) []float32 {
+	if result.Report != l.upstream.Report.Load() {
 		return nil
 	}
-	return res.Load
+	return result.Load
 }
 
-// rampTime is how long an endpoint takes to be warm.
-func (l *loop) rampTime() time.Duration {
+// slowStartDuration is how long an endpoint takes to warm up.
+func (l *loop) slowStartDuration() time.Duration {
 	return time.Duration(l.current.Load().Settings.Contract.SlowStartDuration) * time.Microsecond
 }
--- a/internal/sidecar/reload_test.go
+++ b/internal/sidecar/reload_test.go
@@ -38,43 +38,43 @@
 	return nil
 }
 
-// without leaves a class out of the settings.
-func without(name string) func(settings map[string]any) {
+// withoutClass leaves a class out of the settings.
+func withoutClass(name string) func(settings map[string]any) {
 	return func(s map[string]any) {
 		s["classes"] = slices.DeleteFunc(classes(s), func(c any) bool { return c.(map[string]any)["name"] == name })
 	}
 }
 
-// searching adds a class ahead of the others.
-func searching(s map[string]any) {
+// withSearchClass adds a class ahead of the others.
+func withSearchClass(s map[string]any) {
 	added := map[string]any{"name": "search", "repeat": "side_effect", "target": 600000, "give-up": 3000000}
 	s["classes"] = append([]any{added}, classes(s)...)
 }
 
 // reload has the sidecar take up changed settings, and returns what it logs.
-func (w *world) reload(alter func(settings map[string]any)) string {
+func (w *harness) reload(alter func(settings map[string]any)) string {
 	w.t.Helper()
-	next := configure(w.t, w.dir.address, alter)
-	return w.logged(func() { w.loop.reload(next) })
+	next := configure(w.t, w.discovery.address, alter)
+	return w.captureLog(func() { w.loop.reload(next) })
 }
 
-// logged runs f in the loop and returns what the loop logs meanwhile.
-func (w *world) logged(f func()) string {
+// captureLog runs f in the loop and returns what the loop logs meanwhile.
+func (w *harness) captureLog(f func()) string {
 	w.t.Helper()
 	var text bytes.Buffer
-	w.do(func() {
-		old := w.loop.log
-		w.loop.log = slog.New(slog.NewTextHandler(&text, nil))
+	w.runInLoop(func() {
+		old, captured := w.loop.log, slog.New(slog.NewTextHandler(&text, nil))
+		w.loop.log, w.loop.watcher.log, w.loop.stats.log = captured, captured, captured
 		f()
-		w.loop.log = old
+		w.loop.log, w.loop.watcher.log, w.loop.stats.log = old, old, old
 	})
 	return text.String()
 }
 
-// A class is answered from the reload on that adds it, and no more from the one that takes it away; the others are
-// served under their own rules wherever they stand. So with tenants.
+// A class is served from the reload on that adds it, and rejected from the one on that removes it; the others are
+// served under their own rules wherever they stand. The same goes for tenants.
 func TestReloadedClassesAndTenants(t *testing.T) {
-	e := sidecartest.NewEndpoint(t, sidecartest.Always(sidecartest.Served))
+	e := newServingEndpoint(t)
 	w := start(t, nil, ready("s-1", e.Address))
 	check := func(when string, want map[string]int) {
 		t.Helper()
@@ -87,13 +87,16 @@
 		}
 	}
 	check("at the start", map[string]int{"search": 400, "read": 200, "pay": 200, "order": 200})
-	if log := w.reload(searching); !strings.Contains(log, `msg="configuration in force" generation=2 hash=`) ||
+	if log := w.reload(withSearchClass); !strings.Contains(log, `msg="configuration in force" generation=2 hash=`) ||
 		!strings.Contains(log, "changed=[classes]") || strings.Count(log, "\n") != 1 {
 		t.Errorf("logged %q", log)
 	}
 	check("with a class more", map[string]int{"search": 200, "read": 200, "pay": 200, "order": 200})
-	w.reload(func(s map[string]any) { without("pay")(s); slices.Reverse(classes(s)) })
-	check("with two classes less, and the others reversed", map[string]int{"search": 400, "read": 200, "pay": 400, "close": 200, "order": 200})
+	w.reload(func(s map[string]any) { withoutClass("pay")(s); slices.Reverse(classes(s)) })
+	check(
+		"with two classes less, and the others reversed",
+		map[string]int{"search": 400, "read": 200, "pay": 400, "close": 200, "order": 200},
+	)
 	tenants := func(names ...string) func(map[string]any) {
 		return func(s map[string]any) {
 			var list []any
@@ -109,12 +112,12 @@
 	check("with the tenant", map[string]int{"read": 200})
 }
 
-// A request in hand is answered under the class that it began under: its repeat is sent, and its late outcome is
-// taken, while the class is moved, changed or taken away.
-func TestRequestInHandOverAReload(t *testing.T) {
+// A request in flight is served under the class that it began under: its retry is sent, and its late outcome is
+// reported, while the class is moved, changed or removed.
+func TestRequestStartedBeforeAReloadIsServed(t *testing.T) {
 	for name, alter := range map[string]func(map[string]any){
-		"moved": func(s map[string]any) { slices.Reverse(classes(s)) }, "gone": without("pay"),
-		"added ahead": searching, "less time": func(s map[string]any) { class(s, "pay")["give-up"] = 1 },
+		"moved": func(s map[string]any) { slices.Reverse(classes(s)) }, "gone": withoutClass("pay"),
+		"added ahead": withSearchClass, "less time": func(s map[string]any) { class(s, "pay")["give-up"] = 1 },
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -132,30 +135,30 @@
 			}
 			first, second := sidecartest.NewEndpoint(t, serve), sidecartest.NewEndpoint(t, serve)
 			w := start(t, nil, ready("s-1", first.Address), ready("s-2", second.Address))
-			held := make(chan reply)
-			go func() { held <- w.send(w.request("pay", "x", time.Minute)) }()
-			w.until("the request in hand", func() bool { return seen.Load() == 1 })
+			pending := make(chan reply)
+			go func() { pending <- w.send(w.request("pay", "x", time.Minute)) }()
+			w.await("the request in flight", func() bool { return seen.Load() == 1 })
 			w.reload(alter)
 			close(answer)
-			if got := <-held; got.code != http.StatusOK || got.body != "done" {
-				t.Errorf("answer %+v", got)
+			if got := <-pending; got.code != http.StatusOK || got.body != "done" {
+				t.Errorf("response %+v", got)
 			}
 			for _, e := range []*sidecartest.Endpoint{first, second} {
 				if n, _ := e.Seen(); n != 1 || e.Request(0).URL.Path != "/pay/x/y" {
 					t.Errorf("an endpoint got %d requests, want 1 of the class", n)
 				}
 			}
-			w.until("nothing to be in hand", func() (none bool) {
-				w.do(func() { none = len(w.loop.requests) == 0 })
+			w.await("nothing to be in flight", func() (none bool) {
+				w.runInLoop(func() { none = len(w.loop.requests.byID) == 0 })
 				return none
 			})
 		})
 	}
 }
 
-// A request that was read before a reload and reaches the loop after it is served as what it was read as: it is
-// repeated like one of its own class, and not like one of the class that has taken its place, which is unsafe.
-func TestRequestReadBeforeAReload(t *testing.T) {
+// A request that was read before a reload and reaches the loop after it is served under the class that it was read
+// under: it is retried like that class, and not like the one in its place, which is not idempotent.
+func TestRequestReadBeforeAReloadKeepsItsClass(t *testing.T) {
 	order := func(names ...string) func(map[string]any) {
 		return func(s map[string]any) {
 			var list []any
@@ -178,17 +181,17 @@
 			t.Parallel()
 			e := sidecartest.NewEndpoint(t, sidecartest.FirstThen(sidecartest.Failing, sidecartest.Served))
 			w := start(t, nil, ready("s-1", e.Address), ready("s-2", e.Address))
-			next := configure(t, w.dir.address, c.alter)
+			next := configure(t, w.discovery.address, c.alter)
 			busy := make(chan struct{})
-			w.loop.post(func(balancer.Micros) { <-busy })
+			w.loop.events.post(func(balancer.Micros) { <-busy })
 			answer := make(chan reply)
 			go func() { answer <- w.send(w.request("pay", "x", time.Minute)) }()
-			w.until("the request to be read", func() bool { return w.server.inHand.count() == 1 })
-			go w.loop.runUrgent(func(balancer.Micros) { w.loop.reload(next) })
-			w.until("the reload to wait", func() bool { return len(w.loop.urgent) == 1 })
+			w.await("the request to be read", func() bool { return w.server.inFlight.count() == 1 })
+			go w.loop.events.runUrgent(func(balancer.Micros) { w.loop.reload(next) })
+			w.await("the reload to wait", func() bool { return len(w.loop.events.urgent) == 1 })
 			close(busy)
 			if got := <-answer; got.code != c.code {
-				t.Errorf("answer %+v, want %d", got, c.code)
+				t.Errorf("response %+v, want %d", got, c.code)
 			}
 			if n, _ := e.Seen(); n != c.attempts || w.loop.current.Load().Generation != 2 {
 				t.Errorf("%d attempts, want %d; generation %d", n, c.attempts, w.loop.current.Load().Generation)
@@ -197,12 +200,12 @@
 	}
 }
 
-// A repeat that waits for its connection when its class turns unsafe never begins, and the client is promised
-// nothing; a first attempt goes on.
-func TestUnsafeClassHoldsForAttemptsNotYetSent(t *testing.T) {
+// A retry that waits for its connection when its class becomes unsafe is never sent, and the client is promised
+// nothing. A first attempt goes on.
+func TestReloadToUnsafeClassAppliesToUnsentAttempts(t *testing.T) {
 	for name, c := range map[string]struct {
-		held int32 // the dial that waits
-		code int
+		blocked int32 // the dial that waits
+		code    int
 	}{"a repeat": {2, http.StatusBadGateway}, "a first attempt": {1, http.StatusOK}} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -217,11 +220,16 @@
 					}
 				}
 			}
-			w := start(t, nil, ready("s-1", sidecartest.NewEndpoint(t, serve).Address), ready("s-2", sidecartest.NewEndpoint(t, serve).Address))
+			w := start(
+				t,
+				nil,
+				ready("s-1", sidecartest.NewEndpoint(t, serve).Address),
+				ready("s-2", sidecartest.NewEndpoint(t, serve).Address),
+			)
 			dialling, goOn := make(chan struct{}), make(chan struct{})
-			w.do(func() {
-				w.loop.up.Dialer.Control = func(string, string, syscall.RawConn) error {
-					if dials.Add(1) == c.held {
+			w.runInLoop(func() {
+				w.loop.upstream.Dialer.Control = func(string, string, syscall.RawConn) error {
+					if dials.Add(1) == c.blocked {
 						close(dialling)
 						<-goOn
 					}
@@ -234,7 +242,7 @@
 			w.reload(func(s map[string]any) { class(s, "read")["repeat"] = "side_effect" })
 			close(goOn)
 			if got := <-answer; got.code != c.code {
-				t.Errorf("answer %+v, want %d", got, c.code)
+				t.Errorf("response %+v, want %d", got, c.code)
 			}
 			if seen.Load() != 1 {
 				t.Errorf("%d attempts reached an endpoint, want 1", seen.Load())
@@ -243,21 +251,22 @@
 	}
 }
 
-// The hash goes by what is in force, not by how the file is written or which sidecar reads it. A file that equals
-// what is in force does nothing; what can't change in a process is named.
-func TestEqualConfigurationDoesNothing(t *testing.T) {
-	e := sidecartest.NewEndpoint(t, sidecartest.Always(sidecartest.Served))
+// The hash depends on what is in force, not on how the file is written or which sidecar reads it. A file that equals
+// what is in force changes nothing; keys that need a restart are logged.
+func TestEqualConfigurationChangesNothing(t *testing.T) {
+	e := newServingEndpoint(t)
 	w := start(t, nil, ready("s-1", e.Address))
 	first := w.loop.current.Load()
 	if log := w.reload(nil); log != "" || w.loop.current.Load() != first {
 		t.Errorf("logged %q, generation %d", log, w.loop.current.Load().Generation)
 	}
-	log := w.logged(func() {
-		next := *configure(t, w.dir.address, nil)
+	log := w.captureLog(func() {
+		next := *configure(t, w.discovery.address, nil)
 		next.Name, next.Listen, next.Seed, next.Limits.MemoryMB = "n1", "127.0.0.1:1", 7, 64
 		w.loop.reload(&next)
 	})
-	if !strings.Contains(log, `needs_restart="[name listen seed limits.memory_mb]"`) || w.loop.current.Load() != first ||
+	if !strings.Contains(log, `needs_restart="[name listen seed limits.memory_mb]"`) ||
+		w.loop.current.Load() != first ||
 		strings.Count(log, "\n") != 1 {
 		t.Errorf("logged %q", log)
 	}
@@ -280,16 +289,16 @@
 	}
 }
 
-// What can't be taken changes nothing: one line names the key, and it is counted.
-func TestUnusableFileChangesNothing(t *testing.T) {
-	e := sidecartest.NewEndpoint(t, sidecartest.Always(sidecartest.Served))
+// An invalid configuration changes nothing: one log line names the key, and the rejection is counted.
+func TestInvalidConfigurationChangesNothing(t *testing.T) {
+	e := newServingEndpoint(t)
 	w := start(t, nil, ready("s-1", e.Address))
 	first := w.loop.current.Load()
 	path := filepath.Join(t.TempDir(), "config.json")
 	signals := make(chan os.Signal, 1)
 	defer close(signals)
 	configs := config.ReloadOnSignal(path, signals)
-	good := `{"name":"n0","listen":"127.0.0.1:0","discovery":"` + w.dir.address + `","seed":"8c1f30d27a5be964",` +
+	good := `{"name":"n0","listen":"127.0.0.1:0","discovery":"` + w.discovery.address + `","seed":"8c1f30d27a5be964",` +
 		`"limits":{"memory_mb":192,"sockets":256},"settings":` + sidecartest.SettingsText + `}`
 	tried := 0
 	for _, c := range []struct{ old, new, key string }{
@@ -314,7 +323,7 @@
 		signals <- syscall.SIGHUP
 		next := <-configs
 		tried++
-		log := w.logged(func() { w.loop.reload(next) })
+		log := w.captureLog(func() { w.loop.reload(next) })
 		if strings.Count(log, "\n") != 1 || !strings.Contains(log, `msg="configuration not reloaded"`) ||
 			!strings.Contains(log, c.key) || !strings.Contains(log, fmt.Sprintf("reloads_rejected=%d", tried)) {
 			t.Errorf("%s: logged %q, want one line with %q and the count %d", c.new, log, c.key, tried)
@@ -324,86 +333,91 @@
 		t.Errorf("generation %d is in force, want the first", now.Generation)
 	}
 	if got := w.send(w.request("pay", "x", time.Minute)); got.code != http.StatusOK {
-		t.Errorf("answer %+v", got)
+		t.Errorf("response %+v", got)
 	}
-	counts := w.logged(func() { w.loop.logStats(w.loop.clock.now()) })
-	if want := fmt.Sprintf("generation=1 hash=%s reloads=0 reloads_rejected=%d", first.FileHash, tried); !strings.Contains(counts, want) {
+	counts := w.captureLog(func() { w.loop.logStats(w.loop.clock.now()) })
+	if want := fmt.Sprintf("generation=1 hash=%s reloads=0 reloads_rejected=%d", first.FileHash, tried); !strings.Contains(
+		counts,
+		want,
+	) {
 		t.Errorf("counts %q, want %q", counts, want)
 	}
 }
 
-// What operators and discovery have told of endpoints stays over a change of settings, which does not ask
-// discovery again; limits hold at once, for connections, too.
-func TestReloadKeepsEndpointsAndTakesLimits(t *testing.T) {
-	e := sidecartest.NewEndpoint(t, sidecartest.Always(sidecartest.Served))
+// What operators and discovery have set for endpoints survives a change of settings, which does not call discovery
+// again. Limits apply at once, to connections, too.
+func TestReloadKeepsEndpointsAndAppliesLimits(t *testing.T) {
+	e := newServingEndpoint(t)
 	w := startWith(t, nil, longWaits, ready("s-1", e.Address), ready("s-2", e.Address))
-	w.until("the watch", func() bool { return w.dir.count() == 2 })
+	w.await("the watch", func() bool { return w.discovery.count() == 2 })
 	drained := ready("s-1", e.Address)
 	drained.Health = "Terminating"
-	var before, after map[uint32]member
+	var before, after map[uint32]endpoint
 	var watch, same *discovery.Client
-	members := func() map[uint32]member {
-		all := map[uint32]member{}
-		for id, m := range w.loop.fleet {
+	members := func() map[uint32]endpoint {
+		all := map[uint32]endpoint{}
+		for id, m := range w.loop.endpoints.byID {
 			all[id] = *m
 		}
 		return all
 	}
-	w.do(func() {
+	w.runInLoop(func() {
 		now := w.loop.clock.now()
-		w.loop.members(now, balancer.ListDelta, discovery.List{Hosts: []discovery.Entry{drained}})
-		w.loop.mark(now, []operatorstate.Override{{Name: "s-2", Cordoned: true}})
-		before, watch = members(), w.loop.disc
+		w.loop.updateEndpoints(now, balancer.ListDelta, discovery.List{Hosts: []discovery.Entry{drained}})
+		w.loop.applyOverrides(now, []operatorstate.Override{{Name: "s-2", Cordoned: true}})
+		before, watch = members(), w.loop.watcher.client
 	})
-	next := *configure(t, w.dir.address, func(s map[string]any) {
+	next := *configure(t, w.discovery.address, func(s map[string]any) {
 		limits := s["limits"].(map[string]any)
 		limits["dial-timeout"], limits["keepalive"], limits["most-held"] = 7000, 4000, 9
 		s["reporting"] = map[string]any{"how": "probe", "fields": []string{"pending"}}
 	})
 	next.Limits.Sockets = 128
 	var old, read upstream.Result
-	old.Load, old.Report = w.loop.up.LoadReport("failed_ps=1,pending=2")
-	w.do(func() {
+	old.Load, old.Report = w.loop.upstream.LoadReport("failed_ps=1,pending=2")
+	w.runInLoop(func() {
 		w.loop.reload(&next)
-		after, same = members(), w.loop.disc
-		read.Load, read.Report = w.loop.up.LoadReport("failed_ps=1,pending=2")
-		if load := w.loop.loadOf(read); len(load) != 1 || load[0] != 2 {
+		after, same = members(), w.loop.watcher.client
+		read.Load, read.Report = w.loop.upstream.LoadReport("failed_ps=1,pending=2")
+		if load := w.loop.currentLoadReport(read); len(load) != 1 || load[0] != 2 {
 			t.Errorf("a report by the new fields: %v", load)
 		}
-		if load := w.loop.loadOf(old); load != nil {
+		if load := w.loop.currentLoadReport(old); load != nil {
 			t.Errorf("a report that was read by the old fields tells %v", load)
 		}
 	})
-	if len(before) != 2 || before[1] != after[1] || before[2] != after[2] || !w.loop.marks["s-2"].Cordoned {
+	if len(before) != 2 || before[1] != after[1] || before[2] != after[2] ||
+		!w.loop.endpoints.overrides["s-2"].Cordoned {
 		t.Errorf("endpoints %+v, were %+v", after, before)
 	}
-	if watch != same || w.dir.count() != 2 {
+	if watch != same || w.discovery.count() != 2 {
 		t.Error("a change of settings asks discovery again")
 	}
-	if got, want := w.loop.up.Limits(), (upstream.ConnectionLimits{DialTimeout: 7 * time.Millisecond, MaxIdle: 3 * time.Millisecond, MaxConnections: connections(&next)}); got != want {
+	if got, want := w.loop.upstream.Limits(), (upstream.ConnectionLimits{DialTimeout: 7 * time.Millisecond, MaxIdle: 3 * time.Millisecond, MaxConnections: maxConnections(&next)}); got != want {
 		t.Errorf("limits %+v, want %+v", got, want)
 	}
-	if most, maxAsked := w.server.clients.Limits(); most != connections(&next) || maxAsked != 128/crowdPart {
-		t.Errorf("%d connections of clients, %d asked on", most, maxAsked)
+	if connections, used := w.server.clients.Limits(); connections != maxConnections(&next) ||
+		used != 128/crowdedDivisor {
+		t.Errorf("%d connections of clients, %d used", connections, used)
 	}
 }
 
-// Before the first event, in a drain by hand and after SIGTERM a reload holds like at any other time, and ends
-// nothing early: requests of before have the time that they began with.
-func TestReloadAtTheEdges(t *testing.T) {
-	e := sidecartest.NewEndpoint(t, sidecartest.Always(sidecartest.Served))
-	w := &world{t: t, dir: newDirectory(t, ready("s-1", e.Address))}
-	cfg := configure(t, w.dir.address, nil, ready("s-1", e.Address))
+// Before the first event, in a drain by operators and after SIGTERM a reload applies as at any other time and ends
+// nothing early: requests of before keep their deadlines.
+func TestReloadBeforeTheStartAndWhileDraining(t *testing.T) {
+	e := newServingEndpoint(t)
+	w := &harness{t: t, discovery: newFakeDiscovery(t, ready("s-1", e.Address))}
+	cfg := configure(t, w.discovery.address, nil, ready("s-1", e.Address))
 	l, err := newLoop(t.Context(), cfg, slog.New(slog.DiscardHandler))
 	if err != nil {
 		t.Fatal(err)
 	}
 	done := make(chan struct{})
 	go func() {
-		l.runUrgent(func(balancer.Micros) { l.reload(configure(t, w.dir.address, searching)) })
+		l.events.runUrgent(func(balancer.Micros) { l.reload(configure(t, w.discovery.address, withSearchClass)) })
 		close(done)
 	}()
-	sidecartest.Await(t, "the reload to wait", func() bool { return len(l.urgent) == 1 })
+	sidecartest.Await(t, "the reload to wait", func() bool { return len(l.events.urgent) == 1 })
 	go l.run()
 	<-done
 	if now := l.current.Load(); now.Generation != 2 || len(now.Classes) != 5 {
@@ -411,15 +425,15 @@
 	}
 
 	w = start(t, nil, ready("s-1", e.Address))
-	w.server.acceptFor = sidecartest.Patience
-	w.server.drained.Store(true)
-	w.reload(searching)
+	w.server.drainPeriod = sidecartest.Patience
+	w.server.drainedByOperator.Store(true)
+	w.reload(withSearchClass)
 	got := w.send(w.request("search", "x", time.Minute))
-	if got.code != http.StatusOK || w.server.isReady() {
+	if got.code != http.StatusOK || w.server.acceptsRequests() {
 		t.Errorf("in a drain by hand: %+v", got)
 	}
 	w.stop()
-	w.until("the end of service", w.server.leaving)
+	w.await("the end of service", w.server.draining)
 	w.reload(func(s map[string]any) {
 		s["classes"] = []any{map[string]any{"name": "find", "repeat": "side_effect", "target": 1, "give-up": 1}}
 	})
--- a/internal/sidecar/gate_test.go
+++ b/internal/sidecar/sendgate_test.go
@@ -13,30 +13,34 @@
 	"oakproxy/internal/sidecartest"
 )
 
-// A repeat of a keyed request is decided within the window and waits for its connection
-// until after it: it is not sent, and the client has its answer.
-func TestRepeatIsNotSentAfterItsWindow(t *testing.T) {
+// A retry of a request with an idempotency key is decided within the window and gets its connection after it: it is
+// not sent, and the client gets its response.
+func TestRetryIsNotSentAfterItsWindow(t *testing.T) {
 	const window = 2 * time.Second // long enough to decide on the repeat within it
 	reset := make(chan struct{})
 	broken := sidecartest.NewEndpoint(t, func(e *sidecartest.Endpoint, conn net.Conn, in *bufio.Reader) {
 		e.Next(in)
 		<-reset
 	})
-	slow := sidecartest.NewEndpoint(t, sidecartest.Always(sidecartest.Served))
+	slow := newServingEndpoint(t)
 	w := start(t, func(s map[string]any) {
 		s["classes"].([]any)[1].(map[string]any)["window"] = window.Microseconds()
 		s["limits"].(map[string]any)["dial-timeout"] = sidecartest.Patience.Microseconds()
 	}, ready("s-1", broken.Address))
-	dial := sidecartest.BlockDials(&w.loop.up.Dialer, slow.Address)
+	dial := sidecartest.BlockDials(&w.loop.upstream.Dialer, slow.Address)
 	answer := make(chan reply, 1)
 	go func() { answer <- w.send(w.request("pay", "x", time.Minute)) }()
-	w.until("the first attempt", func() bool { n, _ := broken.Seen(); return n == 1 })
-	w.dir.change(func() {
-		w.dir.list = discovery.List{Seq: 1, Whole: true, Hosts: []discovery.Entry{ready("s-1", broken.Address), ready("s-2", slow.Address)}}
+	w.await("the first attempt", func() bool { n, _ := broken.Seen(); return n == 1 })
+	w.discovery.change(func() {
+		w.discovery.list = discovery.List{
+			Seq:   1,
+			Whole: true,
+			Hosts: []discovery.Entry{ready("s-1", broken.Address), ready("s-2", slow.Address)},
+		}
 	})
-	w.until("the news", func() bool {
+	w.await("the change", func() bool {
 		var n int
-		w.do(func() { n = len(w.loop.fleet) })
+		w.runInLoop(func() { n = len(w.loop.endpoints.byID) })
 		return n == 2
 	})
 	close(reset)
@@ -52,22 +56,26 @@
 	}
 }
 
-// A client that leaves while its request is dialled for has gone, whatever the settings
-// say of cancelling.
-func TestNothingIsSentForAClientThatLeft(t *testing.T) {
+// Nothing is sent for a client that disconnects while an attempt waits for its connection, whether or not the settings
+// let attempts be cancelled.
+func TestNothingIsSentForADisconnectedClient(t *testing.T) {
 	for name, may := range map[string]bool{"may cancel": true, "may not cancel": false} {
 		t.Run(name, func(t *testing.T) {
-			e := sidecartest.NewEndpoint(t, sidecartest.Always(sidecartest.Served))
-			w := start(t, func(s map[string]any) { s["limits"].(map[string]any)["cancel"] = may }, ready("s-1", e.Address))
-			dial := sidecartest.BlockDials(&w.loop.up.Dialer, e.Address)
+			e := newServingEndpoint(t)
+			w := start(
+				t,
+				func(s map[string]any) { s["limits"].(map[string]any)["cancel"] = may },
+				ready("s-1", e.Address),
+			)
+			dial := sidecartest.BlockDials(&w.loop.upstream.Dialer, e.Address)
 			conn := w.dial()
 			w.request("pay", "x", time.Minute).Write(conn)
 			<-dial.Begun
 			conn.Close()
 			close(dial.Unblock) // at once: that it has left need not have been heard by then
-			w.until("the outcome", func() bool { return len(w.spy.statuses()) == 1 })
-			if all := w.spy.statuses(); !slices.Equal(all, []balancer.Status{balancer.NotSent}) {
-				t.Errorf("outcomes %v, want moot", all)
+			w.await("the outcome", func() bool { return len(w.recorder.statuses()) == 1 })
+			if all := w.recorder.statuses(); !slices.Equal(all, []balancer.Status{balancer.NotSent}) {
+				t.Errorf("outcomes %v, want not sent", all)
 			}
 			if n, _ := e.Seen(); n != 0 {
 				t.Errorf("the endpoint got %d requests", n)
--- a/internal/sidecar/stream_test.go
+++ b/internal/sidecar/stream_test.go
@@ -10,10 +10,11 @@
 	"testing"
 	"time"
 
+	"oakproxy/internal/httpmsg"
 	"oakproxy/internal/sidecartest"
 )
 
-const large = 3 << 20 // bytes: more than is held, and than sockets take
+const large = 3 << 20 // bytes: more than is buffered, and than sockets hold
 
 // inChunks writes a body in chunks of this size, without their end.
 func inChunks(body string, size int) string {
@@ -24,9 +25,9 @@
 	return b.String()
 }
 
-// A large answer reaches the client whole however its end is told, and the
-// connection serves on where its end was not the answer's.
-func TestLargeAnswersPass(t *testing.T) {
+// A large response reaches the client complete however its end is framed. The endpoint's connection is reused unless
+// its end framed the response.
+func TestLargeResponsesAreStreamed(t *testing.T) {
 	body := strings.Repeat("0123456789abcdef", large/16)
 	for name, c := range map[string]struct {
 		answer string
@@ -46,26 +47,27 @@
 			})
 			w := start(t, nil, ready("s-1", e.Address))
 			for range 2 {
-				if got := w.send(w.request("read", "", time.Minute)); got.code != 200 || got.body != body || got.err != nil {
-					t.Errorf("answer %d of %d bytes, %v", got.code, len(got.body), got.err)
+				if got := w.send(w.request("read", "", time.Minute)); got.code != 200 || got.body != body ||
+					got.err != nil {
+					t.Errorf("response %d of %d bytes, %v", got.code, len(got.body), got.err)
 				}
 				// The client has the last byte a little sooner than the endpoint's connection is given back.
-				w.until("the connection to be given back", func() bool {
-					idle := w.loop.up.IdleConnections()
-					return w.loop.up.Counts().Open == idle && (idle == 1) == c.reused
+				w.await("the connection to be given back", func() bool {
+					idle := w.loop.upstream.IdleConnections()
+					return w.loop.upstream.Counts().Open == idle && (idle == 1) == c.reused
 				})
 			}
 			if _, conns := e.Seen(); (conns == 1) != c.reused {
 				t.Errorf("%d connections", conns)
 			}
-			w.until("the room to be given back", func() bool { return w.loop.up.Bodies.Used.Load() == 0 })
+			w.await("the memory to be released", func() bool { return w.loop.upstream.Bodies.Used.Load() == 0 })
 		})
 	}
 }
 
-// What the endpoint gives of a large answer is passed on at once, not when the
-// answer ends, and the request's time no longer runs.
-func TestLargeAnswerIsPassedOnAtOnce(t *testing.T) {
+// Parts of a large response are relayed as they arrive, not when it ends, and the request's deadline no longer
+// applies.
+func TestLargeResponseIsStreamedAtOnce(t *testing.T) {
 	const first = "the first bytes"
 	read, left := make(chan struct{}), 500*time.Millisecond
 	e := sidecartest.NewEndpoint(t, func(e *sidecartest.Endpoint, conn net.Conn, in *bufio.Reader) {
@@ -92,9 +94,8 @@
 	}
 }
 
-// An answer that breaks after it was begun looks broken to the client, and is not
-// asked for again.
-func TestBrokenLargeAnswerLooksBroken(t *testing.T) {
+// A response that is truncated after relaying began looks truncated to the client, and the request is not retried.
+func TestBrokenLargeResponseLooksTruncated(t *testing.T) {
 	part := strings.Repeat("x", 200<<10)
 	for name, c := range map[string]struct {
 		answer, version string
@@ -117,7 +118,11 @@
 			})
 			w := start(t, nil, ready("s-1", e.Address))
 			conn := w.dial()
-			fmt.Fprintf(conn, "GET /read HTTP/%s\r\nHost: a\r\nX-Service-Class: read\r\nX-Time-Left-Ms: 9000\r\nX-Correlation-Id: 1\r\n\r\n", c.version)
+			fmt.Fprintf(
+				conn,
+				"GET /read HTTP/%s\r\nHost: a\r\nX-Service-Class: read\r\nX-Time-Left-Ms: 9000\r\nX-Correlation-Id: 1\r\n\r\n",
+				c.version,
+			)
 			response, err := http.ReadResponse(bufio.NewReader(conn), nil)
 			if err != nil || response.StatusCode != 200 {
 				t.Fatalf("%v, %v", response, err)
@@ -125,7 +130,7 @@
 			io.ReadFull(response.Body, make([]byte, 1000))
 			close(taken)
 			if n, err := io.Copy(io.Discard, response.Body); err == nil {
-				t.Errorf("%d bytes read as whole", n)
+				t.Errorf("%d bytes read as complete", n)
 			}
 			if n, _ := e.Seen(); n != 1 {
 				t.Errorf("%d requests reached the endpoint, want 1", n)
@@ -133,3 +138,39 @@
 		})
 	}
 }
+
+// A response without a length that is reset, or whose head promised more, is never taken for complete: before relaying
+// began the client gets a failure, after that a truncated response.
+func TestTruncatedResponseIsNeverComplete(t *testing.T) {
+	for what, begin := range map[string]string{
+		"without a length":     "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\npart",
+		"of HTTP/1.0":          "HTTP/1.0 200 OK\r\n\r\npart",
+		"half a line":          "HTTP/1.1 200 O",
+		"a head alone":         "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\n",
+		"a body cut short":     "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\npart",
+		"chunks, no last one":  "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\npart\r\n",
+		"a large one, no size": "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n" + strings.Repeat("x", httpmsg.MaxBufferedBytes+100),
+	} {
+		t.Run(what, func(t *testing.T) {
+			t.Parallel()
+			e := sidecartest.NewEndpoint(t, resetAfter(begin))
+			w := start(t, nil, ready("s-1", e.Address))
+			got := w.send(w.request("order", "x", 3*time.Second))
+			if got.err == nil && got.code == http.StatusOK {
+				t.Errorf("the client has %d bytes as a complete response", len(got.body))
+			}
+			if n, _ := e.Seen(); n != 1 {
+				t.Errorf("an unsafe request was sent %d times", n)
+			}
+		})
+	}
+}
+
+// resetAfter writes the beginning of a response and resets the connection.
+func resetAfter(begin string) func(*sidecartest.Endpoint, net.Conn, *bufio.Reader) {
+	return func(e *sidecartest.Endpoint, conn net.Conn, in *bufio.Reader) {
+		e.Next(in)
+		io.WriteString(conn, begin)
+		conn.(*net.TCPConn).SetLinger(0)
+	}
+}
--- a/internal/sidecar/syscalls_test.go
+++ b/internal/sidecar/syscalls_test.go
@@ -17,9 +17,9 @@
 	"oakproxy/internal/system"
 )
 
-// A connection that waited while accepts failed may hold a request for so long: its endpoint is told no more time
-// than its client has left.
-func TestTimeSpentInTheBacklogCounts(t *testing.T) {
+// The time that a request waited in the accept backlog counts: its endpoint gets no longer deadline than its client
+// has left.
+func TestTimeInTheAcceptBacklogCounts(t *testing.T) {
 	var came time.Time
 	e := sidecartest.NewEndpoint(t, func(e *sidecartest.Endpoint, conn net.Conn, in *bufio.Reader) {
 		for e.Next(in) != nil {
@@ -28,7 +28,11 @@
 		}
 	})
 	listener := &sidecartest.FaultyListener{}
-	w := startBehind(t, func(inner net.Listener) net.Listener { listener.Listener = inner; return listener }, ready("s-1", e.Address))
+	w := startWithListener(
+		t,
+		func(inner net.Listener) net.Listener { listener.Listener = inner; return listener },
+		ready("s-1", e.Address),
+	)
 	const failures = 100 // with acceptPause after each, over 0.5 s
 	listener.Fail(slices.Repeat([]error{syscall.ENFILE}, failures))
 	w.dial() // may still be taken by the accept that is under way
@@ -42,31 +46,37 @@
 	var ms int
 	fmt.Sscan(e.Request(0).Header.Get("X-Time-Left-Ms"), &ms)
 	waited := came.Sub(written)
-	if told, left := time.Duration(ms)*time.Millisecond, 3*time.Second-waited; told > left+toldSlack {
-		t.Errorf("the endpoint is told %v, its client has %v", told, left)
+	if given, left := time.Duration(ms)*time.Millisecond, 3*time.Second-waited; given > left+deadlineSlack {
+		t.Errorf("the endpoint is given %v, its client has %v", given, left)
 	}
 	if waited < failures*system.AcceptRetryDelay/2 {
 		t.Errorf("the request waited %v only", waited)
 	}
 }
 
-// toldSlack is how much more than its client has left an endpoint may be told.
-const toldSlack = 150 * time.Millisecond
+// deadlineSlack is how much more than its client has left an endpoint may be given.
+const deadlineSlack = 150 * time.Millisecond
 
-// A client that has written a whole long body and left is gone, though its bytes are still to be read: no attempt begins
-// for it.
-func TestClientThatLeavesBehindItsBody(t *testing.T) {
-	e := sidecartest.NewEndpoint(t, sidecartest.Always(sidecartest.Served))
+// A client that disconnects after sending a whole long body is noticed, though its bytes are still unread: no attempt
+// is started for it.
+func TestClientThatLeavesAfterItsBodyIsNoticed(t *testing.T) {
+	e := newServingEndpoint(t)
 	w := start(t, nil, ready("s-1", e.Address))
-	dial := sidecartest.BlockDials(&w.loop.up.Dialer, e.Address)
+	dial := sidecartest.BlockDials(&w.loop.upstream.Dialer, e.Address)
 	conn := w.dial()
 	go func() {
-		fmt.Fprintf(conn, "%sX-Correlation-Id: 1\r\nContent-Length: %d\r\n\r\n%s", sidecartest.PayHead, 2*httpmsg.MaxBufferedBytes, strings.Repeat("x", 2*httpmsg.MaxBufferedBytes))
+		fmt.Fprintf(
+			conn,
+			"%sX-Correlation-Id: 1\r\nContent-Length: %d\r\n\r\n%s",
+			sidecartest.PayHead,
+			2*httpmsg.MaxBufferedBytes,
+			strings.Repeat("x", 2*httpmsg.MaxBufferedBytes),
+		)
 		conn.Close()
 	}()
 	<-dial.Begun
 	sidecartest.Await(t, "the client's end", func() bool {
-		for _, r := range w.server.inHand.all() {
+		for _, r := range w.server.inFlight.all() {
 			if r.conn.ClientLeft() {
 				return true
 			}
@@ -74,7 +84,7 @@
 		return false
 	})
 	close(dial.Unblock)
-	w.until("the outcome", func() bool { return len(w.spy.statuses()) == 1 })
+	w.await("the outcome", func() bool { return len(w.recorder.statuses()) == 1 })
 	if n, conns := e.Seen(); n != 0 {
 		t.Errorf("the endpoint got %d requests on %d connections", n, conns)
 	}
