--- a/internal/admin/admin_test.go
+++ b/internal/admin/admin_test.go
@@ -51,7 +51,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	client := http.Client{Timeout: sidecartest.Patience, Transport: &http.Transport{DisableKeepAlives: true}}
+	client := http.Client{Timeout: sidecartest.WaitTimeout, Transport: &http.Transport{DisableKeepAlives: true}}
 	response, err := client.Do(in)
 	if err != nil {
 		t.Fatal(err)
@@ -114,7 +114,7 @@
 			default:
 				return false
 			}
-			cordoned := len(state.Hosts) == 1 && state.Hosts[0].Name == "s-1" && state.Hosts[0].Cordoned
+			cordoned := len(state.Overrides) == 1 && state.Overrides[0].Name == "s-1" && state.Overrides[0].Cordoned
 			return cordoned == test.cordoned && state.Drained == test.drained
 		})
 	}
--- a/internal/config/compare.go
+++ b/internal/config/compare.go
@@ -47,7 +47,7 @@
 
 // Equal reports whether a sidecar that runs by c would change nothing by next. Keys that need a restart do not count.
 func (c *Config) Equal(next *Config) bool {
-	return c.Discovery == next.Discovery && reflect.DeepEqual(c.fleetSettings(), next.fleetSettings())
+	return c.DiscoveryAddress == next.DiscoveryAddress && reflect.DeepEqual(c.fleetSettings(), next.fleetSettings())
 }
 
 // RestartKeys returns the keys of the file that differ in next and cannot change in a running process.
@@ -56,7 +56,7 @@
 		key  string
 		same bool
 	}{
-		{"name", c.Name == next.Name}, {"listen", c.Listen == next.Listen}, {"admin_addr", c.Admin == next.Admin},
+		{"name", c.Name == next.Name}, {"listen", c.ListenAddress == next.ListenAddress}, {"admin_addr", c.AdminAddress == next.AdminAddress},
 		{"seed", c.Seed == next.Seed}, {"limits.memory_mb", c.Limits.MemoryMB == next.Limits.MemoryMB},
 	} {
 		if !k.same {
@@ -73,7 +73,7 @@
 		part          string
 		before, after any
 	}{
-		{"discovery", c.Discovery, next.Discovery}, {"classes", before.Classes, after.Classes},
+		{"discovery", c.DiscoveryAddress, next.DiscoveryAddress}, {"classes", before.Classes, after.Classes},
 		{"tenants", before.Tenants, after.Tenants}, {"settings.limits", before.Limits, after.Limits},
 		{"contract", before.Contract, after.Contract}, {"prices", before.Prices, after.Prices},
 		{"goal", before.Goal, after.Goal}, {"reporting", c.ReportFields, next.ReportFields},
@@ -92,7 +92,7 @@
 // another interval, or its entries have another meaning.
 func (c *Config) ChangesDiscovery(next *Config) bool {
 	before, after := &c.Settings, &next.Settings
-	return c.Discovery != next.Discovery || before.SubscribeToDiscovery != after.SubscribeToDiscovery ||
+	return c.DiscoveryAddress != next.DiscoveryAddress || before.SubscribeToDiscovery != after.SubscribeToDiscovery ||
 		before.Contract.PollInterval != after.Contract.PollInterval ||
 		before.Contract.DrainGrace != after.Contract.DrainGrace ||
 		!slices.Equal(c.Zones, next.Zones) || !slices.Equal(c.MachineKinds, next.MachineKinds)
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -15,15 +15,15 @@
 // Config is the configuration of a sidecar: what its file and environment say, and the host that it runs on. Make one
 // with Load or Parse. It does not change once it is made.
 type Config struct {
-	Name      string            // of the sidecar, the same after a restart
-	Listen    string            // host:port for clients
-	Discovery string            // host:port of the service that lists endpoints
-	Admin     string            // host:port of the admin interface; empty: none
-	Passed    string            // the number of an inherited listening socket's descriptor; empty: none
-	Seed      uint64            // of random numbers
-	Limits    Limits            // granted by the platform
-	Settings  balancer.Settings // of the balancer
-	Host      Host              // what the sidecar may use of its process
+	Name             string            // of the sidecar, the same after a restart
+	ListenAddress    string            // host:port for clients
+	DiscoveryAddress string            // host:port of the service that lists endpoints
+	AdminAddress     string            // host:port of the admin interface; empty: none
+	InheritedSocket  string            // the number of an inherited listening socket's descriptor; empty: none
+	Seed             uint64            // of random numbers
+	Limits           Limits            // granted by the platform
+	Settings         balancer.Settings // of the balancer
+	Host             Host              // what the sidecar may use of its process
 
 	KnownEndpoints discovery.List // the last endpoint list, which may be old
 	Zones          []string       // names, by the numbers that the balancer uses
@@ -72,12 +72,12 @@
 		return nil, fmt.Errorf("%s: %w", path, err)
 	}
 	if address := os.Getenv(adminVariable); address != "" {
-		cfg.Admin = address
+		cfg.AdminAddress = address
 	}
-	if err := CheckAdminAddress(cfg.Admin); err != nil {
+	if err := CheckAdminAddress(cfg.AdminAddress); err != nil {
 		return nil, err
 	}
-	cfg.Passed = os.Getenv(InheritedSocketVariable)
+	cfg.InheritedSocket = os.Getenv(InheritedSocketVariable)
 	cfg.Host = OwnProcessHost()
 	return cfg, nil
 }
--- a/internal/config/parse.go
+++ b/internal/config/parse.go
@@ -52,7 +52,7 @@
 	if err := file.Limits.validate(); err != nil {
 		return nil, err
 	}
-	cfg := &Config{Name: file.Name, Listen: file.Listen, Discovery: file.Discovery, Admin: file.Admin,
+	cfg := &Config{Name: file.Name, ListenAddress: file.Listen, DiscoveryAddress: file.Discovery, AdminAddress: file.Admin,
 		Seed: seed, Limits: file.Limits}
 	if len(file.Known) > 0 && string(file.Known) != "null" {
 		if err := json.Unmarshal(file.Known, &cfg.KnownEndpoints); err != nil {
--- a/internal/config/snapshot.go
+++ b/internal/config/snapshot.go
@@ -32,8 +32,8 @@
 	return s
 }
 
-// ReplacedBy returns the configuration in force after s. cfg is a result of Merge, and hash that of the file merged.
-func (s *Snapshot) ReplacedBy(cfg *Config, hash string) *Snapshot {
+// Next returns the configuration in force after s. cfg is a result of Merge, and hash that of the file merged.
+func (s *Snapshot) Next(cfg *Config, hash string) *Snapshot {
 	next := NewSnapshot(cfg)
 	next.FileHash = hash
 	next.Generation = s.Generation + 1
--- a/internal/config/snapshot_test.go
+++ b/internal/config/snapshot_test.go
@@ -15,7 +15,7 @@
 	if !slices.Equal(got.Zones, []string{"a", "b", "c"}) || got.Settings.Zone != 1 || !c.ChangesDiscovery(got) {
 		t.Errorf("zones %v, own %d", got.Zones, got.Settings.Zone)
 	}
-	if fresh := NewSnapshot(next); NewSnapshot(c).ReplacedBy(got, next.Hash()).FileHash != fresh.FileHash {
+	if fresh := NewSnapshot(next); NewSnapshot(c).Next(got, next.Hash()).FileHash != fresh.FileHash {
 		t.Error("the hash differs from that of a sidecar which starts with the file")
 	}
 	next.Settings.Zone = 0
--- a/internal/discovery/client.go
+++ b/internal/discovery/client.go
@@ -88,7 +88,7 @@
 	}
 	defer response.Body.Close()
 	list, err := readList(response)
-	if err == nil && after == nil && !list.Whole {
+	if err == nil && after == nil && !list.Complete {
 		err = &MalformedError{errNotComplete}
 	}
 	return list, err
--- a/internal/discovery/list.go
+++ b/internal/discovery/list.go
@@ -9,9 +9,9 @@
 
 // List is a list of endpoints, or of changes to one, in the form of the protocol page's section on discovery.
 type List struct {
-	Seq   uint64  `json:"seq"`   // the version
-	Whole bool    `json:"whole"` // the list is complete; otherwise it has the entries that changed
-	Hosts []Entry `json:"hosts"`
+	Version  uint64  `json:"seq"`   // the version
+	Complete bool    `json:"whole"` // the list is complete; otherwise it has the entries that changed
+	Entries  []Entry `json:"hosts"`
 
 	Unusable   int       // the number of entries that cannot be used
 	FirstError error     // of the first such entry; nil if there is none
@@ -36,7 +36,7 @@
 	if raw.Seq == nil {
 		return errNoVersion
 	}
-	*l = List{Seq: *raw.Seq, Whole: raw.Whole, Hosts: make([]Entry, 0, len(raw.Hosts))}
+	*l = List{Version: *raw.Seq, Complete: raw.Whole, Entries: make([]Entry, 0, len(raw.Hosts))}
 	for i, text := range raw.Hosts {
 		var entry Entry
 		err := json.Unmarshal(text, &entry)
@@ -44,14 +44,14 @@
 			err = entry.validate()
 		}
 		if err == nil {
-			l.Hosts = append(l.Hosts, entry)
+			l.Entries = append(l.Entries, entry)
 			continue
 		}
 		if l.Unusable++; l.FirstError == nil {
 			l.FirstError = fmt.Errorf("hosts[%d]: %w", i, err)
 		}
 		if entry.Name != "" {
-			l.Hosts = append(l.Hosts, Entry{Name: entry.Name, Health: healthTerminating})
+			l.Entries = append(l.Entries, Entry{Name: entry.Name, Health: healthTerminating})
 		}
 	}
 	if l.Unusable > 0 && l.Unusable == len(raw.Hosts) {
--- a/internal/discovery/watch.go
+++ b/internal/discovery/watch.go
@@ -21,14 +21,14 @@
 // new numbering. After an older list it continues with the complete one: changes since a version of another numbering
 // have no meaning.
 func (p *Position) check(list *List) error {
-	if list.Seq >= p.Newest {
+	if list.Version >= p.Newest {
 		return nil
 	}
 	p.After = nil
-	if list.Whole && !time.Now().Before(p.VersionResetAt) {
+	if list.Complete && !time.Now().Before(p.VersionResetAt) {
 		return nil
 	}
-	return &MalformedError{fmt.Errorf("discovery's answer: version %d is %w, %d", list.Seq, ErrOutdated, p.Newest)}
+	return &MalformedError{fmt.Errorf("discovery's answer: version %d is %w, %d", list.Version, ErrOutdated, p.Newest)}
 }
 
 // Watch calls discovery again and again, and passes each list to onList, until a call fails or ctx ends. It returns the
@@ -53,7 +53,7 @@
 			return err
 		}
 		onList(list)
-		from = Position{After: &list.Seq, Newest: list.Seq, VersionResetAt: time.Now().Add(c.VersionResetTimeout)}
+		from = Position{After: &list.Version, Newest: list.Version, VersionResetAt: time.Now().Add(c.VersionResetTimeout)}
 		retried, wait = false, c.watchWait-rand.N(c.watchWait/watchWaitJitter)
 	}
 }
--- a/internal/downstream/body.go
+++ b/internal/downstream/body.go
@@ -77,5 +77,5 @@
 // LastDataAge returns how long ago the latest bytes of the client came to this machine, as its kernel says.
 func (b *Body) LastDataAge() time.Duration { return system.LastDataAge(b.conn.Conn) }
 
-// ClientLeft reports whether the client has ended its side of the connection, or the connection is broken.
-func (b *Body) ClientLeft() bool { return b.conn.ClientLeft() }
+// ClientClosed reports whether the client has ended its side of the connection, or the connection is broken.
+func (b *Body) ClientClosed() bool { return b.conn.ClientClosed() }
--- a/internal/downstream/conn.go
+++ b/internal/downstream/conn.go
@@ -166,17 +166,17 @@
 	c.listener.setState(c, stateWaiting)
 }
 
-// AmbiguousLength reports whether the request's head states the length of its body in two ways. net/http hides this,
+// HasAmbiguousLength reports whether the request's head states the length of its body in two ways. net/http hides this,
 // and what follows such a head may be a smuggled request.
-func (c *Conn) AmbiguousLength() bool {
+func (c *Conn) HasAmbiguousLength() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.head.ContentLengths > 1 || c.head.ContentLengths > 0 && c.head.TransferEncoding
 }
 
-// ClientLeft reports whether the client has ended its side of the connection or the connection is broken, also behind
+// ClientClosed reports whether the client has ended its side of the connection or the connection is broken, also behind
 // bytes that are still to be read.
-func (c *Conn) ClientLeft() bool {
+func (c *Conn) ClientClosed() bool {
 	c.mu.Lock()
 	known := c.peerClosed
 	c.mu.Unlock()
--- a/internal/downstream/conn_test.go
+++ b/internal/downstream/conn_test.go
@@ -105,7 +105,7 @@
 	io.WriteString(client, sidecartest.ReadHead+"\r\n")
 	awaitReadable(t, c)
 	c.mu.Lock()
-	c.setPhase(phaseExpiring) // as CloseIdle does, between the system call of a read and its record
+	c.setPhase(phaseExpiring) // as ExpireIdle does, between the system call of a read and its record
 	c.mu.Unlock()
 	if n, err := c.Read(make([]byte, 1<<10)); n == 0 || err != nil {
 		t.Fatalf("%d bytes, %v", n, err)
@@ -120,15 +120,15 @@
 }
 
 // net/http sets a deadline of its own when a request ends, which may overwrite that of an expiry: the next call of
-// CloseIdle expires the connection all the same.
+// ExpireIdle expires the connection all the same.
 func TestExpiryOutlivesADeadlineOfNetHTTP(t *testing.T) {
 	l := newTestListener(t, 1)
 	_, c := l.connect()
-	l.CloseIdle(0, 0)
+	l.ExpireIdle(0, 0)
 	if err := c.SetReadDeadline(time.Time{}); err != nil {
 		t.Fatal(err)
 	}
-	l.CloseIdle(0, 0)
+	l.ExpireIdle(0, 0)
 	if _, err := c.Read(make([]byte, 1)); !errors.Is(err, os.ErrDeadlineExceeded) {
 		t.Errorf("the read ended with %v", err)
 	}
@@ -147,7 +147,7 @@
 	client.Close()
 	select {
 	case <-disconnected:
-	case <-time.After(sidecartest.Patience):
+	case <-time.After(sidecartest.WaitTimeout):
 		t.Error("the end of the client is not noticed")
 	}
 	if !c.BeginResponse() {
@@ -166,21 +166,21 @@
 	client, c := l.connect()
 	io.WriteString(client, "GET")
 	awaitReadable(t, c)
-	l.CloseIdle(0, 0)
+	l.ExpireIdle(0, 0)
 	if got, err := read(c); got != "GET" || err != nil {
 		t.Errorf("read %q, %v", got, err)
 	}
-	l.CloseIdle(0, 0) // half a request has come
+	l.ExpireIdle(0, 0) // half a request has come
 	io.WriteString(client, " /")
 	if got, err := read(c); got != " /" || err != nil {
 		t.Errorf("the remainder: read %q, %v", got, err)
 	}
 	_, c = l.connect()
-	l.CloseIdle(0, time.Hour)
+	l.ExpireIdle(0, time.Hour)
 	if c.phase == phaseExpiring {
 		t.Error("an unused connection expires before its time")
 	}
-	l.CloseIdle(time.Hour, 0)
+	l.ExpireIdle(time.Hour, 0)
 	if got, err := read(c); got != "" || !errors.Is(err, os.ErrDeadlineExceeded) {
 		t.Errorf("with nothing there: read %q, %v", got, err)
 	}
@@ -188,7 +188,7 @@
 	client, c = l.connect()
 	io.WriteString(client, "GET")
 	awaitReadable(t, c)
-	l.CloseIdle(0, 0)
+	l.ExpireIdle(0, 0)
 	c.SetReadDeadline(time.Unix(1, 0))
 	if got, err := read(c); got != "" || !errors.Is(err, os.ErrDeadlineExceeded) {
 		t.Errorf("woken by net/http: read %q, %v", got, err)
--- a/internal/downstream/listener.go
+++ b/internal/downstream/listener.go
@@ -29,7 +29,7 @@
 	Log *slog.Logger
 	// MaxConnections is the limit on open connections. Once Accept runs, SetLimits sets it, with mu held.
 	MaxConnections int
-	// MaxUsed is how many connections on which requests came may be kept open: see Crowded. Once Accept runs,
+	// MaxUsed is how many connections on which requests came may be kept open: see OverUsedLimit. Once Accept runs,
 	// SetLimits sets it, with mu held.
 	MaxUsed int
 
@@ -145,10 +145,10 @@
 	return l.MaxConnections, l.MaxUsed
 }
 
-// Crowded reports whether requests have come on so many open connections that responses should close theirs. Some
+// OverUsedLimit reports whether requests have come on so many open connections that responses should close theirs. Some
 // clients send one request and keep the connection for good, and all clients together may open only so many: kept here,
 // these would leave none for the next request.
-func (l *Listener) Crowded() bool {
+func (l *Listener) OverUsedLimit() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.used > l.MaxUsed
@@ -181,9 +181,9 @@
 	return l.closeCounts
 }
 
-// CloseIdle expires the connections that have had no request open and no byte for some time: minUsed for those on which
+// ExpireIdle expires the connections that have had no request open and no byte for some time: minUsed for those on which
 // requests came, minUnused for the others. A request that crosses the expiry is served.
-func (l *Listener) CloseIdle(minUsed, minUnused time.Duration) {
+func (l *Listener) ExpireIdle(minUsed, minUnused time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for e := l.waiting.Front(); e != nil; e = e.Next() {
--- a/internal/downstream/listener_test.go
+++ b/internal/downstream/listener_test.go
@@ -76,7 +76,7 @@
 		l.t.Fatal(err)
 	}
 	l.t.Cleanup(func() { conn.Close() })
-	conn.SetDeadline(time.Now().Add(sidecartest.Patience))
+	conn.SetDeadline(time.Now().Add(sidecartest.WaitTimeout))
 	server, err := l.Accept()
 	if err != nil {
 		l.t.Fatal(err)
@@ -127,7 +127,7 @@
 			return
 		}
 		defer conn.Close()
-		conn.SetDeadline(time.Now().Add(sidecartest.Patience))
+		conn.SetDeadline(time.Now().Add(sidecartest.WaitTimeout))
 		got, _ := io.ReadAll(conn)
 		received <- string(got)
 	}()
@@ -163,7 +163,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		conn.SetDeadline(time.Now().Add(sidecartest.Patience))
+		conn.SetDeadline(time.Now().Add(sidecartest.WaitTimeout))
 		return conn
 	}
 	defer dial().Close()
--- a/internal/downstream/state.go
+++ b/internal/downstream/state.go
@@ -88,7 +88,7 @@
 // phaseTransitions holds all changes of phase that there are.
 var phaseTransitions = [readPhaseCount][readPhaseCount]bool{
 	phaseOpen: {
-		phaseExpiring: true, // CloseIdle or SetLimits, where nothing has come since the latest request
+		phaseExpiring: true, // ExpireIdle or SetLimits, where nothing has come since the latest request
 		phaseEvicted:  true, // Accept beyond the limit
 		phaseClosed:   true, // Close
 	},
--- a/internal/operatorstate/state.go
+++ b/internal/operatorstate/state.go
@@ -14,34 +14,36 @@
 
 // State is what operators have set by hand. It outlives a process. Its JSON keys are those of the stored file.
 type State struct {
-	Version int        `json:"version"` // of the stored form
-	Sidecar string     `json:"sidecar"` // the name of the sidecar that it belongs to
-	Drained bool       `json:"drained"` // readiness is withdrawn
-	Hosts   []Override `json:"hosts"`   // endpoints that are cordoned, or were until recently
+	Version   int        `json:"version"` // of the stored form
+	Sidecar   string     `json:"sidecar"` // the name of the sidecar that it belongs to
+	Drained   bool       `json:"drained"` // readiness is withdrawn
+	Overrides []Override `json:"hosts"`   // endpoints that are cordoned, or were until recently
 }
 
 // Override is an operator's decision on one endpoint: cordoned, or put back into service.
 type Override struct {
-	Name     string `json:"host"`
-	Cordoned bool   `json:"out"`
-	SinceMS  int64  `json:"since_ms"` // Unix time of the decision in milliseconds
-	UpMS     int64  `json:"up_ms"`    // machine uptime then, in milliseconds: a wall clock step does not change its age
+	Name      string `json:"host"`
+	Cordoned  bool   `json:"out"`
+	SetUnixMS int64  `json:"since_ms"` // Unix time of the decision in milliseconds
+	UptimeMS  int64  `json:"up_ms"`    // machine uptime then, in milliseconds: a wall clock step does not change its age
 }
 
-// Since returns when the decision was made.
-func (o *Override) Since() system.Timestamp { return system.Timestamp{UnixMS: o.SinceMS, UpMS: o.UpMS} }
+// SetAt returns when the decision was made.
+func (o *Override) SetAt() system.Timestamp {
+	return system.Timestamp{UnixMS: o.SetUnixMS, UptimeMS: o.UptimeMS}
+}
 
 // SetCordon records that an endpoint is cordoned, or put back into service, at now. It does nothing if the endpoint is
 // in that state already, so repeated calls keep the time of the first.
 func (st *State) SetCordon(name string, cordoned bool, now system.Timestamp) {
 	// The name is cloned, since it may be a part of a request that the state would keep alive.
-	override := Override{Name: strings.Clone(name), Cordoned: cordoned, SinceMS: now.UnixMS, UpMS: now.UpMS}
-	i := slices.IndexFunc(st.Hosts, func(o Override) bool { return o.Name == name })
+	override := Override{Name: strings.Clone(name), Cordoned: cordoned, SetUnixMS: now.UnixMS, UptimeMS: now.UptimeMS}
+	i := slices.IndexFunc(st.Overrides, func(o Override) bool { return o.Name == name })
 	switch {
 	case i < 0 && cordoned:
-		st.Hosts = append(st.Hosts, override)
-	case i >= 0 && st.Hosts[i].Cordoned != cordoned:
-		st.Hosts[i] = override
+		st.Overrides = append(st.Overrides, override)
+	case i >= 0 && st.Overrides[i].Cordoned != cordoned:
+		st.Overrides[i] = override
 	}
 }
 
@@ -55,7 +57,7 @@
 		return fmt.Errorf("version %d, not %d", st.Version, stateVersion)
 	case st.Sidecar != sidecar:
 		return fmt.Errorf("of sidecar %q, not %q", st.Sidecar, sidecar)
-	case slices.ContainsFunc(st.Hosts, func(o Override) bool { return o.Name == "" }):
+	case slices.ContainsFunc(st.Overrides, func(o Override) bool { return o.Name == "" }):
 		return errUnnamedEndpoint
 	}
 	return nil
--- a/internal/operatorstate/store.go
+++ b/internal/operatorstate/store.go
@@ -80,9 +80,9 @@
 		return fmt.Errorf("state: %w", err) // the file may hold another process's update, which must not be overwritten
 	}
 	next := stored
-	next.Hosts = slices.Clone(stored.Hosts)
+	next.Overrides = slices.Clone(stored.Overrides)
 	change(&next)
-	next.Hosts = slices.DeleteFunc(next.Hosts, s.isObsolete)
+	next.Overrides = slices.DeleteFunc(next.Overrides, s.isObsolete)
 	if err := s.write(next); err != nil {
 		s.apply(stored) // it may be another process's update, and Refresh would take it for known
 		return err
@@ -96,7 +96,7 @@
 	if o.Cordoned {
 		return false
 	}
-	age, known := s.Time.Age(o.Since())
+	age, known := s.Time.Age(o.SetAt())
 	return known && age > s.Retention()
 }
 
--- a/internal/operatorstate/store_test.go
+++ b/internal/operatorstate/store_test.go
@@ -35,7 +35,7 @@
 }
 
 func isCordoned(st State, name string) bool {
-	for _, m := range st.Hosts {
+	for _, m := range st.Overrides {
 		if m.Name == name {
 			return m.Cordoned
 		}
@@ -74,7 +74,7 @@
 				if !isCordoned(inForce(), "a") || isCordoned(inForce(), "c") || isCordoned(otherInForce(), "c") {
 					t.Errorf("during the fault %+v and %+v are in force", inForce(), otherInForce())
 				}
-				disk.Mend()
+				disk.Repair()
 				s.Refresh()
 				if !isCordoned(inForce(), "b") {
 					t.Errorf("the other process's update is not in force: %+v", inForce())
@@ -107,7 +107,7 @@
 	}
 	disk.Fail("read", syscall.EIO)
 	waiting, _ := newStore(dir, disk.FileOps(), system.Clock{})
-	time.AfterFunc(3*system.StartRetryDelay, disk.Mend)
+	time.AfterFunc(3*system.StartRetryDelay, disk.Repair)
 	if st := waiting.Load(t.Context()); !isCordoned(st, "a") {
 		t.Errorf("a load that waited returns %+v", st)
 	}
@@ -117,7 +117,7 @@
 	s, inForce := newStore(dir, disk.FileOps(), system.Clock{})
 	s.Load(canceled)
 	s.Refresh()
-	disk.Mend()
+	disk.Repair()
 	if s.Refresh(); !isCordoned(inForce(), "a") {
 		t.Errorf("once the disk is mended, %+v is in force", inForce())
 	}
@@ -164,12 +164,12 @@
 			if err := s.setCordon("b", true); err != nil {
 				t.Fatal(err)
 			}
-			if hosts := inForce().Hosts; len(hosts) != 2 {
+			if hosts := inForce().Overrides; len(hosts) != 2 {
 				t.Fatalf("%+v is in force: an endpoint put back just now is forgotten", hosts)
 			}
 			later, _ := newStore(dir, system.FileOps{}, times.Clock())
-			back := later.Load(t.Context()).Hosts[0]
-			if age, known := later.Time.Age(back.Since()); !known || age < -time.Millisecond || age > sidecartest.Patience {
+			back := later.Load(t.Context()).Overrides[0]
+			if age, known := later.Time.Age(back.SetAt()); !known || age < -time.Millisecond || age > sidecartest.WaitTimeout {
 				t.Errorf("put back %v ago, known %v", age, known)
 			}
 
@@ -185,7 +185,7 @@
 			if got == nil {
 				t.Fatal("estimates saved just now are ignored as old")
 			}
-			if at := got.Endpoints[0].MeasuredAt; at > other-5 || at < other-5-sidecartest.Patience.Microseconds() {
+			if at := got.Endpoints[0].MeasuredAt; at > other-5 || at < other-5-sidecartest.WaitTimeout.Microseconds() {
 				t.Errorf("measured at %d by a clock that shows %d", at, other)
 			}
 		})
--- a/internal/sidecar/actions.go
+++ b/internal/sidecar/actions.go
@@ -80,7 +80,7 @@
 			result = l.upstream.Probe(l.ctx, target)
 		}
 		l.events.post(func(now balancer.Micros) {
-			l.balancer.HandleProbe(now, endpoint, result.Status, result.Took.Microseconds(), l.currentLoadReport(result))
+			l.balancer.HandleProbe(now, endpoint, result.Status, result.Elapsed.Microseconds(), l.currentLoadReport(result))
 			l.endpoints.release(endpoint)
 		})
 	}()
--- a/internal/sidecar/admin.go
+++ b/internal/sidecar/admin.go
@@ -20,7 +20,7 @@
 func (s *server) restoreOperatorState(ctx context.Context, store *operatorstate.Store) {
 	state := store.Load(ctx)
 	s.drainedByOperator.Store(state.Drained)
-	s.loop.applyOverrides(s.loop.clock.now(), state.Hosts)
+	s.loop.applyOverrides(s.loop.clock.now(), state.Overrides)
 }
 
 // applyOperatorState puts in force what operators have set, while the loop runs.
@@ -28,7 +28,7 @@
 	if s.drainedByOperator.Swap(state.Drained) != state.Drained {
 		s.log.Info("operator override", "drained", state.Drained)
 	}
-	s.loop.events.runUrgent(func(now balancer.Micros) { s.loop.applyOverrides(now, state.Hosts) })
+	s.loop.events.runUrgent(func(now balancer.Micros) { s.loop.applyOverrides(now, state.Overrides) })
 }
 
 // Ready implements admin.Sidecar.
--- a/internal/sidecar/admin_test.go
+++ b/internal/sidecar/admin_test.go
@@ -40,7 +40,7 @@
 		t.Fatal(err)
 	}
 	defer conn.Close()
-	conn.SetDeadline(time.Now().Add(sidecartest.Patience))
+	conn.SetDeadline(time.Now().Add(sidecartest.WaitTimeout))
 	io.WriteString(conn, text)
 	got, err := io.ReadAll(conn)
 	if timedOut(err) {
@@ -56,7 +56,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	client := http.Client{Timeout: sidecartest.Patience, Transport: &http.Transport{DisableKeepAlives: true}}
+	client := http.Client{Timeout: sidecartest.WaitTimeout, Transport: &http.Transport{DisableKeepAlives: true}}
 	response, err := client.Do(r)
 	if err != nil {
 		t.Fatal(err)
@@ -130,7 +130,7 @@
 		t.Errorf("without endpoints: %d", got)
 	}
 	w.discovery.change(func() {
-		w.discovery.list = discovery.List{Seq: 1, Whole: true, Hosts: []discovery.Entry{ready("s-1", e.Address)}}
+		w.discovery.list = discovery.List{Version: 1, Complete: true, Entries: []discovery.Entry{ready("s-1", e.Address)}}
 	})
 	w.await("health", func() bool { return health() == http.StatusOK })
 	w.stop()
@@ -181,27 +181,31 @@
 		t.Errorf("with the only endpoint out: %d", got)
 	}
 	again := ready("s-1", e.Address)
-	again.BornMS = time.Now().UnixMilli()
+	again.StartUnixMS = time.Now().UnixMilli()
 	w.discovery.change(
-		func() { w.discovery.list = discovery.List{Seq: 1, Whole: true, Hosts: []discovery.Entry{again}} },
+		func() {
+			w.discovery.list = discovery.List{Version: 1, Complete: true, Entries: []discovery.Entry{again}}
+		},
 	)
 	w.await("the change", func() bool {
 		var born int64
-		w.runInLoop(func() { born = w.loop.endpoints.byID[w.loop.endpoints.ids["s-1"]].entry.BornMS })
-		return born == again.BornMS
+		w.runInLoop(func() { born = w.loop.endpoints.byID[w.loop.endpoints.ids["s-1"]].entry.StartUnixMS })
+		return born == again.StartUnixMS
 	})
 	if got := read(); got != 503 {
 		t.Errorf("after discovery listed its restart: %d", got)
 	}
 	// Neither a list without it nor one that has it again is a call back.
 	for seq, hosts := range map[uint64][]discovery.Entry{2: {}, 3: {again}} {
-		w.discovery.change(func() { w.discovery.list = discovery.List{Seq: seq, Whole: true, Hosts: hosts} })
+		w.discovery.change(func() { w.discovery.list = discovery.List{Version: seq, Complete: true, Entries: hosts} })
 	}
 	if got := callStatus(t, "POST", address, "/admin/cordon?name=s-1"); got != 200 {
 		t.Errorf("a call for one that is out and may be gone: %d", got)
 	}
 	w.discovery.change(
-		func() { w.discovery.list = discovery.List{Seq: 4, Whole: true, Hosts: []discovery.Entry{again}} },
+		func() {
+			w.discovery.list = discovery.List{Version: 4, Complete: true, Entries: []discovery.Entry{again}}
+		},
 	)
 	w.await("the endpoint to be listed", func() bool {
 		var listed bool
@@ -311,7 +315,7 @@
 // change nothing.
 func TestOperatorDrain(t *testing.T) {
 	answer := make(chan struct{})
-	e := sidecartest.NewEndpoint(t, sidecartest.PayWaits(answer))
+	e := sidecartest.NewEndpoint(t, sidecartest.BlockPay(answer))
 	w := start(t, nil, ready("s-1", e.Address))
 	address := w.startAdmin(t.TempDir())
 	front := func() int { return callStatus(t, "GET", strings.TrimPrefix(w.url, "http://"), "/health/ready") }
--- a/internal/sidecar/clients_test.go
+++ b/internal/sidecar/clients_test.go
@@ -25,7 +25,7 @@
 		w.t.Fatal(err)
 	}
 	w.t.Cleanup(func() { conn.Close() })
-	conn.SetDeadline(time.Now().Add(sidecartest.Patience))
+	conn.SetDeadline(time.Now().Add(sidecartest.WaitTimeout))
 	return conn
 }
 
@@ -152,9 +152,9 @@
 		{"bad hint", sidecartest.PayHead + "X-Correlation-Id: 2\r\nX-Weight-Hint: -1\r\n", httpmsg.MaxBufferedBytes, http.StatusBadRequest, false},
 		{"no memory", sidecartest.PayHead + "X-Correlation-Id: 3\r\n", httpmsg.MaxBufferedBytes, http.StatusServiceUnavailable, true},
 	} {
-		taken := w.loop.upstream.Bodies.Used.Load()
+		taken := w.loop.upstream.BodyMemory.Used.Load()
 		if c.full {
-			w.loop.upstream.Bodies.Used.Add(int64(w.loop.cfg.Limits.MemoryMB) << 20)
+			w.loop.upstream.BodyMemory.Used.Add(int64(w.loop.cfg.Limits.MemoryMB) << 20)
 		}
 		conn := w.dial()
 		in := bufio.NewReader(conn)
@@ -174,9 +174,9 @@
 			t.Errorf("%s: the end of the connection: %v", c.name, err)
 		}
 		if c.full {
-			w.loop.upstream.Bodies.Used.Add(-int64(w.loop.cfg.Limits.MemoryMB) << 20)
+			w.loop.upstream.BodyMemory.Used.Add(-int64(w.loop.cfg.Limits.MemoryMB) << 20)
 		}
-		if reserved := w.loop.upstream.Bodies.Used.Load(); reserved != taken {
+		if reserved := w.loop.upstream.BodyMemory.Used.Load(); reserved != taken {
 			t.Errorf("%s: %d bytes are still reserved", c.name, reserved-taken)
 		}
 	}
@@ -257,7 +257,7 @@
 // longest silent one is closed, but none with a request open.
 func TestClientConnectionsAreLimited(t *testing.T) {
 	answer := make(chan struct{})
-	e := sidecartest.NewEndpoint(t, sidecartest.PayWaits(answer))
+	e := sidecartest.NewEndpoint(t, sidecartest.BlockPay(answer))
 	w := start(t, nil, ready("s-1", e.Address))
 	first := make(chan reply)
 	go func() { first <- w.send(w.request("pay", "x", time.Minute)) }()
@@ -321,16 +321,16 @@
 func TestBodyMemoryIsLimited(t *testing.T) {
 	e := newServingEndpoint(t)
 	w := start(t, nil, ready("s-1", e.Address))
-	w.loop.upstream.Bodies.Used.Add(int64(w.loop.cfg.Limits.MemoryMB) << 20 / bodyMemoryDivisor)
+	w.loop.upstream.BodyMemory.Used.Add(int64(w.loop.cfg.Limits.MemoryMB) << 20 / bodyMemoryDivisor)
 	if got := w.send(w.request("pay", "x", 3*time.Second)); got.code != http.StatusServiceUnavailable ||
 		got.header.Get("Retry-After") == "" {
 		t.Errorf("beyond the limit: %+v", got)
 	}
-	w.loop.upstream.Bodies.Used.Store(0)
+	w.loop.upstream.BodyMemory.Used.Store(0)
 	if got := w.send(w.request("pay", "x", 3*time.Second)); got.code != http.StatusOK {
 		t.Errorf("with memory again: %+v", got)
 	}
-	w.await("the bodies to be given back", func() bool { return w.loop.upstream.Bodies.Used.Load() == 0 })
+	w.await("the bodies to be given back", func() bool { return w.loop.upstream.BodyMemory.Used.Load() == 0 })
 }
 
 // Idle clients may hold all client connections while discovery is down. When it is back its list applies, and requests
@@ -376,7 +376,7 @@
 	)
 	w.discovery.change(func() {
 		w.discovery.down = false
-		w.discovery.list = discovery.List{Seq: 1, Whole: true, Hosts: []discovery.Entry{ready("s-2", second.Address)}}
+		w.discovery.list = discovery.List{Version: 1, Complete: true, Entries: []discovery.Entry{ready("s-2", second.Address)}}
 	})
 	w.await("a request at the new endpoint", func() bool {
 		w.send(w.request("read", "", 3*time.Second))
--- a/internal/sidecar/discovery_test.go
+++ b/internal/sidecar/discovery_test.go
@@ -50,7 +50,7 @@
 	// A change reaches the balancer; the next call asks for what is newer.
 	second := newServingEndpoint(t)
 	w.discovery.change(func() {
-		w.discovery.list = discovery.List{Seq: 7, Whole: true, Hosts: []discovery.Entry{ready("s-2", second.Address)}}
+		w.discovery.list = discovery.List{Version: 7, Complete: true, Entries: []discovery.Entry{ready("s-2", second.Address)}}
 	})
 	w.await("the call after the change", func() bool { return w.discovery.count() == 3 })
 	w.await("the change", func() bool { return w.recorder.count(balancer.ListFull) == 1 })
@@ -88,9 +88,9 @@
 			w.discovery.change(func() {
 				w.discovery.down, w.discovery.malformed = false, ""
 				w.discovery.list = discovery.List{
-					Seq:   1,
-					Whole: true,
-					Hosts: []discovery.Entry{ready("s-2", second.Address)},
+					Version:  1,
+					Complete: true,
+					Entries:  []discovery.Entry{ready("s-2", second.Address)},
 				}
 			})
 			w.await("the new list", func() bool { return w.recorder.count(balancer.ListFull) >= 1 })
@@ -128,7 +128,7 @@
 				w := start(t, nil, ready("s-1", e.Address), ready("s-2", e.Address), ready("s-3", e.Address))
 				w.await("the watch", func() bool { return w.discovery.count() >= 2 })
 				w.discovery.change(func() {
-					w.discovery.list.Seq = 9
+					w.discovery.list.Version = 9
 					w.discovery.malformed = fmt.Sprintf(
 						`{"seq":9,"whole":%v,"hosts":[%s,%s,%s]}`,
 						whole,
@@ -182,7 +182,7 @@
 	w.await("the failure", func() bool { return w.recorder.count(balancer.ListFailed) >= 1 })
 	w.discovery.change(func() {
 		w.discovery.down = false
-		w.discovery.list = discovery.List{Seq: 3, Whole: true, Hosts: []discovery.Entry{ready("s-2", second.Address)}}
+		w.discovery.list = discovery.List{Version: 3, Complete: true, Entries: []discovery.Entry{ready("s-2", second.Address)}}
 	})
 	w.await("the new list", func() bool { return w.recorder.count(balancer.ListFull) >= 1 })
 }
@@ -207,7 +207,7 @@
 	}
 	w.discovery.change(func() {
 		w.discovery.down = false
-		w.discovery.list = discovery.List{Seq: 1, Whole: true, Hosts: []discovery.Entry{ready("s-1", e.Address)}}
+		w.discovery.list = discovery.List{Version: 1, Complete: true, Entries: []discovery.Entry{ready("s-1", e.Address)}}
 	})
 	w.await("ready", func() bool { return status() == http.StatusOK })
 	if last := w.discovery.calls[0]; last != "" {
@@ -224,14 +224,14 @@
 	w.runInLoop(func() { before = w.loop.endpoints.byID[1].target })
 	born := time.Now().UnixMilli() - 500
 	restarted := ready("s-1", e.Address)
-	restarted.BornMS = born
+	restarted.StartUnixMS = born
 	strange := discovery.Entry{
-		Name:   "s-9",
-		Dial:   "127.0.0.1:1",
-		Site:   "nowhere",
-		Class:  "odd",
-		Block:  4,
-		Health: "Terminating",
+		Name:        "s-9",
+		Address:     "127.0.0.1:1",
+		Zone:        "nowhere",
+		MachineKind: "odd",
+		Cell:        4,
+		Health:      "Terminating",
 	}
 	got := make(chan []balancer.Endpoint, 1)
 	w.runInLoop(func() {
@@ -239,7 +239,7 @@
 		w.loop.updateEndpoints(
 			w.loop.clock.now(),
 			balancer.ListDelta,
-			discovery.List{Seq: 2, Hosts: []discovery.Entry{restarted, strange}},
+			discovery.List{Version: 2, Entries: []discovery.Entry{restarted, strange}},
 		)
 		w.loop.balancer = w.recorder
 		after = w.loop.endpoints.byID[1].target
@@ -258,8 +258,8 @@
 		{
 			ID:          2,
 			Name:        hashName("s-9"),
-			Zone:        config.UnknownName,
-			MachineKind: config.UnknownName,
+			Zone:        config.UnknownIndex,
+			MachineKind: config.UnknownIndex,
 			Cell:        4,
 			State:       balancer.Draining,
 		}}
@@ -305,7 +305,7 @@
 	for range 2 { // it may come again
 		moved := newFakeDiscovery(t, ready("s-2", second.Address))
 		next := *w.loop.cfg
-		next.Discovery = moved.address
+		next.DiscoveryAddress = moved.address
 		lists := w.recorder.count(balancer.ListFull)
 		w.runInLoop(func() { w.loop.reload(&next) })
 		w.await("the new list", func() bool { return w.recorder.count(balancer.ListFull) > lists })
@@ -356,7 +356,7 @@
 			if whole {
 				kind = balancer.ListFull
 			}
-			w.loop.updateEndpoints(w.loop.clock.now(), kind, discovery.List{Whole: whole, Hosts: hosts})
+			w.loop.updateEndpoints(w.loop.clock.now(), kind, discovery.List{Complete: whole, Entries: hosts})
 		})
 	}
 	for i := range 50 {
--- a/internal/sidecar/endpoints.go
+++ b/internal/sidecar/endpoints.go
@@ -39,10 +39,10 @@
 // the clock skew is estimated anew with each list, and a start must not move with it.
 func (e *endpoint) updateStart(entry discovery.Entry, skew balancer.Micros) balancer.Micros {
 	switch {
-	case entry.BornMS <= 0:
+	case entry.StartUnixMS <= 0:
 		e.startedAt = 0
-	case e.startedAt == 0 || e.entry.BornMS != entry.BornMS:
-		e.startedAt = max(1, entry.BornMS*1000-skew)
+	case e.startedAt == 0 || e.entry.StartUnixMS != entry.StartUnixMS:
+		e.startedAt = max(1, entry.StartUnixMS*1000-skew)
 	}
 	return e.startedAt
 }
@@ -59,26 +59,26 @@
 // update brings the table in line with a list. It returns what to tell the balancer, and whether any endpoint of the
 // table can be reached.
 func (t *endpointTable) update(u *endpointUpdate) (entries []balancer.Endpoint, ready bool) {
-	entries = make([]balancer.Endpoint, 0, len(u.list.Hosts))
+	entries = make([]balancer.Endpoint, 0, len(u.list.Entries))
 	listed := map[uint32]bool{}
-	for _, entry := range u.list.Hosts {
+	for _, entry := range u.list.Entries {
 		id := t.ids[entry.Name]
 		if id == 0 {
-			if discovery.States[entry.Health] == balancer.Removed {
+			if discovery.HealthStates[entry.Health] == balancer.Removed {
 				continue
 			}
 			id = t.add(entry.Name)
 		}
 		e := t.byID[id]
-		if u.older && e.entry.Health == "Terminating" && e.entry.BornMS == entry.BornMS {
+		if u.older && e.entry.Health == "Terminating" && e.entry.StartUnixMS == entry.StartUnixMS {
 			entry.Health = e.entry.Health
 		}
 		listed[id] = true
 		entries = append(entries, balancer.Endpoint{
 			ID: id, Name: hashName(entry.Name),
-			Zone:        config.NameIndex(u.cfg.Zones, entry.Site),
-			MachineKind: config.NameIndex(u.cfg.MachineKinds, entry.Class),
-			Cell:        entry.Block, State: discovery.States[entry.Health], Weight: entry.Share,
+			Zone:        config.NameIndex(u.cfg.Zones, entry.Zone),
+			MachineKind: config.NameIndex(u.cfg.MachineKinds, entry.MachineKind),
+			Cell:        entry.Cell, State: discovery.HealthStates[entry.Health], Weight: entry.Weight,
 			StartTime: e.updateStart(entry, u.skew),
 		})
 		t.retarget(id, entry)
@@ -101,18 +101,18 @@
 // retarget points an endpoint's id at where it is reached now. The target of an endpoint that drains, is removed or
 // has restarted is retired, so that an attempt on its way there is not sent.
 func (t *endpointTable) retarget(id uint32, entry discovery.Entry) {
-	e, state := t.byID[id], discovery.States[entry.Health]
+	e, state := t.byID[id], discovery.HealthStates[entry.Health]
 	e.entry, e.removed = entry, state == balancer.Removed
 	if t.overrides[e.name].Cordoned {
 		state = balancer.Draining // nothing new goes to either
 	}
 	if old := e.target; old != nil &&
-		(state != balancer.Ready || old.Address != entry.Dial || old.StartedMS != entry.BornMS) {
+		(state != balancer.Ready || old.Address != entry.Address || old.StartedUnixMS != entry.StartUnixMS) {
 		t.retire(old)
 		e.target = nil
 	}
 	if e.target == nil && state == balancer.Ready {
-		e.target = &upstream.Endpoint{Address: entry.Dial, StartedMS: entry.BornMS}
+		e.target = &upstream.Endpoint{Address: entry.Address, StartedUnixMS: entry.StartUnixMS}
 	}
 	t.forgetIfUnused(id)
 }
@@ -133,7 +133,7 @@
 	for name, o := range t.overrides {
 		if _, ok := next[name]; !ok && o.Cordoned {
 			at := present()
-			next[name] = operatorstate.Override{Name: name, SinceMS: at.UnixMS, UpMS: at.UpMS}
+			next[name] = operatorstate.Override{Name: name, SetUnixMS: at.UnixMS, UptimeMS: at.UptimeMS}
 		}
 	}
 	for name, o := range next {
--- a/internal/sidecar/extrabytes_test.go
+++ b/internal/sidecar/extrabytes_test.go
@@ -29,7 +29,7 @@
 			var text strings.Builder
 			w.request("pay", "x", time.Minute).Write(&text)
 			io.WriteString(conn, text.String()+c.with)
-			<-dial.Begun
+			<-dial.Started
 			io.WriteString(conn, c.later)
 			conn.Close()
 			w.await("the client's going", func() bool {
--- a/internal/sidecar/fakediscovery_test.go
+++ b/internal/sidecar/fakediscovery_test.go
@@ -29,7 +29,7 @@
 
 func newFakeDiscovery(t *testing.T, hosts ...discovery.Entry) *fakeDiscovery {
 	t.Helper()
-	d := &fakeDiscovery{list: discovery.List{Whole: true, Hosts: hosts}, changed: make(chan struct{})}
+	d := &fakeDiscovery{list: discovery.List{Complete: true, Entries: hosts}, changed: make(chan struct{})}
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -52,7 +52,7 @@
 	d.mu.Lock()
 	d.calls = append(d.calls, r.URL.RawQuery)
 	after, wait, changed := r.FormValue("after"), r.FormValue("wait_ms"), d.changed
-	waits := after == fmt.Sprint(d.list.Seq) && wait != "0" && !d.down && d.malformed == ""
+	waits := after == fmt.Sprint(d.list.Version) && wait != "0" && !d.down && d.malformed == ""
 	d.mu.Unlock()
 	if waits {
 		ms, _ := strconv.Atoi(wait)
@@ -71,8 +71,8 @@
 		json.NewEncoder(w).Encode(d.list) // which must not be believed
 	case d.malformed != "":
 		io.WriteString(w, d.malformed)
-	case after == fmt.Sprint(d.list.Seq):
-		json.NewEncoder(w).Encode(discovery.List{Seq: d.list.Seq, Hosts: []discovery.Entry{}})
+	case after == fmt.Sprint(d.list.Version):
+		json.NewEncoder(w).Encode(discovery.List{Version: d.list.Version, Entries: []discovery.Entry{}})
 	default:
 		json.NewEncoder(w).Encode(d.list)
 	}
--- a/internal/sidecar/faults_test.go
+++ b/internal/sidecar/faults_test.go
@@ -29,7 +29,7 @@
 	if got := w.send(w.request("read", "", time.Minute)); got.code != http.StatusOK || w.server.acceptsRequests() {
 		t.Errorf("a request meanwhile: %+v", got)
 	}
-	disk.Mend()
+	disk.Repair()
 	if got := callStatus(t, "POST", address, "/admin/resume"); got != http.StatusOK || !w.server.acceptsRequests() {
 		t.Errorf("the call afterwards: %d", got)
 	}
@@ -77,7 +77,7 @@
 		times := &sidecartest.SteppedClock{}
 		times.Step(step)
 		young, old := ready("s-1", e.Address), ready("s-2", e.Address)
-		young.BornMS, old.BornMS = time.Now().UnixMilli(), time.Now().Add(-2*time.Hour).UnixMilli()
+		young.StartUnixMS, old.StartUnixMS = time.Now().UnixMilli(), time.Now().Add(-2*time.Hour).UnixMilli()
 		w := &harness{t: t, discovery: newFakeDiscovery(t, young, old)}
 		cfg := configure(t, w.discovery.address, nil) // it knows no list but discovery's
 		cfg.Host.Time = times.Clock()
@@ -94,10 +94,10 @@
 				)
 			}
 		})
-		if ages[0] > sidecartest.Patience || ages[0] < -2*discovery.MinSkew {
+		if ages[0] > sidecartest.WaitTimeout || ages[0] < -2*discovery.MinSkew {
 			t.Errorf("step %v: one that has just started is %v old", step, ages[0])
 		}
-		if off := ages[1] - 2*time.Hour; off > sidecartest.Patience || off < -2*discovery.MinSkew {
+		if off := ages[1] - 2*time.Hour; off > sidecartest.WaitTimeout || off < -2*discovery.MinSkew {
 			t.Errorf("step %v: one that started two hours ago is %v old", step, ages[1])
 		}
 	}
--- a/internal/sidecar/forward.go
+++ b/internal/sidecar/forward.go
@@ -29,7 +29,7 @@
 	if upload != nil {
 		defer upload.Finish()
 	}
-	r := &request{response: make(chan finalResponse, 1), message: x.message, clientLeft: x.conn.ClientLeft, times: x.times}
+	r := &request{response: make(chan finalResponse, 1), message: x.message, clientLeft: x.conn.ClientClosed, times: x.times}
 	s.admit(r, x.request)
 	for {
 		select {
--- a/internal/sidecar/harness_test.go
+++ b/internal/sidecar/harness_test.go
@@ -22,7 +22,7 @@
 
 // ready is discovery's entry for an endpoint.
 func ready(name, address string) discovery.Entry {
-	return discovery.Entry{Name: name, Dial: address, Site: "a", Class: "m1", Health: "Ready", Share: 1}
+	return discovery.Entry{Name: name, Address: address, Zone: "a", MachineKind: "m1", Health: "Ready", Weight: 1}
 }
 
 // harness is a running sidecar with its surroundings.
@@ -57,7 +57,7 @@
 	text, err := json.Marshal(map[string]any{
 		"name": "n0", "listen": "127.0.0.1:0", "discovery": discoveryAddress, "seed": "8c1f30d27a5be964",
 		"limits": map[string]any{"cores": 1.0, "memory_mb": 192, "sockets": 256},
-		"known":  discovery.List{Whole: true, Hosts: hosts}, "settings": settings})
+		"known":  discovery.List{Complete: true, Entries: hosts}, "settings": settings})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -116,7 +116,7 @@
 // launch runs a sidecar until the test ends.
 func (w *harness) launch(cfg *config.Config) {
 	w.t.Helper()
-	listener, err := net.Listen("tcp", cfg.Listen)
+	listener, err := net.Listen("tcp", cfg.ListenAddress)
 	if err != nil {
 		w.t.Fatal(err)
 	}
@@ -197,7 +197,7 @@
 
 func (w *harness) send(r *http.Request) reply {
 	transport := &http.Transport{DisableKeepAlives: true}
-	response, err := (&http.Client{Transport: transport, Timeout: sidecartest.Patience}).Do(r)
+	response, err := (&http.Client{Transport: transport, Timeout: sidecartest.WaitTimeout}).Do(r)
 	if err != nil {
 		return reply{err: err}
 	}
--- a/internal/sidecar/loop.go
+++ b/internal/sidecar/loop.go
@@ -130,7 +130,7 @@
 	if l.warmStart != nil {
 		l.balancer.Restore(l.warmStart)
 	}
-	if len(l.cfg.KnownEndpoints.Hosts) > 0 {
+	if len(l.cfg.KnownEndpoints.Entries) > 0 {
 		l.updateEndpoints(now, balancer.ListCached, l.cfg.KnownEndpoints)
 	}
 	if !l.cfg.Settings.SubscribeToDiscovery {
@@ -196,7 +196,7 @@
 	if result.Status == balancer.OK {
 		r.recordTimes(result.Times)
 		l.respond(r, finalResponse{code: http.StatusOK, header: result.Header, body: result.Body,
-			remainder: result.Rest, length: result.Length, releaseBody: result.Release})
+			remainder: result.Stream, length: result.ContentLength, releaseBody: result.ReleaseBody})
 	}
 	o.Answered, o.LoadReport = r.finished, l.currentLoadReport(result)
 	l.balancer.HandleOutcome(now, o)
@@ -218,7 +218,7 @@
 func (l *loop) handleList(now balancer.Micros, list discovery.List) {
 	l.watcher.recordList(now, &list)
 	kind := balancer.ListDelta
-	if list.Whole {
+	if list.Complete {
 		kind = balancer.ListFull
 	}
 	l.updateEndpoints(now, kind, list)
@@ -249,7 +249,7 @@
 		l.endpoints.retargetByName(o.Name)
 		l.log.Info("operator override", "host", o.Name, "cordoned", o.Cordoned)
 		since := now // if its age is unknown
-		if age, known := l.operatorClock.Age(o.Since()); known {
+		if age, known := l.operatorClock.Age(o.SetAt()); known {
 			since = now - max(0, age.Microseconds())
 		}
 		l.balancer.Cordon(now, hashName(o.Name), o.Cordoned, since)
--- a/internal/sidecar/read.go
+++ b/internal/sidecar/read.go
@@ -44,11 +44,11 @@
 	if in.ContentLength >= 0 {
 		reserved = min(reserved, in.ContentLength)
 	}
-	if !s.loop.upstream.Bodies.Reserve(reserved) {
+	if !s.loop.upstream.BodyMemory.Reserve(reserved) {
 		rejectUnread(w, in, finalResponse{code: http.StatusServiceUnavailable, retryAfter: busyRetryAfter.Microseconds()})
 		return
 	}
-	defer s.loop.upstream.Bodies.Release(reserved)
+	defer s.loop.upstream.BodyMemory.Release(reserved)
 	stream := downstream.NewBody(x.conn, in.Body)
 	body, complete, err := readBody(stream, reserved, in.ContentLength)
 	switch {
@@ -110,7 +110,7 @@
 // readHead checks a request's head and returns what the balancer must know of it.
 func (s *server) readHead(in *http.Request, c *downstream.Conn, arrived balancer.Micros) (
 	req balancer.Request, err error) {
-	if c.AmbiguousLength() {
+	if c.HasAmbiguousLength() {
 		// What follows the head may hide another request: the connection ends here.
 		return req, downstream.NewBadRequest("Content-Length beside another, or beside Transfer-Encoding")
 	}
--- a/internal/sidecar/reload.go
+++ b/internal/sidecar/reload.go
@@ -34,7 +34,7 @@
 		l.rejectReload(err)
 		return
 	}
-	l.activate(l.current.Load().ReplacedBy(merged, next.Hash()))
+	l.activate(l.current.Load().Next(merged, next.Hash()))
 	l.cancelUnsent(withdrawn)
 	l.upstream.Configure(merged)
 	if old.Limits != merged.Limits && l.limitsChanged != nil {
@@ -57,7 +57,7 @@
 // logConfiguration logs what is in force from now on, which parts have changed, and which keys need a restart.
 func (l *loop) logConfiguration(changed, restart []string) {
 	inForce := l.current.Load()
-	attributes := []any{"generation", inForce.Generation, "hash", inForce.FileHash, "discovery", inForce.Discovery}
+	attributes := []any{"generation", inForce.Generation, "hash", inForce.FileHash, "discovery", inForce.DiscoveryAddress}
 	if len(changed) > 0 {
 		attributes = append(attributes, "changed", changed)
 	}
@@ -83,7 +83,7 @@
 
 // currentLoadReport returns the load report of a result, nil if it was read by an earlier configuration's rules.
 func (l *loop) currentLoadReport(result upstream.Result) []float32 {
-	if result.Report != l.upstream.Report.Load() {
+	if result.ReportFormat != l.upstream.Format.Load() {
 		return nil
 	}
 	return result.Load
--- a/internal/sidecar/reload_test.go
+++ b/internal/sidecar/reload_test.go
@@ -262,7 +262,7 @@
 	}
 	log := w.captureLog(func() {
 		next := *configure(t, w.discovery.address, nil)
-		next.Name, next.Listen, next.Seed, next.Limits.MemoryMB = "n1", "127.0.0.1:1", 7, 64
+		next.Name, next.ListenAddress, next.Seed, next.Limits.MemoryMB = "n1", "127.0.0.1:1", 7, 64
 		w.loop.reload(&next)
 	})
 	if !strings.Contains(log, `needs_restart="[name listen seed limits.memory_mb]"`) ||
@@ -363,7 +363,7 @@
 	}
 	w.runInLoop(func() {
 		now := w.loop.clock.now()
-		w.loop.updateEndpoints(now, balancer.ListDelta, discovery.List{Hosts: []discovery.Entry{drained}})
+		w.loop.updateEndpoints(now, balancer.ListDelta, discovery.List{Entries: []discovery.Entry{drained}})
 		w.loop.applyOverrides(now, []operatorstate.Override{{Name: "s-2", Cordoned: true}})
 		before, watch = members(), w.loop.watcher.client
 	})
@@ -374,11 +374,11 @@
 	})
 	next.Limits.Sockets = 128
 	var old, read upstream.Result
-	old.Load, old.Report = w.loop.upstream.LoadReport("failed_ps=1,pending=2")
+	old.Load, old.ReportFormat = w.loop.upstream.ParseLoadReport("failed_ps=1,pending=2")
 	w.runInLoop(func() {
 		w.loop.reload(&next)
 		after, same = members(), w.loop.watcher.client
-		read.Load, read.Report = w.loop.upstream.LoadReport("failed_ps=1,pending=2")
+		read.Load, read.ReportFormat = w.loop.upstream.ParseLoadReport("failed_ps=1,pending=2")
 		if load := w.loop.currentLoadReport(read); len(load) != 1 || load[0] != 2 {
 			t.Errorf("a report by the new fields: %v", load)
 		}
@@ -425,7 +425,7 @@
 	}
 
 	w = start(t, nil, ready("s-1", e.Address))
-	w.server.drainPeriod = sidecartest.Patience
+	w.server.drainPeriod = sidecartest.WaitTimeout
 	w.server.drainedByOperator.Store(true)
 	w.reload(withSearchClass)
 	got := w.send(w.request("search", "x", time.Minute))
--- a/internal/sidecar/response.go
+++ b/internal/sidecar/response.go
@@ -13,7 +13,7 @@
 
 // writeResponse writes the final response, and relays what follows its buffered part.
 func (s *server) writeResponse(w http.ResponseWriter, c *downstream.Conn, r *request, response finalResponse) {
-	r.times.Answered = time.Now()
+	r.times.ResultReceived = time.Now()
 	// Clients send one request at a time. What came behind this one is not served as a request: nothing but the
 	// client's own framing says that it is one.
 	behind := c.BeginResponse()
@@ -21,7 +21,7 @@
 	if upload := r.message.Upload; upload != nil {
 		bodyPending = !upload.ReachedEOF.Load() || !c.RequestRead(upload.Length)
 	}
-	if behind || bodyPending || s.clients.Crowded() || s.draining() {
+	if behind || bodyPending || s.clients.OverUsedLimit() || s.draining() {
 		w.Header().Set("Connection", "close")
 	}
 	writeFinalResponse(w, response)
@@ -40,7 +40,7 @@
 	if r.times.Attempt.Received.IsZero() {
 		return
 	}
-	r.times.Replied = time.Now()
+	r.times.ResponseReturned = time.Now()
 	s.loop.stages.Record(&r.times)
 }
 
--- a/internal/sidecar/run.go
+++ b/internal/sidecar/run.go
@@ -18,13 +18,13 @@
 // configurations may come at any time; each is in force, or rejected, by the time that the next one is received. The
 // error says that an address could not be opened, that the configuration is invalid or that the listener failed.
 func Run(ctx context.Context, cfg *config.Config, reloads <-chan *config.Config, log *slog.Logger) error {
-	listener, err := handover.Listen(ctx, cfg.Listen, cfg.Passed)
+	listener, err := handover.Listen(ctx, cfg.ListenAddress, cfg.InheritedSocket)
 	if err != nil {
 		return err
 	}
 	var adminListener net.Listener
-	if cfg.Admin != "" {
-		if adminListener, err = admin.Listen(ctx, cfg.Admin); err != nil {
+	if cfg.AdminAddress != "" {
+		if adminListener, err = admin.Listen(ctx, cfg.AdminAddress); err != nil {
 			listener.Close()
 			return err
 		}
@@ -43,13 +43,13 @@
 			l.events.runUrgent(func(balancer.Micros) { l.reload(next) })
 		}
 	}()
-	if cfg.Passed != "" { // another process may take over
+	if cfg.InheritedSocket != "" { // another process may take over
 		store := warmstart.NewStore(loopCtx, cfg.Name, cfg.Host, log)
 		l.warmStart, l.saveEstimates = store.Load(l.clock.now()), store.Save
 	}
 	s := newServer(l)
 	s.setProcesses(1)
-	if cfg.Passed != "" {
+	if cfg.InheritedSocket != "" {
 		s.acquireSlot(ctx, cfg.Host.Directory)
 		go s.followPeers(loopCtx, cfg.Host.Directory)
 	}
--- a/internal/sidecar/scripteddiscovery_test.go
+++ b/internal/sidecar/scripteddiscovery_test.go
@@ -84,7 +84,7 @@
 	s.mu.Lock()
 	i, mute := len(s.calls), s.silencing
 	s.calls = append(s.calls, recordedCall{at: time.Now(), wait: wait})
-	behind := r.FormValue("after") != strconv.FormatUint(s.list.Seq, 10)
+	behind := r.FormValue("after") != strconv.FormatUint(s.list.Version, 10)
 	cut, fresh, deaf, down, turn, words := s.resetting, s.changed, s.unresponsive, s.down, s.queueDelay, ""
 	if len(s.malformedReplies) > 0 {
 		words, s.malformedReplies = s.malformedReplies[0], s.malformedReplies[1:]
@@ -139,8 +139,8 @@
 		s.openReply = ""
 		return
 	}
-	answer := discovery.List{Seq: s.list.Seq, Hosts: []discovery.Entry{}}
-	if r.FormValue("after") != strconv.FormatUint(s.list.Seq, 10) {
+	answer := discovery.List{Version: s.list.Version, Entries: []discovery.Entry{}}
+	if r.FormValue("after") != strconv.FormatUint(s.list.Version, 10) {
 		answer = s.list
 	}
 	json.NewEncoder(w).Encode(answer)
@@ -152,7 +152,7 @@
 	defer s.mu.Unlock()
 	draining := ready("s-1", "127.0.0.1:1")
 	draining.Health = "Terminating"
-	s.list = discovery.List{Seq: s.list.Seq + 1, Whole: true, Hosts: []discovery.Entry{draining}}
+	s.list = discovery.List{Version: s.list.Version + 1, Complete: true, Entries: []discovery.Entry{draining}}
 	close(s.changed)
 	s.changed = make(chan struct{})
 }
@@ -224,7 +224,7 @@
 func newScriptedDiscovery(t *testing.T) (*scriptedDiscovery, dialer) {
 	listener := newPipes()
 	dir := &scriptedDiscovery{
-		list:      discovery.List{Seq: 1, Whole: true, Hosts: []discovery.Entry{ready("s-1", "127.0.0.1:1")}},
+		list:      discovery.List{Version: 1, Complete: true, Entries: []discovery.Entry{ready("s-1", "127.0.0.1:1")}},
 		silencing: make(chan struct{}),
 		resetting: make(chan struct{}),
 		changed:   make(chan struct{}),
--- a/internal/sidecar/sendgate_test.go
+++ b/internal/sidecar/sendgate_test.go
@@ -25,7 +25,7 @@
 	slow := newServingEndpoint(t)
 	w := start(t, func(s map[string]any) {
 		s["classes"].([]any)[1].(map[string]any)["window"] = window.Microseconds()
-		s["limits"].(map[string]any)["dial-timeout"] = sidecartest.Patience.Microseconds()
+		s["limits"].(map[string]any)["dial-timeout"] = sidecartest.WaitTimeout.Microseconds()
 	}, ready("s-1", broken.Address))
 	dial := sidecartest.BlockDials(&w.loop.upstream.Dialer, slow.Address)
 	answer := make(chan reply, 1)
@@ -33,9 +33,9 @@
 	w.await("the first attempt", func() bool { n, _ := broken.Seen(); return n == 1 })
 	w.discovery.change(func() {
 		w.discovery.list = discovery.List{
-			Seq:   1,
-			Whole: true,
-			Hosts: []discovery.Entry{ready("s-1", broken.Address), ready("s-2", slow.Address)},
+			Version:  1,
+			Complete: true,
+			Entries:  []discovery.Entry{ready("s-1", broken.Address), ready("s-2", slow.Address)},
 		}
 	})
 	w.await("the change", func() bool {
@@ -44,7 +44,7 @@
 		return n == 2
 	})
 	close(reset)
-	<-dial.Begun
+	<-dial.Started
 	began := time.Now()
 	sidecartest.Await(t, "the end of the window", func() bool { return time.Since(began) > window })
 	close(dial.Unblock)
@@ -70,7 +70,7 @@
 			dial := sidecartest.BlockDials(&w.loop.upstream.Dialer, e.Address)
 			conn := w.dial()
 			w.request("pay", "x", time.Minute).Write(conn)
-			<-dial.Begun
+			<-dial.Started
 			conn.Close()
 			close(dial.Unblock) // at once: that it has left need not have been heard by then
 			w.await("the outcome", func() bool { return len(w.recorder.statuses()) == 1 })
--- a/internal/sidecar/server.go
+++ b/internal/sidecar/server.go
@@ -81,7 +81,7 @@
 		// Not a ServeMux: it would redirect paths that endpoints must see unchanged.
 		Handler:           http.HandlerFunc(s.serveRequest),
 		ReadHeaderTimeout: readTimeout, WriteTimeout: maxTimeLeft + writeTimeout, IdleTimeout: idleTimeout,
-		MaxHeaderBytes: upstream.MaxHeadBytes,
+		MaxHeaderBytes: upstream.MaxRequestHeadBytes,
 		ConnState: func(c net.Conn, state http.ConnState) {
 			if state == http.StateIdle {
 				c.(*downstream.Conn).EndRequest()
@@ -108,7 +108,7 @@
 		select {
 		case <-tick.C:
 			if s.draining() {
-				s.clients.CloseIdle(minIdleUsed, minIdleUnused)
+				s.clients.ExpireIdle(minIdleUsed, minIdleUnused)
 			}
 		case <-ctx.Done():
 			return
--- a/internal/sidecar/shutdown.go
+++ b/internal/sidecar/shutdown.go
@@ -85,7 +85,7 @@
 	// The first wait is for a connection that is being accepted just now.
 	for time.Sleep(sweepInterval); s.clients.Count() > 0; time.Sleep(sweepInterval) {
 		now := time.Now()
-		s.clients.CloseIdle(0, 0)
+		s.clients.ExpireIdle(0, 0)
 		if now.After(partialDeadline) {
 			s.clients.RejectPartial()
 		}
--- a/internal/sidecar/shutdown_test.go
+++ b/internal/sidecar/shutdown_test.go
@@ -47,7 +47,7 @@
 		if err != nil {
 			w.t.Errorf("the sidecar ended with %v", err)
 		}
-	case <-time.After(sidecartest.Patience):
+	case <-time.After(sidecartest.WaitTimeout):
 		w.t.Error("the sidecar does not end")
 	}
 }
@@ -146,7 +146,7 @@
 	})
 	t.Run("written", func(t *testing.T) {
 		answer := make(chan struct{})
-		w, e, closeAdmission := startTerminating(t, sidecartest.PayWaits(answer), usualTimeout)
+		w, e, closeAdmission := startTerminating(t, sidecartest.BlockPay(answer), usualTimeout)
 		conn := w.dial()
 		io.WriteString(conn, head+strings.Repeat("x", size))
 		w.await("the complete request at the endpoint", func() bool { n, _ := e.Seen(); return n == 1 })
@@ -165,7 +165,7 @@
 // shutdown shortens it.
 func TestInFlightRequestKeepsItsDeadlineAtTermination(t *testing.T) {
 	answer := make(chan struct{})
-	w, e, closeAdmission := startTerminating(t, sidecartest.PayWaits(answer), usualTimeout)
+	w, e, closeAdmission := startTerminating(t, sidecartest.BlockPay(answer), usualTimeout)
 	got := make(chan reply)
 	go func() { got <- w.send(w.request("pay", "x", time.Minute)) }()
 	w.await("the attempt", func() bool { n, _ := e.Seen(); return n == 1 })
@@ -207,7 +207,7 @@
 // A listener that fails for good ends the sidecar, after requests in flight have their responses.
 func TestBrokenListenerStillAnswersInFlightRequests(t *testing.T) {
 	answer := make(chan struct{})
-	e := sidecartest.NewEndpoint(t, sidecartest.PayWaits(answer))
+	e := sidecartest.NewEndpoint(t, sidecartest.BlockPay(answer))
 	listener := &sidecartest.FaultyListener{}
 	w := startWithListener(
 		t,
@@ -230,7 +230,7 @@
 		if !errors.Is(err, syscall.EBADF) {
 			t.Errorf("the sidecar ended with %v", err)
 		}
-	case <-time.After(sidecartest.Patience):
+	case <-time.After(sidecartest.WaitTimeout):
 		t.Error("the sidecar does not end")
 	}
 }
@@ -260,7 +260,7 @@
 			io.WriteString(conn, text[:split])
 			w.await("the connection", func() bool { return w.server.clients.Count() > 0 })
 			if split == len(text) {
-				<-dial.Begun
+				<-dial.Started
 			}
 			w.stop()
 			w.await("the end of service", w.server.draining)
@@ -287,7 +287,7 @@
 				if err != nil {
 					t.Errorf("the sidecar ended with %v", err)
 				}
-			case <-time.After(sidecartest.Patience):
+			case <-time.After(sidecartest.WaitTimeout):
 				t.Error("the sidecar does not end")
 			}
 			if n, _ := e.Seen(); n != 1 {
--- a/internal/sidecar/sidecar_test.go
+++ b/internal/sidecar/sidecar_test.go
@@ -48,7 +48,7 @@
 		}
 	}
 	other := func(h discovery.Entry) discovery.Entry {
-		h.Block = 2
+		h.Cell = 2
 		return h
 	}
 	for _, c := range []struct {
@@ -63,10 +63,10 @@
 		{"keyed after a reset", "pay", reset, nil, 200, 2},
 		{"keyed in its cell", "close", reset, nil, 200, 2},
 		{"keyed out of its cell", "close", reset, other, 502, 1},
-		{"keyed out of its cell, never ran", "close", sidecartest.FirstThen(sidecartest.TurnedAway, sidecartest.Served), other, 200, 2},
+		{"keyed out of its cell, never ran", "close", sidecartest.FirstThen(sidecartest.Rejected, sidecartest.Served), other, 200, 2},
 		{"unsafe after a reset", "order", reset, nil, 502, 1},
 		{"unsafe after an error", "order", sidecartest.FirstThen(sidecartest.Failing, sidecartest.Served), nil, 502, 1},
-		{"unsafe, never ran", "order", sidecartest.FirstThen(sidecartest.TurnedAway, sidecartest.Served), nil, 200, 2},
+		{"unsafe, never ran", "order", sidecartest.FirstThen(sidecartest.Rejected, sidecartest.Served), nil, 200, 2},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
@@ -97,7 +97,7 @@
 
 // Each attempt has one outcome. They are reported in order, and the last says that the request is answered.
 func TestOutcomesAreReportedOnceAndInOrder(t *testing.T) {
-	e := sidecartest.NewEndpoint(t, sidecartest.FirstThen(sidecartest.TurnedAway, sidecartest.Served))
+	e := sidecartest.NewEndpoint(t, sidecartest.FirstThen(sidecartest.Rejected, sidecartest.Served))
 	w := start(t, nil, ready("s-1", e.Address), ready("s-2", e.Address))
 	w.send(w.request("order", "x", 3*time.Second))
 	w.await("two outcomes", func() bool { return len(w.recorder.statuses()) >= 2 })
@@ -155,7 +155,7 @@
 
 // A request that the balancer rejects is answered at once, with Retry-After.
 func TestRejectedAtOnceWithRetryAfter(t *testing.T) {
-	e := sidecartest.NewEndpoint(t, sidecartest.Always(sidecartest.TurnedAway))
+	e := sidecartest.NewEndpoint(t, sidecartest.Always(sidecartest.Rejected))
 	w := start(t, nil, ready("s-1", e.Address))
 	began := time.Now()
 	got := w.send(w.request("read", "", time.Minute))
@@ -184,7 +184,7 @@
 	cancel()
 	select {
 	case <-closed:
-	case <-time.After(sidecartest.Patience):
+	case <-time.After(sidecartest.WaitTimeout):
 		t.Fatal("the attempt's connection stays open")
 	}
 	w.await("the outcome", func() bool { return len(w.recorder.statuses()) == 1 })
@@ -211,7 +211,7 @@
 	w.request("pay", "x", time.Minute).Write(conn)
 	w.await("the attempt", func() bool { n, _ := e.Seen(); return n == 1 })
 	conn.(*net.TCPConn).CloseWrite()
-	conn.SetReadDeadline(time.Now().Add(sidecartest.Patience))
+	conn.SetReadDeadline(time.Now().Add(sidecartest.WaitTimeout))
 	if got, err := io.ReadAll(conn); len(got) > 0 {
 		t.Errorf("the client read %q (%v)", got, err)
 	}
@@ -318,9 +318,9 @@
 	draining.Health = "Terminating"
 	w.discovery.change(func() {
 		w.discovery.list = discovery.List{
-			Seq:   1,
-			Whole: true,
-			Hosts: []discovery.Entry{draining, ready("s-2", second.Address)},
+			Version:  1,
+			Complete: true,
+			Entries:  []discovery.Entry{draining, ready("s-2", second.Address)},
 		}
 	})
 	w.await("the change", func() bool {
@@ -344,7 +344,7 @@
 // and the sidecar ends without error.
 func TestGracefulTermination(t *testing.T) {
 	answer := make(chan struct{})
-	e := sidecartest.NewEndpoint(t, sidecartest.PayWaits(answer))
+	e := sidecartest.NewEndpoint(t, sidecartest.BlockPay(answer))
 	w := start(t, nil, ready("s-1", e.Address))
 	w.server.drainPeriod = 3 * time.Second // a busy machine may be slow to connect
 	idle, err := net.Dial("tcp", strings.TrimPrefix(w.url, "http://"))
@@ -364,7 +364,7 @@
 	go func() { pending <- w.send(w.request("pay", "x", time.Minute)) }()
 	w.await("the request in flight", func() bool { n, _ := e.Seen(); return n == 2 })
 	w.stop()
-	idle.SetReadDeadline(time.Now().Add(sidecartest.Patience))
+	idle.SetReadDeadline(time.Now().Add(sidecartest.WaitTimeout))
 	if _, err := in.ReadByte(); err != io.EOF {
 		t.Errorf("the idle connection: %v, want its end", err)
 	}
@@ -375,7 +375,7 @@
 	}
 	defer conn.Close()
 	w.request("read", "", time.Minute).Write(conn)
-	conn.SetReadDeadline(time.Now().Add(sidecartest.Patience))
+	conn.SetReadDeadline(time.Now().Add(sidecartest.WaitTimeout))
 	if late, err := http.ReadResponse(bufio.NewReader(conn), nil); err != nil || late.StatusCode != 200 || !late.Close {
 		t.Errorf("a request after SIGTERM: %v, %v; want 200 and Connection: close", late, err)
 	}
@@ -395,7 +395,7 @@
 		if err != nil {
 			t.Errorf("the sidecar ended with %v", err)
 		}
-	case <-time.After(sidecartest.Patience):
+	case <-time.After(sidecartest.WaitTimeout):
 		t.Error("the sidecar does not end")
 	}
 }
--- a/internal/sidecar/slot.go
+++ b/internal/sidecar/slot.go
@@ -98,7 +98,7 @@
 	connections := max(minConnections, (cfg.Limits.Sockets/n-reservedSockets)/2)
 	s.clients.SetLimits(connections, cfg.Limits.Sockets/crowdedDivisor/n)
 	s.loop.upstream.SetMaxConnections(connections)
-	s.loop.upstream.Bodies.Limit.Store(int64(cfg.Limits.MemoryMB) << 20 / bodyMemoryDivisor / int64(n))
+	s.loop.upstream.BodyMemory.Limit.Store(int64(cfg.Limits.MemoryMB) << 20 / bodyMemoryDivisor / int64(n))
 	if limit := cfg.Host.LimitMemory; limit != nil {
 		limit(int64(cfg.Limits.MemoryMB) << 20 / 10 * heapTenths / int64(n))
 	}
--- a/internal/sidecar/slot_test.go
+++ b/internal/sidecar/slot_test.go
@@ -12,7 +12,7 @@
 	e := newServingEndpoint(t)
 	w := start(t, nil, ready("s-1", e.Address))
 	w.await("other connections to end", func() bool { return w.server.clients.Count() == 0 })
-	connections, bodies := w.server.clients.MaxConnections, w.loop.upstream.Bodies.Limit.Load()
+	connections, bodies := w.server.clients.MaxConnections, w.loop.upstream.BodyMemory.Limit.Load()
 	dir := t.TempDir()
 	own, err := handover.AcquireSlot(dir)
 	if err != nil {
@@ -30,7 +30,7 @@
 	go w.server.followPeers(t.Context(), dir)
 	half := (w.loop.cfg.Limits.Sockets/2 - reservedSockets) / 2
 	w.await("connections beyond its part to end", func() bool { return w.server.clients.Count() == half })
-	w.await("the part", func() bool { return w.loop.upstream.Bodies.Limit.Load() == bodies/2 })
+	w.await("the part", func() bool { return w.loop.upstream.BodyMemory.Limit.Load() == bodies/2 })
 	if !w.server.hasPeer() || w.server.replaced() {
 		t.Error("the other process is not seen, or taken for ready")
 	}
@@ -43,6 +43,6 @@
 	other.Release()
 	w.await("the full limits again", func() bool {
 		limit, _ := w.server.clients.Limits()
-		return limit == connections && w.loop.upstream.Bodies.Limit.Load() == bodies
+		return limit == connections && w.loop.upstream.BodyMemory.Limit.Load() == bodies
 	})
 }
--- a/internal/sidecar/stages_test.go
+++ b/internal/sidecar/stages_test.go
@@ -13,14 +13,14 @@
 		t,
 	), sidecartest.NewEndpoint(
 		t,
-		sidecartest.FirstThen(sidecartest.TurnedAway, sidecartest.Served),
+		sidecartest.FirstThen(sidecartest.Rejected, sidecartest.Served),
 	)
 	for _, test := range []struct {
 		endpoint *sidecartest.Endpoint
 		counted  uint64
 	}{{served, 1}, {turnsAway, 0}} {
 		w := start(t, nil, ready("e0", test.endpoint.Address), ready("e1", test.endpoint.Address))
-		if got := w.send(w.request("read", "", sidecartest.Patience)); got.code != http.StatusOK {
+		if got := w.send(w.request("read", "", sidecartest.WaitTimeout)); got.code != http.StatusOK {
 			t.Fatalf("answered %d (%v)", got.code, got.err)
 		}
 		w.stop()
--- a/internal/sidecar/statistics.go
+++ b/internal/sidecar/statistics.go
@@ -45,7 +45,7 @@
 			"list_age_ms", g.listAgeMS, "list_seq", g.listVersion, "discovery_calls", c.calls.since(last.calls),
 			"dials", dials,
 			"dial_ms", (c.upstream.DialTime-last.upstream.DialTime).Milliseconds()/int64(max(1, dials)),
-			"dial_failed", c.upstream.Failed-last.upstream.Failed,
+			"dial_failed", c.upstream.FailedDials-last.upstream.FailedDials,
 			"connection_limit", c.upstream.LimitReached-last.upstream.LimitReached, "connections", c.upstream.Open,
 			"event_wait_ms", float64(g.maxEventWait.Microseconds())/1000,
 			"stages_us", c.stages.MeansSince(last.stages), "client_closes", c.closes.Since(last.closes),
--- a/internal/sidecar/stream_test.go
+++ b/internal/sidecar/stream_test.go
@@ -60,7 +60,7 @@
 			if _, conns := e.Seen(); (conns == 1) != c.reused {
 				t.Errorf("%d connections", conns)
 			}
-			w.await("the memory to be released", func() bool { return w.loop.upstream.Bodies.Used.Load() == 0 })
+			w.await("the memory to be released", func() bool { return w.loop.upstream.BodyMemory.Used.Load() == 0 })
 		})
 	}
 }
--- a/internal/sidecar/syscalls_test.go
+++ b/internal/sidecar/syscalls_test.go
@@ -74,10 +74,10 @@
 		)
 		conn.Close()
 	}()
-	<-dial.Begun
+	<-dial.Started
 	sidecartest.Await(t, "the client's end", func() bool {
 		for _, r := range w.server.inFlight.all() {
-			if r.conn.ClientLeft() {
+			if r.conn.ClientClosed() {
 				return true
 			}
 		}
--- a/internal/sidecar/upload_test.go
+++ b/internal/sidecar/upload_test.go
@@ -63,7 +63,7 @@
 	if n, conns := e.Seen(); n != 7 || conns != 1 {
 		t.Errorf("%d requests on %d connections, want 7 on 1", n, conns)
 	}
-	w.await("the memory to be released", func() bool { return w.loop.upstream.Bodies.Used.Load() == 0 })
+	w.await("the memory to be released", func() bool { return w.loop.upstream.BodyMemory.Used.Load() == 0 })
 }
 
 // A client may send slowly: its deadline counts from the last byte.
@@ -116,10 +116,10 @@
 				strings.Contains(got, " 200 ") {
 				t.Errorf("got %q, want %q", got, c.want)
 			}
-			if took := time.Since(began); took > sidecartest.Patience/2 {
+			if took := time.Since(began); took > sidecartest.WaitTimeout/2 {
 				t.Errorf("it took %v", took)
 			}
-			w.await("the memory to be released", func() bool { return w.loop.upstream.Bodies.Used.Load() == 0 })
+			w.await("the memory to be released", func() bool { return w.loop.upstream.BodyMemory.Used.Load() == 0 })
 			w.await("the request to be forgotten", func() bool {
 				var n int
 				w.runInLoop(func() { n = len(w.loop.requests.byID) })
@@ -181,7 +181,7 @@
 // An endpoint that rejects a large body after reading only its start never ran the request. The client is rejected at
 // once, and may send to the end before it reads that.
 func TestEndpointRejectsALargeBody(t *testing.T) {
-	for name, answer := range map[string]string{"with an answer": sidecartest.TurnedAway, "by closing": ""} {
+	for name, answer := range map[string]string{"with an answer": sidecartest.Rejected, "by closing": ""} {
 		t.Run(name, func(t *testing.T) {
 			e := sidecartest.NewEndpoint(t, func(_ *sidecartest.Endpoint, conn net.Conn, in *bufio.Reader) {
 				in.Discard(httpmsg.MaxBufferedBytes)
@@ -225,7 +225,7 @@
 	refused := func() bool { return slices.Contains(w.recorder.statuses(), balancer.ConnectFailed) }
 	const least = 8
 	// Which endpoint is drawn first is chance: on until one request met the one that refuses connections.
-	for sent, end := 0, time.Now().Add(sidecartest.Patience); sent < least || !refused(); sent++ {
+	for sent, end := 0, time.Now().Add(sidecartest.WaitTimeout); sent < least || !refused(); sent++ {
 		if time.Now().After(end) {
 			t.Fatal("no connection failed: the test shows nothing")
 		}
--- a/internal/sidecar/watch_test.go
+++ b/internal/sidecar/watch_test.go
@@ -52,7 +52,7 @@
 ) *loop {
 	t.Helper()
 	cfg := configure(t, "127.0.0.1:1", alter, ready("s-1", "127.0.0.1:1"))
-	cfg.KnownEndpoints.Seq, cfg.DiscoveryDial = 1, dial
+	cfg.KnownEndpoints.Version, cfg.DiscoveryDial = 1, dial
 	change(cfg)
 	ctx, stop := context.WithCancel(context.Background())
 	l, err := newLoop(ctx, cfg, slog.New(slog.DiscardHandler))
@@ -218,7 +218,7 @@
 				dir.awaitOpenCall()
 				signal := time.Now()
 				moved := *l.cfg
-				moved.Discovery = "127.0.0.1:2"
+				moved.DiscoveryAddress = "127.0.0.1:2"
 				l.events.post(func(int64) { l.reload(&moved) })
 				synctest.Wait()
 				next.mu.Lock()
@@ -306,7 +306,7 @@
 				}
 				lost := time.Now()
 				dir.mu.Lock()
-				dir.list.Seq = 0
+				dir.list.Version = 0
 				if err := json.Unmarshal([]byte(older), &dir.list); err != nil {
 					t.Error(err)
 				}
--- a/internal/sidecar/watcher.go
+++ b/internal/sidecar/watcher.go
@@ -92,11 +92,11 @@
 // recordList counts a list that discovery answered with.
 func (w *discoveryWatcher) recordList(now balancer.Micros, list *discovery.List) {
 	if w.failing {
-		w.log.Info("discovery recovered", "list_age_ms", w.listAgeMS(now), "seq", list.Seq)
+		w.log.Info("discovery recovered", "list_age_ms", w.listAgeMS(now), "seq", list.Version)
 	}
 	w.failing, w.lastListAt = false, now
 	w.calls.answered++
-	w.log.Debug("endpoint list received", "seq", list.Seq, "whole", list.Whole, "hosts", len(list.Hosts))
+	w.log.Debug("endpoint list received", "seq", list.Version, "whole", list.Complete, "hosts", len(list.Entries))
 	w.calls.unusableEntries += uint64(list.Unusable)
 }
 
@@ -123,13 +123,13 @@
 
 // advance moves the position past a list, and reports whether the list may be older than one that came before.
 func (w *discoveryWatcher) advance(at time.Time, list *discovery.List) (older bool) {
-	older = list.Seq < w.position.Newest
-	version := list.Seq
+	older = list.Version < w.position.Newest
+	version := list.Version
 	w.position = discovery.Position{After: &version, Newest: version,
 		VersionResetAt: at.Add(w.client.VersionResetTimeout)}
 	if list.Unusable > 0 {
 		w.log.Warn("unusable entries in the endpoint list",
-			"unusable", list.Unusable, "total", len(list.Hosts), "first_error", list.FirstError)
+			"unusable", list.Unusable, "total", len(list.Entries), "first_error", list.FirstError)
 	}
 	return older
 }
@@ -152,7 +152,7 @@
 // newDiscoveryClient returns the client of the discovery that a configuration names.
 func newDiscoveryClient(cfg *config.Config) *discovery.Client {
 	c := &cfg.Settings.Contract
-	return discovery.NewClient(discovery.Options{Address: cfg.Discovery, Wait: cfg.DiscoveryWait, Dial: cfg.DiscoveryDial,
+	return discovery.NewClient(discovery.Options{Address: cfg.DiscoveryAddress, Wait: cfg.DiscoveryWait, Dial: cfg.DiscoveryDial,
 		Subscribe:    cfg.Settings.SubscribeToDiscovery,
 		PollInterval: time.Duration(c.PollInterval) * time.Microsecond,
 		DrainGrace:   time.Duration(c.DrainGrace) * time.Microsecond})
--- a/internal/sidecartest/await.go
+++ b/internal/sidecartest/await.go
@@ -5,18 +5,18 @@
 	"time"
 )
 
-// Patience is how long a test waits for what has to happen. It is long against any timeout of the sidecar, so that a
+// WaitTimeout is how long a test waits for what has to happen. It is long against any timeout of the sidecar, so that a
 // busy machine does not fail a test.
-const Patience = 20 * time.Second
+const WaitTimeout = 20 * time.Second
 
 // pollInterval is the time between two checks of a condition.
 const pollInterval = 2 * time.Millisecond
 
 // Await returns once a condition holds. It fails the test, naming what it waited for, if that takes longer than
-// Patience.
+// WaitTimeout.
 func Await(t *testing.T, what string, condition func() bool) {
 	t.Helper()
-	for deadline := time.Now().Add(Patience); !condition(); time.Sleep(pollInterval) {
+	for deadline := time.Now().Add(WaitTimeout); !condition(); time.Sleep(pollInterval) {
 		if time.Now().After(deadline) {
 			t.Fatalf("waited in vain for: %s", what)
 		}
--- a/internal/sidecartest/dials.go
+++ b/internal/sidecartest/dials.go
@@ -10,7 +10,7 @@
 
 // BlockedDials are the dials to one address, which wait until the test unblocks them. Make them with BlockDials.
 type BlockedDials struct {
-	Begun   chan struct{} // closed when the first dial has begun
+	Started chan struct{} // closed when the first dial has begun
 	Unblock chan struct{} // to be closed, or sent to once for each dial, by the test
 
 	begin sync.Once
@@ -19,10 +19,10 @@
 // BlockDials makes the dialer's dials to an address wait. It replaces dialer.Control, and is called before the dialer
 // is used.
 func BlockDials(dialer *net.Dialer, blocked string) *BlockedDials {
-	dials := &BlockedDials{Begun: make(chan struct{}), Unblock: make(chan struct{})}
+	dials := &BlockedDials{Started: make(chan struct{}), Unblock: make(chan struct{})}
 	dialer.Control = func(_, address string, _ syscall.RawConn) error {
 		if address == blocked {
-			dials.begin.Do(func() { close(dials.Begun) })
+			dials.begin.Do(func() { close(dials.Started) })
 			<-dials.Unblock
 		}
 		return nil
--- a/internal/sidecartest/disk.go
+++ b/internal/sidecartest/disk.go
@@ -22,8 +22,8 @@
 	d.operation, d.err = operation, err
 }
 
-// Mend ends the fault.
-func (d *FaultyDisk) Mend() { d.Fail("", nil) }
+// Repair ends the fault.
+func (d *FaultyDisk) Repair() { d.Fail("", nil) }
 
 // fault returns the error of an operation, or nil.
 func (d *FaultyDisk) fault(operation string) error {
--- a/internal/sidecartest/handlers.go
+++ b/internal/sidecartest/handlers.go
@@ -15,8 +15,8 @@
 	// Failing is a response to a request that failed, and may have run.
 	Failing = "HTTP/1.1 500 Internal Server Error\r\nContent-Length: 0\r\n\r\n"
 
-	// TurnedAway is a response to a request that was rejected, and has not run.
-	TurnedAway = "HTTP/1.1 503 Service Unavailable\r\nX-Unprocessed: 1\r\nContent-Length: 0\r\n\r\n"
+	// Rejected is a response to a request that was rejected, and has not run.
+	Rejected = "HTTP/1.1 503 Service Unavailable\r\nX-Unprocessed: 1\r\nContent-Length: 0\r\n\r\n"
 )
 
 // Always returns a Handler that writes the same response to every request.
@@ -42,9 +42,9 @@
 	}
 }
 
-// PayWaits returns a Handler that serves every request, but those whose path begins with /pay only after a receive from
+// BlockPay returns a Handler that serves every request, but those whose path begins with /pay only after a receive from
 // release.
-func PayWaits(release <-chan struct{}) Handler {
+func BlockPay(release <-chan struct{}) Handler {
 	return func(e *Endpoint, conn net.Conn, in *bufio.Reader) {
 		for r := e.Next(in); r != nil; r = e.Next(in) {
 			if strings.HasPrefix(r.RequestURI, "/pay") {
--- a/internal/stages/stages.go
+++ b/internal/stages/stages.go
@@ -34,23 +34,23 @@
 // RequestTimes are the instants at which the stages of a request began and ended. The client's handler sets Arrived,
 // BodyRead, Answered and Replied. The event loop sets the others before it passes the handler the result.
 type RequestTimes struct {
-	Arrived  time.Time    // the request's head was read
-	BodyRead time.Time    // its body was read
-	Dequeued time.Time    // the event loop took it from its queue
-	Sent     time.Time    // the balancer started its first attempt
-	Attempt  AttemptTimes // the attempt whose response it got
-	Answered time.Time    // the handler had the result
-	Replied  time.Time    // net/http had the response
+	Arrived          time.Time    // the request's head was read
+	BodyRead         time.Time    // its body was read
+	Dequeued         time.Time    // the event loop took it from its queue
+	Sent             time.Time    // the balancer started its first attempt
+	Attempt          AttemptTimes // the attempt whose response it got
+	ResultReceived   time.Time    // the handler had the result
+	ResponseReturned time.Time    // net/http had the response
 }
 
 // durations returns how long each stage took.
 func (t *RequestTimes) durations() [stageCount]time.Duration {
 	instants := [...]time.Time{t.Arrived, t.BodyRead, t.Dequeued, t.Sent, t.Attempt.Connected, t.Attempt.Written,
-		t.Attempt.Received, t.Answered, t.Replied}
+		t.Attempt.Received, t.ResultReceived, t.ResponseReturned}
 	var durations [stageCount]time.Duration
 	for i := range instants[1:] {
 		durations[i] = instants[i+1].Sub(instants[i])
 	}
-	durations[stageOverhead] = t.Replied.Sub(t.Arrived) - durations[stageEndpoint]
+	durations[stageOverhead] = t.ResponseReturned.Sub(t.Arrived) - durations[stageEndpoint]
 	return durations
 }
--- a/internal/stages/stages_test.go
+++ b/internal/stages/stages_test.go
@@ -33,7 +33,7 @@
 	start := time.Unix(1000, 0)
 	at := func(ms int) time.Time { return start.Add(time.Duration(ms) * time.Millisecond) }
 	times := RequestTimes{Arrived: at(0), BodyRead: at(1), Dequeued: at(3), Sent: at(6),
-		Attempt: AttemptTimes{Connected: at(10), Written: at(15), Received: at(115)}, Answered: at(121), Replied: at(128)}
+		Attempt: AttemptTimes{Connected: at(10), Written: at(15), Received: at(115)}, ResultReceived: at(121), ResponseReturned: at(128)}
 	var recorder Recorder
 	before := recorder.Totals()
 	recorder.Record(&times)
--- a/internal/system/clock.go
+++ b/internal/system/clock.go
@@ -26,8 +26,8 @@
 
 // Timestamp is an instant in a form that another process on the machine can read.
 type Timestamp struct {
-	UnixMS int64 // wall clock time in milliseconds since 1970
-	UpMS   int64 // machine uptime in milliseconds; 0 if a version wrote it that did not record it
+	UnixMS   int64 // wall clock time in milliseconds since 1970
+	UptimeMS int64 // machine uptime in milliseconds; 0 if a version wrote it that did not record it
 }
 
 // Now returns the present instant. Both functions of the clock must be set.
@@ -40,8 +40,8 @@
 // not known if the instant is ahead of the clock: it is then of an earlier start of the machine. Both functions of
 // the clock must be set.
 func (c Clock) Age(at Timestamp) (age time.Duration, known bool) {
-	if at.UpMS > 0 {
-		age = c.Uptime() - time.Duration(at.UpMS)*time.Millisecond
+	if at.UptimeMS > 0 {
+		age = c.Uptime() - time.Duration(at.UptimeMS)*time.Millisecond
 	} else {
 		age = c.Wall().Sub(time.UnixMilli(at.UnixMS))
 	}
--- a/internal/upstream/client.go
+++ b/internal/upstream/client.go
@@ -15,8 +15,8 @@
 	"oakproxy/internal/stages"
 )
 
-// MaxHeadBytes is the maximum size of the head of a request that is forwarded to endpoints, in bytes.
-const MaxHeadBytes = 32 << 10
+// MaxRequestHeadBytes is the maximum size of the head of a request that is forwarded to endpoints, in bytes.
+const MaxRequestHeadBytes = 32 << 10
 
 // probeTimeout bounds a probe, the time to connect included.
 const probeTimeout = 400 * time.Millisecond
@@ -29,10 +29,10 @@
 	// The pool has the connections, and the exported fields Dialer and ReuseDelay.
 	*pool
 
-	// Report is the format of load reports in force.
-	Report atomic.Pointer[ReportFormat]
-	// Bodies is the memory budget for the bodies of responses.
-	Bodies *httpmsg.MemoryBudget
+	// Format is the format of load reports in force.
+	Format atomic.Pointer[ReportFormat]
+	// BodyMemory is the memory budget for the bodies of responses.
+	BodyMemory *httpmsg.MemoryBudget
 }
 
 // Result is the outcome of an attempt or a probe.
@@ -43,35 +43,35 @@
 	// Header and Body are those of a 200 response. Body is complete if Rest is nil, and else its buffered beginning.
 	Header http.Header
 	Body   []byte
-	// Rest is the remainder of the body, or nil. Whoever has the result closes it.
-	Rest *BodyStream
-	// Length is the length of the complete body in bytes, -1 if unknown.
-	Length int64
-	// Release returns the memory that was reserved for Body. It is nil where none was.
-	Release func()
+	// Stream is the remainder of the body, or nil. Whoever has the result closes it.
+	Stream *BodyStream
+	// ContentLength is the length of the complete body in bytes, -1 if unknown.
+	ContentLength int64
+	// ReleaseBody returns the memory that was reserved for Body. It is nil where none was.
+	ReleaseBody func()
 	// Load is the load report of the response, in the format Report; nil if there is none.
-	Load   []float32
-	Report *ReportFormat
-	// Took is the time from the first write to the end of the exchange, without the time to connect.
-	Took time.Duration
+	Load         []float32
+	ReportFormat *ReportFormat
+	// Elapsed is the time from the first write to the end of the exchange, without the time to connect.
+	Elapsed time.Duration
 	// Times are the instants of the stages of the attempt.
 	Times stages.AttemptTimes
 }
 
 // close releases what a result holds, where its body is not used.
 func (r *Result) close() {
-	if r.Rest != nil {
-		r.Rest.Close()
+	if r.Stream != nil {
+		r.Stream.Close()
 	}
-	if r.Release != nil {
-		r.Release()
+	if r.ReleaseBody != nil {
+		r.ReleaseBody()
 	}
 }
 
 // NewClient returns a client that opens at most maxConnections connections and reserves the memory for response
 // bodies from bodies.
 func NewClient(cfg *config.Config, maxConnections int, bodies *httpmsg.MemoryBudget) *Client {
-	u := &Client{pool: newPool(maxConnections), Bodies: bodies}
+	u := &Client{pool: newPool(maxConnections), BodyMemory: bodies}
 	u.Configure(cfg)
 	return u
 }
@@ -79,8 +79,8 @@
 // Configure applies a configuration. Open connections stay as they are.
 func (u *Client) Configure(cfg *config.Config) {
 	u.setTimeouts(time.Duration(cfg.Settings.Limits.DialTimeout)*time.Microsecond, cfg.IdleTimeout)
-	if old := u.Report.Load(); old == nil || !slices.Equal(old.fields, cfg.ReportFields) {
-		u.Report.Store(&ReportFormat{cfg.ReportFields})
+	if old := u.Format.Load(); old == nil || !slices.Equal(old.fields, cfg.ReportFields) {
+		u.Format.Store(&ReportFormat{cfg.ReportFields})
 	}
 }
 
@@ -98,19 +98,19 @@
 		start = time.Now()
 		exchanged, err = u.exchange(ctx, c, request, gate)
 	}
-	r := Result{Status: balancer.EndpointError, Err: err, Took: time.Since(start)}
-	r.Times = stages.AttemptTimes{Connected: start, Received: start.Add(r.Took)}
+	r := Result{Status: balancer.EndpointError, Err: err, Elapsed: time.Since(start)}
+	r.Times = stages.AttemptTimes{Connected: start, Received: start.Add(r.Elapsed)}
 	if err != nil {
 		r.Status = failureStatus(ctx, err)
 		return r
 	}
 	response := exchanged.response
 	r.Times.Written = exchanged.writtenAt
-	r.Load, r.Report = u.LoadReport(response.Header.Get("X-Backend-Load"))
+	r.Load, r.ReportFormat = u.ParseLoadReport(response.Header.Get("X-Backend-Load"))
 	switch code := response.StatusCode; {
 	case code == http.StatusOK:
 		r.Status, r.Header, r.Body = balancer.OK, response.Header, exchanged.body
-		r.Rest, r.Length, r.Release = exchanged.stream, response.ContentLength, exchanged.release
+		r.Stream, r.ContentLength, r.ReleaseBody = exchanged.stream, response.ContentLength, exchanged.release
 	case (code == http.StatusServiceUnavailable || code == http.StatusGatewayTimeout) &&
 		response.Header.Get("X-Unprocessed") == "1":
 		r.Status = balancer.Rejected
@@ -123,12 +123,12 @@
 	ctx, cancel := context.WithTimeout(ctx, probeTimeout)
 	defer cancel()
 	request := &Request{Method: http.MethodGet, URL: &url.URL{Path: "/health/live"}, Host: endpoint.Address, isProbe: true}
-	if len(u.Report.Load().fields) > 0 {
+	if len(u.Format.Load().fields) > 0 {
 		request.URL.Path = "/stats"
 	}
 	r := u.Attempt(ctx, endpoint, request, &Gate{})
 	if r.Status == balancer.OK {
-		r.Load, r.Report = u.LoadReport(string(r.Body))
+		r.Load, r.ReportFormat = u.ParseLoadReport(string(r.Body))
 		r.close()
 	}
 	return r
--- a/internal/upstream/gate_test.go
+++ b/internal/upstream/gate_test.go
@@ -28,7 +28,7 @@
 			defer cancel()
 			done := make(chan Result)
 			go func() { done <- u.Attempt(ctx, at, newGetRequest("/"), g) }()
-			<-dial.Begun
+			<-dial.Started
 			closeGate(u, at, g, cancel)
 			close(dial.Unblock)
 			if r := <-done; r.Status != balancer.NotSent {
--- a/internal/upstream/loadreport.go
+++ b/internal/upstream/loadreport.go
@@ -14,11 +14,11 @@
 // format have the same pointer.
 type ReportFormat struct{ fields []string }
 
-// LoadReport parses a load report, a list name=value,name=value, into the order of the format in force, which it
+// ParseLoadReport parses a load report, a list name=value,name=value, into the order of the format in force, which it
 // returns too. A figure that is missing, repeated, malformed or out of range is NaN, which the balancer skips in favour
 // of what it knew. The load of an empty report is nil.
-func (u *Client) LoadReport(text string) ([]float32, *ReportFormat) {
-	format := u.Report.Load()
+func (u *Client) ParseLoadReport(text string) ([]float32, *ReportFormat) {
+	format := u.Format.Load()
 	if text == "" || len(format.fields) == 0 {
 		return nil, format
 	}
--- a/internal/upstream/outcome_test.go
+++ b/internal/upstream/outcome_test.go
@@ -57,7 +57,7 @@
 		{"another protocol", always("ICY 200 OK\r\nContent-Length: 4\r\n\r\ndone"), balancer.Reset},
 		{"error", always(sidecartest.Failing), balancer.EndpointError},
 		{"unexpected status", always("HTTP/1.1 404 Not Found\r\nContent-Length: 0\r\n\r\n"), balancer.EndpointError},
-		{"rejected with 503", always(sidecartest.TurnedAway), balancer.Rejected},
+		{"rejected with 503", always(sidecartest.Rejected), balancer.Rejected},
 		{"rejected with 504",
 			always("HTTP/1.1 504 Gateway Timeout\r\nX-Unprocessed: 1\r\nContent-Length: 0\r\n\r\n"), balancer.Rejected},
 		{"503 without X-Unprocessed",
@@ -81,7 +81,7 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
-			e, wait := sidecartest.NewEndpoint(t, c.serve), sidecartest.Patience
+			e, wait := sidecartest.NewEndpoint(t, c.serve), sidecartest.WaitTimeout
 			if c.want == balancer.Timeout {
 				wait = 50 * time.Millisecond
 			}
@@ -177,7 +177,7 @@
 			c.errors = c.errors[1:]
 			return err
 		}
-		ctx, cancel := context.WithTimeout(t.Context(), sidecartest.Patience)
+		ctx, cancel := context.WithTimeout(t.Context(), sidecartest.WaitTimeout)
 		r := getOnce(ctx, u, &Endpoint{Address: e.Address}, "/")
 		cancel()
 		if r.Status != c.want {
@@ -216,7 +216,7 @@
 		u, at := newTestClient(t, 1), &Endpoint{Address: "127.0.0.1:1"}
 		err := &net.OpError{Op: "read", Net: "tcp", Err: os.NewSyscallError("read", errno)}
 		u.open = 1
-		ctx, cancel := context.WithTimeout(t.Context(), sidecartest.Patience)
+		ctx, cancel := context.WithTimeout(t.Context(), sidecartest.WaitTimeout)
 		_, got := u.exchange(ctx, newConn(&failingConn{err: err}, at), newGetRequest("/"), &Gate{})
 		if status := failureStatus(ctx, got); status != balancer.Reset || !errors.Is(got, errno) || u.Counts().Open != 0 {
 			t.Errorf("%v: %v (%v), %d connections open; want a reset", errno, status, got, u.Counts().Open)
--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -22,9 +22,9 @@
 // Endpoint is one incarnation of an endpoint at one address. It is closed for good by [Client.Retire], once the
 // endpoint is draining, removed or restarted.
 type Endpoint struct {
-	Address   string // host:port
-	StartedMS int64  // when the incarnation started, in Unix milliseconds
-	closed    bool   // guarded by pool.mu
+	Address       string // host:port
+	StartedUnixMS int64  // when the incarnation started, in Unix milliseconds
+	closed        bool   // guarded by pool.mu
 }
 
 // pool owns the idle connections to endpoints and bounds the number of open ones, those in use included. Its exported
@@ -65,7 +65,7 @@
 	Open         int           // connections that are open now, including those being dialled
 	DialTime     time.Duration // time spent on dialling
 	Dials        uint64        // connections dialled
-	Failed       uint64        // dials that failed
+	FailedDials  uint64        // dials that failed
 	LimitReached uint64        // attempts and probes that found the limit on open connections reached
 }
 
--- a/internal/upstream/request_test.go
+++ b/internal/upstream/request_test.go
@@ -23,7 +23,7 @@
 	m := &Request{Method: http.MethodPost, URL: at, Host: "api.internal", Body: []byte("body"),
 		Header: http.Header{"X-Correlation-Id": {"9b"}, "Idempotency-Key": {"5c"}, "X-Time-Left-Ms": {"99999"},
 			"Connection": {"close"}, "Expect": {"100-continue"}, "Content-Length": {"7"}}}
-	ctx, cancel := context.WithTimeout(context.Background(), sidecartest.Patience)
+	ctx, cancel := context.WithTimeout(context.Background(), sidecartest.WaitTimeout)
 	defer cancel()
 	if r := newTestClient(t, 1).Attempt(ctx, &Endpoint{Address: e.Address}, m, &Gate{}); r.Status != balancer.OK {
 		t.Fatalf("status %v", r.Status)
@@ -39,7 +39,7 @@
 	}
 	var timeLeftMS int64
 	fmt.Sscan(got.Header.Get("X-Time-Left-Ms"), &timeLeftMS)
-	if timeLeftMS <= 0 || timeLeftMS > sidecartest.Patience.Milliseconds() {
+	if timeLeftMS <= 0 || timeLeftMS > sidecartest.WaitTimeout.Milliseconds() {
 		t.Errorf("X-Time-Left-Ms %q", got.Header.Get("X-Time-Left-Ms"))
 	}
 }
--- a/internal/upstream/response.go
+++ b/internal/upstream/response.go
@@ -130,7 +130,7 @@
 	if size < 0 {
 		size = httpmsg.MaxBufferedBytes
 	}
-	if size > httpmsg.MaxBufferedBytes || !u.Bodies.Reserve(size) {
+	if size > httpmsg.MaxBufferedBytes || !u.BodyMemory.Reserve(size) {
 		// Its first byte is awaited: after an endpoint that fails before it, the request may still be retried.
 		if _, err := c.reader.Peek(1); err != nil {
 			return err
@@ -138,7 +138,7 @@
 		result.stream = newBodyStream(u.pool, c, result)
 		return nil
 	}
-	result.release = func() { u.Bodies.Release(size) }
+	result.release = func() { u.BodyMemory.Release(size) }
 	start := time.Now()
 	body := make([]byte, 0, size)
 	for {
--- a/internal/upstream/response_test.go
+++ b/internal/upstream/response_test.go
@@ -64,17 +64,17 @@
 func TestResponseBeyondMemoryBudgetIsStreamed(t *testing.T) {
 	e := sidecartest.NewEndpoint(t, sidecartest.Always(sidecartest.Served))
 	u := newTestClient(t, 4)
-	u.Bodies.Used.Store(u.Bodies.Limit.Load())
+	u.BodyMemory.Used.Store(u.BodyMemory.Limit.Load())
 	r := getOnce(t.Context(), u, &Endpoint{Address: e.Address}, "/")
-	if r.Status != balancer.OK || len(r.Body) != 0 || r.Rest == nil {
+	if r.Status != balancer.OK || len(r.Body) != 0 || r.Stream == nil {
 		t.Fatalf("status %v, %d bytes buffered", r.Status, len(r.Body))
 	}
-	if got, err := io.ReadAll(r.Rest); err != nil || string(got) != "done" {
+	if got, err := io.ReadAll(r.Stream); err != nil || string(got) != "done" {
 		t.Errorf("%q, %v", got, err)
 	}
 	r.close()
-	if u.Bodies.Used.Load() != u.Bodies.Limit.Load() || u.open != 1 || len(u.idle) != 1 {
-		t.Errorf("%d of %d bytes reserved, %d connections open", u.Bodies.Used.Load(), u.Bodies.Limit.Load(), u.open)
+	if u.BodyMemory.Used.Load() != u.BodyMemory.Limit.Load() || u.open != 1 || len(u.idle) != 1 {
+		t.Errorf("%d of %d bytes reserved, %d connections open", u.BodyMemory.Used.Load(), u.BodyMemory.Limit.Load(), u.open)
 	}
 }
 
--- a/internal/upstream/upload.go
+++ b/internal/upstream/upload.go
@@ -20,8 +20,8 @@
 	io.Reader
 	// LastDataAge returns how long ago the latest bytes came to this machine.
 	LastDataAge() time.Duration
-	// ClientLeft reports whether the client has ended its side of the connection.
-	ClientLeft() bool
+	// ClientClosed reports whether the client has ended its side of the connection.
+	ClientClosed() bool
 	// Discard discards what the client still sends, for at most maxDuration.
 	Discard(maxDuration time.Duration)
 }
@@ -101,7 +101,7 @@
 // beginLastWrite is the gate ahead of the last bytes. X-Time-Left-Ms was sent as if it counted from then: where the
 // last bytes have waited for too long, or the client has left, the request must not run.
 func (u *Upload) beginLastWrite() error {
-	if time.Since(u.lastDataAt) > maxWriteLag || u.Body.ClientLeft() {
+	if time.Since(u.lastDataAt) > maxWriteLag || u.Body.ClientClosed() {
 		u.Stop()
 	}
 	if !u.Phase.CompareAndSwap(UploadStreaming, uploadFinishing) {
--- a/internal/warmstart/file.go
+++ b/internal/warmstart/file.go
@@ -36,7 +36,7 @@
 	if err := json.Unmarshal(text, &saved); err != nil {
 		return saved, 0, err
 	}
-	age, known := s.clock.Age(system.Timestamp{UnixMS: saved.AtMS, UpMS: saved.UpMS})
+	age, known := s.clock.Age(system.Timestamp{UnixMS: saved.AtMS, UptimeMS: saved.UpMS})
 	if saved.Version != fileVersion || saved.Sidecar != s.sidecar || !known || age > maxAge {
 		return saved, age, fmt.Errorf("version %d of sidecar %q, %v old", saved.Version, saved.Sidecar, age)
 	}
--- a/internal/warmstart/store.go
+++ b/internal/warmstart/store.go
@@ -61,7 +61,7 @@
 // while others are queued, these are dropped, and the next call saves newer ones.
 func (s *Store) Save(now balancer.Micros, estimates balancer.Estimates) {
 	at := s.clock.Now()
-	next := contents{Version: fileVersion, Sidecar: s.sidecar, AtMS: at.UnixMS, UpMS: at.UpMS,
+	next := contents{Version: fileVersion, Sidecar: s.sidecar, AtMS: at.UnixMS, UpMS: at.UptimeMS,
 		Clock: now, Estimates: estimates}
 	select {
 	case s.pending <- next:
