--- a/balancer/breaker_test.go
+++ b/balancer/breaker_test.go
@@ -25,59 +25,59 @@
 		// 20 failing buckets after the accepts: K = 1.5 - 0.4*20/40 = 1.3.
 		{"K eases", 10, 20, 0, 20, (30.0 - 5 - 13) / 31},
 	} {
-		var k breaker
+		var k circuitBreaker
 		now := 100 * second
 		for range c.accepts {
 			k.count(now, 1, 0)
 		}
 		for i := range c.failures {
 			if c.spread > 1 && i%(c.failures/c.spread) == 0 {
-				now += window / buckets
+				now += breakerWindow / breakerBuckets
 			}
 			k.count(now, 0, 1)
 		}
 		for range c.refusals {
 			k.count(now, 0, 0)
 		}
-		if got := k.errorChance(now); !near(got, c.want) {
+		if got := k.errorDropProbability(now); !near(got, c.want) {
 			t.Errorf("%s: got %v, want %v", c.name, got, c.want)
 		}
 	}
 }
 
 func TestWindowForgets(t *testing.T) {
-	var k breaker
+	var k circuitBreaker
 	for range 100 {
 		k.count(100*second, 0, 1)
 	}
-	if k.errorChance(109*second) == 0 {
+	if k.errorDropProbability(109*second) == 0 {
 		t.Error("failures of nine seconds ago are forgotten")
 	}
-	if got := k.errorChance(110*second + 1); got != 0 || k.requests != 0 {
+	if got := k.errorDropProbability(110*second + 1); got != 0 || k.requests != 0 {
 		t.Errorf("after the window: chance %v, %d requests", got, k.requests)
 	}
 	for range 100 {
 		k.count(200*second, 0, 1)
 	}
-	k.errorChance(500 * second)
+	k.errorDropProbability(500 * second)
 	if k.requests != 0 {
 		t.Errorf("after a long pause: %d requests", k.requests)
 	}
 }
 
 func TestLatencyAverages(t *testing.T) {
-	var k breaker
-	k.latency(100)
-	if k.base != 100 || k.current != 100 {
-		t.Fatalf("first: base %v current %v", k.base, k.current)
+	var k circuitBreaker
+	k.addLatency(100)
+	if k.baseLatency != 100 || k.currentLatency != 100 {
+		t.Fatalf("first: base %v current %v", k.baseLatency, k.currentLatency)
 	}
-	k.latency(60) // falls by a quarter of the way; current (60+3*100)/4
-	if !near(k.base, 90) || !near(k.current, 90) {
-		t.Fatalf("fall: base %v current %v", k.base, k.current)
+	k.addLatency(60) // falls by a quarter of the way; current (60+3*100)/4
+	if !near(k.baseLatency, 90) || !near(k.currentLatency, 90) {
+		t.Fatalf("fall: base %v current %v", k.baseLatency, k.currentLatency)
 	}
-	k.latency(190) // rises by a hundredth: (190+99*90)/100; current (190+270)/4
-	if !near(k.base, 91) || !near(k.current, 115) {
-		t.Fatalf("rise: base %v current %v", k.base, k.current)
+	k.addLatency(190) // rises by a hundredth: (190+99*90)/100; current (190+270)/4
+	if !near(k.baseLatency, 91) || !near(k.currentLatency, 115) {
+		t.Fatalf("rise: base %v current %v", k.baseLatency, k.currentLatency)
 	}
 }
 
@@ -94,8 +94,8 @@
 		{"capped", 100, 5000, 1000, 0.3},
 		{"ceiling under the threshold", 400, 5000, 1000, 0},
 	} {
-		k := breaker{base: c.base, current: c.current}
-		if got := k.latencyChance(c.timeout); !near(got, c.want) {
+		k := circuitBreaker{baseLatency: c.base, currentLatency: c.current}
+		if got := k.latencyDropProbability(c.timeout); !near(got, c.want) {
 			t.Errorf("%s: got %v, want %v", c.name, got, c.want)
 		}
 	}
@@ -103,25 +103,25 @@
 
 func TestForcedPass(t *testing.T) {
 	b, _ := start(t, testSettings(), ready(1))
-	e := b.list[0]
+	e := b.endpoints[0]
 	now := 20 * second
 	for range 1000 {
-		e.br.count(now, 0, 1)
+		e.breaker.count(now, 0, 1)
 	}
 	r := recordOf(b, Request{})
-	if !b.allows(now, r, e) {
+	if !b.breakerAllows(now, r, e) {
 		t.Fatal("the first is passed by force")
 	}
 	passed := 0
 	for range 200 {
-		if b.allows(now+1000, r, e) {
+		if b.breakerAllows(now+1000, r, e) {
 			passed++
 		}
 	}
 	if passed > 20 {
 		t.Errorf("%d of 200 passed an endpoint that fails all", passed)
 	}
-	if !b.allows(now+forcedPass+1001, r, e) {
+	if !b.breakerAllows(now+forcedTrialInterval+1001, r, e) {
 		t.Error("none passed after the forced-pass interval")
 	}
 }
@@ -138,7 +138,7 @@
 			b.HandleOutcome(now, Outcome{ID: id, Endpoint: r.sends[n-1].endpoint, Status: EndpointError, Latency: 50})
 		}
 	}
-	if !b.list[0].ejected(41_000) {
+	if !b.endpoints[0].isEjected(41_000) {
 		t.Fatal("an endpoint that fails all is not ejected")
 	}
 	for e, n := range sends {
@@ -146,7 +146,7 @@
 			t.Errorf("endpoint %d got %d of %d sends", e, n, len(r.sends))
 		}
 	}
-	if b.list[0].ejected(60 * second) {
+	if b.endpoints[0].isEjected(60 * second) {
 		t.Error("an ejection never ends")
 	}
 }
--- a/balancer/collapse_test.go
+++ b/balancer/collapse_test.go
@@ -15,7 +15,7 @@
 	events    events
 	members   []*caller
 	endpoints []*server
-	rng       source
+	rng       splitMix64
 	tries     uint64
 	offered   []int // requests of users, by the second of their arrival
 	inTime    []int // those of them answered within their aim
@@ -99,7 +99,7 @@
 		kind.s = s
 		s.endpoints = append(s.endpoints, &kind)
 		list = append(list, Endpoint{ID: uint32(i + 1), Name: uint64(i + 1), Weight: float32(kind.cores * kind.speed)})
-		s.after(Micros(s.rng.float()*float64(reportPeriod)), kind.report)
+		s.after(Micros(s.rng.uniform()*float64(reportPeriod)), kind.report)
 	}
 	settings := testSettings()
 	settings.Balancers = balancers
@@ -137,12 +137,12 @@
 func (s *service) traffic(rate func(now Micros) float64, until Micros) {
 	var next func(now Micros)
 	next = func(now Micros) {
-		at := s.rng.float()
+		at := s.rng.uniform()
 		m := s.members[int(at*at*at*float64(len(s.members)))]
 		s.offered[now/second]++
 		m.come(now, &user{at: now})
 		if now < until {
-			s.after(Micros(-math.Log(1-s.rng.float())/rate(now)*float64(second)), next)
+			s.after(Micros(-math.Log(1-s.rng.uniform())/rate(now)*float64(second)), next)
 		}
 	}
 	s.after(1, next)
@@ -167,7 +167,7 @@
 		return
 	}
 	delete(m.open, t.id)
-	pause := Micros((25 + 175*m.s.rng.float()) * 1000)
+	pause := Micros((25 + 175*m.s.rng.uniform()) * 1000)
 	m.s.after(pause, func(now Micros) { m.come(now, t.user) })
 }
 
@@ -183,7 +183,7 @@
 
 func (m *caller) Send(id uint64, endpoint uint32, _ Micros) {
 	t, begun, at := m.open[id], m.s.now, m.s.endpoints[endpoint-1]
-	work := (0.4 + 1.2*m.s.rng.float()) * meanWork
+	work := (0.4 + 1.2*m.s.rng.uniform()) * meanWork
 	if m.idle[endpoint] > 0 {
 		m.idle[endpoint]--
 	} else {
@@ -228,7 +228,7 @@
 func (m *caller) Log(string) {}
 
 func (v *server) report(now Micros) {
-	v.reported = []float32{float32(max(0, float64(len(v.jobs))-v.cores)), float32(v.took.v / 1000)}
+	v.reported = []float32{float32(max(0, float64(len(v.jobs))-v.cores)), float32(v.took.value / 1000)}
 	v.s.after(reportPeriod, v.report)
 }
 
--- a/balancer/cordon_test.go
+++ b/balancer/cordon_test.go
@@ -23,7 +23,7 @@
 			now += 20_000
 			id++
 			b.HandleRequest(now, request0(id, 0, now))
-			b.HandleTimer(now, tokenProbe)
+			b.HandleTimer(now, probeTimerToken)
 			for _, p := range r.probes {
 				b.HandleProbe(now, p, OK, 1000, []float32{0})
 				if p == 1 {
@@ -58,14 +58,14 @@
 		t.Errorf("%d counted as left out, want 1", s.Cordoned)
 	}
 	b.Cordon(now, 101, false, now)
-	e := b.byID[1]
-	if !e.cold(now, b) {
+	e := b.endpointByID[1]
+	if !e.isWarming(now, b) {
 		t.Error("it comes back warm")
 	}
 	if to := play(); to[1] == 0 {
 		t.Errorf("after the call back: %v", to)
 	}
-	if b.Cordon(now, 101, false, now); b.byID[1].coldFrom != e.coldFrom {
+	if b.Cordon(now, 101, false, now); b.endpointByID[1].warmingSince != e.warmingSince {
 		t.Error("a call back repeated begins its warm-up anew")
 	}
 }
@@ -104,7 +104,7 @@
 			used++
 		}
 	}
-	if used < 1 || used > 4*maxPending {
-		t.Errorf("%d of 1000 balancers sent to it at once, want about %d", used, maxPending)
+	if used < 1 || used > 4*maxTrialBalancers {
+		t.Errorf("%d of 1000 balancers sent to it at once, want about %d", used, maxTrialBalancers)
 	}
 }
--- a/balancer/fleet_test.go
+++ b/balancer/fleet_test.go
@@ -37,7 +37,7 @@
 	list    []Endpoint
 	busy    map[uint32]int      // requests held
 	got     map[uint32][]Micros // requests begun
-	rng     source
+	rng     splitMix64
 	work    float64 // of each request
 }
 
@@ -86,11 +86,11 @@
 	var next func(now Micros)
 	next = func(now Micros) {
 		id++
-		at := f.rng.float()
+		at := f.rng.uniform()
 		m := f.members[int(at*at*float64(len(f.members)))]
 		m.b.HandleRequest(now, Request{ID: id, Deadline: now + second})
 		if now < until {
-			f.after(Micros(-math.Log(1-f.rng.float())/rate*float64(second)), next)
+			f.after(Micros(-math.Log(1-f.rng.uniform())/rate*float64(second)), next)
 		}
 	}
 	f.after(1, next)
--- a/balancer/learned.go
+++ b/balancer/learned.go
@@ -46,28 +46,28 @@
 	MeanLoad         float64 `json:"Mean"`
 }
 
-// sound says whether a figure can be gone on from.
-func sound(v float64) bool { return v > 0 && !math.IsInf(v, 0) }
+// isPositiveFinite says whether a figure can be gone on from.
+func isPositiveFinite(v float64) bool { return v > 0 && !math.IsInf(v, 0) }
 
 // Estimates returns what is known by now.
 func (b *Balancer) Estimates() Estimates {
 	l := Estimates{
-		ServiceTimeRatio: b.fleet.v,
-		QueuedProbeShare: b.waits.v, LateReportShare: b.lag.v, ReportsLate: b.reportsLate,
-		TypicalLoad: b.usual.v, TypicalWarmingLoad: b.usualCold.v,
-		WarmingSlowness: b.coldSlowness.v, WarmingSamples: b.coldSamples,
+		ServiceTimeRatio: b.fleetServiceTimeRatio.value,
+		QueuedProbeShare: b.queuedProbeShare.value, LateReportShare: b.lateReportShare.value, ReportsLate: b.reportsLate,
+		TypicalLoad: b.typicalLoad.value, TypicalWarmingLoad: b.typicalWarmingLoad.value,
+		WarmingSlowness: b.warmingSlowness.value, WarmingSamples: b.warmingSamples,
 	}
 	for _, c := range b.classes {
-		l.ClassWork = append(l.ClassWork, ClassWorkEstimate{c.Name, c.work.v})
+		l.ClassWork = append(l.ClassWork, ClassWorkEstimate{c.Name, c.work.value})
 	}
-	for zone := range b.ways {
-		if w := &b.ways[zone]; w.n > 0 {
-			l.ZoneLatencies = append(l.ZoneLatencies, ZoneLatencyEstimate{uint8(zone), w.v, w.sway.v})
+	for zone := range b.zoneLatencies {
+		if w := &b.zoneLatencies[zone]; w.count > 0 {
+			l.ZoneLatencies = append(l.ZoneLatencies, ZoneLatencyEstimate{uint8(zone), w.median, w.deviation.value})
 		}
 	}
-	for _, e := range b.list {
-		if e.pace.seen {
-			l.Endpoints = append(l.Endpoints, EndpointEstimate{e.Name, e.StartTime, e.paceAt, e.pace.v, e.mean.v})
+	for _, e := range b.endpoints {
+		if e.serviceTimeRatio.initialized {
+			l.Endpoints = append(l.Endpoints, EndpointEstimate{e.Name, e.StartTime, e.serviceTimeRatioAt, e.serviceTimeRatio.value, e.meanLoad.value})
 		}
 	}
 	return l
@@ -76,50 +76,50 @@
 // Restore goes on from what another process of this sidecar knew. It comes after Start and before any list.
 func (b *Balancer) Restore(l *Estimates) {
 	known := func(w ClassWorkEstimate) bool { return b.classNamed(w.Class) != nil }
-	if !sound(l.ServiceTimeRatio) || !slices.ContainsFunc(l.ClassWork, known) {
+	if !isPositiveFinite(l.ServiceTimeRatio) || !slices.ContainsFunc(l.ClassWork, known) {
 		return // of a process that knew nothing, or of other settings
 	}
-	b.fleet = ewma{l.ServiceTimeRatio, true}
-	b.coldSlowness.v = min(1, max(0, l.WarmingSlowness))
-	b.coldSamples = max(0, l.WarmingSamples)
-	b.waits = ewma{min(1, max(0, l.QueuedProbeShare)), true}
-	b.lag.v, b.reportsLate = min(1, max(0, l.LateReportShare)), l.ReportsLate
-	if sound(l.TypicalLoad) {
-		b.usual.v = l.TypicalLoad
+	b.fleetServiceTimeRatio = ewma{l.ServiceTimeRatio, true}
+	b.warmingSlowness.value = min(1, max(0, l.WarmingSlowness))
+	b.warmingSamples = max(0, l.WarmingSamples)
+	b.queuedProbeShare = ewma{min(1, max(0, l.QueuedProbeShare)), true}
+	b.lateReportShare.value, b.reportsLate = min(1, max(0, l.LateReportShare)), l.ReportsLate
+	if isPositiveFinite(l.TypicalLoad) {
+		b.typicalLoad.value = l.TypicalLoad
 	}
-	if sound(l.TypicalWarmingLoad) {
-		b.usualCold = mean{l.TypicalWarmingLoad, usualGuess}
+	if isPositiveFinite(l.TypicalWarmingLoad) {
+		b.typicalWarmingLoad = cumulativeMean{l.TypicalWarmingLoad, initialTypicalLoadSamples}
 	}
 	for _, w := range l.ClassWork {
-		if c := b.classNamed(w.Class); c != nil && sound(w.Work) {
-			c.work.v = w.Work
+		if c := b.classNamed(w.Class); c != nil && isPositiveFinite(w.Work) {
+			c.work.value = w.Work
 		}
 	}
 	for _, known := range l.ZoneLatencies {
-		w := &b.ways[known.Zone]
-		if !sound(known.Latency) || !sound(known.Deviation) {
+		w := &b.zoneLatencies[known.Zone]
+		if !isPositiveFinite(known.Latency) || !isPositiveFinite(known.Deviation) {
 			continue
 		}
-		for range w.last {
+		for range w.samples {
 			w.add(known.Latency)
 		}
-		w.sway.v = known.Deviation
+		w.deviation.value = known.Deviation
 	}
-	b.known = map[uint64]EndpointEstimate{}
+	b.restored = map[uint64]EndpointEstimate{}
 	for _, e := range l.Endpoints {
-		if sound(e.ServiceTimeRatio) {
-			b.known[e.Name] = e
+		if isPositiveFinite(e.ServiceTimeRatio) {
+			b.restored[e.Name] = e
 		}
 	}
 }
 
-// recall takes up what is known of the life of e that is listed now.
-func (b *Balancer) recall(e *endpoint) {
-	if known, ok := b.known[e.Name]; ok && known.StartTime == e.StartTime {
-		e.pace, e.paceAt = ewma{known.ServiceTimeRatio, true}, known.MeasuredAt
-		if sound(known.MeanLoad) {
-			e.mean = ewma{known.MeanLoad, true}
+// restoreEndpoint takes up what is known of the life of e that is listed now.
+func (b *Balancer) restoreEndpoint(e *endpoint) {
+	if known, ok := b.restored[e.Name]; ok && known.StartTime == e.StartTime {
+		e.serviceTimeRatio, e.serviceTimeRatioAt = ewma{known.ServiceTimeRatio, true}, known.MeasuredAt
+		if isPositiveFinite(known.MeanLoad) {
+			e.meanLoad = ewma{known.MeanLoad, true}
 		}
 	}
-	delete(b.known, e.Name)
+	delete(b.restored, e.Name)
 }
--- a/balancer/lifecycle.go
+++ b/balancer/lifecycle.go
@@ -10,12 +10,12 @@
 
 const second Micros = 1_000_000
 
-// Timer tokens below firstSlot belong to the balancer; others name a request.
+// Timer tokens below firstRequestToken belong to the balancer; others name a request.
 const (
-	tokenProbe = iota
-	tokenDiscovery
-	firstSlot = 16
-	slotBits  = 20
+	probeTimerToken = iota
+	pollTimerToken
+	firstRequestToken = 16
+	slotBits          = 20
 )
 
 // New returns a balancer, or a *SettingError. Call Start before any other event.
@@ -24,9 +24,9 @@
 		return nil, err
 	}
 	b := &Balancer{
-		out: out, rng: source(seed),
-		requests: map[uint64]*request{}, byID: map[uint32]*endpoint{}, cordoned: map[uint64]bool{}, departed: map[uint64]Micros{},
-		logged: map[string]Micros{},
+		actions: out, random: splitMix64(seed),
+		requests: map[uint64]*request{}, endpointByID: map[uint32]*endpoint{}, cordoned: map[uint64]bool{}, removedStartTimes: map[uint64]Micros{},
+		lastLogged: map[string]Micros{},
 	}
 	b.applySettings(s)
 	return b, nil
@@ -34,27 +34,27 @@
 
 // Start begins the balancer's life.
 func (b *Balancer) Start(now Micros) {
-	b.lag.seen, b.refused.seen, b.lost.seen = true, true, true
-	b.trend, b.trust = 1, 0.5
-	b.coldSlowness = ewma{v: coldSlownessFirst, seen: true}
-	b.usual = mean{v: usualFirst, n: usualGuess}
-	b.credit, b.copies, b.passOf = budgetBurst, budgetBurst, minPassInterval
-	b.firstAsk(now)
-	b.firstProbe()
+	b.lateReportShare.initialized, b.rejectedShare.initialized, b.lostAttemptShare.initialized = true, true, true
+	b.latencyTrend, b.workHintTrust = 1, 0.5
+	b.warmingSlowness = ewma{value: initialWarmingSlowness, initialized: true}
+	b.typicalLoad = cumulativeMean{value: initialTypicalLoad, samples: initialTypicalLoadSamples}
+	b.retryBudget, b.hedgeBudget, b.trialInterval = budgetBurst, budgetBurst, minTrialInterval
+	b.scheduleFirstPoll(now)
+	b.startProbeRounds()
 }
 
 // HandleTimer handles a token given to Actions.Timer.
 func (b *Balancer) HandleTimer(now Micros, token uint32) {
 	switch {
-	case token == tokenProbe:
+	case token == probeTimerToken:
 		b.probeRound(now)
-	case token == tokenDiscovery:
-		b.ask(now)
-	case token >= firstSlot:
-		slot := int(token&(1<<slotBits-1)) - firstSlot
-		if slot >= 0 && slot < len(b.slots) {
-			if r := b.slots[slot]; r.token == token && !r.ended && !r.stream {
-				b.wake(now, r)
+	case token == pollTimerToken:
+		b.poll(now)
+	case token >= firstRequestToken:
+		slot := int(token&(1<<slotBits-1)) - firstRequestToken
+		if slot >= 0 && slot < len(b.requestSlots) {
+			if r := b.requestSlots[slot]; r.timerToken == token && !r.answered && !r.streaming {
+				b.handleRequestTimer(now, r)
 			}
 		}
 	}
--- a/balancer/membership.go
+++ b/balancer/membership.go
@@ -8,91 +8,92 @@
 func (b *Balancer) HandleEndpoints(now Micros, kind ListUpdate, entries []Endpoint) {
 	if kind == ListFailed {
 		b.log(now, "discovery", "discovery call failed or watch broken; keeping the endpoint list and retrying")
-		b.retryAsk(now)
+		b.retryPoll(now)
 		b.subscribed = false
 		return
 	}
-	if kind != ListCached && b.s.SubscribeToDiscovery {
-		b.subscribed, b.askWait = true, 0
+	if kind != ListCached && b.settings.SubscribeToDiscovery {
+		b.subscribed, b.pollBackoff = true, 0
 	}
 	whole := kind != ListDelta
-	for _, e := range b.list {
-		e.seen = false
+	for _, e := range b.endpoints {
+		e.listed = false
 	}
 	// A thousand balancers that each probed all that is new would fill it with probes alone.
-	few := b.s.Balancers <= max(len(b.list), len(entries))
+	few := b.settings.Balancers <= max(len(b.endpoints), len(entries))
 	for i := range entries {
-		b.entry(now, &entries[i], few)
+		b.updateEndpoint(now, &entries[i], few)
 	}
-	b.list = slices.DeleteFunc(b.list, func(e *endpoint) bool {
-		if whole && !e.seen {
+	b.endpoints = slices.DeleteFunc(b.endpoints, func(e *endpoint) bool {
+		if whole && !e.listed {
 			e.State = Removed
 		}
-		return b.forgotten(e)
+		return b.forgetIfRemoved(e)
 	})
-	b.listed = b.listed || kind != ListCached || !b.s.SubscribeToDiscovery
+	b.listReceived = b.listReceived || kind != ListCached || !b.settings.SubscribeToDiscovery
 	if kind != ListCached {
-		b.listedAt = now
+		b.listReceivedAt = now
 	}
 }
 
-// forgotten drops an endpoint that is gone with nothing out there, and says so.
-func (b *Balancer) forgotten(e *endpoint) bool {
-	forget := e.State == Removed && e.inflight+e.writing == 0
-	if forget && b.byID[e.ID] == e {
-		delete(b.byID, e.ID)
-		b.remember(e)
+// forgetIfRemoved drops an endpoint that is gone with nothing out there, and says so.
+func (b *Balancer) forgetIfRemoved(e *endpoint) bool {
+	forget := e.State == Removed && e.inFlight+e.uploading == 0
+	if forget && b.endpointByID[e.ID] == e {
+		delete(b.endpointByID, e.ID)
+		b.rememberStartTime(e)
 	}
 	return forget
 }
 
-// maxDeparted bounds how many endpoints that are gone are remembered.
-const maxDeparted = 4096
+// maxRemovedEndpoints bounds how many endpoints that are gone are remembered.
+const maxRemovedEndpoints = 4096
 
-// remember keeps the start of an endpoint that is gone: it may come back as the process that it was.
-func (b *Balancer) remember(e *endpoint) {
-	if len(b.departed) >= maxDeparted {
-		clear(b.departed)
+// rememberStartTime keeps the start of an endpoint that is gone: it may come back as the process that it was.
+func (b *Balancer) rememberStartTime(e *endpoint) {
+	if len(b.removedStartTimes) >= maxRemovedEndpoints {
+		clear(b.removedStartTimes)
 	}
-	b.departed[e.Name] = e.StartTime
+	b.removedStartTimes[e.Name] = e.StartTime
 }
 
-// startOf is when an endpoint that is new here, or was restarted, started. What a list says of that is by a
-// clock that may have been stepped: one that was not in the list before can't have been warm then, unless it
-// is one that had left.
-func (b *Balancer) startOf(now Micros, in *Endpoint) Micros {
-	since, known := b.departed[in.Name]
+// effectiveStartTime is when an endpoint that is new here, or was restarted, started. What a list says of
+// that is by a clock that may have been stepped: one that was not in the list before can't have been warm
+// then, unless it is one that had left.
+func (b *Balancer) effectiveStartTime(now Micros, in *Endpoint) Micros {
+	since, known := b.removedStartTimes[in.Name]
 	returned := known && since == in.StartTime
-	if b.listedAt > 0 && !returned && in.StartTime < b.listedAt-b.s.Contract.SlowStartDuration {
+	warmAt := b.listReceivedAt - b.settings.Contract.SlowStartDuration
+	if b.listReceivedAt > 0 && !returned && in.StartTime < warmAt {
 		return now
 	}
 	return in.StartTime
 }
 
-func (b *Balancer) entry(now Micros, in *Endpoint, probe bool) {
-	e := b.byID[in.ID]
+func (b *Balancer) updateEndpoint(now Micros, in *Endpoint, probe bool) {
+	e := b.endpointByID[in.ID]
 	fresh := e == nil
 	if fresh {
 		e = &endpoint{}
-		b.byID[in.ID] = e
-		b.list = append(b.list, e)
+		b.endpointByID[in.ID] = e
+		b.endpoints = append(b.endpoints, e)
 	}
 	restarted := !fresh && in.StartTime != 0 && in.StartTime != e.StartTime
 	if restarted {
 		e.reset()
 	}
-	e.out = b.cordoned[in.Name]
+	e.cordoned = b.cordoned[in.Name]
 	started := in.StartTime
-	if started == 0 && fresh && b.listed {
+	if started == 0 && fresh && b.listReceived {
 		started = now // it appeared while we watched
 	} else if started != 0 && (fresh || restarted) {
-		started = b.startOf(now, in)
+		started = b.effectiveStartTime(now, in)
 	}
-	if e.Endpoint, e.seen = *in, true; fresh {
-		b.recall(e)
+	if e.Endpoint, e.listed = *in, true; fresh {
+		b.restoreEndpoint(e)
 	}
-	b.largest = max(b.largest, float64(e.Weight))
-	if started != 0 && now-started < b.s.Contract.SlowStartDuration && (fresh || restarted) {
+	b.maxWeight = max(b.maxWeight, float64(e.Weight))
+	if started != 0 && now-started < b.settings.Contract.SlowStartDuration && (fresh || restarted) {
 		b.beginSlowStart(now, e, started)
 	}
 	if probe && (fresh || restarted) {
@@ -104,19 +105,21 @@
 // was likely restarted: it begins as a new process, cold since then.
 func (b *Balancer) Cordon(now Micros, name uint64, out bool, since Micros) {
 	b.cordoned[name] = out
-	for _, e := range b.list {
-		if e.Name != name || e.out == out {
+	for _, e := range b.endpoints {
+		if e.Name != name || e.cordoned == out {
 			continue
 		}
-		if e.out = out; !out {
+		if e.cordoned = out; !out {
 			e.reset()
-			if now-since < b.s.Contract.SlowStartDuration {
+			if now-since < b.settings.Contract.SlowStartDuration {
 				b.beginSlowStart(now, e, since)
 				// Staff wait to see it serve. One request each is soon more than it can bear.
-				c, work := &b.s.Contract, b.classes[0].work.v
+				c, work := &b.settings.Contract, b.classes[0].work.value
 				n := c.OverloadFactor * c.SlowStartInitialFraction * float64(c.OverloadWindow) / work
-				if e.pending = b.rng.float()*float64(b.s.Balancers) < min(maxPending, 1+pendingShare*n); e.pending {
-					b.spare = max(b.spare, 2*coldCharge*work) // and its probes
+				trials := min(maxTrialBalancers, 1+trialShare*n)
+				e.awaitsTrial = b.random.uniform()*float64(b.settings.Balancers) < trials
+				if e.awaitsTrial {
+					b.warmingTokens = max(b.warmingTokens, 2*warmingCharge*work) // and its probes
 				}
 			}
 			b.probe(now, e)
@@ -124,44 +127,44 @@
 	}
 }
 
-const minAskDelay = second / 20 // the shortest pause after a call that failed, about
+const minPollDelay = second / 20 // the shortest pause after a call that failed, about
 
-func (b *Balancer) askIn(now, delay Micros) {
-	b.askAt = now + delay
-	b.out.StartTimer(delay, tokenDiscovery)
+func (b *Balancer) schedulePoll(now, delay Micros) {
+	b.nextPollAt = now + delay
+	b.actions.StartTimer(delay, pollTimerToken)
 }
 
-// firstAsk spreads the first calls: all balancers may start at once.
-func (b *Balancer) firstAsk(now Micros) {
-	if b.s.SubscribeToDiscovery {
-		b.askIn(now, 1+b.rng.below(min(b.s.Contract.PollInterval/10, NotificationDeadline/6)))
+// scheduleFirstPoll spreads the first calls: all balancers may start at once.
+func (b *Balancer) scheduleFirstPoll(now Micros) {
+	if b.settings.SubscribeToDiscovery {
+		b.schedulePoll(now, 1+b.random.duration(min(b.settings.Contract.PollInterval/10, NotificationDeadline/6)))
 	}
 }
 
-func (b *Balancer) ask(now Micros) {
-	if b.s.SubscribeToDiscovery && !b.subscribed && now >= b.askAt {
-		b.askedAt = now
-		b.out.Watch(true)
+func (b *Balancer) poll(now Micros) {
+	if b.settings.SubscribeToDiscovery && !b.subscribed && now >= b.nextPollAt {
+		b.lastPollAt = now
+		b.actions.Watch(true)
 		// The answer may be lost, and without one we would never hear again.
-		b.askIn(now, 1+NotificationDeadline/2+b.rng.below(NotificationDeadline/10))
+		b.schedulePoll(now, 1+NotificationDeadline/2+b.random.duration(NotificationDeadline/10))
 	}
 }
 
-// retryAsk asks discovery again with a growing, random delay, but in time for NotificationDeadline.
-func (b *Balancer) retryAsk(now Micros) {
-	if b.s.SubscribeToDiscovery {
-		first := b.s.Contract.PollInterval / 20
+// retryPoll asks discovery again with a growing, random delay, but in time for NotificationDeadline.
+func (b *Balancer) retryPoll(now Micros) {
+	if b.settings.SubscribeToDiscovery {
+		first := b.settings.Contract.PollInterval / 20
 		if b.subscribed {
-			first = min(first, max(b.s.Contract.DrainGrace/4, minAskDelay))
+			first = min(first, max(b.settings.Contract.DrainGrace/4, minPollDelay))
 		}
-		if b.askWait = min(2*b.askWait, b.s.Contract.PollInterval/4); b.askWait == 0 {
-			b.askWait = first
+		if b.pollBackoff = min(2*b.pollBackoff, b.settings.Contract.PollInterval/4); b.pollBackoff == 0 {
+			b.pollBackoff = first
 		}
-		used := min(now-b.askedAt, DiscoveryCallTimeout)
+		used := min(now-b.lastPollAt, DiscoveryCallTimeout)
 		if b.subscribed {
 			used = WatchDuration + WatchGrace
 		}
-		wait := min(b.askWait, (NotificationDeadline-DiscoveryCallTimeout-used)*2/3)
-		b.askIn(now, 1+wait/2+b.rng.below(wait))
+		wait := min(b.pollBackoff, (NotificationDeadline-DiscoveryCallTimeout-used)*2/3)
+		b.schedulePoll(now, 1+wait/2+b.random.duration(wait))
 	}
 }
--- a/balancer/pick_test.go
+++ b/balancer/pick_test.go
@@ -24,7 +24,7 @@
 	if len(r.sends) != 4 {
 		t.Fatalf("%d sends", len(r.sends))
 	}
-	if got := b.load(2000, b.byID[2]); got != 4 {
+	if got := b.estimatedLoad(2000, b.endpointByID[2]); got != 4 {
 		t.Errorf("load with own sends: %v", got)
 	}
 }
@@ -58,7 +58,7 @@
 	s := testSettings()
 	b, r := start(t, s, ready(2))
 	b.HandleProbe(1000, 1, OK, 500, []float32{0})
-	now := 1000 + b.freshFor(1000, second) + 30*second
+	now := 1000 + b.maxReportAge(1000, second) + 30*second
 	seen := map[uint32]bool{}
 	for id := range uint64(20) {
 		b.HandleRequest(now, request0(id, 0, now))
@@ -75,14 +75,14 @@
 	nan := float32(math.NaN())
 	for _, load := range [][]float32{nil, {}, {nan}, {-3}, {float32(math.Inf(1))}} {
 		b.HandleProbe(1000, 1, OK, 500, load)
-		if b.list[0].hasLoad {
+		if b.endpoints[0].hasReport {
 			t.Errorf("report %v taken for a load", load)
 		}
 	}
 	b.HandleProbe(1000, 99, OK, 500, []float32{1}) // unknown endpoint
 	b.HandleProbe(1000, 1, OK, 500, []float32{2, 7, 9})
-	if b.load(1000, b.list[0]) != 2 {
-		t.Errorf("load %v", b.load(1000, b.list[0]))
+	if b.estimatedLoad(1000, b.endpoints[0]) != 2 {
+		t.Errorf("load %v", b.estimatedLoad(1000, b.endpoints[0]))
 	}
 }
 
@@ -93,20 +93,20 @@
 	for id := range uint64(3) {
 		b.HandleRequest(1000, request0(id, 0, 1000))
 	}
-	busy := b.byID[r.sends[0].endpoint]
+	busy := b.endpointByID[r.sends[0].endpoint]
 	for i := range Micros(40) {
-		busy.probing = false
+		busy.probeInFlight = false
 		b.probe(12_000+i, busy)
 		b.HandleProbe(13_000+i, busy.ID, OK, 500, []float32{0})
 	}
 	if !b.reportsLate {
 		t.Fatal("not found out")
 	}
-	if got := b.load(14_000, busy); got < float64(busy.inflight) {
-		t.Errorf("load %v is under own in-flight %d", got, busy.inflight)
+	if got := b.estimatedLoad(14_000, busy); got < float64(busy.inFlight) {
+		t.Errorf("load %v is under own in-flight %d", got, busy.inFlight)
 	}
 	for i := range Micros(400) {
-		busy.probing = false
+		busy.probeInFlight = false
 		b.probe(14_000+i, busy)
 		b.HandleProbe(15_000+i, busy.ID, OK, 500, []float32{5})
 	}
@@ -123,7 +123,7 @@
 		from, to int
 	}{{second / 100, 3, 6}, {second, 28, 33}} {
 		b, r := start(t, testSettings(), ready(1))
-		b.classes[0].work.v = float64(100 * second)
+		b.classes[0].work.value = float64(100 * second)
 		for i := range uint64(300) {
 			now := 10*second + Micros(i)*c.gap
 			b.HandleRequest(now, request0(i, 0, now))
@@ -185,11 +185,11 @@
 		}
 	}
 	over, within := recordOf(b, Request{Tenant: 0}), recordOf(b, Request{Tenant: 1})
-	b.refused.v = 0.5
-	if o, w := b.shareWorth(100_000, over), b.shareWorth(100_000, within); w != 1 || o > 0.6 {
+	b.rejectedShare.value = 0.5
+	if o, w := b.tenantPriority(100_000, over), b.tenantPriority(100_000, within); w != 1 || o > 0.6 {
 		t.Errorf("weights %v over, %v within the share", o, w)
 	}
-	if got := b.shareWorth(100_000, recordOf(b, Request{Tenant: 9})); got != 1 {
+	if got := b.tenantPriority(100_000, recordOf(b, Request{Tenant: 9})); got != 1 {
 		t.Errorf("unknown tenant: %v", got)
 	}
 }
@@ -202,9 +202,9 @@
 	b, _ := start(t, s, ready(2))
 	b.tenants[0].add(0, 60)
 	b.tenants[1].add(0, 40)
-	b.refused.v = 0.8
+	b.rejectedShare.value = 0.8
 	for tenant := range uint16(2) {
-		if got := b.shareWorth(0, recordOf(b, Request{Tenant: tenant})); got < 0.99 {
+		if got := b.tenantPriority(0, recordOf(b, Request{Tenant: tenant})); got < 0.99 {
 			t.Errorf("tenant %d, within its share of the mix, weighs %.2f while most is refused", tenant, got)
 		}
 	}
@@ -230,19 +230,19 @@
 // no endpoint may be filled up to the aim on the word of the fleet's mean.
 func TestLateReportsAreAveragedByEndpoint(t *testing.T) {
 	b, _ := start(t, testSettings(), ready(2))
-	b.classes[0].asked.add(0, 1)
+	b.classes[0].requestRate.add(0, 1)
 	r := recordOf(b, request0(1, 0, 0))
 	r.work = 50_000
-	before := b.room(0, r, b.list[0])
+	before := b.latencyLimit(0, r, b.endpoints[0])
 	b.reportsLate = true
 	for i := range 20 {
 		b.HandleProbe(1000, 1, OK, 500, []float32{float32(4 + 2*(i%2))})
 		b.HandleProbe(1000, 2, OK, 500, []float32{float32(i % 2)})
 	}
-	if crowded, quiet := b.load(1000, b.byID[1]), b.load(1000, b.byID[2]); crowded < 4 || quiet > 1 {
+	if crowded, quiet := b.estimatedLoad(1000, b.endpointByID[1]), b.estimatedLoad(1000, b.endpointByID[2]); crowded < 4 || quiet > 1 {
 		t.Errorf("load %.1f where reports tell 4 to 6, %.1f where they tell 0 to 1", crowded, quiet)
 	}
-	if after := b.room(0, r, b.list[0]); after > before+500 { // the way is known by now
+	if after := b.latencyLimit(0, r, b.endpoints[0]); after > before+500 { // the way is known by now
 		t.Errorf("limit %v before, %v while late", before, after)
 	}
 }
@@ -252,19 +252,19 @@
 func TestColdEndpointIsExpectedToBeSlow(t *testing.T) {
 	b, _ := start(t, testSettings(), ready(2))
 	b.HandleEndpoints(1000, ListDelta, []Endpoint{{ID: 9, State: Ready, StartTime: 1000}})
-	e := b.byID[9]
-	if got := e.paceNow(1000, b); !near(got, 1+4*coldSlownessFirst) { // warmth 0.2
+	e := b.endpointByID[9]
+	if got := e.currentServiceTimeRatio(1000, b); !near(got, 1+4*initialWarmingSlowness) { // warmth 0.2
 		t.Errorf("pace %v just started, before any was seen", got)
 	}
-	b.coldSlowness = ewma{v: 1, seen: true} // as slow as its least warmth makes it
-	if got := e.paceNow(1000, b); !near(got, 5) {
+	b.warmingSlowness = ewma{value: 1, initialized: true} // as slow as its least warmth makes it
+	if got := e.currentServiceTimeRatio(1000, b); !near(got, 5) {
 		t.Errorf("pace %v just started", got)
 	}
-	e.pace, e.paceAt = ewma{v: 2, seen: true}, 6*second
-	if got := e.paceNow(6*second, b); got < 2.9 || got > 3 { // warmth 0.68
+	e.serviceTimeRatio, e.serviceTimeRatioAt = ewma{value: 2, initialized: true}, 6*second
+	if got := e.currentServiceTimeRatio(6*second, b); got < 2.9 || got > 3 { // warmth 0.68
 		t.Errorf("pace %v half way", got)
 	}
-	if got := e.paceNow(12*second, b); got > 2 {
+	if got := e.currentServiceTimeRatio(12*second, b); got > 2 {
 		t.Errorf("pace %v once warm", got)
 	}
 }
@@ -282,15 +282,15 @@
 			if len(r.sends) == 0 || r.sends[len(r.sends)-1].id != id {
 				continue // refused
 			}
-			latency := Micros(times * b.requests[id].attempts[0].expected)
+			latency := Micros(times * b.requests[id].attempts[0].predictedLatency)
 			b.HandleOutcome(now, Outcome{ID: id, Endpoint: r.sends[len(r.sends)-1].endpoint, Status: OK,
 				Latency: latency, Answered: true})
 		}
 	}
 	one := func(now Micros) float64 {
 		b.HandleProbe(now, 1, OK, 500, []float32{0})
-		b.byID[1].pace, b.byID[1].paceAt = ewma{v: 1, seen: true}, now
-		return b.predict(now, b.byID[1], 10_000)
+		b.endpointByID[1].serviceTimeRatio, b.endpointByID[1].serviceTimeRatioAt = ewma{value: 1, initialized: true}, now
+		return b.predictLatency(now, b.endpointByID[1], 10_000)
 	}
 	serve(0, 50, 1)
 	before := one(60_000)
@@ -316,7 +316,7 @@
 		t.Fatalf("%d of 60 sent", len(r.sends))
 	}
 	for _, s := range r.sends {
-		latency := Micros(2 * b.requests[s.id].attempts[0].expected)
+		latency := Micros(2 * b.requests[s.id].attempts[0].predictedLatency)
 		b.HandleOutcome(now+100_000, Outcome{ID: s.id, Endpoint: s.endpoint, Status: OK, Latency: latency, Answered: true})
 	}
 	if got := b.slowdown(now + 100_000); got < 1.1 || got > 2 {
@@ -327,11 +327,11 @@
 // A slowdown that refuses all must not outlive the slowness for want of outcomes.
 func TestSlowdownFadesWithoutOutcomes(t *testing.T) {
 	b, _ := start(t, testSettings(), ready(4))
-	b.trend, b.trendAt = trendStep, second
+	b.latencyTrend, b.latencyTrendAt = maxTrendRatio, second
 	if at, later := b.slowdown(second), b.slowdown(4*second); at < 2 || later != 1 {
 		t.Errorf("slowdown %.2f at the last outcome, %.2f three seconds after it", at, later)
 	}
-	b.follow(4*second, 1)
+	b.updateTrend(4*second, 1)
 	if got := b.slowdown(4 * second); got != 1 {
 		t.Errorf("slowdown %.2f after an outcome as predicted brought back what had faded", got)
 	}
@@ -348,18 +348,18 @@
 		{"hints tell all", func(hint Micros) Micros { return hint }, 0.85, 1},
 	} {
 		b, r := start(t, testSettings(), ready(4))
-		hints := source(3)
+		hints := splitMix64(3)
 		for i := range 4000 {
 			now := 10_000 * Micros(i)
-			hint := 5_000 + hints.below(60_000)
+			hint := 5_000 + hints.duration(60_000)
 			b.HandleRequest(now, Request{ID: uint64(i), Deadline: now + second, WorkHint: hint, HasWorkHint: true})
 			if n := len(r.sends); n > 0 && r.sends[n-1].id == uint64(i) {
 				b.HandleOutcome(now, Outcome{ID: uint64(i), Endpoint: r.sends[n-1].endpoint, Status: OK,
 					Latency: c.latency(hint), Answered: true})
 			}
 		}
-		if b.trust < c.from || b.trust > c.to {
-			t.Errorf("%s: trust %.2f, want %.2f to %.2f", c.name, b.trust, c.from, c.to)
+		if b.workHintTrust < c.from || b.workHintTrust > c.to {
+			t.Errorf("%s: trust %.2f, want %.2f to %.2f", c.name, b.workHintTrust, c.from, c.to)
 		}
 	}
 }
@@ -367,16 +367,16 @@
 // A balancer that refuses everything must still learn when it may stop.
 func TestProbesGoOnWhileAllIsRefused(t *testing.T) {
 	s := testSettings()
-	s.Prices.Probe = probeSpend // one probe a request
+	s.Prices.Probe = maxProbeSpend // one probe a request
 	b, _ := start(t, s, ready(4))
 	for i := range 1000 {
-		b.demand.add(5000*Micros(i), 1)
+		b.requestRate.add(5000*Micros(i), 1)
 	}
 	now := 5 * second
-	b.refused.v = 0
+	b.rejectedShare.value = 0
 	all := b.probeRate(now)
-	for _, c := range []struct{ refused, want float64 }{{0.5, 0.5}, {0.9, firstTries}, {1, firstTries}} {
-		b.refused.v = c.refused
+	for _, c := range []struct{ refused, want float64 }{{0.5, 0.5}, {0.9, minFirstAttemptShare}, {1, minFirstAttemptShare}} {
+		b.rejectedShare.value = c.refused
 		if got := b.probeRate(now) / all; math.Abs(got-c.want) > 0.001 {
 			t.Errorf("refused %v: %v of the pace, want %v", c.refused, got, c.want)
 		}
@@ -393,7 +393,7 @@
 		if len(r.probes) != 0 {
 			t.Errorf("%d probes at the start", len(r.probes))
 		}
-		b.HandleTimer(second, tokenProbe)
+		b.HandleTimer(second, probeTimerToken)
 		r.probes, r.timers = nil, nil
 		b.HandleRequest(2*second, request0(1, 0, 2*second))
 		if len(r.sends) != 0 || len(r.probes) < 2 {
@@ -431,7 +431,7 @@
 		answer(b, r, i, 0)
 	}
 	b.HandleTimer(2*second+50_000, r.timers[len(r.timers)-1])
-	if len(r.sends)+len(r.refused)+len(r.failed) != 0 || len(b.held) != 0 {
+	if len(r.sends)+len(r.refused)+len(r.failed) != 0 || len(b.awaitingProbes) != 0 {
 		t.Error("a request that its client left is still acted on")
 	}
 }
@@ -441,20 +441,20 @@
 	s := testSettings()
 	s.ReportFields = []ReportField{FieldServedRate, FieldUtilization}
 	b, _ := start(t, s, ready(2))
-	e := b.byID[1]
-	for range len(b.ways[0].last) {
+	e := b.endpointByID[1]
+	for range len(b.zoneLatencies[0].samples) {
 		b.HandleProbe(900, 1, OK, 500, []float32{90, 0.2})
 	}
 	b.HandleProbe(1000, 1, OK, 500, []float32{90, 0.5})
-	if got := b.load(1000, e); got != 0.5*cores {
+	if got := b.estimatedLoad(1000, e); got != 0.5*assumedCores {
 		t.Errorf("load %v of a half busy endpoint", got)
 	}
 	b.HandleProbe(2000, 1, OK, 160_500, []float32{90, 0.5})
-	if got := b.load(2000, e); got < 2*cores {
+	if got := b.estimatedLoad(2000, e); got < 2*assumedCores {
 		t.Errorf("load %v, though the probe waited for two requests' work", got)
 	}
 	b.HandleProbe(3000, 1, Rejected, 500, nil)
-	if e.answerAt != 0 {
+	if e.reportedAt != 0 {
 		t.Error("an endpoint that turns probes away keeps its place in the pool")
 	}
 }
@@ -469,7 +469,7 @@
 		s := testSettings()
 		s.Classes[0].LatencyObjective = 50_000
 		b, _ := start(t, s, ready(2))
-		var noise source = 5
+		var noise splitMix64 = 5
 		now := Micros(1000)
 		probed := func(latency Micros, held float32) {
 			now += 100_000
@@ -479,23 +479,23 @@
 			probed(200, 0)
 		}
 		for range 5 {
-			if probed(11_000+noise.below(4000), 0); b.load(now, b.byID[1]) > 0 {
+			if probed(11_000+noise.duration(4000), 0); b.estimatedLoad(now, b.endpointByID[1]) > 0 {
 				t.Errorf("%s: an idle endpoint shows a load while its way is being learned", c.name)
 			}
 		}
-		if way := b.ways[0].v; way < 11_000 || way > 15_000 {
+		if way := b.zoneLatencies[0].median; way < 11_000 || way > 15_000 {
 			t.Errorf("%s: a way of %.0f us, want 11 to 15 ms", c.name, way)
 		}
 		queued := 0
 		for range 100 {
-			probed(11_000+noise.below(6000), 0)
-			queued += int(share(b.load(now, b.byID[1]) > 0))
+			probed(11_000+noise.duration(6000), 0)
+			queued += int(indicator(b.estimatedLoad(now, b.endpointByID[1]) > 0))
 		}
 		if queued > 5 {
 			t.Errorf("%s: %d of 100 probes of an idle endpoint show a load", c.name, queued)
 		}
 		probed(60_000, 0)
-		if got := b.load(now, b.byID[1]); got < cores {
+		if got := b.estimatedLoad(now, b.endpointByID[1]); got < assumedCores {
 			t.Errorf("%s: load %v after a probe that waited 47 ms", c.name, got)
 		}
 	}
@@ -506,15 +506,15 @@
 	s := testSettings()
 	s.Balancers = 1000
 	b, r := start(t, s, ready(40))
-	b.HandleTimer(second, tokenProbe)
+	b.HandleTimer(second, probeTimerToken)
 	for id := range uint64(40) {
 		now := 2*second + 100_000*Micros(id)
 		r.timers = nil
 		b.HandleRequest(now, Request{ID: id, Deadline: now + second})
 		b.HandleTimer(now+40_000, r.timers[len(r.timers)-1])
 	}
-	if b.usual.v < cores {
-		t.Errorf("usual load %v though no probe is answered", b.usual.v)
+	if b.typicalLoad.value < assumedCores {
+		t.Errorf("usual load %v though no probe is answered", b.typicalLoad.value)
 	}
 	if len(r.refused) == 0 {
 		t.Error("nothing refused though no probe is answered")
@@ -527,15 +527,15 @@
 	for i := range Micros(20) {
 		b.HandleProbe(1000*i, 1, OK, 500, []float32{1})
 	}
-	before := b.usual.v
+	before := b.typicalLoad.value
 	b.HandleProbe(30_000, 2, Timeout, 400_000, nil)
-	if b.usual.v > before {
-		t.Errorf("usual load %.1f before a lost probe, %.1f after it", before, b.usual.v)
+	if b.typicalLoad.value > before {
+		t.Errorf("usual load %.1f before a lost probe, %.1f after it", before, b.typicalLoad.value)
 	}
-	b.waits.v = 0.5
+	b.queuedProbeShare.value = 0.5
 	b.HandleProbe(40_000, 2, Timeout, 400_000, nil)
-	if b.usual.v <= before {
-		t.Errorf("usual load %.1f after silence, where probes wait in line", b.usual.v)
+	if b.typicalLoad.value <= before {
+		t.Errorf("usual load %.1f after silence, where probes wait in line", b.typicalLoad.value)
 	}
 }
 
@@ -543,8 +543,8 @@
 // the clients back at once.
 func TestSlowdownAloneRefusesNothing(t *testing.T) {
 	b, r := start(t, testSettings(), ready(1))
-	b.trend, b.trendAt = trendStep, 1000
-	b.fleet = ewma{v: 20, seen: true}
+	b.latencyTrend, b.latencyTrendAt = maxTrendRatio, 1000
+	b.fleetServiceTimeRatio = ewma{value: 20, initialized: true}
 	b.HandleProbe(1000, 1, OK, 500, []float32{0})
 	b.HandleRequest(2000, request0(1, 0, 2000))
 	if len(r.sends) != 1 {
@@ -560,7 +560,7 @@
 // A few long answers must not make an endpoint refuse where nobody waits.
 func TestIdleEndpointIsNotRefused(t *testing.T) {
 	b, r := start(t, testSettings(), ready(1))
-	b.list[0].pace, b.list[0].paceAt = ewma{v: 9, seen: true}, 1000
+	b.endpoints[0].serviceTimeRatio, b.endpoints[0].serviceTimeRatioAt = ewma{value: 9, initialized: true}, 1000
 	b.HandleProbe(1000, 1, OK, 500, []float32{0})
 	b.HandleRequest(2000, request0(1, 0, 2000))
 	if len(r.sends) != 1 {
@@ -571,7 +571,7 @@
 // Requests passed into a jam keep it jammed: each that earns nothing makes the next rarer.
 func TestPassesThatFailGetRarer(t *testing.T) {
 	b, r := start(t, testSettings(), ready(1))
-	b.classes[0].work.v = float64(100 * second)
+	b.classes[0].work.value = float64(100 * second)
 	passed := [2]int{}
 	for i := range uint64(400) {
 		now := 10*second + Micros(i)*second
@@ -585,15 +585,15 @@
 	if passed[0] < 3 || passed[0] > 8 || passed[1] > 2 {
 		t.Errorf("%d of the first 200 passed and %d of the next", passed[0], passed[1])
 	}
-	b.passOf = maxPassInterval
+	b.trialInterval = maxTrialInterval
 	r.sends = nil
-	b.classes[0].work.v = 1000
+	b.classes[0].work.value = 1000
 	b.HandleRequest(500*second, request0(1000, 0, 500*second))
 	b.HandleOutcome(501*second, Outcome{ID: 1000, Endpoint: 1, Status: OK, Latency: 1000, Answered: true})
 	b.HandleRequest(502*second, request0(1001, 0, 502*second))
 	b.HandleOutcome(502*second+1000, Outcome{ID: 1001, Endpoint: 1, Status: OK, Latency: 1000, Answered: true})
-	if b.passOf != minPassInterval {
-		t.Errorf("one of %d passes after an answer in time", b.passOf)
+	if b.trialInterval != minTrialInterval {
+		t.Errorf("one of %d passes after an answer in time", b.trialInterval)
 	}
 }
 
@@ -606,7 +606,7 @@
 		}
 		b, _ := start(t, testSettings(), list)
 		for range 50 {
-			if e := b.draw(1000, recordOf(b, request0(1, 0, 1000)), nil, 0); (e == nil) != (n == 0) {
+			if e := b.randomEndpoint(1000, recordOf(b, request0(1, 0, 1000)), nil, 0); (e == nil) != (n == 0) {
 				t.Fatalf("%d endpoints: drew %v", n, e)
 			}
 		}
@@ -622,13 +622,13 @@
 		list[i].Zone = uint8(i % 2)
 	}
 	b, r := start(t, s, list)
-	b.ways[0], b.ways[1] = way{v: 500, n: 1}, way{v: 30_000, n: 1}
-	b.HandleTimer(second, tokenProbe)
+	b.zoneLatencies[0], b.zoneLatencies[1] = zoneLatency{median: 500, count: 1}, zoneLatency{median: 30_000, count: 1}
+	b.HandleTimer(second, probeTimerToken)
 	for id := range uint64(20) {
 		b.HandleRequest(2*second, request0(id, 0, 2*second))
 	}
 	for _, e := range r.probes {
-		if b.byID[e].Zone != 0 {
+		if b.endpointByID[e].Zone != 0 {
 			t.Fatalf("probe of endpoint %d, 30 ms away, for a wait of 40 ms", e)
 		}
 	}
@@ -648,14 +648,14 @@
 		b.Start(0)
 		b.HandleEndpoints(0, ListCached, ready(10))
 		for i := range Micros(10) {
-			b.sentWork.add(i*second, 80_000) // one request a second
+			b.sentWorkRate.add(i*second, 80_000) // one request a second
 		}
 		b.HandleEndpoints(10*second, ListDelta, []Endpoint{{ID: 11, Weight: 1, StartTime: 10 * second}})
 		for i := range Micros(6) {
-			b.sentWork.add((10+i)*second, 80_000)
-			b.coldRoom((10+i)*second, b.byID[11], 80_000)
+			b.sentWorkRate.add((10+i)*second, 80_000)
+			b.warmingMayServe((10+i)*second, b.endpointByID[11], 80_000)
 		}
-		if b.coldRoom(15*second, b.byID[11], 80_000) {
+		if b.warmingMayServe(15*second, b.endpointByID[11], 80_000) {
 			allowed++
 		}
 	}
@@ -678,12 +678,12 @@
 		now := second
 		b.HandleProbe(now, 1, OK, 500, []float32{0})
 		asked := b.newRequest(now, request0(1000, 1, now))
-		asked.work = b.classes[1].work.v
+		asked.work = b.classes[1].work.value
 		late := float32(0)
-		for ; b.predict(now, b.byID[2], asked.work) <= b.room(now, asked, b.byID[2]); late++ {
+		for ; b.predictLatency(now, b.endpointByID[2], asked.work) <= b.latencyLimit(now, asked, b.endpointByID[2]); late++ {
 			b.HandleProbe(now, 2, OK, 500, []float32{late})
 		}
-		for id := uint64(1); !b.byID[1].ejected(now); id++ {
+		for id := uint64(1); !b.endpointByID[1].isEjected(now); id++ {
 			if id > 100 {
 				t.Fatalf("%v: never ejected", c.status)
 			}
@@ -739,7 +739,7 @@
 					b.HandleProbe(1000, id, OK, 500, []float32{load(id)})
 				}
 				if c.many {
-					b.demand.add(1000, 200) // probes go by what is asked
+					b.requestRate.add(1000, 200) // probes go by what is asked
 				}
 				q := request0(1, 0, 2000)
 				q.Key = c.key
@@ -795,9 +795,9 @@
 		id := uint64(0)
 		run := func(from, to Micros) {
 			for now := from; now < to; now += second / 10 {
-				for _, e := range b.list { // the warm ones are busy
+				for _, e := range b.endpoints { // the warm ones are busy
 					if float64(id%uint64(warm+cold)) == float64(e.ID%(warm+cold)) {
-						b.HandleProbe(now, e.ID, OK, 500, []float32{3 * float32(share(e.ID <= warm))})
+						b.HandleProbe(now, e.ID, OK, 500, []float32{3 * float32(indicator(e.ID <= warm))})
 					}
 				}
 				id++
@@ -858,7 +858,7 @@
 			for i, load := range c.answers {
 				b.HandleProbe(Micros(i)*second, uint32(i%c.endpoints+1), OK, 500, []float32{load})
 			}
-			if got := b.usual.v; got < c.least || got > c.most {
+			if got := b.typicalLoad.value; got < c.least || got > c.most {
 				t.Errorf("the usual load is %.2f, want %.1f to %.1f", got, c.least, c.most)
 			}
 		})
@@ -899,23 +899,23 @@
 		serve := func(e *endpoint, took Micros) {
 			r := b.newRequest(now, request0(uint64(now)+1, 0, now))
 			r.work = 80_000
-			a := attempt{ep: e, at: now, cold: e.isCold, crowding: 1, plain: r.work}
-			b.learnPace(now+took, r, &a, float64(took), false)
+			a := attempt{endpoint: e, sentAt: now, warming: e.warming, queueingFactor: 1, predictedWithoutTrend: r.work}
+			b.learnServiceTime(now+took, r, &a, float64(took), false)
 			now += 1000
 		}
-		for _, e := range b.list {
+		for _, e := range b.endpoints {
 			serve(e, 80_000)
 		}
 		b.HandleEndpoints(now, ListDelta, []Endpoint{{ID: 11, Weight: 1, StartTime: now}})
-		cold := b.byID[11]
-		cold.pace = ewma{1, true}
+		cold := b.endpointByID[11]
+		cold.serviceTimeRatio = ewma{1, true}
 		for range answers {
 			serve(cold, took)
 		}
-		b.spare, b.spareAt = 0, now
-		b.sentWork = meter{10_000_000, now}
-		b.earn(now+second/10, 1)
-		return b.spare
+		b.warmingTokens, b.warmingTokensAt = 0, now
+		b.sentWorkRate = decayingRate{10_000_000, now}
+		b.refillWarmingTokens(now+second/10, 1)
+		return b.warmingTokens
 	}
 	least := got(0, 0)
 	if few := got(2, 80_000); few < least || few > 1.3*least {
@@ -935,12 +935,12 @@
 	s.Balancers = 1
 	b, r := start(t, s, ready(1))
 	now := Micros(0)
-	b.sentWork = meter{10_000_000, now}
+	b.sentWorkRate = decayingRate{10_000_000, now}
 	b.HandleEndpoints(now, ListDelta, []Endpoint{{ID: 2, Weight: 1, StartTime: 1}, {ID: 3, Weight: 1, StartTime: 1}})
 	got := map[uint32]int{}
 	for id := range uint64(200) {
 		now += 20_000
-		b.sentWork = meter{10_000_000, now} // the same throughout: what is refused must not count
+		b.sentWorkRate = decayingRate{10_000_000, now} // the same throughout: what is refused must not count
 		for e, load := range []float32{40, 40, 0} {
 			b.HandleProbe(now, uint32(e+1), OK, 1000, []float32{load})
 		}
--- a/balancer/probing.go
+++ b/balancer/probing.go
@@ -5,214 +5,223 @@
 // Probing: when endpoints are asked for their load, and what the answers tell.
 
 const (
-	probeGap            = second / 10 // longest pause between probe rounds
-	probeSpend          = 0.005       // of the result, at most, goes to probes
-	firstTries          = 0.3         // at least, of what is asked
-	maxProbesPerRequest = 4.0         // probes a request, at most
-	askSpend            = 0.02        // of the result, at most, goes to probes asked for single requests
-	holdPart            = 0.1         // of its aim, at most, a request waits for the probes asked for it
-	askedAge            = 0.25        // of its aim, at most, may a figure be old where probes go with requests
-	probeBatch          = 3           // endpoints a round
-	waitsTell           = 0.05        // share of probes that waited from which all are taken to stand in line
-	usualWeight         = 0.1         // of the latest answer in the usual load
-	usualFirst          = 0.5         // the usual load, until answers tell,
-	usualGuess          = 10          // as sure as so many of them
-	usualThin           = 0.03        // the same where answers are few
-	meanWeight          = 0.1         // the same in the mean load at one endpoint
-	minQueued           = 0.5         // requests a probe must have waited for to count
-	ownTells            = 0.1         // own requests held at an endpoint from which own counts tell its load
-	poolAge             = second      // an answer is fresh for this long,
-	poolRounds          = 3           // or for so many turns of the whole fleet
-	maxLateShare        = 0.1         // share of late reports above which their averages serve
-	shareWeight         = 0.02        // of the latest sample in a share of all
-	settleTrips         = 5.0         // round trips after which a send has surely arrived
+	maxProbeGap               = second / 10 // longest pause between probe rounds
+	maxProbeSpend             = 0.005       // of the result, at most, goes to probes
+	minFirstAttemptShare      = 0.3         // at least, of what is asked
+	maxProbesPerRequest       = 4.0         // probes a request, at most
+	maxRequestProbeSpend      = 0.02        // of the result, at most, goes to probes asked for single requests
+	maxProbeWaitShare         = 0.1         // of its aim, at most, a request waits for the probes asked for it
+	maxRequestProbeAge        = 0.25        // of its aim: age limit of a figure if probes go with requests
+	probeBatch                = 3           // endpoints a round
+	queuedProbeThreshold      = 0.05        // share of queued probes from which all are taken to queue
+	typicalLoadWeight         = 0.1         // of the latest answer in the usual load
+	initialTypicalLoad        = 0.5         // the usual load, until answers tell,
+	initialTypicalLoadSamples = 10          // as sure as so many of them
+	sparseTypicalLoadWeight   = 0.03        // the same where answers are few
+	meanLoadWeight            = 0.1         // the same in the mean load at one endpoint
+	minRequestsAhead          = 0.5         // requests a probe must have waited for to count
+	minInFlightPerEndpoint    = 0.1         // own requests at an endpoint from which own counts tell its load
+	minPoolAge                = second      // an answer is fresh for this long,
+	poolRounds                = 3           // or for so many turns of the whole fleet
+	maxLateShare              = 0.1         // share of late reports above which their averages serve
+	shareWeight               = 0.02        // of the latest sample in a share of all
+	settleRoundTrips          = 5.0         // round trips after which a send has surely arrived
 )
 
-// firstProbe begins the probe rounds, unless they run.
-func (b *Balancer) firstProbe() {
-	b.asks = min(maxProbesPerRequest, askSpend/b.s.Prices.Probe) // a price of 0 asks for the most
-	if b.s.Limits.Probes && !b.rounds {
-		b.rounds = true
-		b.out.StartTimer(1+b.rng.below(probeGap), tokenProbe)
+// startProbeRounds begins the probe rounds, unless they run.
+func (b *Balancer) startProbeRounds() {
+	// A price of 0 permits the most.
+	b.probesPerRequest = min(maxProbesPerRequest, maxRequestProbeSpend/b.settings.Prices.Probe)
+	if b.settings.Limits.Probes && !b.probeRoundsActive {
+		b.probeRoundsActive = true
+		b.actions.StartTimer(1+b.random.duration(maxProbeGap), probeTimerToken)
 	}
 }
 
 // probeRate is the pace of probes a second that the settings' price allows.
 func (b *Balancer) probeRate(now Micros) float64 {
-	per := min(maxProbesPerRequest, probeSpend/b.s.Prices.Probe)
+	per := min(maxProbesPerRequest, maxProbeSpend/b.settings.Prices.Probe)
 	// The price counts first tries. While all is refused, answers must still show when that may end.
-	return max(1, per*b.demand.rate(now)*max(firstTries, 1-b.refused.v))
+	return max(1, per*b.requestRate.rate(now)*max(minFirstAttemptShare, 1-b.rejectedShare.value))
 }
 
-// hold probes a few random endpoints for r and keeps it until they answer.
-func (b *Balancer) hold(now Micros, r *request) bool {
+// waitForProbes probes a few random endpoints for r and keeps it until they answer.
+func (b *Balancer) waitForProbes(now Micros, r *request) bool {
 	// While most is refused, most go without: clients retry, and their probes alone would fill the fleet.
-	asking := b.sparse && b.s.Limits.Probes && len(b.s.ReportFields) > 0
-	if !asking || b.rng.float() > max(firstTries, 2-2*b.refused.v) {
+	asking := b.probePerRequest && b.settings.Limits.Probes && len(b.settings.ReportFields) > 0
+	if !asking || b.random.uniform() > max(minFirstAttemptShare, 2-2*b.rejectedShare.value) {
 		return false
 	}
-	wait := min(holdPart*float64(r.class.LatencyObjective), float64(r.Deadline-now)/4)
-	for i := range int(b.asks) {
+	wait := min(maxProbeWaitShare*float64(r.class.LatencyObjective), float64(r.Deadline-now)/4)
+	for i := range int(b.probesPerRequest) {
 		// One of its own zone, and others whose answer can come in time; farther ones while much is refused.
 		far := wait / 2
 		if i == 0 {
 			far = 0
-		} else if b.rng.float() < b.refused.v {
+		} else if b.random.uniform() < b.rejectedShare.value {
 			far = wait
 		}
-		e := b.draw(now, r, nil, far)
+		e := b.randomEndpoint(now, r, nil, far)
 		if e == nil {
 			return false
 		}
-		if !slices.Contains(r.awaits, e) {
+		if !slices.Contains(r.awaitedEndpoints, e) {
 			b.probe(now, e)
-			r.awaits = append(r.awaits, e)
+			r.awaitedEndpoints = append(r.awaitedEndpoints, e)
 		}
 	}
-	r.held = true
-	b.held = append(b.held, r)
-	b.out.StartTimer(max(1, Micros(wait)), r.token)
+	r.awaitingProbes = true
+	b.awaitingProbes = append(b.awaitingProbes, r)
+	b.actions.StartTimer(max(1, Micros(wait)), r.timerToken)
 	return true
 }
 
-// heard sends the requests that waited for e's answer alone.
-func (b *Balancer) heard(now Micros, e *endpoint) {
-	for i := len(b.held) - 1; i >= 0; i = min(i, len(b.held)) - 1 {
-		r := b.held[i]
-		waited := len(r.awaits)
-		r.awaits = slices.DeleteFunc(r.awaits, func(a *endpoint) bool { return a == e })
+// resumeAwaiting sends the requests that waited for e's answer alone.
+func (b *Balancer) resumeAwaiting(now Micros, e *endpoint) {
+	for i := len(b.awaitingProbes) - 1; i >= 0; i = min(i, len(b.awaitingProbes)) - 1 {
+		r := b.awaitingProbes[i]
+		waited := len(r.awaitedEndpoints)
+		r.awaitedEndpoints = slices.DeleteFunc(r.awaitedEndpoints, func(a *endpoint) bool { return a == e })
 		// Nothing beats an endpoint that has room at once.
-		idle := e.answerAt == now && e.others+float64(e.inflight) <= cores-1
-		if len(r.awaits) < waited && (idle || len(r.awaits) == 0) {
-			b.decide(now, r)
+		idle := e.reportedAt == now && e.reportedLoad+float64(e.inFlight) <= assumedCores-1
+		if len(r.awaitedEndpoints) < waited && (idle || len(r.awaitedEndpoints) == 0) {
+			b.dispatch(now, r)
 		}
 	}
 }
 
-// freshFor is how long a pooled answer may be used for a request of this aim.
-func (b *Balancer) freshFor(now, aim Micros) Micros {
-	if b.sparse {
-		return Micros(askedAge * float64(aim))
+// maxReportAge is how long a pooled answer may be used for a request of this aim.
+func (b *Balancer) maxReportAge(now, aim Micros) Micros {
+	if b.probePerRequest {
+		return Micros(maxRequestProbeAge * float64(aim))
 	}
-	return max(poolAge, Micros(poolRounds*float64(len(b.list))/b.probeRate(now)*float64(second)))
+	return max(minPoolAge, Micros(poolRounds*float64(len(b.endpoints))/b.probeRate(now)*float64(second)))
 }
 
 func (b *Balancer) probe(now Micros, e *endpoint) {
-	if lost := now-e.probedAt > 5*second; b.s.Limits.Probes && e.usable() && (lost || !e.probing) {
-		e.probing, e.probedAt = true, now
-		b.spare -= probeShare * b.classes[0].work.v * share(e.cold(now, b))
-		b.out.Probe(e.ID)
+	lost := now-e.lastProbeAt > 5*second
+	if b.settings.Limits.Probes && e.usable() && (lost || !e.probeInFlight) {
+		e.probeInFlight, e.lastProbeAt = true, now
+		b.warmingTokens -= probeWorkShare * b.classes[0].work.value * indicator(e.isWarming(now, b))
+		b.actions.Probe(e.ID)
 	}
 }
 
 // probeRound probes a few random ready endpoints and arms the next round.
 func (b *Balancer) probeRound(now Micros) {
-	if b.rounds = b.s.Limits.Probes; !b.rounds {
-		b.sparse = false
+	if b.probeRoundsActive = b.settings.Limits.Probes; !b.probeRoundsActive {
+		b.probePerRequest = false
 		return
 	}
 	rate := b.probeRate(now)
 	// Where a round of the fleet takes too long for a fresh pool, and own in-flight counts tell little, probes
 	// go with requests instead.
-	size, own := float64(len(b.list)), b.demand.rate(now)*b.classes[0].work.v/float64(second)
-	b.sparse = b.asks >= 1 && size*float64(second) > rate*float64(poolAge) && own < ownTells*size
-	if b.sparse {
-		b.out.StartTimer(poolAge/2+b.rng.below(poolAge), tokenProbe)
+	size, own := float64(len(b.endpoints)), b.requestRate.rate(now)*b.classes[0].work.value/float64(second)
+	b.probePerRequest = b.probesPerRequest >= 1 && size*float64(second) > rate*float64(minPoolAge) &&
+		own < minInFlightPerEndpoint*size
+	if b.probePerRequest {
+		b.actions.StartTimer(minPoolAge/2+b.random.duration(minPoolAge), probeTimerToken)
 		return
 	}
-	n := max(1, min(probeBatch, int(rate*float64(probeGap)/float64(second))))
+	n := max(1, min(probeBatch, int(rate*float64(maxProbeGap)/float64(second))))
 	gap := float64(n) / rate * float64(second)
-	for try := 0; n > 0 && try < 4*probeBatch && len(b.list) > 0; try++ {
-		e := b.list[int(b.rng.float()*float64(len(b.list)))]
-		if e.usable() && !e.probing {
+	for try := 0; n > 0 && try < 4*probeBatch && len(b.endpoints) > 0; try++ {
+		e := b.endpoints[int(b.random.uniform()*float64(len(b.endpoints)))]
+		if e.usable() && !e.probeInFlight {
 			b.probe(now, e)
 			n--
 		}
 	}
-	b.out.StartTimer(1+Micros(gap*(0.5+b.rng.float())), tokenProbe)
+	b.actions.StartTimer(1+Micros(gap*(0.5+b.random.uniform())), probeTimerToken)
 }
 
 // HandleProbe handles a probe's answer.
 func (b *Balancer) HandleProbe(now Micros, id uint32, status Status, latency Micros, load []float32) {
-	e := b.byID[id]
+	e := b.endpointByID[id]
 	if e == nil {
 		return
 	}
-	e.probing = false
+	e.probeInFlight = false
 	b.stats.Probes[min(status, NotSent)]++
 	if status == OK || status == EndpointError || status == Rejected {
-		e.heardAt = now
+		e.lastResponseAt = now
 	}
 	if status != OK {
-		e.answerAt = 0 // one that turns probes away or leaves them waiting is no place for a request
+		e.reportedAt = 0 // one that turns probes away or leaves them waiting is no place for a request
 		// Its silence tells of a line only where probes wait in one; elsewhere the probe was lost.
-		if status == Timeout && b.waits.v > waitsTell {
-			b.usual.add(cores+b.line(float64(latency)), usualWeight)
+		if status == Timeout && b.queuedProbeShare.value > queuedProbeThreshold {
+			b.typicalLoad.add(assumedCores+b.requestsAhead(float64(latency)), typicalLoadWeight)
 		}
-		b.heard(now, e)
+		b.resumeAwaiting(now, e)
 		return
 	}
 	b.stats.ProbeLatency += latency
-	held, queue := figure(b.s.ReportFields, load, FieldInFlight), figure(b.s.ReportFields, load, FieldQueue)
-	hasHeld, util := held >= 0, figure(b.s.ReportFields, load, FieldUtilization)
+	fields := b.settings.ReportFields
+	held, queue := reportValue(fields, load, FieldInFlight), reportValue(fields, load, FieldQueue)
+	hasHeld, util := held >= 0, reportValue(fields, load, FieldUtilization)
 	// Each figure proves that at least so much is held there.
 	if !hasHeld && queue >= 0 {
-		held = queue + cores*share(queue >= 1)
+		held = queue + assumedCores*indicator(queue >= 1)
 	} else if !hasHeld && util >= 0 {
-		held = min(util, 1) * cores
+		held = min(util, 1) * assumedCores
 	}
 	// What one takes beyond the way there and back, and beyond what that sways, it waited in line.
-	way := &b.ways[e.Zone]
-	if held < 1 || way.n == 0 {
+	way := &b.zoneLatencies[e.Zone]
+	if held < 1 || way.count == 0 {
 		way.add(float64(latency))
 	}
-	line := b.line(way.beyond(float64(latency)))
-	b.waits.add(share(line >= minQueued), shareWeight)
+	line := b.requestsAhead(way.queueingDelay(float64(latency)))
+	b.queuedProbeShare.add(indicator(line >= minRequestsAhead), shareWeight)
 	b.stats.ReportedLoad += max(0, held)
-	if held >= 0 && line >= minQueued {
+	if held >= 0 && line >= minRequestsAhead {
 		b.stats.QueuedProbes++
-		held = max(held, cores+line)
+		held = max(held, assumedCores+line)
 	}
 	if held >= 0 {
 		if !e.pooled {
 			e.pooled = true
-			b.pool = append(b.pool, e)
+			b.probePool = append(b.probePool, e)
 		}
-		e.hasLoad, e.answerAt = true, now
-		e.others, e.ownAt = max(0, held-float64(e.inflight)), e.inflight
-		weight := usualWeight
-		if b.thin(now) {
-			weight = usualThin
+		e.hasReport, e.reportedAt = true, now
+		e.reportedLoad, e.inFlightAtReport = max(0, held-float64(e.inFlight)), e.inFlight
+		weight := typicalLoadWeight
+		if b.reportsSparse(now) {
+			weight = sparseTypicalLoadWeight
 		}
-		if e.cold(now, b) {
-			b.usualCold.add(e.others, weight)
+		if e.isWarming(now, b) {
+			b.typicalWarmingLoad.add(e.reportedLoad, weight)
 		} else {
-			b.usual.add(e.others, weight)
+			b.typicalLoad.add(e.reportedLoad, weight)
 		}
-		e.mean.add(e.others, meanWeight)
-		if b.waits.v > waitsTell && line < minQueued && b.usual.v < cores {
+		e.meanLoad.add(e.reportedLoad, meanLoadWeight)
+		if b.queuedProbeShare.value > queuedProbeThreshold && line < minRequestsAhead &&
+			b.typicalLoad.value < assumedCores {
 			// Probes queue here, and this one did not, whatever an old report says.
-			e.others = min(e.others, cores-1)
+			e.reportedLoad = min(e.reportedLoad, assumedCores-1)
 		}
 	}
-	b.heard(now, e)
+	b.resumeAwaiting(now, e)
 	// A report of fewer than we have there is late, unless some are on their way; averages serve if many are.
-	if own := e.inflight; hasHeld && own > 0 && float64(now-e.sentAt) > settleTrips*b.ways[e.Zone].v {
-		b.lag.add(share(held+0.5 < float64(own)), shareWeight)
-		if b.lag.v > maxLateShare && !b.reportsLate || b.lag.v < maxLateShare/3 && b.reportsLate {
+	settled := float64(now-e.lastSentAt) > settleRoundTrips*b.zoneLatencies[e.Zone].median
+	if own := e.inFlight; hasHeld && own > 0 && settled {
+		b.lateReportShare.add(indicator(held+0.5 < float64(own)), shareWeight)
+		if b.lateReportShare.value > maxLateShare && !b.reportsLate ||
+			b.lateReportShare.value < maxLateShare/3 && b.reportsLate {
 			b.reportsLate = !b.reportsLate
 			b.log(now, "lag", "load reports delayed: %v, %.0f%% count fewer requests than our own in flight",
-				b.reportsLate, 100*b.lag.v)
+				b.reportsLate, 100*b.lateReportShare.value)
 		}
 	}
 }
 
-// thin says that a round of the whole list by own probes takes longer than reports last. Most sends then
-// go by the usual load, which a few odd reports must not move.
-func (b *Balancer) thin(now Micros) bool {
-	return b.s.Limits.Probes && len(b.s.ReportFields) > 0 &&
-		float64(len(b.list))/b.probeRate(now) > poolRounds*float64(poolAge)/float64(second)
+// reportsSparse says that a round of the whole list by own probes takes longer than reports last. Most sends
+// then go by the usual load, which a few odd reports must not move.
+func (b *Balancer) reportsSparse(now Micros) bool {
+	return b.settings.Limits.Probes && len(b.settings.ReportFields) > 0 &&
+		float64(len(b.endpoints))/b.probeRate(now) > poolRounds*float64(minPoolAge)/float64(second)
 }
 
-// line is how many requests are ahead of a probe that waits so long.
-func (b *Balancer) line(waited float64) float64 { return waited / b.classes[0].work.v * cores }
+// requestsAhead is how many requests are ahead of a probe that waits so long.
+func (b *Balancer) requestsAhead(waited float64) float64 {
+	return waited / b.classes[0].work.value * assumedCores
+}
--- a/balancer/reconfigure.go
+++ b/balancer/reconfigure.go
@@ -9,11 +9,11 @@
 		return nil, err
 	}
 	b.applySettings(s)
-	b.firstProbe()
+	b.startProbeRounds()
 	var withdrawn []AttemptID
-	for _, r := range b.slots {
-		if b.requests[r.ID] == r && !r.ended {
-			withdrawn = append(withdrawn, b.restrict(r)...)
+	for _, r := range b.requestSlots {
+		if b.requests[r.ID] == r && !r.answered {
+			withdrawn = append(withdrawn, b.restrictIdempotency(r)...)
 		}
 	}
 	return withdrawn, nil
@@ -22,25 +22,25 @@
 // applySettings puts settings in force.
 func (b *Balancer) applySettings(s Settings) {
 	classes := make([]*class, len(s.Classes))
-	b.recent.span = 0
+	b.recentAttempts.timeConstant = 0
 	for i, definition := range s.Classes {
-		classes[i] = b.classOf(definition)
-		b.recent.span = max(b.recent.span, definition.ClientTimeout) // by then, what is sent now has its outcome
+		classes[i] = b.classFor(definition)
+		b.recentAttempts.timeConstant = max(b.recentAttempts.timeConstant, definition.ClientTimeout) // by then, what is sent now has its outcome
 	}
 	tenants := make([]*tenant, len(s.Tenants))
 	for i, definition := range s.Tenants {
-		tenants[i] = &tenant{definition, &meter{}}
+		tenants[i] = &tenant{definition, &decayingRate{}}
 	}
-	known := make(map[string]*meter, len(b.tenants))
+	known := make(map[string]*decayingRate, len(b.tenants))
 	for _, t := range b.tenants {
-		known[t.Name] = t.meter
+		known[t.Name] = t.decayingRate
 	}
 	for _, t := range tenants {
 		if taken, ok := known[t.Name]; ok {
-			t.meter = taken
+			t.decayingRate = taken
 		}
 	}
-	b.s, b.classes, b.tenants = s, classes, tenants
+	b.settings, b.classes, b.tenants = s, classes, tenants
 }
 
 // classNamed returns the class in force of this name, or nil.
@@ -53,12 +53,12 @@
 	return nil
 }
 
-// classOf returns a class as defined, with what is known of the one of its name.
-func (b *Balancer) classOf(definition Class) *class {
+// classFor returns a class as defined, with what is known of the one of its name.
+func (b *Balancer) classFor(definition Class) *class {
 	inForce := b.classNamed(definition.Name)
 	switch {
 	case inForce == nil:
-		work := ewma{v: float64(definition.LatencyObjective) / 5, seen: true}
+		work := ewma{value: float64(definition.LatencyObjective) / 5, initialized: true}
 		return &class{definition, &classStats{work: work}}
 	case inForce.Class == definition:
 		return inForce
@@ -66,11 +66,11 @@
 	return &class{definition, inForce.classStats}
 }
 
-// begunUnder returns the class and the tenant that a request names; no class where there is none at its place.
-func (b *Balancer) begunUnder(in *Request) (*class, *tenant) {
+// resolveClass returns the class and the tenant that a request names; no class where there is none at its place.
+func (b *Balancer) resolveClass(in *Request) (*class, *tenant) {
 	s := in.ReceivedUnder
 	if s == nil {
-		s = &b.s
+		s = &b.settings
 	}
 	if int(in.Class) >= len(s.Classes) {
 		return nil, nil
@@ -82,7 +82,7 @@
 	if int(in.Tenant) < len(s.Tenants) {
 		owner = b.tenantNamed(s.Tenants[in.Tenant].Name)
 	}
-	return b.classOf(s.Classes[in.Class]), owner
+	return b.classFor(s.Classes[in.Class]), owner
 }
 
 // tenantAt returns the tenant at a place in the settings in force, or nil.
--- a/balancer/reconfigure_test.go
+++ b/balancer/reconfigure_test.go
@@ -8,8 +8,8 @@
 // reconfigure puts changed settings in force.
 func reconfigure(t *testing.T, b *Balancer, change func(*Settings)) []AttemptID {
 	t.Helper()
-	next := b.s
-	next.Classes, next.Tenants = slices.Clone(b.s.Classes), slices.Clone(b.s.Tenants)
+	next := b.settings
+	next.Classes, next.Tenants = slices.Clone(b.settings.Classes), slices.Clone(b.settings.Tenants)
 	change(&next)
 	withdrawn, err := b.Reconfigure(next)
 	if err != nil {
@@ -24,7 +24,7 @@
 	s := testSettings()
 	s.Tenants = []Tenant{{Name: "a", QuotaRate: 50}, {Name: "b", QuotaRate: 50}}
 	b, _ := start(t, s, ready(2))
-	b.classNamed("read").work.v, b.classNamed("write").work.v = 11, 22
+	b.classNamed("read").work.value, b.classNamed("write").work.value = 11, 22
 	b.tenantNamed("a").add(0, 30)
 	b.tenantNamed("b").add(0, 60)
 	rateA, rateB := b.tenantNamed("a").rate(0), b.tenantNamed("b").rate(0)
@@ -34,19 +34,19 @@
 		s.Classes[0].LatencyObjective = 300_000
 		s.Tenants = []Tenant{{Name: "c", QuotaRate: 5}, {Name: "b", QuotaRate: 40}, {Name: "a", QuotaRate: 60}}
 	})
-	if c := b.classes[0]; c.Name != "write" || c.work.v != 22 || c.LatencyObjective != 300_000 {
-		t.Errorf("the first class is now %+v with work %v", c.Class, c.work.v)
+	if c := b.classes[0]; c.Name != "write" || c.work.value != 22 || c.LatencyObjective != 300_000 {
+		t.Errorf("the first class is now %+v with work %v", c.Class, c.work.value)
 	}
-	if read, fresh := b.classes[4], b.classes[5]; read.Name != "read" || read.work.v != 11 || fresh.work.v != 100 {
-		t.Errorf("read %v has work %v, the new class %v", read.Name, read.work.v, fresh.work.v)
+	if read, fresh := b.classes[4], b.classes[5]; read.Name != "read" || read.work.value != 11 || fresh.work.value != 100 {
+		t.Errorf("read %v has work %v, the new class %v", read.Name, read.work.value, fresh.work.value)
 	}
 	if a, c := b.tenants[2], b.tenants[0]; a.rate(0) != rateA || a.QuotaRate != 60 || c.rate(0) != 0 || b.tenants[1].rate(0) != rateB {
 		t.Errorf("tenants a, b, c have rates %v, %v, %v", a.rate(0), b.tenants[1].rate(0), c.rate(0))
 	}
-	bad := b.s
+	bad := b.settings
 	bad.Limits.MaxOpenRequests = 0
-	if _, err := b.Reconfigure(bad); err == nil || b.s.Limits.MaxOpenRequests == 0 {
-		t.Errorf("senseless settings: error %v, limit %d", err, b.s.Limits.MaxOpenRequests)
+	if _, err := b.Reconfigure(bad); err == nil || b.settings.Limits.MaxOpenRequests == 0 {
+		t.Errorf("senseless settings: error %v, limit %d", err, b.settings.Limits.MaxOpenRequests)
 	}
 }
 
@@ -75,8 +75,8 @@
 		}
 		good := b.requests[1].class
 		b.HandleOutcome(3000, Outcome{ID: 1, Attempt: 1, Endpoint: r.sends[1].endpoint, Status: OK, Latency: 1000, Answered: true})
-		if len(b.requests) != 0 || good.good.v != 1 || good.Name != "keyed-cell" {
-			t.Errorf("%s: %d requests left; answered in time: %v of %s", name, len(b.requests), good.good.v, good.Name)
+		if len(b.requests) != 0 || good.servedInTime.value != 1 || good.Name != "keyed-cell" {
+			t.Errorf("%s: %d requests left; answered in time: %v of %s", name, len(b.requests), good.servedInTime.value, good.Name)
 		}
 	}
 }
@@ -160,7 +160,7 @@
 		in.Tenant, in.ReceivedUnder = c.tenant, &s
 		b.HandleRequest(1000, in)
 		got := b.requests[in.ID]
-		if got == nil || got.class.Name != c.name || got.repeat != c.repeat || got.tenant != c.owner || got.ReceivedUnder != nil {
+		if got == nil || got.class.Name != c.name || got.idempotency != c.repeat || got.tenant != c.owner || got.ReceivedUnder != nil {
 			t.Errorf("request %d is taken as %+v, want class %s", in.ID, got, c.name)
 		}
 	}
@@ -179,12 +179,12 @@
 	b.HandleRequest(1000, request0(2, 0, 1000))
 	reconfigure(t, b, func(s *Settings) { s.Limits.MaxOpenRequests, s.Prices.Probe = 2, 0.01 })
 	b.HandleRequest(2000, request0(3, 0, 2000))
-	if !slices.Equal(r.refused, []uint64{3}) || b.open != 2 || b.asks != 2 {
-		t.Errorf("refused %v with %d open, %v probes a request", r.refused, b.open, b.asks)
+	if !slices.Equal(r.refused, []uint64{3}) || b.openRequests != 2 || b.probesPerRequest != 2 {
+		t.Errorf("refused %v with %d open, %v probes a request", r.refused, b.openRequests, b.probesPerRequest)
 	}
 	rounds := func() (n int) {
 		for _, token := range r.timers {
-			n += int(share(token == tokenProbe))
+			n += int(indicator(token == probeTimerToken))
 		}
 		return n
 	}
@@ -197,7 +197,7 @@
 	}
 	probes(false)
 	asked := len(r.probes)
-	if b.HandleTimer(second, tokenProbe); rounds() != armed || len(r.probes) != asked {
+	if b.HandleTimer(second, probeTimerToken); rounds() != armed || len(r.probes) != asked {
 		t.Error("probe rounds go on without the right to probe")
 	}
 	if probes(true); rounds() != armed+1 {
@@ -216,13 +216,13 @@
 		})
 		b.HandleRequest(now, request0(uint64(i), 0, now))
 		b.HandleClientGone(now, uint64(i))
-		for _, a := range b.slots {
+		for _, a := range b.requestSlots {
 			for n := range a.attempts {
 				b.HandleOutcome(now, Outcome{ID: a.ID, Attempt: n, Status: Cancelled, Answered: true})
 			}
 		}
 	}
-	if len(b.classes) != 5 || len(b.tenants) != 1 || len(b.requests) != 0 || len(b.slots) > 2 {
-		t.Errorf("%d classes, %d tenants, %d requests, %d records", len(b.classes), len(b.tenants), len(b.requests), len(b.slots))
+	if len(b.classes) != 5 || len(b.tenants) != 1 || len(b.requests) != 0 || len(b.requestSlots) > 2 {
+		t.Errorf("%d classes, %d tenants, %d requests, %d records", len(b.classes), len(b.tenants), len(b.requests), len(b.requestSlots))
 	}
 }
--- a/balancer/rules_test.go
+++ b/balancer/rules_test.go
@@ -170,7 +170,7 @@
 	statuses := []Status{OK, OK, OK, EndpointError, Rejected, Timeout, ConnectFailed, Reset, Cancelled, NotSent}
 	for range 3000 {
 		c.now += Micros(rnd.Intn(pause))
-		held = max(held, len(b.held))
+		held = max(held, len(b.awaitingProbes))
 		for i := 0; i < len(c.timers); {
 			if p := c.timers[i]; p.at <= c.now {
 				c.timers = slices.Delete(c.timers, i, i+1)
@@ -251,7 +251,7 @@
 	for range 400 {
 		c.now += 5000
 		for i := 0; i < len(c.timers); {
-			if p := c.timers[i]; p.at <= c.now && p.token >= firstSlot {
+			if p := c.timers[i]; p.at <= c.now && p.token >= firstRequestToken {
 				c.timers = slices.Delete(c.timers, i, i+1)
 				b.HandleTimer(c.now, p.token)
 				continue
@@ -264,7 +264,7 @@
 			c.fault("request %d never got a final answer", id)
 		}
 	}
-	if s.Balancers > 2 && s.Limits.Probes && s.Prices.Probe < askSpend && held == 0 {
+	if s.Balancers > 2 && s.Limits.Probes && s.Prices.Probe < maxRequestProbeSpend && held == 0 {
 		c.fault("no request ever waited for probes: the run says nothing of those that do")
 	}
 	return c.bad
@@ -331,7 +331,7 @@
 			b, r := start(t, s, ready(4)) // endpoints 1, 2 share a zone and a cell; so do 3, 4
 			b.HandleRequest(1000, request0(1, class, 1000))
 			a := b.requests[1].attempts[0]
-			b.HandleOutcome(2000, Outcome{ID: 1, Endpoint: a.ep.ID, Status: status, Latency: 1000})
+			b.HandleOutcome(2000, Outcome{ID: 1, Endpoint: a.endpoint.ID, Status: status, Latency: 1000})
 			sends := len(r.sends)
 			switch kind := s.Classes[class]; {
 			case kind.Idempotency == NonIdempotent && !never[status]:
@@ -365,21 +365,21 @@
 	b, r := start(t, testSettings(), nil)
 	b.HandleRequest(1000, request0(1, 4, 1000))
 	b.HandleRequest(1000, Request{ID: 2, Deadline: 500})
-	if len(r.refused) != 2 || b.open != 0 || len(b.requests) != 0 {
-		t.Errorf("refused %v, open %d", r.refused, b.open)
+	if len(r.refused) != 2 || b.openRequests != 0 || len(b.requests) != 0 {
+		t.Errorf("refused %v, open %d", r.refused, b.openRequests)
 	}
 }
 
 func TestUnansweredAttemptEndsAtTheDeadline(t *testing.T) {
 	b, r := start(t, testSettings(), ready(1))
 	b.HandleRequest(1000, request0(1, 4, 1000))
-	token := b.requests[1].token
+	token := b.requests[1].timerToken
 	b.HandleTimer(1000+second, token)
 	if len(r.failed) != 1 || len(r.cancels) != 1 {
 		t.Fatalf("failed %v, cancelled %v", r.failed, r.cancels)
 	}
 	b.HandleOutcome(2*second, Outcome{ID: 1, Endpoint: 1, Status: OK, Latency: second, Answered: true})
-	if b.list[0].br.accepts != 1 || b.list[0].inflight != 0 || len(b.requests) != 0 {
+	if b.endpoints[0].breaker.accepts != 1 || b.endpoints[0].inFlight != 0 || len(b.requests) != 0 {
 		t.Error("a late outcome must still feed the statistics")
 	}
 	b.HandleRequest(3*second, request0(2, 0, 3*second))
@@ -484,7 +484,7 @@
 			fails := func() Micros {
 				r.timers, r.delays = nil, nil
 				b.HandleEndpoints(0, ListFailed, nil)
-				i := slices.Index(r.timers, uint32(tokenDiscovery))
+				i := slices.Index(r.timers, uint32(pollTimerToken))
 				if i < 0 {
 					t.Fatal("no timer for discovery")
 				}
@@ -498,10 +498,10 @@
 			b.HandleEndpoints(0, ListDelta, nil)
 			for n := range 8 {
 				delay := fails()
-				if most := max(grace/2, minAskDelay*3/2+1); n == 0 && delay > most {
+				if most := max(grace/2, minPollDelay*3/2+1); n == 0 && delay > most {
 					t.Errorf("grace %d: asked again after %d, want %d at most", grace, delay, most)
 				}
-				if least := min(s.Contract.PollInterval/8, minAskDelay/2<<n); delay < least {
+				if least := min(s.Contract.PollInterval/8, minPollDelay/2<<n); delay < least {
 					t.Errorf("grace %d: try %d after %d, want %d at least", grace, n, delay, least)
 				}
 			}
@@ -516,10 +516,10 @@
 	now := Micros(0)
 	fire := func() {
 		for i, token := range r.timers {
-			if token == tokenDiscovery {
+			if token == pollTimerToken {
 				now += r.delays[i]
 				r.timers, r.delays = nil, nil
-				b.HandleTimer(now, tokenDiscovery)
+				b.HandleTimer(now, pollTimerToken)
 				return
 			}
 		}
@@ -539,12 +539,12 @@
 			t.Fatalf("asked only after %d", now-before)
 		}
 	}
-	if len(b.list) != 2 {
+	if len(b.endpoints) != 2 {
 		t.Error("a failed call changed the list")
 	}
 	b.HandleEndpoints(now, ListDelta, nil)
 	n := r.watches
-	b.HandleTimer(now+100*second, tokenDiscovery)
+	b.HandleTimer(now+100*second, pollTimerToken)
 	if r.watches != n {
 		t.Error("asked again while subscribed")
 	}
@@ -554,7 +554,7 @@
 	b, r := start(t, testSettings(), ready(2))
 	b.HandleRequest(1000, request0(1, 0, 1000))
 	b.HandleHeaders(2000, 1, 0, 1000)
-	b.HandleTimer(2*second, b.requests[1].token)
+	b.HandleTimer(2*second, b.requests[1].timerToken)
 	if len(r.sends) != 1 || len(r.refused)+len(r.failed) != 0 {
 		t.Error("a stream that began was given an end or a copy")
 	}
@@ -571,7 +571,7 @@
 			now := Micros(i) * 7000
 			b.HandleRequest(now, request0(i, uint8(i%5), now))
 			if i%3 == 0 {
-				b.HandleTimer(now, tokenProbe)
+				b.HandleTimer(now, probeTimerToken)
 				b.HandleProbe(now, uint32(i%5+1), OK, 500, []float32{float32(i % 4)})
 			}
 			last := r.sends[len(r.sends)-1]
@@ -620,10 +620,10 @@
 func TestLostAttemptsGetACopyElsewhere(t *testing.T) {
 	for class, copies := range []int{1, 1, 1, 1, 0} {
 		b, r := start(t, testSettings(), ready(4))
-		b.lost.v = minLostShare
+		b.lostAttemptShare.value = minLostShare
 		b.HandleRequest(1000, request0(1, uint8(class), 1000))
 		first := r.sends[0]
-		b.byID[first.endpoint].answered = 2000
+		b.endpointByID[first.endpoint].lastAnsweredSentAt = 2000
 		b.HandleTimer(500_000, r.timers[len(r.timers)-1])
 		if n := len(r.sends) - 1; n != copies {
 			t.Errorf("class %d: %d copies, want %d", class, n, copies)
@@ -633,7 +633,7 @@
 			continue
 		}
 		second := r.sends[1]
-		if second.endpoint == first.endpoint || class == 3 && b.byID[second.endpoint].Cell != b.byID[first.endpoint].Cell {
+		if second.endpoint == first.endpoint || class == 3 && b.endpointByID[second.endpoint].Cell != b.endpointByID[first.endpoint].Cell {
 			t.Errorf("class %d: the copy went to %d after %d", class, second.endpoint, first.endpoint)
 		}
 		// The copy fails: the first may still be answered, so no final answer yet.
@@ -646,8 +646,8 @@
 		for i := 2; i < len(r.sends); i++ {
 			calls++ // a third attempt, too, is called off
 		}
-		if len(r.cancels) != calls || b.open != 0 {
-			t.Errorf("class %d: %d attempts called off, want %d; %d requests open", class, len(r.cancels), calls, b.open)
+		if len(r.cancels) != calls || b.openRequests != 0 {
+			t.Errorf("class %d: %d attempts called off, want %d; %d requests open", class, len(r.cancels), calls, b.openRequests)
 		}
 	}
 }
@@ -661,13 +661,13 @@
 			b.HandleRequest(1000, request0(id, 0, 1000))
 		}
 		if overtaken {
-			b.byID[1].answered = 2000
+			b.endpointByID[1].lastAnsweredSentAt = 2000
 		}
 		for _, s := range r.sends {
 			b.HandleOutcome(990_000, Outcome{ID: s.id, Endpoint: 1, Status: Timeout, Latency: 989_000})
 		}
-		if taught := b.trend > 1; taught == overtaken {
-			t.Errorf("%s: trend %v", name, b.trend)
+		if taught := b.latencyTrend > 1; taught == overtaken {
+			t.Errorf("%s: trend %v", name, b.latencyTrend)
 		}
 	}
 }
@@ -710,7 +710,7 @@
 			b.HandleRequest(1000, c.in)
 		}
 		for i, token := range r.timers {
-			if token >= firstSlot {
+			if token >= firstRequestToken {
 				b.HandleTimer(max(1000+r.delays[i], c.in.Deadline), token)
 			}
 		}
@@ -736,15 +736,15 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			b, r := start(t, testSettings(), ready(4))
-			for _, e := range b.list {
-				b.ways[e.Zone].add(way)
+			for _, e := range b.endpoints {
+				b.zoneLatencies[e.Zone].add(way)
 			}
 			b.HandleRequest(10_000, request0(1, c.class, 10_000))
 			b.HandleTimer(20_000, r.timers[len(r.timers)-1]) // should it wait for probes
 			if len(r.sends) != 1 || r.latest[0] != 0 {
 				t.Fatalf("first attempts %v, latest %v", r.sends, r.latest)
 			}
-			at := b.requests[1].attempts[0].at
+			at := b.requests[1].attempts[0].sentAt
 			b.HandleOutcome(200_000, Outcome{ID: 1, Endpoint: r.sends[0].endpoint, Status: c.status})
 			want := c.want
 			if want > 0 {
@@ -756,11 +756,11 @@
 		})
 	}
 	b, r := start(t, testSettings(), ready(4))
-	b.ways[0].add(way)
-	b.ways[1].add(way)
+	b.zoneLatencies[0].add(way)
+	b.zoneLatencies[1].add(way)
 	b.HandleRequest(0, request0(1, 1, 0))
 	b.HandleTimer(10_000, r.timers[len(r.timers)-1])
-	at := b.requests[1].attempts[0].at
+	at := b.requests[1].attempts[0].sentAt
 	b.HandleOutcome(at+500_000-way, Outcome{ID: 1, Endpoint: r.sends[0].endpoint, Status: Reset})
 	if len(r.sends) != 1 || len(r.refused) != 1 {
 		t.Errorf("sends %v, refused %v: a repeat that could not arrive in time", r.sends, r.refused)
--- a/balancer/stats.go
+++ b/balancer/stats.go
@@ -37,14 +37,14 @@
 func (s *Stats) outcome(a *attempt, status Status, latency Micros) {
 	s.Outcomes[min(status, NotSent)]++
 	if status == OK {
-		s.PredictedLatency += Micros(a.expected)
+		s.PredictedLatency += Micros(a.predictedLatency)
 		s.Latency += latency
 	}
 	switch {
-	case !a.cold:
+	case !a.warming:
 	case status == OK:
 		s.WarmingOK++
-		s.WarmingPredictedLatency += Micros(a.expected)
+		s.WarmingPredictedLatency += Micros(a.predictedLatency)
 		s.WarmingLatency += latency
 	case status == Timeout:
 		s.WarmingTimeouts++
@@ -54,17 +54,17 @@
 // Stats returns the counts so far and the state at this instant.
 func (b *Balancer) Stats(now Micros) Stats {
 	s := b.stats
-	s.Open, s.Listed = b.open, len(b.list)
-	for _, e := range b.list {
-		s.InFlight += e.inflight
-		s.Uploading += e.writing
-		s.Cordoned += int(share(e.out))
-		s.WarmingUp += int(share(e.cold(now, b)))
-		s.Ejected += int(share(e.ejected(now)))
-		s.Pooled += int(share(e.pooled))
+	s.Open, s.Listed = b.openRequests, len(b.endpoints)
+	for _, e := range b.endpoints {
+		s.InFlight += e.inFlight
+		s.Uploading += e.uploading
+		s.Cordoned += int(indicator(e.cordoned))
+		s.WarmingUp += int(indicator(e.isWarming(now, b)))
+		s.Ejected += int(indicator(e.isEjected(now)))
+		s.Pooled += int(indicator(e.pooled))
 	}
-	s.TypicalLoad, s.ServiceTimeRatio, s.Slowdown = b.usual.v, b.fleet.or(1), b.slowdown(now)
-	s.RejectedShare, s.ReportsLate = b.refused.v, b.reportsLate
+	s.TypicalLoad, s.ServiceTimeRatio, s.Slowdown = b.typicalLoad.value, b.fleetServiceTimeRatio.or(1), b.slowdown(now)
+	s.RejectedShare, s.ReportsLate = b.rejectedShare.value, b.reportsLate
 	return s
 }
 
