--- a/balancer/admission.go
+++ b/balancer/admission.go
@@ -1,16 +1,17 @@
 package balancer
 
-import "math"
+import (
+	"math"
+	"slices"
+)
 
 // Admission: whether a request is worth an attempt now.
 
 const (
-	minTrialInterval = 10   // requests that seem too late: one of so many is sent all the same,
-	maxTrialInterval = 640  // and one of so many after passes that earned nothing
-	maxQueueingShare = 0.6  // of what the aim leaves may be waited by the class of most value: latencies vary
-	minQueueingShare = 0.2  // and by any
-	tenantSlack      = 1.25 // refusals below a fifth say nothing of shares
-	worstWindowGain  = 4.0  // worth counts more in the worst windows, and those are when requests are refused
+	minTrialInterval = 10  // requests that seem too late: one of so many is sent all the same,
+	maxTrialInterval = 640 // and one of so many after passes that earned nothing
+	maxQueueingShare = 0.6 // of what the aim leaves may be waited by the class of most value: latencies vary
+	minQueueingShare = 0.2 // and by any
 )
 
 // HandleRequest handles a client's request.
@@ -102,82 +103,47 @@
 	return b.send(now, r, e)
 }
 
-// latencyLimit is the longest predicted latency at which r is still sent to e: its time there without a
-// queue, and a part of what the aim leaves for waiting. Classes of little value for their work give way
-// first.
-func (b *Balancer) latencyLimit(now Micros, r *request, e *endpoint) float64 {
-	alone := b.zoneLatencies[e.Zone].median + r.work*b.slowdown(now)*e.currentServiceTimeRatio(now, b)
-	share := max(minQueueingShare, maxQueueingShare*r.priority)
-	if n := len(r.attempts); n > 0 && r.attempts[n-1].presumedLost {
-		// The request was swallowed: it has waited longer than its class should already.
-		share = 1
-	}
-	spare := float64(r.class.LatencyObjective) - float64(now-r.arrivedAt) - alone
-	return min(alone+share*spare, float64(r.Deadline-now))
-}
-
-// priority ranks r's class, 0 to 1, by the goal's gain from a unit of its work: worth, and more if served
-// worst.
-func (b *Balancer) priority(now Micros, r *request) float64 {
-	var work, worth float64
-	worst := 1.0
-	for _, c := range b.classes {
-		rate := c.requestRate.rate(now)
-		work += rate * c.work.value
-		worth += rate * b.requestWeight(c)
-		worst = min(worst, c.servedInTime.or(1))
+// waitForProbes probes a few random endpoints for r and keeps it until they answer.
+func (b *Balancer) waitForProbes(now Micros, r *request) bool {
+	// While most is refused, most go without: clients retry, and their probes alone would fill the fleet.
+	asking := b.probePerRequest && b.settings.Limits.Probes && len(b.settings.ReportFields) > 0
+	if !asking || b.random.uniform() > max(minFirstAttemptShare, 2-2*b.rejectedShare.value) {
+		return false
 	}
-	top, own := 0.0, -1.0 // of a class that is gone
-	for _, c := range b.classes {
-		part := c.requestRate.rate(now) * c.work.value / work
-		goal := b.settings.Goal.Overall + worstWindowGain*b.settings.Goal.WorstWindow
-		v := goal * b.requestWeight(c) / c.work.value * work / worth
-		v += b.settings.Goal.WorstClass / max(0.05, part) * math.Exp((worst-c.servedInTime.or(1))/0.1)
-		top = max(top, v)
-		if c.classStats == r.class.classStats {
-			own = v
+	wait := min(maxProbeWaitShare*float64(r.class.LatencyObjective), float64(r.Deadline-now)/4)
+	for i := range int(b.probesPerRequest) {
+		// One of its own zone, and others whose answer can come in time; farther ones while much is refused.
+		far := wait / 2
+		if i == 0 {
+			far = 0
+		} else if b.random.uniform() < b.rejectedShare.value {
+			far = wait
 		}
-	}
-	if !(top > 0) || own < 0 {
-		return 1 // no worth was set
-	}
-	return own / top * b.tenantPriority(now, r)
-}
-
-// tenantPriority ranks r's tenant, 0 to 1, by what a request of it is worth on average against one of the
-// tenant whose are worth most, given how much of a tenant's traffic lies beyond its share. Only this
-// balancer's mix and refusals are known: the whole demand is taken to exceed the sum of the allowances as it
-// exceeds what is let in here. What lowers all alike ranks none: it must not refuse more, and so lower all
-// again.
-func (b *Balancer) tenantPriority(now Micros, r *request) float64 {
-	if r.tenant == nil {
-		return 1
-	}
-	var asked, allowed, top float64
-	own := b.settings.OverQuotaWeight // a tenant that is gone has no share any more
-	for _, t := range b.tenants {
-		asked += t.rate(now)
-		allowed += t.QuotaRate
-	}
-	if allowed <= 0 {
-		return 1
-	}
-	for _, t := range b.tenants {
-		inside := 1.0
-		if mine := t.rate(now); mine > 0 {
-			inside = min(1, t.QuotaRate/allowed*asked/mine*(1-b.rejectedShare.value)*tenantSlack)
-			top = max(top, inside+(1-inside)*b.settings.OverQuotaWeight)
+		e := b.randomEndpoint(now, r, nil, far)
+		if e == nil {
+			return false
 		}
-		if t.decayingRate == r.tenant.decayingRate {
-			own = inside + (1-inside)*b.settings.OverQuotaWeight
+		if !slices.Contains(r.awaitedEndpoints, e) {
+			b.probe(now, e)
+			r.awaitedEndpoints = append(r.awaitedEndpoints, e)
 		}
 	}
-	if !(top > 0) {
-		return 1
-	}
-	return own / top
+	r.awaitingProbes = true
+	b.awaitingProbes = append(b.awaitingProbes, r)
+	b.actions.StartTimer(max(1, Micros(wait)), r.timerToken)
+	return true
 }
 
-func (b *Balancer) requestWeight(c *class) float64 {
-	return c.PriorityWeight * (1 + (c.work.value-1)*indicator(b.settings.WeightByWork))
+// resumeAwaiting sends the requests that waited for e's answer alone.
+func (b *Balancer) resumeAwaiting(now Micros, e *endpoint) {
+	for i := len(b.awaitingProbes) - 1; i >= 0; i = min(i, len(b.awaitingProbes)) - 1 {
+		r := b.awaitingProbes[i]
+		waited := len(r.awaitedEndpoints)
+		r.awaitedEndpoints = slices.DeleteFunc(r.awaitedEndpoints, func(a *endpoint) bool { return a == e })
+		// Nothing beats an endpoint that has room at once.
+		idle := e.reportedAt == now && e.reportedLoad+float64(e.inFlight) <= assumedCores-1
+		if len(r.awaitedEndpoints) < waited && (idle || len(r.awaitedEndpoints) == 0) {
+			b.dispatch(now, r)
+		}
+	}
 }
--- a/balancer/breaker.go
+++ b/balancer/breaker.go
@@ -75,3 +75,54 @@
 	}
 	return true
 }
+
+// circuitBreaker holds an endpoint's window of outcomes and its two latency averages.
+type circuitBreaker struct {
+	buckets                     [breakerBuckets]breakerBucket
+	newest                      int64 // number of the newest bucket
+	requests                    int   // over the window
+	accepts                     int
+	baseLatency, currentLatency float64
+	lastTrialAt                 Micros // last forced pass
+}
+
+type breakerBucket struct{ requests, accepts, failures int }
+
+func (k *circuitBreaker) advance(now Micros) *breakerBucket {
+	n := now / (breakerWindow / breakerBuckets)
+	if n-k.newest >= breakerBuckets {
+		k.buckets, k.requests, k.accepts, k.newest = [breakerBuckets]breakerBucket{}, 0, 0, n
+	}
+	for k.newest < n {
+		k.newest++
+		old := &k.buckets[k.newest%breakerBuckets]
+		k.requests -= old.requests
+		k.accepts -= old.accepts
+		*old = breakerBucket{}
+	}
+	return &k.buckets[n%breakerBuckets]
+}
+
+// count adds to the newest bucket. Whatever is asked counts as a request.
+func (k *circuitBreaker) count(now Micros, accepts, failures int) {
+	at := k.advance(now)
+	at.requests++
+	at.accepts += accepts
+	at.failures += failures
+	k.requests++
+	k.accepts += accepts
+}
+
+// addLatency adds one to both averages.
+func (k *circuitBreaker) addLatency(x float64) {
+	if k.baseLatency <= 0 {
+		k.baseLatency, k.currentLatency = x, x
+		return
+	}
+	divisor := float64(baseRiseDivisor)
+	if x < k.baseLatency {
+		divisor = baseFallDivisor
+	}
+	k.baseLatency = (x + (divisor-1)*k.baseLatency) / divisor
+	k.currentLatency = (x + (currentDivisor-1)*k.currentLatency) / currentDivisor
+}
--- a/balancer/learned.go
+++ b/balancer/estimates.go
@@ -1,7 +1,6 @@
 package balancer
 
 import (
-	"math"
 	"slices"
 )
 
@@ -46,9 +45,6 @@
 	MeanLoad         float64 `json:"Mean"`
 }
 
-// isPositiveFinite says whether a figure can be gone on from.
-func isPositiveFinite(v float64) bool { return v > 0 && !math.IsInf(v, 0) }
-
 // Estimates returns what is known by now.
 func (b *Balancer) Estimates() Estimates {
 	l := Estimates{
--- a/balancer/ledger.go
+++ b/balancer/ledger.go
@@ -1,5 +1,7 @@
 package balancer
 
+import "slices"
+
 // The request ledger. Every send, refusal and failure leaves through send, refuse and fail: they alone keep
 // the rules, and no policy can get round them.
 
@@ -173,3 +175,40 @@
 	a.sentAt, a.overdueAt = now, a.overdueAt+now-a.sentAt
 	b.actions.StartTimer(max(1, deadline-now), r.timerToken)
 }
+
+// newRequest returns the record of a request, or nil if its class is not known.
+func (b *Balancer) newRequest(now Micros, in Request) *request {
+	c, t := b.resolveClass(&in)
+	if c == nil {
+		return nil
+	}
+	var r *request
+	if n := len(b.freeRequests); n > 0 {
+		r, b.freeRequests = b.freeRequests[n-1], b.freeRequests[:n-1]
+	} else {
+		r = &request{timerToken: uint32(len(b.requestSlots) + firstRequestToken)}
+		b.requestSlots = append(b.requestSlots, r)
+	}
+	// The high bits count uses of the slot, so that an old timer finds nothing.
+	r.timerToken += 1 << slotBits
+	changed := in.ReceivedUnder != nil
+	in.ReceivedUnder = nil // or a record that waits to be used again would keep old settings
+	*r = request{
+		Request: in, class: c, idempotency: c.Idempotency, tenant: t, timerToken: r.timerToken, arrivedAt: now,
+		attempts: r.attempts[:0], awaitedEndpoints: r.awaitedEndpoints[:0],
+	}
+	if changed {
+		b.restrictIdempotency(r)
+	}
+	b.requests[in.ID] = r
+	b.openRequests++
+	return r
+}
+
+// stopAwaiting ends r's wait for probes.
+func (b *Balancer) stopAwaiting(r *request) {
+	if r.awaitingProbes {
+		r.awaitingProbes, r.awaitedEndpoints = false, r.awaitedEndpoints[:0]
+		b.awaitingProbes = slices.DeleteFunc(b.awaitingProbes, func(h *request) bool { return h == r })
+	}
+}
--- a/balancer/pick.go
+++ b/balancer/pick.go
@@ -16,15 +16,6 @@
 	maxRejectedShare  = 0.5  // and share of turned away among them from which it still goes ahead of a late one
 )
 
-// currentFailureShare is the recent share of failures at e; it fades, so that e is tried again.
-func (e *endpoint) currentFailureShare(now Micros) float64 {
-	f := e.failureShare * math.Exp2(-float64(now-e.failureShareAt)/float64(3*second))
-	return f * indicator(f > 0.01) // all but forgotten is forgotten
-}
-
-// isEjected says whether e fails so often of late that it serves only when nothing else is left.
-func (e *endpoint) isEjected(now Micros) bool { return e.currentFailureShare(now) >= ejectThreshold }
-
 // cost ranks endpoints: predicted latency, and as time a zone crossing's price and a likely failure.
 func (b *Balancer) cost(now Micros, r *request, e *endpoint) float64 {
 	aim := float64(r.class.LatencyObjective)
--- a/balancer/prediction.go
+++ b/balancer/prediction.go
@@ -114,3 +114,23 @@
 func (b *Balancer) slowdown(now Micros) float64 {
 	return max(1, b.currentTrend(now)/trendNoise)
 }
+
+// warmingSlowdown is how many times longer than once warm a request takes at e. Its warmth is only the least
+// that it may have by now: how much of that slowness there is shows in the latencies of the cold ones.
+func (e *endpoint) warmingSlowdown(now Micros, b *Balancer) float64 {
+	return 1 + (1/e.warmupFraction(now, b)-1)*b.warmingSlowness.value
+}
+
+// latencyLimit is the longest predicted latency at which r is still sent to e: its time there without a
+// queue, and a part of what the aim leaves for waiting. Classes of little value for their work give way
+// first.
+func (b *Balancer) latencyLimit(now Micros, r *request, e *endpoint) float64 {
+	alone := b.zoneLatencies[e.Zone].median + r.work*b.slowdown(now)*e.currentServiceTimeRatio(now, b)
+	share := max(minQueueingShare, maxQueueingShare*r.priority)
+	if n := len(r.attempts); n > 0 && r.attempts[n-1].presumedLost {
+		// The request was swallowed: it has waited longer than its class should already.
+		share = 1
+	}
+	spare := float64(r.class.LatencyObjective) - float64(now-r.arrivedAt) - alone
+	return min(alone+share*spare, float64(r.Deadline-now))
+}
--- a/balancer/probing.go
+++ b/balancer/probing.go
@@ -1,6 +1,6 @@
 package balancer
 
-import "slices"
+import "math"
 
 // Probing: when endpoints are asked for their load, and what the answers tell.
 
@@ -45,51 +45,6 @@
 	return max(1, per*b.requestRate.rate(now)*max(minFirstAttemptShare, 1-b.rejectedShare.value))
 }
 
-// waitForProbes probes a few random endpoints for r and keeps it until they answer.
-func (b *Balancer) waitForProbes(now Micros, r *request) bool {
-	// While most is refused, most go without: clients retry, and their probes alone would fill the fleet.
-	asking := b.probePerRequest && b.settings.Limits.Probes && len(b.settings.ReportFields) > 0
-	if !asking || b.random.uniform() > max(minFirstAttemptShare, 2-2*b.rejectedShare.value) {
-		return false
-	}
-	wait := min(maxProbeWaitShare*float64(r.class.LatencyObjective), float64(r.Deadline-now)/4)
-	for i := range int(b.probesPerRequest) {
-		// One of its own zone, and others whose answer can come in time; farther ones while much is refused.
-		far := wait / 2
-		if i == 0 {
-			far = 0
-		} else if b.random.uniform() < b.rejectedShare.value {
-			far = wait
-		}
-		e := b.randomEndpoint(now, r, nil, far)
-		if e == nil {
-			return false
-		}
-		if !slices.Contains(r.awaitedEndpoints, e) {
-			b.probe(now, e)
-			r.awaitedEndpoints = append(r.awaitedEndpoints, e)
-		}
-	}
-	r.awaitingProbes = true
-	b.awaitingProbes = append(b.awaitingProbes, r)
-	b.actions.StartTimer(max(1, Micros(wait)), r.timerToken)
-	return true
-}
-
-// resumeAwaiting sends the requests that waited for e's answer alone.
-func (b *Balancer) resumeAwaiting(now Micros, e *endpoint) {
-	for i := len(b.awaitingProbes) - 1; i >= 0; i = min(i, len(b.awaitingProbes)) - 1 {
-		r := b.awaitingProbes[i]
-		waited := len(r.awaitedEndpoints)
-		r.awaitedEndpoints = slices.DeleteFunc(r.awaitedEndpoints, func(a *endpoint) bool { return a == e })
-		// Nothing beats an endpoint that has room at once.
-		idle := e.reportedAt == now && e.reportedLoad+float64(e.inFlight) <= assumedCores-1
-		if len(r.awaitedEndpoints) < waited && (idle || len(r.awaitedEndpoints) == 0) {
-			b.dispatch(now, r)
-		}
-	}
-}
-
 // maxReportAge is how long a pooled answer may be used for a request of this aim.
 func (b *Balancer) maxReportAge(now, aim Micros) Micros {
 	if b.probePerRequest {
@@ -225,3 +180,13 @@
 func (b *Balancer) requestsAhead(waited float64) float64 {
 	return waited / b.classes[0].work.value * assumedCores
 }
+
+// reportValue returns a figure of a load report, or -1 if it is not there or makes no sense.
+func reportValue(fields []ReportField, load []float32, want ReportField) float64 {
+	for i, f := range fields[:min(len(fields), len(load))] {
+		if v := float64(load[i]); f == want && v >= 0 && !math.IsInf(v, 0) { // NaN fails this, too
+			return v
+		}
+	}
+	return -1
+}
--- a/balancer/source_test.go
+++ b/balancer/source_test.go
@@ -54,14 +54,14 @@
 	}
 }
 
-// The package's documentation names every policy file and the interface file.
+// The package's documentation names every policy file and the files of its interface.
 func TestModuleDocumentation(t *testing.T) {
-	text, err := os.ReadFile("lifecycle.go")
+	text, err := os.ReadFile("balancer.go")
 	if err != nil {
 		t.Fatal(err)
 	}
 	documentation, _, _ := strings.Cut(string(text), "\npackage ")
-	for _, name := range append(policyFiles(t), "api.go") {
+	for _, name := range append(policyFiles(t), "settings.go", "events.go", "actions.go") {
 		if !strings.Contains(documentation, name) {
 			t.Errorf("the top does not name %s", name)
 		}
--- a/balancer/stats.go
+++ b/balancer/stats.go
@@ -95,3 +95,12 @@
 		s.Open, s.InFlight, s.Uploading, s.Listed, s.Cordoned, s.WarmingUp, s.Ejected, s.Pooled,
 		s.TypicalLoad, s.ServiceTimeRatio, s.Slowdown, s.RejectedShare, s.ReportsLate)
 }
+
+// log writes a line for on-call staff, at most one a second for each topic: refusals come in thousands.
+func (b *Balancer) log(now Micros, topic, format string, args ...any) {
+	if at, ok := b.lastLogged[topic]; ok && now-at < second {
+		return
+	}
+	b.lastLogged[topic] = now
+	b.actions.Log(fmt.Sprintf(format, args...))
+}
