--- a/balancer/admission.go
+++ b/balancer/admission.go
@@ -1,149 +1,144 @@
 package balancer
 
-import (
-	"math"
-	"slices"
-)
+import "slices"
 
-// Admission: whether a request is worth an attempt now.
+// Admission: whether a request is worth an attempt now, and whether endpoints are probed for it first.
 
 const (
-	minTrialInterval = 10  // requests that seem too late: one of so many is sent all the same,
-	maxTrialInterval = 640 // and one of so many after passes that earned nothing
-	maxQueueingShare = 0.6 // of what the aim leaves may be waited by the class of most value: latencies vary
-	minQueueingShare = 0.2 // and by any
+	minTrialInterval = 10  // one of so many requests that seem too late is sent as a trial,
+	maxTrialInterval = 640 // and one of so many after trials that were not served in time
 )
 
-// HandleRequest handles a client's request.
-func (b *Balancer) HandleRequest(now Micros, in Request) {
-	if b.requests[in.ID] != nil {
-		return
-	}
-	r := b.newRequest(now, in)
-	if r == nil {
-		b.actions.Reject(in.ID, 0) // nothing is known of its class, but an answer is owed
-		return
-	}
-	b.stats.Requests++
-	b.requestRate.add(now, 1)
-	b.retryBudget = min(budgetBurst, b.retryBudget+retryShare)
-	b.hedgeBudget = min(budgetBurst, b.hedgeBudget+hedgeShare)
-	c := r.class
-	c.requestRate.add(now, 1)
-	if r.tenant != nil {
-		r.tenant.add(now, 1)
-	}
-	r.work = c.work.value
-	if r.logWorkHint = 0; in.HasWorkHint && in.WorkHint > 0 {
-		c.work.add(float64(in.WorkHint), workWeight)
-		r.logWorkHint = math.Log(float64(in.WorkHint) / c.work.value)
-		r.work = c.work.value * math.Exp(b.workHintTrust*r.logWorkHint)
-	}
-	if now >= in.Deadline || b.openRequests > b.settings.Limits.MaxOpenRequests {
-		b.reject(now, r)
-		return
-	}
-	if !b.waitForProbes(now, r) {
-		b.dispatch(now, r)
-	}
+// admission decides whether requests are sent.
+type admission struct {
+	*environment
+	demand    *demand
+	probes    *prober
+	estimates *estimator
+	breakers  *breakers
+	picker    *picker
+	ledger    *ledger
+	waiting   *waitlist
+	retries   *retrier
+
+	trialInterval int // requests that seem too late for one that is sent as a trial
 }
 
-// dispatch sends a request, or refuses it.
-func (b *Balancer) dispatch(now Micros, r *request) {
-	b.stopAwaiting(r)
+// dispatch sends a request, or rejects it.
+func (a *admission) dispatch(now Micros, r *request) {
+	a.waiting.remove(r)
 	first := len(r.attempts) == 0
-	sent := b.startAttempt(now, r, first)
+	sent := a.startAttempt(now, r, first)
 	if first {
-		b.rejectedShare.add(indicator(!sent), shareWeight)
+		a.demand.recordDecision(sent)
 	}
 	if !sent {
-		b.reject(now, r)
+		a.ledger.reject(r)
 	}
 }
 
-// startAttempt picks and sends; a pick that the breaker refuses tries one more.
-func (b *Balancer) startAttempt(now Micros, r *request, first bool) bool {
-	if b.throttles(now) {
-		b.stats.Throttled++
+// startAttempt picks an endpoint and sends to it. If its breaker drops the request, one other is tried.
+func (a *admission) startAttempt(now Micros, r *request, first bool) bool {
+	if a.breakers.throttle(now) {
+		a.stats.Throttled++
 		return false
 	}
-	r.priority = b.priority(now, r)
-	e := b.pick(now, r, nil)
+	r.priority = a.demand.priority(now, r)
+	e := a.picker.pick(now, r, nil)
 	if e == nil {
-		b.stats.NoEndpoint++
+		a.stats.NoEndpoint++
+		return false
+	}
+	if a.tooLate(now, r, e, first) {
 		return false
 	}
-	x, most := b.predictLatency(now, e, r.work), b.latencyLimit(now, r, e)
-	if x > most && b.queueingFactor(now, e) > 1 {
-		// It would come too late to be worth its work: not where nobody waits, since few samples of a
-		// long-tailed latency make a healthy endpoint look hopeless, and a sidecar that is slow itself makes
-		// all of them look so: refused clients only come back sooner. As with the breaker, one
-		// passes now and then, so that a wrong guess does not feed itself: of so many, since a pass a second
-		// at each of a thousand balancers is more than a jammed fleet can bear.
-		c := r.class
-		c.tooLateSinceTrial++
-		if !first || c.tooLateSinceTrial < b.trialInterval || now-c.lastTrialAt < forcedTrialInterval {
-			b.stats.TooLate++
-			b.log(now, "refuse", "requests rejected, %.0f%% recently: the best endpoint, %d, would take %.0f ms, "+
-				"limit %.0f ms; work %.0f ms, service time ratio %.2f, load %.1f, ours %d, value %.2f",
-				100*b.rejectedShare.value, e.ID, x/1000, most/1000, r.work/1000,
-				e.currentServiceTimeRatio(now, b), b.estimatedLoad(now, e),
-				e.inFlight, r.priority)
+	if !a.breakers.allow(now, r, e) {
+		if e = a.picker.pick(now, r, e); e == nil || !a.breakers.allow(now, r, e) {
+			a.stats.BreakerRejected++
 			return false
 		}
+	}
+	if !a.ledger.send(now, r, e) {
+		return false
+	}
+	a.retries.watch(now, r)
+	return true
+}
+
+// tooLate tells whether e, the best endpoint, would serve r too late to be worth its work.
+//
+// Where no request queues, none is too late: few samples of a long-tailed latency can make a healthy endpoint
+// look hopeless, and a sidecar that is slow itself makes all look so; rejected clients would only return
+// sooner. As with a half-open circuit breaker, a request passes as a trial now and then, so that a wrong
+// estimate does not confirm itself. That is one of so many, since one a second at each of a thousand
+// balancers is more than an overloaded fleet can serve.
+func (a *admission) tooLate(now Micros, r *request, e *endpoint, first bool) bool {
+	expected, limit := a.estimates.latency(now, e, r.work), a.estimates.latencyLimit(now, r, e)
+	late := expected > limit && a.estimates.queueingFactor(now, e) > 1
+	if !late {
+		return false
+	}
+	c := r.class
+	c.tooLateSinceTrial++
+	if first && c.tooLateSinceTrial >= a.trialInterval && now-c.lastTrialAt >= forcedTrialInterval {
 		c.lastTrialAt, c.tooLateSinceTrial = now, 0
 		r.trial = true
+		return false
 	}
-	if !b.breakerAllows(now, r, e) {
-		if e = b.pick(now, r, e); e == nil || !b.breakerAllows(now, r, e) {
-			b.stats.BreakerRejected++
-			return false
-		}
+	a.stats.TooLate++
+	a.log(now, "refuse", "requests rejected, %.0f%% recently: the best endpoint, %d, would take %.0f ms, "+
+		"limit %.0f ms; work %.0f ms, service time ratio %.2f, load %.1f, ours %d, value %.2f",
+		100*a.demand.rejected(), e.ID, expected/1000, limit/1000, r.work/1000,
+		a.estimates.serviceTimeRatio(now, e), a.estimates.load(now, e), e.inFlight, r.priority)
+	return true
+}
+
+// recordTrial adapts the trial interval to an outcome of r.
+func (a *admission) recordTrial(r *request, inTime bool) {
+	if inTime {
+		a.trialInterval = minTrialInterval
+	} else if r.trial {
+		// The endpoints are still overloaded: more trials would only prolong that.
+		a.trialInterval = min(2*a.trialInterval, maxTrialInterval)
 	}
-	return b.send(now, r, e)
 }
 
-// waitForProbes probes a few random endpoints for r and keeps it until they answer.
-func (b *Balancer) waitForProbes(now Micros, r *request) bool {
-	// While most is refused, most go without: clients retry, and their probes alone would fill the fleet.
-	asking := b.probePerRequest && b.settings.Limits.Probes && len(b.settings.ReportFields) > 0
-	if !asking || b.random.uniform() > max(minFirstAttemptShare, 2-2*b.rejectedShare.value) {
+// waitForProbes probes a few random endpoints for r, and has r wait for their answers. It returns false if r
+// should be dispatched at once.
+func (a *admission) waitForProbes(now Micros, r *request) bool {
+	// While most requests are rejected, most go without probes: clients retry, and the probes alone would fill
+	// the fleet.
+	probing := a.probes.withRequests() && a.settings.Limits.Probes && len(a.settings.ReportFields) > 0
+	if !probing || a.random.uniform() > max(minFirstAttemptShare, 2-2*a.demand.rejected()) {
 		return false
 	}
 	wait := min(maxProbeWaitShare*float64(r.class.LatencyObjective), float64(r.Deadline-now)/4)
-	for i := range int(b.probesPerRequest) {
-		// One of its own zone, and others whose answer can come in time; farther ones while much is refused.
-		far := wait / 2
+	for i := range a.probes.countPerRequest() {
+		// One endpoint of the balancer's own zone, and others whose answer can come in time; farther ones while
+		// many requests are rejected.
+		maxRoundTrip := wait / 2
 		if i == 0 {
-			far = 0
-		} else if b.random.uniform() < b.rejectedShare.value {
-			far = wait
+			maxRoundTrip = 0
+		} else if a.random.uniform() < a.demand.rejected() {
+			maxRoundTrip = wait
 		}
-		e := b.randomEndpoint(now, r, nil, far)
+		e := a.picker.randomEndpoint(now, r, nil, maxRoundTrip)
 		if e == nil {
 			return false
 		}
 		if !slices.Contains(r.awaitedEndpoints, e) {
-			b.probe(now, e)
+			a.probes.probe(now, e)
 			r.awaitedEndpoints = append(r.awaitedEndpoints, e)
 		}
 	}
-	r.awaitingProbes = true
-	b.awaitingProbes = append(b.awaitingProbes, r)
-	b.actions.StartTimer(max(1, Micros(wait)), r.timerToken)
+	a.waiting.add(r)
+	a.actions.StartTimer(max(1, Micros(wait)), r.timerToken)
 	return true
 }
 
-// resumeAwaiting sends the requests that waited for e's answer alone.
-func (b *Balancer) resumeAwaiting(now Micros, e *endpoint) {
-	for i := len(b.awaitingProbes) - 1; i >= 0; i = min(i, len(b.awaitingProbes)) - 1 {
-		r := b.awaitingProbes[i]
-		waited := len(r.awaitedEndpoints)
-		r.awaitedEndpoints = slices.DeleteFunc(r.awaitedEndpoints, func(a *endpoint) bool { return a == e })
-		// Nothing beats an endpoint that has room at once.
-		idle := e.reportedAt == now && e.reportedLoad+float64(e.inFlight) <= assumedCores-1
-		if len(r.awaitedEndpoints) < waited && (idle || len(r.awaitedEndpoints) == 0) {
-			b.dispatch(now, r)
-		}
+// resumeAwaiting dispatches the requests that no longer need to wait once a probe of e has ended.
+func (a *admission) resumeAwaiting(now Micros, e *endpoint) {
+	for r, i := a.waiting.resumable(now, e, fromEnd); r != nil; r, i = a.waiting.resumable(now, e, i) {
+		a.dispatch(now, r)
 	}
 }
--- a/balancer/averages.go
+++ b/balancer/averages.go
@@ -5,7 +5,7 @@
 	"slices"
 )
 
-// ewma is a moving average whose first sample is taken whole.
+// ewma is an exponentially weighted moving average. Its first sample counts in full.
 type ewma struct {
 	value       float64
 	initialized bool
@@ -19,70 +19,66 @@
 	a.value += (x - a.value) * weight
 }
 
-// cumulativeMean is a moving average that begins as the plain mean of its samples, until the weight counts for more: where
-// samples are few, the first one taken whole would stand for what all are like for many seconds.
+// or returns the average, or the fallback if there is no sample.
+func (a *ewma) or(fallback float64) float64 {
+	if a.initialized {
+		return a.value
+	}
+	return fallback
+}
+
+// cumulativeMean is a moving average that begins as the plain mean of its samples, until the weight counts for more.
+// Where samples are few, a first one that counted in full would dominate for many seconds.
 type cumulativeMean struct {
 	value   float64
 	samples int
 }
 
+// maxMeanSamples bounds the count of samples; any weight in use counts for more long before.
+const maxMeanSamples = 1 << 20
+
 func (m *cumulativeMean) add(x, weight float64) {
-	m.samples = min(m.samples+1, 1<<20)
+	m.samples = min(m.samples+1, maxMeanSamples)
 	m.value += (x - m.value) * max(weight, 1/float64(m.samples))
 }
 
-func (a *ewma) or(fallback float64) float64 {
-	if a.initialized {
-		return a.value
-	}
-	return fallback
-}
-
-// zoneLatency is the time of a probe to a zone and back, where it finds nobody: the median of the latest few, since a
-// single quick answer, as before any traffic, says little of those to come.
+// zoneLatency is the latency of a probe to an idle endpoint of a zone: the median of the latest few, since a single
+// quick answer, as before any traffic, says little of those to come.
 type zoneLatency struct {
 	samples   [9]float64
 	count     int
 	median    float64
-	deviation ewma // how far such probes are from v
+	deviation ewma // mean distance of samples from the median
 }
 
 const (
-	initialDeviationShare = 0.3 // of the way, until more is known
+	initialDeviationShare = 0.3 // of the median, until more is known
 	deviationWeight       = 0.1
-	maxDeviations         = 4.0 // times the usual sway
+	maxDeviations         = 4.0 // distance from the median that is explained by its deviation
 )
 
-func (w *zoneLatency) add(x float64) {
-	w.samples[w.count%len(w.samples)] = x
-	w.count++
-	sorted := w.samples
-	n := min(w.count, len(sorted))
+func (z *zoneLatency) add(x float64) {
+	z.samples[z.count%len(z.samples)] = x
+	z.count++
+	sorted := z.samples
+	n := min(z.count, len(sorted))
 	slices.Sort(sorted[:n])
-	w.median = sorted[n/2]
-	if !w.deviation.initialized {
-		w.deviation = ewma{value: initialDeviationShare * w.median, initialized: true}
+	z.median = sorted[n/2]
+	if !z.deviation.initialized {
+		z.deviation = ewma{value: initialDeviationShare * z.median, initialized: true}
 	}
-	w.deviation.add(math.Abs(x-w.median), deviationWeight)
+	z.deviation.add(math.Abs(x-z.median), deviationWeight)
 }
 
-// queueingDelay is what a probe took that the way does not explain; nothing until enough is known of that.
-func (w *zoneLatency) queueingDelay(latency float64) float64 {
-	if waited := latency - w.median; w.count >= len(w.samples) && waited > maxDeviations*w.deviation.value {
+// queueingDelay is the part of a probe's latency that the network does not explain; 0 until enough is known of that.
+func (z *zoneLatency) queueingDelay(latency float64) float64 {
+	if waited := latency - z.median; z.count >= len(z.samples) && waited > maxDeviations*z.deviation.value {
 		return waited
 	}
 	return 0
 }
 
-// indicator counts a yes as a whole.
-func indicator(yes bool) float64 {
-	if yes {
-		return 1
-	}
-	return 0
-}
-
-// decayingRate is a rate a second, averaged over about two seconds.
+// decayingRate is a rate a second, averaged over about rateTimeConstant.
 type decayingRate struct {
 	sum       float64
 	updatedAt Micros
@@ -103,16 +99,16 @@
 	return m.decayed(now) * float64(second) / float64(rateTimeConstant)
 }
 
-// decayingAcceptance counts requests, and those accepted of them; both fade.
+// decayingAcceptance counts requests, and those accepted of them; both counts decay.
 type decayingAcceptance struct {
 	requests, accepts       float64
 	updatedAt, timeConstant Micros
-	lastTrialAt             Micros // last forced pass
+	lastTrialAt             Micros // latest request let through in spite of the draw
 }
 
 func (t *decayingAcceptance) decay(now Micros) {
-	left := math.Exp(-float64(now-t.updatedAt) / float64(t.timeConstant))
-	t.requests, t.accepts, t.updatedAt = t.requests*left, t.accepts*left, now
+	factor := math.Exp(-float64(now-t.updatedAt) / float64(t.timeConstant))
+	t.requests, t.accepts, t.updatedAt = t.requests*factor, t.accepts*factor, now
 }
 
 func (t *decayingAcceptance) add(now Micros, accepted bool) {
@@ -121,5 +117,13 @@
 	t.accepts += indicator(accepted)
 }
 
-// isPositiveFinite says whether a figure can be gone on from.
+// indicator is 1 for true and 0 for false.
+func indicator(condition bool) float64 {
+	if condition {
+		return 1
+	}
+	return 0
+}
+
+// isPositiveFinite tells whether a stored figure may be used.
 func isPositiveFinite(v float64) bool { return v > 0 && !math.IsInf(v, 0) }
--- a/balancer/balancer.go
+++ b/balancer/balancer.go
@@ -1,16 +1,53 @@
-// Package balancer makes the decisions of a client-side sidecar balancer.
+// Package balancer makes the decisions of a client-side load-balancing sidecar: which endpoint gets a request, when a
+// request is rejected, retried or hedged, and when endpoints are probed.
 //
-// A Balancer is a deterministic state machine for one caller at a time: the host passes each event with its
-// instant, and the balancer calls Actions. It does no I/O and has no clock of its own.
+// A Balancer is a deterministic state machine. The host passes each event with its instant, and the balancer calls
+// Actions. Its invariants:
 //
-// The decisions stand in ledger.go, demand.go, membership.go, discovery.go, endpoint.go, slowstart.go, probing.go,
-// prediction.go, pick.go, breaker.go, admission.go and retries.go. The interface stands in settings.go, events.go and
-// actions.go, and the counts in stats.go.
+//   - The same settings, seed and events give the same actions, in the same order. There is no I/O, no clock and no
+//     goroutine; the order of random draws and of floating-point operations is part of the decisions.
+//   - It serves one caller at a time; the host serializes events.
+//   - Each request gets exactly one final answer, except one whose client has gone.
+//   - The rules (attempt limits, idempotency, deduplication, slow start) are kept by the ledger alone: every attempt,
+//     rejection and failure leaves through it, so that no policy can break them.
+//
+// It moves no bytes, opens no connections and stores nothing: that is the host's work.
+//
+// The decisions stand in ledger.go, rules.go, demand.go, membership.go, discovery.go, endpoint.go, slowstart.go,
+// probing.go, loadreport.go, prediction.go, pick.go, breaker.go, admission.go, waitlist.go and retries.go. The
+// interface stands in settings.go, events.go and actions.go, and the counts in stats.go.
 package balancer
 
+// Balancer decides for one sidecar. Make one with New. Each part owns its state; the event methods below route to them.
+type Balancer struct {
+	environment
+	ledger     ledger          // requests, and the rules for their attempts
+	demand     demand          // classes, tenants, and the rate of their requests
+	membership membership      // endpoints
+	discovery  discoveryPoller // calls of discovery
+	probes     prober          // probes, and the pool of fresh load reports
+	slowStart  slowStart       // work for endpoints that are warming up
+	estimates  estimator       // expected load and latency
+	breakers   breakers        // circuit breakers, error throttle and outlier ejection
+	picker     picker          // selection of an endpoint
+	waiting    waitlist        // requests that wait for probes
+	admission  admission       // load shedding
+	retries    retrier         // retries and hedged requests
+}
+
+// environment is what all parts share: the settings in force, the host's actions, the only source of random numbers,
+// and the counters.
+type environment struct {
+	settings   Settings
+	actions    Actions
+	random     splitMix64
+	stats      Stats
+	lastLogged map[string]Micros // instant of the latest line by topic
+}
+
 const second Micros = 1_000_000
 
-// Timer tokens below firstRequestToken belong to the balancer; others name a request.
+// Timer tokens below firstRequestToken belong to the balancer; others name a request by its slot and a count of uses.
 const (
 	probeTimerToken = iota
 	pollTimerToken
@@ -23,144 +60,243 @@
 	if err := s.Validate(); err != nil {
 		return nil, err
 	}
-	b := &Balancer{
-		actions: out, random: splitMix64(seed),
-		requests: map[uint64]*request{}, endpointByID: map[uint32]*endpoint{}, cordoned: map[uint64]bool{}, removedStartTimes: map[uint64]Micros{},
-		lastLogged: map[string]Micros{},
+	b := &Balancer{environment: environment{
+		actions: out, random: splitMix64(seed), lastLogged: map[string]Micros{},
+	}}
+	env := &b.environment
+	b.demand = newDemand(env)
+	b.membership = newMembership(env)
+	b.discovery = discoveryPoller{environment: env}
+	b.probes = prober{environment: env, demand: &b.demand, membership: &b.membership, slowStart: &b.slowStart}
+	b.estimates = newEstimator(env, &b.demand, &b.probes)
+	b.slowStart = slowStart{
+		environment: env, demand: &b.demand, membership: &b.membership, estimates: &b.estimates,
+	}
+	b.breakers = breakers{environment: env}
+	b.ledger = ledger{
+		environment: env, demand: &b.demand, slowStart: &b.slowStart, estimates: &b.estimates, waiting: &b.waiting,
+		requests: map[uint64]*request{},
 	}
+	b.picker = picker{
+		environment: env, membership: &b.membership, probes: &b.probes, slowStart: &b.slowStart,
+		estimates: &b.estimates, ledger: &b.ledger,
+	}
+	b.admission = admission{
+		environment: env, demand: &b.demand, probes: &b.probes, estimates: &b.estimates, breakers: &b.breakers,
+		picker: &b.picker, ledger: &b.ledger, waiting: &b.waiting, retries: &b.retries,
+		trialInterval: minTrialInterval,
+	}
+	b.retries = newRetrier(env, &b.probes, &b.estimates, &b.admission, &b.ledger)
 	b.applySettings(s)
 	return b, nil
 }
 
-// Start begins the balancer's life.
+// Start begins the probe rounds and the calls of discovery.
 func (b *Balancer) Start(now Micros) {
-	b.lateReportShare.initialized, b.rejectedShare.initialized, b.lostAttemptShare.initialized = true, true, true
-	b.latencyTrend, b.workHintTrust = 1, 0.5
-	b.warmingSlowness = ewma{value: initialWarmingSlowness, initialized: true}
-	b.typicalLoad = cumulativeMean{value: initialTypicalLoad, samples: initialTypicalLoadSamples}
-	b.retryBudget, b.hedgeBudget, b.trialInterval = budgetBurst, budgetBurst, minTrialInterval
-	b.scheduleFirstPoll(now)
-	b.startProbeRounds()
+	b.discovery.start(now)
+	b.probes.start()
 }
 
-// HandleTimer handles a token given to Actions.Timer.
+// Reconfigure puts new settings in force in one step, or returns a *SettingError and changes nothing. Estimates of
+// classes and tenants stay with their names; endpoints and what is known of them stay. An open request keeps the class
+// that it arrived under, except where the new settings permit less: the host must withdraw the attempts returned,
+// unless their first byte has been sent.
+func (b *Balancer) Reconfigure(s Settings) ([]AttemptID, error) {
+	if err := s.Validate(); err != nil {
+		return nil, err
+	}
+	b.applySettings(s)
+	b.probes.start()
+	return b.ledger.restrictAll(), nil
+}
+
+func (b *Balancer) applySettings(s Settings) {
+	b.demand.configure(&s)
+	b.breakers.configure(&s)
+	b.settings = s
+}
+
+// HandleTimer handles a token given to Actions.StartTimer.
 func (b *Balancer) HandleTimer(now Micros, token uint32) {
+	switch token {
+	case probeTimerToken:
+		b.probes.round(now)
+	case pollTimerToken:
+		b.discovery.poll(now)
+	default:
+		if r := b.ledger.byToken(token); r != nil && !r.answered && !r.streaming {
+			b.handleRequestTimer(now, r)
+		}
+	}
+}
+
+// handleRequestTimer handles a request whose deadline has passed, whose probes are slow or whose attempt is overdue.
+func (b *Balancer) handleRequestTimer(now Micros, r *request) {
 	switch {
-	case token == probeTimerToken:
-		b.probeRound(now)
-	case token == pollTimerToken:
-		b.poll(now)
-	case token >= firstRequestToken:
-		slot := int(token&(1<<slotBits-1)) - firstRequestToken
-		if slot >= 0 && slot < len(b.requestSlots) {
-			if r := b.requestSlots[slot]; r.timerToken == token && !r.answered && !r.streaming {
-				b.handleRequestTimer(now, r)
+	case now >= r.Deadline:
+		for i := range r.attempts {
+			if a := &r.attempts[i]; a.inFlight {
+				b.estimates.learnServiceTime(now, r, a, float64(now-a.sentAt), true)
 			}
 		}
+		b.ledger.reject(r)
+	case r.awaitingProbes:
+		// Only idle endpoints answer in time: counting those alone would show an overloaded fleet as idle.
+		for _, e := range r.awaitedEndpoints {
+			b.estimates.learnProbeDelay(float64(now - e.lastProbeAt))
+		}
+		b.admission.dispatch(now, r)
+	default:
+		b.retries.checkOverdue(now, r)
 	}
 }
 
-// Balancer decides for one sidecar. Make one with New.
-type Balancer struct {
-	settings Settings
-	actions  Actions
-	random   splitMix64
-
-	requests       map[uint64]*request // every request with an attempt out or no final answer
-	requestSlots   []*request          // by timer slot
-	freeRequests   []*request          // records to use again
-	openRequests   int                 // requests without final answer
-	awaitingProbes []*request          // requests that wait for probes
-
-	endpointByID       map[uint32]*endpoint
-	restored           map[uint64]EndpointEstimate // by name, until listed
-	endpoints          []*endpoint                 // known endpoints in the order first heard of
-	cordoned           map[uint64]bool             // by name: whether operators have left it out
-	listReceived       bool                        // discovery has answered since the start
-	listReceivedAt     Micros                      // when it last did; 0 before
-	removedStartTimes  map[uint64]Micros           // starts of endpoints that are gone, by name
-	probePool          []*endpoint                 // endpoints with a fresh answer
-	nextWarming        *endpoint                   // the cold one that may be sent to next
-	warmingTokens      float64                     // work that all cold ones together may still get,
-	warmingTokensAt    Micros                      // as of then
-	warmingServedLevel float64                     // least work that one of the cold ones got, for its warmth; 0 where none is cold
-	warmingSlowness    ewma                        // of the slowness that the least warmth of a cold endpoint makes, the part that shows
-	warmingSamples     int                         // latencies in that
-	maxWeight          float64                     // share of any listed endpoint
-	probesPerRequest   float64                     // probes that go with a request, while sparse
-	probePerRequest    bool                        // probes are asked for single requests
-	probeRoundsActive  bool                        // probe rounds run
-
-	subscribed  bool
-	nextPollAt  Micros // next call of discovery, unless subscribed by then
-	lastPollAt  Micros // the latest one
-	pollBackoff Micros
-
-	classes               []*class // in the order of the settings
-	tenants               []*tenant
-	zoneLatencies         [256]zoneLatency   // to each zone
-	fleetServiceTimeRatio ewma               // pace of the whole fleet
-	requestRate           decayingRate       // requests taken
-	sentWorkRate          decayingRate       // work sent
-	recentAttempts        decayingAcceptance // attempts that ended, and those throttled
-	rejectedShare         ewma               // share of requests refused at arrival
-	trialInterval         int                // requests that seem too late for one that is sent
-	retryBudget           float64            // retry budget, in attempts
-	hedgeBudget           float64            // budget of second copies
-	lostAttemptShare      ewma               // share of attempts that were swallowed
-
-	queuedProbeShare   ewma           // share of probes that waited in line
-	lateReportShare    ewma           // share of load reports that must be late
-	typicalLoad        cumulativeMean // load of others at an endpoint, over all answers
-	typicalWarmingLoad cumulativeMean // the same over those of cold ones: all send them little
-	reportsLate        bool
-	workHintTrust      float64 // power of a hint that work grows with
-	latencyTrend       float64 // latencies over those that pace and load predict, for all endpoints together
-	latencyTrendAt     Micros
-
-	lastLogged map[string]Micros // last line by topic
-	stats      Stats
+// HandleRequest handles a client's request.
+func (b *Balancer) HandleRequest(now Micros, in Request) {
+	if b.ledger.lookup(in.ID) != nil {
+		return
+	}
+	r := b.ledger.newRequest(now, in)
+	if r == nil {
+		b.actions.Reject(in.ID, 0) // its class is unknown, but an answer is owed
+		return
+	}
+	b.stats.Requests++
+	b.retries.earn()
+	b.demand.recordArrival(now, r)
+	b.estimates.estimateWork(r)
+	if now >= in.Deadline || b.ledger.full() {
+		b.ledger.reject(r)
+		return
+	}
+	if !b.admission.waitForProbes(now, r) {
+		b.admission.dispatch(now, r)
+	}
 }
 
-// Reconfigure takes up new settings in one step, or returns a *SettingError and changes nothing. What is known of
-// classes and tenants stays with their names; endpoints, and what is known of them, stay as they are. A request in
-// hand keeps the class that it began under, but for what that may no longer do: the host has to withdraw the
-// attempts that are returned, unless their first byte is out.
-func (b *Balancer) Reconfigure(s Settings) ([]AttemptID, error) {
-	if err := s.Validate(); err != nil {
-		return nil, err
+// HandleHeaders handles the start of a streamed answer: from here on no deadline and no attempt concern the request.
+func (b *Balancer) HandleHeaders(_ Micros, id uint64, attempt int, _ Micros) {
+	if r := b.ledger.lookup(id); r != nil && !r.answered && attempt >= 0 && attempt < len(r.attempts) {
+		r.streaming = true
 	}
-	b.applySettings(s)
-	b.startProbeRounds()
-	var withdrawn []AttemptID
-	for _, r := range b.requestSlots {
-		if b.requests[r.ID] == r && !r.answered {
-			withdrawn = append(withdrawn, b.restrictIdempotency(r)...)
+}
+
+// HandleBodyWritten handles the last byte of a streamed request body: the request's time counts from here.
+func (b *Balancer) HandleBodyWritten(now Micros, id uint64, deadline Micros) {
+	if r := b.ledger.lookup(id); r != nil && !r.answered && len(r.attempts) > 0 {
+		b.ledger.bodyWritten(now, r, deadline)
+	}
+}
+
+// HandleClientGone handles a client that left before its final answer.
+func (b *Balancer) HandleClientGone(_ Micros, id uint64) {
+	if r := b.ledger.lookup(id); r != nil {
+		b.ledger.finish(r)
+	}
+}
+
+// HandleOutcome handles the end of an attempt.
+func (b *Balancer) HandleOutcome(now Micros, o Outcome) {
+	r, a := b.ledger.endAttempt(now, &o)
+	if r == nil {
+		return
+	}
+	b.membership.dropIfRemoved(a.endpoint) // the next list may be long in coming
+	b.retries.recordLoss(a, o.Status)
+	b.stats.outcome(a, o.Status, o.Latency)
+	b.breakers.recordOutcome(now, a, o.Status, o.Latency)
+	if o.Status == OK || o.Status == Timeout {
+		b.estimates.learnServiceTime(now, r, a, float64(o.Latency), o.Status == Timeout)
+	}
+	inTime := o.Status == OK && !r.answered && now-r.arrivedAt <= r.class.LatencyObjective
+	b.breakers.recordResult(now, o.Status, inTime)
+	if inTime {
+		r.servedInTime = 1
+	}
+	b.admission.recordTrial(r, inTime)
+	if o.Answered || o.Status == OK || r.answered {
+		b.ledger.finish(r)
+		return
+	}
+	b.retries.retry(now, r, a)
+}
+
+// HandleProbe handles the end of a probe. load is valid during the call only.
+func (b *Balancer) HandleProbe(now Micros, id uint32, status Status, latency Micros, load []float32) {
+	e := b.membership.lookup(id)
+	if e == nil {
+		return
+	}
+	e.probeInFlight = false
+	b.stats.Probes[min(status, NotSent)]++
+	if responded(status) {
+		e.lastResponseAt = now
+	}
+	if status != OK {
+		e.reportedAt = 0 // an endpoint that rejects probes or lets them wait should get no request
+		if status == Timeout {
+			b.estimates.learnProbeTimeout(float64(latency))
 		}
+		b.admission.resumeAwaiting(now, e)
+		return
 	}
-	return withdrawn, nil
+	b.stats.ProbeLatency += latency
+	report := b.estimates.readReport(e, float64(latency), load)
+	if report.known() {
+		b.probes.add(e)
+		b.estimates.learnReport(now, e, &report)
+	}
+	b.admission.resumeAwaiting(now, e)
+	b.estimates.checkReportDelay(now, e, &report)
 }
 
-// applySettings puts settings in force.
-func (b *Balancer) applySettings(s Settings) {
-	classes := make([]*class, len(s.Classes))
-	b.recentAttempts.timeConstant = 0
-	for i, definition := range s.Classes {
-		classes[i] = b.classFor(definition)
-		b.recentAttempts.timeConstant = max(b.recentAttempts.timeConstant, definition.ClientTimeout) // by then, what is sent now has its outcome
-	}
-	tenants := make([]*tenant, len(s.Tenants))
-	for i, definition := range s.Tenants {
-		tenants[i] = &tenant{definition, &decayingRate{}}
-	}
-	known := make(map[string]*decayingRate, len(b.tenants))
-	for _, t := range b.tenants {
-		known[t.Name] = t.decayingRate
-	}
-	for _, t := range tenants {
-		if taken, ok := known[t.Name]; ok {
-			t.decayingRate = taken
+// HandleEndpoints handles a message of discovery. entries is valid during the call only.
+func (b *Balancer) HandleEndpoints(now Micros, kind ListUpdate, entries []Endpoint) {
+	if kind == ListFailed {
+		b.log(now, "discovery", "discovery call failed or watch broken; keeping the endpoint list and retrying")
+		b.discovery.failed(now)
+		return
+	}
+	if kind != ListCached {
+		b.discovery.succeeded()
+	}
+	// If a thousand balancers each probed every new endpoint, probes alone would fill it.
+	probe := b.settings.Balancers <= max(len(b.membership.all()), len(entries))
+	b.membership.beginUpdate()
+	for i := range entries {
+		b.updateEndpoint(now, &entries[i], probe)
+	}
+	b.membership.endUpdate(now, kind)
+}
+
+func (b *Balancer) updateEndpoint(now Micros, in *Endpoint, probe bool) {
+	e, startTime, newProcess := b.membership.update(now, in)
+	if !newProcess {
+		return
+	}
+	if startTime != 0 && now-startTime < b.settings.Contract.SlowStartDuration {
+		b.slowStart.begin(now, e, startTime)
+	}
+	if probe {
+		b.probes.probe(now, e)
+	}
+}
+
+// Cordon takes every endpoint of this name out of service, whatever discovery says of it, or ends that. An endpoint
+// that returns was likely restarted: it counts as a new process, warming up since the instant given.
+func (b *Balancer) Cordon(now Micros, name uint64, cordoned bool, since Micros) {
+	b.membership.setCordoned(name, cordoned)
+	for _, e := range b.membership.all() {
+		if e.Name != name || e.cordoned == cordoned {
+			continue
+		}
+		if e.cordoned = cordoned; !cordoned {
+			e.reset()
+			if now-since < b.settings.Contract.SlowStartDuration {
+				b.slowStart.begin(now, e, since)
+				b.slowStart.offerTrial(e)
+			}
+			b.probes.probe(now, e)
 		}
 	}
-	b.settings, b.classes, b.tenants = s, classes, tenants
 }
--- a/balancer/breaker.go
+++ b/balancer/breaker.go
@@ -1,30 +1,85 @@
 package balancer
 
-// The circuit breaker of each endpoint.
+// Circuit breakers of single endpoints, the error throttle over all of them, and outlier ejection.
 
-// go-zero's constants.
+// The constants of go-zero's adaptive breaker (its pull request 5366), which follows client-side throttling
+// in the SRE book: K falls from maxK to minK as more buckets in a row fail.
 const (
 	breakerWindow             = 10 * second
 	breakerBuckets            = 40
 	maxK                      = 1.5
 	minK                      = 1.1
-	protectedRequests         = 5
-	forcedTrialInterval       = second
-	latencyActivationFactor   = 3
-	latencyCeilingShare       = 0.95
+	protectedRequests         = 5      // that never count as too many
+	forcedTrialInterval       = second // after which a request is let through in spite of the draw
+	latencyActivationFactor   = 3      // times the base latency, from which requests are dropped
+	latencyCeilingShare       = 0.95   // of the client's timeout, at which maxLatencyDropProbability is reached
 	baseFallDivisor           = 4
 	baseRiseDivisor           = 100
 	currentDivisor            = 4
 	maxLatencyDropProbability = 0.3
 )
 
+// circuitBreaker holds an endpoint's window of outcomes and its two latency averages.
+type circuitBreaker struct {
+	buckets        [breakerBuckets]breakerBucket
+	newest         int64 // number of the newest bucket since instant 0
+	requests       int   // over the window
+	accepts        int
+	baseLatency    float64 // falls fast and rises slowly
+	currentLatency float64
+	lastTrialAt    Micros // latest request let through in spite of the draw
+}
+
+type breakerBucket struct{ requests, accepts, failures int }
+
+// advance returns the bucket of this instant, after dropping those that left the window.
+func (k *circuitBreaker) advance(now Micros) *breakerBucket {
+	n := now / (breakerWindow / breakerBuckets)
+	if n-k.newest >= breakerBuckets {
+		k.buckets, k.requests, k.accepts, k.newest = [breakerBuckets]breakerBucket{}, 0, 0, n
+	}
+	for k.newest < n {
+		k.newest++
+		old := &k.buckets[k.newest%breakerBuckets]
+		k.requests -= old.requests
+		k.accepts -= old.accepts
+		*old = breakerBucket{}
+	}
+	return &k.buckets[n%breakerBuckets]
+}
+
+// count adds a request to the newest bucket. A request that the breaker dropped counts, too.
+func (k *circuitBreaker) count(now Micros, accepts, failures int) {
+	bucket := k.advance(now)
+	bucket.requests++
+	bucket.accepts += accepts
+	bucket.failures += failures
+	k.requests++
+	k.accepts += accepts
+}
+
+// addLatency adds a latency to both averages.
+func (k *circuitBreaker) addLatency(x float64) {
+	if k.baseLatency <= 0 {
+		k.baseLatency, k.currentLatency = x, x
+		return
+	}
+	divisor := float64(baseRiseDivisor)
+	if x < k.baseLatency {
+		divisor = baseFallDivisor
+	}
+	k.baseLatency = (x + (divisor-1)*k.baseLatency) / divisor
+	k.currentLatency = (x + (currentDivisor-1)*k.currentLatency) / currentDivisor
+}
+
+// errorDropProbability grows with the failures in the window.
 func (k *circuitBreaker) errorDropProbability(now Micros) float64 {
 	k.advance(now)
-	failing := 0
+	failing := 0 // buckets with failures alone since the latest success
 	for i := k.newest + 1; i <= k.newest+breakerBuckets; i++ {
-		if at := &k.buckets[i%breakerBuckets]; at.accepts > 0 {
+		if bucket := &k.buckets[i%breakerBuckets]; bucket.accepts > 0 {
 			failing = 0
-		} else if at.failures > 0 {
+		} else if bucket.failures > 0 {
 			failing++
 		}
 	}
@@ -32,10 +87,7 @@
 	return dropProbability(float64(k.requests), weight*float64(k.accepts))
 }
 
-func dropProbability(requests, allowed float64) float64 {
-	return max(0, (requests-protectedRequests-allowed)/(requests+1))
-}
-
+// latencyDropProbability grows with the current latency between a multiple of the base and the timeout.
 func (k *circuitBreaker) latencyDropProbability(timeout float64) float64 {
 	threshold := latencyActivationFactor * k.baseLatency
 	ceiling := latencyCeilingShare * timeout
@@ -46,83 +98,93 @@
 	return min(maxLatencyDropProbability, max(0, excess*maxLatencyDropProbability))
 }
 
-// drops draws a lot with this chance; one request passes now and then.
-func (b *Balancer) drops(now Micros, chance float64, passed *Micros) bool {
-	if chance > 0 && now-*passed > forcedTrialInterval {
-		*passed = now
+// dropProbability is that of client-side throttling in the SRE book.
+func dropProbability(requests, allowed float64) float64 {
+	return max(0, (requests-protectedRequests-allowed)/(requests+1))
+}
+
+// breakers draws for the circuit breakers of endpoints and for the error throttle over all of them.
+type breakers struct {
+	*environment
+	recentAttempts decayingAcceptance // attempts that ended, and those throttled
+}
+
+// configure sets the memory of the throttle: within the longest client timeout, all that is sent has its
+// outcome.
+func (k *breakers) configure(s *Settings) {
+	k.recentAttempts.timeConstant = 0
+	for i := range s.Classes {
+		k.recentAttempts.timeConstant = max(k.recentAttempts.timeConstant, s.Classes[i].ClientTimeout)
+	}
+}
+
+// drops draws with this probability; one request is let through now and then.
+func (k *breakers) drops(now Micros, probability float64, lastTrialAt *Micros) bool {
+	if probability > 0 && now-*lastTrialAt > forcedTrialInterval {
+		*lastTrialAt = now
 		return false
 	}
-	return b.random.uniform() < chance
+	return k.random.uniform() < probability
 }
 
-// throttles draws the lot of the error throttle over the whole pool: where each endpoint gets few requests,
-// no breaker of one gets past its protection. An answer beyond its aim is not accepted: it shows overload.
-func (b *Balancer) throttles(now Micros) bool {
-	b.recentAttempts.decay(now)
-	chance := dropProbability(b.recentAttempts.requests, maxK*b.recentAttempts.accepts)
-	throttled := b.drops(now, chance, &b.recentAttempts.lastTrialAt)
-	b.recentAttempts.requests += indicator(throttled)
+// throttle draws for the error throttle over all endpoints: where each endpoint gets few requests, no breaker
+// of one gets past its protected requests. An answer later than its objective is not accepted: it shows
+// overload.
+func (k *breakers) throttle(now Micros) bool {
+	k.recentAttempts.decay(now)
+	probability := dropProbability(k.recentAttempts.requests, maxK*k.recentAttempts.accepts)
+	throttled := k.drops(now, probability, &k.recentAttempts.lastTrialAt)
+	k.recentAttempts.requests += indicator(throttled)
 	return throttled
 }
 
-// breakerAllows draws the breaker's lot for a request; a refusal counts as a request.
-func (b *Balancer) breakerAllows(now Micros, r *request, e *endpoint) bool {
+// allow draws for e's circuit breaker; a request that it drops counts as one.
+func (k *breakers) allow(now Micros, r *request, e *endpoint) bool {
 	timeout := float64(r.class.ClientTimeout)
-	chance := max(e.breaker.errorDropProbability(now), e.breaker.latencyDropProbability(timeout))
-	if b.drops(now, chance, &e.breaker.lastTrialAt) {
+	probability := max(e.breaker.errorDropProbability(now), e.breaker.latencyDropProbability(timeout))
+	if k.drops(now, probability, &e.breaker.lastTrialAt) {
 		e.breaker.count(now, 0, 0)
 		return false
 	}
 	return true
 }
 
-// circuitBreaker holds an endpoint's window of outcomes and its two latency averages.
-type circuitBreaker struct {
-	buckets                     [breakerBuckets]breakerBucket
-	newest                      int64 // number of the newest bucket
-	requests                    int   // over the window
-	accepts                     int
-	baseLatency, currentLatency float64
-	lastTrialAt                 Micros // last forced pass
-}
-
-type breakerBucket struct{ requests, accepts, failures int }
-
-func (k *circuitBreaker) advance(now Micros) *breakerBucket {
-	n := now / (breakerWindow / breakerBuckets)
-	if n-k.newest >= breakerBuckets {
-		k.buckets, k.requests, k.accepts, k.newest = [breakerBuckets]breakerBucket{}, 0, 0, n
-	}
-	for k.newest < n {
-		k.newest++
-		old := &k.buckets[k.newest%breakerBuckets]
-		k.requests -= old.requests
-		k.accepts -= old.accepts
-		*old = breakerBucket{}
+// recordResult counts an attempt for the throttle.
+func (k *breakers) recordResult(now Micros, status Status, inTime bool) {
+	if status != Cancelled && status != NotSent {
+		k.recentAttempts.add(now, inTime)
 	}
-	return &k.buckets[n%breakerBuckets]
 }
 
-// count adds to the newest bucket. Whatever is asked counts as a request.
-func (k *circuitBreaker) count(now Micros, accepts, failures int) {
-	at := k.advance(now)
-	at.requests++
-	at.accepts += accepts
-	at.failures += failures
-	k.requests++
-	k.accepts += accepts
+// recordOutcome counts an attempt for its endpoint's breaker and failure share.
+func (k *breakers) recordOutcome(now Micros, a *attempt, status Status, latency Micros) {
+	e := a.endpoint
+	switch status {
+	case OK:
+		e.breaker.count(now, 1, 0)
+		e.breaker.addLatency(float64(latency))
+		e.recordOutcome(now, false, failureWeight)
+	case Cancelled, NotSent:
+	default:
+		e.breaker.count(now, 0, 1)
+		e.rejectedShare.add(indicator(status == Rejected), rejectedFailureWeight)
+		// A client that had little time left says nothing of the endpoint.
+		hasty := status == Timeout && float64(latency) < overdueFactor*a.predictedLatency
+		if !a.presumedLost && !hasty {
+			k.recordFailure(now, e, status)
+		}
+	}
 }
 
-// addLatency adds one to both averages.
-func (k *circuitBreaker) addLatency(x float64) {
-	if k.baseLatency <= 0 {
-		k.baseLatency, k.currentLatency = x, x
-		return
+// recordFailure counts a failure against e, and logs if that ejects it.
+func (k *breakers) recordFailure(now Micros, e *endpoint, status Status) {
+	weight := failureWeight
+	if status == Reset || status == ConnectFailed || status == Timeout {
+		weight = connectionWeight
 	}
-	divisor := float64(baseRiseDivisor)
-	if x < k.baseLatency {
-		divisor = baseFallDivisor
+	before := e.isEjected(now)
+	e.recordOutcome(now, true, weight)
+	if !before && e.isEjected(now) {
+		k.log(now, "eject", "endpoint %d ejected, %.0f%% of its recent attempts failed", e.ID, 100*e.failureShare)
 	}
-	k.baseLatency = (x + (divisor-1)*k.baseLatency) / divisor
-	k.currentLatency = (x + (currentDivisor-1)*k.currentLatency) / currentDivisor
 }
--- a/balancer/breaker_test.go
+++ b/balancer/breaker_test.go
@@ -103,25 +103,25 @@
 
 func TestForcedPass(t *testing.T) {
 	b, _ := start(t, testSettings(), ready(1))
-	e := b.endpoints[0]
+	e := b.membership.endpoints[0]
 	now := 20 * second
 	for range 1000 {
 		e.breaker.count(now, 0, 1)
 	}
 	r := recordOf(b, Request{})
-	if !b.breakerAllows(now, r, e) {
+	if !b.breakers.allow(now, r, e) {
 		t.Fatal("the first is passed by force")
 	}
 	passed := 0
 	for range 200 {
-		if b.breakerAllows(now+1000, r, e) {
+		if b.breakers.allow(now+1000, r, e) {
 			passed++
 		}
 	}
 	if passed > 20 {
 		t.Errorf("%d of 200 passed an endpoint that fails all", passed)
 	}
-	if !b.breakerAllows(now+forcedTrialInterval+1001, r, e) {
+	if !b.breakers.allow(now+forcedTrialInterval+1001, r, e) {
 		t.Error("none passed after the forced-pass interval")
 	}
 }
@@ -138,7 +138,7 @@
 			b.HandleOutcome(now, Outcome{ID: id, Endpoint: r.sends[n-1].endpoint, Status: EndpointError, Latency: 50})
 		}
 	}
-	if !b.endpoints[0].isEjected(41_000) {
+	if !b.membership.endpoints[0].isEjected(41_000) {
 		t.Fatal("an endpoint that fails all is not ejected")
 	}
 	for e, n := range sends {
@@ -146,7 +146,7 @@
 			t.Errorf("endpoint %d got %d of %d sends", e, n, len(r.sends))
 		}
 	}
-	if b.endpoints[0].isEjected(60 * second) {
+	if b.membership.endpoints[0].isEjected(60 * second) {
 		t.Error("an ejection never ends")
 	}
 }
--- a/balancer/cordon_test.go
+++ b/balancer/cordon_test.go
@@ -58,14 +58,14 @@
 		t.Errorf("%d counted as left out, want 1", s.Cordoned)
 	}
 	b.Cordon(now, 101, false, now)
-	e := b.endpointByID[1]
-	if !e.isWarming(now, b) {
+	e := b.membership.byID[1]
+	if !e.isWarming(now, &b.settings.Contract) {
 		t.Error("it comes back warm")
 	}
 	if to := play(); to[1] == 0 {
 		t.Errorf("after the call back: %v", to)
 	}
-	if b.Cordon(now, 101, false, now); b.endpointByID[1].warmingSince != e.warmingSince {
+	if b.Cordon(now, 101, false, now); b.membership.byID[1].warmingSince != e.warmingSince {
 		t.Error("a call back repeated begins its warm-up anew")
 	}
 }
--- a/balancer/demand.go
+++ b/balancer/demand.go
@@ -2,16 +2,96 @@
 
 import "math"
 
-// Demand: classes and tenants, what is known of each, and what a request of them is worth.
+// Demand: classes and tenants, what is known of each, and the priority of a request.
 
 const (
-	tenantSlack     = 1.25 // refusals below a fifth say nothing of shares
-	worstWindowGain = 4.0  // worth counts more in the worst windows, and those are when requests are refused
+	tenantSlack       = 1.25 // a rejected share below a fifth says nothing of quotas
+	worstWindowGain   = 4.0  // weight counts more in the worst windows, and those are when requests are rejected
+	minWorkShare      = 0.05 // of all work: the least that the goal's worst class is divided by
+	servedInTimeScale = 0.1  // difference in it that lowers a class's part by a factor of e
 )
 
+// demand is what clients ask for: the classes and tenants in force, and the rate of requests.
+type demand struct {
+	*environment
+	classes       []*class // in the order of the settings
+	tenants       []*tenant
+	requestRate   decayingRate
+	rejectedShare ewma // share of requests rejected at arrival
+}
+
+// class is a class with what is known of it. A changed definition makes another class, which shares the
+// statistics of the earlier one of the same name.
+type class struct {
+	Class
+	*classStats
+}
+
+// tenant is a tenant with the rate of its requests.
+type tenant struct {
+	Tenant
+	*decayingRate
+}
+
+// classStats is what a balancer knows of a class.
+type classStats struct {
+	work              ewma // mean service time of a request at an endpoint without load
+	requestRate       decayingRate
+	servedInTime      ewma   // share answered within the latency objective
+	lastTrialAt       Micros // latest request sent as a trial although it seemed too late
+	tooLateSinceTrial int    // requests that seemed too late since then
+}
+
+func newDemand(env *environment) demand {
+	return demand{environment: env, rejectedShare: ewma{initialized: true}}
+}
+
+// configure takes up new classes and tenants. What is known of those of the same names stays.
+func (d *demand) configure(s *Settings) {
+	classes := make([]*class, len(s.Classes))
+	for i, definition := range s.Classes {
+		classes[i] = d.classFor(definition)
+	}
+	tenants := make([]*tenant, len(s.Tenants))
+	for i, definition := range s.Tenants {
+		tenants[i] = &tenant{definition, &decayingRate{}}
+	}
+	rates := make(map[string]*decayingRate, len(d.tenants))
+	for _, t := range d.tenants {
+		rates[t.Name] = t.decayingRate
+	}
+	for _, t := range tenants {
+		if rate, ok := rates[t.Name]; ok {
+			t.decayingRate = rate
+		}
+	}
+	d.classes, d.tenants = classes, tenants
+}
+
+// rate is the rate of requests a second.
+func (d *demand) rate(now Micros) float64 { return d.requestRate.rate(now) }
+
+// rejected is the recent share of requests rejected at arrival.
+func (d *demand) rejected() float64 { return d.rejectedShare.value }
+
+// referenceWork is the mean work of the first class, the unit where no request is at hand.
+func (d *demand) referenceWork() float64 { return d.classes[0].work.value }
+
+// recordArrival counts a request.
+func (d *demand) recordArrival(now Micros, r *request) {
+	d.requestRate.add(now, 1)
+	r.class.requestRate.add(now, 1)
+	if r.tenant != nil {
+		r.tenant.add(now, 1)
+	}
+}
+
+// recordDecision counts whether a request was sent or rejected at arrival.
+func (d *demand) recordDecision(sent bool) { d.rejectedShare.add(indicator(!sent), shareWeight) }
+
 // classNamed returns the class in force of this name, or nil.
-func (b *Balancer) classNamed(name string) *class {
-	for _, c := range b.classes {
+func (d *demand) classNamed(name string) *class {
+	for _, c := range d.classes {
 		if c.Name == name {
 			return c
 		}
@@ -20,8 +100,8 @@
 }
 
 // classFor returns a class as defined, with what is known of the one of its name.
-func (b *Balancer) classFor(definition Class) *class {
-	inForce := b.classNamed(definition.Name)
+func (d *demand) classFor(definition Class) *class {
+	inForce := d.classNamed(definition.Name)
 	switch {
 	case inForce == nil:
 		work := ewma{value: float64(definition.LatencyObjective) / 5, initialized: true}
@@ -32,37 +112,37 @@
 	return &class{definition, inForce.classStats}
 }
 
-// resolveClass returns the class and the tenant that a request names; no class where there is none at its
-// place.
-func (b *Balancer) resolveClass(in *Request) (*class, *tenant) {
+// resolveClass returns the class and the tenant that a request names by position. The class is nil if there
+// is none at its position, the tenant likewise.
+func (d *demand) resolveClass(in *Request) (*class, *tenant) {
 	s := in.ReceivedUnder
 	if s == nil {
-		s = &b.settings
+		s = &d.settings
 	}
 	if int(in.Class) >= len(s.Classes) {
 		return nil, nil
 	}
 	if in.ReceivedUnder == nil {
-		return b.classes[in.Class], b.tenantAt(int(in.Tenant))
+		return d.classes[in.Class], d.tenantAt(int(in.Tenant))
 	}
 	var owner *tenant
 	if int(in.Tenant) < len(s.Tenants) {
-		owner = b.tenantNamed(s.Tenants[in.Tenant].Name)
+		owner = d.tenantNamed(s.Tenants[in.Tenant].Name)
 	}
-	return b.classFor(s.Classes[in.Class]), owner
+	return d.classFor(s.Classes[in.Class]), owner
 }
 
-// tenantAt returns the tenant at a place in the settings in force, or nil.
-func (b *Balancer) tenantAt(place int) *tenant {
-	if place >= len(b.tenants) {
+// tenantAt returns the tenant in force at a position of the settings, or nil.
+func (d *demand) tenantAt(position int) *tenant {
+	if position >= len(d.tenants) {
 		return nil
 	}
-	return b.tenants[place]
+	return d.tenants[position]
 }
 
 // tenantNamed returns the tenant in force of this name, or nil.
-func (b *Balancer) tenantNamed(name string) *tenant {
-	for _, t := range b.tenants {
+func (d *demand) tenantNamed(name string) *tenant {
+	for _, t := range d.tenants {
 		if t.Name == name {
 			return t
 		}
@@ -70,82 +150,61 @@
 	return nil
 }
 
-// class is a class with what is known of it. A changed definition makes another one, which shares the
-// statistics with that of the same name before it.
-type class struct {
-	Class
-	*classStats
-}
-
-// tenant is a tenant with its rate of requests taken.
-type tenant struct {
-	Tenant
-	*decayingRate
-}
-
-// classStats is what a balancer knows of a class.
-type classStats struct {
-	work              ewma         // mean work of a request
-	requestRate       decayingRate // requests taken
-	servedInTime      ewma         // share answered in time
-	lastTrialAt       Micros       // last request sent although it seemed too late
-	tooLateSinceTrial int          // requests that seemed too late since then
-}
-
-// priority ranks r's class, 0 to 1, by the goal's gain from a unit of its work: worth, and more if served
-// worst.
-func (b *Balancer) priority(now Micros, r *request) float64 {
-	var work, worth float64
+// priority ranks r's class and tenant, 0 to 1, by what the goal gains from a unit of work: the priority
+// weight of the class, and more if it is the one served worst.
+func (d *demand) priority(now Micros, r *request) float64 {
+	var work, weight float64
 	worst := 1.0
-	for _, c := range b.classes {
+	for _, c := range d.classes {
 		rate := c.requestRate.rate(now)
 		work += rate * c.work.value
-		worth += rate * b.requestWeight(c)
+		weight += rate * d.requestWeight(c)
 		worst = min(worst, c.servedInTime.or(1))
 	}
-	top, own := 0.0, -1.0 // of a class that is gone
-	for _, c := range b.classes {
-		part := c.requestRate.rate(now) * c.work.value / work
-		goal := b.settings.Goal.Overall + worstWindowGain*b.settings.Goal.WorstWindow
-		v := goal * b.requestWeight(c) / c.work.value * work / worth
-		v += b.settings.Goal.WorstClass / max(0.05, part) * math.Exp((worst-c.servedInTime.or(1))/0.1)
-		top = max(top, v)
+	top, own := 0.0, -1.0 // own stays negative for a class that is no longer in force
+	for _, c := range d.classes {
+		workShare := c.requestRate.rate(now) * c.work.value / work
+		goal := d.settings.Goal.Overall + worstWindowGain*d.settings.Goal.WorstWindow
+		gain := goal * d.requestWeight(c) / c.work.value * work / weight
+		gain += d.settings.Goal.WorstClass / max(minWorkShare, workShare) *
+			math.Exp((worst-c.servedInTime.or(1))/servedInTimeScale)
+		top = max(top, gain)
 		if c.classStats == r.class.classStats {
-			own = v
+			own = gain
 		}
 	}
 	if !(top > 0) || own < 0 {
-		return 1 // no worth was set
+		return 1 // no weight was set
 	}
-	return own / top * b.tenantPriority(now, r)
+	return own / top * d.tenantPriority(now, r)
 }
 
-// tenantPriority ranks r's tenant, 0 to 1, by what a request of it is worth on average against one of the
-// tenant whose are worth most, given how much of a tenant's traffic lies beyond its share. Only this
-// balancer's mix and refusals are known: the whole demand is taken to exceed the sum of the allowances as it
-// exceeds what is let in here. What lowers all alike ranks none: it must not refuse more, and so lower all
+// tenantPriority ranks r's tenant, 0 to 1, by the mean weight of its requests against the tenant whose
+// requests weigh most, given how much of a tenant's traffic exceeds its quota. Only this balancer's mix and
+// rejections are known: the whole demand is taken to exceed the sum of the quotas as it exceeds what is
+// admitted here. What lowers all tenants alike ranks none: it must not reject more requests, and so lower all
 // again.
-func (b *Balancer) tenantPriority(now Micros, r *request) float64 {
+func (d *demand) tenantPriority(now Micros, r *request) float64 {
 	if r.tenant == nil {
 		return 1
 	}
-	var asked, allowed, top float64
-	own := b.settings.OverQuotaWeight // a tenant that is gone has no share any more
-	for _, t := range b.tenants {
-		asked += t.rate(now)
-		allowed += t.QuotaRate
+	var requested, quota, top float64
+	own := d.settings.OverQuotaWeight // a tenant that is no longer in force has no quota
+	for _, t := range d.tenants {
+		requested += t.rate(now)
+		quota += t.QuotaRate
 	}
-	if allowed <= 0 {
+	if quota <= 0 {
 		return 1
 	}
-	for _, t := range b.tenants {
-		inside := 1.0
-		if mine := t.rate(now); mine > 0 {
-			inside = min(1, t.QuotaRate/allowed*asked/mine*(1-b.rejectedShare.value)*tenantSlack)
-			top = max(top, inside+(1-inside)*b.settings.OverQuotaWeight)
+	for _, t := range d.tenants {
+		within := 1.0
+		if rate := t.rate(now); rate > 0 {
+			within = min(1, t.QuotaRate/quota*requested/rate*(1-d.rejectedShare.value)*tenantSlack)
+			top = max(top, within+(1-within)*d.settings.OverQuotaWeight)
 		}
 		if t.decayingRate == r.tenant.decayingRate {
-			own = inside + (1-inside)*b.settings.OverQuotaWeight
+			own = within + (1-within)*d.settings.OverQuotaWeight
 		}
 	}
 	if !(top > 0) {
@@ -154,6 +213,7 @@
 	return own / top
 }
 
-func (b *Balancer) requestWeight(c *class) float64 {
-	return c.PriorityWeight * (1 + (c.work.value-1)*indicator(b.settings.WeightByWork))
+// requestWeight is the weight of a request of a class in the goal.
+func (d *demand) requestWeight(c *class) float64 {
+	return c.PriorityWeight * (1 + (c.work.value-1)*indicator(d.settings.WeightByWork))
 }
--- a/balancer/discovery.go
+++ b/balancer/discovery.go
@@ -1,43 +1,67 @@
 package balancer
 
-const minPollDelay = second / 20 // the shortest pause after a call that failed, about
+// Discovery: when the balancer subscribes to the endpoint list.
 
-func (b *Balancer) schedulePoll(now, delay Micros) {
-	b.nextPollAt = now + delay
-	b.actions.StartTimer(delay, pollTimerToken)
+// minPollDelay is about the shortest delay after a call that failed.
+const minPollDelay = second / 20
+
+// discoveryPoller subscribes to discovery and repeats calls that fail.
+type discoveryPoller struct {
+	*environment
+	subscribed bool
+	nextPollAt Micros // unless subscribed by then
+	lastPollAt Micros
+	backoff    Micros // 0 after a success
 }
 
-// scheduleFirstPoll spreads the first calls: all balancers may start at once.
-func (b *Balancer) scheduleFirstPoll(now Micros) {
-	if b.settings.SubscribeToDiscovery {
-		b.schedulePoll(now, 1+b.random.duration(min(b.settings.Contract.PollInterval/10, NotificationDeadline/6)))
+// start spreads the first calls: all balancers may start at once.
+func (d *discoveryPoller) start(now Micros) {
+	if d.settings.SubscribeToDiscovery {
+		d.schedule(now, 1+d.random.duration(min(d.settings.Contract.PollInterval/10, NotificationDeadline/6)))
 	}
 }
 
-func (b *Balancer) poll(now Micros) {
-	if b.settings.SubscribeToDiscovery && !b.subscribed && now >= b.nextPollAt {
-		b.lastPollAt = now
-		b.actions.Watch(true)
-		// The answer may be lost, and without one we would never hear again.
-		b.schedulePoll(now, 1+NotificationDeadline/2+b.random.duration(NotificationDeadline/10))
+func (d *discoveryPoller) schedule(now, delay Micros) {
+	d.nextPollAt = now + delay
+	d.actions.StartTimer(delay, pollTimerToken)
+}
+
+// poll calls discovery when its time has come, unless subscribed.
+func (d *discoveryPoller) poll(now Micros) {
+	if d.settings.SubscribeToDiscovery && !d.subscribed && now >= d.nextPollAt {
+		d.lastPollAt = now
+		d.actions.Watch(true)
+		// The answer may be lost: without another call, the endpoint list would never change again.
+		d.schedule(now, 1+NotificationDeadline/2+d.random.duration(NotificationDeadline/10))
 	}
 }
 
-// retryPoll asks discovery again with a growing, random delay, but in time for NotificationDeadline.
-func (b *Balancer) retryPoll(now Micros) {
-	if b.settings.SubscribeToDiscovery {
-		first := b.settings.Contract.PollInterval / 20
-		if b.subscribed {
-			first = min(first, max(b.settings.Contract.DrainGrace/4, minPollDelay))
-		}
-		if b.pollBackoff = min(2*b.pollBackoff, b.settings.Contract.PollInterval/4); b.pollBackoff == 0 {
-			b.pollBackoff = first
-		}
-		used := min(now-b.lastPollAt, DiscoveryCallTimeout)
-		if b.subscribed {
-			used = WatchDuration + WatchGrace
-		}
-		wait := min(b.pollBackoff, (NotificationDeadline-DiscoveryCallTimeout-used)*2/3)
-		b.schedulePoll(now, 1+wait/2+b.random.duration(wait))
+// succeeded records an answer of discovery.
+func (d *discoveryPoller) succeeded() {
+	if d.settings.SubscribeToDiscovery {
+		d.subscribed, d.backoff = true, 0
+	}
+}
+
+// failed schedules the next call after one that failed, or after a watch that broke. The delay grows and is
+// random, but leaves time to learn of a change by NotificationDeadline.
+func (d *discoveryPoller) failed(now Micros) {
+	wasSubscribed := d.subscribed
+	d.subscribed = false
+	if !d.settings.SubscribeToDiscovery {
+		return
+	}
+	first := d.settings.Contract.PollInterval / 20
+	if wasSubscribed {
+		first = min(first, max(d.settings.Contract.DrainGrace/4, minPollDelay))
+	}
+	if d.backoff = min(2*d.backoff, d.settings.Contract.PollInterval/4); d.backoff == 0 {
+		d.backoff = first
+	}
+	used := min(now-d.lastPollAt, DiscoveryCallTimeout)
+	if wasSubscribed {
+		used = WatchDuration + WatchGrace
 	}
+	wait := min(d.backoff, (NotificationDeadline-DiscoveryCallTimeout-used)*2/3)
+	d.schedule(now, 1+wait/2+d.random.duration(wait))
 }
--- a/balancer/endpoint.go
+++ b/balancer/endpoint.go
@@ -2,70 +2,86 @@
 
 import "math"
 
+const (
+	failureHalfLife       = 3 * second
+	negligibleFailure     = 0.01 // failure share below which it counts as none
+	ejectThreshold        = 0.4  // failure share from which an endpoint is ejected
+	failureWeight         = 0.5  // of the latest outcome in the failure share: healthy endpoints hardly fail
+	connectionWeight      = 0.25 // of a connection failure or timeout: they occur at healthy endpoints, too
+	rejectedFailureWeight = 0.25 // of the latest failure in the share of rejections among them
+)
+
 // endpoint is what a balancer knows of an endpoint.
 type endpoint struct {
 	Endpoint
-	listed       bool // named by the list being read
-	cordoned     bool // left out by hand
-	awaitsTrial  bool // put back by hand, and a request is to show that it serves
-	warming      bool
-	warmingSince Micros  // start of its warm-up
-	warmingWork  float64 // work that it got from us while cold
+	listed       bool // by the list being read
+	cordoned     bool // by operators
+	awaitsTrial  bool // no longer cordoned, and to get one request soon, so that operators see it serve
+	warming      bool // use isWarming
+	warmingSince Micros
+	warmingWork  float64 // work that it got from this balancer while warming up
 
-	inFlight           int    // own attempts without outcome
-	uploading          int    // and those of which the last byte is not out yet
-	lastSentAt         Micros // latest own send
-	lastAnsweredSentAt Micros // latest send of those that were answered
-	lastResponseAt     Micros // latest answer of any kind, also to a probe
+	inFlight           int // own attempts without outcome
+	uploading          int // and those whose last byte is not sent yet
+	lastSentAt         Micros
+	lastAnsweredSentAt Micros // latest sending time of an attempt that was answered
+	lastResponseAt     Micros // of any kind, also to a probe
 	probeInFlight      bool
 	lastProbeAt        Micros
-	hasReport          bool
-	pooled             bool
-	reportedAt         Micros  // latest probe answer with a load figure
-	reportedLoad       float64 // load of others when it answered
-	meanLoad           ewma    // the same over the latest answers
-	inFlightAtReport   int     // own in flight then
 
-	serviceTimeRatio   ewma // time taken per work and crowding
+	hasReport        bool
+	pooled           bool
+	reportedAt       Micros  // latest load report; 0 if a probe failed since
+	reportedLoad     float64 // requests of others then
+	inFlightAtReport int     // own requests then
+	meanLoad         ewma    // of reportedLoad
+
+	serviceTimeRatio   ewma // measured over predicted service time, once warm
 	serviceTimeRatioAt Micros
-	failureShare       float64 // share of failures, recent
+	failureShare       float64 // use currentFailureShare
 	failureShareAt     Micros
-	rejectedShare      ewma // share of the failures that were turned away unseen
+	rejectedShare      ewma // share of the failures that were rejections
 	breaker            circuitBreaker
 }
 
-// reset forgets what is known of e but its listing and what is out there: a new process has none of the old
-// record.
+// reset forgets all but the list entry and what is in flight: a new process shares nothing else with the old.
 func (e *endpoint) reset() {
 	*e = endpoint{
 		Endpoint: e.Endpoint, listed: e.listed, pooled: e.pooled, inFlight: e.inFlight, uploading: e.uploading,
 	}
 }
 
-// usable says whether e may be sent to at all.
+// usable tells whether e may be sent to at all.
 func (e *endpoint) usable() bool { return e.State == Ready && !e.cordoned }
 
-// warmupFraction is the least share of its capacity that e has by now.
-func (e *endpoint) warmupFraction(now Micros, b *Balancer) float64 {
-	if !e.isWarming(now, b) {
-		return 1
+// isWarming tells whether e is in slow start.
+func (e *endpoint) isWarming(now Micros, c *Contract) bool {
+	if e.warming && now-e.warmingSince >= c.SlowStartDuration {
+		e.warming = false
 	}
-	from := b.settings.Contract.SlowStartInitialFraction
-	return from + (1-from)*float64(now-e.warmingSince)/float64(b.settings.Contract.SlowStartDuration)
+	return e.warming
 }
 
-func (e *endpoint) isWarming(now Micros, b *Balancer) bool {
-	if e.warming && now-e.warmingSince >= b.settings.Contract.SlowStartDuration {
-		e.warming = false
+// warmupFraction is the least share of its capacity that e has by now.
+func (e *endpoint) warmupFraction(now Micros, c *Contract) float64 {
+	if !e.isWarming(now, c) {
+		return 1
 	}
-	return e.warming
+	from := c.SlowStartInitialFraction
+	return from + (1-from)*float64(now-e.warmingSince)/float64(c.SlowStartDuration)
 }
 
-// currentFailureShare is the recent share of failures at e; it fades, so that e is tried again.
+// currentFailureShare is the recent share of failures at e. It decays, so that e is tried again.
 func (e *endpoint) currentFailureShare(now Micros) float64 {
-	f := e.failureShare * math.Exp2(-float64(now-e.failureShareAt)/float64(3*second))
-	return f * indicator(f > 0.01) // all but forgotten is forgotten
+	share := e.failureShare * math.Exp2(-float64(now-e.failureShareAt)/float64(failureHalfLife))
+	return share * indicator(share > negligibleFailure)
+}
+
+// recordOutcome updates the failure share by an outcome of this weight.
+func (e *endpoint) recordOutcome(now Micros, failed bool, weight float64) {
+	e.failureShare = (1-weight)*e.currentFailureShare(now) + weight*indicator(failed)
+	e.failureShareAt = now
 }
 
-// isEjected says whether e fails so often of late that it serves only when nothing else is left.
+// isEjected tells whether e is an outlier: it fails so often that it serves only when no other endpoint may.
 func (e *endpoint) isEjected(now Micros) bool { return e.currentFailureShare(now) >= ejectThreshold }
--- a/balancer/estimates.go
+++ b/balancer/estimates.go
@@ -1,121 +1,141 @@
 package balancer
 
-import (
-	"slices"
-)
+import "slices"
 
-// Estimates is what a balancer has found out of the fleet. The next process of the same sidecar goes on from it: to
-// find it out again takes seconds, in which a first slow answer or two pass for what all endpoints are like.
+// Estimates is what a balancer has learned of the fleet. The next process of the same sidecar continues from it: to
+// learn it anew takes seconds, in which the first slow answers would count as typical of all endpoints. The JSON keys are
+// those that processes of earlier versions read.
 type Estimates struct {
-	ServiceTimeRatio float64 `json:"Pace"`
-	QueuedProbeShare float64 `json:"Waits"`
-	LateReportShare  float64 `json:"Lag"`
+	ServiceTimeRatio float64 `json:"Pace"`  // measured over predicted service time, over the fleet
+	QueuedProbeShare float64 `json:"Waits"` // share of probes that queued behind requests
+	LateReportShare  float64 `json:"Lag"`   // share of load reports that came late
 	ReportsLate      bool
 
-	TypicalLoad        float64 `json:"Usual"`
-	TypicalWarmingLoad float64 `json:"UsualCold"`
+	TypicalLoad        float64 `json:"Usual"`     // requests of others at a warm endpoint
+	TypicalWarmingLoad float64 `json:"UsualCold"` // the same at one that is warming up
 
-	WarmingSlowness float64 `json:"Chill"`  // the file keeps the names that processes of earlier versions read
-	WarmingSamples  int     `json:"Chills"` // answers that WarmingSlowness is from
+	WarmingSlowness float64 `json:"Chill"`  // share of the slowness that slow start permits
+	WarmingSamples  int     `json:"Chills"` // latencies that WarmingSlowness is from
 
 	ClassWork     []ClassWorkEstimate   `json:"Works"`
 	ZoneLatencies []ZoneLatencyEstimate `json:"Ways"`
 	Endpoints     []EndpointEstimate
 }
 
-// ClassWorkEstimate is the mean work of a request of a class.
+// ClassWorkEstimate is the mean work of a request of a class, in microseconds of service time.
 type ClassWorkEstimate struct {
 	Class string
 	Work  float64
 }
 
-// ZoneLatencyEstimate is the way to a zone.
+// ZoneLatencyEstimate is the round-trip time to a zone, in microseconds.
 type ZoneLatencyEstimate struct {
 	Zone      uint8
-	Latency   float64 `json:"V"`
-	Deviation float64 `json:"Sway"`
+	Latency   float64 `json:"V"`    // median
+	Deviation float64 `json:"Sway"` // mean distance from it
 }
 
-// EndpointEstimate is what is known of one life of an endpoint.
+// EndpointEstimate is what is known of one process of an endpoint.
 type EndpointEstimate struct {
 	Name             uint64
-	StartTime        Micros
-	MeasuredAt       Micros  `json:"PaceAt"`
-	ServiceTimeRatio float64 `json:"Pace"`
-	MeanLoad         float64 `json:"Mean"`
+	StartTime        Micros  // of the process
+	MeasuredAt       Micros  `json:"PaceAt"` // instant of the latest sample of ServiceTimeRatio
+	ServiceTimeRatio float64 `json:"Pace"`   // measured over predicted service time
+	MeanLoad         float64 `json:"Mean"`   // requests of others there
 }
 
 // Estimates returns what is known by now.
 func (b *Balancer) Estimates() Estimates {
-	l := Estimates{
-		ServiceTimeRatio: b.fleetServiceTimeRatio.value,
-		QueuedProbeShare: b.queuedProbeShare.value, LateReportShare: b.lateReportShare.value, ReportsLate: b.reportsLate,
-		TypicalLoad: b.typicalLoad.value, TypicalWarmingLoad: b.typicalWarmingLoad.value,
-		WarmingSlowness: b.warmingSlowness.value, WarmingSamples: b.warmingSamples,
-	}
-	for _, c := range b.classes {
-		l.ClassWork = append(l.ClassWork, ClassWorkEstimate{c.Name, c.work.value})
-	}
-	for zone := range b.zoneLatencies {
-		if w := &b.zoneLatencies[zone]; w.count > 0 {
-			l.ZoneLatencies = append(l.ZoneLatencies, ZoneLatencyEstimate{uint8(zone), w.median, w.deviation.value})
-		}
+	var out Estimates
+	b.estimates.export(&out)
+	b.demand.export(&out)
+	b.membership.export(&out)
+	return out
+}
+
+// Restore continues from what another process of this sidecar knew. It comes after Start and before any endpoint list.
+// Estimates that are invalid, or of a balancer with no class in common, change nothing.
+func (b *Balancer) Restore(in *Estimates) {
+	known := func(w ClassWorkEstimate) bool { return b.demand.classNamed(w.Class) != nil }
+	if !isPositiveFinite(in.ServiceTimeRatio) || !slices.ContainsFunc(in.ClassWork, known) {
+		return
 	}
-	for _, e := range b.endpoints {
-		if e.serviceTimeRatio.initialized {
-			l.Endpoints = append(l.Endpoints, EndpointEstimate{e.Name, e.StartTime, e.serviceTimeRatioAt, e.serviceTimeRatio.value, e.meanLoad.value})
+	b.estimates.restore(in)
+	b.demand.restore(in)
+	b.membership.restore(in)
+}
+
+func (est *estimator) export(out *Estimates) {
+	out.ServiceTimeRatio = est.fleetServiceTimeRatio.value
+	out.QueuedProbeShare = est.queuedProbeShare.value
+	out.LateReportShare, out.ReportsLate = est.lateReportShare.value, est.reportsLate
+	out.TypicalLoad, out.TypicalWarmingLoad = est.typicalLoad.value, est.typicalWarmingLoad.value
+	out.WarmingSlowness, out.WarmingSamples = est.warmingSlowness.value, est.warmingSamples
+	for zone := range est.zoneLatencies {
+		if z := &est.zoneLatencies[zone]; z.count > 0 {
+			known := ZoneLatencyEstimate{Zone: uint8(zone), Latency: z.median, Deviation: z.deviation.value}
+			out.ZoneLatencies = append(out.ZoneLatencies, known)
 		}
 	}
-	return l
 }
 
-// Restore goes on from what another process of this sidecar knew. It comes after Start and before any list.
-func (b *Balancer) Restore(l *Estimates) {
-	known := func(w ClassWorkEstimate) bool { return b.classNamed(w.Class) != nil }
-	if !isPositiveFinite(l.ServiceTimeRatio) || !slices.ContainsFunc(l.ClassWork, known) {
-		return // of a process that knew nothing, or of other settings
-	}
-	b.fleetServiceTimeRatio = ewma{l.ServiceTimeRatio, true}
-	b.warmingSlowness.value = min(1, max(0, l.WarmingSlowness))
-	b.warmingSamples = max(0, l.WarmingSamples)
-	b.queuedProbeShare = ewma{min(1, max(0, l.QueuedProbeShare)), true}
-	b.lateReportShare.value, b.reportsLate = min(1, max(0, l.LateReportShare)), l.ReportsLate
-	if isPositiveFinite(l.TypicalLoad) {
-		b.typicalLoad.value = l.TypicalLoad
-	}
-	if isPositiveFinite(l.TypicalWarmingLoad) {
-		b.typicalWarmingLoad = cumulativeMean{l.TypicalWarmingLoad, initialTypicalLoadSamples}
+func (est *estimator) restore(in *Estimates) {
+	est.fleetServiceTimeRatio = ewma{in.ServiceTimeRatio, true}
+	est.warmingSlowness.value = clampShare(in.WarmingSlowness)
+	est.warmingSamples = max(0, in.WarmingSamples)
+	est.queuedProbeShare = ewma{clampShare(in.QueuedProbeShare), true}
+	est.lateReportShare.value, est.reportsLate = clampShare(in.LateReportShare), in.ReportsLate
+	if isPositiveFinite(in.TypicalLoad) {
+		est.typicalLoad.value = in.TypicalLoad
 	}
-	for _, w := range l.ClassWork {
-		if c := b.classNamed(w.Class); c != nil && isPositiveFinite(w.Work) {
-			c.work.value = w.Work
-		}
+	if isPositiveFinite(in.TypicalWarmingLoad) {
+		est.typicalWarmingLoad = cumulativeMean{in.TypicalWarmingLoad, initialTypicalLoadSamples}
 	}
-	for _, known := range l.ZoneLatencies {
-		w := &b.zoneLatencies[known.Zone]
+	for _, known := range in.ZoneLatencies {
+		z := &est.zoneLatencies[known.Zone]
 		if !isPositiveFinite(known.Latency) || !isPositiveFinite(known.Deviation) {
 			continue
 		}
-		for range w.samples {
-			w.add(known.Latency)
+		for range z.samples {
+			z.add(known.Latency)
 		}
-		w.deviation.value = known.Deviation
+		z.deviation.value = known.Deviation
 	}
-	b.restored = map[uint64]EndpointEstimate{}
-	for _, e := range l.Endpoints {
-		if isPositiveFinite(e.ServiceTimeRatio) {
-			b.restored[e.Name] = e
+}
+
+func (d *demand) export(out *Estimates) {
+	for _, c := range d.classes {
+		out.ClassWork = append(out.ClassWork, ClassWorkEstimate{c.Name, c.work.value})
+	}
+}
+
+func (d *demand) restore(in *Estimates) {
+	for _, w := range in.ClassWork {
+		if c := d.classNamed(w.Class); c != nil && isPositiveFinite(w.Work) {
+			c.work.value = w.Work
 		}
 	}
 }
 
-// restoreEndpoint takes up what is known of the life of e that is listed now.
-func (b *Balancer) restoreEndpoint(e *endpoint) {
-	if known, ok := b.restored[e.Name]; ok && known.StartTime == e.StartTime {
-		e.serviceTimeRatio, e.serviceTimeRatioAt = ewma{known.ServiceTimeRatio, true}, known.MeasuredAt
-		if isPositiveFinite(known.MeanLoad) {
-			e.meanLoad = ewma{known.MeanLoad, true}
+func (m *membership) export(out *Estimates) {
+	for _, e := range m.endpoints {
+		if e.serviceTimeRatio.initialized {
+			out.Endpoints = append(out.Endpoints, EndpointEstimate{
+				Name: e.Name, StartTime: e.StartTime, MeasuredAt: e.serviceTimeRatioAt,
+				ServiceTimeRatio: e.serviceTimeRatio.value, MeanLoad: e.meanLoad.value,
+			})
 		}
 	}
-	delete(b.restored, e.Name)
 }
+
+func (m *membership) restore(in *Estimates) {
+	m.restored = map[uint64]EndpointEstimate{}
+	for _, e := range in.Endpoints {
+		if isPositiveFinite(e.ServiceTimeRatio) {
+			m.restored[e.Name] = e
+		}
+	}
+}
+
+// clampShare limits a stored share to 0..1.
+func clampShare(v float64) float64 { return min(1, max(0, v)) }
--- a/balancer/estimates_test.go
+++ b/balancer/estimates_test.go
@@ -39,25 +39,25 @@
 	next.Start(now)
 	next.Restore(&l)
 	next.HandleEndpoints(now, ListCached, list)
-	work := next.classes[0].work.value
-	if work != old.classes[0].work.value || next.typicalLoad.value != old.typicalLoad.value || next.zoneLatencies[0].median != old.zoneLatencies[0].median {
-		t.Errorf("work %v, usual load %v, way %v; want %v, %v, %v", work, next.typicalLoad.value, next.zoneLatencies[0].median,
-			old.classes[0].work.value, old.typicalLoad.value, old.zoneLatencies[0].median)
+	work := next.demand.classes[0].work.value
+	if work != old.demand.classes[0].work.value || next.estimates.typicalLoad.value != old.estimates.typicalLoad.value || next.estimates.zoneLatencies[0].median != old.estimates.zoneLatencies[0].median {
+		t.Errorf("work %v, usual load %v, way %v; want %v, %v, %v", work, next.estimates.typicalLoad.value, next.estimates.zoneLatencies[0].median,
+			old.demand.classes[0].work.value, old.estimates.typicalLoad.value, old.estimates.zoneLatencies[0].median)
 	}
 	seen := 0
 	for id := uint32(1); id <= 3; id++ {
-		was, is := old.endpointByID[id].currentServiceTimeRatio(now, old), next.endpointByID[id].currentServiceTimeRatio(now, next)
+		was, is := old.estimates.serviceTimeRatio(now, old.membership.byID[id]), next.estimates.serviceTimeRatio(now, next.membership.byID[id])
 		if math.Abs(was-is) > 1e-9 {
 			t.Errorf("pace of endpoint %d: %v, was %v", id, is, was)
 		}
-		if old.endpointByID[id].serviceTimeRatio.initialized {
+		if old.membership.byID[id].serviceTimeRatio.initialized {
 			seen++
 		}
 	}
 	if seen < 2 {
 		t.Error("few endpoints have a pace: the test shows little")
 	}
-	if next.endpointByID[4].serviceTimeRatio.initialized {
+	if next.membership.byID[4].serviceTimeRatio.initialized {
 		t.Error("a new life goes by the old one's pace")
 	}
 }
@@ -70,10 +70,10 @@
 		"endless": {ServiceTimeRatio: math.Inf(1), ClassWork: unknown}, "no work": {ServiceTimeRatio: 1, ClassWork: unknown, WarmingSlowness: 9},
 	} {
 		b, _ := start(t, testSettings(), ready(2))
-		work := b.classes[0].work.value
+		work := b.demand.classes[0].work.value
 		b.Restore(&l)
-		if b.classes[0].work.value != work || b.warmingSlowness.value > 1 || !isPositiveFinite(b.fleetServiceTimeRatio.or(1)) {
-			t.Errorf("%s: work %v, coldSlowness %v, pace %v", name, b.classes[0].work.value, b.warmingSlowness.value, b.fleetServiceTimeRatio.value)
+		if b.demand.classes[0].work.value != work || b.estimates.warmingSlowness.value > 1 || !isPositiveFinite(b.estimates.fleetServiceTimeRatio.or(1)) {
+			t.Errorf("%s: work %v, coldSlowness %v, pace %v", name, b.demand.classes[0].work.value, b.estimates.warmingSlowness.value, b.estimates.fleetServiceTimeRatio.value)
 		}
 	}
 }
@@ -81,16 +81,16 @@
 // The next process may know the classes in another order, and others beside them.
 func TestLearnedWorksGoByName(t *testing.T) {
 	b, _ := start(t, testSettings(), ready(2))
-	for i, c := range b.classes {
+	for i, c := range b.demand.classes {
 		c.work.value = float64(i + 1)
 	}
-	b.fleetServiceTimeRatio.add(1, 1)
+	b.estimates.fleetServiceTimeRatio.add(1, 1)
 	l := b.Estimates()
 	s := testSettings()
 	s.Classes = []Class{{Name: "new", LatencyObjective: 500, ClientTimeout: second}, s.Classes[4], s.Classes[0]}
 	next, _ := start(t, s, ready(2))
 	next.Restore(&l)
-	if got := [...]float64{next.classes[0].work.value, next.classes[1].work.value, next.classes[2].work.value}; got != [...]float64{100, 5, 1} {
+	if got := [...]float64{next.demand.classes[0].work.value, next.demand.classes[1].work.value, next.demand.classes[2].work.value}; got != [...]float64{100, 5, 1} {
 		t.Errorf("works of new, write and read: %v, want 100, 5 and 1", got)
 	}
 }
--- a/balancer/helpers_test.go
+++ b/balancer/helpers_test.go
@@ -107,6 +107,6 @@
 
 // recordOf is the record of a request that the balancer has not been told of.
 func recordOf(b *Balancer, in Request) *request {
-	class, tenant := b.resolveClass(&in)
+	class, tenant := b.demand.resolveClass(&in)
 	return &request{Request: in, class: class, idempotency: class.Idempotency, tenant: tenant}
 }
--- a/balancer/ledger.go
+++ b/balancer/ledger.go
@@ -1,170 +1,126 @@
 package balancer
 
-import "slices"
+// The request ledger. Every attempt, rejection and failure leaves through send, reject and fail: they alone
+// keep the rules, and no policy can bypass them.
 
-// The request ledger. Every send, refusal and failure leaves through send, refuse and fail: they alone keep
-// the rules, and no policy can get round them.
+// servedInTimeWeight is the weight of the latest request in its class's share served in time.
+const servedInTimeWeight = 0.02
 
-// finish marks that the final answer is out; the record stays for late outcomes.
-func (b *Balancer) finish(r *request) {
-	if !r.answered {
-		r.class.servedInTime.add(r.servedInTime, 0.02)
-		r.answered = true
-		b.stopAwaiting(r)
-		b.openRequests--
-		for i := range r.attempts {
-			if r.attempts[i].inFlight && b.settings.Limits.CancelAttempts {
-				b.actions.Cancel(r.ID, i)
-			}
-		}
-	}
-	if r.inFlight == 0 && b.requests[r.ID] == r {
-		delete(b.requests, r.ID)
-		b.freeRequests = append(b.freeRequests, r)
-	}
-}
+// ledger holds every request that has an attempt in flight or lacks its final answer.
+type ledger struct {
+	*environment
+	demand    *demand
+	slowStart *slowStart
+	estimates *estimator
+	waiting   *waitlist
 
-// maySend says whether the rules allow an attempt at e now.
-func (b *Balancer) maySend(now Micros, r *request, e *endpoint) bool {
-	mayHedge := b.settings.Limits.HedgedRequests && !r.StreamingBody
-	if r.answered || r.streaming || r.bodyConsumed || r.hasPendingAttempt(mayHedge) || now >= r.Deadline ||
-		len(r.attempts) >= b.settings.Limits.MaxAttempts || !e.usable() {
-		return false
-	}
-	if e.isWarming(now, b) && !b.warmingMayServe(now, e, r.work) {
-		return false
-	}
-	c, first := r.class, r.firstExecuted()
-	return first == nil || r.idempotency == Idempotent ||
-		r.idempotency == IdempotentWithKey && now < b.latestStart(r, e) &&
-			(c.DeduplicationScope == ScopeAll || c.DeduplicationScope == ScopeZone && e.Zone == first.zone ||
-				c.DeduplicationScope == ScopeCell && e.Cell == first.cell)
+	requests map[uint64]*request // by ID
+	slots    []*request          // every record, by timer slot
+	free     []*request          // records to use again
+	open     int                 // requests without final answer
 }
 
-// latestStart is the instant up to which an attempt at e may begin, or 0 where only the deadline counts: a
-// keyed repeat, which may wait for a connection, has to arrive while its group still drops it.
-func (b *Balancer) latestStart(r *request, e *endpoint) Micros {
-	first := r.firstExecuted()
-	if first == nil || r.idempotency != IdempotentWithKey {
-		return 0
-	}
-	return first.sentAt + r.class.DeduplicationWindow - Micros(b.zoneLatencies[e.Zone].median)
-}
+// lookup returns the request of this ID, or nil.
+func (l *ledger) lookup(id uint64) *request { return l.requests[id] }
 
-func (b *Balancer) mayReject(r *request) bool {
-	return r.idempotency == Idempotent || r.firstExecuted() == nil ||
-		r.idempotency == IdempotentWithKey && r.class.DeduplicationScope == ScopeAll
+// byToken returns the request whose timers have this token, or nil.
+func (l *ledger) byToken(token uint32) *request {
+	slot := int(token&(1<<slotBits-1)) - firstRequestToken
+	if token < firstRequestToken || slot < 0 || slot >= len(l.slots) || l.slots[slot].timerToken != token {
+		return nil
+	}
+	return l.slots[slot]
 }
 
-// restrictIdempotency has the class in force hold for what is not sent yet of r, which in all else keeps the
-// one that it began under. Where that permitted more, r may lack the key by which endpoints drop a repeat:
-// none may begin any more. Of several attempts that may run, those that have not begun are withdrawn.
-func (b *Balancer) restrictIdempotency(r *request) (withdrawn []AttemptID) {
-	if c := b.classNamed(r.class.Name); c != nil && c.Idempotency > r.idempotency {
-		r.idempotency = NonIdempotent
-	}
-	if r.idempotency != NonIdempotent || r.executedAttempts() < 2 {
+// full tells whether more requests are open than permitted.
+func (l *ledger) full() bool { return l.open > l.settings.Limits.MaxOpenRequests }
+
+// newRequest returns the record of a request, or nil if its class is unknown.
+func (l *ledger) newRequest(now Micros, in Request) *request {
+	c, t := l.demand.resolveClass(&in)
+	if c == nil {
 		return nil
 	}
-	for i := range r.attempts {
-		if r.attempts[i].inFlight {
-			withdrawn = append(withdrawn, AttemptID{r.ID, i})
+	var r *request
+	if n := len(l.free); n > 0 {
+		r, l.free = l.free[n-1], l.free[:n-1]
+	} else {
+		r = &request{timerToken: uint32(len(l.slots) + firstRequestToken)}
+		l.slots = append(l.slots, r)
+	}
+	// The high bits count uses of the slot, so that a timer of an earlier use finds nothing.
+	r.timerToken += 1 << slotBits
+	underEarlierSettings := in.ReceivedUnder != nil
+	in.ReceivedUnder = nil // a free record must not keep old settings alive
+	*r = request{
+		Request: in, class: c, idempotency: c.Idempotency, tenant: t, timerToken: r.timerToken, arrivedAt: now,
+		attempts: r.attempts[:0], awaitedEndpoints: r.awaitedEndpoints[:0],
+	}
+	if underEarlierSettings {
+		l.restrictIdempotency(r)
+	}
+	l.requests[in.ID] = r
+	l.open++
+	return r
+}
+
+// finish marks that the final answer is given; the record stays for outcomes still to come.
+func (l *ledger) finish(r *request) {
+	if !r.answered {
+		r.class.servedInTime.add(r.servedInTime, servedInTimeWeight)
+		r.answered = true
+		l.waiting.remove(r)
+		l.open--
+		for i := range r.attempts {
+			if r.attempts[i].inFlight && l.settings.Limits.CancelAttempts {
+				l.actions.Cancel(r.ID, i)
+			}
 		}
 	}
-	return withdrawn
+	if r.inFlight == 0 && l.requests[r.ID] == r {
+		delete(l.requests, r.ID)
+		l.free = append(l.free, r)
+	}
 }
 
 // send starts an attempt if the rules allow it.
-func (b *Balancer) send(now Micros, r *request, e *endpoint) bool {
-	if !b.maySend(now, r, e) {
+func (l *ledger) send(now Micros, r *request, e *endpoint) bool {
+	if !l.maySend(now, r, e) {
 		return false
 	}
-	cold := e.isWarming(now, b)
-	if cold {
-		b.warmingTokens -= r.work * warmingCharge
-		e.warmingWork += r.work * warmingCharge
-		e.awaitsTrial = false
-		b.nextWarming = nil
-		b.stats.WarmingAttempts++
+	warming := e.isWarming(now, &l.settings.Contract)
+	if warming {
+		l.slowStart.charge(e, r.work)
+		l.stats.WarmingAttempts++
 	}
-	latest := b.latestStart(r, e)
+	latest := l.latestStart(r, e)
 	a := attempt{
-		endpoint: e, zone: e.Zone, cell: e.Cell, sentAt: now, warming: cold,
-		predictedLatency: b.predictLatency(now, e, r.work),
-		predictedWithoutTrend: b.zoneLatencies[e.Zone].median +
-			r.work*e.currentServiceTimeRatio(now, b)*b.queueingFactor(now, e),
-		queueingFactor: b.queueingFactor(now, e),
-		inFlight:       true, mayHaveExecuted: true, bodyWritten: !r.StreamingBody,
+		endpoint: e, zone: e.Zone, cell: e.Cell, sentAt: now, warming: warming,
+		predictedLatency:      l.estimates.latency(now, e, r.work),
+		predictedWithoutTrend: l.estimates.latencyWithoutTrend(now, e, r.work),
+		queueingFactor:        l.estimates.queueingFactor(now, e),
+		inFlight:              true, mayHaveExecuted: true, bodyWritten: !r.StreamingBody,
 	}
 	overdue := max(overdueFactor*a.predictedLatency, minOverdueShare*float64(r.class.LatencyObjective))
 	a.overdueAt = now + Micros(overdue)
 	r.attempts = append(r.attempts, a)
 	r.inFlight++
 	if e.lastSentAt = now; r.StreamingBody {
-		e.uploading++ // the endpoint begins it with its last byte
+		e.uploading++ // the endpoint begins the request with its last byte
 	} else {
 		e.inFlight++
 	}
-	b.stats.Attempts++
-	b.sentWorkRate.add(now, r.work)
-	b.actions.Send(r.ID, e.ID, latest)
+	l.stats.Attempts++
+	l.slowStart.recordSend(now, r.work)
+	l.actions.Send(r.ID, e.ID, latest)
 	if len(r.attempts) == 1 {
-		b.actions.StartTimer(max(1, r.Deadline-now), r.timerToken)
-	}
-	if b.lostAttemptShare.value >= minLostShare && a.overdueAt+Micros(a.predictedLatency) < r.Deadline {
-		b.actions.StartTimer(a.overdueAt-now, r.timerToken)
+		l.actions.StartTimer(max(1, r.Deadline-now), r.timerToken)
 	}
 	return true
 }
 
-// reject gives the final answer "refused" where that is true, else "failed".
-func (b *Balancer) reject(now Micros, r *request) {
-	if r.answered || !b.mayReject(r) {
-		b.fail(r)
-		return
-	}
-	var after Micros
-	if b.settings.Limits.RetryAfter {
-		// Spread the returns, and let them come while an answer is still wanted.
-		spread := (0.1 + 0.2*b.random.uniform()) * float64(r.class.LatencyObjective)
-		after = min(Micros(spread), b.settings.Limits.MaxRetryAfter)
-	}
-	b.stats.Rejected++
-	b.actions.Reject(r.ID, after)
-	b.finish(r)
-}
-
-func (b *Balancer) fail(r *request) {
-	if !r.answered {
-		b.stats.Failed++
-		b.actions.Fail(r.ID)
-		b.finish(r)
-	}
-}
-
-// HandleClientGone handles a client that left before its final answer.
-func (b *Balancer) HandleClientGone(now Micros, id uint64) {
-	if r := b.requests[id]; r != nil {
-		b.finish(r)
-	}
-}
-
-// HandleHeaders handles the start of a streamed answer: no deadline and no attempt concern it from here on.
-func (b *Balancer) HandleHeaders(now Micros, id uint64, attempt int, latency Micros) {
-	r := b.requests[id]
-	if r == nil || r.answered || attempt < 0 || attempt >= len(r.attempts) {
-		return
-	}
-	r.streaming = true
-}
-
-// HandleBodyWritten handles the last byte of a request that is passed on while it comes: its time counts from
-// here.
-func (b *Balancer) HandleBodyWritten(now Micros, id uint64, deadline Micros) {
-	r := b.requests[id]
-	if r == nil || r.answered || len(r.attempts) == 0 {
-		return
-	}
+// bodyWritten records the last byte of a streamed request body. The body can't be sent again.
+func (l *ledger) bodyWritten(now Micros, r *request, deadline Micros) {
 	r.arrivedAt, r.Deadline, r.bodyConsumed = now, deadline, true
 	a := &r.attempts[len(r.attempts)-1]
 	if a.inFlight && !a.bodyWritten {
@@ -173,42 +129,56 @@
 		a.endpoint.inFlight++
 	}
 	a.sentAt, a.overdueAt = now, a.overdueAt+now-a.sentAt
-	b.actions.StartTimer(max(1, deadline-now), r.timerToken)
+	l.actions.StartTimer(max(1, deadline-now), r.timerToken)
 }
 
-// newRequest returns the record of a request, or nil if its class is not known.
-func (b *Balancer) newRequest(now Micros, in Request) *request {
-	c, t := b.resolveClass(&in)
-	if c == nil {
-		return nil
-	}
-	var r *request
-	if n := len(b.freeRequests); n > 0 {
-		r, b.freeRequests = b.freeRequests[n-1], b.freeRequests[:n-1]
+// endAttempt records that an attempt has ended. It returns nil if no such attempt is in flight.
+func (l *ledger) endAttempt(now Micros, o *Outcome) (*request, *attempt) {
+	r := l.lookup(o.ID)
+	if r == nil || o.Attempt < 0 || o.Attempt >= len(r.attempts) || !r.attempts[o.Attempt].inFlight {
+		return nil, nil
+	}
+	a := &r.attempts[o.Attempt]
+	a.inFlight = false
+	r.inFlight--
+	r.bodyConsumed = r.bodyConsumed || o.BodyConsumed
+	if a.bodyWritten {
+		a.endpoint.inFlight--
 	} else {
-		r = &request{timerToken: uint32(len(b.requestSlots) + firstRequestToken)}
-		b.requestSlots = append(b.requestSlots, r)
+		a.endpoint.uploading--
 	}
-	// The high bits count uses of the slot, so that an old timer finds nothing.
-	r.timerToken += 1 << slotBits
-	changed := in.ReceivedUnder != nil
-	in.ReceivedUnder = nil // or a record that waits to be used again would keep old settings
-	*r = request{
-		Request: in, class: c, idempotency: c.Idempotency, tenant: t, timerToken: r.timerToken, arrivedAt: now,
-		attempts: r.attempts[:0], awaitedEndpoints: r.awaitedEndpoints[:0],
+	if o.Status == Rejected || o.Status == ConnectFailed || o.Status == NotSent {
+		a.mayHaveExecuted = false
 	}
-	if changed {
-		b.restrictIdempotency(r)
+	if responded(o.Status) {
+		a.endpoint.lastResponseAt = now
+		a.endpoint.lastAnsweredSentAt = max(a.endpoint.lastAnsweredSentAt, a.sentAt)
 	}
-	b.requests[in.ID] = r
-	b.openRequests++
-	return r
+	return r, a
+}
+
+// reject gives the final answer "rejected" where that is true, else "failed".
+func (l *ledger) reject(r *request) {
+	if r.answered || !l.mayReject(r) {
+		l.fail(r)
+		return
+	}
+	var retryAfter Micros
+	if l.settings.Limits.RetryAfter {
+		// The retries are spread, and come while an answer is still wanted.
+		spread := (0.1 + 0.2*l.random.uniform()) * float64(r.class.LatencyObjective)
+		retryAfter = min(Micros(spread), l.settings.Limits.MaxRetryAfter)
+	}
+	l.stats.Rejected++
+	l.actions.Reject(r.ID, retryAfter)
+	l.finish(r)
 }
 
-// stopAwaiting ends r's wait for probes.
-func (b *Balancer) stopAwaiting(r *request) {
-	if r.awaitingProbes {
-		r.awaitingProbes, r.awaitedEndpoints = false, r.awaitedEndpoints[:0]
-		b.awaitingProbes = slices.DeleteFunc(b.awaitingProbes, func(h *request) bool { return h == r })
+// fail gives the final answer "failed".
+func (l *ledger) fail(r *request) {
+	if !r.answered {
+		l.stats.Failed++
+		l.actions.Fail(r.ID)
+		l.finish(r)
 	}
 }
--- a/balancer/membership.go
+++ b/balancer/membership.go
@@ -2,127 +2,138 @@
 
 import "slices"
 
-// Membership: the endpoints that discovery names or operators leave out, and when discovery is called.
-
-// HandleEndpoints handles discovery's news.
-func (b *Balancer) HandleEndpoints(now Micros, kind ListUpdate, entries []Endpoint) {
-	if kind == ListFailed {
-		b.log(now, "discovery", "discovery call failed or watch broken; keeping the endpoint list and retrying")
-		b.retryPoll(now)
-		b.subscribed = false
-		return
-	}
-	if kind != ListCached && b.settings.SubscribeToDiscovery {
-		b.subscribed, b.pollBackoff = true, 0
+// Membership: the endpoints that discovery lists, and those that operators cordoned.
+
+// membership is the set of known endpoints.
+type membership struct {
+	*environment
+	endpoints         []*endpoint // in the order first listed
+	byID              map[uint32]*endpoint
+	cordoned          map[uint64]bool             // by name
+	restored          map[uint64]EndpointEstimate // estimates of an earlier process by name, until listed
+	removedStartTimes map[uint64]Micros           // start times of removed endpoints, by name
+	listReceived      bool                        // discovery has answered since the start
+	listReceivedAt    Micros                      // when it last did; 0 before
+	maxWeight         float64                     // largest weight ever listed
+}
+
+// maxRemovedEndpoints bounds removedStartTimes.
+const maxRemovedEndpoints = 4096
+
+func newMembership(env *environment) membership {
+	return membership{
+		environment: env, byID: map[uint32]*endpoint{}, cordoned: map[uint64]bool{},
+		removedStartTimes: map[uint64]Micros{},
 	}
-	whole := kind != ListDelta
-	for _, e := range b.endpoints {
+}
+
+// all returns the known endpoints. The caller must not change the slice.
+func (m *membership) all() []*endpoint { return m.endpoints }
+
+// largestWeight returns the largest weight ever listed.
+func (m *membership) largestWeight() float64 { return m.maxWeight }
+
+// lookup returns the endpoint of this ID, or nil.
+func (m *membership) lookup(id uint32) *endpoint { return m.byID[id] }
+
+// setCordoned records whether endpoints of this name are cordoned, for those that are listed later.
+func (m *membership) setCordoned(name uint64, cordoned bool) { m.cordoned[name] = cordoned }
+
+// beginUpdate prepares for the entries of a list.
+func (m *membership) beginUpdate() {
+	for _, e := range m.endpoints {
 		e.listed = false
 	}
-	// A thousand balancers that each probed all that is new would fill it with probes alone.
-	few := b.settings.Balancers <= max(len(b.endpoints), len(entries))
-	for i := range entries {
-		b.updateEndpoint(now, &entries[i], few)
+}
+
+// update takes over an entry of a list. newProcess tells whether it names an endpoint or a process of it that
+// was not known, which started at startTime, or long ago if that is 0.
+func (m *membership) update(now Micros, in *Endpoint) (e *endpoint, startTime Micros, newProcess bool) {
+	e = m.byID[in.ID]
+	added := e == nil
+	if added {
+		e = &endpoint{}
+		m.byID[in.ID] = e
+		m.endpoints = append(m.endpoints, e)
+	}
+	restarted := !added && in.StartTime != 0 && in.StartTime != e.StartTime
+	if restarted {
+		e.reset()
+	}
+	e.cordoned = m.cordoned[in.Name]
+	startTime = in.StartTime
+	if startTime == 0 && added && m.listReceived {
+		startTime = now // it appeared while subscribed
+	} else if startTime != 0 && (added || restarted) {
+		startTime = m.effectiveStartTime(now, in)
+	}
+	if e.Endpoint, e.listed = *in, true; added {
+		m.restoreEndpoint(e)
 	}
-	b.endpoints = slices.DeleteFunc(b.endpoints, func(e *endpoint) bool {
-		if whole && !e.listed {
+	m.maxWeight = max(m.maxWeight, float64(e.Weight))
+	return e, startTime, added || restarted
+}
+
+// endUpdate removes endpoints that are gone, after the entries of a list.
+func (m *membership) endUpdate(now Micros, kind ListUpdate) {
+	complete := kind != ListDelta
+	m.endpoints = slices.DeleteFunc(m.endpoints, func(e *endpoint) bool {
+		if complete && !e.listed {
 			e.State = Removed
 		}
-		return b.forgetIfRemoved(e)
+		return m.forgetIfRemoved(e)
 	})
-	b.listReceived = b.listReceived || kind != ListCached || !b.settings.SubscribeToDiscovery
+	m.listReceived = m.listReceived || kind != ListCached || !m.settings.SubscribeToDiscovery
 	if kind != ListCached {
-		b.listReceivedAt = now
+		m.listReceivedAt = now
+	}
+}
+
+// dropIfRemoved drops a removed endpoint whose last attempt has ended.
+func (m *membership) dropIfRemoved(removed *endpoint) {
+	if m.forgetIfRemoved(removed) {
+		m.endpoints = slices.DeleteFunc(m.endpoints, func(e *endpoint) bool { return e == removed })
 	}
 }
 
-// forgetIfRemoved drops an endpoint that is gone with nothing out there, and says so.
-func (b *Balancer) forgetIfRemoved(e *endpoint) bool {
+// forgetIfRemoved forgets a removed endpoint that has no attempt in flight, and reports whether it did.
+func (m *membership) forgetIfRemoved(e *endpoint) bool {
 	forget := e.State == Removed && e.inFlight+e.uploading == 0
-	if forget && b.endpointByID[e.ID] == e {
-		delete(b.endpointByID, e.ID)
-		b.rememberStartTime(e)
+	if forget && m.byID[e.ID] == e {
+		delete(m.byID, e.ID)
+		m.rememberStartTime(e)
 	}
 	return forget
 }
 
-// maxRemovedEndpoints bounds how many endpoints that are gone are remembered.
-const maxRemovedEndpoints = 4096
-
-// rememberStartTime keeps the start of an endpoint that is gone: it may come back as the process that it was.
-func (b *Balancer) rememberStartTime(e *endpoint) {
-	if len(b.removedStartTimes) >= maxRemovedEndpoints {
-		clear(b.removedStartTimes)
+// rememberStartTime keeps the start time of a removed endpoint: it may return as the same process.
+func (m *membership) rememberStartTime(e *endpoint) {
+	if len(m.removedStartTimes) >= maxRemovedEndpoints {
+		clear(m.removedStartTimes)
 	}
-	b.removedStartTimes[e.Name] = e.StartTime
+	m.removedStartTimes[e.Name] = e.StartTime
 }
 
-// effectiveStartTime is when an endpoint that is new here, or was restarted, started. What a list says of
-// that is by a clock that may have been stepped: one that was not in the list before can't have been warm
-// then, unless it is one that had left.
-func (b *Balancer) effectiveStartTime(now Micros, in *Endpoint) Micros {
-	since, known := b.removedStartTimes[in.Name]
-	returned := known && since == in.StartTime
-	warmAt := b.listReceivedAt - b.settings.Contract.SlowStartDuration
-	if b.listReceivedAt > 0 && !returned && in.StartTime < warmAt {
+// effectiveStartTime returns when an endpoint that is new here, or was restarted, started. The listed time is
+// by a clock that may have been stepped: an endpoint that was not in the list before can't have been warm
+// then, unless it is a process that had left the list.
+func (m *membership) effectiveStartTime(now Micros, in *Endpoint) Micros {
+	removed, known := m.removedStartTimes[in.Name]
+	returned := known && removed == in.StartTime
+	warmSince := m.listReceivedAt - m.settings.Contract.SlowStartDuration
+	if m.listReceivedAt > 0 && !returned && in.StartTime < warmSince {
 		return now
 	}
 	return in.StartTime
 }
 
-func (b *Balancer) updateEndpoint(now Micros, in *Endpoint, probe bool) {
-	e := b.endpointByID[in.ID]
-	fresh := e == nil
-	if fresh {
-		e = &endpoint{}
-		b.endpointByID[in.ID] = e
-		b.endpoints = append(b.endpoints, e)
-	}
-	restarted := !fresh && in.StartTime != 0 && in.StartTime != e.StartTime
-	if restarted {
-		e.reset()
-	}
-	e.cordoned = b.cordoned[in.Name]
-	started := in.StartTime
-	if started == 0 && fresh && b.listReceived {
-		started = now // it appeared while we watched
-	} else if started != 0 && (fresh || restarted) {
-		started = b.effectiveStartTime(now, in)
-	}
-	if e.Endpoint, e.listed = *in, true; fresh {
-		b.restoreEndpoint(e)
-	}
-	b.maxWeight = max(b.maxWeight, float64(e.Weight))
-	if started != 0 && now-started < b.settings.Contract.SlowStartDuration && (fresh || restarted) {
-		b.beginSlowStart(now, e, started)
-	}
-	if probe && (fresh || restarted) {
-		b.probe(now, e)
-	}
-}
-
-// Cordon leaves out every endpoint of this name, whatever discovery says of it, or ends that. What comes back
-// was likely restarted: it begins as a new process, cold since then.
-func (b *Balancer) Cordon(now Micros, name uint64, out bool, since Micros) {
-	b.cordoned[name] = out
-	for _, e := range b.endpoints {
-		if e.Name != name || e.cordoned == out {
-			continue
-		}
-		if e.cordoned = out; !out {
-			e.reset()
-			if now-since < b.settings.Contract.SlowStartDuration {
-				b.beginSlowStart(now, e, since)
-				// Staff wait to see it serve. One request each is soon more than it can bear.
-				c, work := &b.settings.Contract, b.classes[0].work.value
-				n := c.OverloadFactor * c.SlowStartInitialFraction * float64(c.OverloadWindow) / work
-				trials := min(maxTrialBalancers, 1+trialShare*n)
-				e.awaitsTrial = b.random.uniform()*float64(b.settings.Balancers) < trials
-				if e.awaitsTrial {
-					b.warmingTokens = max(b.warmingTokens, 2*warmingCharge*work) // and its probes
-				}
-			}
-			b.probe(now, e)
+// restoreEndpoint takes up the estimates of an earlier balancer process for the same endpoint process.
+func (m *membership) restoreEndpoint(e *endpoint) {
+	if known, ok := m.restored[e.Name]; ok && known.StartTime == e.StartTime {
+		e.serviceTimeRatio, e.serviceTimeRatioAt = ewma{known.ServiceTimeRatio, true}, known.MeasuredAt
+		if isPositiveFinite(known.MeanLoad) {
+			e.meanLoad = ewma{known.MeanLoad, true}
 		}
 	}
+	delete(m.restored, e.Name)
 }
--- a/balancer/membership_test.go
+++ b/balancer/membership_test.go
@@ -11,7 +11,7 @@
 	b.HandleEndpoints(2000, ListDelta, []Endpoint{restarted})
 	b.HandleProbe(3000, 1, OK, 500, []float32{0})
 	pooled := 0
-	for _, e := range b.probePool {
+	for _, e := range b.probes.pool {
 		if e.ID == 1 {
 			pooled++
 		}
@@ -51,7 +51,7 @@
 			b.HandleEndpoints(began+60*second, ListDelta, nil)
 			now := began + 61*second
 			b.HandleEndpoints(now, ListDelta, []Endpoint{c.entry})
-			if got := b.endpointByID[c.entry.ID].isWarming(now, b); got != c.cold {
+			if got := b.membership.byID[c.entry.ID].isWarming(now, &b.settings.Contract); got != c.cold {
 				t.Errorf("cold: %v, want %v", got, c.cold)
 			}
 		})
--- a/balancer/pick.go
+++ b/balancer/pick.go
@@ -2,147 +2,170 @@
 
 import (
 	"math"
-	"slices"
 )
 
 // Endpoint selection.
 
 const (
-	maxRandomDraws    = 8    // random draws before the list is gone through
-	externalityWeight = 0.05 // of the delay that a send is to others there: among equals less load goes first
-	crossZoneWeight   = 2.0  // aims of latency that a crossing's price counts as
-	affinityChoices   = 2    // endpoints at home, and as many elsewhere, that a key names
-	ejectThreshold    = 0.4  // share of failures from which an endpoint is ejected,
-	maxRejectedShare  = 0.5  // and share of turned away among them from which it still goes ahead of a late one
+	maxRandomDraws    = 8    // weighted random draws before the list is gone through
+	externalityWeight = 0.05 // of the delay caused to others: among equals, less load is preferred
+	crossZoneWeight   = 2.0  // latency objectives that the price of crossing zones counts as
+	affinityChoices   = 2    // endpoints of the own zone, and as many of others, that a key names
+	minAffinityWeight = 0.01
+	maxRejectedShare  = 0.5 // of its failures, up to which an ejected endpoint ranks behind a late one
 )
 
-// cost ranks endpoints: predicted latency, and as time a zone crossing's price and a likely failure.
-func (b *Balancer) cost(now Micros, r *request, e *endpoint) float64 {
-	aim := float64(r.class.LatencyObjective)
-	expected := b.predictLatency(now, e, r.work)
-	// An endpoint that only rejects some goes ahead of a late one: what it rejects has not run.
+// picker selects the endpoint of an attempt: of least cost among the pool, the endpoints that the request's
+// key names, the next warming endpoint, or random draws.
+type picker struct {
+	*environment
+	membership *membership
+	probes     *prober
+	slowStart  *slowStart
+	estimates  *estimator
+	ledger     *ledger
+}
+
+// candidate is an endpoint with its cost.
+type candidate struct {
+	endpoint *endpoint
+	cost     float64
+}
+
+// cost ranks endpoints: predicted latency, plus the price of crossing zones and a likely failure as time.
+func (p *picker) cost(now Micros, r *request, e *endpoint) float64 {
+	objective := float64(r.class.LatencyObjective)
+	expected := p.estimates.latency(now, e, r.work)
+	// An endpoint that only rejects some requests ranks before a late one: what it rejects has not executed.
 	ejected := e.isEjected(now) && e.rejectedShare.value < maxRejectedShare
-	late := expected > b.latencyLimit(now, r, e)
-	c := expected + (e.currentFailureShare(now)+indicator(ejected)+indicator(late))*aim
-	c += externalityWeight * r.class.work.value * e.currentServiceTimeRatio(now, b) * b.estimatedLoad(now, e)
-	return c + crossZoneWeight*b.settings.Prices.CrossZone*aim*indicator(int(e.Zone) != b.settings.Zone)
+	late := expected > p.estimates.latencyLimit(now, r, e)
+	c := expected + (e.currentFailureShare(now)+indicator(ejected)+indicator(late))*objective
+	c += externalityWeight * r.class.work.value * p.estimates.serviceTimeRatio(now, e) * p.estimates.load(now, e)
+	return c + crossZoneWeight*p.settings.Prices.CrossZone*objective*indicator(!p.isLocal(e))
+}
+
+// isLocal tells whether e is in the balancer's own zone.
+func (p *picker) isLocal(e *endpoint) bool { return int(e.Zone) == p.settings.Zone }
+
+// mayConsider tells whether r may go to e, which is neither excluded nor was tried.
+func (p *picker) mayConsider(now Micros, r *request, excluded, e *endpoint) bool {
+	return e != excluded && !r.triedAt(e) && p.ledger.maySend(now, r, e)
 }
 
-// randomEndpoint returns a random endpoint that r may and should go to, at home or no farther than far, or
-// nil.
-func (b *Balancer) randomEndpoint(now Micros, r *request, not *endpoint, far float64) *endpoint {
-	n := len(b.endpoints)
-	var last *endpoint
-	at := int(b.random.uniform() * float64(n))
+// randomEndpoint returns a random endpoint that r may go to, of the own zone or within the round trip given
+// if it can be had. Ejected endpoints are returned only if there is no other. It returns nil if there is none
+// at all.
+func (p *picker) randomEndpoint(now Micros, r *request, excluded *endpoint, maxRoundTrip float64) *endpoint {
+	endpoints := p.membership.all()
+	n := len(endpoints)
+	var ejected *endpoint
+	at := int(p.random.uniform() * float64(n))
 	for i := 0; n > 0 && i < maxRandomDraws+n; i++ {
 		if i < maxRandomDraws {
-			at = int(b.random.uniform() * float64(n))
+			at = int(p.random.uniform() * float64(n))
 		}
-		e := b.endpoints[(at+i)%n]
-		// Larger endpoints are drawn more often.
-		away := int(e.Zone) != b.settings.Zone && (far == 0 || b.zoneLatencies[e.Zone].median > far)
-		if i < maxRandomDraws && (away || b.random.uniform()*b.maxWeight > float64(e.Weight)) {
+		e := endpoints[(at+i)%n]
+		// Endpoints are drawn in proportion to their weight.
+		far := !p.isLocal(e) && (maxRoundTrip == 0 || p.estimates.roundTrip(e) > maxRoundTrip)
+		if i < maxRandomDraws && (far || p.random.uniform()*p.membership.largestWeight() > float64(e.Weight)) {
 			continue
 		}
-		if e == not || r.triedAt(e) || !b.maySend(now, r, e) {
+		if !p.mayConsider(now, r, excluded, e) {
 			continue
 		}
 		if !e.isEjected(now) {
 			return e
 		}
-		last = e // ejected endpoints serve only when nothing else is left
+		ejected = e
 	}
-	return last
+	return ejected
 }
 
-// affinityPick returns the endpoint of least cost among the first two that the request's key names, the same
-// at every balancer, else of the next two where the first would be too late, else nil. Where own reports are
-// few, the pool is too old to do better: the first is returned even if late, and the request is refused
-// there.
-func (b *Balancer) affinityPick(now Micros, r *request, not *endpoint) *endpoint {
-	if !b.settings.KeyAffinity || r.Key == 0 {
-		return nil
-	}
-	var top [2 * affinityChoices]candidate // at home and elsewhere
-	for _, e := range b.endpoints {
-		if !e.usable() || e.isEjected(now) || e.isWarming(now, b) {
-			continue // a cold one knows no keys
+// affinityRanking returns the endpoints that a key names by weighted rendezvous hashing, the same at every
+// balancer: first those of the own zone, then those of others.
+func (p *picker) affinityRanking(now Micros, key uint64) (top [2 * affinityChoices]candidate) {
+	for _, e := range p.membership.all() {
+		if !e.usable() || e.isEjected(now) || e.isWarming(now, &p.settings.Contract) {
+			continue // a warming endpoint has met no keys
 		}
-		// The larger an endpoint, the more keys name it.
-		at := candidate{e, -math.Log(uniformHash(r.Key, e.Name)) / max(0.01, float64(e.Weight))}
+		score := -math.Log(uniformHash(key, e.Name)) / max(minAffinityWeight, float64(e.Weight))
+		inserted := candidate{e, score}
 		side := top[:affinityChoices]
-		if int(e.Zone) != b.settings.Zone {
+		if !p.isLocal(e) {
 			side = top[affinityChoices:]
 		}
 		for rank := range side {
-			if at.endpoint != nil && (side[rank].endpoint == nil || at.cost < side[rank].cost) {
-				side[rank], at = at, side[rank]
+			if inserted.endpoint != nil && (side[rank].endpoint == nil || inserted.cost < side[rank].cost) {
+				side[rank], inserted = inserted, side[rank]
 			}
 		}
 	}
+	return top
+}
+
+// affinityPick returns the endpoint of least cost among the first two that the request's key names, or of the
+// next two if the first would be too late, or nil. Where own reports are few, the pool is too old to do
+// better: the first is returned even if late, and the request is rejected there.
+func (p *picker) affinityPick(now Micros, r *request, excluded *endpoint) *endpoint {
+	if !p.settings.KeyAffinity || r.Key == 0 {
+		return nil
+	}
+	top := p.affinityRanking(now, r.Key)
 	var first *endpoint
 	for rank := range affinityChoices {
 		var best candidate
-		for _, e := range [...]*endpoint{top[rank].endpoint, top[affinityChoices+rank].endpoint, b.nextWarming} {
-			b.consider(now, r, not, e, &best)
-		}
-		if e := best.endpoint; e != nil && (b.queueingFactor(now, e) <= 1 ||
-			b.predictLatency(now, e, r.work) <= b.latencyLimit(now, r, e)) {
+		p.consider(now, r, excluded, top[rank].endpoint, &best)
+		p.consider(now, r, excluded, top[affinityChoices+rank].endpoint, &best)
+		p.consider(now, r, excluded, p.slowStart.candidate(), &best)
+		if e := best.endpoint; e != nil && (p.estimates.queueingFactor(now, e) <= 1 ||
+			p.estimates.latency(now, e, r.work) <= p.estimates.latencyLimit(now, r, e)) {
 			return e
 		}
 		if first == nil {
 			first = best.endpoint
 		}
 	}
-	if b.reportsSparse(now) {
+	if p.probes.reportsSparse(now) {
 		return first
 	}
 	return nil
 }
 
-// candidate is the endpoint of the least cost so far.
-type candidate struct {
-	endpoint *endpoint
-	cost     float64
-}
-
-// consider makes e the choice for r if it may be sent to, is not left out and costs less.
-func (b *Balancer) consider(now Micros, r *request, not, e *endpoint, best *candidate) {
-	if e == nil || e == not || r.triedAt(e) || !b.maySend(now, r, e) {
+// consider makes e the best candidate if r may go to it and it costs less.
+func (p *picker) consider(now Micros, r *request, excluded, e *endpoint, best *candidate) {
+	if e == nil || !p.mayConsider(now, r, excluded, e) {
 		return
 	}
-	if c := b.cost(now, r, e); best.endpoint == nil || c < best.cost {
+	if c := p.cost(now, r, e); best.endpoint == nil || c < best.cost {
 		*best = candidate{e, c}
 	}
 }
 
-// pick returns the pooled endpoint of the least cost for r, leaving out those it must not or should not go
-// to; without fresh answers, the better of two random draws.
-func (b *Balancer) pick(now Micros, r *request, not *endpoint) *endpoint {
-	fresh := b.maxReportAge(now, r.class.LatencyObjective)
-	b.refillWarmingTokens(now, r.work)
-	b.probePool = slices.DeleteFunc(b.probePool, func(e *endpoint) bool {
-		e.pooled = e.usable() && now-e.reportedAt <= fresh
-		return !e.pooled
-	})
-	if e := b.nextWarming; e != nil && e.awaitsTrial && e.lastResponseAt > 0 && e != not &&
-		b.maySend(now, r, e) {
-		return e
+// pick returns the endpoint for an attempt of r, or nil if there is none.
+func (p *picker) pick(now Micros, r *request, excluded *endpoint) *endpoint {
+	p.slowStart.refill(now, r.work)
+	pool := p.probes.fresh(now, r.class.LatencyObjective)
+	warming := p.slowStart.candidate()
+	if warming != nil && warming.awaitsTrial && warming.lastResponseAt > 0 && warming != excluded &&
+		p.ledger.maySend(now, r, warming) {
+		return warming
 	}
-	if e := b.affinityPick(now, r, not); e != nil {
+	if e := p.affinityPick(now, r, excluded); e != nil {
 		return e
 	}
 	var best candidate
-	// A random start parts equals: all balancers may hold the same list.
-	for i, at := 0, int(b.random.uniform()*float64(len(b.probePool))); i < len(b.probePool); i++ {
-		b.consider(now, r, not, b.probePool[(at+i)%len(b.probePool)], &best)
+	// The random start decides between equals: all balancers may hold the same list.
+	for i, start := 0, int(p.random.uniform()*float64(len(pool))); i < len(pool); i++ {
+		p.consider(now, r, excluded, pool[(start+i)%len(pool)], &best)
 	}
-	// The cold one whose turn it is competes: seldom drawn, it would stay cold.
-	b.consider(now, r, not, b.nextWarming, &best)
-	// A pool of few would take all: with most endpoints unanswered, the draws compete.
-	if best.endpoint == nil || !b.probePerRequest && 2*len(b.probePool) < len(b.endpoints) {
+	// Seldom drawn, the next warming endpoint would stay cold if it did not compete.
+	p.consider(now, r, excluded, p.slowStart.candidate(), &best)
+	// If the pool holds few of the endpoints, it must not get all requests: random draws compete.
+	small := !p.probes.withRequests() && 2*len(pool) < len(p.membership.all())
+	if best.endpoint == nil || small {
 		for range 2 {
-			b.consider(now, r, not, b.randomEndpoint(now, r, not, float64(r.Deadline)), &best)
+			e := p.randomEndpoint(now, r, excluded, float64(r.Deadline))
+			p.consider(now, r, excluded, e, &best)
 		}
 	}
 	return best.endpoint
--- a/balancer/pick_test.go
+++ b/balancer/pick_test.go
@@ -24,7 +24,7 @@
 	if len(r.sends) != 4 {
 		t.Fatalf("%d sends", len(r.sends))
 	}
-	if got := b.estimatedLoad(2000, b.endpointByID[2]); got != 4 {
+	if got := b.estimates.load(2000, b.membership.byID[2]); got != 4 {
 		t.Errorf("load with own sends: %v", got)
 	}
 }
@@ -58,7 +58,7 @@
 	s := testSettings()
 	b, r := start(t, s, ready(2))
 	b.HandleProbe(1000, 1, OK, 500, []float32{0})
-	now := 1000 + b.maxReportAge(1000, second) + 30*second
+	now := 1000 + b.probes.maxReportAge(1000, second) + 30*second
 	seen := map[uint32]bool{}
 	for id := range uint64(20) {
 		b.HandleRequest(now, request0(id, 0, now))
@@ -75,14 +75,14 @@
 	nan := float32(math.NaN())
 	for _, load := range [][]float32{nil, {}, {nan}, {-3}, {float32(math.Inf(1))}} {
 		b.HandleProbe(1000, 1, OK, 500, load)
-		if b.endpoints[0].hasReport {
+		if b.membership.endpoints[0].hasReport {
 			t.Errorf("report %v taken for a load", load)
 		}
 	}
 	b.HandleProbe(1000, 99, OK, 500, []float32{1}) // unknown endpoint
 	b.HandleProbe(1000, 1, OK, 500, []float32{2, 7, 9})
-	if b.estimatedLoad(1000, b.endpoints[0]) != 2 {
-		t.Errorf("load %v", b.estimatedLoad(1000, b.endpoints[0]))
+	if b.estimates.load(1000, b.membership.endpoints[0]) != 2 {
+		t.Errorf("load %v", b.estimates.load(1000, b.membership.endpoints[0]))
 	}
 }
 
@@ -93,24 +93,24 @@
 	for id := range uint64(3) {
 		b.HandleRequest(1000, request0(id, 0, 1000))
 	}
-	busy := b.endpointByID[r.sends[0].endpoint]
+	busy := b.membership.byID[r.sends[0].endpoint]
 	for i := range Micros(40) {
 		busy.probeInFlight = false
-		b.probe(12_000+i, busy)
+		b.probes.probe(12_000+i, busy)
 		b.HandleProbe(13_000+i, busy.ID, OK, 500, []float32{0})
 	}
-	if !b.reportsLate {
+	if !b.estimates.reportsLate {
 		t.Fatal("not found out")
 	}
-	if got := b.estimatedLoad(14_000, busy); got < float64(busy.inFlight) {
+	if got := b.estimates.load(14_000, busy); got < float64(busy.inFlight) {
 		t.Errorf("load %v is under own in-flight %d", got, busy.inFlight)
 	}
 	for i := range Micros(400) {
 		busy.probeInFlight = false
-		b.probe(14_000+i, busy)
+		b.probes.probe(14_000+i, busy)
 		b.HandleProbe(15_000+i, busy.ID, OK, 500, []float32{5})
 	}
-	if b.reportsLate {
+	if b.estimates.reportsLate {
 		t.Error("not left again")
 	}
 }
@@ -123,7 +123,7 @@
 		from, to int
 	}{{second / 100, 3, 6}, {second, 28, 33}} {
 		b, r := start(t, testSettings(), ready(1))
-		b.classes[0].work.value = float64(100 * second)
+		b.demand.classes[0].work.value = float64(100 * second)
 		for i := range uint64(300) {
 			now := 10*second + Micros(i)*c.gap
 			b.HandleRequest(now, request0(i, 0, now))
@@ -179,17 +179,17 @@
 	s.Tenants = []Tenant{{Name: "a", QuotaRate: 50}, {Name: "b", QuotaRate: 50}}
 	b, _ := start(t, s, ready(2))
 	for i := range Micros(100) {
-		b.tenants[0].add(i*1000, 1)
+		b.demand.tenants[0].add(i*1000, 1)
 		if i%4 == 0 {
-			b.tenants[1].add(i*1000, 1)
+			b.demand.tenants[1].add(i*1000, 1)
 		}
 	}
 	over, within := recordOf(b, Request{Tenant: 0}), recordOf(b, Request{Tenant: 1})
-	b.rejectedShare.value = 0.5
-	if o, w := b.tenantPriority(100_000, over), b.tenantPriority(100_000, within); w != 1 || o > 0.6 {
+	b.demand.rejectedShare.value = 0.5
+	if o, w := b.demand.tenantPriority(100_000, over), b.demand.tenantPriority(100_000, within); w != 1 || o > 0.6 {
 		t.Errorf("weights %v over, %v within the share", o, w)
 	}
-	if got := b.tenantPriority(100_000, recordOf(b, Request{Tenant: 9})); got != 1 {
+	if got := b.demand.tenantPriority(100_000, recordOf(b, Request{Tenant: 9})); got != 1 {
 		t.Errorf("unknown tenant: %v", got)
 	}
 }
@@ -200,11 +200,11 @@
 	s.OverQuotaWeight = 0.05
 	s.Tenants = []Tenant{{Name: "a", QuotaRate: 60}, {Name: "b", QuotaRate: 40}}
 	b, _ := start(t, s, ready(2))
-	b.tenants[0].add(0, 60)
-	b.tenants[1].add(0, 40)
-	b.rejectedShare.value = 0.8
+	b.demand.tenants[0].add(0, 60)
+	b.demand.tenants[1].add(0, 40)
+	b.demand.rejectedShare.value = 0.8
 	for tenant := range uint16(2) {
-		if got := b.tenantPriority(0, recordOf(b, Request{Tenant: tenant})); got < 0.99 {
+		if got := b.demand.tenantPriority(0, recordOf(b, Request{Tenant: tenant})); got < 0.99 {
 			t.Errorf("tenant %d, within its share of the mix, weighs %.2f while most is refused", tenant, got)
 		}
 	}
@@ -230,19 +230,19 @@
 // no endpoint may be filled up to the aim on the word of the fleet's mean.
 func TestLateReportsAreAveragedByEndpoint(t *testing.T) {
 	b, _ := start(t, testSettings(), ready(2))
-	b.classes[0].requestRate.add(0, 1)
+	b.demand.classes[0].requestRate.add(0, 1)
 	r := recordOf(b, request0(1, 0, 0))
 	r.work = 50_000
-	before := b.latencyLimit(0, r, b.endpoints[0])
-	b.reportsLate = true
+	before := b.estimates.latencyLimit(0, r, b.membership.endpoints[0])
+	b.estimates.reportsLate = true
 	for i := range 20 {
 		b.HandleProbe(1000, 1, OK, 500, []float32{float32(4 + 2*(i%2))})
 		b.HandleProbe(1000, 2, OK, 500, []float32{float32(i % 2)})
 	}
-	if crowded, quiet := b.estimatedLoad(1000, b.endpointByID[1]), b.estimatedLoad(1000, b.endpointByID[2]); crowded < 4 || quiet > 1 {
+	if crowded, quiet := b.estimates.load(1000, b.membership.byID[1]), b.estimates.load(1000, b.membership.byID[2]); crowded < 4 || quiet > 1 {
 		t.Errorf("load %.1f where reports tell 4 to 6, %.1f where they tell 0 to 1", crowded, quiet)
 	}
-	if after := b.latencyLimit(0, r, b.endpoints[0]); after > before+500 { // the way is known by now
+	if after := b.estimates.latencyLimit(0, r, b.membership.endpoints[0]); after > before+500 { // the way is known by now
 		t.Errorf("limit %v before, %v while late", before, after)
 	}
 }
@@ -252,19 +252,19 @@
 func TestColdEndpointIsExpectedToBeSlow(t *testing.T) {
 	b, _ := start(t, testSettings(), ready(2))
 	b.HandleEndpoints(1000, ListDelta, []Endpoint{{ID: 9, State: Ready, StartTime: 1000}})
-	e := b.endpointByID[9]
-	if got := e.currentServiceTimeRatio(1000, b); !near(got, 1+4*initialWarmingSlowness) { // warmth 0.2
+	e := b.membership.byID[9]
+	if got := b.estimates.serviceTimeRatio(1000, e); !near(got, 1+4*initialWarmingSlowness) { // warmth 0.2
 		t.Errorf("pace %v just started, before any was seen", got)
 	}
-	b.warmingSlowness = ewma{value: 1, initialized: true} // as slow as its least warmth makes it
-	if got := e.currentServiceTimeRatio(1000, b); !near(got, 5) {
+	b.estimates.warmingSlowness = ewma{value: 1, initialized: true} // as slow as its least warmth makes it
+	if got := b.estimates.serviceTimeRatio(1000, e); !near(got, 5) {
 		t.Errorf("pace %v just started", got)
 	}
 	e.serviceTimeRatio, e.serviceTimeRatioAt = ewma{value: 2, initialized: true}, 6*second
-	if got := e.currentServiceTimeRatio(6*second, b); got < 2.9 || got > 3 { // warmth 0.68
+	if got := b.estimates.serviceTimeRatio(6*second, e); got < 2.9 || got > 3 { // warmth 0.68
 		t.Errorf("pace %v half way", got)
 	}
-	if got := e.currentServiceTimeRatio(12*second, b); got > 2 {
+	if got := b.estimates.serviceTimeRatio(12*second, e); got > 2 {
 		t.Errorf("pace %v once warm", got)
 	}
 }
@@ -282,15 +282,15 @@
 			if len(r.sends) == 0 || r.sends[len(r.sends)-1].id != id {
 				continue // refused
 			}
-			latency := Micros(times * b.requests[id].attempts[0].predictedLatency)
+			latency := Micros(times * b.ledger.requests[id].attempts[0].predictedLatency)
 			b.HandleOutcome(now, Outcome{ID: id, Endpoint: r.sends[len(r.sends)-1].endpoint, Status: OK,
 				Latency: latency, Answered: true})
 		}
 	}
 	one := func(now Micros) float64 {
 		b.HandleProbe(now, 1, OK, 500, []float32{0})
-		b.endpointByID[1].serviceTimeRatio, b.endpointByID[1].serviceTimeRatioAt = ewma{value: 1, initialized: true}, now
-		return b.predictLatency(now, b.endpointByID[1], 10_000)
+		b.membership.byID[1].serviceTimeRatio, b.membership.byID[1].serviceTimeRatioAt = ewma{value: 1, initialized: true}, now
+		return b.estimates.latency(now, b.membership.byID[1], 10_000)
 	}
 	serve(0, 50, 1)
 	before := one(60_000)
@@ -316,10 +316,10 @@
 		t.Fatalf("%d of 60 sent", len(r.sends))
 	}
 	for _, s := range r.sends {
-		latency := Micros(2 * b.requests[s.id].attempts[0].predictedLatency)
+		latency := Micros(2 * b.ledger.requests[s.id].attempts[0].predictedLatency)
 		b.HandleOutcome(now+100_000, Outcome{ID: s.id, Endpoint: s.endpoint, Status: OK, Latency: latency, Answered: true})
 	}
-	if got := b.slowdown(now + 100_000); got < 1.1 || got > 2 {
+	if got := b.estimates.slowdown(now + 100_000); got < 1.1 || got > 2 {
 		t.Errorf("slowdown %.2f after 60 outcomes of twice the prediction", got)
 	}
 }
@@ -327,12 +327,12 @@
 // A slowdown that refuses all must not outlive the slowness for want of outcomes.
 func TestSlowdownFadesWithoutOutcomes(t *testing.T) {
 	b, _ := start(t, testSettings(), ready(4))
-	b.latencyTrend, b.latencyTrendAt = maxTrendRatio, second
-	if at, later := b.slowdown(second), b.slowdown(4*second); at < 2 || later != 1 {
+	b.estimates.trend, b.estimates.trendAt = maxTrendRatio, second
+	if at, later := b.estimates.slowdown(second), b.estimates.slowdown(4*second); at < 2 || later != 1 {
 		t.Errorf("slowdown %.2f at the last outcome, %.2f three seconds after it", at, later)
 	}
-	b.updateTrend(4*second, 1)
-	if got := b.slowdown(4 * second); got != 1 {
+	b.estimates.updateTrend(4*second, 1)
+	if got := b.estimates.slowdown(4 * second); got != 1 {
 		t.Errorf("slowdown %.2f after an outcome as predicted brought back what had faded", got)
 	}
 }
@@ -358,8 +358,8 @@
 					Latency: c.latency(hint), Answered: true})
 			}
 		}
-		if b.workHintTrust < c.from || b.workHintTrust > c.to {
-			t.Errorf("%s: trust %.2f, want %.2f to %.2f", c.name, b.workHintTrust, c.from, c.to)
+		if b.estimates.workHintTrust < c.from || b.estimates.workHintTrust > c.to {
+			t.Errorf("%s: trust %.2f, want %.2f to %.2f", c.name, b.estimates.workHintTrust, c.from, c.to)
 		}
 	}
 }
@@ -370,14 +370,14 @@
 	s.Prices.Probe = maxProbeSpend // one probe a request
 	b, _ := start(t, s, ready(4))
 	for i := range 1000 {
-		b.requestRate.add(5000*Micros(i), 1)
+		b.demand.requestRate.add(5000*Micros(i), 1)
 	}
 	now := 5 * second
-	b.rejectedShare.value = 0
-	all := b.probeRate(now)
+	b.demand.rejectedShare.value = 0
+	all := b.probes.rate(now)
 	for _, c := range []struct{ refused, want float64 }{{0.5, 0.5}, {0.9, minFirstAttemptShare}, {1, minFirstAttemptShare}} {
-		b.rejectedShare.value = c.refused
-		if got := b.probeRate(now) / all; math.Abs(got-c.want) > 0.001 {
+		b.demand.rejectedShare.value = c.refused
+		if got := b.probes.rate(now) / all; math.Abs(got-c.want) > 0.001 {
 			t.Errorf("refused %v: %v of the pace, want %v", c.refused, got, c.want)
 		}
 	}
@@ -431,7 +431,7 @@
 		answer(b, r, i, 0)
 	}
 	b.HandleTimer(2*second+50_000, r.timers[len(r.timers)-1])
-	if len(r.sends)+len(r.refused)+len(r.failed) != 0 || len(b.awaitingProbes) != 0 {
+	if len(r.sends)+len(r.refused)+len(r.failed) != 0 || len(b.waiting.requests) != 0 {
 		t.Error("a request that its client left is still acted on")
 	}
 }
@@ -441,16 +441,16 @@
 	s := testSettings()
 	s.ReportFields = []ReportField{FieldServedRate, FieldUtilization}
 	b, _ := start(t, s, ready(2))
-	e := b.endpointByID[1]
-	for range len(b.zoneLatencies[0].samples) {
+	e := b.membership.byID[1]
+	for range len(b.estimates.zoneLatencies[0].samples) {
 		b.HandleProbe(900, 1, OK, 500, []float32{90, 0.2})
 	}
 	b.HandleProbe(1000, 1, OK, 500, []float32{90, 0.5})
-	if got := b.estimatedLoad(1000, e); got != 0.5*assumedCores {
+	if got := b.estimates.load(1000, e); got != 0.5*assumedCores {
 		t.Errorf("load %v of a half busy endpoint", got)
 	}
 	b.HandleProbe(2000, 1, OK, 160_500, []float32{90, 0.5})
-	if got := b.estimatedLoad(2000, e); got < 2*assumedCores {
+	if got := b.estimates.load(2000, e); got < 2*assumedCores {
 		t.Errorf("load %v, though the probe waited for two requests' work", got)
 	}
 	b.HandleProbe(3000, 1, Rejected, 500, nil)
@@ -479,23 +479,23 @@
 			probed(200, 0)
 		}
 		for range 5 {
-			if probed(11_000+noise.duration(4000), 0); b.estimatedLoad(now, b.endpointByID[1]) > 0 {
+			if probed(11_000+noise.duration(4000), 0); b.estimates.load(now, b.membership.byID[1]) > 0 {
 				t.Errorf("%s: an idle endpoint shows a load while its way is being learned", c.name)
 			}
 		}
-		if way := b.zoneLatencies[0].median; way < 11_000 || way > 15_000 {
+		if way := b.estimates.zoneLatencies[0].median; way < 11_000 || way > 15_000 {
 			t.Errorf("%s: a way of %.0f us, want 11 to 15 ms", c.name, way)
 		}
 		queued := 0
 		for range 100 {
 			probed(11_000+noise.duration(6000), 0)
-			queued += int(indicator(b.estimatedLoad(now, b.endpointByID[1]) > 0))
+			queued += int(indicator(b.estimates.load(now, b.membership.byID[1]) > 0))
 		}
 		if queued > 5 {
 			t.Errorf("%s: %d of 100 probes of an idle endpoint show a load", c.name, queued)
 		}
 		probed(60_000, 0)
-		if got := b.estimatedLoad(now, b.endpointByID[1]); got < assumedCores {
+		if got := b.estimates.load(now, b.membership.byID[1]); got < assumedCores {
 			t.Errorf("%s: load %v after a probe that waited 47 ms", c.name, got)
 		}
 	}
@@ -513,8 +513,8 @@
 		b.HandleRequest(now, Request{ID: id, Deadline: now + second})
 		b.HandleTimer(now+40_000, r.timers[len(r.timers)-1])
 	}
-	if b.typicalLoad.value < assumedCores {
-		t.Errorf("usual load %v though no probe is answered", b.typicalLoad.value)
+	if b.estimates.typicalLoad.value < assumedCores {
+		t.Errorf("usual load %v though no probe is answered", b.estimates.typicalLoad.value)
 	}
 	if len(r.refused) == 0 {
 		t.Error("nothing refused though no probe is answered")
@@ -527,15 +527,15 @@
 	for i := range Micros(20) {
 		b.HandleProbe(1000*i, 1, OK, 500, []float32{1})
 	}
-	before := b.typicalLoad.value
+	before := b.estimates.typicalLoad.value
 	b.HandleProbe(30_000, 2, Timeout, 400_000, nil)
-	if b.typicalLoad.value > before {
-		t.Errorf("usual load %.1f before a lost probe, %.1f after it", before, b.typicalLoad.value)
+	if b.estimates.typicalLoad.value > before {
+		t.Errorf("usual load %.1f before a lost probe, %.1f after it", before, b.estimates.typicalLoad.value)
 	}
-	b.queuedProbeShare.value = 0.5
+	b.estimates.queuedProbeShare.value = 0.5
 	b.HandleProbe(40_000, 2, Timeout, 400_000, nil)
-	if b.typicalLoad.value <= before {
-		t.Errorf("usual load %.1f after silence, where probes wait in line", b.typicalLoad.value)
+	if b.estimates.typicalLoad.value <= before {
+		t.Errorf("usual load %.1f after silence, where probes wait in line", b.estimates.typicalLoad.value)
 	}
 }
 
@@ -543,8 +543,8 @@
 // the clients back at once.
 func TestSlowdownAloneRefusesNothing(t *testing.T) {
 	b, r := start(t, testSettings(), ready(1))
-	b.latencyTrend, b.latencyTrendAt = maxTrendRatio, 1000
-	b.fleetServiceTimeRatio = ewma{value: 20, initialized: true}
+	b.estimates.trend, b.estimates.trendAt = maxTrendRatio, 1000
+	b.estimates.fleetServiceTimeRatio = ewma{value: 20, initialized: true}
 	b.HandleProbe(1000, 1, OK, 500, []float32{0})
 	b.HandleRequest(2000, request0(1, 0, 2000))
 	if len(r.sends) != 1 {
@@ -560,7 +560,7 @@
 // A few long answers must not make an endpoint refuse where nobody waits.
 func TestIdleEndpointIsNotRefused(t *testing.T) {
 	b, r := start(t, testSettings(), ready(1))
-	b.endpoints[0].serviceTimeRatio, b.endpoints[0].serviceTimeRatioAt = ewma{value: 9, initialized: true}, 1000
+	b.membership.endpoints[0].serviceTimeRatio, b.membership.endpoints[0].serviceTimeRatioAt = ewma{value: 9, initialized: true}, 1000
 	b.HandleProbe(1000, 1, OK, 500, []float32{0})
 	b.HandleRequest(2000, request0(1, 0, 2000))
 	if len(r.sends) != 1 {
@@ -571,7 +571,7 @@
 // Requests passed into a jam keep it jammed: each that earns nothing makes the next rarer.
 func TestPassesThatFailGetRarer(t *testing.T) {
 	b, r := start(t, testSettings(), ready(1))
-	b.classes[0].work.value = float64(100 * second)
+	b.demand.classes[0].work.value = float64(100 * second)
 	passed := [2]int{}
 	for i := range uint64(400) {
 		now := 10*second + Micros(i)*second
@@ -585,15 +585,15 @@
 	if passed[0] < 3 || passed[0] > 8 || passed[1] > 2 {
 		t.Errorf("%d of the first 200 passed and %d of the next", passed[0], passed[1])
 	}
-	b.trialInterval = maxTrialInterval
+	b.admission.trialInterval = maxTrialInterval
 	r.sends = nil
-	b.classes[0].work.value = 1000
+	b.demand.classes[0].work.value = 1000
 	b.HandleRequest(500*second, request0(1000, 0, 500*second))
 	b.HandleOutcome(501*second, Outcome{ID: 1000, Endpoint: 1, Status: OK, Latency: 1000, Answered: true})
 	b.HandleRequest(502*second, request0(1001, 0, 502*second))
 	b.HandleOutcome(502*second+1000, Outcome{ID: 1001, Endpoint: 1, Status: OK, Latency: 1000, Answered: true})
-	if b.trialInterval != minTrialInterval {
-		t.Errorf("one of %d passes after an answer in time", b.trialInterval)
+	if b.admission.trialInterval != minTrialInterval {
+		t.Errorf("one of %d passes after an answer in time", b.admission.trialInterval)
 	}
 }
 
@@ -606,7 +606,7 @@
 		}
 		b, _ := start(t, testSettings(), list)
 		for range 50 {
-			if e := b.randomEndpoint(1000, recordOf(b, request0(1, 0, 1000)), nil, 0); (e == nil) != (n == 0) {
+			if e := b.picker.randomEndpoint(1000, recordOf(b, request0(1, 0, 1000)), nil, 0); (e == nil) != (n == 0) {
 				t.Fatalf("%d endpoints: drew %v", n, e)
 			}
 		}
@@ -622,13 +622,13 @@
 		list[i].Zone = uint8(i % 2)
 	}
 	b, r := start(t, s, list)
-	b.zoneLatencies[0], b.zoneLatencies[1] = zoneLatency{median: 500, count: 1}, zoneLatency{median: 30_000, count: 1}
+	b.estimates.zoneLatencies[0], b.estimates.zoneLatencies[1] = zoneLatency{median: 500, count: 1}, zoneLatency{median: 30_000, count: 1}
 	b.HandleTimer(second, probeTimerToken)
 	for id := range uint64(20) {
 		b.HandleRequest(2*second, request0(id, 0, 2*second))
 	}
 	for _, e := range r.probes {
-		if b.endpointByID[e].Zone != 0 {
+		if b.membership.byID[e].Zone != 0 {
 			t.Fatalf("probe of endpoint %d, 30 ms away, for a wait of 40 ms", e)
 		}
 	}
@@ -648,14 +648,14 @@
 		b.Start(0)
 		b.HandleEndpoints(0, ListCached, ready(10))
 		for i := range Micros(10) {
-			b.sentWorkRate.add(i*second, 80_000) // one request a second
+			b.slowStart.sentWorkRate.add(i*second, 80_000) // one request a second
 		}
 		b.HandleEndpoints(10*second, ListDelta, []Endpoint{{ID: 11, Weight: 1, StartTime: 10 * second}})
 		for i := range Micros(6) {
-			b.sentWorkRate.add((10+i)*second, 80_000)
-			b.warmingMayServe((10+i)*second, b.endpointByID[11], 80_000)
+			b.slowStart.sentWorkRate.add((10+i)*second, 80_000)
+			b.slowStart.maySend((10+i)*second, b.membership.byID[11], 80_000)
 		}
-		if b.warmingMayServe(15*second, b.endpointByID[11], 80_000) {
+		if b.slowStart.maySend(15*second, b.membership.byID[11], 80_000) {
 			allowed++
 		}
 	}
@@ -677,13 +677,13 @@
 		b, r := start(t, s, ready(2))
 		now := second
 		b.HandleProbe(now, 1, OK, 500, []float32{0})
-		asked := b.newRequest(now, request0(1000, 1, now))
-		asked.work = b.classes[1].work.value
+		asked := b.ledger.newRequest(now, request0(1000, 1, now))
+		asked.work = b.demand.classes[1].work.value
 		late := float32(0)
-		for ; b.predictLatency(now, b.endpointByID[2], asked.work) <= b.latencyLimit(now, asked, b.endpointByID[2]); late++ {
+		for ; b.estimates.latency(now, b.membership.byID[2], asked.work) <= b.estimates.latencyLimit(now, asked, b.membership.byID[2]); late++ {
 			b.HandleProbe(now, 2, OK, 500, []float32{late})
 		}
-		for id := uint64(1); !b.endpointByID[1].isEjected(now); id++ {
+		for id := uint64(1); !b.membership.byID[1].isEjected(now); id++ {
 			if id > 100 {
 				t.Fatalf("%v: never ejected", c.status)
 			}
@@ -694,7 +694,7 @@
 			}
 			b.HandleOutcome(now, Outcome{ID: id, Endpoint: 1, Status: c.status, Latency: 500, Answered: true})
 		}
-		if got := b.pick(now, asked, nil).ID; got != c.to {
+		if got := b.picker.pick(now, asked, nil).ID; got != c.to {
 			t.Errorf("%v: endpoint 2 late with a load of %v: picked %d, want %d", c.status, late, got, c.to)
 		}
 	}
@@ -739,7 +739,7 @@
 					b.HandleProbe(1000, id, OK, 500, []float32{load(id)})
 				}
 				if c.many {
-					b.requestRate.add(1000, 200) // probes go by what is asked
+					b.demand.requestRate.add(1000, 200) // probes go by what is asked
 				}
 				q := request0(1, 0, 2000)
 				q.Key = c.key
@@ -795,7 +795,7 @@
 		id := uint64(0)
 		run := func(from, to Micros) {
 			for now := from; now < to; now += second / 10 {
-				for _, e := range b.endpoints { // the warm ones are busy
+				for _, e := range b.membership.endpoints { // the warm ones are busy
 					if float64(id%uint64(warm+cold)) == float64(e.ID%(warm+cold)) {
 						b.HandleProbe(now, e.ID, OK, 500, []float32{3 * float32(indicator(e.ID <= warm))})
 					}
@@ -858,7 +858,7 @@
 			for i, load := range c.answers {
 				b.HandleProbe(Micros(i)*second, uint32(i%c.endpoints+1), OK, 500, []float32{load})
 			}
-			if got := b.typicalLoad.value; got < c.least || got > c.most {
+			if got := b.estimates.typicalLoad.value; got < c.least || got > c.most {
 				t.Errorf("the usual load is %.2f, want %.1f to %.1f", got, c.least, c.most)
 			}
 		})
@@ -897,25 +897,25 @@
 		b, _ := start(t, s, ready(10))
 		now := Micros(0)
 		serve := func(e *endpoint, took Micros) {
-			r := b.newRequest(now, request0(uint64(now)+1, 0, now))
+			r := b.ledger.newRequest(now, request0(uint64(now)+1, 0, now))
 			r.work = 80_000
 			a := attempt{endpoint: e, sentAt: now, warming: e.warming, queueingFactor: 1, predictedWithoutTrend: r.work}
-			b.learnServiceTime(now+took, r, &a, float64(took), false)
+			b.estimates.learnServiceTime(now+took, r, &a, float64(took), false)
 			now += 1000
 		}
-		for _, e := range b.endpoints {
+		for _, e := range b.membership.endpoints {
 			serve(e, 80_000)
 		}
 		b.HandleEndpoints(now, ListDelta, []Endpoint{{ID: 11, Weight: 1, StartTime: now}})
-		cold := b.endpointByID[11]
+		cold := b.membership.byID[11]
 		cold.serviceTimeRatio = ewma{1, true}
 		for range answers {
 			serve(cold, took)
 		}
-		b.warmingTokens, b.warmingTokensAt = 0, now
-		b.sentWorkRate = decayingRate{10_000_000, now}
-		b.refillWarmingTokens(now+second/10, 1)
-		return b.warmingTokens
+		b.slowStart.tokens, b.slowStart.tokensAt = 0, now
+		b.slowStart.sentWorkRate = decayingRate{10_000_000, now}
+		b.slowStart.refill(now+second/10, 1)
+		return b.slowStart.tokens
 	}
 	least := got(0, 0)
 	if few := got(2, 80_000); few < least || few > 1.3*least {
@@ -935,12 +935,12 @@
 	s.Balancers = 1
 	b, r := start(t, s, ready(1))
 	now := Micros(0)
-	b.sentWorkRate = decayingRate{10_000_000, now}
+	b.slowStart.sentWorkRate = decayingRate{10_000_000, now}
 	b.HandleEndpoints(now, ListDelta, []Endpoint{{ID: 2, Weight: 1, StartTime: 1}, {ID: 3, Weight: 1, StartTime: 1}})
 	got := map[uint32]int{}
 	for id := range uint64(200) {
 		now += 20_000
-		b.sentWorkRate = decayingRate{10_000_000, now} // the same throughout: what is refused must not count
+		b.slowStart.sentWorkRate = decayingRate{10_000_000, now} // the same throughout: what is refused must not count
 		for e, load := range []float32{40, 40, 0} {
 			b.HandleProbe(now, uint32(e+1), OK, 1000, []float32{load})
 		}
--- a/balancer/prediction.go
+++ b/balancer/prediction.go
@@ -2,135 +2,197 @@
 
 import "math"
 
-// Prediction: the latency to expect of an endpoint, learned from outcomes and reported load.
+// Prediction: the load and the latency to expect at endpoints, learned from outcomes and load reports.
 
 const (
-	serviceTimeRatioLife   = 10 * second
+	serviceTimeRatioLife   = 10 * second // without new samples, after which an endpoint's ratio counts no more
 	serviceTimeRatioWeight = 0.03
-	fleetWeight            = 0.02
+	fleetWeight            = 0.02 // of the latest sample in the fleet's ratio
 	workWeight             = 0.01
-	minClassWorkShare      = 0.001 // of its aim: no class's work is taken for less
-	minRequestWorkShare    = 0.1   // of its class's work: a request of less tells of the pace as if it had this
-	assumedCores           = 2.0   // requests that an endpoint works at side by side, assumed
+	minClassWorkShare      = 0.001 // of its latency objective: no class's work is taken for less
+	minRequestWorkShare    = 0.1   // of its class's work: in the ratio, a request counts as having no less
+	assumedCores           = 2.0   // requests that an endpoint is assumed to serve side by side
 	hintTrustWeight        = 0.005
+	initialHintTrust       = 0.5
 	trendWeight            = 0.1
 	maxTrendRatio          = 5.0 // one outcome counts as no more than this many times the prediction
-	trendNoise             = 1.5
+	trendNoise             = 1.5 // trend up to which there is no slowdown
 	trendLife              = second
+	maxQueueingShare       = 0.6 // of the time left may be spent queueing by the class of highest priority,
+	minQueueingShare       = 0.2 // and by any: latencies vary
 )
 
-// estimatedLoad estimates the requests at e: the last report plus own sends since, less own answers since.
+// estimator learns the load and the latency to expect at endpoints.
+type estimator struct {
+	*environment
+	demand *demand
+	probes *prober
+
+	zoneLatencies         [256]zoneLatency
+	fleetServiceTimeRatio ewma // measured over predicted service time, over warm endpoints
+	queuedProbeShare      ewma // share of probes that queued behind requests
+	lateReportShare       ewma // share of load reports that must be late
+	reportsLate           bool // so many are that their means are used instead
+	typicalLoad           cumulativeMean
+	typicalWarmingLoad    cumulativeMean // typicalLoad of warming endpoints, which all balancers send little
+	workHintTrust         float64        // power of a work hint that the actual work grows with
+	trend                 float64        // measured over predicted latency, over all endpoints
+	trendAt               Micros
+	warmingSlowness       ewma // of the slowness that the least warm-up fraction implies, the share that shows
+	warmingSamples        int  // latencies in warmingSlowness
+}
+
+func newEstimator(env *environment, d *demand, p *prober) estimator {
+	return estimator{
+		environment: env, demand: d, probes: p, trend: 1, workHintTrust: initialHintTrust,
+		lateReportShare: ewma{initialized: true},
+		warmingSlowness: ewma{value: initialWarmingSlowness, initialized: true},
+		typicalLoad:     cumulativeMean{value: initialTypicalLoad, samples: initialTypicalLoadSamples},
+	}
+}
+
+// load estimates the requests at e: the last report, plus own requests sent since, less own answers since.
 // Where balancers keep a pool, half of the others are assumed to send as this one, or all would choose the
 // same low report. Late reports do not tell the present load, but their mean still ranks the endpoints.
-func (b *Balancer) estimatedLoad(now Micros, e *endpoint) float64 {
-	usual := b.typicalLoad.value
+func (est *estimator) load(now Micros, e *endpoint) float64 {
+	typical := est.typicalLoad.value
 	if e.warming {
-		usual = b.typicalWarmingLoad.value
+		typical = est.typicalWarmingLoad.value
 	}
-	if b.reportsLate || !e.hasReport {
-		return e.meanLoad.or(usual) + float64(e.inFlight)
+	if est.reportsLate || !e.hasReport {
+		return e.meanLoad.or(typical) + float64(e.inFlight)
 	}
 	others := e.reportedLoad
-	if b.reportsSparse(now) {
-		// An answer may be minutes old. Those of calmer times would draw all in an overload, and none seem late.
-		others = usual + (others-usual)*math.Exp(-float64(now-e.reportedAt)/float64(minPoolAge))
+	if est.probes.reportsSparse(now) {
+		// A report may be minutes old. In an overload, low ones of calmer times would attract all requests, and
+		// none would seem late.
+		age := float64(now - e.reportedAt)
+		others = typical + (others-typical)*math.Exp(-age/float64(minPoolAge))
 	}
 	sentSince := float64(max(0, e.inFlight-e.inFlightAtReport))
-	herd := float64(b.settings.Balancers-1) / 2 * sentSince * indicator(!b.probePerRequest)
+	herd := float64(est.settings.Balancers-1) / 2 * sentSince * indicator(!est.probes.withRequests())
 	return others + float64(e.inFlight) + herd
 }
 
-// queueingFactor is how much longer than alone a request takes at e's load.
-func (b *Balancer) queueingFactor(now Micros, e *endpoint) float64 {
-	return max(1, (b.estimatedLoad(now, e)+1)/assumedCores)
+// queueingFactor is how many times longer than without load a request takes at e.
+func (est *estimator) queueingFactor(now Micros, e *endpoint) float64 {
+	return max(1, (est.load(now, e)+1)/assumedCores)
 }
 
-// currentServiceTimeRatio is e's time per unit of work, longer while it is cold. Without recent samples it
-// returns to the fleet's, so that an endpoint once found slow is tried again.
-func (e *endpoint) currentServiceTimeRatio(now Micros, b *Balancer) float64 {
-	usual := b.fleetServiceTimeRatio.or(1)
+// roundTrip is the latency of the network to e's zone and back.
+func (est *estimator) roundTrip(e *endpoint) float64 { return est.zoneLatencies[e.Zone].median }
+
+// serviceTimeRatio is e's measured over its predicted service time, higher while it is warming up. Without
+// recent samples it returns to the fleet's, so that an endpoint once found slow is tried again.
+func (est *estimator) serviceTimeRatio(now Micros, e *endpoint) float64 {
+	typical := est.fleetServiceTimeRatio.or(1)
 	age := float64(now-e.serviceTimeRatioAt) / float64(serviceTimeRatioLife)
 	trust := max(0, 1-age) * indicator(e.serviceTimeRatio.initialized)
-	return (usual + (e.serviceTimeRatio.value-usual)*trust) * e.warmingSlowdown(now, b)
+	return (typical + (e.serviceTimeRatio.value-typical)*trust) * est.warmingSlowdown(now, e)
+}
+
+// warmingSlowdown is how many times longer than once warm a request takes at e. The warm-up fraction is only
+// the least that e may have: how much of the slowness that it implies is real shows in the latencies.
+func (est *estimator) warmingSlowdown(now Micros, e *endpoint) float64 {
+	return 1 + (1/e.warmupFraction(now, &est.settings.Contract)-1)*est.warmingSlowness.value
+}
+
+// likelyWarmupFraction is the share of its capacity that e likely has by now: as latencies show, but limited
+// to a multiple of the least.
+func (est *estimator) likelyWarmupFraction(now Micros, e *endpoint) float64 {
+	limit := 1 + maxExtraFraction*min(1, float64(est.warmingSamples)/fullTrustSamples)
+	least := e.warmupFraction(now, &est.settings.Contract)
+	return min(limit*least, max(least, 1/est.warmingSlowdown(now, e)))
+}
+
+// latency is the latency expected of a request of this work sent to e now.
+func (est *estimator) latency(now Micros, e *endpoint, work float64) float64 {
+	return est.roundTrip(e) +
+		work*est.slowdown(now)*est.serviceTimeRatio(now, e)*est.queueingFactor(now, e)
+}
+
+// latencyWithoutTrend is the same from e's service time and load alone.
+func (est *estimator) latencyWithoutTrend(now Micros, e *endpoint, work float64) float64 {
+	return est.roundTrip(e) + work*est.serviceTimeRatio(now, e)*est.queueingFactor(now, e)
 }
 
-// predictLatency is the latency expected of a request of this work sent to e now.
-func (b *Balancer) predictLatency(now Micros, e *endpoint, work float64) float64 {
-	return b.zoneLatencies[e.Zone].median +
-		work*b.slowdown(now)*e.currentServiceTimeRatio(now, b)*b.queueingFactor(now, e)
+// latencyLimit is the longest predicted latency at which r is still sent to e: its time there without load,
+// and a part of the time that its latency objective leaves, for queueing. The part shrinks with the priority.
+func (est *estimator) latencyLimit(now Micros, r *request, e *endpoint) float64 {
+	unloaded := est.roundTrip(e) + r.work*est.slowdown(now)*est.serviceTimeRatio(now, e)
+	share := max(minQueueingShare, maxQueueingShare*r.priority)
+	if n := len(r.attempts); n > 0 && r.attempts[n-1].presumedLost {
+		// The lost attempt has taken the time that the request might have queued.
+		share = 1
+	}
+	headroom := float64(r.class.LatencyObjective) - float64(now-r.arrivedAt) - unloaded
+	return min(unloaded+share*headroom, float64(r.Deadline-now))
 }
 
-// learnServiceTime learns from a latency; atLeast says that it is only a lower bound.
-func (b *Balancer) learnServiceTime(now Micros, r *request, a *attempt, latency float64, atLeast bool) {
+// estimateWork sets the work of a request from its class and its hint, and learns from the hint.
+func (est *estimator) estimateWork(r *request) {
+	c := r.class
+	r.work = c.work.value
+	if r.HasWorkHint && r.WorkHint > 0 {
+		c.work.add(float64(r.WorkHint), workWeight)
+		r.logWorkHint = math.Log(float64(r.WorkHint) / c.work.value)
+		r.work = c.work.value * math.Exp(est.workHintTrust*r.logWorkHint)
+	}
+}
+
+// learnServiceTime learns from the latency of an attempt; atLeast tells that it is only a lower bound.
+func (est *estimator) learnServiceTime(now Micros, r *request, a *attempt, latency float64, atLeast bool) {
 	e, c := a.endpoint, r.class
-	alone := max(0, latency-b.zoneLatencies[e.Zone].median) / a.queueingFactor
+	unloaded := max(0, latency-est.roundTrip(e)) / a.queueingFactor
 	// What a request of next to no work takes beyond the prediction was not spent on that work.
-	pace, slowed := e.currentServiceTimeRatio(now, b), e.warmingSlowdown(now, b)
-	x := pace + (alone-pace*r.work)/max(r.work, minRequestWorkShare*c.work.value)
-	// One that was overtaken may be lost, and then says nothing of how fast e is, or the fleet.
-	if atLeast && (x <= pace || e.lastAnsweredSentAt > a.sentAt) {
+	predicted, slowdown := est.serviceTimeRatio(now, e), est.warmingSlowdown(now, e)
+	measured := predicted + (unloaded-predicted*r.work)/max(r.work, minRequestWorkShare*c.work.value)
+	// An attempt that was overtaken may be lost, and then says nothing of service times.
+	if atLeast && (measured <= predicted || e.lastAnsweredSentAt > a.sentAt) {
 		return
 	}
-	b.updateTrend(now, latency/a.predictedWithoutTrend)
-	if !atLeast && r.logWorkHint != 0 && x > 0 {
-		// Rough hints overstate the large and understate the small: learn how far they tell.
-		b.workHintTrust = min(1, max(0, b.workHintTrust+hintTrustWeight*r.logWorkHint*math.Log(x/pace)))
+	est.updateTrend(now, latency/a.predictedWithoutTrend)
+	if !atLeast && r.logWorkHint != 0 && measured > 0 {
+		// Rough hints overstate large work and understate small: learn how far they tell.
+		step := hintTrustWeight * r.logWorkHint * math.Log(measured/predicted)
+		est.workHintTrust = min(1, max(0, est.workHintTrust+step))
 	}
-	warm := pace / slowed // what is kept is the pace once warm
+	warm := predicted / slowdown // the ratio is stored as of a warm endpoint
 	e.serviceTimeRatio = ewma{value: warm, initialized: true}
-	e.serviceTimeRatio.add(x/slowed, serviceTimeRatioWeight)
-	if least := e.warmupFraction(now, b); least < 1 && warm > 0 {
-		b.warmingSamples++
-		b.warmingSlowness.add(min(1, max(0, (x/warm-1)/(1/least-1))), warmingSlownessWeight)
+	e.serviceTimeRatio.add(measured/slowdown, serviceTimeRatioWeight)
+	if least := e.warmupFraction(now, &est.settings.Contract); least < 1 && warm > 0 {
+		est.warmingSamples++
+		est.warmingSlowness.add(min(1, max(0, (measured/warm-1)/(1/least-1))), warmingSlownessWeight)
 	}
 	e.serviceTimeRatioAt = now
 	if atLeast {
 		return
 	}
 	if !r.HasWorkHint {
-		// Without hints a class's work is its mean latency without a queue. One answer raises pace and work, and
-		// the prediction by their product: its effect on the work is bounded.
-		least, most := minClassWorkShare*float64(c.LatencyObjective), maxTrendRatio*c.work.value
-		c.work.add(min(max(least, alone), most), workWeight)
+		// Without hints a class's work is its mean latency without load. One answer raises ratio and work, and the
+		// prediction by their product: its effect on the work is bounded.
+		least, limit := minClassWorkShare*float64(c.LatencyObjective), maxTrendRatio*c.work.value
+		c.work.add(min(max(least, unloaded), limit), workWeight)
 	}
 	if !e.warming {
-		b.fleetServiceTimeRatio.add(x, fleetWeight)
+		est.fleetServiceTimeRatio.add(measured, fleetWeight)
 	}
 }
 
-// updateTrend moves the trend by one outcome: when the whole fleet slows down or recovers, the paces of
-// endpoints with little traffic of ours are learned late. ratio is the latency over the prediction without
-// the trend, or requests sent before the trend rose would raise it a second time.
-func (b *Balancer) updateTrend(now Micros, ratio float64) {
-	trend := b.currentTrend(now)
-	b.latencyTrend, b.latencyTrendAt = trend+(min(ratio, maxTrendRatio)-trend)*trendWeight, now
+// updateTrend moves the trend by one outcome: if the whole fleet slows down or recovers, the ratios of
+// endpoints that get few requests from here are learned late. ratio is the latency over the prediction
+// without the trend, or requests sent before the trend rose would raise it a second time.
+func (est *estimator) updateTrend(now Micros, ratio float64) {
+	trend := est.currentTrend(now)
+	est.trend, est.trendAt = trend+(min(ratio, maxTrendRatio)-trend)*trendWeight, now
 }
 
-func (b *Balancer) currentTrend(now Micros) float64 {
-	return 1 + (b.latencyTrend-1)*math.Exp(-float64(now-b.latencyTrendAt)/float64(trendLife))
+// currentTrend decays to 1 without outcomes: rejections must not keep it up.
+func (est *estimator) currentTrend(now Micros) float64 {
+	return 1 + (est.trend-1)*math.Exp(-float64(now-est.trendAt)/float64(trendLife))
 }
 
-// slowdown is the trend beyond noise. It decays without outcomes: refusals must not keep it up.
-func (b *Balancer) slowdown(now Micros) float64 {
-	return max(1, b.currentTrend(now)/trendNoise)
-}
-
-// warmingSlowdown is how many times longer than once warm a request takes at e. Its warmth is only the least
-// that it may have by now: how much of that slowness there is shows in the latencies of the cold ones.
-func (e *endpoint) warmingSlowdown(now Micros, b *Balancer) float64 {
-	return 1 + (1/e.warmupFraction(now, b)-1)*b.warmingSlowness.value
-}
-
-// latencyLimit is the longest predicted latency at which r is still sent to e: its time there without a
-// queue, and a part of what the aim leaves for waiting. Classes of little value for their work give way
-// first.
-func (b *Balancer) latencyLimit(now Micros, r *request, e *endpoint) float64 {
-	alone := b.zoneLatencies[e.Zone].median + r.work*b.slowdown(now)*e.currentServiceTimeRatio(now, b)
-	share := max(minQueueingShare, maxQueueingShare*r.priority)
-	if n := len(r.attempts); n > 0 && r.attempts[n-1].presumedLost {
-		// The request was swallowed: it has waited longer than its class should already.
-		share = 1
-	}
-	spare := float64(r.class.LatencyObjective) - float64(now-r.arrivedAt) - alone
-	return min(alone+share*spare, float64(r.Deadline-now))
+// slowdown is the trend beyond noise.
+func (est *estimator) slowdown(now Micros) float64 {
+	return max(1, est.currentTrend(now)/trendNoise)
 }
--- a/balancer/prediction_test.go
+++ b/balancer/prediction_test.go
@@ -63,18 +63,18 @@
 // takes.
 func TestSlowAnswerToTinyRequestIsNoPace(t *testing.T) {
 	b, r := start(t, testSettings(), ready(1))
-	b.workHintTrust = 1
+	b.estimates.workHintTrust = 1
 	now := second
 	for range 100 {
 		now += second / 10
 		serveTogether(b, r, now, 1, 20_000, 20_000)
 	}
-	before := b.predictLatency(now, b.endpoints[0], 20_000)
+	before := b.estimates.latency(now, b.membership.endpoints[0], 20_000)
 	now += second / 10
 	serveTogether(b, r, now, 1, 2, 30_000)
 	now += 10 * second // the slowdown of all has faded
-	b.endpoints[0].serviceTimeRatioAt = now
-	if after := b.predictLatency(now, b.endpoints[0], 20_000); after > 2*before {
+	b.membership.endpoints[0].serviceTimeRatioAt = now
+	if after := b.estimates.latency(now, b.membership.endpoints[0], 20_000); after > 2*before {
 		t.Errorf("%.0f us expected before, %.0f us after an answer in 30,000 us", before, after)
 	}
 }
@@ -86,7 +86,7 @@
 		serveTogether(b, r, 1000*i, 1, 0, 0)
 	}
 	serveTogether(b, r, 100*second, 1, 0, second/10)
-	work, pace := b.classes[0].work.value, b.endpoints[0].currentServiceTimeRatio(100*second, b)
+	work, pace := b.demand.classes[0].work.value, b.estimates.serviceTimeRatio(100*second, b.membership.endpoints[0])
 	if !(work > 0) || math.IsNaN(pace) || math.IsInf(pace, 0) {
 		t.Errorf("work %v, pace %v", work, pace)
 	}
--- a/balancer/reconfigure_test.go
+++ b/balancer/reconfigure_test.go
@@ -24,24 +24,24 @@
 	s := testSettings()
 	s.Tenants = []Tenant{{Name: "a", QuotaRate: 50}, {Name: "b", QuotaRate: 50}}
 	b, _ := start(t, s, ready(2))
-	b.classNamed("read").work.value, b.classNamed("write").work.value = 11, 22
-	b.tenantNamed("a").add(0, 30)
-	b.tenantNamed("b").add(0, 60)
-	rateA, rateB := b.tenantNamed("a").rate(0), b.tenantNamed("b").rate(0)
+	b.demand.classNamed("read").work.value, b.demand.classNamed("write").work.value = 11, 22
+	b.demand.tenantNamed("a").add(0, 30)
+	b.demand.tenantNamed("b").add(0, 60)
+	rateA, rateB := b.demand.tenantNamed("a").rate(0), b.demand.tenantNamed("b").rate(0)
 	reconfigure(t, b, func(s *Settings) {
 		slices.Reverse(s.Classes)
 		s.Classes = append(s.Classes, Class{Name: "new", LatencyObjective: 500, ClientTimeout: second})
 		s.Classes[0].LatencyObjective = 300_000
 		s.Tenants = []Tenant{{Name: "c", QuotaRate: 5}, {Name: "b", QuotaRate: 40}, {Name: "a", QuotaRate: 60}}
 	})
-	if c := b.classes[0]; c.Name != "write" || c.work.value != 22 || c.LatencyObjective != 300_000 {
+	if c := b.demand.classes[0]; c.Name != "write" || c.work.value != 22 || c.LatencyObjective != 300_000 {
 		t.Errorf("the first class is now %+v with work %v", c.Class, c.work.value)
 	}
-	if read, fresh := b.classes[4], b.classes[5]; read.Name != "read" || read.work.value != 11 || fresh.work.value != 100 {
+	if read, fresh := b.demand.classes[4], b.demand.classes[5]; read.Name != "read" || read.work.value != 11 || fresh.work.value != 100 {
 		t.Errorf("read %v has work %v, the new class %v", read.Name, read.work.value, fresh.work.value)
 	}
-	if a, c := b.tenants[2], b.tenants[0]; a.rate(0) != rateA || a.QuotaRate != 60 || c.rate(0) != 0 || b.tenants[1].rate(0) != rateB {
-		t.Errorf("tenants a, b, c have rates %v, %v, %v", a.rate(0), b.tenants[1].rate(0), c.rate(0))
+	if a, c := b.demand.tenants[2], b.demand.tenants[0]; a.rate(0) != rateA || a.QuotaRate != 60 || c.rate(0) != 0 || b.demand.tenants[1].rate(0) != rateB {
+		t.Errorf("tenants a, b, c have rates %v, %v, %v", a.rate(0), b.demand.tenants[1].rate(0), c.rate(0))
 	}
 	bad := b.settings
 	bad.Limits.MaxOpenRequests = 0
@@ -73,10 +73,10 @@
 		if latest := r.latest[1]; latest > 1000+500_000 || latest < 1000+400_000 {
 			t.Errorf("%s: the repeat may begin until %d, want by the window that it began under", name, latest)
 		}
-		good := b.requests[1].class
+		good := b.ledger.requests[1].class
 		b.HandleOutcome(3000, Outcome{ID: 1, Attempt: 1, Endpoint: r.sends[1].endpoint, Status: OK, Latency: 1000, Answered: true})
-		if len(b.requests) != 0 || good.servedInTime.value != 1 || good.Name != "keyed-cell" {
-			t.Errorf("%s: %d requests left; answered in time: %v of %s", name, len(b.requests), good.servedInTime.value, good.Name)
+		if len(b.ledger.requests) != 0 || good.servedInTime.value != 1 || good.Name != "keyed-cell" {
+			t.Errorf("%s: %d requests left; answered in time: %v of %s", name, len(b.ledger.requests), good.servedInTime.value, good.Name)
 		}
 	}
 }
@@ -155,11 +155,11 @@
 		name   string
 		repeat Idempotency
 		owner  *tenant
-	}{{0, 0, "read", NonIdempotent, nil}, {1, 1, "keyed-all", IdempotentWithKey, b.tenants[0]}, {4, 9, "write", NonIdempotent, nil}} {
+	}{{0, 0, "read", NonIdempotent, nil}, {1, 1, "keyed-all", IdempotentWithKey, b.demand.tenants[0]}, {4, 9, "write", NonIdempotent, nil}} {
 		in := request0(uint64(id+1), c.class, 1000)
 		in.Tenant, in.ReceivedUnder = c.tenant, &s
 		b.HandleRequest(1000, in)
-		got := b.requests[in.ID]
+		got := b.ledger.requests[in.ID]
 		if got == nil || got.class.Name != c.name || got.idempotency != c.repeat || got.tenant != c.owner || got.ReceivedUnder != nil {
 			t.Errorf("request %d is taken as %+v, want class %s", in.ID, got, c.name)
 		}
@@ -179,8 +179,8 @@
 	b.HandleRequest(1000, request0(2, 0, 1000))
 	reconfigure(t, b, func(s *Settings) { s.Limits.MaxOpenRequests, s.Prices.Probe = 2, 0.01 })
 	b.HandleRequest(2000, request0(3, 0, 2000))
-	if !slices.Equal(r.refused, []uint64{3}) || b.openRequests != 2 || b.probesPerRequest != 2 {
-		t.Errorf("refused %v with %d open, %v probes a request", r.refused, b.openRequests, b.probesPerRequest)
+	if !slices.Equal(r.refused, []uint64{3}) || b.ledger.open != 2 || b.probes.probesPerRequest != 2 {
+		t.Errorf("refused %v with %d open, %v probes a request", r.refused, b.ledger.open, b.probes.probesPerRequest)
 	}
 	rounds := func() (n int) {
 		for _, token := range r.timers {
@@ -216,13 +216,13 @@
 		})
 		b.HandleRequest(now, request0(uint64(i), 0, now))
 		b.HandleClientGone(now, uint64(i))
-		for _, a := range b.requestSlots {
+		for _, a := range b.ledger.slots {
 			for n := range a.attempts {
 				b.HandleOutcome(now, Outcome{ID: a.ID, Attempt: n, Status: Cancelled, Answered: true})
 			}
 		}
 	}
-	if len(b.classes) != 5 || len(b.tenants) != 1 || len(b.requests) != 0 || len(b.requestSlots) > 2 {
-		t.Errorf("%d classes, %d tenants, %d requests, %d records", len(b.classes), len(b.tenants), len(b.requests), len(b.requestSlots))
+	if len(b.demand.classes) != 5 || len(b.demand.tenants) != 1 || len(b.ledger.requests) != 0 || len(b.ledger.slots) > 2 {
+		t.Errorf("%d classes, %d tenants, %d requests, %d records", len(b.demand.classes), len(b.demand.tenants), len(b.ledger.requests), len(b.ledger.slots))
 	}
 }
--- a/balancer/request.go
+++ b/balancer/request.go
@@ -5,44 +5,44 @@
 // request is the ledger's record of a request and its attempts.
 type request struct {
 	Request
-	class            *class      // that it began under, whatever has become of it since
-	idempotency      Idempotency // what a second run would do: as the class has it, or Unsafe
+	class            *class      // that it arrived under, whatever has become of it since
+	idempotency      Idempotency // of its class, or NonIdempotent if that was restricted since
 	tenant           *tenant     // nil where there is none
-	timerToken       uint32      // of its timers
+	timerToken       uint32
 	arrivedAt        Micros
-	work             float64
-	priority         float64 // of its class and tenant, 0 to 1, when last decided
-	logWorkHint      float64 // logarithm of its hint over the mean of its class
+	work             float64 // expected service time of one at an endpoint without load
+	logWorkHint      float64 // logarithm of its work hint over the mean of its class
+	priority         float64 // of its class and tenant, 0 to 1, at the latest decision
 	attempts         []attempt
 	inFlight         int     // attempts without outcome
-	answered         bool    // the final answer is out
-	streaming        bool    // an answer has begun: the attempt is the client's
+	servedInTime     float64 // 1 once answered within its latency objective
+	answered         bool    // the final answer is given
+	streaming        bool    // a streamed answer has begun: no other attempt may follow
 	trial            bool    // it was sent although it seemed too late
-	servedInTime     float64 // 1 once answered within its aim
-	awaitingProbes   bool    // it waits for probes
-	bodyConsumed     bool    // it can't be sent again
-	awaitedEndpoints []*endpoint
+	bodyConsumed     bool    // its body can't be sent again
+	awaitingProbes   bool
+	awaitedEndpoints []*endpoint // whose probes it waits for
 }
 
 // attempt is one send of a request.
 type attempt struct {
 	endpoint              *endpoint
-	zone                  uint8 // of ep when sent: an endpoint may move
+	zone                  uint8 // of the endpoint when sent: its list entry may change
 	cell                  uint16
 	sentAt                Micros
-	predictedLatency      float64 // latency predicted when sent,
-	predictedWithoutTrend float64 // and by the endpoint's pace and load alone
-	queueingFactor        float64 // seen when sent
-	overdueAt             Micros  // when it should have had its outcome long ago
-	suspected             bool    // that has passed once
-	presumedLost          bool    // it is given up for lost, though its outcome may still come
-	warming               bool    // ep was warming up when sent to
+	predictedLatency      float64
+	predictedWithoutTrend float64 // latency predicted from the endpoint's service time and load alone
+	queueingFactor        float64 // when sent
+	overdueAt             Micros  // when to check whether it is lost
+	suspected             bool    // it was overdue once
+	presumedLost          bool    // it no longer hinders a hedged request, though its outcome may still come
+	warming               bool    // the endpoint was warming up when sent to
 	inFlight              bool    // no outcome yet
 	mayHaveExecuted       bool    // it may have had its effect, or may yet
-	bodyWritten           bool    // its last byte is out
+	bodyWritten           bool    // the last byte of the request is sent
 }
 
-// firstExecuted returns the first attempt that may have run, or nil.
+// firstExecuted returns the first attempt that may have executed, or nil.
 func (r *request) firstExecuted() *attempt {
 	if i := slices.IndexFunc(r.attempts, func(a attempt) bool { return a.mayHaveExecuted }); i >= 0 {
 		return &r.attempts[i]
@@ -50,20 +50,28 @@
 	return nil
 }
 
-// executedAttempts counts the attempts that may have run, or may yet.
+// executedAttempts counts the attempts that may have executed, or may yet.
 func (r *request) executedAttempts() (n int) {
 	for i := range r.attempts {
-		n += int(indicator(r.attempts[i].mayHaveExecuted))
+		if r.attempts[i].mayHaveExecuted {
+			n++
+		}
 	}
 	return n
 }
 
-// hasPendingAttempt says whether r has an attempt out that is to be waited for: any, or where second copies may be sent,
-// one that is not late.
-func (r *request) hasPendingAttempt(copies bool) bool {
-	return slices.ContainsFunc(r.attempts, func(a attempt) bool { return a.inFlight && !(copies && a.presumedLost) })
+// hasPendingAttempt tells whether an attempt in flight forbids another. If the request may be hedged, one that
+// is presumed lost does not.
+func (r *request) hasPendingAttempt(mayHedge bool) bool {
+	return slices.ContainsFunc(r.attempts, func(a attempt) bool {
+		return a.inFlight && (!mayHedge || !a.presumedLost)
+	})
 }
 
+// triedAt tells whether an attempt went to e.
 func (r *request) triedAt(e *endpoint) bool {
 	return slices.ContainsFunc(r.attempts, func(a attempt) bool { return a.endpoint == e })
 }
+
+// responded tells whether an end with this status came from the endpoint itself.
+func responded(s Status) bool { return s == OK || s == EndpointError || s == Rejected }
--- a/balancer/retries.go
+++ b/balancer/retries.go
@@ -1,156 +1,112 @@
 package balancer
 
-import "slices"
-
-// Outcomes, retries and second copies of a request.
+// Retries and hedged requests.
 
 const (
-	budgetBurst             = 10.0
-	retryShare              = 0.2  // retries earned by each request
-	lostWeight              = 0.02 // of the latest outcome in the share of attempts that are lost
-	minLostShare            = 0.01 // share from which late attempts get a second copy
-	hedgeShare              = 0.2  // second copies earned by each request
-	failureWeight           = 0.5  // of the latest outcome in an endpoint's failure share
-	connectionFailureWeight = 0.25 // of a connection failure: connections break at healthy ones, too
-	overdueFactor           = 2.5  // times the latency expected, and
-	minOverdueShare         = 0.25 // of the aim at least, after which an answer is late
-	rejectedShareWeight     = 0.25 // of the latest failure in that share
+	maxBudget        = 10.0 // attempts saved up, of retries and of hedged requests
+	retryShare       = 0.2  // retries earned by each request
+	hedgeShare       = 0.2  // hedged requests earned by each request
+	lostWeight       = 0.02 // of the latest outcome in the share of attempts that are lost
+	minLostShare     = 0.01 // share of lost attempts from which overdue ones are hedged
+	overdueFactor    = 2.5  // times the latency expected, and
+	minOverdueShare  = 0.25 // of the latency objective at least, after which an attempt is overdue
+	overdueExtension = 2    // divides the time waited so far, for which a suspected attempt is waited for again
 )
 
-// handleRequestTimer looks at a request whose probes are slow, or whose time is up.
-func (b *Balancer) handleRequestTimer(now Micros, r *request) {
-	if now >= r.Deadline {
-		for i := range r.attempts {
-			if a := &r.attempts[i]; a.inFlight {
-				b.learnServiceTime(now, r, a, float64(now-a.sentAt), true)
-			}
-		}
-		b.reject(now, r)
-	} else if r.awaitingProbes {
-		// Only the idle answer in time: to count them alone would show an idle fleet when all of it is jammed.
-		for _, e := range r.awaitedEndpoints {
-			b.typicalLoad.add(assumedCores+b.requestsAhead(float64(now-e.lastProbeAt)), typicalLoadWeight)
-		}
-		b.dispatch(now, r)
-	} else if n := len(r.attempts); n > 0 && !r.StreamingBody {
-		if a := &r.attempts[n-1]; a.inFlight && !a.presumedLost && now >= a.overdueAt {
-			b.handleOverdue(now, r, a)
-		}
+// budget is a token bucket of attempts, filled by requests.
+type budget float64
+
+// earn adds a share of an attempt.
+func (b *budget) earn(share float64) { *b = budget(min(maxBudget, float64(*b)+share)) }
+
+// retrier decides on retries and hedged requests.
+type retrier struct {
+	*environment
+	probes    *prober
+	estimates *estimator
+	admission *admission
+	ledger    *ledger
+
+	retryBudget      budget
+	hedgeBudget      budget
+	lostAttemptShare ewma // share of attempts that were lost on their way or at the endpoint
+}
+
+func newRetrier(env *environment, p *prober, est *estimator, a *admission, l *ledger) retrier {
+	return retrier{
+		environment: env, probes: p, estimates: est, admission: a, ledger: l,
+		retryBudget: maxBudget, hedgeBudget: maxBudget, lostAttemptShare: ewma{initialized: true},
+	}
+}
+
+// earn fills the budgets by one request.
+func (t *retrier) earn() {
+	t.retryBudget.earn(retryShare)
+	t.hedgeBudget.earn(hedgeShare)
+}
+
+// watch starts a timer for when r's latest attempt is overdue, if attempts get lost at all.
+func (t *retrier) watch(now Micros, r *request) {
+	a := &r.attempts[len(r.attempts)-1]
+	if t.lostAttemptShare.value >= minLostShare && a.overdueAt+Micros(a.predictedLatency) < r.Deadline {
+		t.actions.StartTimer(a.overdueAt-now, r.timerToken)
+	}
+}
+
+// checkOverdue handles r's timer: its latest attempt may be overdue.
+func (t *retrier) checkOverdue(now Micros, r *request) {
+	n := len(r.attempts)
+	if n == 0 || r.StreamingBody {
+		return
+	}
+	if a := &r.attempts[n-1]; a.inFlight && !a.presumedLost && now >= a.overdueAt {
+		t.handleOverdue(now, r, a)
 	}
 }
 
-// handleOverdue handles an attempt that takes far longer than was expected. Where all wait in line it must be
-// waited for: a second copy doubles the work of those that have too much. But where a later one was answered
-// before it, or nothing was heard at all since, not even a probe, it is lost: endpoints and the ways to them
-// may swallow some requests and answer the rest in time. Then a copy goes elsewhere, as far as the class
-// permits. That is done only while such losses are proven to happen: most late answers are slow, and come.
-func (b *Balancer) handleOverdue(now Micros, r *request, a *attempt) {
+// handleOverdue hedges an attempt that takes far longer than expected, if it is lost. Where all requests
+// queue, it must be waited for: a hedged request would double the work of endpoints that have too much. It is
+// lost if a later attempt at its endpoint was answered before it, or if not even a probe was answered since:
+// an endpoint or the network may drop some requests and serve the rest in time. Hedging is limited to times
+// when such losses are known to happen, since most late answers are slow, and do come.
+func (t *retrier) handleOverdue(now Micros, r *request, a *attempt) {
 	e := a.endpoint
-	if b.lostAttemptShare.value < minLostShare {
+	if t.lostAttemptShare.value < minLostShare {
 		return
 	}
 	overtaken, silent := e.lastAnsweredSentAt > a.sentAt, a.suspected && e.lastResponseAt < a.sentAt
 	if !overtaken && !silent {
 		a.suspected = true
-		b.probe(now, e)
-		a.overdueAt = now + (now-a.sentAt)/2
+		t.probes.probe(now, e)
+		a.overdueAt = now + (now-a.sentAt)/overdueExtension
 		if a.overdueAt < r.Deadline {
-			b.actions.StartTimer(a.overdueAt-now, r.timerToken)
+			t.actions.StartTimer(a.overdueAt-now, r.timerToken)
 		}
 		return
 	}
 	a.presumedLost = true
-	if b.settings.Limits.HedgedRequests && b.hedgeBudget >= 1 && b.startAttempt(now, r, false) {
-		b.hedgeBudget--
+	if t.settings.Limits.HedgedRequests && t.hedgeBudget >= 1 && t.admission.startAttempt(now, r, false) {
+		t.hedgeBudget--
 	}
 }
 
-// HandleOutcome handles the end of an attempt.
-func (b *Balancer) HandleOutcome(now Micros, o Outcome) {
-	r := b.requests[o.ID]
-	if r == nil || o.Attempt < 0 || o.Attempt >= len(r.attempts) || !r.attempts[o.Attempt].inFlight {
-		return
-	}
-	a := &r.attempts[o.Attempt]
-	a.inFlight = false
-	r.inFlight--
-	r.bodyConsumed = r.bodyConsumed || o.BodyConsumed
-	if a.bodyWritten {
-		a.endpoint.inFlight--
-	} else {
-		a.endpoint.uploading--
-	}
-	if b.forgetIfRemoved(a.endpoint) { // the next list may be long in coming
-		b.endpoints = slices.DeleteFunc(b.endpoints, func(e *endpoint) bool { return e == a.endpoint })
-	}
-	if o.Status == Rejected || o.Status == ConnectFailed || o.Status == NotSent {
-		a.mayHaveExecuted = false
-	}
-	if o.Status == OK || o.Status == EndpointError || o.Status == Rejected {
-		a.endpoint.lastResponseAt, a.endpoint.lastAnsweredSentAt = now, max(a.endpoint.lastAnsweredSentAt, a.sentAt)
-	}
-	lost := a.presumedLost && o.Status == Cancelled ||
-		o.Status == Timeout && (a.endpoint.lastAnsweredSentAt > a.sentAt || a.endpoint.lastResponseAt < a.sentAt)
-	b.lostAttemptShare.add(indicator(lost), lostWeight)
-	b.recordOutcome(now, r, a, o.Status, o.Latency)
-	inTime := o.Status == OK && !r.answered && now-r.arrivedAt <= r.class.LatencyObjective
-	if o.Status != Cancelled && o.Status != NotSent {
-		b.recentAttempts.add(now, inTime)
-	}
-	if inTime {
-		r.servedInTime = 1
-		b.trialInterval = minTrialInterval
-	} else if r.trial {
-		// The trial found the endpoints still overloaded: more of them would prolong the overload.
-		b.trialInterval = min(2*b.trialInterval, maxTrialInterval)
-	}
-	if o.Answered || o.Status == OK || r.answered {
-		b.finish(r)
-		return
-	}
-	price := indicator(a.mayHaveExecuted) // what never ran may be sent again for nothing
-	if b.retryBudget >= price && b.startAttempt(now, r, false) {
-		b.retryBudget -= price
-		return
-	}
-	if r.inFlight == 0 { // else another copy may still be answered
-		b.reject(now, r)
-	}
-}
-
-// recordOutcome feeds an outcome to the averages.
-func (b *Balancer) recordOutcome(now Micros, r *request, a *attempt, status Status, latency Micros) {
+// recordLoss counts whether an attempt that has ended was lost.
+func (t *retrier) recordLoss(a *attempt, status Status) {
 	e := a.endpoint
-	b.stats.outcome(a, status, latency)
-	switch status {
-	case OK:
-		e.breaker.count(now, 1, 0)
-		e.breaker.addLatency(float64(latency))
-		e.failureShare, e.failureShareAt = (1-failureWeight)*e.currentFailureShare(now), now
-		b.learnServiceTime(now, r, a, float64(latency), false)
-	case Cancelled, NotSent:
-	default:
-		e.breaker.count(now, 0, 1)
-		e.rejectedShare.add(indicator(status == Rejected), rejectedShareWeight)
-		// A client that had little time left says nothing of the endpoint.
-		hasty := status == Timeout && float64(latency) < overdueFactor*a.predictedLatency
-		if weight := failureWeight; !a.presumedLost && !hasty {
-			if status == Reset || status == ConnectFailed || status == Timeout {
-				weight = connectionFailureWeight
-			}
-			b.countFailure(now, e, weight)
-		}
-		if status == Timeout {
-			b.learnServiceTime(now, r, a, float64(latency), true)
-		}
-	}
+	lost := a.presumedLost && status == Cancelled ||
+		status == Timeout && (e.lastAnsweredSentAt > a.sentAt || e.lastResponseAt < a.sentAt)
+	t.lostAttemptShare.add(indicator(lost), lostWeight)
 }
 
-// countFailure counts a failure of this weight against e.
-func (b *Balancer) countFailure(now Micros, e *endpoint, weight float64) {
-	before := e.isEjected(now)
-	e.failureShare, e.failureShareAt = (1-weight)*e.currentFailureShare(now)+weight, now
-	if !before && e.isEjected(now) {
-		b.log(now, "eject", "endpoint %d ejected, %.0f%% of its recent attempts failed", e.ID, 100*e.failureShare)
+// retry sends r again after an attempt that failed, or gives up on it. Only an attempt that may have executed
+// counts against the budget.
+func (t *retrier) retry(now Micros, r *request, failed *attempt) {
+	price := budget(indicator(failed.mayHaveExecuted))
+	if t.retryBudget >= price && t.admission.startAttempt(now, r, false) {
+		t.retryBudget -= price
+		return
+	}
+	if r.inFlight == 0 { // else another attempt may still be answered
+		t.ledger.reject(r)
 	}
 }
--- a/balancer/rng.go
+++ b/balancer/rng.go
@@ -1,6 +1,6 @@
 package balancer
 
-// splitMix64 is a SplitMix64 generator.
+// splitMix64 is a SplitMix64 generator (Steele, Lea and Flood, 2014); its value is the state.
 type splitMix64 uint64
 
 func (s *splitMix64) next() uint64 {
@@ -17,7 +17,7 @@
 // duration returns a duration in [0,d).
 func (s *splitMix64) duration(d Micros) Micros { return Micros(s.uniform() * float64(d)) }
 
-// uniformHash returns a number in (0,1) that a key and a name make, as good as random and the same for all.
+// uniformHash returns a number in (0,1) that depends on a key and a name alone, for rendezvous hashing.
 func uniformHash(key, name uint64) float64 {
 	s := splitMix64(key)
 	s = splitMix64(s.next() ^ name)
--- a/balancer/rules_test.go
+++ b/balancer/rules_test.go
@@ -170,7 +170,7 @@
 	statuses := []Status{OK, OK, OK, EndpointError, Rejected, Timeout, ConnectFailed, Reset, Cancelled, NotSent}
 	for range 3000 {
 		c.now += Micros(rnd.Intn(pause))
-		held = max(held, len(b.awaitingProbes))
+		held = max(held, len(b.waiting.requests))
 		for i := 0; i < len(c.timers); {
 			if p := c.timers[i]; p.at <= c.now {
 				c.timers = slices.Delete(c.timers, i, i+1)
@@ -330,7 +330,7 @@
 			s := testSettings()
 			b, r := start(t, s, ready(4)) // endpoints 1, 2 share a zone and a cell; so do 3, 4
 			b.HandleRequest(1000, request0(1, class, 1000))
-			a := b.requests[1].attempts[0]
+			a := b.ledger.requests[1].attempts[0]
 			b.HandleOutcome(2000, Outcome{ID: 1, Endpoint: a.endpoint.ID, Status: status, Latency: 1000})
 			sends := len(r.sends)
 			switch kind := s.Classes[class]; {
@@ -365,21 +365,21 @@
 	b, r := start(t, testSettings(), nil)
 	b.HandleRequest(1000, request0(1, 4, 1000))
 	b.HandleRequest(1000, Request{ID: 2, Deadline: 500})
-	if len(r.refused) != 2 || b.openRequests != 0 || len(b.requests) != 0 {
-		t.Errorf("refused %v, open %d", r.refused, b.openRequests)
+	if len(r.refused) != 2 || b.ledger.open != 0 || len(b.ledger.requests) != 0 {
+		t.Errorf("refused %v, open %d", r.refused, b.ledger.open)
 	}
 }
 
 func TestUnansweredAttemptEndsAtTheDeadline(t *testing.T) {
 	b, r := start(t, testSettings(), ready(1))
 	b.HandleRequest(1000, request0(1, 4, 1000))
-	token := b.requests[1].timerToken
+	token := b.ledger.requests[1].timerToken
 	b.HandleTimer(1000+second, token)
 	if len(r.failed) != 1 || len(r.cancels) != 1 {
 		t.Fatalf("failed %v, cancelled %v", r.failed, r.cancels)
 	}
 	b.HandleOutcome(2*second, Outcome{ID: 1, Endpoint: 1, Status: OK, Latency: second, Answered: true})
-	if b.endpoints[0].breaker.accepts != 1 || b.endpoints[0].inFlight != 0 || len(b.requests) != 0 {
+	if b.membership.endpoints[0].breaker.accepts != 1 || b.membership.endpoints[0].inFlight != 0 || len(b.ledger.requests) != 0 {
 		t.Error("a late outcome must still feed the statistics")
 	}
 	b.HandleRequest(3*second, request0(2, 0, 3*second))
@@ -460,7 +460,7 @@
 	for i := range uint64(400) {
 		now := second + Micros(i)*10_000
 		b.HandleRequest(now, request0(i, 0, now))
-		if n := len(r.sends); n > 0 && b.requests[i] != nil {
+		if n := len(r.sends); n > 0 && b.ledger.requests[i] != nil {
 			b.HandleOutcome(now, Outcome{ID: i, Endpoint: 1, Status: OK, Latency: 10_000, Answered: true})
 		}
 	}
@@ -539,7 +539,7 @@
 			t.Fatalf("asked only after %d", now-before)
 		}
 	}
-	if len(b.endpoints) != 2 {
+	if len(b.membership.endpoints) != 2 {
 		t.Error("a failed call changed the list")
 	}
 	b.HandleEndpoints(now, ListDelta, nil)
@@ -554,12 +554,12 @@
 	b, r := start(t, testSettings(), ready(2))
 	b.HandleRequest(1000, request0(1, 0, 1000))
 	b.HandleHeaders(2000, 1, 0, 1000)
-	b.HandleTimer(2*second, b.requests[1].timerToken)
+	b.HandleTimer(2*second, b.ledger.requests[1].timerToken)
 	if len(r.sends) != 1 || len(r.refused)+len(r.failed) != 0 {
 		t.Error("a stream that began was given an end or a copy")
 	}
 	b.HandleOutcome(3*second, Outcome{ID: 1, Endpoint: r.sends[0].endpoint, Status: OK, Latency: 3 * second, Answered: true})
-	if len(b.requests) != 0 {
+	if len(b.ledger.requests) != 0 {
 		t.Error("record kept")
 	}
 }
@@ -620,10 +620,10 @@
 func TestLostAttemptsGetACopyElsewhere(t *testing.T) {
 	for class, copies := range []int{1, 1, 1, 1, 0} {
 		b, r := start(t, testSettings(), ready(4))
-		b.lostAttemptShare.value = minLostShare
+		b.retries.lostAttemptShare.value = minLostShare
 		b.HandleRequest(1000, request0(1, uint8(class), 1000))
 		first := r.sends[0]
-		b.endpointByID[first.endpoint].lastAnsweredSentAt = 2000
+		b.membership.byID[first.endpoint].lastAnsweredSentAt = 2000
 		b.HandleTimer(500_000, r.timers[len(r.timers)-1])
 		if n := len(r.sends) - 1; n != copies {
 			t.Errorf("class %d: %d copies, want %d", class, n, copies)
@@ -633,7 +633,7 @@
 			continue
 		}
 		second := r.sends[1]
-		if second.endpoint == first.endpoint || class == 3 && b.endpointByID[second.endpoint].Cell != b.endpointByID[first.endpoint].Cell {
+		if second.endpoint == first.endpoint || class == 3 && b.membership.byID[second.endpoint].Cell != b.membership.byID[first.endpoint].Cell {
 			t.Errorf("class %d: the copy went to %d after %d", class, second.endpoint, first.endpoint)
 		}
 		// The copy fails: the first may still be answered, so no final answer yet.
@@ -646,8 +646,8 @@
 		for i := 2; i < len(r.sends); i++ {
 			calls++ // a third attempt, too, is called off
 		}
-		if len(r.cancels) != calls || b.openRequests != 0 {
-			t.Errorf("class %d: %d attempts called off, want %d; %d requests open", class, len(r.cancels), calls, b.openRequests)
+		if len(r.cancels) != calls || b.ledger.open != 0 {
+			t.Errorf("class %d: %d attempts called off, want %d; %d requests open", class, len(r.cancels), calls, b.ledger.open)
 		}
 	}
 }
@@ -661,13 +661,13 @@
 			b.HandleRequest(1000, request0(id, 0, 1000))
 		}
 		if overtaken {
-			b.endpointByID[1].lastAnsweredSentAt = 2000
+			b.membership.byID[1].lastAnsweredSentAt = 2000
 		}
 		for _, s := range r.sends {
 			b.HandleOutcome(990_000, Outcome{ID: s.id, Endpoint: 1, Status: Timeout, Latency: 989_000})
 		}
-		if taught := b.latencyTrend > 1; taught == overtaken {
-			t.Errorf("%s: trend %v", name, b.latencyTrend)
+		if taught := b.estimates.trend > 1; taught == overtaken {
+			t.Errorf("%s: trend %v", name, b.estimates.trend)
 		}
 	}
 }
@@ -736,15 +736,15 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			b, r := start(t, testSettings(), ready(4))
-			for _, e := range b.endpoints {
-				b.zoneLatencies[e.Zone].add(way)
+			for _, e := range b.membership.endpoints {
+				b.estimates.zoneLatencies[e.Zone].add(way)
 			}
 			b.HandleRequest(10_000, request0(1, c.class, 10_000))
 			b.HandleTimer(20_000, r.timers[len(r.timers)-1]) // should it wait for probes
 			if len(r.sends) != 1 || r.latest[0] != 0 {
 				t.Fatalf("first attempts %v, latest %v", r.sends, r.latest)
 			}
-			at := b.requests[1].attempts[0].sentAt
+			at := b.ledger.requests[1].attempts[0].sentAt
 			b.HandleOutcome(200_000, Outcome{ID: 1, Endpoint: r.sends[0].endpoint, Status: c.status})
 			want := c.want
 			if want > 0 {
@@ -756,11 +756,11 @@
 		})
 	}
 	b, r := start(t, testSettings(), ready(4))
-	b.zoneLatencies[0].add(way)
-	b.zoneLatencies[1].add(way)
+	b.estimates.zoneLatencies[0].add(way)
+	b.estimates.zoneLatencies[1].add(way)
 	b.HandleRequest(0, request0(1, 1, 0))
 	b.HandleTimer(10_000, r.timers[len(r.timers)-1])
-	at := b.requests[1].attempts[0].sentAt
+	at := b.ledger.requests[1].attempts[0].sentAt
 	b.HandleOutcome(at+500_000-way, Outcome{ID: 1, Endpoint: r.sends[0].endpoint, Status: Reset})
 	if len(r.sends) != 1 || len(r.refused) != 1 {
 		t.Errorf("sends %v, refused %v: a repeat that could not arrive in time", r.sends, r.refused)
--- a/balancer/settings.go
+++ b/balancer/settings.go
@@ -8,8 +8,8 @@
 
 // Time limits for learning of a change of the endpoint list. By the protocol a sidecar counts as notified of a change
 // NotificationDeadline after discovery has it and can be reached, whatever became of earlier calls. Within that time
-// there may be a call that hangs or a watch that has gone silent, then the backoff, then a call that queues at discovery.
-// The backoff therefore has what the other two leave:
+// there may be a call that hangs or a watch that has gone silent, then the backoff, then a call that queues at
+// discovery. The backoff therefore has what the other two leave:
 //
 //	after a call that timed out:   NotificationDeadline - 2 DiscoveryCallTimeout                            = 0.6 s at most
 //	after a watch went silent:     NotificationDeadline - WatchDuration - WatchGrace - DiscoveryCallTimeout = 0.8 s at most
--- a/balancer/stats.go
+++ b/balancer/stats.go
@@ -2,35 +2,36 @@
 
 import "fmt"
 
-// Stats counts what a balancer did since its start, and shows what it holds to be so now. The counts only
-// grow: on-call staff read them as differences between two lines.
+// Stats counts what a balancer did since its start, and shows the state that it assumes now. The counts only grow:
+// on-call staff read them as differences between two lines.
 type Stats struct {
 	Requests, Attempts, Rejected, Failed uint64
 
-	// Why an attempt was not sent: no endpoint may be sent to, it would come too late, the breakers of two picks
-	// refused by lot, or the throttle over the whole pool did.
+	// Why an attempt was not sent: there was no endpoint that it might go to, it would have come too late, the circuit
+	// breakers of two endpoints dropped it, or the error throttle did.
 	NoEndpoint, TooLate, BreakerRejected, Throttled uint64
 
 	Outcomes [NotSent + 1]uint64 // of attempts, by status
 	Probes   [NotSent + 1]uint64 // by status
 
-	PredictedLatency, Latency Micros // sums over the attempts answered OK
-	ProbeLatency              Micros // sum over the probes answered OK
+	PredictedLatency, Latency Micros // sums over the attempts with status OK
+	ProbeLatency              Micros // sum over the probes with status OK
 
-	// Of the sends and outcomes, those at endpoints that were warming up when sent to, and their time.
+	// Of the attempts and outcomes, those at endpoints that were warming up when sent to, and sums of their latencies.
 	WarmingAttempts, WarmingOK, WarmingTimeouts uint64
 	WarmingPredictedLatency, WarmingLatency     Micros
 
-	ReportedLoad float64 // sum of the requests that these reported
-	QueuedProbes uint64  // of these, those whose wait was taken for a line of requests
+	ReportedLoad float64 // sum of the requests that load reports counted
+	QueuedProbes uint64  // probes that queued behind requests
 
+	// Requests that are open; attempts in flight, and those whose body is still being sent; endpoints by state.
 	Open, InFlight, Uploading, Listed, Cordoned, WarmingUp, Ejected, Pooled int
 
-	TypicalLoad      float64 // of others at an endpoint, usually
-	ServiceTimeRatio float64 // of the fleet: time taken per predicted work
-	Slowdown         float64 // of latencies beyond those predicted, all endpoints together
-	RejectedShare    float64 // share of requests refused at arrival, of late
-	ReportsLate      bool
+	TypicalLoad      float64 // requests of others at an endpoint
+	ServiceTimeRatio float64 // measured over predicted service time, over the fleet
+	Slowdown         float64 // measured over predicted latency, over all endpoints
+	RejectedShare    float64 // share of requests rejected at arrival, recently
+	ReportsLate      bool    // load reports come late: their means are used instead
 }
 
 // outcome counts how an attempt ended.
@@ -54,18 +55,28 @@
 // Stats returns the counts so far and the state at this instant.
 func (b *Balancer) Stats(now Micros) Stats {
 	s := b.stats
-	s.Open, s.Listed = b.openRequests, len(b.endpoints)
-	for _, e := range b.endpoints {
+	s.Open = b.ledger.open
+	b.membership.describe(now, &s)
+	b.estimates.describe(now, &s)
+	s.RejectedShare = b.demand.rejected()
+	return s
+}
+
+func (m *membership) describe(now Micros, s *Stats) {
+	s.Listed = len(m.endpoints)
+	for _, e := range m.endpoints {
 		s.InFlight += e.inFlight
 		s.Uploading += e.uploading
 		s.Cordoned += int(indicator(e.cordoned))
-		s.WarmingUp += int(indicator(e.isWarming(now, b)))
+		s.WarmingUp += int(indicator(e.isWarming(now, &m.settings.Contract)))
 		s.Ejected += int(indicator(e.isEjected(now)))
 		s.Pooled += int(indicator(e.pooled))
 	}
-	s.TypicalLoad, s.ServiceTimeRatio, s.Slowdown = b.typicalLoad.value, b.fleetServiceTimeRatio.or(1), b.slowdown(now)
-	s.RejectedShare, s.ReportsLate = b.rejectedShare.value, b.reportsLate
-	return s
+}
+
+func (est *estimator) describe(now Micros, s *Stats) {
+	s.TypicalLoad, s.ServiceTimeRatio = est.typicalLoad.value, est.fleetServiceTimeRatio.or(1)
+	s.Slowdown, s.ReportsLate = est.slowdown(now), est.reportsLate
 }
 
 // Since writes the counts of s beyond those of an earlier one, and the state of s, as name=value pairs.
@@ -80,7 +91,7 @@
 		return "[" + text[min(1, len(text)):] + "]"
 	}
 	ok, probed := s.Outcomes[OK]-old.Outcomes[OK], s.Probes[OK]-old.Probes[OK]
-	coldOK := s.WarmingOK - old.WarmingOK
+	warmingOK := s.WarmingOK - old.WarmingOK
 	return fmt.Sprintf("requests=%d attempts=%d rejected=%d failed=%d no_endpoint=%d too_late=%d breaker_rejected=%d throttled=%d outcomes=%s "+
 		"predicted_ms=%.1f latency_ms=%.1f warming_attempts=%d warming_ok=%d warming_timeouts=%d warming_predicted_ms=%.1f warming_latency_ms=%.1f "+
 		"probes=%s probe_ms=%.2f reported_load=%.2f queued_probes=%d open=%d in_flight=%d uploading=%d listed=%d cordoned=%d warming_up=%d ejected=%d "+
@@ -88,19 +99,19 @@
 		s.Requests-old.Requests, s.Attempts-old.Attempts, s.Rejected-old.Rejected, s.Failed-old.Failed,
 		s.NoEndpoint-old.NoEndpoint, s.TooLate-old.TooLate, s.BreakerRejected-old.BreakerRejected, s.Throttled-old.Throttled, statuses(&s.Outcomes, &old.Outcomes),
 		mean(s.PredictedLatency-old.PredictedLatency, ok), mean(s.Latency-old.Latency, ok),
-		s.WarmingAttempts-old.WarmingAttempts, coldOK, s.WarmingTimeouts-old.WarmingTimeouts,
-		mean(s.WarmingPredictedLatency-old.WarmingPredictedLatency, coldOK), mean(s.WarmingLatency-old.WarmingLatency, coldOK),
+		s.WarmingAttempts-old.WarmingAttempts, warmingOK, s.WarmingTimeouts-old.WarmingTimeouts,
+		mean(s.WarmingPredictedLatency-old.WarmingPredictedLatency, warmingOK), mean(s.WarmingLatency-old.WarmingLatency, warmingOK),
 		statuses(&s.Probes, &old.Probes), mean(s.ProbeLatency-old.ProbeLatency, probed),
 		(s.ReportedLoad-old.ReportedLoad)/float64(max(1, probed)), s.QueuedProbes-old.QueuedProbes,
 		s.Open, s.InFlight, s.Uploading, s.Listed, s.Cordoned, s.WarmingUp, s.Ejected, s.Pooled,
 		s.TypicalLoad, s.ServiceTimeRatio, s.Slowdown, s.RejectedShare, s.ReportsLate)
 }
 
-// log writes a line for on-call staff, at most one a second for each topic: refusals come in thousands.
-func (b *Balancer) log(now Micros, topic, format string, args ...any) {
-	if at, ok := b.lastLogged[topic]; ok && now-at < second {
+// log writes a line for on-call staff, at most one a second for each topic: rejections come in thousands.
+func (env *environment) log(now Micros, topic, format string, args ...any) {
+	if at, ok := env.lastLogged[topic]; ok && now-at < second {
 		return
 	}
-	b.lastLogged[topic] = now
-	b.actions.Log(fmt.Sprintf(format, args...))
+	env.lastLogged[topic] = now
+	env.actions.Log(fmt.Sprintf(format, args...))
 }
--- a/balancer/streaming_test.go
+++ b/balancer/streaming_test.go
@@ -28,8 +28,8 @@
 		t.Errorf("at its deadline: refused %v, cancelled %v", r.refused, r.cancels)
 	}
 	b.HandleOutcome(now+second, Outcome{ID: 1, Endpoint: 1, Status: Cancelled, Answered: true})
-	if s := b.Stats(now); s.InFlight+s.Uploading != 0 || len(b.requests) != 0 {
-		t.Errorf("after its end: %d in flight, %d being written, %d held", s.InFlight, s.Uploading, len(b.requests))
+	if s := b.Stats(now); s.InFlight+s.Uploading != 0 || len(b.ledger.requests) != 0 {
+		t.Errorf("after its end: %d in flight, %d being written, %d held", s.InFlight, s.Uploading, len(b.ledger.requests))
 	}
 }
 
