--- a/balancer/ledger.go
+++ b/balancer/ledger.go
@@ -32,6 +32,9 @@
 	return l.slots[slot]
 }
 
+// openRequests counts the requests without final answer.
+func (l *ledger) openRequests() int { return l.open }
+
 // full tells whether more requests are open than permitted.
 func (l *ledger) full() bool { return l.open > l.settings.Limits.MaxOpenRequests }
 
--- a/balancer/settings.go
+++ b/balancer/settings.go
@@ -2,8 +2,8 @@
 
 import "fmt"
 
-// Micros is an instant or a duration in microseconds. Instants share one
-// arbitrary origin chosen by the host; the host's clock never runs backwards.
+// Micros is an instant or a duration in microseconds. Instants share one arbitrary origin chosen by the host; the
+// host's clock never runs backwards.
 type Micros = int64
 
 // Time limits for learning of a change of the endpoint list. By the protocol a sidecar counts as notified of a change
@@ -11,32 +11,32 @@
 // there may be a call that hangs or a watch that has gone silent, then the backoff, then a call that queues at
 // discovery. The backoff therefore has what the other two leave:
 //
-//	after a call that timed out:   NotificationDeadline - 2 DiscoveryCallTimeout                            = 0.6 s at most
+//	after a call that timed out:   NotificationDeadline - 2 DiscoveryCallTimeout = 0.6 s at most
 //	after a watch went silent:     NotificationDeadline - WatchDuration - WatchGrace - DiscoveryCallTimeout = 0.8 s at most
-//	after a call refused at once:  NotificationDeadline - DiscoveryCallTimeout                              = 3.3 s at most
+//	after a call refused at once:  NotificationDeadline - DiscoveryCallTimeout = 3.3 s at most
 //
 // Over a fleet, quiet watches make one call each in 1.5 to 2 s.
 const (
 	NotificationDeadline Micros = 6_000_000
-	DiscoveryCallTimeout        = NotificationDeadline * 9 / 20 // with a call that asks at once
-	WatchDuration               = NotificationDeadline / 3      // that a call may wait for news,
-	WatchGrace                  = NotificationDeadline / 12     // and be late with telling that there is none
+	DiscoveryCallTimeout        = NotificationDeadline * 9 / 20 // of a call that is to be answered at once
+	WatchDuration               = NotificationDeadline / 3      // for which a call may wait for a change,
+	WatchGrace                  = NotificationDeadline / 12     // and by which an answer that there is none may be late
 )
 
-// Idempotency says what a second run of a request of a class would do.
+// Idempotency tells what a second execution of a request would do. Later values permit less.
 type Idempotency uint8
 
-// The three kinds of class.
+// The kinds of class.
 const (
 	Idempotent        Idempotency = iota // a repeat is harmless
-	IdempotentWithKey                    // a group of endpoints drops repeats for a while
+	IdempotentWithKey                    // the endpoints of a scope drop repeats with the same key for a while
 	NonIdempotent                        // a repeat would have a second effect
 )
 
-// DeduplicationScope is the set of endpoints that drops repeats of a keyed request.
+// DeduplicationScope is the set of endpoints that drop repeats of a request with an idempotency key.
 type DeduplicationScope uint8
 
-// The groups of a keyed class.
+// The deduplication scopes.
 const (
 	ScopeAll  DeduplicationScope = iota // every endpoint
 	ScopeZone                           // the endpoints of one zone
@@ -46,40 +46,38 @@
 // ReportField names one figure of a load report.
 type ReportField uint8
 
-// The figures that a load report may carry. FieldUnknown is one that this
-// version does not know; it is skipped.
+// The figures that a load report may carry. FieldUnknown is one that this version does not know; it is skipped.
 const (
 	FieldUnknown     ReportField = iota
-	FieldInFlight                // requests that the endpoint holds
-	FieldQueue                   // requests that wait there
+	FieldInFlight                // requests at the endpoint
+	FieldQueue                   // requests queued there
 	FieldUtilization             // share of its cores in use
 	FieldLatency                 // recent service time in milliseconds
 	FieldServedRate              // requests served a second
 	FieldErrorRate               // errors a second
 )
 
-// Class describes one class of requests.
+// Class describes one class of requests. No decision reads LateWeight and Streaming.
 type Class struct {
 	Name                string
 	Idempotency         Idempotency        `json:"Repeat"`
-	DeduplicationScope  DeduplicationScope `json:"Group"`     // keyed only
-	DeduplicationWindow Micros             `json:"Window"`    // keyed only: how long the group remembers
-	LatencyObjective    Micros             `json:"Aim"`       // an answer within this time earns the full worth
-	ClientTimeout       Micros             `json:"GiveUp"`    // the client's patience over all its tries
+	DeduplicationScope  DeduplicationScope `json:"Group"`     // for IdempotentWithKey only
+	DeduplicationWindow Micros             `json:"Window"`    // for IdempotentWithKey only: how long repeats are dropped
+	LatencyObjective    Micros             `json:"Aim"`       // an answer within this time earns the full weight
+	ClientTimeout       Micros             `json:"GiveUp"`    // of the client, over all its attempts
 	PriorityWeight      float64            `json:"Worth"`     // of one request
-	LateWeight          float64            `json:"LateWorth"` // share of the worth earned after the aim
-	Streaming           bool               `json:"Stream"`    // answers are streamed: Headers announces them
+	LateWeight          float64            `json:"LateWorth"` // share of the weight earned after LatencyObjective
+	Streaming           bool               `json:"Stream"`    // answers are streamed: HandleHeaders announces them
 }
 
-// Tenant describes one tenant and its share of the service.
+// Tenant describes one tenant and its quota. No decision reads CapacityShare.
 type Tenant struct {
 	Name          string
 	QuotaRate     float64 `json:"Allowance"` // requests a second over all balancers
 	CapacityShare float64 `json:"Share"`
 }
 
-// Limits holds what the deployment permits. Tell and DialTimeout are checked
-// but no decision reads them.
+// Limits holds what the deployment permits. No decision reads PeerMessages and DialTimeout.
 type Limits struct {
 	CancelAttempts bool `json:"Cancel"`
 	Probes         bool
@@ -89,25 +87,23 @@
 
 	MaxAttempts     int    // attempts a request
 	MaxOpenRequests int    `json:"MaxOpen"` // open requests a balancer
-	MaxRetryAfter   Micros // the longest wait that clients honour
+	MaxRetryAfter   Micros // the longest Retry-After that clients honour
 	DialTimeout     Micros
 }
 
-// Contract holds the figures of the rules. DrainGrace and AnswerGrace are
-// checked but no decision reads them: nothing new is sent to a draining
-// endpoint, and answers leave by the deadline.
+// Contract holds the figures of the rules. No decision reads AnswerGrace: answers leave by the deadline.
 type Contract struct {
-	DrainGrace               Micros
-	SlowStartInitialFraction float64 `json:"ColdFrom"`     // an endpoint starts at no less than this share
-	SlowStartDuration        Micros  `json:"RampTime"`     // and is warm no later than this
+	DrainGrace               Micros  // for which a draining endpoint still serves
+	SlowStartInitialFraction float64 `json:"ColdFrom"`     // share of its capacity, at least, that an endpoint starts with
+	SlowStartDuration        Micros  `json:"RampTime"`     // after which it is warm, at the latest
 	OverloadFactor           float64 `json:"FallMultiple"` // of its present capacity, sent for OverloadWindow,
-	OverloadWindow           Micros  `json:"OverloadFor"`  // makes a cold endpoint fall over
-	PollInterval             Micros  `json:"AskWithin"`    // a balancer without subscription must ask this often
+	OverloadWindow           Micros  `json:"OverloadFor"`  // overloads an endpoint that is warming up
+	PollInterval             Micros  `json:"AskWithin"`    // between polls of a balancer without subscription, at most
 	AnswerGrace              Micros  `json:"AnswerSlack"`
 }
 
-// Prices holds what is taken off the result, each for its rate per request.
-// No decision reads Waste and LateFail.
+// Prices holds what is taken off the result, each for its rate per request. No decision reads WastedAttempt and
+// LateFailure.
 type Prices struct {
 	CrossZone     float64
 	Probe         float64
@@ -115,7 +111,7 @@
 	LateFailure   float64 `json:"LateFail"`
 }
 
-// Goal holds the weights of what the users judge. No decision reads WorstTenant.
+// Goal holds the weights of what users judge. No decision reads WorstTenant.
 type Goal struct {
 	Overall     float64 `json:"Whole"`
 	WorstWindow float64
@@ -123,15 +119,15 @@
 	WorstTenant float64
 }
 
-// Settings is all that a balancer is told at its start, and by Reconfigure. It does not change what it is given,
-// nor may its host. No decision reads Position, Zones and Kinds.
+// Settings configures a balancer, at its start and by Reconfigure. Neither the balancer nor its host may change them
+// afterwards. No decision reads Index, Zones, MachineKinds and Tick.
 type Settings struct {
 	Balancers            int // in this tier, this one included
 	Index                int `json:"Position"` // of this one among them
 	Zone                 int // of this one
 	Zones                int
-	MachineKinds         int  `json:"Kinds"`     // of machines
-	SubscribeToDiscovery bool `json:"Subscribe"` // discovery answers only when asked
+	MachineKinds         int  `json:"Kinds"`
+	SubscribeToDiscovery bool `json:"Subscribe"` // discovery answers only when called
 
 	Classes      []Class
 	Tenants      []Tenant
@@ -142,66 +138,99 @@
 	Prices          Prices
 	Goal            Goal
 	Tick            Micros  // the least time between two rounds of events
-	OverQuotaWeight float64 `json:"OverShareWorth"`
-	WeightByWork    bool    `json:"WorthByWork"` // worth counts per unit of work, not per request
-	KeyAffinity     bool    `json:"WarmKeys"`    // an endpoint that met a key lately does less work for it
+	OverQuotaWeight float64 `json:"OverShareWorth"` // of a request beyond its tenant's quota, as a share
+	WeightByWork    bool    `json:"WorthByWork"`    // PriorityWeight counts per unit of work, not per request
+	KeyAffinity     bool    `json:"WarmKeys"`       // an endpoint that met a key lately does less work for it
 }
 
-// SettingError names a setting that makes no sense.
+// SettingError names a setting that is invalid. Key is its path in Settings.
 type SettingError struct{ Key, Value, Reason string }
 
-// Error says which setting is wrong, and how.
+// Error says which setting is invalid, and how.
 func (e *SettingError) Error() string {
 	return fmt.Sprintf("setting %s=%s: %s", e.Key, e.Value, e.Reason)
 }
 
-// Validate returns a *SettingError for the first setting that makes no sense.
+// Validate returns a *SettingError for the first setting that is invalid.
 func (s *Settings) Validate() error {
-	var err error
-	check := func(ok bool, key string, value any, reason string) {
-		if !ok && err == nil {
-			err = &SettingError{key, fmt.Sprint(value), reason}
-		}
-	}
-	check(s.Balancers >= 1, "Balancers", s.Balancers, "must be at least 1")
-	check(s.Index >= 0, "Index", s.Index, "must not be negative")
-	check(s.Zone >= 0, "Zone", s.Zone, "must not be negative")
-	check(s.MachineKinds >= 0, "MachineKinds", s.MachineKinds, "must not be negative")
-	check(s.Tick >= 0, "Tick", s.Tick, "must not be negative")
-	check(len(s.Classes) > 0, "Classes", "none", "at least one class is needed")
-	for i, c := range s.Classes {
-		at := func(name string) string { return fmt.Sprintf("Classes[%d].%s", i, name) }
-		check(c.Idempotency <= NonIdempotent, at("Idempotency"), c.Idempotency, "not a known kind")
-		check(c.DeduplicationScope <= ScopeCell, at("DeduplicationScope"), c.DeduplicationScope, "not a known group")
-		check(c.DeduplicationWindow >= 0, at("DeduplicationWindow"), c.DeduplicationWindow, "must not be negative")
-		check(c.LatencyObjective > 0, at("LatencyObjective"), c.LatencyObjective, "must be positive")
-		check(c.ClientTimeout > 0, at("ClientTimeout"), c.ClientTimeout, "must be positive")
-		check(c.PriorityWeight >= 0, at("PriorityWeight"), c.PriorityWeight, "must not be negative")
-		check(c.LateWeight >= 0 && c.LateWeight <= 1, at("LateWeight"), c.LateWeight, "must be in 0..1")
+	var v validator
+	atLeastOne(&v, "Balancers", s.Balancers)
+	notNegative(&v, "Index", s.Index)
+	notNegative(&v, "Zone", s.Zone)
+	notNegative(&v, "MachineKinds", s.MachineKinds)
+	notNegative(&v, "Tick", s.Tick)
+	v.check(len(s.Classes) > 0, "Classes", "none", "at least one class is needed")
+	for i := range s.Classes {
+		s.Classes[i].validate(&v, fmt.Sprintf("Classes[%d].", i))
 	}
 	for i, t := range s.Tenants {
-		key := fmt.Sprintf("Tenants[%d].QuotaRate", i)
-		check(t.QuotaRate >= 0, key, t.QuotaRate, "must not be negative")
+		notNegative(&v, fmt.Sprintf("Tenants[%d].QuotaRate", i), t.QuotaRate)
+	}
+	for _, weight := range [...]float64{s.Goal.Overall, s.Goal.WorstWindow, s.Goal.WorstClass, s.Goal.WorstTenant} {
+		notNegative(&v, "Goal", weight)
 	}
-	for _, w := range [...]float64{s.Goal.Overall, s.Goal.WorstWindow, s.Goal.WorstClass, s.Goal.WorstTenant} {
-		check(w >= 0, "Goal", w, "must not be negative")
+	notNegative(&v, "OverQuotaWeight", s.OverQuotaWeight)
+	s.Limits.validate(&v)
+	s.Contract.validate(&v)
+	s.Prices.validate(&v)
+	return v.err
+}
+
+func (c *Class) validate(v *validator, path string) {
+	v.check(c.Idempotency <= NonIdempotent, path+"Idempotency", c.Idempotency, "not a known kind")
+	v.check(c.DeduplicationScope <= ScopeCell, path+"DeduplicationScope", c.DeduplicationScope, "not a known group")
+	notNegative(v, path+"DeduplicationWindow", c.DeduplicationWindow)
+	positive(v, path+"LatencyObjective", c.LatencyObjective)
+	positive(v, path+"ClientTimeout", c.ClientTimeout)
+	notNegative(v, path+"PriorityWeight", c.PriorityWeight)
+	v.check(c.LateWeight >= 0 && c.LateWeight <= 1, path+"LateWeight", c.LateWeight, "must be in 0..1")
+}
+
+func (l *Limits) validate(v *validator) {
+	atLeastOne(v, "Limits.MaxAttempts", l.MaxAttempts)
+	atLeastOne(v, "Limits.MaxOpenRequests", l.MaxOpenRequests)
+	notNegative(v, "Limits.MaxRetryAfter", l.MaxRetryAfter)
+	notNegative(v, "Limits.DialTimeout", l.DialTimeout)
+}
+
+func (c *Contract) validate(v *validator) {
+	notNegative(v, "Contract.DrainGrace", c.DrainGrace)
+	fraction := c.SlowStartInitialFraction
+	v.check(fraction > 0 && fraction <= 1, "Contract.SlowStartInitialFraction", fraction, "must be in 0..1, not 0")
+	notNegative(v, "Contract.SlowStartDuration", c.SlowStartDuration)
+	positive(v, "Contract.OverloadFactor", c.OverloadFactor)
+	notNegative(v, "Contract.OverloadWindow", c.OverloadWindow)
+	notNegative(v, "Contract.PollInterval", c.PollInterval)
+	notNegative(v, "Contract.AnswerGrace", c.AnswerGrace)
+}
+
+func (p *Prices) validate(v *validator) {
+	notNegative(v, "Prices.CrossZone", p.CrossZone)
+	notNegative(v, "Prices.Probe", p.Probe)
+	notNegative(v, "Prices.WastedAttempt", p.WastedAttempt)
+	notNegative(v, "Prices.LateFailure", p.LateFailure)
+}
+
+// validator keeps the first error.
+type validator struct{ err error }
+
+func (v *validator) check(ok bool, key string, value any, reason string) {
+	if !ok && v.err == nil {
+		v.err = &SettingError{key, fmt.Sprint(value), reason}
 	}
-	check(s.OverQuotaWeight >= 0, "OverQuotaWeight", s.OverQuotaWeight, "must not be negative")
-	l, c, p := &s.Limits, &s.Contract, &s.Prices
-	check(l.MaxAttempts >= 1, "Limits.MaxAttempts", l.MaxAttempts, "must be at least 1")
-	check(l.MaxOpenRequests >= 1, "Limits.MaxOpenRequests", l.MaxOpenRequests, "must be at least 1")
-	check(l.MaxRetryAfter >= 0, "Limits.MaxRetryAfter", l.MaxRetryAfter, "must not be negative")
-	check(l.DialTimeout >= 0, "Limits.DialTimeout", l.DialTimeout, "must not be negative")
-	check(c.DrainGrace >= 0, "Contract.DrainGrace", c.DrainGrace, "must not be negative")
-	check(c.SlowStartInitialFraction > 0 && c.SlowStartInitialFraction <= 1, "Contract.SlowStartInitialFraction", c.SlowStartInitialFraction, "must be in 0..1, not 0")
-	check(c.SlowStartDuration >= 0, "Contract.SlowStartDuration", c.SlowStartDuration, "must not be negative")
-	check(c.OverloadFactor > 0, "Contract.OverloadFactor", c.OverloadFactor, "must be positive")
-	check(c.OverloadWindow >= 0, "Contract.OverloadWindow", c.OverloadWindow, "must not be negative")
-	check(c.PollInterval >= 0, "Contract.PollInterval", c.PollInterval, "must not be negative")
-	check(c.AnswerGrace >= 0, "Contract.AnswerGrace", c.AnswerGrace, "must not be negative")
-	check(p.CrossZone >= 0, "Prices.CrossZone", p.CrossZone, "must not be negative")
-	check(p.Probe >= 0, "Prices.Probe", p.Probe, "must not be negative")
-	check(p.WastedAttempt >= 0, "Prices.WastedAttempt", p.WastedAttempt, "must not be negative")
-	check(p.LateFailure >= 0, "Prices.LateFailure", p.LateFailure, "must not be negative")
-	return err
+}
+
+// number is any type of the settings that is checked against a bound. No comparison holds for NaN.
+type number interface{ int | int64 | float64 }
+
+func notNegative[T number](v *validator, key string, value T) {
+	v.check(value >= 0, key, value, "must not be negative")
+}
+
+func positive[T number](v *validator, key string, value T) {
+	v.check(value > 0, key, value, "must be positive")
+}
+
+func atLeastOne[T number](v *validator, key string, value T) {
+	v.check(value >= 1, key, value, "must be at least 1")
 }
--- a/balancer/stats.go
+++ b/balancer/stats.go
@@ -55,7 +55,7 @@
 // Stats returns the counts so far and the state at this instant.
 func (b *Balancer) Stats(now Micros) Stats {
 	s := b.stats
-	s.Open = b.ledger.open
+	s.Open = b.ledger.openRequests()
 	b.membership.describe(now, &s)
 	b.estimates.describe(now, &s)
 	s.RejectedShare = b.demand.rejected()
