--- a/balancer/breaker_test.go
+++ b/balancer/breaker_test.go
@@ -5,9 +5,9 @@
 	"testing"
 )
 
-func near(a, b float64) bool { return math.Abs(a-b) < 1e-9 }
+func almostEqual(a, b float64) bool { return math.Abs(a-b) < 1e-9 }
 
-func TestErrorChance(t *testing.T) {
+func TestErrorDropProbability(t *testing.T) {
 	for _, c := range []struct {
 		name              string
 		accepts, failures int
@@ -39,13 +39,13 @@
 		for range c.refusals {
 			k.count(now, 0, 0)
 		}
-		if got := k.errorDropProbability(now); !near(got, c.want) {
+		if got := k.errorDropProbability(now); !almostEqual(got, c.want) {
 			t.Errorf("%s: got %v, want %v", c.name, got, c.want)
 		}
 	}
 }
 
-func TestWindowForgets(t *testing.T) {
+func TestBreakerWindowDropsOldBuckets(t *testing.T) {
 	var k circuitBreaker
 	for range 100 {
 		k.count(100*second, 0, 1)
@@ -65,23 +65,23 @@
 	}
 }
 
-func TestLatencyAverages(t *testing.T) {
+func TestBreakerLatencyAverages(t *testing.T) {
 	var k circuitBreaker
 	k.addLatency(100)
 	if k.baseLatency != 100 || k.currentLatency != 100 {
 		t.Fatalf("first: base %v current %v", k.baseLatency, k.currentLatency)
 	}
 	k.addLatency(60) // falls by a quarter of the way; current (60+3*100)/4
-	if !near(k.baseLatency, 90) || !near(k.currentLatency, 90) {
+	if !almostEqual(k.baseLatency, 90) || !almostEqual(k.currentLatency, 90) {
 		t.Fatalf("fall: base %v current %v", k.baseLatency, k.currentLatency)
 	}
 	k.addLatency(190) // rises by a hundredth: (190+99*90)/100; current (190+270)/4
-	if !near(k.baseLatency, 91) || !near(k.currentLatency, 115) {
+	if !almostEqual(k.baseLatency, 91) || !almostEqual(k.currentLatency, 115) {
 		t.Fatalf("rise: base %v current %v", k.baseLatency, k.currentLatency)
 	}
 }
 
-func TestLatencyChance(t *testing.T) {
+func TestLatencyDropProbability(t *testing.T) {
 	for _, c := range []struct {
 		name                   string
 		base, current, timeout float64
@@ -95,13 +95,13 @@
 		{"ceiling under the threshold", 400, 5000, 1000, 0},
 	} {
 		k := circuitBreaker{baseLatency: c.base, currentLatency: c.current}
-		if got := k.latencyDropProbability(c.timeout); !near(got, c.want) {
+		if got := k.latencyDropProbability(c.timeout); !almostEqual(got, c.want) {
 			t.Errorf("%s: got %v, want %v", c.name, got, c.want)
 		}
 	}
 }
 
-func TestForcedPass(t *testing.T) {
+func TestBreakerLetsTrialsThrough(t *testing.T) {
 	b, _ := start(t, testSettings(), ready(1))
 	e := b.membership.endpoints[0]
 	now := 20 * second
@@ -127,7 +127,7 @@
 }
 
 // When all endpoints fail at once, ejection must not leave the few last ones with everything.
-func TestAllFailingAtOnceStaySpread(t *testing.T) {
+func TestLoadStaysSpreadWhenAllFail(t *testing.T) {
 	b, r := start(t, testSettings(), ready(8))
 	sends := map[uint32]int{}
 	for id := range uint64(400) {
--- a/balancer/cordon_test.go
+++ b/balancer/cordon_test.go
@@ -2,8 +2,8 @@
 
 import "testing"
 
-// named gives the endpoints of a list names.
-func named(list []Endpoint) []Endpoint {
+// withNames gives the endpoints of a list names.
+func withNames(list []Endpoint) []Endpoint {
 	for i := range list {
 		list[i].Name = uint64(100 + list[i].ID)
 	}
@@ -12,8 +12,8 @@
 
 // What is left out by hand gets neither requests nor probes, whatever discovery
 // says of it; two calls out need one back.
-func TestCordonedGetsNothing(t *testing.T) {
-	list := named(ready(2))
+func TestCordonedEndpointGetsNothing(t *testing.T) {
+	list := withNames(ready(2))
 	b, r := start(t, testSettings(), list)
 	now := Micros(0)
 	id := uint64(0)
@@ -22,7 +22,7 @@
 		for range 200 {
 			now += 20_000
 			id++
-			b.HandleRequest(now, request0(id, 0, now))
+			b.HandleRequest(now, testRequest(id, 0, now))
 			b.HandleTimer(now, probeTimerToken)
 			for _, p := range r.probes {
 				b.HandleProbe(now, p, OK, 1000, []float32{0})
@@ -71,19 +71,19 @@
 }
 
 // An endpoint that is out when it is first listed stays out.
-func TestCordonedBeforeItIsListed(t *testing.T) {
+func TestCordonBeforeListing(t *testing.T) {
 	b, r := start(t, testSettings(), nil)
 	b.Cordon(0, 101, true, 0)
-	b.HandleEndpoints(0, ListFull, named(ready(1)))
-	b.HandleRequest(1, request0(1, 0, 1))
-	if len(r.sends) != 0 || len(r.refused) != 1 {
-		t.Errorf("sent %v, refused %v", r.sends, r.refused)
+	b.HandleEndpoints(0, ListFull, withNames(ready(1)))
+	b.HandleRequest(1, testRequest(1, 0, 1))
+	if len(r.sends) != 0 || len(r.rejected) != 1 {
+		t.Errorf("sent %v, refused %v", r.sends, r.rejected)
 	}
 }
 
 // One put back by hand is sent to at once, though the warm ones would be quicker;
 // of a thousand balancers only a few do so.
-func TestPutBackIsUsedSoon(t *testing.T) {
+func TestUncordonedEndpointIsUsedSoon(t *testing.T) {
 	used := 0
 	for seed := range uint64(1000) {
 		s := testSettings()
@@ -94,12 +94,12 @@
 			t.Fatal(err)
 		}
 		b.Start(0)
-		b.HandleEndpoints(0, ListCached, named(ready(10)))
+		b.HandleEndpoints(0, ListCached, withNames(ready(10)))
 		now := 30 * second
 		b.Cordon(now, 101, true, now)
 		b.Cordon(now, 101, false, now)
 		b.HandleProbe(now+1000, 1, OK, 1000, []float32{0})
-		b.HandleRequest(now+2000, request0(1, 0, now+2000))
+		b.HandleRequest(now+2000, testRequest(1, 0, now+2000))
 		if len(r.sends) == 1 && r.sends[0].endpoint == 1 {
 			used++
 		}
--- a/balancer/estimates_test.go
+++ b/balancer/estimates_test.go
@@ -8,13 +8,13 @@
 
 // What one process has learned the next one goes by, from its first request on; an
 // endpoint's new life owes nothing to what was known of the old one.
-func TestNextProcessGoesOnFromWhatWasLearned(t *testing.T) {
-	list := named(ready(4))
+func TestRestoreContinuesFromEstimates(t *testing.T) {
+	list := withNames(ready(4))
 	list[3].StartTime = 5
 	old, r := start(t, testSettings(), list)
 	for id := range uint64(400) {
 		now := Micros(id) * 50_000
-		old.HandleRequest(now, request0(id+1, 0, now))
+		old.HandleRequest(now, testRequest(id+1, 0, now))
 		for _, p := range r.probes {
 			old.HandleProbe(now, p, OK, 5000, []float32{float32((id/8 + uint64(p)) % 4)})
 		}
@@ -63,7 +63,7 @@
 }
 
 // What makes no sense, or is of other settings, changes nothing.
-func TestSenselessLearnedIsIgnored(t *testing.T) {
+func TestInvalidEstimatesAreIgnored(t *testing.T) {
 	unknown := []ClassWorkEstimate{{"read", 0}}
 	for name, l := range map[string]Estimates{
 		"nothing": {}, "other classes": {ServiceTimeRatio: 2, ClassWork: []ClassWorkEstimate{{"elsewhere", 1}}}, "no pace": {ServiceTimeRatio: math.NaN(), ClassWork: unknown},
@@ -79,7 +79,7 @@
 }
 
 // The next process may know the classes in another order, and others beside them.
-func TestLearnedWorksGoByName(t *testing.T) {
+func TestClassWorkIsRestoredByName(t *testing.T) {
 	b, _ := start(t, testSettings(), ready(2))
 	for i, c := range b.demand.classes {
 		c.work.value = float64(i + 1)
--- a/balancer/helpers_test.go
+++ b/balancer/helpers_test.go
@@ -32,22 +32,22 @@
 
 // recorder keeps what a balancer asks of its host.
 type recorder struct {
-	sends   []sent
-	latest  []Micros // of the sends
-	refused []uint64
-	failed  []uint64
-	cancels []uint64
-	probes  []uint32
-	timers  []uint32
-	delays  []Micros
-	watches int
-	logs    []string
+	sends    []sent
+	latest   []Micros // of the sends
+	rejected []uint64
+	failed   []uint64
+	cancels  []uint64
+	probes   []uint32
+	timers   []uint32
+	delays   []Micros
+	watches  int
+	logs     []string
 }
 
 func (r *recorder) Send(id uint64, e uint32, latest Micros) {
 	r.sends, r.latest = append(r.sends, sent{id, e}), append(r.latest, latest)
 }
-func (r *recorder) Reject(id uint64, _ Micros) { r.refused = append(r.refused, id) }
+func (r *recorder) Reject(id uint64, _ Micros) { r.rejected = append(r.rejected, id) }
 func (r *recorder) Fail(id uint64)             { r.failed = append(r.failed, id) }
 func (r *recorder) Cancel(id uint64, _ int)    { r.cancels = append(r.cancels, id) }
 func (r *recorder) StartTimer(delay Micros, token uint32) {
@@ -78,11 +78,11 @@
 	return b, r
 }
 
-func request0(id uint64, class uint8, now Micros) Request {
+func testRequest(id uint64, class uint8, now Micros) Request {
 	return Request{ID: id, Class: class, Deadline: now + second}
 }
 
-func TestNewNamesBadSetting(t *testing.T) {
+func TestNewReturnsSettingError(t *testing.T) {
 	for _, c := range []struct {
 		key   string
 		spoil func(*Settings)
--- a/balancer/membership_test.go
+++ b/balancer/membership_test.go
@@ -23,7 +23,7 @@
 
 // A start is believed cold where the list before says that it can't be old: clocks may be stepped, either way. An
 // endpoint that comes back as the process that it was stays warm, and so does what the first list names as old.
-func TestStartsByASteppedClock(t *testing.T) {
+func TestStartTimeOfASteppedClock(t *testing.T) {
 	const hour = 3600 * second
 	const began = 10 * hour // of this balancer, by its own clock
 	old := Endpoint{ID: 1, Name: 1, Weight: 1, StartTime: began - hour}
--- a/balancer/overload_test.go
+++ b/balancer/overload_test.go
@@ -11,32 +11,32 @@
 // its connection and ends its work; what was done of it by then is lost. Clients come again when they are refused
 // or give a try up, within their patience.
 type service struct {
-	now       Micros
-	events    events
-	members   []*caller
-	endpoints []*server
-	rng       splitMix64
-	tries     uint64
-	offered   []int // requests of users, by the second of their arrival
-	inTime    []int // those of them answered within their aim
+	now            Micros
+	events         events
+	hosts          []*clientHost
+	endpoints      []*server
+	rng            splitMix64
+	clientAttempts uint64
+	offered        []int // requests of users, by the second of their arrival
+	inTime         []int // those of them answered within their aim
 }
 
-// caller is the host of one balancer.
-type caller struct {
+// clientHost is the host of one balancer.
+type clientHost struct {
 	s    *service
 	b    *Balancer
-	open map[uint64]*try
+	open map[uint64]*clientAttempt
 	idle map[uint32]int // connections, by endpoint
 }
 
 // user is one request as its user sees it: up to three tries.
 type user struct {
-	at    Micros
-	tries int
+	at       Micros
+	attempts int
 }
 
-// try is one try of a user's request, as one balancer gets it.
-type try struct {
+// clientAttempt is one try of a user's request, as one balancer gets it.
+type clientAttempt struct {
 	user     *user
 	id       uint64
 	deadline Micros
@@ -45,49 +45,49 @@
 
 // job is one attempt in work at a server.
 type job struct {
-	left  float64 // work
-	at    *server
-	begun Micros // when it got a slot
-	done  func(now Micros)
-	ended bool
+	remaining float64 // work
+	server    *server
+	startedAt Micros // when it got a slot
+	done      func(now Micros)
+	ended     bool
 }
 
 // server shares its cores among what it holds. While overdriven it takes longer for the same work.
 type server struct {
-	s         *service
-	cores     float64
-	speed     float64
-	jobs      []*job
-	advanced  Micros
-	turn      int       // of its timer
-	held      float64   // requests a core, of late
-	reported  []float32 // queue, and latency of late in milliseconds
-	took      ewma      // from the start in a slot to the end
-	crowdedAt Micros    // since when it has held too much, 0 if it does not
-	quietAt   Micros    // since when it has held little, 0 if it does not
-	slow      bool
+	s               *service
+	cores           float64
+	speed           float64
+	jobs            []*job
+	advanced        Micros
+	timerGeneration int       // of its timer
+	meanLoad        float64   // requests a core, of late
+	reported        []float32 // queue, and latency of late in milliseconds
+	serviceTime     ewma      // from the start in a slot to the end
+	overloadedAt    Micros    // since when it has held too much, 0 if it does not
+	idleAt          Micros    // since when it has held little, 0 if it does not
+	overloaded      bool
 }
 
 const (
-	serviceAim      = 200 * 1000 // for a user's request, over all its tries
-	servicePatience = 500 * 1000 // of the user, over all tries
-	tryPatience     = 275 * 1000 // of the user, for one try
-	triesMost       = 3
-	meanWork        = 27_000.0 // of a request
-	handshakeWork   = 1100     // of a new connection
-	reportPeriod    = second
-	slotsPerCore    = 4 // requests worked at side by side; the others wait
+	simLatencyObjective = 200 * 1000 // for a user's request, over all its tries
+	simClientTimeout    = 500 * 1000 // of the user, over all tries
+	simAttemptTimeout   = 275 * 1000 // of the user, for one try
+	simMaxAttempts      = 3
+	meanWork            = 27_000.0 // of a request
+	handshakeWork       = 1100     // of a new connection
+	reportPeriod        = second
+	slotsPerCore        = 4 // requests worked at side by side; the others wait
 )
 
-// A server is overdriven, and its work takes crowdedCost times as long, from when it has held over crowdedFrom
-// requests a core for crowdedFor until it has held under quietBelow for quietFor, as means over heldSpan.
+// A server is overdriven, and its work takes overloadSlowdown times as long, from when it has held over overloadFrom
+// requests a core for overloadAfter until it has held under idleBelow for quietFor, as means over heldSpan.
 const (
-	crowdedFrom = 4.0
-	crowdedFor  = 2 * second
-	crowdedCost = 2.7
-	quietBelow  = 0.4
-	quietFor    = 3 * second
-	heldSpan    = 500_000.0
+	overloadFrom     = 4.0
+	overloadAfter    = 2 * second
+	overloadSlowdown = 2.7
+	idleBelow        = 0.4
+	idleAfter        = 3 * second
+	loadTimeConstant = 500_000.0
 )
 
 func newService(t *testing.T, balancers, endpoints int) *service {
@@ -103,17 +103,17 @@
 	}
 	settings := testSettings()
 	settings.Balancers = balancers
-	settings.Classes = []Class{{Name: "read", Idempotency: Idempotent, LatencyObjective: serviceAim, ClientTimeout: servicePatience, PriorityWeight: 1}}
+	settings.Classes = []Class{{Name: "read", Idempotency: Idempotent, LatencyObjective: simLatencyObjective, ClientTimeout: simClientTimeout, PriorityWeight: 1}}
 	settings.ReportFields = []ReportField{FieldQueue, FieldLatency}
 	settings.Limits.HedgedRequests = false
 	settings.Prices.Probe = 0.03
 	for i := range balancers {
-		m := &caller{s: s, open: map[uint64]*try{}, idle: map[uint32]int{}}
+		m := &clientHost{s: s, open: map[uint64]*clientAttempt{}, idle: map[uint32]int{}}
 		var err error
 		if m.b, err = New(settings, uint64(i)+1, m); err != nil {
 			t.Fatal(err)
 		}
-		s.members = append(s.members, m)
+		s.hosts = append(s.hosts, m)
 		m.b.Start(0)
 		m.b.HandleEndpoints(0, ListFull, list)
 	}
@@ -138,9 +138,9 @@
 	var next func(now Micros)
 	next = func(now Micros) {
 		at := s.rng.uniform()
-		m := s.members[int(at*at*at*float64(len(s.members)))]
+		m := s.hosts[int(at*at*at*float64(len(s.hosts)))]
 		s.offered[now/second]++
-		m.come(now, &user{at: now})
+		m.arrive(now, &user{at: now})
 		if now < until {
 			s.after(Micros(-math.Log(1-s.rng.uniform())/rate(now)*float64(second)), next)
 		}
@@ -148,40 +148,40 @@
 	s.after(1, next)
 }
 
-// come is one more try of a user's request.
-func (m *caller) come(now Micros, u *user) {
-	if u.tries == triesMost || now >= u.at+servicePatience {
+// arrive is one more try of a user's request.
+func (m *clientHost) arrive(now Micros, u *user) {
+	if u.attempts == simMaxAttempts || now >= u.at+simClientTimeout {
 		return
 	}
-	u.tries++
-	m.s.tries++
-	t := &try{user: u, id: m.s.tries, deadline: min(now+tryPatience, u.at+servicePatience)}
+	u.attempts++
+	m.s.clientAttempts++
+	t := &clientAttempt{user: u, id: m.s.clientAttempts, deadline: min(now+simAttemptTimeout, u.at+simClientTimeout)}
 	m.open[t.id] = t
-	m.s.after(t.deadline-now, func(now Micros) { m.giveUp(now, t) })
+	m.s.after(t.deadline-now, func(now Micros) { m.timeOut(now, t) })
 	m.b.HandleRequest(now, Request{ID: t.id, Deadline: t.deadline})
 }
 
-// again has the user come back after a pause.
-func (m *caller) again(t *try) {
+// retryLater has the user come back after a pause.
+func (m *clientHost) retryLater(t *clientAttempt) {
 	if m.open[t.id] == nil {
 		return
 	}
 	delete(m.open, t.id)
 	pause := Micros((25 + 175*m.s.rng.uniform()) * 1000)
-	m.s.after(pause, func(now Micros) { m.come(now, t.user) })
+	m.s.after(pause, func(now Micros) { m.arrive(now, t.user) })
 }
 
-func (m *caller) giveUp(now Micros, t *try) {
+func (m *clientHost) timeOut(now Micros, t *clientAttempt) {
 	for i, j := range t.attempts {
 		if !j.ended {
-			j.at.drop(now, j)
-			m.b.HandleOutcome(now, Outcome{ID: t.id, Attempt: i, Status: Timeout, Latency: tryPatience})
+			j.server.remove(now, j)
+			m.b.HandleOutcome(now, Outcome{ID: t.id, Attempt: i, Status: Timeout, Latency: simAttemptTimeout})
 		}
 	}
-	m.again(t)
+	m.retryLater(t)
 }
 
-func (m *caller) Send(id uint64, endpoint uint32, _ Micros) {
+func (m *clientHost) Send(id uint64, endpoint uint32, _ Micros) {
 	t, begun, at := m.open[id], m.s.now, m.s.endpoints[endpoint-1]
 	work := (0.4 + 1.2*m.s.rng.uniform()) * meanWork
 	if m.idle[endpoint] > 0 {
@@ -189,46 +189,46 @@
 	} else {
 		work += handshakeWork
 	}
-	j, n := &job{left: work, at: at}, len(t.attempts)
+	j, n := &job{remaining: work, server: at}, len(t.attempts)
 	j.done = func(now Micros) {
 		m.idle[endpoint]++
 		if m.open[id] != nil {
 			delete(m.open, id)
-			if now-t.user.at <= serviceAim {
+			if now-t.user.at <= simLatencyObjective {
 				m.s.inTime[t.user.at/second]++
 			}
 		}
 		m.b.HandleOutcome(now, Outcome{ID: id, Attempt: n, Status: OK, Latency: now - begun, Answered: true})
 	}
 	t.attempts = append(t.attempts, j)
-	at.take(begun, j)
+	at.accept(begun, j)
 }
 
-func (m *caller) Reject(id uint64, _ Micros) {
+func (m *clientHost) Reject(id uint64, _ Micros) {
 	if t := m.open[id]; t != nil {
-		m.again(t)
+		m.retryLater(t)
 	}
 }
 
-func (m *caller) Fail(id uint64) { m.Reject(id, 0) }
+func (m *clientHost) Fail(id uint64) { m.Reject(id, 0) }
 
-func (m *caller) Cancel(uint64, int) {}
+func (m *clientHost) Cancel(uint64, int) {}
 
-func (m *caller) Probe(endpoint uint32) {
+func (m *clientHost) Probe(endpoint uint32) {
 	m.s.after(2000, func(now Micros) {
 		m.b.HandleProbe(now, endpoint, OK, 2000, m.s.endpoints[endpoint-1].reported)
 	})
 }
 
-func (m *caller) StartTimer(delay Micros, token uint32) {
+func (m *clientHost) StartTimer(delay Micros, token uint32) {
 	m.s.after(delay, func(now Micros) { m.b.HandleTimer(now, token) })
 }
 
-func (m *caller) Watch(bool) {}
-func (m *caller) Log(string) {}
+func (m *clientHost) Watch(bool) {}
+func (m *clientHost) Log(string) {}
 
 func (v *server) report(now Micros) {
-	v.reported = []float32{float32(max(0, float64(len(v.jobs))-v.cores)), float32(v.took.value / 1000)}
+	v.reported = []float32{float32(max(0, float64(len(v.jobs))-v.cores)), float32(v.serviceTime.value / 1000)}
 	v.s.after(reportPeriod, v.report)
 }
 
@@ -237,35 +237,35 @@
 	return v.jobs[:min(len(v.jobs), slotsPerCore*int(v.cores))]
 }
 
-// pace is the work done a microsecond of each job held.
-func (v *server) pace() float64 {
+// rate is the work done a microsecond of each job held.
+func (v *server) rate() float64 {
 	p := v.speed * min(1, v.cores/float64(max(1, len(v.serving()))))
-	if v.slow {
-		p /= crowdedCost
+	if v.overloaded {
+		p /= overloadSlowdown
 	}
 	return p
 }
 
 // advance works until now, and finds out whether it is overdriven.
 func (v *server) advance(now Micros) {
-	done := v.pace() * float64(now-v.advanced)
+	done := v.rate() * float64(now-v.advanced)
 	for _, j := range v.serving() {
-		j.left -= done
+		j.remaining -= done
 	}
-	v.held += (float64(len(v.jobs))/v.cores - v.held) * (1 - math.Exp(-float64(now-v.advanced)/heldSpan))
+	v.meanLoad += (float64(len(v.jobs))/v.cores - v.meanLoad) * (1 - math.Exp(-float64(now-v.advanced)/loadTimeConstant))
 	v.advanced = now
-	since(&v.crowdedAt, v.held > crowdedFrom, now)
-	since(&v.quietAt, v.held < quietBelow, now)
-	if v.crowdedAt > 0 && now-v.crowdedAt > crowdedFor {
-		v.slow = true
+	trackSince(&v.overloadedAt, v.meanLoad > overloadFrom, now)
+	trackSince(&v.idleAt, v.meanLoad < idleBelow, now)
+	if v.overloadedAt > 0 && now-v.overloadedAt > overloadAfter {
+		v.overloaded = true
 	}
-	if v.quietAt > 0 && now-v.quietAt > quietFor {
-		v.slow = false
+	if v.idleAt > 0 && now-v.idleAt > idleAfter {
+		v.overloaded = false
 	}
 }
 
-// since keeps the instant from which something has held.
-func since(at *Micros, holds bool, now Micros) {
+// trackSince keeps the instant from which something has held.
+func trackSince(at *Micros, holds bool, now Micros) {
 	if !holds {
 		*at = 0
 	} else if *at == 0 {
@@ -273,36 +273,36 @@
 	}
 }
 
-func (v *server) take(now Micros, j *job) {
+func (v *server) accept(now Micros, j *job) {
 	v.advance(now)
 	v.jobs = append(v.jobs, j)
-	v.next()
+	v.scheduleNext()
 }
 
-func (v *server) drop(now Micros, j *job) {
+func (v *server) remove(now Micros, j *job) {
 	v.advance(now)
 	j.ended = true
 	v.jobs = slices.DeleteFunc(v.jobs, func(o *job) bool { return o == j })
-	v.next()
+	v.scheduleNext()
 }
 
-// next sets the timer of the first job that will be done.
-func (v *server) next() {
-	v.turn++
+// scheduleNext sets the timer of the first job that will be done.
+func (v *server) scheduleNext() {
+	v.timerGeneration++
 	if len(v.jobs) == 0 {
 		return
 	}
 	for _, j := range v.serving() {
-		if j.begun == 0 {
-			j.begun = v.advanced
+		if j.startedAt == 0 {
+			j.startedAt = v.advanced
 		}
 	}
-	first := slices.MinFunc(v.serving(), func(a, b *job) int { return int(math.Copysign(1, a.left-b.left)) })
-	turn := v.turn
-	v.s.after(Micros(math.Ceil(max(0, first.left)/v.pace())), func(now Micros) {
-		if turn == v.turn {
-			v.drop(now, first)
-			v.took.add(float64(now-first.begun), 0.2)
+	first := slices.MinFunc(v.serving(), func(a, b *job) int { return int(math.Copysign(1, a.remaining-b.remaining)) })
+	turn := v.timerGeneration
+	v.s.after(Micros(math.Ceil(max(0, first.remaining)/v.rate())), func(now Micros) {
+		if turn == v.timerGeneration {
+			v.remove(now, first)
+			v.serviceTime.add(float64(now-first.startedAt), 0.2)
 			first.done(now)
 		}
 	})
@@ -321,16 +321,16 @@
 		t.Run(name, func(t *testing.T) {
 			s := newService(t, 285, 168)
 			usual := 0.5 * s.capacity()
-			s.after(3*second, func(now Micros) { s.neighbour(now) })
+			s.after(3*second, func(now Micros) { s.slowDownSome(now) })
 			s.traffic(func(now Micros) float64 {
 				if now >= burstFrom && now < burstTo {
 					return times * usual
 				}
 				return usual
 			}, day)
-			s.run(day + servicePatience)
-			before, burst := s.share(second, burstFrom), s.share(burstFrom, burstTo)
-			after := s.share(burstTo+recovery, day)
+			s.run(day + simClientTimeout)
+			before, burst := s.inTimeShare(second, burstFrom), s.inTimeShare(burstFrom, burstTo)
+			after := s.inTimeShare(burstTo+recovery, day)
 			t.Logf("in time: %.2f before the burst, %.2f in it, %.2f later than %d s after it; by the second %v of %v",
 				before, burst, after, recovery/second, s.inTime[:day/second], s.offered[:day/second])
 			if before < 0.9 || burst > 0.8 {
@@ -352,19 +352,19 @@
 	return sum
 }
 
-// neighbour takes half of a quarter of the endpoints.
-func (s *service) neighbour(now Micros) {
+// slowDownSome takes half of a quarter of the endpoints.
+func (s *service) slowDownSome(now Micros) {
 	for i, v := range s.endpoints {
 		if i%4 == 0 {
 			v.advance(now)
 			v.speed /= 2
-			v.next()
+			v.scheduleNext()
 		}
 	}
 }
 
-// share is the share answered in time of the requests that came between two instants.
-func (s *service) share(from, to Micros) float64 {
+// inTimeShare is the share answered in time of the requests that came between two instants.
+func (s *service) inTimeShare(from, to Micros) float64 {
 	var offered, inTime int
 	for at := from / second; at < to/second; at++ {
 		offered += s.offered[at]
@@ -376,7 +376,7 @@
 // Where a balancer sends few requests to each of many endpoints, no breaker of one gets past its protection. The
 // throttle over the whole pool refuses most of what comes while nearly nothing is answered in time, lets one pass
 // a second at least, and refuses nothing soon after all is answered in time again.
-func TestThrottleSeesTheWholePool(t *testing.T) {
+func TestErrorThrottleCoversAllEndpoints(t *testing.T) {
 	for _, late := range []struct {
 		name   string
 		status Status
--- a/balancer/pick_test.go
+++ b/balancer/pick_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-func TestPickTakesLeastLoadPlusOwnSends(t *testing.T) {
+func TestPickPrefersLeastLoadWithOwnRequests(t *testing.T) {
 	s := testSettings()
 	s.Balancers = 1
 	b, r := start(t, s, ready(3))
@@ -13,7 +13,7 @@
 		b.HandleProbe(1000, uint32(i+1), OK, 500, []float32{load})
 	}
 	for id := range uint64(4) {
-		b.HandleRequest(2000, request0(id, 0, 2000))
+		b.HandleRequest(2000, testRequest(id, 0, 2000))
 	}
 	// Endpoint 2 stays least until it holds as many as endpoint 1 reported.
 	for i, s := range r.sends {
@@ -30,7 +30,7 @@
 }
 
 // In a large fleet all balancers learn of the same idle endpoint: none may fill it alone.
-func TestOneLowAnswerDrawsNoHerd(t *testing.T) {
+func TestIdleReportDoesNotAttractAHerd(t *testing.T) {
 	for _, c := range []struct{ balancers, most int }{{1, 5}, {3, 3}, {15, 2}} {
 		s := testSettings()
 		s.Balancers = c.balancers
@@ -54,14 +54,14 @@
 	}
 }
 
-func TestPoolAges(t *testing.T) {
+func TestPoolDropsOldReports(t *testing.T) {
 	s := testSettings()
 	b, r := start(t, s, ready(2))
 	b.HandleProbe(1000, 1, OK, 500, []float32{0})
 	now := 1000 + b.probes.maxReportAge(1000, second) + 30*second
 	seen := map[uint32]bool{}
 	for id := range uint64(20) {
-		b.HandleRequest(now, request0(id, 0, now))
+		b.HandleRequest(now, testRequest(id, 0, now))
 		b.HandleOutcome(now, Outcome{ID: id, Endpoint: r.sends[len(r.sends)-1].endpoint, Status: OK, Latency: 1000, Answered: true})
 		seen[r.sends[len(r.sends)-1].endpoint] = true
 	}
@@ -70,7 +70,7 @@
 	}
 }
 
-func TestOddReports(t *testing.T) {
+func TestInvalidLoadReportsAreIgnored(t *testing.T) {
 	b, _ := start(t, testSettings(), ready(1))
 	nan := float32(math.NaN())
 	for _, load := range [][]float32{nil, {}, {nan}, {-3}, {float32(math.Inf(1))}} {
@@ -88,10 +88,10 @@
 
 // Reports that count fewer than this balancer has there itself are late; they
 // must not steer picks.
-func TestLateReportsAreFoundOut(t *testing.T) {
+func TestDelayedReportsAreDetected(t *testing.T) {
 	b, r := start(t, testSettings(), ready(2))
 	for id := range uint64(3) {
-		b.HandleRequest(1000, request0(id, 0, 1000))
+		b.HandleRequest(1000, testRequest(id, 0, 1000))
 	}
 	busy := b.membership.byID[r.sends[0].endpoint]
 	for i := range Micros(40) {
@@ -117,7 +117,7 @@
 
 // A wrong guess of a class's work must not refuse that class for ever; but a pass a second at each of a
 // thousand quiet balancers would keep a jammed fleet jammed.
-func TestLatenessRefusalLetsFewPass(t *testing.T) {
+func TestTooLateRejectionLetsTrialsThrough(t *testing.T) {
 	for _, c := range []struct {
 		gap      Micros
 		from, to int
@@ -126,13 +126,13 @@
 		b.demand.classes[0].work.value = float64(100 * second)
 		for i := range uint64(300) {
 			now := 10*second + Micros(i)*c.gap
-			b.HandleRequest(now, request0(i, 0, now))
+			b.HandleRequest(now, testRequest(i, 0, now))
 		}
 		if n := len(r.sends); n < c.from || n > c.to {
 			t.Errorf("a request every %d us: %d of 300 sent, want %d to %d", c.gap, n, c.from, c.to)
 		}
-		if len(r.refused) != 300-len(r.sends) {
-			t.Errorf("%d refused, %d sent", len(r.refused), len(r.sends))
+		if len(r.rejected) != 300-len(r.sends) {
+			t.Errorf("%d refused, %d sent", len(r.rejected), len(r.sends))
 		}
 	}
 }
@@ -149,7 +149,7 @@
 		}
 		id++
 		from := len(r.sends)
-		b.HandleRequest(now, request0(id, 0, now))
+		b.HandleRequest(now, testRequest(id, 0, now))
 		for n := 0; from < len(r.sends); n++ {
 			to := r.sends[from].endpoint
 			from++
@@ -173,7 +173,7 @@
 	}
 }
 
-func TestTenantBeyondItsShareWeighsLess(t *testing.T) {
+func TestTenantOverQuotaHasLowerPriority(t *testing.T) {
 	s := testSettings()
 	s.OverQuotaWeight = 0.05
 	s.Tenants = []Tenant{{Name: "a", QuotaRate: 50}, {Name: "b", QuotaRate: 50}}
@@ -195,7 +195,7 @@
 }
 
 // Refusals must not shrink the room of all tenants alike: that would refuse more, and shrink it again.
-func TestRefusalsAloneLowerNoTenantsRoom(t *testing.T) {
+func TestRejectionsAloneLowerNoTenantPriority(t *testing.T) {
 	s := testSettings()
 	s.OverQuotaWeight = 0.05
 	s.Tenants = []Tenant{{Name: "a", QuotaRate: 60}, {Name: "b", QuotaRate: 40}}
@@ -211,11 +211,11 @@
 }
 
 // At a start only few endpoints have answered; they must not get everything.
-func TestFewAnswersDoNotTakeAll(t *testing.T) {
+func TestSmallPoolDoesNotGetAllRequests(t *testing.T) {
 	b, r := start(t, testSettings(), ready(8))
 	b.HandleProbe(1000, 3, OK, 500, []float32{0})
 	for id := range uint64(24) {
-		b.HandleRequest(2000, request0(id, 0, 2000))
+		b.HandleRequest(2000, testRequest(id, 0, 2000))
 	}
 	seen := map[uint32]int{}
 	for _, s := range r.sends {
@@ -228,10 +228,10 @@
 
 // While reports are late, their mean at each endpoint decides: one that others crowd is not like the rest, and
 // no endpoint may be filled up to the aim on the word of the fleet's mean.
-func TestLateReportsAreAveragedByEndpoint(t *testing.T) {
+func TestDelayedReportsAreAveragedByEndpoint(t *testing.T) {
 	b, _ := start(t, testSettings(), ready(2))
 	b.demand.classes[0].requestRate.add(0, 1)
-	r := recordOf(b, request0(1, 0, 0))
+	r := recordOf(b, testRequest(1, 0, 0))
 	r.work = 50_000
 	before := b.estimates.latencyLimit(0, r, b.membership.endpoints[0])
 	b.estimates.reportsLate = true
@@ -249,15 +249,15 @@
 
 // What a cold endpoint can do grows with its warmth, and so must what is
 // expected of it, also once its pace has been learned.
-func TestColdEndpointIsExpectedToBeSlow(t *testing.T) {
+func TestWarmingEndpointIsExpectedToBeSlow(t *testing.T) {
 	b, _ := start(t, testSettings(), ready(2))
 	b.HandleEndpoints(1000, ListDelta, []Endpoint{{ID: 9, State: Ready, StartTime: 1000}})
 	e := b.membership.byID[9]
-	if got := b.estimates.serviceTimeRatio(1000, e); !near(got, 1+4*initialWarmingSlowness) { // warmth 0.2
+	if got := b.estimates.serviceTimeRatio(1000, e); !almostEqual(got, 1+4*initialWarmingSlowness) { // warmth 0.2
 		t.Errorf("pace %v just started, before any was seen", got)
 	}
 	b.estimates.warmingSlowness = ewma{value: 1, initialized: true} // as slow as its least warmth makes it
-	if got := b.estimates.serviceTimeRatio(1000, e); !near(got, 5) {
+	if got := b.estimates.serviceTimeRatio(1000, e); !almostEqual(got, 5) {
 		t.Errorf("pace %v just started", got)
 	}
 	e.serviceTimeRatio, e.serviceTimeRatioAt = ewma{value: 2, initialized: true}, 6*second
@@ -306,7 +306,7 @@
 
 // What was sent before a slowness was noticed must not be held against it twice: many are out at once, and
 // their outcomes all come later.
-func TestSlowdownIsNoLargerThanItIs(t *testing.T) {
+func TestSlowdownIsNotOverestimated(t *testing.T) {
 	b, r := start(t, testSettings(), ready(4))
 	now := second
 	for id := range uint64(60) {
@@ -325,7 +325,7 @@
 }
 
 // A slowdown that refuses all must not outlive the slowness for want of outcomes.
-func TestSlowdownFadesWithoutOutcomes(t *testing.T) {
+func TestSlowdownDecaysWithoutOutcomes(t *testing.T) {
 	b, _ := start(t, testSettings(), ready(4))
 	b.estimates.trend, b.estimates.trendAt = maxTrendRatio, second
 	if at, later := b.estimates.slowdown(second), b.estimates.slowdown(4*second); at < 2 || later != 1 {
@@ -338,7 +338,7 @@
 }
 
 // A hint must count for as much as it tells, or idle endpoints refuse what is only said to be large.
-func TestTrustInHintsIsLearned(t *testing.T) {
+func TestWorkHintTrustIsLearned(t *testing.T) {
 	for _, c := range []struct {
 		name     string
 		latency  func(hint Micros) Micros
@@ -365,7 +365,7 @@
 }
 
 // A balancer that refuses everything must still learn when it may stop.
-func TestProbesGoOnWhileAllIsRefused(t *testing.T) {
+func TestProbesContinueWhileAllRequestsAreRejected(t *testing.T) {
 	s := testSettings()
 	s.Prices.Probe = maxProbeSpend // one probe a request
 	b, _ := start(t, s, ready(4))
@@ -385,7 +385,7 @@
 
 // A quiet balancer in a large fleet cannot keep a fresh pool: it must ask when a request comes, and send to
 // the best answer, without losing what it holds.
-func TestQuietBalancerAsksBeforeItSends(t *testing.T) {
+func TestQuietBalancerProbesBeforeItSends(t *testing.T) {
 	quiet := func() (*Balancer, *recorder) {
 		s := testSettings()
 		s.Balancers = 1000
@@ -395,7 +395,7 @@
 		}
 		b.HandleTimer(second, probeTimerToken)
 		r.probes, r.timers = nil, nil
-		b.HandleRequest(2*second, request0(1, 0, 2*second))
+		b.HandleRequest(2*second, testRequest(1, 0, 2*second))
 		if len(r.sends) != 0 || len(r.probes) < 2 {
 			t.Fatalf("%d sends and %d probes before any answer", len(r.sends), len(r.probes))
 		}
@@ -431,13 +431,13 @@
 		answer(b, r, i, 0)
 	}
 	b.HandleTimer(2*second+50_000, r.timers[len(r.timers)-1])
-	if len(r.sends)+len(r.refused)+len(r.failed) != 0 || len(b.waiting.requests) != 0 {
+	if len(r.sends)+len(r.rejected)+len(r.failed) != 0 || len(b.waiting.requests) != 0 {
 		t.Error("a request that its client left is still acted on")
 	}
 }
 
 // Where reports are old or hold no count, a probe that waited in line still shows that there is one.
-func TestProbeThatWaitsShowsALoad(t *testing.T) {
+func TestQueuedProbeShowsLoad(t *testing.T) {
 	s := testSettings()
 	s.ReportFields = []ReportField{FieldServedRate, FieldUtilization}
 	b, _ := start(t, s, ready(2))
@@ -461,7 +461,7 @@
 
 // The way to a far zone varies by as much as a request's work takes: that is no line of requests there. Nor may
 // a quick answer or two make all later ones seem to have waited.
-func TestWayThatVariesIsNoLine(t *testing.T) {
+func TestVaryingZoneLatencyIsNoQueue(t *testing.T) {
 	for _, c := range []struct {
 		name  string
 		quick int
@@ -502,7 +502,7 @@
 }
 
 // Only idle endpoints answer a probe in time. In a jam the silent ones must count, or the fleet looks idle.
-func TestSilentProbesCountAsLoad(t *testing.T) {
+func TestProbeTimeoutsCountAsLoad(t *testing.T) {
 	s := testSettings()
 	s.Balancers = 1000
 	b, r := start(t, s, ready(40))
@@ -516,13 +516,13 @@
 	if b.estimates.typicalLoad.value < assumedCores {
 		t.Errorf("usual load %v though no probe is answered", b.estimates.typicalLoad.value)
 	}
-	if len(r.refused) == 0 {
+	if len(r.rejected) == 0 {
 		t.Error("nothing refused though no probe is answered")
 	}
 }
 
 // Where probes are answered beside the line, one that is lost says nothing of a load.
-func TestLostProbeIsNoLoad(t *testing.T) {
+func TestLostProbeIsNotLoad(t *testing.T) {
 	b, _ := start(t, testSettings(), ready(2))
 	for i := range Micros(20) {
 		b.HandleProbe(1000*i, 1, OK, 500, []float32{1})
@@ -541,42 +541,42 @@
 
 // Where the sidecar itself is slow all latencies grow: refusing where nobody waits helps no endpoint, and brings
 // the clients back at once.
-func TestSlowdownAloneRefusesNothing(t *testing.T) {
+func TestSlowdownAloneRejectsNothing(t *testing.T) {
 	b, r := start(t, testSettings(), ready(1))
 	b.estimates.trend, b.estimates.trendAt = maxTrendRatio, 1000
 	b.estimates.fleetServiceTimeRatio = ewma{value: 20, initialized: true}
 	b.HandleProbe(1000, 1, OK, 500, []float32{0})
-	b.HandleRequest(2000, request0(1, 0, 2000))
+	b.HandleRequest(2000, testRequest(1, 0, 2000))
 	if len(r.sends) != 1 {
 		t.Errorf("%d sends to an idle endpoint while all seem slow", len(r.sends))
 	}
 	b.HandleProbe(3000, 1, OK, 500, []float32{5})
-	b.HandleRequest(3000, request0(2, 0, 3000))
+	b.HandleRequest(3000, testRequest(2, 0, 3000))
 	if len(r.sends) != 1 {
 		t.Errorf("%d sends, though the second would wait behind five at a slow endpoint", len(r.sends))
 	}
 }
 
 // A few long answers must not make an endpoint refuse where nobody waits.
-func TestIdleEndpointIsNotRefused(t *testing.T) {
+func TestIdleEndpointIsNeverTooLate(t *testing.T) {
 	b, r := start(t, testSettings(), ready(1))
 	b.membership.endpoints[0].serviceTimeRatio, b.membership.endpoints[0].serviceTimeRatioAt = ewma{value: 9, initialized: true}, 1000
 	b.HandleProbe(1000, 1, OK, 500, []float32{0})
-	b.HandleRequest(2000, request0(1, 0, 2000))
+	b.HandleRequest(2000, testRequest(1, 0, 2000))
 	if len(r.sends) != 1 {
 		t.Errorf("%d sends to an idle endpoint thought slow", len(r.sends))
 	}
 }
 
 // Requests passed into a jam keep it jammed: each that earns nothing makes the next rarer.
-func TestPassesThatFailGetRarer(t *testing.T) {
+func TestFailedTrialsLengthenTheInterval(t *testing.T) {
 	b, r := start(t, testSettings(), ready(1))
 	b.demand.classes[0].work.value = float64(100 * second)
 	passed := [2]int{}
 	for i := range uint64(400) {
 		now := 10*second + Micros(i)*second
 		b.HandleProbe(now, 1, OK, 500, []float32{50})
-		b.HandleRequest(now, request0(i, 0, now))
+		b.HandleRequest(now, testRequest(i, 0, now))
 		if n := len(r.sends); n > 0 && r.sends[n-1].id == i {
 			passed[i/200]++
 			b.HandleOutcome(now+second, Outcome{ID: i, Endpoint: 1, Status: Timeout, Latency: second})
@@ -588,9 +588,9 @@
 	b.admission.trialInterval = maxTrialInterval
 	r.sends = nil
 	b.demand.classes[0].work.value = 1000
-	b.HandleRequest(500*second, request0(1000, 0, 500*second))
+	b.HandleRequest(500*second, testRequest(1000, 0, 500*second))
 	b.HandleOutcome(501*second, Outcome{ID: 1000, Endpoint: 1, Status: OK, Latency: 1000, Answered: true})
-	b.HandleRequest(502*second, request0(1001, 0, 502*second))
+	b.HandleRequest(502*second, testRequest(1001, 0, 502*second))
 	b.HandleOutcome(502*second+1000, Outcome{ID: 1001, Endpoint: 1, Status: OK, Latency: 1000, Answered: true})
 	if b.admission.trialInterval != minTrialInterval {
 		t.Errorf("one of %d passes after an answer in time", b.admission.trialInterval)
@@ -598,7 +598,7 @@
 }
 
 // Random tries must not use up a short list, nor a list without shares.
-func TestDrawFindsWhatIsThere(t *testing.T) {
+func TestRandomEndpointFindsAnyUsableOne(t *testing.T) {
 	for n := range 12 {
 		list := ready(n)
 		for i := range list {
@@ -606,7 +606,7 @@
 		}
 		b, _ := start(t, testSettings(), list)
 		for range 50 {
-			if e := b.picker.randomEndpoint(1000, recordOf(b, request0(1, 0, 1000)), nil, 0); (e == nil) != (n == 0) {
+			if e := b.picker.randomEndpoint(1000, recordOf(b, testRequest(1, 0, 1000)), nil, 0); (e == nil) != (n == 0) {
 				t.Fatalf("%d endpoints: drew %v", n, e)
 			}
 		}
@@ -614,7 +614,7 @@
 }
 
 // Answers from afar come too late for a short wait: probes stay at home then.
-func TestProbesStayNear(t *testing.T) {
+func TestRequestProbesStayWithinRoundTrip(t *testing.T) {
 	s := testSettings()
 	s.Balancers = 1000
 	list := ready(40)
@@ -625,7 +625,7 @@
 	b.estimates.zoneLatencies[0], b.estimates.zoneLatencies[1] = zoneLatency{median: 500, count: 1}, zoneLatency{median: 30_000, count: 1}
 	b.HandleTimer(second, probeTimerToken)
 	for id := range uint64(20) {
-		b.HandleRequest(2*second, request0(id, 0, 2*second))
+		b.HandleRequest(2*second, testRequest(id, 0, 2*second))
 	}
 	for _, e := range r.probes {
 		if b.membership.byID[e].Zone != 0 {
@@ -638,7 +638,7 @@
 }
 
 // A quiet balancer earns one send to a cold endpoint in minutes: all must not start from nothing.
-func TestSliversTogetherServeColdEndpoints(t *testing.T) {
+func TestQuietBalancersTogetherServeWarmingEndpoints(t *testing.T) {
 	allowed, all := 0, 200
 	for seed := range all {
 		b, err := New(testSettings(), uint64(seed), &recorder{})
@@ -667,7 +667,7 @@
 
 // An endpoint that turns some requests away unseen and answers the rest at once is worth more than one that
 // would be too late, also when it is ejected. One whose failures may have run is not.
-func TestEndpointThatTurnsAwayGoesAheadOfALateOne(t *testing.T) {
+func TestRejectingEndpointRanksBeforeALateOne(t *testing.T) {
 	for _, c := range []struct {
 		status Status
 		to     uint32
@@ -677,7 +677,7 @@
 		b, r := start(t, s, ready(2))
 		now := second
 		b.HandleProbe(now, 1, OK, 500, []float32{0})
-		asked := b.ledger.newRequest(now, request0(1000, 1, now))
+		asked := b.ledger.newRequest(now, testRequest(1000, 1, now))
 		asked.work = b.demand.classes[1].work.value
 		late := float32(0)
 		for ; b.estimates.latency(now, b.membership.byID[2], asked.work) <= b.estimates.latencyLimit(now, asked, b.membership.byID[2]); late++ {
@@ -687,7 +687,7 @@
 			if id > 100 {
 				t.Fatalf("%v: never ejected", c.status)
 			}
-			b.HandleRequest(now, request0(id, 1, now))
+			b.HandleRequest(now, testRequest(id, 1, now))
 			first := r.sends[len(r.sends)-1]
 			if first.endpoint != 1 {
 				t.Fatalf("%v: went to %d, want the idle endpoint", c.status, first.endpoint)
@@ -702,7 +702,7 @@
 
 // Where endpoints remember keys, all balancers send a key to the same two of them, by load; only when it would
 // be too late there does it go elsewhere, and only where own answers are many enough to know where.
-func TestKeyGoesToTheEndpointsItNames(t *testing.T) {
+func TestKeyAffinityPicksRendezvousEndpoints(t *testing.T) {
 	for _, c := range []struct {
 		name        string
 		warm        bool
@@ -741,13 +741,13 @@
 				if c.many {
 					b.demand.requestRate.add(1000, 200) // probes go by what is asked
 				}
-				q := request0(1, 0, 2000)
+				q := testRequest(1, 0, 2000)
 				q.Key = c.key
 				b.HandleRequest(2000, q)
-				if len(r.sends)+len(r.refused) != 1 {
-					t.Fatalf("%d sends and %d refusals of one request", len(r.sends), len(r.refused))
+				if len(r.sends)+len(r.rejected) != 1 {
+					t.Fatalf("%d sends and %d refusals of one request", len(r.sends), len(r.rejected))
 				}
-				if len(r.refused) == 1 {
+				if len(r.rejected) == 1 {
 					return 0
 				}
 				return r.sends[0].endpoint
@@ -779,7 +779,7 @@
 
 // Of many balancers, each with few requests, none earns a send to one cold endpoint apart. Together they must
 // still send the cold ones what these can do, and to no one of them too much.
-func TestManyThinBalancersUseColdEndpoints(t *testing.T) {
+func TestManyQuietBalancersUseWarmingEndpoints(t *testing.T) {
 	const warm, cold, balancers = 20, 20, 80
 	counts := map[uint32]int{}
 	for seed := range uint64(balancers) {
@@ -802,7 +802,7 @@
 				}
 				id++
 				sends := len(r.sends)
-				b.HandleRequest(now, request0(id, 0, now))
+				b.HandleRequest(now, testRequest(id, 0, now))
 				for _, s := range r.sends[sends:] {
 					if from > 0 {
 						counts[s.endpoint]++
@@ -839,7 +839,7 @@
 
 // A balancer that probes one endpoint of sixty a second must not refuse by what its last few answers happened to be;
 // one whose probes are many follows them.
-func TestFewAnswersMakeNoBusyFleet(t *testing.T) {
+func TestFewReportsDoNotMoveTypicalLoad(t *testing.T) {
 	for _, c := range []struct {
 		name        string
 		endpoints   int
@@ -866,7 +866,7 @@
 }
 
 // Where there are no probes, two random draws serve beyond the endpoints that a key names, as everywhere else.
-func TestKeyWithoutProbesGoesElsewhere(t *testing.T) {
+func TestKeyAffinityWithoutProbesUsesOtherEndpoints(t *testing.T) {
 	s := testSettings()
 	s.KeyAffinity, s.Balancers, s.Limits.Probes, s.Prices.Probe = true, 40, false, 0.08
 	list := ready(40)
@@ -876,28 +876,28 @@
 	b, r := start(t, s, list)
 	used := map[uint32]bool{}
 	for id := range uint64(60) {
-		q := request0(id, 0, 1000)
+		q := testRequest(id, 0, 1000)
 		q.Key = 5
 		b.HandleRequest(1000, q)
 	}
 	for _, s := range r.sends {
 		used[s.endpoint] = true
 	}
-	if len(r.refused) > 0 || len(used) < 10 {
-		t.Errorf("%d of 60 refused, %d endpoints used", len(r.refused), len(used))
+	if len(r.rejected) > 0 || len(used) < 10 {
+		t.Errorf("%d of 60 refused, %d endpoints used", len(r.rejected), len(used))
 	}
 }
 
 // Cold endpoints that answer as quickly as warm ones get more than their least warmth makes, once enough of them
 // did; slow ones get little more.
-func TestColdEndpointsGetByTheWarmthThatTheyShow(t *testing.T) {
+func TestWarmingShareFollowsMeasuredLatency(t *testing.T) {
 	got := func(answers int, took Micros) float64 {
 		s := testSettings()
 		s.Balancers = 1
 		b, _ := start(t, s, ready(10))
 		now := Micros(0)
 		serve := func(e *endpoint, took Micros) {
-			r := b.ledger.newRequest(now, request0(uint64(now)+1, 0, now))
+			r := b.ledger.newRequest(now, testRequest(uint64(now)+1, 0, now))
 			r.work = 80_000
 			a := attempt{endpoint: e, sentAt: now, warming: e.warming, queueingFactor: 1, predictedWithoutTrend: r.work}
 			b.estimates.learnServiceTime(now+took, r, &a, float64(took), false)
@@ -930,7 +930,7 @@
 }
 
 // A cold endpoint that is too busy or too far away to be sent to does not keep the other cold ones from their turn.
-func TestColdEndpointLetsItsTurnPass(t *testing.T) {
+func TestBusyWarmingEndpointDoesNotBlockOthers(t *testing.T) {
 	s := testSettings()
 	s.Balancers = 1
 	b, r := start(t, s, ready(1))
@@ -945,7 +945,7 @@
 			b.HandleProbe(now, uint32(e+1), OK, 1000, []float32{load})
 		}
 		sends := len(r.sends)
-		b.HandleRequest(now, request0(id+1, 0, now))
+		b.HandleRequest(now, testRequest(id+1, 0, now))
 		for _, s := range r.sends[sends:] {
 			got[s.endpoint]++
 			o := Outcome{ID: s.id, Endpoint: s.endpoint, Status: OK, Latency: 80_000, Answered: true}
--- a/balancer/prediction_test.go
+++ b/balancer/prediction_test.go
@@ -8,7 +8,7 @@
 // serveTogether sends count requests at once and answers each that was sent after latency. It returns how many
 // were refused.
 func serveTogether(b *Balancer, r *recorder, now Micros, count int, hint, latency Micros) int {
-	r.sends, r.refused = nil, nil
+	r.sends, r.rejected = nil, nil
 	for i := range count {
 		id := uint64(now) + uint64(i)
 		b.HandleRequest(now, Request{ID: id, Deadline: now + 10*second, WorkHint: hint, HasWorkHint: hint > 0})
@@ -16,12 +16,12 @@
 	for _, send := range r.sends {
 		b.HandleOutcome(now+latency, Outcome{ID: send.id, Endpoint: send.endpoint, Status: OK, Latency: latency, Answered: true})
 	}
-	return len(r.refused)
+	return len(r.rejected)
 }
 
 // Endpoints that answer within the time of a probe show next to no work. A stall of the sidecar's own process
 // delays all answers that are due at that moment, and must not make idle endpoints look hopeless.
-func TestStallAfterFastAnswersRefusesNothing(t *testing.T) {
+func TestStallAfterFastAnswersRejectsNothing(t *testing.T) {
 	const (
 		together = 16
 		fast     = 1_000
@@ -61,7 +61,7 @@
 
 // One slow answer to a request of almost no work tells of the way there, not of the time that the work of others
 // takes.
-func TestSlowAnswerToTinyRequestIsNoPace(t *testing.T) {
+func TestSlowAnswerToTinyRequestDoesNotAffectServiceTime(t *testing.T) {
 	b, r := start(t, testSettings(), ready(1))
 	b.estimates.workHintTrust = 1
 	now := second
@@ -80,7 +80,7 @@
 }
 
 // What takes no time at all leaves figures that can be computed with.
-func TestNoLatencyKeepsFiguresFinite(t *testing.T) {
+func TestZeroLatencyKeepsEstimatesFinite(t *testing.T) {
 	b, r := start(t, testSettings(), ready(1))
 	for i := range Micros(100_000) {
 		serveTogether(b, r, 1000*i, 1, 0, 0)
--- a/balancer/reconfigure_test.go
+++ b/balancer/reconfigure_test.go
@@ -20,7 +20,7 @@
 
 // What was learned of classes and tenants stays with their names, wherever they stand in the new list; what is
 // new begins without, and settings that make no sense change nothing.
-func TestReconfigureKeepsWhatWasLearnedByName(t *testing.T) {
+func TestReconfigureKeepsEstimatesByName(t *testing.T) {
 	s := testSettings()
 	s.Tenants = []Tenant{{Name: "a", QuotaRate: 50}, {Name: "b", QuotaRate: 50}}
 	b, _ := start(t, s, ready(2))
@@ -52,7 +52,7 @@
 
 // A request keeps the class that it began under, with its window and group, while the list is turned round, the
 // class changes, or is gone.
-func TestRequestKeepsItsClass(t *testing.T) {
+func TestOpenRequestKeepsItsClass(t *testing.T) {
 	for name, change := range map[string]func(*Settings){
 		"reordered": func(s *Settings) { slices.Reverse(s.Classes) },
 		"gone":      func(s *Settings) { s.Classes = s.Classes[:1] },
@@ -60,7 +60,7 @@
 		"safe":      func(s *Settings) { s.Classes[3].Idempotency = Idempotent },
 	} {
 		b, r := start(t, testSettings(), ready(8))
-		b.HandleRequest(1000, request0(1, 3, 1000)) // keyed-cell
+		b.HandleRequest(1000, testRequest(1, 3, 1000)) // keyed-cell
 		first := r.sends[0]
 		if withdrawn := reconfigure(t, b, change); len(withdrawn) > 0 {
 			t.Errorf("%s: %v withdrawn", name, withdrawn)
@@ -83,7 +83,7 @@
 
 // A class that turns stricter is so for every attempt that is not sent yet: none follows one that may have run,
 // and the answer promises nothing.
-func TestClassTurnsUnsafe(t *testing.T) {
+func TestStricterIdempotencyAppliesToOpenRequests(t *testing.T) {
 	turn := func(to Idempotency) func(*Settings) { return func(s *Settings) { s.Classes[0].Idempotency = to } }
 	for name, c := range map[string]struct {
 		changes []func(*Settings)
@@ -96,7 +96,7 @@
 		"as it was":         {[]func(*Settings){turn(Idempotent)}, 1},
 	} {
 		b, r := start(t, testSettings(), ready(4))
-		b.HandleRequest(1000, request0(1, 0, 1000))
+		b.HandleRequest(1000, testRequest(1, 0, 1000))
 		for _, change := range c.changes {
 			reconfigure(t, b, change)
 		}
@@ -104,13 +104,13 @@
 		if got := len(r.sends) - 1; got != c.repeats {
 			t.Errorf("%s: %d repeats, want %d", name, got, c.repeats)
 		}
-		if c.repeats == 0 && (len(r.failed) != 1 || len(r.refused) != 0) {
-			t.Errorf("%s: failed %v, refused %v; a refusal would promise that a retry is harmless", name, r.failed, r.refused)
+		if c.repeats == 0 && (len(r.failed) != 1 || len(r.rejected) != 0) {
+			t.Errorf("%s: failed %v, refused %v; a refusal would promise that a retry is harmless", name, r.failed, r.rejected)
 		}
 	}
 	// One that never ran is followed by another all the same.
 	b, r := start(t, testSettings(), ready(4))
-	b.HandleRequest(1000, request0(1, 0, 1000))
+	b.HandleRequest(1000, testRequest(1, 0, 1000))
 	reconfigure(t, b, turn(NonIdempotent))
 	b.HandleOutcome(2000, Outcome{ID: 1, Endpoint: r.sends[0].endpoint, Status: Rejected, Latency: 1000})
 	if len(r.sends) != 2 {
@@ -120,10 +120,10 @@
 
 // Of several attempts of a request that may run, a class that turns unsafe withdraws those that are out; a single
 // one goes on.
-func TestUnsafeClassWithdrawsCopies(t *testing.T) {
+func TestStricterIdempotencyWithdrawsAttempts(t *testing.T) {
 	b, r := start(t, testSettings(), ready(4))
-	b.HandleRequest(1000, request0(1, 0, 1000))
-	b.HandleRequest(1000, request0(2, 0, 1000))
+	b.HandleRequest(1000, testRequest(1, 0, 1000))
+	b.HandleRequest(1000, testRequest(2, 0, 1000))
 	b.HandleOutcome(2000, Outcome{ID: 2, Endpoint: r.sends[1].endpoint, Status: Reset, Latency: 1000})
 	if len(r.sends) != 3 {
 		t.Fatalf("sends %v, want a repeat of the second request", r.sends)
@@ -140,7 +140,7 @@
 
 // A request that was read under earlier settings is taken by their names: by its own class, also where that is
 // gone, and under the stricter rule where it has turned.
-func TestRequestReadUnderEarlierSettings(t *testing.T) {
+func TestRequestReceivedUnderEarlierSettings(t *testing.T) {
 	s := testSettings()
 	s.Tenants = []Tenant{{Name: "a", QuotaRate: 50}, {Name: "b", QuotaRate: 50}}
 	b, r := start(t, s, ready(4))
@@ -156,7 +156,7 @@
 		repeat Idempotency
 		owner  *tenant
 	}{{0, 0, "read", NonIdempotent, nil}, {1, 1, "keyed-all", IdempotentWithKey, b.demand.tenants[0]}, {4, 9, "write", NonIdempotent, nil}} {
-		in := request0(uint64(id+1), c.class, 1000)
+		in := testRequest(uint64(id+1), c.class, 1000)
 		in.Tenant, in.ReceivedUnder = c.tenant, &s
 		b.HandleRequest(1000, in)
 		got := b.ledger.requests[in.ID]
@@ -164,10 +164,10 @@
 			t.Errorf("request %d is taken as %+v, want class %s", in.ID, got, c.name)
 		}
 	}
-	in := request0(9, 7, 1000)
+	in := testRequest(9, 7, 1000)
 	in.ReceivedUnder = &s
-	if b.HandleRequest(1000, in); !slices.Equal(r.refused, []uint64{9}) || len(r.sends) != 3 {
-		t.Errorf("refused %v, sends %v; want a class that never was refused", r.refused, r.sends)
+	if b.HandleRequest(1000, in); !slices.Equal(r.rejected, []uint64{9}) || len(r.sends) != 3 {
+		t.Errorf("refused %v, sends %v; want a class that never was refused", r.rejected, r.sends)
 	}
 }
 
@@ -175,12 +175,12 @@
 // once, not twice.
 func TestReconfiguredLimits(t *testing.T) {
 	b, r := start(t, testSettings(), ready(4))
-	b.HandleRequest(1000, request0(1, 0, 1000))
-	b.HandleRequest(1000, request0(2, 0, 1000))
+	b.HandleRequest(1000, testRequest(1, 0, 1000))
+	b.HandleRequest(1000, testRequest(2, 0, 1000))
 	reconfigure(t, b, func(s *Settings) { s.Limits.MaxOpenRequests, s.Prices.Probe = 2, 0.01 })
-	b.HandleRequest(2000, request0(3, 0, 2000))
-	if !slices.Equal(r.refused, []uint64{3}) || b.ledger.open != 2 || b.probes.probesPerRequest != 2 {
-		t.Errorf("refused %v with %d open, %v probes a request", r.refused, b.ledger.open, b.probes.probesPerRequest)
+	b.HandleRequest(2000, testRequest(3, 0, 2000))
+	if !slices.Equal(r.rejected, []uint64{3}) || b.ledger.open != 2 || b.probes.probesPerRequest != 2 {
+		t.Errorf("refused %v with %d open, %v probes a request", r.rejected, b.ledger.open, b.probes.probesPerRequest)
 	}
 	rounds := func() (n int) {
 		for _, token := range r.timers {
@@ -214,7 +214,7 @@
 			s.Classes[0].Name = string(rune('a' + i%26))
 			s.Tenants = []Tenant{{Name: string(rune('a' + i%26)), QuotaRate: 1}}
 		})
-		b.HandleRequest(now, request0(uint64(i), 0, now))
+		b.HandleRequest(now, testRequest(uint64(i), 0, now))
 		b.HandleClientGone(now, uint64(i))
 		for _, a := range b.ledger.slots {
 			for n := range a.attempts {
--- a/balancer/rules_test.go
+++ b/balancer/rules_test.go
@@ -10,43 +10,43 @@
 
 // checker hosts a balancer and asserts the rules on every action.
 type checker struct {
-	s        Settings
-	now      Micros
-	states   map[uint32]Endpoint
-	cold     map[uint32]Micros   // endpoint: told start
-	coldWork map[uint32]float64  // requests sent while cold
-	reqs     map[uint64]*checked // open and ended
-	bad      []string
-	timers   []pending
-	probes   []uint32
-}
-
-type checked struct {
-	in       Request
+	settings        Settings
+	now             Micros
+	states          map[uint32]Endpoint
+	warming         map[uint32]Micros          // endpoint: told start
+	warmingRequests map[uint32]float64         // requests sent while cold
+	requests        map[uint64]*checkedRequest // open and ended
+	faults          []string
+	timers          []pendingTimer
+	probes          []uint32
+}
+
+type checkedRequest struct {
+	request  Request
 	answered int
-	told     bool // it was told that the request is over
+	closed   bool // it was told that the request is over
 	attempts []checkedAttempt
 }
 
 type checkedAttempt struct {
-	ep     Endpoint
-	at     Micros
-	out    bool
-	mayRun bool
+	endpoint        Endpoint
+	sentAt          Micros
+	inFlight        bool
+	mayHaveExecuted bool
 }
 
-type pending struct {
+type pendingTimer struct {
 	at    Micros
 	token uint32
 }
 
 func (c *checker) fault(format string, args ...any) {
-	c.bad = append(c.bad, fmt.Sprintf("at %d: ", c.now)+fmt.Sprintf(format, args...))
+	c.faults = append(c.faults, fmt.Sprintf("at %d: ", c.now)+fmt.Sprintf(format, args...))
 }
 
-func (r *checked) bound() *checkedAttempt {
+func (r *checkedRequest) firstExecuted() *checkedAttempt {
 	for i := range r.attempts {
-		if r.attempts[i].mayRun {
+		if r.attempts[i].mayHaveExecuted {
 			return &r.attempts[i]
 		}
 	}
@@ -54,43 +54,43 @@
 }
 
 func (c *checker) Send(id uint64, endpoint uint32, _ Micros) {
-	r := c.reqs[id]
+	r := c.requests[id]
 	if r == nil {
 		c.fault("send for unknown request %d", id)
 		return
 	}
 	e, known := c.states[endpoint]
-	class := c.s.Classes[r.in.Class]
-	if r.answered > 0 || r.told {
+	class := c.settings.Classes[r.request.Class]
+	if r.answered > 0 || r.closed {
 		c.fault("send after the end of %d", id)
 	}
 	if !known || e.State != Ready {
 		c.fault("send to endpoint %d in state %d", endpoint, e.State)
 	}
-	if len(r.attempts) >= c.s.Limits.MaxAttempts {
+	if len(r.attempts) >= c.settings.Limits.MaxAttempts {
 		c.fault("attempt %d of %d", len(r.attempts), id)
 	}
 	for _, a := range r.attempts {
-		if a.out && !c.s.Limits.HedgedRequests {
+		if a.inFlight && !c.settings.Limits.HedgedRequests {
 			c.fault("second copy of %d", id)
 		}
 	}
-	if b := r.bound(); b != nil && class.Idempotency != Idempotent {
-		same := class.DeduplicationScope == ScopeAll || class.DeduplicationScope == ScopeZone && b.ep.Zone == e.Zone ||
-			class.DeduplicationScope == ScopeCell && b.ep.Cell == e.Cell
-		if class.Idempotency == NonIdempotent || !same || c.now > b.at+class.DeduplicationWindow {
+	if b := r.firstExecuted(); b != nil && class.Idempotency != Idempotent {
+		same := class.DeduplicationScope == ScopeAll || class.DeduplicationScope == ScopeZone && b.endpoint.Zone == e.Zone ||
+			class.DeduplicationScope == ScopeCell && b.endpoint.Cell == e.Cell
+		if class.Idempotency == NonIdempotent || !same || c.now > b.sentAt+class.DeduplicationWindow {
 			c.fault("repeat of %d (%s) may have a second effect", id, class.Name)
 		}
 	}
-	if _, cold := c.cold[endpoint]; cold {
-		c.coldWork[endpoint]++
+	if _, cold := c.warming[endpoint]; cold {
+		c.warmingRequests[endpoint]++
 	}
-	r.attempts = append(r.attempts, checkedAttempt{ep: e, at: c.now, out: true, mayRun: true})
+	r.attempts = append(r.attempts, checkedAttempt{endpoint: e, sentAt: c.now, inFlight: true, mayHaveExecuted: true})
 }
 
-func (c *checker) final(id uint64) *checked {
-	r := c.reqs[id]
-	if r == nil || r.answered > 0 || r.told {
+func (c *checker) final(id uint64) *checkedRequest {
+	r := c.requests[id]
+	if r == nil || r.answered > 0 || r.closed {
 		c.fault("final answer for %d, which is not open", id)
 		return nil
 	}
@@ -99,8 +99,8 @@
 }
 
 func (c *checker) Reject(id uint64, _ Micros) {
-	if r := c.final(id); r != nil && r.bound() != nil {
-		class := c.s.Classes[r.in.Class]
+	if r := c.final(id); r != nil && r.firstExecuted() != nil {
+		class := c.settings.Classes[r.request.Class]
 		if class.Idempotency == NonIdempotent || class.Idempotency == IdempotentWithKey && class.DeduplicationScope != ScopeAll {
 			c.fault("refusal of %d (%s), which may have run", id, class.Name)
 		}
@@ -110,7 +110,7 @@
 func (c *checker) Fail(id uint64) { c.final(id) }
 
 func (c *checker) Cancel(id uint64, attempt int) {
-	if r := c.reqs[id]; r == nil || attempt >= len(r.attempts) {
+	if r := c.requests[id]; r == nil || attempt >= len(r.attempts) {
 		c.fault("cancel of attempt %d of %d, never made", attempt, id)
 	}
 }
@@ -119,7 +119,7 @@
 	if delay <= 0 {
 		c.fault("timer delay %d", delay)
 	}
-	c.timers = append(c.timers, pending{c.now + delay, token})
+	c.timers = append(c.timers, pendingTimer{c.now + delay, token})
 }
 
 func (c *checker) Probe(e uint32) {
@@ -130,19 +130,19 @@
 }
 
 func (c *checker) Watch(bool) {
-	if !c.s.SubscribeToDiscovery {
+	if !c.settings.SubscribeToDiscovery {
 		c.fault("subscription where changes come unasked")
 	}
 }
 
 func (c *checker) Log(string) {}
 
-// play runs legal random events from a seed and returns the faults found.
-func play(t *testing.T, s Settings, seed int64) []string {
+// playRandomEvents runs legal random events from a seed and returns the faults found.
+func playRandomEvents(t *testing.T, s Settings, seed int64) []string {
 	t.Helper()
 	rnd := rand.New(rand.NewSource(seed))
-	c := &checker{s: s, now: 1_000_000, states: map[uint32]Endpoint{}, cold: map[uint32]Micros{},
-		coldWork: map[uint32]float64{}, reqs: map[uint64]*checked{}}
+	c := &checker{settings: s, now: 1_000_000, states: map[uint32]Endpoint{}, warming: map[uint32]Micros{},
+		warmingRequests: map[uint32]float64{}, requests: map[uint64]*checkedRequest{}}
 	b, err := New(s, uint64(seed), c)
 	if err != nil {
 		t.Fatal(err)
@@ -184,36 +184,36 @@
 			in := Request{ID: next, Class: uint8(rnd.Intn(len(s.Classes))),
 				Deadline: c.now + Micros(rnd.Intn(1_000_000)) - 50_000}
 			next++
-			c.reqs[in.ID] = &checked{in: in}
+			c.requests[in.ID] = &checkedRequest{request: in}
 			open = append(open, in.ID)
 			b.HandleRequest(c.now, in)
 		case n < 15 && len(open) > 0:
 			at := rnd.Intn(len(open))
-			r := c.reqs[open[at]]
+			r := c.requests[open[at]]
 			for i := range r.attempts {
 				a := &r.attempts[i]
-				if !a.out {
+				if !a.inFlight {
 					continue
 				}
-				a.out = false
+				a.inFlight = false
 				status := statuses[rnd.Intn(len(statuses))]
 				if status == Rejected || status == ConnectFailed || status == NotSent {
-					a.mayRun = false
+					a.mayHaveExecuted = false
 				}
-				if status == OK && r.answered == 0 && !r.told {
-					r.told = true
+				if status == OK && r.answered == 0 && !r.closed {
+					r.closed = true
 				}
-				settled := r.answered > 0 || r.told
-				b.HandleOutcome(c.now, Outcome{ID: r.in.ID, Attempt: i, Endpoint: a.ep.ID, Status: status,
-					Latency: c.now - a.at, Answered: settled})
+				settled := r.answered > 0 || r.closed
+				b.HandleOutcome(c.now, Outcome{ID: r.request.ID, Attempt: i, Endpoint: a.endpoint.ID, Status: status,
+					Latency: c.now - a.sentAt, Answered: settled})
 				break
 			}
 		case n < 16 && len(open) > 0:
-			r := c.reqs[open[rnd.Intn(len(open))]]
+			r := c.requests[open[rnd.Intn(len(open))]]
 			if r.answered == 0 {
-				r.told = true
+				r.closed = true
 			}
-			b.HandleClientGone(c.now, r.in.ID)
+			b.HandleClientGone(c.now, r.request.ID)
 		case n < 18:
 			for _, e := range c.probes {
 				load := []float32{float32(rnd.Intn(8)), rnd.Float32() * 2}[:rnd.Intn(3)]
@@ -259,18 +259,18 @@
 			i++
 		}
 	}
-	for id, r := range c.reqs {
-		if r.answered == 0 && !r.told {
+	for id, r := range c.requests {
+		if r.answered == 0 && !r.closed {
 			c.fault("request %d never got a final answer", id)
 		}
 	}
 	if s.Balancers > 2 && s.Limits.Probes && s.Prices.Probe < maxRequestProbeSpend && held == 0 {
 		c.fault("no request ever waited for probes: the run says nothing of those that do")
 	}
-	return c.bad
+	return c.faults
 }
 
-func TestRulesUnderRandomEvents(t *testing.T) {
+func TestRulesHoldUnderRandomEvents(t *testing.T) {
 	for seed := range int64(100) {
 		s := testSettings()
 		s.SubscribeToDiscovery = seed%2 == 0
@@ -284,7 +284,7 @@
 			s.Tenants = []Tenant{{Name: "one", QuotaRate: 50}, {Name: "two"}}[:seed%3]
 			s.Limits.CancelAttempts, s.Limits.RetryAfter = seed%3 != 0, seed%4 != 0
 		}
-		for i, bad := range play(t, s, seed) {
+		for i, bad := range playRandomEvents(t, s, seed) {
 			if i < 5 {
 				t.Errorf("seed %d: %s", seed, bad)
 			}
@@ -293,14 +293,14 @@
 }
 
 // The checker itself must see each rule broken.
-func TestCheckerSeesBrokenRules(t *testing.T) {
+func TestCheckerDetectsBrokenRules(t *testing.T) {
 	fresh := func() *checker {
-		c := &checker{s: testSettings(), states: map[uint32]Endpoint{}, reqs: map[uint64]*checked{}}
+		c := &checker{settings: testSettings(), states: map[uint32]Endpoint{}, requests: map[uint64]*checkedRequest{}}
 		for _, e := range ready(4) {
 			c.states[e.ID] = e
 		}
 		for class := range uint8(5) {
-			c.reqs[uint64(class)] = &checked{in: request0(uint64(class), class, 0)}
+			c.requests[uint64(class)] = &checkedRequest{request: testRequest(uint64(class), class, 0)}
 		}
 		return c
 	}
@@ -316,20 +316,20 @@
 		"too many attempts":      func(c *checker) { c.Send(0, 1, 0); c.Send(0, 2, 0); c.Send(0, 3, 0); c.Send(0, 4, 0) },
 	} {
 		c := fresh()
-		if do(c); len(c.bad) == 0 {
+		if do(c); len(c.faults) == 0 {
 			t.Errorf("%s: not seen", name)
 		}
 	}
 }
 
 // Each kind of effect against each outcome of its first attempt.
-func TestLedger(t *testing.T) {
+func TestAttemptsAfterEachOutcome(t *testing.T) {
 	never := map[Status]bool{Rejected: true, ConnectFailed: true, NotSent: true}
 	for class := range uint8(5) {
 		for status := EndpointError; status <= NotSent; status++ {
 			s := testSettings()
 			b, r := start(t, s, ready(4)) // endpoints 1, 2 share a zone and a cell; so do 3, 4
-			b.HandleRequest(1000, request0(1, class, 1000))
+			b.HandleRequest(1000, testRequest(1, class, 1000))
 			a := b.ledger.requests[1].attempts[0]
 			b.HandleOutcome(2000, Outcome{ID: 1, Endpoint: a.endpoint.ID, Status: status, Latency: 1000})
 			sends := len(r.sends)
@@ -349,30 +349,30 @@
 	}
 }
 
-func TestWindowCountsFromFirstThatMayHaveRun(t *testing.T) {
+func TestDeduplicationWindowStartsAtFirstExecutedAttempt(t *testing.T) {
 	s := testSettings()
 	s.Limits.HedgedRequests = false
 	b, r := start(t, s, ready(2))
-	b.HandleRequest(1000, request0(1, 3, 1000))
+	b.HandleRequest(1000, testRequest(1, 3, 1000))
 	first := r.sends[0].endpoint
 	b.HandleOutcome(1000+s.Classes[3].DeduplicationWindow, Outcome{ID: 1, Endpoint: first, Status: Reset})
-	if len(r.sends) != 1 || len(r.failed) != 1 || len(r.refused) != 0 {
-		t.Errorf("after the window: sends %v, failed %v, refused %v", r.sends, r.failed, r.refused)
+	if len(r.sends) != 1 || len(r.failed) != 1 || len(r.rejected) != 0 {
+		t.Errorf("after the window: sends %v, failed %v, refused %v", r.sends, r.failed, r.rejected)
 	}
 }
 
-func TestNoEndpointMeansRefusal(t *testing.T) {
+func TestNoEndpointMeansRejection(t *testing.T) {
 	b, r := start(t, testSettings(), nil)
-	b.HandleRequest(1000, request0(1, 4, 1000))
+	b.HandleRequest(1000, testRequest(1, 4, 1000))
 	b.HandleRequest(1000, Request{ID: 2, Deadline: 500})
-	if len(r.refused) != 2 || b.ledger.open != 0 || len(b.ledger.requests) != 0 {
-		t.Errorf("refused %v, open %d", r.refused, b.ledger.open)
+	if len(r.rejected) != 2 || b.ledger.open != 0 || len(b.ledger.requests) != 0 {
+		t.Errorf("refused %v, open %d", r.rejected, b.ledger.open)
 	}
 }
 
 func TestUnansweredAttemptEndsAtTheDeadline(t *testing.T) {
 	b, r := start(t, testSettings(), ready(1))
-	b.HandleRequest(1000, request0(1, 4, 1000))
+	b.HandleRequest(1000, testRequest(1, 4, 1000))
 	token := b.ledger.requests[1].timerToken
 	b.HandleTimer(1000+second, token)
 	if len(r.failed) != 1 || len(r.cancels) != 1 {
@@ -382,19 +382,19 @@
 	if b.membership.endpoints[0].breaker.accepts != 1 || b.membership.endpoints[0].inFlight != 0 || len(b.ledger.requests) != 0 {
 		t.Error("a late outcome must still feed the statistics")
 	}
-	b.HandleRequest(3*second, request0(2, 0, 3*second))
+	b.HandleRequest(3*second, testRequest(2, 0, 3*second))
 	b.HandleTimer(3*second, token) // of the ended request, whose slot is in use again
-	if len(r.failed) != 1 || len(r.refused) != 0 {
+	if len(r.failed) != 1 || len(r.rejected) != 0 {
 		t.Error("an old timer ended another request")
 	}
 }
 
-func TestDrainingGetsNothing(t *testing.T) {
+func TestDrainingEndpointGetsNoRequests(t *testing.T) {
 	b, r := start(t, testSettings(), ready(2))
 	b.HandleEndpoints(1000, ListDelta, []Endpoint{{ID: 1, State: Draining}})
 	b.HandleEndpoints(1000, ListFull, []Endpoint{{ID: 1, State: Draining}, {ID: 3, State: Ready}})
 	for id := range uint64(20) {
-		b.HandleRequest(2000, request0(id, 0, 2000))
+		b.HandleRequest(2000, testRequest(id, 0, 2000))
 	}
 	for _, s := range r.sends {
 		if s.endpoint == 1 || s.endpoint == 2 {
@@ -403,9 +403,9 @@
 	}
 }
 
-// coldSends counts sends to a cold endpoint over the overload window just
+// warmingSends counts sends to a cold endpoint over the overload window just
 // after its start, beside nine warm ones under a steady load.
-func coldSends(t *testing.T, rate int, colds int) (cold []int, warm float64) {
+func warmingSends(t *testing.T, rate int, colds int) (cold []int, warm float64) {
 	t.Helper()
 	s := testSettings()
 	list := ready(10)
@@ -418,7 +418,7 @@
 				b.HandleProbe(now, e+1, OK, 500, []float32{0})
 			}
 			id++
-			b.HandleRequest(now, request0(id, 0, now))
+			b.HandleRequest(now, testRequest(id, 0, now))
 			for ; seen < len(r.sends); seen++ {
 				counts[r.sends[seen].endpoint]++
 				b.HandleOutcome(now, Outcome{ID: r.sends[seen].id, Endpoint: r.sends[seen].endpoint, Status: OK,
@@ -442,9 +442,9 @@
 	return cold, warm
 }
 
-func TestColdEndpointGetsItsRampShare(t *testing.T) {
+func TestWarmingEndpointGetsItsSlowStartShare(t *testing.T) {
 	for _, c := range []struct{ rate, colds int }{{100, 1}, {500, 1}, {500, 2}, {2000, 2}} {
-		cold, warm := coldSends(t, c.rate, c.colds)
+		cold, warm := warmingSends(t, c.rate, c.colds)
 		for _, n := range cold {
 			// Warmth goes from 0.2 to 0.28 in this second; one request may round up.
 			if float64(n) > 0.28*warm+1 {
@@ -454,12 +454,12 @@
 	}
 }
 
-func TestOneServerFleetRestarts(t *testing.T) {
+func TestSingleEndpointRestarts(t *testing.T) {
 	b, r := start(t, testSettings(), ready(1)[:1])
 	b.HandleEndpoints(second, ListDelta, []Endpoint{{ID: 1, State: Ready, StartTime: second}})
 	for i := range uint64(400) {
 		now := second + Micros(i)*10_000
-		b.HandleRequest(now, request0(i, 0, now))
+		b.HandleRequest(now, testRequest(i, 0, now))
 		if n := len(r.sends); n > 0 && b.ledger.requests[i] != nil {
 			b.HandleOutcome(now, Outcome{ID: i, Endpoint: 1, Status: OK, Latency: 10_000, Answered: true})
 		}
@@ -471,7 +471,7 @@
 
 // What a subscription that broke has missed may count as told: the first try after that leaves time for its answer
 // within the grace, whatever that is, and those after it make room. Where there was none, nothing hurries.
-func TestBrokenSubscriptionIsRenewedWithinTheGrace(t *testing.T) {
+func TestBrokenSubscriptionIsRenewedWithinDrainGrace(t *testing.T) {
 	for _, grace := range []Micros{0, second / 5, second / 2, 2 * second, 30 * second} {
 		s := testSettings()
 		s.SubscribeToDiscovery, s.Contract.DrainGrace = true, grace
@@ -509,7 +509,7 @@
 	}
 }
 
-func TestSubscriptionIsAskedForAgain(t *testing.T) {
+func TestFailedSubscriptionIsRetried(t *testing.T) {
 	s := testSettings()
 	s.SubscribeToDiscovery = true
 	b, r := start(t, s, ready(2))
@@ -550,12 +550,12 @@
 	}
 }
 
-func TestStreamIsLeftAlone(t *testing.T) {
+func TestStreamedAnswerIsNotInterrupted(t *testing.T) {
 	b, r := start(t, testSettings(), ready(2))
-	b.HandleRequest(1000, request0(1, 0, 1000))
+	b.HandleRequest(1000, testRequest(1, 0, 1000))
 	b.HandleHeaders(2000, 1, 0, 1000)
 	b.HandleTimer(2*second, b.ledger.requests[1].timerToken)
-	if len(r.sends) != 1 || len(r.refused)+len(r.failed) != 0 {
+	if len(r.sends) != 1 || len(r.rejected)+len(r.failed) != 0 {
 		t.Error("a stream that began was given an end or a copy")
 	}
 	b.HandleOutcome(3*second, Outcome{ID: 1, Endpoint: r.sends[0].endpoint, Status: OK, Latency: 3 * second, Answered: true})
@@ -564,12 +564,12 @@
 	}
 }
 
-func TestSameEventsSameActions(t *testing.T) {
+func TestSameEventsGiveSameActions(t *testing.T) {
 	run := func() *recorder {
 		b, r := start(t, testSettings(), ready(5))
 		for i := range uint64(200) {
 			now := Micros(i) * 7000
-			b.HandleRequest(now, request0(i, uint8(i%5), now))
+			b.HandleRequest(now, testRequest(i, uint8(i%5), now))
 			if i%3 == 0 {
 				b.HandleTimer(now, probeTimerToken)
 				b.HandleProbe(now, uint32(i%5+1), OK, 500, []float32{float32(i % 4)})
@@ -590,7 +590,7 @@
 	once := func() {
 		id++
 		r.sends, r.timers, r.delays = r.sends[:0], r.timers[:0], r.delays[:0]
-		b.HandleRequest(1000, request0(id, 0, 1000))
+		b.HandleRequest(1000, testRequest(id, 0, 1000))
 		b.HandleOutcome(2000, Outcome{ID: id, Endpoint: r.sends[0].endpoint, Status: OK, Latency: 1000, Answered: true})
 	}
 	for range 100 {
@@ -602,9 +602,9 @@
 }
 
 // A second copy doubles the work of an endpoint that is slow because it has too much.
-func TestNoSecondCopies(t *testing.T) {
+func TestOverdueAttemptsAreNotHedged(t *testing.T) {
 	b, r := start(t, testSettings(), ready(3))
-	b.HandleRequest(1000, request0(1, 0, 1000))
+	b.HandleRequest(1000, testRequest(1, 0, 1000))
 	for i, token := range r.timers {
 		b.HandleTimer(1000+r.delays[i]-1, token)
 	}
@@ -617,11 +617,11 @@
 // Where endpoints swallow requests and answer the rest in time, one that a later
 // one overtook is lost. It gets a copy elsewhere as far as its class permits;
 // whichever is answered first ends the request and calls the other off.
-func TestLostAttemptsGetACopyElsewhere(t *testing.T) {
+func TestLostAttemptsAreHedged(t *testing.T) {
 	for class, copies := range []int{1, 1, 1, 1, 0} {
 		b, r := start(t, testSettings(), ready(4))
 		b.retries.lostAttemptShare.value = minLostShare
-		b.HandleRequest(1000, request0(1, uint8(class), 1000))
+		b.HandleRequest(1000, testRequest(1, uint8(class), 1000))
 		first := r.sends[0]
 		b.membership.byID[first.endpoint].lastAnsweredSentAt = 2000
 		b.HandleTimer(500_000, r.timers[len(r.timers)-1])
@@ -638,7 +638,7 @@
 		}
 		// The copy fails: the first may still be answered, so no final answer yet.
 		b.HandleOutcome(510_000, Outcome{ID: 1, Attempt: 1, Endpoint: second.endpoint, Status: EndpointError, Latency: 1000})
-		if len(r.refused)+len(r.failed) != 0 {
+		if len(r.rejected)+len(r.failed) != 0 {
 			t.Errorf("class %d: given up while an attempt is out", class)
 		}
 		calls := len(r.cancels)
@@ -654,11 +654,11 @@
 
 // The time-out of a request that a later one overtook teaches no pace: the
 // endpoint was well, and the whole fleet would be thought slow.
-func TestOvertakenAttemptsTeachNoPace(t *testing.T) {
+func TestOvertakenAttemptsDoNotAffectTrend(t *testing.T) {
 	for name, overtaken := range map[string]bool{"overtaken": true, "not overtaken": false} {
 		b, r := start(t, testSettings(), ready(1))
 		for id := range uint64(5) {
-			b.HandleRequest(1000, request0(id, 0, 1000))
+			b.HandleRequest(1000, testRequest(id, 0, 1000))
 		}
 		if overtaken {
 			b.membership.byID[1].lastAnsweredSentAt = 2000
@@ -673,16 +673,16 @@
 }
 
 // Staff must learn why requests are refused, in one line a second and not in thousands.
-func TestRefusalsAreToldOnceASecond(t *testing.T) {
+func TestRejectionsAreLoggedOnceASecond(t *testing.T) {
 	b, r := start(t, testSettings(), ready(1))
 	b.HandleProbe(1000, 1, OK, 500, []float32{50})
 	for id := range uint64(200) {
 		now := second + 5000*Micros(id)
 		b.HandleProbe(now, 1, OK, 500, []float32{50})
-		b.HandleRequest(now, request0(id, 0, now))
+		b.HandleRequest(now, testRequest(id, 0, now))
 	}
-	if len(r.refused) < 150 {
-		t.Fatalf("only %d refused", len(r.refused))
+	if len(r.rejected) < 150 {
+		t.Fatalf("only %d refused", len(r.rejected))
 	}
 	if len(r.logs) != 1 || !strings.Contains(r.logs[0], "endpoint, 1, would take") {
 		t.Errorf("log: %q", r.logs)
@@ -690,7 +690,7 @@
 }
 
 // Whatever is odd about a request, it is taken once and answered once.
-func TestOddRequestsAreAnsweredOnce(t *testing.T) {
+func TestUnusualRequestsAreAnsweredOnce(t *testing.T) {
 	for name, c := range map[string]struct {
 		list  []Endpoint
 		in    Request
@@ -714,7 +714,7 @@
 				b.HandleTimer(max(1000+r.delays[i], c.in.Deadline), token)
 			}
 		}
-		if n := len(r.refused) + len(r.failed); n != 1 || len(r.sends) > 1 {
+		if n := len(r.rejected) + len(r.failed); n != 1 || len(r.sends) > 1 {
 			t.Errorf("%s: %d final answers, %d sends", name, n, len(r.sends))
 		}
 	}
@@ -722,7 +722,7 @@
 
 // A repeat of a keyed request carries the latest instant at which it may begin, with room for its way; a first
 // attempt and a repeat of a safe request carry none, nor does one after an attempt that never ran.
-func TestRepeatCarriesItsLatestInstant(t *testing.T) {
+func TestRetryWithKeyCarriesLatestStart(t *testing.T) {
 	const way = 20_000
 	for name, c := range map[string]struct {
 		class  uint8
@@ -739,7 +739,7 @@
 			for _, e := range b.membership.endpoints {
 				b.estimates.zoneLatencies[e.Zone].add(way)
 			}
-			b.HandleRequest(10_000, request0(1, c.class, 10_000))
+			b.HandleRequest(10_000, testRequest(1, c.class, 10_000))
 			b.HandleTimer(20_000, r.timers[len(r.timers)-1]) // should it wait for probes
 			if len(r.sends) != 1 || r.latest[0] != 0 {
 				t.Fatalf("first attempts %v, latest %v", r.sends, r.latest)
@@ -758,11 +758,11 @@
 	b, r := start(t, testSettings(), ready(4))
 	b.estimates.zoneLatencies[0].add(way)
 	b.estimates.zoneLatencies[1].add(way)
-	b.HandleRequest(0, request0(1, 1, 0))
+	b.HandleRequest(0, testRequest(1, 1, 0))
 	b.HandleTimer(10_000, r.timers[len(r.timers)-1])
 	at := b.ledger.requests[1].attempts[0].sentAt
 	b.HandleOutcome(at+500_000-way, Outcome{ID: 1, Endpoint: r.sends[0].endpoint, Status: Reset})
-	if len(r.sends) != 1 || len(r.refused) != 1 {
-		t.Errorf("sends %v, refused %v: a repeat that could not arrive in time", r.sends, r.refused)
+	if len(r.sends) != 1 || len(r.rejected) != 1 {
+		t.Errorf("sends %v, refused %v: a repeat that could not arrive in time", r.sends, r.rejected)
 	}
 }
--- a/balancer/simulation_test.go
+++ b/balancer/simulation_test.go
@@ -30,32 +30,32 @@
 // fleet is many balancers on one clock, and endpoints that answer all of them after a
 // time that their load makes.
 type fleet struct {
-	s       Settings
-	now     Micros
-	events  events
-	members []*member
-	list    []Endpoint
-	busy    map[uint32]int      // requests held
-	got     map[uint32][]Micros // requests begun
-	rng     splitMix64
-	work    float64 // of each request
+	settings Settings
+	now      Micros
+	events   events
+	members  []*member
+	list     []Endpoint
+	inFlight map[uint32]int      // requests held
+	received map[uint32][]Micros // requests begun
+	rng      splitMix64
+	work     float64 // of each request
 }
 
 // member is the host of one balancer.
 type member struct {
-	f *fleet
-	b *Balancer
-	n map[uint64]int // attempts
+	f        *fleet
+	b        *Balancer
+	attempts map[uint64]int // attempts
 }
 
 func newFleet(t *testing.T, s Settings, balancers int, work float64, list []Endpoint) *fleet {
 	t.Helper()
-	f := &fleet{s: s, list: list, work: work, busy: map[uint32]int{}, got: map[uint32][]Micros{}, rng: 5}
-	f.s.Balancers = balancers
+	f := &fleet{settings: s, list: list, work: work, inFlight: map[uint32]int{}, received: map[uint32][]Micros{}, rng: 5}
+	f.settings.Balancers = balancers
 	for i := range balancers {
-		m := &member{f: f, n: map[uint64]int{}}
+		m := &member{f: f, attempts: map[uint64]int{}}
 		var err error
-		if m.b, err = New(f.s, uint64(i)+1, m); err != nil {
+		if m.b, err = New(f.settings, uint64(i)+1, m); err != nil {
 			t.Fatal(err)
 		}
 		f.members = append(f.members, m)
@@ -96,32 +96,32 @@
 	f.after(1, next)
 }
 
-// warmth is the least share of its capacity that an endpoint has.
-func (f *fleet) warmth(id uint32, now Micros) float64 {
-	from := f.s.Contract.SlowStartInitialFraction
+// warmupFraction is the least share of its capacity that an endpoint has.
+func (f *fleet) warmupFraction(id uint32, now Micros) float64 {
+	from := f.settings.Contract.SlowStartInitialFraction
 	for _, e := range f.list {
-		if e.ID == id && e.StartTime != 0 && now >= e.StartTime && now-e.StartTime < f.s.Contract.SlowStartDuration {
-			return from + (1-from)*float64(now-e.StartTime)/float64(f.s.Contract.SlowStartDuration)
+		if e.ID == id && e.StartTime != 0 && now >= e.StartTime && now-e.StartTime < f.settings.Contract.SlowStartDuration {
+			return from + (1-from)*float64(now-e.StartTime)/float64(f.settings.Contract.SlowStartDuration)
 		}
 	}
 	return 1
 }
 
 func (m *member) Send(id uint64, endpoint uint32, _ Micros) {
-	f, attempt, begun := m.f, m.n[id], m.f.now
-	m.n[id]++
-	f.got[endpoint] = append(f.got[endpoint], begun)
-	f.busy[endpoint]++
-	took := Micros(f.work * float64(f.busy[endpoint]) / f.warmth(endpoint, begun))
+	f, attempt, begun := m.f, m.attempts[id], m.f.now
+	m.attempts[id]++
+	f.received[endpoint] = append(f.received[endpoint], begun)
+	f.inFlight[endpoint]++
+	took := Micros(f.work * float64(f.inFlight[endpoint]) / f.warmupFraction(endpoint, begun))
 	f.after(took, func(now Micros) {
-		f.busy[endpoint]--
+		f.inFlight[endpoint]--
 		m.b.HandleOutcome(now, Outcome{ID: id, Attempt: attempt, Endpoint: endpoint, Status: OK, Latency: took, Answered: true})
 	})
 }
 
 func (m *member) Probe(endpoint uint32) {
 	m.f.after(500, func(now Micros) {
-		m.b.HandleProbe(now, endpoint, OK, 500, []float32{float32(m.f.busy[endpoint])})
+		m.b.HandleProbe(now, endpoint, OK, 500, []float32{float32(m.f.inFlight[endpoint])})
 	})
 }
 
@@ -135,9 +135,9 @@
 func (m *member) Watch(bool)            {}
 func (m *member) Log(string)            {}
 
-// pushedOver finds an endpoint that got more than it may have in any window, while
+// overloadedEndpoint finds an endpoint that got more than it may have in any window, while
 // cold: N by the settings, and what is put down to chance.
-func (f *fleet) pushedOver() (worst float64, err error) {
+func (f *fleet) overloadedEndpoint() (worst float64, err error) {
 	worst, where := f.worstWindow(func(n float64) float64 { return n + 2*math.Sqrt(n) + 2 })
 	if worst > 1 {
 		err = errors.New(where)
@@ -148,21 +148,21 @@
 // Whatever the number of processes, what all of them send to a cold endpoint stays under
 // what it may get: where one starts alone, where many start one after the other, and where
 // one comes back that staff had left out.
-func TestColdEndpointsBearTheSumOfAllProcesses(t *testing.T) {
+func TestWarmingEndpointsBearTheSumOfAllBalancers(t *testing.T) {
 	cold := 0 // requests to cold endpoints
 	for _, balancers := range []int{4, 30, 300} {
 		for _, work := range []float64{25_000, 150_000} { // many requests may go there at first, or few
 			for name, start := range map[string]func(f *fleet){
-				"one starts": func(f *fleet) { f.join(1, 0) },
+				"one starts": func(f *fleet) { f.startEndpoints(1, 0) },
 				"many start one after the other": func(f *fleet) {
-					f.join(30, 200_000)
+					f.startEndpoints(30, 200_000)
 				},
 				"a late one": func(f *fleet) {
-					f.join(30, 0)
-					f.after(6*second, func(Micros) { f.join(1, 0) })
+					f.startEndpoints(30, 0)
+					f.after(6*second, func(Micros) { f.startEndpoints(1, 0) })
 				},
 				"one by one after a quiet time": func(f *fleet) {
-					f.join(4, 4*second)
+					f.startEndpoints(4, 4*second)
 				},
 				"one is put back": func(f *fleet) {
 					for _, m := range f.members {
@@ -184,14 +184,14 @@
 					f.run(4 * second)
 					start(f)
 					f.run(14 * second)
-					worst, err := f.pushedOver()
+					worst, err := f.overloadedEndpoint()
 					if err != nil {
 						t.Error(err)
 					}
 					t.Logf("worst %.2f", worst)
 					for _, e := range f.list {
 						if e.StartTime != 0 {
-							cold += len(f.got[e.ID])
+							cold += len(f.received[e.ID])
 						}
 					}
 				})
@@ -203,8 +203,8 @@
 	}
 }
 
-// join has so many endpoints start, so far apart.
-func (f *fleet) join(n int, apart Micros) {
+// startEndpoints has so many endpoints start, so far apart.
+func (f *fleet) startEndpoints(n int, apart Micros) {
 	for i := range n {
 		f.after(Micros(i)*apart, func(now Micros) {
 			id := uint32(len(f.list) + 1)
--- a/balancer/slowstart_test.go
+++ b/balancer/slowstart_test.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-// coldBudget is how many requests of mean work a cold endpoint bears where it may get n: with what is put down to chance.
-func coldBudget(n float64) float64 {
+// slowStartBudget is how many requests of mean work a cold endpoint bears where it may get n: with what is put down to chance.
+func slowStartBudget(n float64) float64 {
 	if n < 30 {
 		return n + 3*math.Sqrt(n) + 3
 	}
@@ -16,14 +16,14 @@
 
 // worstWindow returns the most that a cold endpoint got of its budget, over all windows, and where that was.
 func (f *fleet) worstWindow(budget func(n float64) float64) (worst float64, where string) {
-	c := f.s.Contract
-	for id, at := range f.got {
+	c := f.settings.Contract
+	for id, at := range f.received {
 		first := 0
 		for i, now := range at {
 			for at[first] <= now-c.OverloadWindow {
 				first++
 			}
-			warmth := f.warmth(id, at[first])
+			warmth := f.warmupFraction(id, at[first])
 			if warmth == 1 {
 				continue
 			}
@@ -51,9 +51,9 @@
 func (f *fleet) restartBalancers(t *testing.T, seed uint64) {
 	t.Helper()
 	for i := range f.members {
-		fresh := &member{f: f, n: map[uint64]int{}}
+		fresh := &member{f: f, attempts: map[uint64]int{}}
 		var err error
-		if fresh.b, err = New(f.s, seed+uint64(i), fresh); err != nil {
+		if fresh.b, err = New(f.settings, seed+uint64(i), fresh); err != nil {
 			t.Fatal(err)
 		}
 		fresh.b.Start(f.now)
@@ -87,7 +87,7 @@
 									f.restartBalancers(t, 100)
 								}
 								f.run(end)
-								worst, where := f.worstWindow(coldBudget)
+								worst, where := f.worstWindow(slowStartBudget)
 								if worst > 1 {
 									t.Errorf("%.2f of the budget: %s", worst, where)
 								}
--- a/balancer/streaming_test.go
+++ b/balancer/streaming_test.go
@@ -4,9 +4,9 @@
 
 // A body that is passed on while it comes is no load until its last byte, from
 // which on the request's time counts.
-func TestPassingRequestIsTimedFromItsLastByte(t *testing.T) {
+func TestStreamedRequestIsTimedFromItsLastByte(t *testing.T) {
 	b, r := start(t, testSettings(), ready(1))
-	in := request0(1, 0, 0)
+	in := testRequest(1, 0, 0)
 	in.StreamingBody, in.Deadline = true, 600*second
 	b.HandleRequest(0, in)
 	if len(r.sends) != 1 {
@@ -24,8 +24,8 @@
 		t.Errorf("its timer comes after %d", r.delays[last])
 	}
 	b.HandleTimer(now+second, r.timers[len(r.timers)-1])
-	if len(r.refused) != 1 || len(r.cancels) != 1 {
-		t.Errorf("at its deadline: refused %v, cancelled %v", r.refused, r.cancels)
+	if len(r.rejected) != 1 || len(r.cancels) != 1 {
+		t.Errorf("at its deadline: refused %v, cancelled %v", r.rejected, r.cancels)
 	}
 	b.HandleOutcome(now+second, Outcome{ID: 1, Endpoint: 1, Status: Cancelled, Answered: true})
 	if s := b.Stats(now); s.InFlight+s.Uploading != 0 || len(b.ledger.requests) != 0 {
@@ -35,7 +35,7 @@
 
 // What can't be sent again is refused where it never ran, and failed where it may
 // have; what is still held goes elsewhere.
-func TestSpentRequestIsNotSentAgain(t *testing.T) {
+func TestConsumedBodyIsNotRetried(t *testing.T) {
 	for _, c := range []struct {
 		status          Status
 		written, spent  bool
@@ -47,15 +47,15 @@
 		{Reset, true, true, 1, 0, 1},
 	} {
 		b, r := start(t, testSettings(), ready(4))
-		in := request0(1, 4, 0)
+		in := testRequest(1, 4, 0)
 		in.StreamingBody, in.Deadline = true, 600*second
 		b.HandleRequest(0, in)
 		if c.written {
 			b.HandleBodyWritten(1000, 1, second)
 		}
 		b.HandleOutcome(2000, Outcome{ID: 1, Endpoint: r.sends[0].endpoint, Status: c.status, BodyConsumed: c.spent})
-		if len(r.sends) != c.sends || len(r.refused) != c.no || len(r.failed) != c.fail {
-			t.Errorf("%+v: %d sends, %d refused, %d failed", c, len(r.sends), len(r.refused), len(r.failed))
+		if len(r.sends) != c.sends || len(r.rejected) != c.no || len(r.failed) != c.fail {
+			t.Errorf("%+v: %d sends, %d refused, %d failed", c, len(r.sends), len(r.rejected), len(r.failed))
 		}
 	}
 }
