--- /dev/null
+++ b/balancer/admission_test.go
@@ -0,0 +1,180 @@
+package balancer
+
+import (
+	"strings"
+	"testing"
+)
+
+// A wrong guess of a class's work must not refuse that class for ever; but a pass a second at each of a
+// thousand quiet balancers would keep a jammed fleet jammed.
+func TestTooLateRejectionLetsTrialsThrough(t *testing.T) {
+	for _, c := range []struct {
+		gap      Micros
+		from, to int
+	}{{second / 100, 3, 6}, {second, 28, 33}} {
+		b, r := start(t, testSettings(), ready(1))
+		b.demand.classes[0].work.value = float64(100 * second)
+		for i := range uint64(300) {
+			now := 10*second + Micros(i)*c.gap
+			b.HandleRequest(now, testRequest(i, 0, now))
+		}
+		if n := len(r.sends); n < c.from || n > c.to {
+			t.Errorf("a request every %d us: %d of 300 sent, want %d to %d", c.gap, n, c.from, c.to)
+		}
+		if len(r.rejected) != 300-len(r.sends) {
+			t.Errorf("%d refused, %d sent", len(r.rejected), len(r.sends))
+		}
+	}
+}
+
+// A quiet balancer in a large fleet cannot keep a fresh pool: it must ask when a request comes, and send to
+// the best answer, without losing what it holds.
+func TestQuietBalancerProbesBeforeItSends(t *testing.T) {
+	quiet := func() (*Balancer, *recorder) {
+		s := testSettings()
+		s.Balancers = 1000
+		b, r := start(t, s, ready(40))
+		if len(r.probes) != 0 {
+			t.Errorf("%d probes at the start", len(r.probes))
+		}
+		b.HandleTimer(second, probeTimerToken)
+		r.probes, r.timers = nil, nil
+		b.HandleRequest(2*second, testRequest(1, 0, 2*second))
+		if len(r.sends) != 0 || len(r.probes) < 2 {
+			t.Fatalf("%d sends and %d probes before any answer", len(r.sends), len(r.probes))
+		}
+		return b, r
+	}
+	answer := func(b *Balancer, r *recorder, i int, load float32) {
+		b.HandleProbe(2*second+1000, r.probes[i], OK, 500, []float32{load})
+	}
+
+	b, r := quiet()
+	for i := range r.probes {
+		answer(b, r, i, float32(4-i))
+	}
+	if last := r.probes[len(r.probes)-1]; len(r.sends) != 1 || r.sends[0].endpoint != last {
+		t.Errorf("sends %v, want one to %d, the least loaded of %v", r.sends, last, r.probes)
+	}
+
+	b, r = quiet()
+	answer(b, r, 0, 0)
+	if len(r.sends) != 1 || r.sends[0].endpoint != r.probes[0] {
+		t.Errorf("sends %v, want one to the idle endpoint %d at once", r.sends, r.probes[0])
+	}
+
+	b, r = quiet() // no answer at all
+	b.HandleTimer(2*second+50_000, r.timers[len(r.timers)-1])
+	if len(r.sends) != 1 {
+		t.Errorf("%d sends after the wait for probes", len(r.sends))
+	}
+
+	b, r = quiet()
+	b.HandleClientGone(2*second+500, 1)
+	for i := range r.probes {
+		answer(b, r, i, 0)
+	}
+	b.HandleTimer(2*second+50_000, r.timers[len(r.timers)-1])
+	if len(r.sends)+len(r.rejected)+len(r.failed) != 0 || len(b.waiting.requests) != 0 {
+		t.Error("a request that its client left is still acted on")
+	}
+}
+
+// Where the sidecar itself is slow all latencies grow: refusing where nobody waits helps no endpoint, and brings
+// the clients back at once.
+func TestSlowdownAloneRejectsNothing(t *testing.T) {
+	b, r := start(t, testSettings(), ready(1))
+	b.estimates.trend, b.estimates.trendAt = maxTrendRatio, 1000
+	b.estimates.fleetServiceTimeRatio = ewma{value: 20, initialized: true}
+	b.HandleProbe(1000, 1, OK, 500, []float32{0})
+	b.HandleRequest(2000, testRequest(1, 0, 2000))
+	if len(r.sends) != 1 {
+		t.Errorf("%d sends to an idle endpoint while all seem slow", len(r.sends))
+	}
+	b.HandleProbe(3000, 1, OK, 500, []float32{5})
+	b.HandleRequest(3000, testRequest(2, 0, 3000))
+	if len(r.sends) != 1 {
+		t.Errorf("%d sends, though the second would wait behind five at a slow endpoint", len(r.sends))
+	}
+}
+
+// A few long answers must not make an endpoint refuse where nobody waits.
+func TestIdleEndpointIsNeverTooLate(t *testing.T) {
+	b, r := start(t, testSettings(), ready(1))
+	b.membership.endpoints[0].serviceTimeRatio, b.membership.endpoints[0].serviceTimeRatioAt = ewma{value: 9, initialized: true}, 1000
+	b.HandleProbe(1000, 1, OK, 500, []float32{0})
+	b.HandleRequest(2000, testRequest(1, 0, 2000))
+	if len(r.sends) != 1 {
+		t.Errorf("%d sends to an idle endpoint thought slow", len(r.sends))
+	}
+}
+
+// Requests passed into a jam keep it jammed: each that earns nothing makes the next rarer.
+func TestFailedTrialsLengthenTheInterval(t *testing.T) {
+	b, r := start(t, testSettings(), ready(1))
+	b.demand.classes[0].work.value = float64(100 * second)
+	passed := [2]int{}
+	for i := range uint64(400) {
+		now := 10*second + Micros(i)*second
+		b.HandleProbe(now, 1, OK, 500, []float32{50})
+		b.HandleRequest(now, testRequest(i, 0, now))
+		if n := len(r.sends); n > 0 && r.sends[n-1].id == i {
+			passed[i/200]++
+			b.HandleOutcome(now+second, Outcome{ID: i, Endpoint: 1, Status: Timeout, Latency: second})
+		}
+	}
+	if passed[0] < 3 || passed[0] > 8 || passed[1] > 2 {
+		t.Errorf("%d of the first 200 passed and %d of the next", passed[0], passed[1])
+	}
+	b.admission.trialInterval = maxTrialInterval
+	r.sends = nil
+	b.demand.classes[0].work.value = 1000
+	b.HandleRequest(500*second, testRequest(1000, 0, 500*second))
+	b.HandleOutcome(501*second, Outcome{ID: 1000, Endpoint: 1, Status: OK, Latency: 1000, Answered: true})
+	b.HandleRequest(502*second, testRequest(1001, 0, 502*second))
+	b.HandleOutcome(502*second+1000, Outcome{ID: 1001, Endpoint: 1, Status: OK, Latency: 1000, Answered: true})
+	if b.admission.trialInterval != minTrialInterval {
+		t.Errorf("one of %d passes after an answer in time", b.admission.trialInterval)
+	}
+}
+
+// Answers from afar come too late for a short wait: probes stay at home then.
+func TestRequestProbesStayWithinRoundTrip(t *testing.T) {
+	s := testSettings()
+	s.Balancers = 1000
+	list := ready(40)
+	for i := range list {
+		list[i].Zone = uint8(i % 2)
+	}
+	b, r := start(t, s, list)
+	b.estimates.zoneLatencies[0], b.estimates.zoneLatencies[1] = zoneLatency{median: 500, count: 1}, zoneLatency{median: 30_000, count: 1}
+	b.HandleTimer(second, probeTimerToken)
+	for id := range uint64(20) {
+		b.HandleRequest(2*second, testRequest(id, 0, 2*second))
+	}
+	for _, e := range r.probes {
+		if b.membership.byID[e].Zone != 0 {
+			t.Fatalf("probe of endpoint %d, 30 ms away, for a wait of 40 ms", e)
+		}
+	}
+	if len(r.probes) < 10 {
+		t.Errorf("%d probes", len(r.probes))
+	}
+}
+
+// Staff must learn why requests are refused, in one line a second and not in thousands.
+func TestRejectionsAreLoggedOnceASecond(t *testing.T) {
+	b, r := start(t, testSettings(), ready(1))
+	b.HandleProbe(1000, 1, OK, 500, []float32{50})
+	for id := range uint64(200) {
+		now := second + 5000*Micros(id)
+		b.HandleProbe(now, 1, OK, 500, []float32{50})
+		b.HandleRequest(now, testRequest(id, 0, now))
+	}
+	if len(r.rejected) < 150 {
+		t.Fatalf("only %d refused", len(r.rejected))
+	}
+	if len(r.logs) != 1 || !strings.Contains(r.logs[0], "endpoint, 1, would take") {
+		t.Errorf("log: %q", r.logs)
+	}
+}
--- a/balancer/breaker_test.go
+++ b/balancer/breaker_test.go
@@ -150,3 +150,39 @@
 		t.Error("an ejection never ends")
 	}
 }
+
+func TestFailingEndpointIsAvoidedAndTriedAgain(t *testing.T) {
+	b, r := start(t, testSettings(), ready(3))
+	now := second
+	sends := map[uint32]int{}
+	id := uint64(0)
+	step := func() {
+		now += 20_000
+		for e := range uint32(3) {
+			b.HandleProbe(now, e+1, OK, 500, []float32{0})
+		}
+		id++
+		from := len(r.sends)
+		b.HandleRequest(now, testRequest(id, 0, now))
+		for n := 0; from < len(r.sends); n++ {
+			to := r.sends[from].endpoint
+			from++
+			sends[to]++
+			status := OK
+			if to == 1 {
+				status = EndpointError
+			}
+			b.HandleOutcome(now, Outcome{ID: id, Attempt: n, Endpoint: to, Status: status,
+				Latency: 30_000 + Micros(id*7919%60_000), Answered: status == OK})
+		}
+	}
+	for range 3000 {
+		step()
+	}
+	if sends[1] > 300 {
+		t.Errorf("a fast failing endpoint got %d of 3000", sends[1])
+	}
+	if sends[1] < 2 {
+		t.Errorf("a failing endpoint is never tried again: %d sends", sends[1])
+	}
+}
--- /dev/null
+++ b/balancer/determinism_test.go
@@ -0,0 +1,43 @@
+package balancer
+
+import (
+	"fmt"
+	"testing"
+)
+
+func TestSameEventsGiveSameActions(t *testing.T) {
+	run := func() *recorder {
+		b, r := start(t, testSettings(), ready(5))
+		for i := range uint64(200) {
+			now := Micros(i) * 7000
+			b.HandleRequest(now, testRequest(i, uint8(i%5), now))
+			if i%3 == 0 {
+				b.HandleTimer(now, probeTimerToken)
+				b.HandleProbe(now, uint32(i%5+1), OK, 500, []float32{float32(i % 4)})
+			}
+			last := r.sends[len(r.sends)-1]
+			b.HandleOutcome(now, Outcome{ID: last.id, Endpoint: last.endpoint, Status: Status(i % 7), Latency: 3000})
+		}
+		return r
+	}
+	if a, b := fmt.Sprint(run()), fmt.Sprint(run()); a != b {
+		t.Error("two runs differ")
+	}
+}
+
+func TestSteadyStateDoesNotAllocate(t *testing.T) {
+	b, r := start(t, testSettings(), ready(5))
+	id := uint64(0)
+	once := func() {
+		id++
+		r.sends, r.timers, r.delays = r.sends[:0], r.timers[:0], r.delays[:0]
+		b.HandleRequest(1000, testRequest(id, 0, 1000))
+		b.HandleOutcome(2000, Outcome{ID: id, Endpoint: r.sends[0].endpoint, Status: OK, Latency: 1000, Answered: true})
+	}
+	for range 100 {
+		once()
+	}
+	if n := testing.AllocsPerRun(200, once); n > 0.1 {
+		t.Errorf("%v allocations a request", n)
+	}
+}
--- /dev/null
+++ b/balancer/discovery_test.go
@@ -0,0 +1,87 @@
+package balancer
+
+import (
+	"slices"
+	"testing"
+)
+
+// What a subscription that broke has missed may count as told: the first try after that leaves time for its answer
+// within the grace, whatever that is, and those after it make room. Where there was none, nothing hurries.
+func TestBrokenSubscriptionIsRenewedWithinDrainGrace(t *testing.T) {
+	for _, grace := range []Micros{0, second / 5, second / 2, 2 * second, 30 * second} {
+		s := testSettings()
+		s.SubscribeToDiscovery, s.Contract.DrainGrace = true, grace
+		for seed := range uint64(20) {
+			r := &recorder{}
+			b, err := New(s, seed, r)
+			if err != nil {
+				t.Fatal(err)
+			}
+			fails := func() Micros {
+				r.timers, r.delays = nil, nil
+				b.HandleEndpoints(0, ListFailed, nil)
+				i := slices.Index(r.timers, uint32(pollTimerToken))
+				if i < 0 {
+					t.Fatal("no timer for discovery")
+				}
+				return r.delays[i]
+			}
+			b.Start(0)
+			b.HandleEndpoints(0, ListCached, ready(2))
+			if delay := fails(); delay < s.Contract.PollInterval/40 {
+				t.Errorf("grace %d: after a failed first call asked again after %d", grace, delay)
+			}
+			b.HandleEndpoints(0, ListDelta, nil)
+			for n := range 8 {
+				delay := fails()
+				if most := max(grace/2, minPollDelay*3/2+1); n == 0 && delay > most {
+					t.Errorf("grace %d: asked again after %d, want %d at most", grace, delay, most)
+				}
+				if least := min(s.Contract.PollInterval/8, minPollDelay/2<<n); delay < least {
+					t.Errorf("grace %d: try %d after %d, want %d at least", grace, n, delay, least)
+				}
+			}
+		}
+	}
+}
+
+func TestFailedSubscriptionIsRetried(t *testing.T) {
+	s := testSettings()
+	s.SubscribeToDiscovery = true
+	b, r := start(t, s, ready(2))
+	now := Micros(0)
+	fire := func() {
+		for i, token := range r.timers {
+			if token == pollTimerToken {
+				now += r.delays[i]
+				r.timers, r.delays = nil, nil
+				b.HandleTimer(now, pollTimerToken)
+				return
+			}
+		}
+		t.Fatal("no timer for discovery")
+	}
+	fire()
+	for n := 1; n < 8; n++ {
+		if r.watches != n {
+			t.Fatalf("%d calls, %d wanted", r.watches, n)
+		}
+		before := now
+		if n%2 == 0 {
+			b.HandleEndpoints(now, ListFailed, nil)
+		} // else the answer is lost
+		fire()
+		if now-before > s.Contract.PollInterval {
+			t.Fatalf("asked only after %d", now-before)
+		}
+	}
+	if len(b.membership.endpoints) != 2 {
+		t.Error("a failed call changed the list")
+	}
+	b.HandleEndpoints(now, ListDelta, nil)
+	n := r.watches
+	b.HandleTimer(now+100*second, pollTimerToken)
+	if r.watches != n {
+		t.Error("asked again while subscribed")
+	}
+}
--- a/balancer/helpers_test.go
+++ b/balancer/helpers_test.go
@@ -1,7 +1,6 @@
 package balancer
 
 import (
-	"errors"
 	"testing"
 )
 
@@ -82,29 +81,6 @@
 	return Request{ID: id, Class: class, Deadline: now + second}
 }
 
-func TestNewReturnsSettingError(t *testing.T) {
-	for _, c := range []struct {
-		key   string
-		spoil func(*Settings)
-	}{
-		{"Balancers", func(s *Settings) { s.Balancers = 0 }},
-		{"Classes", func(s *Settings) { s.Classes = nil }},
-		{"Classes[0].LatencyObjective", func(s *Settings) { s.Classes[0].LatencyObjective = 0 }},
-		{"Classes[1].DeduplicationWindow", func(s *Settings) { s.Classes[1].DeduplicationWindow = -1 }},
-		{"Contract.SlowStartInitialFraction", func(s *Settings) { s.Contract.SlowStartInitialFraction = 0 }},
-		{"Limits.MaxAttempts", func(s *Settings) { s.Limits.MaxAttempts = 0 }},
-		{"Prices.Probe", func(s *Settings) { s.Prices.Probe = -1 }},
-	} {
-		s := testSettings()
-		c.spoil(&s)
-		_, err := New(s, 1, &recorder{})
-		var bad *SettingError
-		if !errors.As(err, &bad) || bad.Key != c.key {
-			t.Errorf("want an error for %s, got %v", c.key, err)
-		}
-	}
-}
-
 // recordOf is the record of a request that the balancer has not been told of.
 func recordOf(b *Balancer, in Request) *request {
 	class, tenant := b.demand.resolveClass(&in)
--- /dev/null
+++ b/balancer/loadreport_test.go
@@ -0,0 +1,203 @@
+package balancer
+
+import (
+	"math"
+	"testing"
+)
+
+func TestInvalidLoadReportsAreIgnored(t *testing.T) {
+	b, _ := start(t, testSettings(), ready(1))
+	nan := float32(math.NaN())
+	for _, load := range [][]float32{nil, {}, {nan}, {-3}, {float32(math.Inf(1))}} {
+		b.HandleProbe(1000, 1, OK, 500, load)
+		if b.membership.endpoints[0].hasReport {
+			t.Errorf("report %v taken for a load", load)
+		}
+	}
+	b.HandleProbe(1000, 99, OK, 500, []float32{1}) // unknown endpoint
+	b.HandleProbe(1000, 1, OK, 500, []float32{2, 7, 9})
+	if b.estimates.load(1000, b.membership.endpoints[0]) != 2 {
+		t.Errorf("load %v", b.estimates.load(1000, b.membership.endpoints[0]))
+	}
+}
+
+// Reports that count fewer than this balancer has there itself are late; they
+// must not steer picks.
+func TestDelayedReportsAreDetected(t *testing.T) {
+	b, r := start(t, testSettings(), ready(2))
+	for id := range uint64(3) {
+		b.HandleRequest(1000, testRequest(id, 0, 1000))
+	}
+	busy := b.membership.byID[r.sends[0].endpoint]
+	for i := range Micros(40) {
+		busy.probeInFlight = false
+		b.probes.probe(12_000+i, busy)
+		b.HandleProbe(13_000+i, busy.ID, OK, 500, []float32{0})
+	}
+	if !b.estimates.reportsLate {
+		t.Fatal("not found out")
+	}
+	if got := b.estimates.load(14_000, busy); got < float64(busy.inFlight) {
+		t.Errorf("load %v is under own in-flight %d", got, busy.inFlight)
+	}
+	for i := range Micros(400) {
+		busy.probeInFlight = false
+		b.probes.probe(14_000+i, busy)
+		b.HandleProbe(15_000+i, busy.ID, OK, 500, []float32{5})
+	}
+	if b.estimates.reportsLate {
+		t.Error("not left again")
+	}
+}
+
+// While reports are late, their mean at each endpoint decides: one that others crowd is not like the rest, and
+// no endpoint may be filled up to the aim on the word of the fleet's mean.
+func TestDelayedReportsAreAveragedByEndpoint(t *testing.T) {
+	b, _ := start(t, testSettings(), ready(2))
+	b.demand.classes[0].requestRate.add(0, 1)
+	r := recordOf(b, testRequest(1, 0, 0))
+	r.work = 50_000
+	before := b.estimates.latencyLimit(0, r, b.membership.endpoints[0])
+	b.estimates.reportsLate = true
+	for i := range 20 {
+		b.HandleProbe(1000, 1, OK, 500, []float32{float32(4 + 2*(i%2))})
+		b.HandleProbe(1000, 2, OK, 500, []float32{float32(i % 2)})
+	}
+	if crowded, quiet := b.estimates.load(1000, b.membership.byID[1]), b.estimates.load(1000, b.membership.byID[2]); crowded < 4 || quiet > 1 {
+		t.Errorf("load %.1f where reports tell 4 to 6, %.1f where they tell 0 to 1", crowded, quiet)
+	}
+	if after := b.estimates.latencyLimit(0, r, b.membership.endpoints[0]); after > before+500 { // the way is known by now
+		t.Errorf("limit %v before, %v while late", before, after)
+	}
+}
+
+// Where reports are old or hold no count, a probe that waited in line still shows that there is one.
+func TestQueuedProbeShowsLoad(t *testing.T) {
+	s := testSettings()
+	s.ReportFields = []ReportField{FieldServedRate, FieldUtilization}
+	b, _ := start(t, s, ready(2))
+	e := b.membership.byID[1]
+	for range len(b.estimates.zoneLatencies[0].samples) {
+		b.HandleProbe(900, 1, OK, 500, []float32{90, 0.2})
+	}
+	b.HandleProbe(1000, 1, OK, 500, []float32{90, 0.5})
+	if got := b.estimates.load(1000, e); got != 0.5*assumedCores {
+		t.Errorf("load %v of a half busy endpoint", got)
+	}
+	b.HandleProbe(2000, 1, OK, 160_500, []float32{90, 0.5})
+	if got := b.estimates.load(2000, e); got < 2*assumedCores {
+		t.Errorf("load %v, though the probe waited for two requests' work", got)
+	}
+	b.HandleProbe(3000, 1, Rejected, 500, nil)
+	if e.reportedAt != 0 {
+		t.Error("an endpoint that turns probes away keeps its place in the pool")
+	}
+}
+
+// The way to a far zone varies by as much as a request's work takes: that is no line of requests there. Nor may
+// a quick answer or two make all later ones seem to have waited.
+func TestVaryingZoneLatencyIsNoQueue(t *testing.T) {
+	for _, c := range []struct {
+		name  string
+		quick int
+	}{{"ways vary", 0}, {"quick answers at the start", 3}} {
+		s := testSettings()
+		s.Classes[0].LatencyObjective = 50_000
+		b, _ := start(t, s, ready(2))
+		var noise splitMix64 = 5
+		now := Micros(1000)
+		probed := func(latency Micros, held float32) {
+			now += 100_000
+			b.HandleProbe(now, 1, OK, latency, []float32{held})
+		}
+		for range c.quick {
+			probed(200, 0)
+		}
+		for range 5 {
+			if probed(11_000+noise.duration(4000), 0); b.estimates.load(now, b.membership.byID[1]) > 0 {
+				t.Errorf("%s: an idle endpoint shows a load while its way is being learned", c.name)
+			}
+		}
+		if way := b.estimates.zoneLatencies[0].median; way < 11_000 || way > 15_000 {
+			t.Errorf("%s: a way of %.0f us, want 11 to 15 ms", c.name, way)
+		}
+		queued := 0
+		for range 100 {
+			probed(11_000+noise.duration(6000), 0)
+			queued += int(indicator(b.estimates.load(now, b.membership.byID[1]) > 0))
+		}
+		if queued > 5 {
+			t.Errorf("%s: %d of 100 probes of an idle endpoint show a load", c.name, queued)
+		}
+		probed(60_000, 0)
+		if got := b.estimates.load(now, b.membership.byID[1]); got < assumedCores {
+			t.Errorf("%s: load %v after a probe that waited 47 ms", c.name, got)
+		}
+	}
+}
+
+// Only idle endpoints answer a probe in time. In a jam the silent ones must count, or the fleet looks idle.
+func TestProbeTimeoutsCountAsLoad(t *testing.T) {
+	s := testSettings()
+	s.Balancers = 1000
+	b, r := start(t, s, ready(40))
+	b.HandleTimer(second, probeTimerToken)
+	for id := range uint64(40) {
+		now := 2*second + 100_000*Micros(id)
+		r.timers = nil
+		b.HandleRequest(now, Request{ID: id, Deadline: now + second})
+		b.HandleTimer(now+40_000, r.timers[len(r.timers)-1])
+	}
+	if b.estimates.typicalLoad.value < assumedCores {
+		t.Errorf("usual load %v though no probe is answered", b.estimates.typicalLoad.value)
+	}
+	if len(r.rejected) == 0 {
+		t.Error("nothing refused though no probe is answered")
+	}
+}
+
+// Where probes are answered beside the line, one that is lost says nothing of a load.
+func TestLostProbeIsNotLoad(t *testing.T) {
+	b, _ := start(t, testSettings(), ready(2))
+	for i := range Micros(20) {
+		b.HandleProbe(1000*i, 1, OK, 500, []float32{1})
+	}
+	before := b.estimates.typicalLoad.value
+	b.HandleProbe(30_000, 2, Timeout, 400_000, nil)
+	if b.estimates.typicalLoad.value > before {
+		t.Errorf("usual load %.1f before a lost probe, %.1f after it", before, b.estimates.typicalLoad.value)
+	}
+	b.estimates.queuedProbeShare.value = 0.5
+	b.HandleProbe(40_000, 2, Timeout, 400_000, nil)
+	if b.estimates.typicalLoad.value <= before {
+		t.Errorf("usual load %.1f after silence, where probes wait in line", b.estimates.typicalLoad.value)
+	}
+}
+
+// A balancer that probes one endpoint of sixty a second must not refuse by what its last few answers happened to be;
+// one whose probes are many follows them.
+func TestFewReportsDoNotMoveTypicalLoad(t *testing.T) {
+	for _, c := range []struct {
+		name        string
+		endpoints   int
+		answers     []float32
+		least, most float64 // of the usual load
+	}{
+		{"the first is odd", 60, []float32{9, 1, 1, 1, 1, 1, 1, 1, 1, 1}, 1, 2},
+		{"all so far are odd", 60, []float32{9, 9}, 1, 3},
+		{"the latest are odd", 60, []float32{1, 1, 1, 1, 1, 1, 1, 1, 1, 1, 1, 1, 1, 1, 1, 1, 1, 1, 1, 1, 9, 9}, 1, 2},
+		{"probes are many", 2, []float32{1, 1, 1, 1, 1, 1, 1, 1, 1, 1, 1, 1, 1, 1, 1, 1, 1, 1, 1, 1, 9, 9}, 2, 3},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			s := testSettings()
+			s.Balancers, s.Prices.Probe = 80, 0.08
+			b, _ := start(t, s, ready(c.endpoints))
+			for i, load := range c.answers {
+				b.HandleProbe(Micros(i)*second, uint32(i%c.endpoints+1), OK, 500, []float32{load})
+			}
+			if got := b.estimates.typicalLoad.value; got < c.least || got > c.most {
+				t.Errorf("the usual load is %.2f, want %.1f to %.1f", got, c.least, c.most)
+			}
+		})
+	}
+}
--- a/balancer/membership_test.go
+++ b/balancer/membership_test.go
@@ -57,3 +57,17 @@
 		})
 	}
 }
+
+func TestDrainingEndpointGetsNoRequests(t *testing.T) {
+	b, r := start(t, testSettings(), ready(2))
+	b.HandleEndpoints(1000, ListDelta, []Endpoint{{ID: 1, State: Draining}})
+	b.HandleEndpoints(1000, ListFull, []Endpoint{{ID: 1, State: Draining}, {ID: 3, State: Ready}})
+	for id := range uint64(20) {
+		b.HandleRequest(2000, testRequest(id, 0, 2000))
+	}
+	for _, s := range r.sends {
+		if s.endpoint == 1 || s.endpoint == 2 {
+			t.Fatalf("sent to %d", s.endpoint)
+		}
+	}
+}
--- a/balancer/prediction_test.go
+++ b/balancer/prediction_test.go
@@ -91,3 +91,140 @@
 		t.Errorf("work %v, pace %v", work, pace)
 	}
 }
+
+// What a cold endpoint can do grows with its warmth, and so must what is
+// expected of it, also once its pace has been learned.
+func TestWarmingEndpointIsExpectedToBeSlow(t *testing.T) {
+	b, _ := start(t, testSettings(), ready(2))
+	b.HandleEndpoints(1000, ListDelta, []Endpoint{{ID: 9, State: Ready, StartTime: 1000}})
+	e := b.membership.byID[9]
+	if got := b.estimates.serviceTimeRatio(1000, e); !almostEqual(got, 1+4*initialWarmingSlowness) { // warmth 0.2
+		t.Errorf("pace %v just started, before any was seen", got)
+	}
+	b.estimates.warmingSlowness = ewma{value: 1, initialized: true} // as slow as its least warmth makes it
+	if got := b.estimates.serviceTimeRatio(1000, e); !almostEqual(got, 5) {
+		t.Errorf("pace %v just started", got)
+	}
+	e.serviceTimeRatio, e.serviceTimeRatioAt = ewma{value: 2, initialized: true}, 6*second
+	if got := b.estimates.serviceTimeRatio(6*second, e); got < 2.9 || got > 3 { // warmth 0.68
+		t.Errorf("pace %v half way", got)
+	}
+	if got := b.estimates.serviceTimeRatio(12*second, e); got > 2 {
+		t.Errorf("pace %v once warm", got)
+	}
+}
+
+// When the whole fleet turns slow, an endpoint known as fast must be expected to be slow, too, and
+// must be trusted again soon after the recovery.
+func TestFleetWideSlowdownIsLearnedAtOnce(t *testing.T) {
+	b, r := start(t, testSettings(), ready(4))
+	serve := func(from Micros, n int, times float64) {
+		for i := range n {
+			now := from + 1000*Micros(i)
+			id := uint64(now)
+			b.HandleProbe(now, 1, OK, 500, []float32{9}) // the others serve
+			b.HandleRequest(now, Request{ID: id, Deadline: now + second, WorkHint: 10_000, HasWorkHint: true})
+			if len(r.sends) == 0 || r.sends[len(r.sends)-1].id != id {
+				continue // refused
+			}
+			latency := Micros(times * b.ledger.requests[id].attempts[0].predictedLatency)
+			b.HandleOutcome(now, Outcome{ID: id, Endpoint: r.sends[len(r.sends)-1].endpoint, Status: OK,
+				Latency: latency, Answered: true})
+		}
+	}
+	one := func(now Micros) float64 {
+		b.HandleProbe(now, 1, OK, 500, []float32{0})
+		b.membership.byID[1].serviceTimeRatio, b.membership.byID[1].serviceTimeRatioAt = ewma{value: 1, initialized: true}, now
+		return b.estimates.latency(now, b.membership.byID[1], 10_000)
+	}
+	serve(0, 50, 1)
+	before := one(60_000)
+	serve(100_000, 15, 4)
+	if slow := one(120_000); slow < 2*before {
+		t.Errorf("expected %v before, %v after 15 outcomes of four times the prediction", before, slow)
+	}
+	serve(200_000, 48, 0.5)
+	if after := one(250_000); after > 1.2*before {
+		t.Errorf("expected %v before, %v after the recovery", before, after)
+	}
+}
+
+// What was sent before a slowness was noticed must not be held against it twice: many are out at once, and
+// their outcomes all come later.
+func TestSlowdownIsNotOverestimated(t *testing.T) {
+	b, r := start(t, testSettings(), ready(4))
+	now := second
+	for id := range uint64(60) {
+		b.HandleRequest(now, Request{ID: id, Deadline: now + second, WorkHint: 10_000, HasWorkHint: true})
+	}
+	if len(r.sends) != 60 {
+		t.Fatalf("%d of 60 sent", len(r.sends))
+	}
+	for _, s := range r.sends {
+		latency := Micros(2 * b.ledger.requests[s.id].attempts[0].predictedLatency)
+		b.HandleOutcome(now+100_000, Outcome{ID: s.id, Endpoint: s.endpoint, Status: OK, Latency: latency, Answered: true})
+	}
+	if got := b.estimates.slowdown(now + 100_000); got < 1.1 || got > 2 {
+		t.Errorf("slowdown %.2f after 60 outcomes of twice the prediction", got)
+	}
+}
+
+// A slowdown that refuses all must not outlive the slowness for want of outcomes.
+func TestSlowdownDecaysWithoutOutcomes(t *testing.T) {
+	b, _ := start(t, testSettings(), ready(4))
+	b.estimates.trend, b.estimates.trendAt = maxTrendRatio, second
+	if at, later := b.estimates.slowdown(second), b.estimates.slowdown(4*second); at < 2 || later != 1 {
+		t.Errorf("slowdown %.2f at the last outcome, %.2f three seconds after it", at, later)
+	}
+	b.estimates.updateTrend(4*second, 1)
+	if got := b.estimates.slowdown(4 * second); got != 1 {
+		t.Errorf("slowdown %.2f after an outcome as predicted brought back what had faded", got)
+	}
+}
+
+// A hint must count for as much as it tells, or idle endpoints refuse what is only said to be large.
+func TestWorkHintTrustIsLearned(t *testing.T) {
+	for _, c := range []struct {
+		name     string
+		latency  func(hint Micros) Micros
+		from, to float64
+	}{
+		{"hints tell nothing", func(Micros) Micros { return 20_000 }, 0, 0.15},
+		{"hints tell all", func(hint Micros) Micros { return hint }, 0.85, 1},
+	} {
+		b, r := start(t, testSettings(), ready(4))
+		hints := splitMix64(3)
+		for i := range 4000 {
+			now := 10_000 * Micros(i)
+			hint := 5_000 + hints.duration(60_000)
+			b.HandleRequest(now, Request{ID: uint64(i), Deadline: now + second, WorkHint: hint, HasWorkHint: true})
+			if n := len(r.sends); n > 0 && r.sends[n-1].id == uint64(i) {
+				b.HandleOutcome(now, Outcome{ID: uint64(i), Endpoint: r.sends[n-1].endpoint, Status: OK,
+					Latency: c.latency(hint), Answered: true})
+			}
+		}
+		if b.estimates.workHintTrust < c.from || b.estimates.workHintTrust > c.to {
+			t.Errorf("%s: trust %.2f, want %.2f to %.2f", c.name, b.estimates.workHintTrust, c.from, c.to)
+		}
+	}
+}
+
+// The time-out of a request that a later one overtook teaches no pace: the
+// endpoint was well, and the whole fleet would be thought slow.
+func TestOvertakenAttemptsDoNotAffectTrend(t *testing.T) {
+	for name, overtaken := range map[string]bool{"overtaken": true, "not overtaken": false} {
+		b, r := start(t, testSettings(), ready(1))
+		for id := range uint64(5) {
+			b.HandleRequest(1000, testRequest(id, 0, 1000))
+		}
+		if overtaken {
+			b.membership.byID[1].lastAnsweredSentAt = 2000
+		}
+		for _, s := range r.sends {
+			b.HandleOutcome(990_000, Outcome{ID: s.id, Endpoint: 1, Status: Timeout, Latency: 989_000})
+		}
+		if taught := b.estimates.trend > 1; taught == overtaken {
+			t.Errorf("%s: trend %v", name, b.estimates.trend)
+		}
+	}
+}
--- /dev/null
+++ b/balancer/retries_test.go
@@ -0,0 +1,101 @@
+package balancer
+
+import "testing"
+
+// A second copy doubles the work of an endpoint that is slow because it has too much.
+func TestOverdueAttemptsAreNotHedged(t *testing.T) {
+	b, r := start(t, testSettings(), ready(3))
+	b.HandleRequest(1000, testRequest(1, 0, 1000))
+	for i, token := range r.timers {
+		b.HandleTimer(1000+r.delays[i]-1, token)
+	}
+	b.HandleTimer(900_000, r.timers[len(r.timers)-1])
+	if len(r.sends) != 1 {
+		t.Errorf("%d sends while the first is out", len(r.sends))
+	}
+}
+
+// Where endpoints swallow requests and answer the rest in time, one that a later
+// one overtook is lost. It gets a copy elsewhere as far as its class permits;
+// whichever is answered first ends the request and calls the other off.
+func TestLostAttemptsAreHedged(t *testing.T) {
+	for class, copies := range []int{1, 1, 1, 1, 0} {
+		b, r := start(t, testSettings(), ready(4))
+		b.retries.lostAttemptShare.value = minLostShare
+		b.HandleRequest(1000, testRequest(1, uint8(class), 1000))
+		first := r.sends[0]
+		b.membership.byID[first.endpoint].lastAnsweredSentAt = 2000
+		b.HandleTimer(500_000, r.timers[len(r.timers)-1])
+		if n := len(r.sends) - 1; n != copies {
+			t.Errorf("class %d: %d copies, want %d", class, n, copies)
+			continue
+		}
+		if copies == 0 {
+			continue
+		}
+		second := r.sends[1]
+		if second.endpoint == first.endpoint || class == 3 && b.membership.byID[second.endpoint].Cell != b.membership.byID[first.endpoint].Cell {
+			t.Errorf("class %d: the copy went to %d after %d", class, second.endpoint, first.endpoint)
+		}
+		// The copy fails: the first may still be answered, so no final answer yet.
+		b.HandleOutcome(510_000, Outcome{ID: 1, Attempt: 1, Endpoint: second.endpoint, Status: EndpointError, Latency: 1000})
+		if len(r.rejected)+len(r.failed) != 0 {
+			t.Errorf("class %d: given up while an attempt is out", class)
+		}
+		calls := len(r.cancels)
+		b.HandleOutcome(520_000, Outcome{ID: 1, Attempt: 0, Endpoint: first.endpoint, Status: OK, Latency: 519_000, Answered: true})
+		for i := 2; i < len(r.sends); i++ {
+			calls++ // a third attempt, too, is called off
+		}
+		if len(r.cancels) != calls || b.ledger.open != 0 {
+			t.Errorf("class %d: %d attempts called off, want %d; %d requests open", class, len(r.cancels), calls, b.ledger.open)
+		}
+	}
+}
+
+// A repeat of a keyed request carries the latest instant at which it may begin, with room for its way; a first
+// attempt and a repeat of a safe request carry none, nor does one after an attempt that never ran.
+func TestRetryWithKeyCarriesLatestStart(t *testing.T) {
+	const way = 20_000
+	for name, c := range map[string]struct {
+		class  uint8
+		status Status
+		want   Micros
+	}{
+		"keyed, reset":       {1, Reset, 10_000 + 500_000 - way},
+		"keyed, error":       {1, EndpointError, 10_000 + 500_000 - way},
+		"keyed, turned away": {1, Rejected, 0},
+		"safe, reset":        {0, Reset, 0},
+	} {
+		t.Run(name, func(t *testing.T) {
+			b, r := start(t, testSettings(), ready(4))
+			for _, e := range b.membership.endpoints {
+				b.estimates.zoneLatencies[e.Zone].add(way)
+			}
+			b.HandleRequest(10_000, testRequest(1, c.class, 10_000))
+			b.HandleTimer(20_000, r.timers[len(r.timers)-1]) // should it wait for probes
+			if len(r.sends) != 1 || r.latest[0] != 0 {
+				t.Fatalf("first attempts %v, latest %v", r.sends, r.latest)
+			}
+			at := b.ledger.requests[1].attempts[0].sentAt
+			b.HandleOutcome(200_000, Outcome{ID: 1, Endpoint: r.sends[0].endpoint, Status: c.status})
+			want := c.want
+			if want > 0 {
+				want += at - 10_000
+			}
+			if len(r.sends) != 2 || r.latest[1] != want {
+				t.Errorf("sends %v, latest %v, want %d", r.sends, r.latest, want)
+			}
+		})
+	}
+	b, r := start(t, testSettings(), ready(4))
+	b.estimates.zoneLatencies[0].add(way)
+	b.estimates.zoneLatencies[1].add(way)
+	b.HandleRequest(0, testRequest(1, 1, 0))
+	b.HandleTimer(10_000, r.timers[len(r.timers)-1])
+	at := b.ledger.requests[1].attempts[0].sentAt
+	b.HandleOutcome(at+500_000-way, Outcome{ID: 1, Endpoint: r.sends[0].endpoint, Status: Reset})
+	if len(r.sends) != 1 || len(r.rejected) != 1 {
+		t.Errorf("sends %v, refused %v: a repeat that could not arrive in time", r.sends, r.rejected)
+	}
+}
--- a/balancer/streaming_test.go
+++ b/balancer/streaming_test.go
@@ -59,3 +59,17 @@
 		}
 	}
 }
+
+func TestStreamedAnswerIsNotInterrupted(t *testing.T) {
+	b, r := start(t, testSettings(), ready(2))
+	b.HandleRequest(1000, testRequest(1, 0, 1000))
+	b.HandleHeaders(2000, 1, 0, 1000)
+	b.HandleTimer(2*second, b.ledger.requests[1].timerToken)
+	if len(r.sends) != 1 || len(r.rejected)+len(r.failed) != 0 {
+		t.Error("a stream that began was given an end or a copy")
+	}
+	b.HandleOutcome(3*second, Outcome{ID: 1, Endpoint: r.sends[0].endpoint, Status: OK, Latency: 3 * second, Answered: true})
+	if len(b.ledger.requests) != 0 {
+		t.Error("record kept")
+	}
+}
