--- a/balancer/admission_test.go
+++ b/balancer/admission_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// A wrong guess of a class's work must not refuse that class for ever; but a pass a second at each of a
-// thousand quiet balancers would keep a jammed fleet jammed.
+// A wrong estimate of a class's work must not reject that class for ever; but a trial a second at each of a thousand
+// quiet balancers would keep an overloaded fleet overloaded.
 func TestTooLateRejectionLetsTrialsThrough(t *testing.T) {
 	for _, c := range []struct {
 		gap      Micros
@@ -22,13 +22,13 @@
 			t.Errorf("a request every %d us: %d of 300 sent, want %d to %d", c.gap, n, c.from, c.to)
 		}
 		if len(r.rejected) != 300-len(r.sends) {
-			t.Errorf("%d refused, %d sent", len(r.rejected), len(r.sends))
+			t.Errorf("%d rejected, %d sent", len(r.rejected), len(r.sends))
 		}
 	}
 }
 
-// A quiet balancer in a large fleet cannot keep a fresh pool: it must ask when a request comes, and send to
-// the best answer, without losing what it holds.
+// A quiet balancer in a large fleet cannot keep a fresh pool: it must probe when a request arrives, and send to the
+// best endpoint, without losing requests that wait.
 func TestQuietBalancerProbesBeforeItSends(t *testing.T) {
 	quiet := func() (*Balancer, *recorder) {
 		s := testSettings()
@@ -80,7 +80,7 @@
 	}
 }
 
-// Where the sidecar itself is slow all latencies grow: refusing where nobody waits helps no endpoint, and brings
+// If the sidecar itself is slow, all latencies grow: rejecting requests where none queues helps no endpoint, and brings
 // the clients back at once.
 func TestSlowdownAloneRejectsNothing(t *testing.T) {
 	b, r := start(t, testSettings(), ready(1))
@@ -98,7 +98,7 @@
 	}
 }
 
-// A few long answers must not make an endpoint refuse where nobody waits.
+// A few long latencies must not get requests rejected at an endpoint where none queues.
 func TestIdleEndpointIsNeverTooLate(t *testing.T) {
 	b, r := start(t, testSettings(), ready(1))
 	b.membership.endpoints[0].serviceTimeRatio, b.membership.endpoints[0].serviceTimeRatioAt = ewma{value: 9, initialized: true}, 1000
@@ -109,7 +109,7 @@
 	}
 }
 
-// Requests passed into a jam keep it jammed: each that earns nothing makes the next rarer.
+// Trials keep an overloaded endpoint overloaded: each that is not served in time makes the next rarer.
 func TestFailedTrialsLengthenTheInterval(t *testing.T) {
 	b, r := start(t, testSettings(), ready(1))
 	b.demand.classes[0].work.value = float64(100 * second)
@@ -138,7 +138,7 @@
 	}
 }
 
-// Answers from afar come too late for a short wait: probes stay at home then.
+// Answers from a far zone come too late for a short wait: such probes stay in the balancer's own zone.
 func TestRequestProbesStayWithinRoundTrip(t *testing.T) {
 	s := testSettings()
 	s.Balancers = 1000
@@ -162,7 +162,7 @@
 	}
 }
 
-// Staff must learn why requests are refused, in one line a second and not in thousands.
+// On-call staff must learn why requests are rejected, in one line a second and not in thousands.
 func TestRejectionsAreLoggedOnceASecond(t *testing.T) {
 	b, r := start(t, testSettings(), ready(1))
 	b.HandleProbe(1000, 1, OK, 500, []float32{50})
@@ -172,7 +172,7 @@
 		b.HandleRequest(now, testRequest(id, 0, now))
 	}
 	if len(r.rejected) < 150 {
-		t.Fatalf("only %d refused", len(r.rejected))
+		t.Fatalf("only %d rejected", len(r.rejected))
 	}
 	if len(r.logs) != 1 || !strings.Contains(r.logs[0], "endpoint, 1, would take") {
 		t.Errorf("log: %q", r.logs)
--- a/balancer/breaker_test.go
+++ b/balancer/breaker_test.go
@@ -16,11 +16,11 @@
 		want              float64
 	}{
 		{"empty", 0, 0, 0, 1, 0},
-		{"within protection", 0, 5, 0, 1, 0},
-		{"one beyond protection", 0, 6, 0, 1, 1.0 / 7},
+		{"within protected requests", 0, 5, 0, 1, 0},
+		{"one beyond protected requests", 0, 6, 0, 1, 1.0 / 7},
 		// 30 requests, 10 accepts in the newest bucket: K stays 1.5.
 		{"two thirds fail", 10, 20, 0, 1, (30.0 - 5 - 15) / 31},
-		{"refusals count as requests", 10, 0, 20, 1, (30.0 - 5 - 15) / 31},
+		{"dropped requests count", 10, 0, 20, 1, (30.0 - 5 - 15) / 31},
 		{"all accepted", 40, 0, 0, 1, 0},
 		// 20 failing buckets after the accepts: K = 1.5 - 0.4*20/40 = 1.3.
 		{"K eases", 10, 20, 0, 20, (30.0 - 5 - 13) / 31},
@@ -89,7 +89,7 @@
 	}{
 		{"no sample", 0, 0, 1000, 0},
 		{"under three times the baseline", 100, 299, 1000, 0},
-		{"half way to the ceiling", 100, 625, 1000, 0.15}, // (625-300)/(950-300)*0.3
+		{"halfway to the ceiling", 100, 625, 1000, 0.15}, // (625-300)/(950-300)*0.3
 		{"at the ceiling", 100, 950, 1000, 0.3},
 		{"capped", 100, 5000, 1000, 0.3},
 		{"ceiling under the threshold", 400, 5000, 1000, 0},
@@ -110,7 +110,7 @@
 	}
 	r := recordOf(b, Request{})
 	if !b.breakers.allow(now, r, e) {
-		t.Fatal("the first is passed by force")
+		t.Fatal("the first is passed as a trial")
 	}
 	passed := 0
 	for range 200 {
@@ -122,11 +122,11 @@
 		t.Errorf("%d of 200 passed an endpoint that fails all", passed)
 	}
 	if !b.breakers.allow(now+forcedTrialInterval+1001, r, e) {
-		t.Error("none passed after the forced-pass interval")
+		t.Error("none passed after the trial interval")
 	}
 }
 
-// When all endpoints fail at once, ejection must not leave the few last ones with everything.
+// If all endpoints fail at once, ejection must not leave the last few with all requests.
 func TestLoadStaysSpreadWhenAllFail(t *testing.T) {
 	b, r := start(t, testSettings(), ready(8))
 	sends := map[uint32]int{}
--- a/balancer/cordon_test.go
+++ b/balancer/cordon_test.go
@@ -10,8 +10,8 @@
 	return list
 }
 
-// What is left out by hand gets neither requests nor probes, whatever discovery
-// says of it; two calls out need one back.
+// A cordoned endpoint gets neither requests nor probes, whatever discovery says of it. Cordoning twice needs ending
+// only once.
 func TestCordonedEndpointGetsNothing(t *testing.T) {
 	list := withNames(ready(2))
 	b, r := start(t, testSettings(), list)
@@ -55,7 +55,7 @@
 		}
 	}
 	if s := b.Stats(now); s.Cordoned != 1 {
-		t.Errorf("%d counted as left out, want 1", s.Cordoned)
+		t.Errorf("%d counted as cordoned, want 1", s.Cordoned)
 	}
 	b.Cordon(now, 101, false, now)
 	e := b.membership.byID[1]
@@ -63,26 +63,26 @@
 		t.Error("it comes back warm")
 	}
 	if to := play(); to[1] == 0 {
-		t.Errorf("after the call back: %v", to)
+		t.Errorf("after the end of the cordon: %v", to)
 	}
 	if b.Cordon(now, 101, false, now); b.membership.byID[1].warmingSince != e.warmingSince {
-		t.Error("a call back repeated begins its warm-up anew")
+		t.Error("a repeated end of the cordon begins its warm-up anew")
 	}
 }
 
-// An endpoint that is out when it is first listed stays out.
+// An endpoint that is cordoned before it is first listed stays cordoned.
 func TestCordonBeforeListing(t *testing.T) {
 	b, r := start(t, testSettings(), nil)
 	b.Cordon(0, 101, true, 0)
 	b.HandleEndpoints(0, ListFull, withNames(ready(1)))
 	b.HandleRequest(1, testRequest(1, 0, 1))
 	if len(r.sends) != 0 || len(r.rejected) != 1 {
-		t.Errorf("sent %v, refused %v", r.sends, r.rejected)
+		t.Errorf("sent %v, rejected %v", r.sends, r.rejected)
 	}
 }
 
-// One put back by hand is sent to at once, though the warm ones would be quicker;
-// of a thousand balancers only a few do so.
+// An endpoint that is no longer cordoned is sent to at once, though warm ones would be quicker; of a thousand balancers
+// only a few do so.
 func TestUncordonedEndpointIsUsedSoon(t *testing.T) {
 	used := 0
 	for seed := range uint64(1000) {
--- a/balancer/demand_test.go
+++ b/balancer/demand_test.go
@@ -23,7 +23,7 @@
 	}
 }
 
-// Refusals must not shrink the room of all tenants alike: that would refuse more, and shrink it again.
+// Rejections must not lower the priority of all tenants alike: that would reject more requests, and lower it again.
 func TestRejectionsAloneLowerNoTenantPriority(t *testing.T) {
 	s := testSettings()
 	s.OverQuotaWeight = 0.05
@@ -34,7 +34,7 @@
 	b.demand.rejectedShare.value = 0.8
 	for tenant := range uint16(2) {
 		if got := b.demand.tenantPriority(0, recordOf(b, Request{Tenant: tenant})); got < 0.99 {
-			t.Errorf("tenant %d, within its share of the mix, weighs %.2f while most is refused", tenant, got)
+			t.Errorf("tenant %d, within its share of the mix, weighs %.2f while most is rejected", tenant, got)
 		}
 	}
 }
--- a/balancer/discovery_test.go
+++ b/balancer/discovery_test.go
@@ -5,8 +5,9 @@
 	"testing"
 )
 
-// What a subscription that broke has missed may count as told: the first try after that leaves time for its answer
-// within the grace, whatever that is, and those after it make room. Where there was none, nothing hurries.
+// A change that a broken subscription missed may count as notified: the first call after that leaves time for its
+// answer within the drain grace, whatever that is, and later ones back off. Without a subscription before, there is no
+// hurry.
 func TestBrokenSubscriptionIsRenewedWithinDrainGrace(t *testing.T) {
 	for _, grace := range []Micros{0, second / 5, second / 2, 2 * second, 30 * second} {
 		s := testSettings()
--- a/balancer/estimates_test.go
+++ b/balancer/estimates_test.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-// What one process has learned the next one goes by, from its first request on; an
-// endpoint's new life owes nothing to what was known of the old one.
+// The next process continues from the estimates of the one before, from its first request on; a new process of an
+// endpoint shares nothing with the old.
 func TestRestoreContinuesFromEstimates(t *testing.T) {
 	list := withNames(ready(4))
 	list[3].StartTime = 5
@@ -41,44 +41,44 @@
 	next.HandleEndpoints(now, ListCached, list)
 	work := next.demand.classes[0].work.value
 	if work != old.demand.classes[0].work.value || next.estimates.typicalLoad.value != old.estimates.typicalLoad.value || next.estimates.zoneLatencies[0].median != old.estimates.zoneLatencies[0].median {
-		t.Errorf("work %v, usual load %v, way %v; want %v, %v, %v", work, next.estimates.typicalLoad.value, next.estimates.zoneLatencies[0].median,
+		t.Errorf("work %v, typical load %v, zone latency %v; want %v, %v, %v", work, next.estimates.typicalLoad.value, next.estimates.zoneLatencies[0].median,
 			old.demand.classes[0].work.value, old.estimates.typicalLoad.value, old.estimates.zoneLatencies[0].median)
 	}
 	seen := 0
 	for id := uint32(1); id <= 3; id++ {
 		was, is := old.estimates.serviceTimeRatio(now, old.membership.byID[id]), next.estimates.serviceTimeRatio(now, next.membership.byID[id])
 		if math.Abs(was-is) > 1e-9 {
-			t.Errorf("pace of endpoint %d: %v, was %v", id, is, was)
+			t.Errorf("service time ratio of endpoint %d: %v, was %v", id, is, was)
 		}
 		if old.membership.byID[id].serviceTimeRatio.initialized {
 			seen++
 		}
 	}
 	if seen < 2 {
-		t.Error("few endpoints have a pace: the test shows little")
+		t.Error("few endpoints have a service time ratio: the test shows little")
 	}
 	if next.membership.byID[4].serviceTimeRatio.initialized {
-		t.Error("a new life goes by the old one's pace")
+		t.Error("a new process takes over the service time ratio of the old")
 	}
 }
 
-// What makes no sense, or is of other settings, changes nothing.
+// Estimates that are invalid, or from other settings, change nothing.
 func TestInvalidEstimatesAreIgnored(t *testing.T) {
 	unknown := []ClassWorkEstimate{{"read", 0}}
 	for name, l := range map[string]Estimates{
-		"nothing": {}, "other classes": {ServiceTimeRatio: 2, ClassWork: []ClassWorkEstimate{{"elsewhere", 1}}}, "no pace": {ServiceTimeRatio: math.NaN(), ClassWork: unknown},
+		"nothing": {}, "other classes": {ServiceTimeRatio: 2, ClassWork: []ClassWorkEstimate{{"elsewhere", 1}}}, "no service time ratio": {ServiceTimeRatio: math.NaN(), ClassWork: unknown},
 		"endless": {ServiceTimeRatio: math.Inf(1), ClassWork: unknown}, "no work": {ServiceTimeRatio: 1, ClassWork: unknown, WarmingSlowness: 9},
 	} {
 		b, _ := start(t, testSettings(), ready(2))
 		work := b.demand.classes[0].work.value
 		b.Restore(&l)
 		if b.demand.classes[0].work.value != work || b.estimates.warmingSlowness.value > 1 || !isPositiveFinite(b.estimates.fleetServiceTimeRatio.or(1)) {
-			t.Errorf("%s: work %v, coldSlowness %v, pace %v", name, b.demand.classes[0].work.value, b.estimates.warmingSlowness.value, b.estimates.fleetServiceTimeRatio.value)
+			t.Errorf("%s: work %v, warmingSlowness %v, service time ratio %v", name, b.demand.classes[0].work.value, b.estimates.warmingSlowness.value, b.estimates.fleetServiceTimeRatio.value)
 		}
 	}
 }
 
-// The next process may know the classes in another order, and others beside them.
+// The next process may have the classes in another order, and others beside them.
 func TestClassWorkIsRestoredByName(t *testing.T) {
 	b, _ := start(t, testSettings(), ready(2))
 	for i, c := range b.demand.classes {
--- a/balancer/example_test.go
+++ b/balancer/example_test.go
@@ -6,7 +6,7 @@
 	"oakproxy/balancer"
 )
 
-// host prints what a balancer asks for. A sidecar does these things.
+// host prints the actions of a balancer. A sidecar would carry them out.
 type host struct{ sent []uint32 }
 
 func (h *host) Send(id uint64, endpoint uint32, _ balancer.Micros) {
--- a/balancer/helpers_test.go
+++ b/balancer/helpers_test.go
@@ -4,7 +4,7 @@
 	"testing"
 )
 
-// testSettings are plain settings that tests change as they need.
+// testSettings returns plain settings that tests change as they need.
 func testSettings() Settings {
 	return Settings{
 		Balancers: 2, Zones: 1, MachineKinds: 1, Tick: 5000,
@@ -29,7 +29,7 @@
 	endpoint uint32
 }
 
-// recorder keeps what a balancer asks of its host.
+// recorder records the actions of a balancer.
 type recorder struct {
 	sends    []sent
 	latest   []Micros // of the sends
@@ -56,7 +56,7 @@
 func (r *recorder) Watch(bool)      { r.watches++ }
 func (r *recorder) Log(line string) { r.logs = append(r.logs, line) }
 
-// ready returns n ready endpoints with ids from 1; pairs share a cell and a zone.
+// ready returns n ready endpoints with IDs from 1; pairs share a cell and a zone.
 func ready(n int) []Endpoint {
 	list := make([]Endpoint, n)
 	for i := range list {
@@ -81,7 +81,7 @@
 	return Request{ID: id, Class: class, Deadline: now + second}
 }
 
-// recordOf is the record of a request that the balancer has not been told of.
+// recordOf returns the record of a request that the balancer has not received.
 func recordOf(b *Balancer, in Request) *request {
 	class, tenant := b.demand.resolveClass(&in)
 	return &request{Request: in, class: class, idempotency: class.Idempotency, tenant: tenant}
--- a/balancer/ledger_test.go
+++ b/balancer/ledger_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-// Each kind of effect against each outcome of its first attempt.
+// Each idempotency against each outcome of the first attempt.
 func TestAttemptsAfterEachOutcome(t *testing.T) {
 	never := map[Status]bool{Rejected: true, ConnectFailed: true, NotSent: true}
 	for class := range uint8(5) {
@@ -16,13 +16,13 @@
 			switch kind := s.Classes[class]; {
 			case kind.Idempotency == NonIdempotent && !never[status]:
 				if sends != 1 || len(r.failed) != 1 {
-					t.Errorf("unsafe, status %d: %d sends, %d failed", status, sends, len(r.failed))
+					t.Errorf("non-idempotent, status %d: %d sends, %d failed", status, sends, len(r.failed))
 				}
 			case sends != 2:
 				t.Errorf("class %d status %d: %d sends, 2 wanted", class, status, sends)
 			case kind.Idempotency == IdempotentWithKey && kind.DeduplicationScope != ScopeAll && !never[status]:
 				if (r.sends[0].endpoint-1)/2 != (r.sends[1].endpoint-1)/2 {
-					t.Errorf("class %d status %d left its group", class, status)
+					t.Errorf("class %d status %d left its scope", class, status)
 				}
 			}
 		}
@@ -37,7 +37,7 @@
 	first := r.sends[0].endpoint
 	b.HandleOutcome(1000+s.Classes[3].DeduplicationWindow, Outcome{ID: 1, Endpoint: first, Status: Reset})
 	if len(r.sends) != 1 || len(r.failed) != 1 || len(r.rejected) != 0 {
-		t.Errorf("after the window: sends %v, failed %v, refused %v", r.sends, r.failed, r.rejected)
+		t.Errorf("after the window: sends %v, failed %v, rejected %v", r.sends, r.failed, r.rejected)
 	}
 }
 
@@ -46,7 +46,7 @@
 	b.HandleRequest(1000, testRequest(1, 4, 1000))
 	b.HandleRequest(1000, Request{ID: 2, Deadline: 500})
 	if len(r.rejected) != 2 || b.ledger.open != 0 || len(b.ledger.requests) != 0 {
-		t.Errorf("refused %v, open %d", r.rejected, b.ledger.open)
+		t.Errorf("rejected %v, open %d", r.rejected, b.ledger.open)
 	}
 }
 
@@ -69,7 +69,7 @@
 	}
 }
 
-// Whatever is odd about a request, it is taken once and answered once.
+// Whatever is unusual about a request, it is accepted once and answered once.
 func TestUnusualRequestsAreAnsweredOnce(t *testing.T) {
 	for name, c := range map[string]struct {
 		list  []Endpoint
--- a/balancer/loadreport_test.go
+++ b/balancer/loadreport_test.go
@@ -21,8 +21,7 @@
 	}
 }
 
-// Reports that count fewer than this balancer has there itself are late; they
-// must not steer picks.
+// Reports that count fewer requests than this balancer has in flight there are late; they must not decide picks.
 func TestDelayedReportsAreDetected(t *testing.T) {
 	b, r := start(t, testSettings(), ready(2))
 	for id := range uint64(3) {
@@ -50,8 +49,8 @@
 	}
 }
 
-// While reports are late, their mean at each endpoint decides: one that others crowd is not like the rest, and
-// no endpoint may be filled up to the aim on the word of the fleet's mean.
+// While reports are late, their mean at each endpoint decides: one that others load heavily differs from the rest, and
+// no endpoint may be filled up to the latency objective because of the fleet's mean.
 func TestDelayedReportsAreAveragedByEndpoint(t *testing.T) {
 	b, _ := start(t, testSettings(), ready(2))
 	b.demand.classes[0].requestRate.add(0, 1)
@@ -66,12 +65,12 @@
 	if crowded, quiet := b.estimates.load(1000, b.membership.byID[1]), b.estimates.load(1000, b.membership.byID[2]); crowded < 4 || quiet > 1 {
 		t.Errorf("load %.1f where reports tell 4 to 6, %.1f where they tell 0 to 1", crowded, quiet)
 	}
-	if after := b.estimates.latencyLimit(0, r, b.membership.endpoints[0]); after > before+500 { // the way is known by now
+	if after := b.estimates.latencyLimit(0, r, b.membership.endpoints[0]); after > before+500 { // the zone latency is known by now
 		t.Errorf("limit %v before, %v while late", before, after)
 	}
 }
 
-// Where reports are old or hold no count, a probe that waited in line still shows that there is one.
+// If reports are old or hold no count, a probe that queued still shows that there is a queue.
 func TestQueuedProbeShowsLoad(t *testing.T) {
 	s := testSettings()
 	s.ReportFields = []ReportField{FieldServedRate, FieldUtilization}
@@ -90,17 +89,17 @@
 	}
 	b.HandleProbe(3000, 1, Rejected, 500, nil)
 	if e.reportedAt != 0 {
-		t.Error("an endpoint that turns probes away keeps its place in the pool")
+		t.Error("an endpoint that rejects probes keeps its place in the pool")
 	}
 }
 
-// The way to a far zone varies by as much as a request's work takes: that is no line of requests there. Nor may
-// a quick answer or two make all later ones seem to have waited.
+// The latency to a far zone varies by as much as a request's work takes: that is no queue there. Nor may a quick answer
+// or two make all later probes seem to have queued.
 func TestVaryingZoneLatencyIsNoQueue(t *testing.T) {
 	for _, c := range []struct {
 		name  string
 		quick int
-	}{{"ways vary", 0}, {"quick answers at the start", 3}} {
+	}{{"latencies vary", 0}, {"quick answers at the start", 3}} {
 		s := testSettings()
 		s.Classes[0].LatencyObjective = 50_000
 		b, _ := start(t, s, ready(2))
@@ -115,11 +114,11 @@
 		}
 		for range 5 {
 			if probed(11_000+noise.duration(4000), 0); b.estimates.load(now, b.membership.byID[1]) > 0 {
-				t.Errorf("%s: an idle endpoint shows a load while its way is being learned", c.name)
+				t.Errorf("%s: an idle endpoint shows a load while its zone latency is being learned", c.name)
 			}
 		}
-		if way := b.estimates.zoneLatencies[0].median; way < 11_000 || way > 15_000 {
-			t.Errorf("%s: a way of %.0f us, want 11 to 15 ms", c.name, way)
+		if latency := b.estimates.zoneLatencies[0].median; latency < 11_000 || latency > 15_000 {
+			t.Errorf("%s: a zone latency of %.0f us, want 11 to 15 ms", c.name, latency)
 		}
 		queued := 0
 		for range 100 {
@@ -136,7 +135,7 @@
 	}
 }
 
-// Only idle endpoints answer a probe in time. In a jam the silent ones must count, or the fleet looks idle.
+// Only idle endpoints answer a probe in time. In an overload the timeouts must count, or the fleet looks idle.
 func TestProbeTimeoutsCountAsLoad(t *testing.T) {
 	s := testSettings()
 	s.Balancers = 1000
@@ -149,14 +148,14 @@
 		b.HandleTimer(now+40_000, r.timers[len(r.timers)-1])
 	}
 	if b.estimates.typicalLoad.value < assumedCores {
-		t.Errorf("usual load %v though no probe is answered", b.estimates.typicalLoad.value)
+		t.Errorf("typical load %v though no probe is answered", b.estimates.typicalLoad.value)
 	}
 	if len(r.rejected) == 0 {
-		t.Error("nothing refused though no probe is answered")
+		t.Error("nothing rejected though no probe is answered")
 	}
 }
 
-// Where probes are answered beside the line, one that is lost says nothing of a load.
+// Where probes do not queue behind requests, a lost one says nothing of the load.
 func TestLostProbeIsNotLoad(t *testing.T) {
 	b, _ := start(t, testSettings(), ready(2))
 	for i := range Micros(20) {
@@ -165,23 +164,23 @@
 	before := b.estimates.typicalLoad.value
 	b.HandleProbe(30_000, 2, Timeout, 400_000, nil)
 	if b.estimates.typicalLoad.value > before {
-		t.Errorf("usual load %.1f before a lost probe, %.1f after it", before, b.estimates.typicalLoad.value)
+		t.Errorf("typical load %.1f before a lost probe, %.1f after it", before, b.estimates.typicalLoad.value)
 	}
 	b.estimates.queuedProbeShare.value = 0.5
 	b.HandleProbe(40_000, 2, Timeout, 400_000, nil)
 	if b.estimates.typicalLoad.value <= before {
-		t.Errorf("usual load %.1f after silence, where probes wait in line", b.estimates.typicalLoad.value)
+		t.Errorf("typical load %.1f after silence, where probes queue", b.estimates.typicalLoad.value)
 	}
 }
 
-// A balancer that probes one endpoint of sixty a second must not refuse by what its last few answers happened to be;
-// one whose probes are many follows them.
+// A balancer that probes one endpoint of sixty a second must not reject by what its last few reports happened to be;
+// one that probes many follows them.
 func TestFewReportsDoNotMoveTypicalLoad(t *testing.T) {
 	for _, c := range []struct {
 		name        string
 		endpoints   int
 		answers     []float32
-		least, most float64 // of the usual load
+		least, most float64 // of the typical load
 	}{
 		{"the first is odd", 60, []float32{9, 1, 1, 1, 1, 1, 1, 1, 1, 1}, 1, 2},
 		{"all so far are odd", 60, []float32{9, 9}, 1, 3},
@@ -196,7 +195,7 @@
 				b.HandleProbe(Micros(i)*second, uint32(i%c.endpoints+1), OK, 500, []float32{load})
 			}
 			if got := b.estimates.typicalLoad.value; got < c.least || got > c.most {
-				t.Errorf("the usual load is %.2f, want %.1f to %.1f", got, c.least, c.most)
+				t.Errorf("the typical load is %.2f, want %.1f to %.1f", got, c.least, c.most)
 			}
 		})
 	}
--- a/balancer/membership_test.go
+++ b/balancer/membership_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-// An endpoint that restarts while its answer is pooled stands in the pool once.
+// An endpoint that restarts while its report is pooled is in the pool once.
 func TestRestartedEndpointIsPooledOnce(t *testing.T) {
 	b, _ := start(t, testSettings(), ready(2))
 	b.HandleProbe(1000, 1, OK, 500, []float32{0})
@@ -21,8 +21,8 @@
 	}
 }
 
-// A start is believed cold where the list before says that it can't be old: clocks may be stepped, either way. An
-// endpoint that comes back as the process that it was stays warm, and so does what the first list names as old.
+// An endpoint counts as warming up if the list before shows that it can't be old: clocks may be stepped, either way. An
+// endpoint that returns as the same process stays warm, and so does what the first list names as old.
 func TestStartTimeOfASteppedClock(t *testing.T) {
 	const hour = 3600 * second
 	const began = 10 * hour // of this balancer, by its own clock
--- a/balancer/overload_test.go
+++ b/balancer/overload_test.go
@@ -7,9 +7,9 @@
 	"testing"
 )
 
-// service is a fleet of balancers before endpoints of finite capacity, on one clock. A request given up closes
-// its connection and ends its work; what was done of it by then is lost. Clients come again when they are refused
-// or give a try up, within their patience.
+// service simulates a fleet of balancers before endpoints of finite capacity, on one clock. A request that is given up
+// closes its connection and ends its work; what was done of it by then is lost. Clients return when they are rejected
+// or give up an attempt, within their timeout.
 type service struct {
 	now            Micros
 	events         events
@@ -18,7 +18,7 @@
 	rng            splitMix64
 	clientAttempts uint64
 	offered        []int // requests of users, by the second of their arrival
-	inTime         []int // those of them answered within their aim
+	inTime         []int // those of them served within the latency objective
 }
 
 // clientHost is the host of one balancer.
@@ -29,13 +29,13 @@
 	idle map[uint32]int // connections, by endpoint
 }
 
-// user is one request as its user sees it: up to three tries.
+// user is one request as its client sees it: up to three attempts.
 type user struct {
 	at       Micros
 	attempts int
 }
 
-// clientAttempt is one try of a user's request, as one balancer gets it.
+// clientAttempt is one attempt of a client, as one balancer gets it.
 type clientAttempt struct {
 	user     *user
 	id       uint64
@@ -43,7 +43,7 @@
 	attempts []*job
 }
 
-// job is one attempt in work at a server.
+// job is one attempt at work at a server.
 type job struct {
 	remaining float64 // work
 	server    *server
@@ -52,7 +52,7 @@
 	ended     bool
 }
 
-// server shares its cores among what it holds. While overdriven it takes longer for the same work.
+// server shares its cores among its jobs. While overloaded it takes longer for the same work.
 type server struct {
 	s               *service
 	cores           float64
@@ -63,15 +63,15 @@
 	meanLoad        float64   // requests a core, of late
 	reported        []float32 // queue, and latency of late in milliseconds
 	serviceTime     ewma      // from the start in a slot to the end
-	overloadedAt    Micros    // since when it has held too much, 0 if it does not
-	idleAt          Micros    // since when it has held little, 0 if it does not
+	overloadedAt    Micros    // since when it has had too many jobs; 0 if it has not
+	idleAt          Micros    // since when it has had few jobs; 0 if it has not
 	overloaded      bool
 }
 
 const (
-	simLatencyObjective = 200 * 1000 // for a user's request, over all its tries
-	simClientTimeout    = 500 * 1000 // of the user, over all tries
-	simAttemptTimeout   = 275 * 1000 // of the user, for one try
+	simLatencyObjective = 200 * 1000 // of a client's request, over all its attempts
+	simClientTimeout    = 500 * 1000 // of the client, over all its attempts
+	simAttemptTimeout   = 275 * 1000 // of the client, for one attempt
 	simMaxAttempts      = 3
 	meanWork            = 27_000.0 // of a request
 	handshakeWork       = 1100     // of a new connection
@@ -79,8 +79,8 @@
 	slotsPerCore        = 4 // requests worked at side by side; the others wait
 )
 
-// A server is overdriven, and its work takes overloadSlowdown times as long, from when it has held over overloadFrom
-// requests a core for overloadAfter until it has held under idleBelow for quietFor, as means over heldSpan.
+// A server is overloaded, and its work takes overloadSlowdown times as long, from when it has had over overloadFrom
+// requests a core for overloadAfter until it has had under idleBelow for idleAfter, as means over loadTimeConstant.
 const (
 	overloadFrom     = 4.0
 	overloadAfter    = 2 * second
@@ -133,7 +133,7 @@
 	s.now = until
 }
 
-// traffic has users come at a rate that may change with time; some balancers get several times the mean.
+// traffic has requests arrive at a rate that may change with time; some balancers get several times the mean.
 func (s *service) traffic(rate func(now Micros) float64, until Micros) {
 	var next func(now Micros)
 	next = func(now Micros) {
@@ -148,7 +148,7 @@
 	s.after(1, next)
 }
 
-// arrive is one more try of a user's request.
+// arrive is one more attempt of a client's request.
 func (m *clientHost) arrive(now Micros, u *user) {
 	if u.attempts == simMaxAttempts || now >= u.at+simClientTimeout {
 		return
@@ -161,7 +161,7 @@
 	m.b.HandleRequest(now, Request{ID: t.id, Deadline: t.deadline})
 }
 
-// retryLater has the user come back after a pause.
+// retryLater has the client return after a delay.
 func (m *clientHost) retryLater(t *clientAttempt) {
 	if m.open[t.id] == nil {
 		return
@@ -232,12 +232,12 @@
 	v.s.after(reportPeriod, v.report)
 }
 
-// serving are the jobs in work; the others wait for a slot.
+// serving returns the jobs at work; the others wait for a slot.
 func (v *server) serving() []*job {
 	return v.jobs[:min(len(v.jobs), slotsPerCore*int(v.cores))]
 }
 
-// rate is the work done a microsecond of each job held.
+// rate is the work done a microsecond for each job at work.
 func (v *server) rate() float64 {
 	p := v.speed * min(1, v.cores/float64(max(1, len(v.serving()))))
 	if v.overloaded {
@@ -246,7 +246,7 @@
 	return p
 }
 
-// advance works until now, and finds out whether it is overdriven.
+// advance works until now, and finds out whether the server is overloaded.
 func (v *server) advance(now Micros) {
 	done := v.rate() * float64(now-v.advanced)
 	for _, j := range v.serving() {
@@ -264,7 +264,7 @@
 	}
 }
 
-// trackSince keeps the instant from which something has held.
+// trackSince keeps the instant since which a condition has held.
 func trackSince(at *Micros, holds bool, now Micros) {
 	if !holds {
 		*at = 0
@@ -308,8 +308,8 @@
 	})
 }
 
-// A burst of some seconds beyond what the endpoints can do leaves them overdriven and the clients coming again.
-// Once it is over all is served in time again within a few seconds: what is asked then, they can do.
+// A burst of some seconds beyond the endpoints' capacity leaves them overloaded and the clients retrying. Within a few
+// seconds after it all is served in time again: the demand is within the capacity then.
 func TestFleetRecoversFromABurst(t *testing.T) {
 	const (
 		burstFrom = 6 * second
@@ -343,7 +343,7 @@
 	}
 }
 
-// capacity is what all endpoints can do, in requests a second.
+// capacity is what all endpoints can serve, in requests a second.
 func (s *service) capacity() float64 {
 	var sum float64
 	for _, v := range s.endpoints {
@@ -352,7 +352,7 @@
 	return sum
 }
 
-// slowDownSome takes half of a quarter of the endpoints.
+// slowDownSome halves the speed of a quarter of the endpoints.
 func (s *service) slowDownSome(now Micros) {
 	for i, v := range s.endpoints {
 		if i%4 == 0 {
@@ -363,7 +363,7 @@
 	}
 }
 
-// inTimeShare is the share answered in time of the requests that came between two instants.
+// inTimeShare is the share served in time of the requests that arrived between two instants.
 func (s *service) inTimeShare(from, to Micros) float64 {
 	var offered, inTime int
 	for at := from / second; at < to/second; at++ {
@@ -373,14 +373,14 @@
 	return float64(inTime) / float64(max(1, offered))
 }
 
-// Where a balancer sends few requests to each of many endpoints, no breaker of one gets past its protection. The
-// throttle over the whole pool refuses most of what comes while nearly nothing is answered in time, lets one pass
-// a second at least, and refuses nothing soon after all is answered in time again.
+// If a balancer sends few requests to each of many endpoints, no breaker of one gets past its protected requests. The
+// throttle over all endpoints rejects most requests while nearly none is served in time, lets at least one a second
+// through, and rejects none soon after all are served in time again.
 func TestErrorThrottleCoversAllEndpoints(t *testing.T) {
 	for _, late := range []struct {
 		name   string
 		status Status
-	}{{"timed out", Timeout}, {"answered beyond the aim", OK}} {
+	}{{"timed out", Timeout}, {"answered beyond the latency objective", OK}} {
 		t.Run(late.name, func(t *testing.T) {
 			s := testSettings()
 			b, r := start(t, s, ready(200))
@@ -413,7 +413,7 @@
 				t.Errorf("%d of 200 sent while none is answered in time", sent)
 			}
 			if b.stats.BreakerRejected > 0 {
-				t.Errorf("%d refused by breakers of single endpoints: it shows nothing", b.stats.BreakerRejected)
+				t.Errorf("%d rejected by breakers of single endpoints: it shows nothing", b.stats.BreakerRejected)
 			}
 			play(100, OK, 20_000)
 			if sent = play(100, OK, 20_000); sent != 100 {
--- a/balancer/pick_test.go
+++ b/balancer/pick_test.go
@@ -53,7 +53,7 @@
 	}
 }
 
-// At a start only few endpoints have answered; they must not get everything.
+// At the start only few endpoints have reported; they must not get all requests.
 func TestSmallPoolDoesNotGetAllRequests(t *testing.T) {
 	b, r := start(t, testSettings(), ready(8))
 	b.HandleProbe(1000, 3, OK, 500, []float32{0})
@@ -69,7 +69,7 @@
 	}
 }
 
-// Random tries must not use up a short list, nor a list without shares.
+// Random draws must not miss the endpoints of a short list, nor of a list without weights.
 func TestRandomEndpointFindsAnyUsableOne(t *testing.T) {
 	for n := range 12 {
 		list := ready(n)
@@ -85,8 +85,8 @@
 	}
 }
 
-// An endpoint that turns some requests away unseen and answers the rest at once is worth more than one that
-// would be too late, also when it is ejected. One whose failures may have run is not.
+// An endpoint that rejects some requests before they execute and serves the rest at once ranks before one that would be
+// too late, also when it is ejected. One whose failures may have executed does not.
 func TestRejectingEndpointRanksBeforeALateOne(t *testing.T) {
 	for _, c := range []struct {
 		status Status
@@ -120,8 +120,8 @@
 	}
 }
 
-// Where endpoints remember keys, all balancers send a key to the same two of them, by load; only when it would
-// be too late there does it go elsewhere, and only where own answers are many enough to know where.
+// With key affinity, all balancers send a key to the same two endpoints, by load. Only if it would be too late there
+// does it go elsewhere, and only if there are enough own reports to know where.
 func TestKeyAffinityPicksRendezvousEndpoints(t *testing.T) {
 	for _, c := range []struct {
 		name        string
@@ -165,7 +165,7 @@
 				q.Key = c.key
 				b.HandleRequest(2000, q)
 				if len(r.sends)+len(r.rejected) != 1 {
-					t.Fatalf("%d sends and %d refusals of one request", len(r.sends), len(r.rejected))
+					t.Fatalf("%d sends and %d rejections of one request", len(r.sends), len(r.rejected))
 				}
 				if len(r.rejected) == 1 {
 					return 0
@@ -184,20 +184,20 @@
 					return float32((uint64(id)*13+seed*7)%5) / 2
 				}, seed)] = true
 			}
-			delete(used, 0) // refused
+			delete(used, 0) // rejected
 			if len(used) < c.least || len(used) > c.most {
 				t.Errorf("%d endpoints were used, want %d to %d", len(used), c.least, c.most)
 			}
 			for id := range names {
 				if c.jammed && used[id] {
-					t.Errorf("endpoint %d was used though jammed", id)
+					t.Errorf("endpoint %d was used though overloaded", id)
 				}
 			}
 		})
 	}
 }
 
-// Where there are no probes, two random draws serve beyond the endpoints that a key names, as everywhere else.
+// Without probes, two random draws serve beyond the endpoints that a key names, as everywhere else.
 func TestKeyAffinityWithoutProbesUsesOtherEndpoints(t *testing.T) {
 	s := testSettings()
 	s.KeyAffinity, s.Balancers, s.Limits.Probes, s.Prices.Probe = true, 40, false, 0.08
@@ -216,6 +216,6 @@
 		used[s.endpoint] = true
 	}
 	if len(r.rejected) > 0 || len(used) < 10 {
-		t.Errorf("%d of 60 refused, %d endpoints used", len(r.rejected), len(used))
+		t.Errorf("%d of 60 rejected, %d endpoints used", len(r.rejected), len(used))
 	}
 }
--- a/balancer/prediction_test.go
+++ b/balancer/prediction_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// serveTogether sends count requests at once and answers each that was sent after latency. It returns how many
-// were refused.
+// serveTogether sends count requests at once and answers each that was sent after latency. It returns how many were
+// rejected.
 func serveTogether(b *Balancer, r *recorder, now Micros, count int, hint, latency Micros) int {
 	r.sends, r.rejected = nil, nil
 	for i := range count {
@@ -19,8 +19,8 @@
 	return len(r.rejected)
 }
 
-// Endpoints that answer within the time of a probe show next to no work. A stall of the sidecar's own process
-// delays all answers that are due at that moment, and must not make idle endpoints look hopeless.
+// Endpoints that answer within the time of a probe show next to no work. A stall of the sidecar's own process delays
+// all answers due at that moment, and must not make idle endpoints look hopeless.
 func TestStallAfterFastAnswersRejectsNothing(t *testing.T) {
 	const (
 		together = 16
@@ -43,7 +43,7 @@
 		for range 200 {
 			now += interval
 			if refused := serveTogether(b, r, now, together, 0, fast); refused > 0 {
-				t.Fatalf("%d refused before the stall", refused)
+				t.Fatalf("%d rejected before the stall", refused)
 			}
 		}
 		now += interval
@@ -52,15 +52,14 @@
 		for round := range 100 {
 			now += interval
 			if refused := serveTogether(b, r, now, together, 0, fast); refused > 0 {
-				t.Errorf("%d of %d refused in round %d after a stall of %d us: %v", refused, together, round, stall, r.logs)
+				t.Errorf("%d of %d rejected in round %d after a stall of %d us: %v", refused, together, round, stall, r.logs)
 				break
 			}
 		}
 	}
 }
 
-// One slow answer to a request of almost no work tells of the way there, not of the time that the work of others
-// takes.
+// One slow answer to a request of almost no work tells of the network, not of the service time of others.
 func TestSlowAnswerToTinyRequestDoesNotAffectServiceTime(t *testing.T) {
 	b, r := start(t, testSettings(), ready(1))
 	b.estimates.workHintTrust = 1
@@ -79,7 +78,7 @@
 	}
 }
 
-// What takes no time at all leaves figures that can be computed with.
+// Latencies of zero leave estimates that can be computed with.
 func TestZeroLatencyKeepsEstimatesFinite(t *testing.T) {
 	b, r := start(t, testSettings(), ready(1))
 	for i := range Micros(100_000) {
@@ -88,34 +87,34 @@
 	serveTogether(b, r, 100*second, 1, 0, second/10)
 	work, pace := b.demand.classes[0].work.value, b.estimates.serviceTimeRatio(100*second, b.membership.endpoints[0])
 	if !(work > 0) || math.IsNaN(pace) || math.IsInf(pace, 0) {
-		t.Errorf("work %v, pace %v", work, pace)
+		t.Errorf("work %v, service time ratio %v", work, pace)
 	}
 }
 
-// What a cold endpoint can do grows with its warmth, and so must what is
-// expected of it, also once its pace has been learned.
+// The capacity of a warming endpoint grows with its warm-up fraction, and so must the expectation, also once its
+// service time ratio has been learned.
 func TestWarmingEndpointIsExpectedToBeSlow(t *testing.T) {
 	b, _ := start(t, testSettings(), ready(2))
 	b.HandleEndpoints(1000, ListDelta, []Endpoint{{ID: 9, State: Ready, StartTime: 1000}})
 	e := b.membership.byID[9]
-	if got := b.estimates.serviceTimeRatio(1000, e); !almostEqual(got, 1+4*initialWarmingSlowness) { // warmth 0.2
-		t.Errorf("pace %v just started, before any was seen", got)
+	if got := b.estimates.serviceTimeRatio(1000, e); !almostEqual(got, 1+4*initialWarmingSlowness) { // warm-up fraction 0.2
+		t.Errorf("service time ratio %v just started, before any was seen", got)
 	}
-	b.estimates.warmingSlowness = ewma{value: 1, initialized: true} // as slow as its least warmth makes it
+	b.estimates.warmingSlowness = ewma{value: 1, initialized: true} // as slow as its least warm-up fraction makes it
 	if got := b.estimates.serviceTimeRatio(1000, e); !almostEqual(got, 5) {
-		t.Errorf("pace %v just started", got)
+		t.Errorf("service time ratio %v just started", got)
 	}
 	e.serviceTimeRatio, e.serviceTimeRatioAt = ewma{value: 2, initialized: true}, 6*second
-	if got := b.estimates.serviceTimeRatio(6*second, e); got < 2.9 || got > 3 { // warmth 0.68
-		t.Errorf("pace %v half way", got)
+	if got := b.estimates.serviceTimeRatio(6*second, e); got < 2.9 || got > 3 { // warm-up fraction 0.68
+		t.Errorf("service time ratio %v halfway", got)
 	}
 	if got := b.estimates.serviceTimeRatio(12*second, e); got > 2 {
-		t.Errorf("pace %v once warm", got)
+		t.Errorf("service time ratio %v once warm", got)
 	}
 }
 
-// When the whole fleet turns slow, an endpoint known as fast must be expected to be slow, too, and
-// must be trusted again soon after the recovery.
+// If the whole fleet turns slow, an endpoint known as fast must be expected to be slow, too, and must be trusted again
+// soon after the recovery.
 func TestFleetWideSlowdownIsLearnedAtOnce(t *testing.T) {
 	b, r := start(t, testSettings(), ready(4))
 	serve := func(from Micros, n int, times float64) {
@@ -125,7 +124,7 @@
 			b.HandleProbe(now, 1, OK, 500, []float32{9}) // the others serve
 			b.HandleRequest(now, Request{ID: id, Deadline: now + second, WorkHint: 10_000, HasWorkHint: true})
 			if len(r.sends) == 0 || r.sends[len(r.sends)-1].id != id {
-				continue // refused
+				continue // rejected
 			}
 			latency := Micros(times * b.ledger.requests[id].attempts[0].predictedLatency)
 			b.HandleOutcome(now, Outcome{ID: id, Endpoint: r.sends[len(r.sends)-1].endpoint, Status: OK,
@@ -149,8 +148,8 @@
 	}
 }
 
-// What was sent before a slowness was noticed must not be held against it twice: many are out at once, and
-// their outcomes all come later.
+// Attempts sent before a slowdown was noticed must not raise it twice: many are in flight at once, and their outcomes
+// all come later.
 func TestSlowdownIsNotOverestimated(t *testing.T) {
 	b, r := start(t, testSettings(), ready(4))
 	now := second
@@ -169,7 +168,7 @@
 	}
 }
 
-// A slowdown that refuses all must not outlive the slowness for want of outcomes.
+// A slowdown that rejects all requests must not last for lack of outcomes.
 func TestSlowdownDecaysWithoutOutcomes(t *testing.T) {
 	b, _ := start(t, testSettings(), ready(4))
 	b.estimates.trend, b.estimates.trendAt = maxTrendRatio, second
@@ -182,7 +181,7 @@
 	}
 }
 
-// A hint must count for as much as it tells, or idle endpoints refuse what is only said to be large.
+// A hint must count for as much as it tells, or requests that are only said to be large are rejected at idle endpoints.
 func TestWorkHintTrustIsLearned(t *testing.T) {
 	for _, c := range []struct {
 		name     string
@@ -209,8 +208,8 @@
 	}
 }
 
-// The time-out of a request that a later one overtook teaches no pace: the
-// endpoint was well, and the whole fleet would be thought slow.
+// The timeout of an attempt that a later one overtook must not raise the trend: the endpoint was well, and the whole
+// fleet would count as slow.
 func TestOvertakenAttemptsDoNotAffectTrend(t *testing.T) {
 	for name, overtaken := range map[string]bool{"overtaken": true, "not overtaken": false} {
 		b, r := start(t, testSettings(), ready(1))
--- a/balancer/probing_test.go
+++ b/balancer/probing_test.go
@@ -21,7 +21,7 @@
 	}
 }
 
-// A balancer that refuses everything must still learn when it may stop.
+// A balancer that rejects everything must still learn when it may stop.
 func TestProbesContinueWhileAllRequestsAreRejected(t *testing.T) {
 	s := testSettings()
 	s.Prices.Probe = maxProbeSpend // one probe a request
@@ -35,7 +35,7 @@
 	for _, c := range []struct{ refused, want float64 }{{0.5, 0.5}, {0.9, minFirstAttemptShare}, {1, minFirstAttemptShare}} {
 		b.demand.rejectedShare.value = c.refused
 		if got := b.probes.rate(now) / all; math.Abs(got-c.want) > 0.001 {
-			t.Errorf("refused %v: %v of the pace, want %v", c.refused, got, c.want)
+			t.Errorf("rejected %v: %v of the rate, want %v", c.refused, got, c.want)
 		}
 	}
 }
--- a/balancer/reconfigure_test.go
+++ b/balancer/reconfigure_test.go
@@ -18,8 +18,8 @@
 	return withdrawn
 }
 
-// What was learned of classes and tenants stays with their names, wherever they stand in the new list; what is
-// new begins without, and settings that make no sense change nothing.
+// What was learned of classes and tenants stays with their names, wherever they are in the new list; new ones start
+// without, and invalid settings change nothing.
 func TestReconfigureKeepsEstimatesByName(t *testing.T) {
 	s := testSettings()
 	s.Tenants = []Tenant{{Name: "a", QuotaRate: 50}, {Name: "b", QuotaRate: 50}}
@@ -46,18 +46,18 @@
 	bad := b.settings
 	bad.Limits.MaxOpenRequests = 0
 	if _, err := b.Reconfigure(bad); err == nil || b.settings.Limits.MaxOpenRequests == 0 {
-		t.Errorf("senseless settings: error %v, limit %d", err, b.settings.Limits.MaxOpenRequests)
+		t.Errorf("invalid settings: error %v, limit %d", err, b.settings.Limits.MaxOpenRequests)
 	}
 }
 
-// A request keeps the class that it began under, with its window and group, while the list is turned round, the
-// class changes, or is gone.
+// A request keeps the class that it arrived under, with its deduplication window and scope, while the list is reversed,
+// the class changes or is removed.
 func TestOpenRequestKeepsItsClass(t *testing.T) {
 	for name, change := range map[string]func(*Settings){
-		"reordered": func(s *Settings) { slices.Reverse(s.Classes) },
-		"gone":      func(s *Settings) { s.Classes = s.Classes[:1] },
-		"changed":   func(s *Settings) { s.Classes[3].DeduplicationWindow, s.Classes[3].DeduplicationScope = 1, ScopeAll },
-		"safe":      func(s *Settings) { s.Classes[3].Idempotency = Idempotent },
+		"reordered":  func(s *Settings) { slices.Reverse(s.Classes) },
+		"gone":       func(s *Settings) { s.Classes = s.Classes[:1] },
+		"changed":    func(s *Settings) { s.Classes[3].DeduplicationWindow, s.Classes[3].DeduplicationScope = 1, ScopeAll },
+		"idempotent": func(s *Settings) { s.Classes[3].Idempotency = Idempotent },
 	} {
 		b, r := start(t, testSettings(), ready(8))
 		b.HandleRequest(1000, testRequest(1, 3, 1000)) // keyed-cell
@@ -81,19 +81,19 @@
 	}
 }
 
-// A class that turns stricter is so for every attempt that is not sent yet: none follows one that may have run,
-// and the answer promises nothing.
+// A class that becomes stricter is so for every attempt not sent yet: none follows one that may have executed, and the
+// answer promises nothing.
 func TestStricterIdempotencyAppliesToOpenRequests(t *testing.T) {
 	turn := func(to Idempotency) func(*Settings) { return func(s *Settings) { s.Classes[0].Idempotency = to } }
 	for name, c := range map[string]struct {
 		changes []func(*Settings)
 		repeats int
 	}{
-		"unsafe":            {[]func(*Settings){turn(NonIdempotent)}, 0},
-		"keyed":             {[]func(*Settings){turn(IdempotentWithKey)}, 0}, // it came without a key
-		"unsafe and back":   {[]func(*Settings){turn(NonIdempotent), turn(Idempotent)}, 0},
-		"gone, then unsafe": {[]func(*Settings){func(s *Settings) { s.Classes[0].Name = "x" }, func(s *Settings) { s.Classes[0].Name, s.Classes[0].Idempotency = "read", NonIdempotent }}, 0},
-		"as it was":         {[]func(*Settings){turn(Idempotent)}, 1},
+		"non-idempotent":            {[]func(*Settings){turn(NonIdempotent)}, 0},
+		"keyed":                     {[]func(*Settings){turn(IdempotentWithKey)}, 0}, // it came without a key
+		"non-idempotent and back":   {[]func(*Settings){turn(NonIdempotent), turn(Idempotent)}, 0},
+		"gone, then non-idempotent": {[]func(*Settings){func(s *Settings) { s.Classes[0].Name = "x" }, func(s *Settings) { s.Classes[0].Name, s.Classes[0].Idempotency = "read", NonIdempotent }}, 0},
+		"as it was":                 {[]func(*Settings){turn(Idempotent)}, 1},
 	} {
 		b, r := start(t, testSettings(), ready(4))
 		b.HandleRequest(1000, testRequest(1, 0, 1000))
@@ -105,21 +105,21 @@
 			t.Errorf("%s: %d repeats, want %d", name, got, c.repeats)
 		}
 		if c.repeats == 0 && (len(r.failed) != 1 || len(r.rejected) != 0) {
-			t.Errorf("%s: failed %v, refused %v; a refusal would promise that a retry is harmless", name, r.failed, r.rejected)
+			t.Errorf("%s: failed %v, rejected %v; a rejection would promise that a retry is harmless", name, r.failed, r.rejected)
 		}
 	}
-	// One that never ran is followed by another all the same.
+	// One that never executed is followed by another all the same.
 	b, r := start(t, testSettings(), ready(4))
 	b.HandleRequest(1000, testRequest(1, 0, 1000))
 	reconfigure(t, b, turn(NonIdempotent))
 	b.HandleOutcome(2000, Outcome{ID: 1, Endpoint: r.sends[0].endpoint, Status: Rejected, Latency: 1000})
 	if len(r.sends) != 2 {
-		t.Errorf("%d sends after one that never ran, want 2", len(r.sends))
+		t.Errorf("%d sends after one that never executed, want 2", len(r.sends))
 	}
 }
 
-// Of several attempts of a request that may run, a class that turns unsafe withdraws those that are out; a single
-// one goes on.
+// Of several attempts of a request that may have executed, a class that becomes non-idempotent withdraws those in
+// flight; a single one goes on.
 func TestStricterIdempotencyWithdrawsAttempts(t *testing.T) {
 	b, r := start(t, testSettings(), ready(4))
 	b.HandleRequest(1000, testRequest(1, 0, 1000))
@@ -138,8 +138,8 @@
 	}
 }
 
-// A request that was read under earlier settings is taken by their names: by its own class, also where that is
-// gone, and under the stricter rule where it has turned.
+// A request that was read under earlier settings is resolved by their names: by its own class, also if that was
+// removed, and under the stricter rule if it changed.
 func TestRequestReceivedUnderEarlierSettings(t *testing.T) {
 	s := testSettings()
 	s.Tenants = []Tenant{{Name: "a", QuotaRate: 50}, {Name: "b", QuotaRate: 50}}
@@ -167,11 +167,11 @@
 	in := testRequest(9, 7, 1000)
 	in.ReceivedUnder = &s
 	if b.HandleRequest(1000, in); !slices.Equal(r.rejected, []uint64{9}) || len(r.sends) != 3 {
-		t.Errorf("refused %v, sends %v; want a class that never was refused", r.rejected, r.sends)
+		t.Errorf("rejected %v, sends %v; want a class that never was rejected", r.rejected, r.sends)
 	}
 }
 
-// New limits and prices hold for what comes from then on. Probe rounds that a change stops and another starts run
+// New limits and prices hold for what comes from then on. Probe rounds that one change stops and another starts run
 // once, not twice.
 func TestReconfiguredLimits(t *testing.T) {
 	b, r := start(t, testSettings(), ready(4))
@@ -180,7 +180,7 @@
 	reconfigure(t, b, func(s *Settings) { s.Limits.MaxOpenRequests, s.Prices.Probe = 2, 0.01 })
 	b.HandleRequest(2000, testRequest(3, 0, 2000))
 	if !slices.Equal(r.rejected, []uint64{3}) || b.ledger.open != 2 || b.probes.probesPerRequest != 2 {
-		t.Errorf("refused %v with %d open, %v probes a request", r.rejected, b.ledger.open, b.probes.probesPerRequest)
+		t.Errorf("rejected %v with %d open, %v probes a request", r.rejected, b.ledger.open, b.probes.probesPerRequest)
 	}
 	rounds := func() (n int) {
 		for _, token := range r.timers {
@@ -198,14 +198,14 @@
 	probes(false)
 	asked := len(r.probes)
 	if b.HandleTimer(second, probeTimerToken); rounds() != armed || len(r.probes) != asked {
-		t.Error("probe rounds go on without the right to probe")
+		t.Error("probe rounds go on though probes are not permitted")
 	}
 	if probes(true); rounds() != armed+1 {
-		t.Error("probe rounds do not begin with the right to probe")
+		t.Error("probe rounds do not begin once probes are permitted")
 	}
 }
 
-// Many changes leave nothing behind: a record of a request that waits to be used again holds one class at most.
+// Many changes leave nothing behind: a free record holds one class at most.
 func TestReconfigureKeepsNoOldSettings(t *testing.T) {
 	b, _ := start(t, testSettings(), ready(4))
 	for i := range 1000 {
--- a/balancer/retries_test.go
+++ b/balancer/retries_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-// A second copy doubles the work of an endpoint that is slow because it has too much.
+// A hedged request doubles the work of an endpoint that is slow because it is overloaded.
 func TestOverdueAttemptsAreNotHedged(t *testing.T) {
 	b, r := start(t, testSettings(), ready(3))
 	b.HandleRequest(1000, testRequest(1, 0, 1000))
@@ -11,13 +11,12 @@
 	}
 	b.HandleTimer(900_000, r.timers[len(r.timers)-1])
 	if len(r.sends) != 1 {
-		t.Errorf("%d sends while the first is out", len(r.sends))
+		t.Errorf("%d sends while the first is in flight", len(r.sends))
 	}
 }
 
-// Where endpoints swallow requests and answer the rest in time, one that a later
-// one overtook is lost. It gets a copy elsewhere as far as its class permits;
-// whichever is answered first ends the request and calls the other off.
+// Where endpoints lose requests and answer the rest in time, an attempt that a later one overtook is lost. It is hedged
+// as far as its class permits; whichever attempt is answered first ends the request and cancels the other.
 func TestLostAttemptsAreHedged(t *testing.T) {
 	for class, copies := range []int{1, 1, 1, 1, 0} {
 		b, r := start(t, testSettings(), ready(4))
@@ -27,7 +26,7 @@
 		b.membership.byID[first.endpoint].lastAnsweredSentAt = 2000
 		b.HandleTimer(500_000, r.timers[len(r.timers)-1])
 		if n := len(r.sends) - 1; n != copies {
-			t.Errorf("class %d: %d copies, want %d", class, n, copies)
+			t.Errorf("class %d: %d hedged attempts, want %d", class, n, copies)
 			continue
 		}
 		if copies == 0 {
@@ -35,42 +34,42 @@
 		}
 		second := r.sends[1]
 		if second.endpoint == first.endpoint || class == 3 && b.membership.byID[second.endpoint].Cell != b.membership.byID[first.endpoint].Cell {
-			t.Errorf("class %d: the copy went to %d after %d", class, second.endpoint, first.endpoint)
+			t.Errorf("class %d: the hedged attempt went to %d after %d", class, second.endpoint, first.endpoint)
 		}
-		// The copy fails: the first may still be answered, so no final answer yet.
+		// The hedged attempt fails: the first may still be answered, so no final answer yet.
 		b.HandleOutcome(510_000, Outcome{ID: 1, Attempt: 1, Endpoint: second.endpoint, Status: EndpointError, Latency: 1000})
 		if len(r.rejected)+len(r.failed) != 0 {
-			t.Errorf("class %d: given up while an attempt is out", class)
+			t.Errorf("class %d: given up while an attempt is in flight", class)
 		}
 		calls := len(r.cancels)
 		b.HandleOutcome(520_000, Outcome{ID: 1, Attempt: 0, Endpoint: first.endpoint, Status: OK, Latency: 519_000, Answered: true})
 		for i := 2; i < len(r.sends); i++ {
-			calls++ // a third attempt, too, is called off
+			calls++ // a third attempt, too, is cancelled
 		}
 		if len(r.cancels) != calls || b.ledger.open != 0 {
-			t.Errorf("class %d: %d attempts called off, want %d; %d requests open", class, len(r.cancels), calls, b.ledger.open)
+			t.Errorf("class %d: %d attempts cancelled, want %d; %d requests open", class, len(r.cancels), calls, b.ledger.open)
 		}
 	}
 }
 
-// A repeat of a keyed request carries the latest instant at which it may begin, with room for its way; a first
-// attempt and a repeat of a safe request carry none, nor does one after an attempt that never ran.
+// A retry of a request with an idempotency key carries the latest instant at which it may begin, less the round trip; a
+// first attempt and a retry of an idempotent request carry none, nor does one after an attempt that never executed.
 func TestRetryWithKeyCarriesLatestStart(t *testing.T) {
-	const way = 20_000
+	const roundTrip = 20_000
 	for name, c := range map[string]struct {
 		class  uint8
 		status Status
 		want   Micros
 	}{
-		"keyed, reset":       {1, Reset, 10_000 + 500_000 - way},
-		"keyed, error":       {1, EndpointError, 10_000 + 500_000 - way},
-		"keyed, turned away": {1, Rejected, 0},
-		"safe, reset":        {0, Reset, 0},
+		"keyed, reset":      {1, Reset, 10_000 + 500_000 - roundTrip},
+		"keyed, error":      {1, EndpointError, 10_000 + 500_000 - roundTrip},
+		"keyed, rejected":   {1, Rejected, 0},
+		"idempotent, reset": {0, Reset, 0},
 	} {
 		t.Run(name, func(t *testing.T) {
 			b, r := start(t, testSettings(), ready(4))
 			for _, e := range b.membership.endpoints {
-				b.estimates.zoneLatencies[e.Zone].add(way)
+				b.estimates.zoneLatencies[e.Zone].add(roundTrip)
 			}
 			b.HandleRequest(10_000, testRequest(1, c.class, 10_000))
 			b.HandleTimer(20_000, r.timers[len(r.timers)-1]) // should it wait for probes
@@ -89,13 +88,13 @@
 		})
 	}
 	b, r := start(t, testSettings(), ready(4))
-	b.estimates.zoneLatencies[0].add(way)
-	b.estimates.zoneLatencies[1].add(way)
+	b.estimates.zoneLatencies[0].add(roundTrip)
+	b.estimates.zoneLatencies[1].add(roundTrip)
 	b.HandleRequest(0, testRequest(1, 1, 0))
 	b.HandleTimer(10_000, r.timers[len(r.timers)-1])
 	at := b.ledger.requests[1].attempts[0].sentAt
-	b.HandleOutcome(at+500_000-way, Outcome{ID: 1, Endpoint: r.sends[0].endpoint, Status: Reset})
+	b.HandleOutcome(at+500_000-roundTrip, Outcome{ID: 1, Endpoint: r.sends[0].endpoint, Status: Reset})
 	if len(r.sends) != 1 || len(r.rejected) != 1 {
-		t.Errorf("sends %v, refused %v: a repeat that could not arrive in time", r.sends, r.rejected)
+		t.Errorf("sends %v, rejected %v: a repeat that could not arrive in time", r.sends, r.rejected)
 	}
 }
--- a/balancer/rules_test.go
+++ b/balancer/rules_test.go
@@ -12,7 +12,7 @@
 	settings        Settings
 	now             Micros
 	states          map[uint32]Endpoint
-	warming         map[uint32]Micros          // endpoint: told start
+	warming         map[uint32]Micros          // endpoint: start time
 	warmingRequests map[uint32]float64         // requests sent while cold
 	requests        map[uint64]*checkedRequest // open and ended
 	faults          []string
@@ -71,7 +71,7 @@
 	}
 	for _, a := range r.attempts {
 		if a.inFlight && !c.settings.Limits.HedgedRequests {
-			c.fault("second copy of %d", id)
+			c.fault("hedged attempt of %d", id)
 		}
 	}
 	if b := r.firstExecuted(); b != nil && class.Idempotency != Idempotent {
@@ -101,7 +101,7 @@
 	if r := c.final(id); r != nil && r.firstExecuted() != nil {
 		class := c.settings.Classes[r.request.Class]
 		if class.Idempotency == NonIdempotent || class.Idempotency == IdempotentWithKey && class.DeduplicationScope != ScopeAll {
-			c.fault("refusal of %d (%s), which may have run", id, class.Name)
+			c.fault("rejection of %d (%s), which may have executed", id, class.Name)
 		}
 	}
 }
@@ -130,13 +130,13 @@
 
 func (c *checker) Watch(bool) {
 	if !c.settings.SubscribeToDiscovery {
-		c.fault("subscription where changes come unasked")
+		c.fault("subscription where changes come without one")
 	}
 }
 
 func (c *checker) Log(string) {}
 
-// playRandomEvents runs legal random events from a seed and returns the faults found.
+// playRandomEvents plays legal random events from a seed and returns the faults found.
 func playRandomEvents(t *testing.T, s Settings, seed int64) []string {
 	t.Helper()
 	rnd := rand.New(rand.NewSource(seed))
@@ -291,7 +291,7 @@
 	}
 }
 
-// The checker itself must see each rule broken.
+// The checker itself must detect each broken rule.
 func TestCheckerDetectsBrokenRules(t *testing.T) {
 	fresh := func() *checker {
 		c := &checker{settings: testSettings(), states: map[uint32]Endpoint{}, requests: map[uint64]*checkedRequest{}}
@@ -304,15 +304,15 @@
 		return c
 	}
 	for name, do := range map[string]func(*checker){
-		"two final answers":      func(c *checker) { c.Reject(0, 0); c.Fail(0) },
-		"send after the end":     func(c *checker) { c.Fail(0); c.Send(0, 1, 0) },
-		"send to the drained":    func(c *checker) { c.states[1] = Endpoint{ID: 1, State: Draining}; c.Send(0, 1, 0) },
-		"unsafe sent twice":      func(c *checker) { c.Send(4, 1, 0); c.Send(4, 2, 0) },
-		"unsafe refused":         func(c *checker) { c.Send(4, 1, 0); c.Reject(4, 0) },
-		"keyed outside its zone": func(c *checker) { c.Send(2, 1, 0); c.Send(2, 3, 0) },
-		"keyed outside its cell": func(c *checker) { c.Send(3, 1, 0); c.Send(3, 3, 0) },
-		"keyed after its window": func(c *checker) { c.Send(1, 1, 0); c.now = second; c.Send(1, 2, 0) },
-		"too many attempts":      func(c *checker) { c.Send(0, 1, 0); c.Send(0, 2, 0); c.Send(0, 3, 0); c.Send(0, 4, 0) },
+		"two final answers":         func(c *checker) { c.Reject(0, 0); c.Fail(0) },
+		"send after the end":        func(c *checker) { c.Fail(0); c.Send(0, 1, 0) },
+		"send to the drained":       func(c *checker) { c.states[1] = Endpoint{ID: 1, State: Draining}; c.Send(0, 1, 0) },
+		"non-idempotent sent twice": func(c *checker) { c.Send(4, 1, 0); c.Send(4, 2, 0) },
+		"non-idempotent rejected":   func(c *checker) { c.Send(4, 1, 0); c.Reject(4, 0) },
+		"keyed outside its zone":    func(c *checker) { c.Send(2, 1, 0); c.Send(2, 3, 0) },
+		"keyed outside its cell":    func(c *checker) { c.Send(3, 1, 0); c.Send(3, 3, 0) },
+		"keyed after its window":    func(c *checker) { c.Send(1, 1, 0); c.now = second; c.Send(1, 2, 0) },
+		"too many attempts":         func(c *checker) { c.Send(0, 1, 0); c.Send(0, 2, 0); c.Send(0, 3, 0); c.Send(0, 4, 0) },
 	} {
 		c := fresh()
 		if do(c); len(c.faults) == 0 {
--- a/balancer/simulation_test.go
+++ b/balancer/simulation_test.go
@@ -8,7 +8,7 @@
 	"testing"
 )
 
-// event is something that happens to one balancer of a fleet.
+// event is something that happens to one balancer of a simulated fleet.
 type event struct {
 	at Micros
 	do func(now Micros)
@@ -27,16 +27,16 @@
 	return last
 }
 
-// fleet is many balancers on one clock, and endpoints that answer all of them after a
-// time that their load makes.
+// fleet simulates many balancers on one clock, and endpoints that answer all of them after a time that depends on their
+// load.
 type fleet struct {
 	settings Settings
 	now      Micros
 	events   events
 	members  []*member
 	list     []Endpoint
-	inFlight map[uint32]int      // requests held
-	received map[uint32][]Micros // requests begun
+	inFlight map[uint32]int      // requests there
+	received map[uint32][]Micros // instants of the requests sent there
 	rng      splitMix64
 	work     float64 // of each request
 }
@@ -79,8 +79,7 @@
 	f.now = until
 }
 
-// traffic has requests come at this rate over all balancers, some of which get several
-// times the mean of the others.
+// traffic has requests arrive at this rate over all balancers, some of which get several times the mean of the others.
 func (f *fleet) traffic(rate float64, until Micros) {
 	id := uint64(0)
 	var next func(now Micros)
@@ -135,8 +134,8 @@
 func (m *member) Watch(bool)            {}
 func (m *member) Log(string)            {}
 
-// overloadedEndpoint finds an endpoint that got more than it may have in any window, while
-// cold: N by the settings, and what is put down to chance.
+// overloadedEndpoint finds an endpoint that got more than it may in any window while warming up: N by the settings, and
+// what is put down to chance.
 func (f *fleet) overloadedEndpoint() (worst float64, err error) {
 	worst, where := f.worstWindow(func(n float64) float64 { return n + 2*math.Sqrt(n) + 2 })
 	if worst > 1 {
@@ -145,11 +144,10 @@
 	return worst, err
 }
 
-// Whatever the number of processes, what all of them send to a cold endpoint stays under
-// what it may get: where one starts alone, where many start one after the other, and where
-// one comes back that staff had left out.
+// Whatever the number of balancers, what all of them send to a warming endpoint stays within its budget: if one starts
+// alone, if many start one after the other, and if one returns that was cordoned.
 func TestWarmingEndpointsBearTheSumOfAllBalancers(t *testing.T) {
-	cold := 0 // requests to cold endpoints
+	cold := 0 // requests to warming endpoints
 	for _, balancers := range []int{4, 30, 300} {
 		for _, work := range []float64{25_000, 150_000} { // many requests may go there at first, or few
 			for name, start := range map[string]func(f *fleet){
@@ -199,11 +197,11 @@
 		}
 	}
 	if cold < 1000 {
-		t.Errorf("the cold endpoints got %d requests in all: too few to tell", cold)
+		t.Errorf("the warming endpoints got %d requests in all: too few to tell", cold)
 	}
 }
 
-// startEndpoints has so many endpoints start, so far apart.
+// startEndpoints has n endpoints start, with this delay between them.
 func (f *fleet) startEndpoints(n int, apart Micros) {
 	for i := range n {
 		f.after(Micros(i)*apart, func(now Micros) {
@@ -216,7 +214,7 @@
 	}
 }
 
-// slowStartSettings are those of a fleet with one class, whose requests take this work in the mean.
+// slowStartSettings returns the settings of a fleet with one class, whose requests take this work in the mean.
 func slowStartSettings(work float64) Settings {
 	s := testSettings()
 	s.Classes = []Class{{Name: "read", Idempotency: Idempotent, LatencyObjective: Micros(6 * work), ClientTimeout: second, PriorityWeight: 1}}
--- a/balancer/slowstart_test.go
+++ b/balancer/slowstart_test.go
@@ -6,7 +6,8 @@
 	"testing"
 )
 
-// slowStartBudget is how many requests of mean work a cold endpoint bears where it may get n: with what is put down to chance.
+// slowStartBudget is how many requests of mean work a warming endpoint bears that may get n: with what is put down to
+// chance.
 func slowStartBudget(n float64) float64 {
 	if n < 30 {
 		return n + 3*math.Sqrt(n) + 3
@@ -14,7 +15,8 @@
 	return n + 2*math.Sqrt(n) + 2
 }
 
-// worstWindow returns the most that a cold endpoint got of its budget, over all windows, and where that was.
+// worstWindow returns the largest share of its budget that a warming endpoint got, over all windows, and where that
+// was.
 func (f *fleet) worstWindow(budget func(n float64) float64) (worst float64, where string) {
 	c := f.settings.Contract
 	for id, at := range f.received {
@@ -37,7 +39,7 @@
 	return worst, where
 }
 
-// restartEndpoints has the first n endpoints start anew, all at once.
+// restartEndpoints restarts the first n endpoints, all at once.
 func (f *fleet) restartEndpoints(n int) {
 	for i := range n {
 		f.list[i].StartTime = f.now
@@ -47,7 +49,7 @@
 	}
 }
 
-// restartBalancers has every balancer begin anew, with nothing but the list.
+// restartBalancers restarts every balancer, with nothing but the endpoint list.
 func (f *fleet) restartBalancers(t *testing.T, seed uint64) {
 	t.Helper()
 	for i := range f.members {
@@ -63,8 +65,8 @@
 	}
 }
 
-// The budget of a cold endpoint binds in the smallest fleets, too: where one process sends all, where most or all
-// endpoints are cold, under a burst, and where the processes start with the endpoints and know nothing.
+// The budget of a warming endpoint holds in the smallest fleets, too: if one balancer sends all requests, if most or
+// all endpoints are warming up, under a burst, and if the balancers start with the endpoints and know nothing.
 func TestSmallFleetsKeepTheSlowStartBudget(t *testing.T) {
 	const warmUp, end = 4 * second, 12 * second
 	for _, work := range []float64{25_000, 150_000} {
@@ -101,7 +103,8 @@
 	}
 }
 
-// A quiet balancer earns one send to a cold endpoint in minutes: all must not start from nothing.
+// A quiet balancer takes minutes to earn the tokens of one request to a warming endpoint: all must not start from
+// nothing.
 func TestQuietBalancersTogetherServeWarmingEndpoints(t *testing.T) {
 	allowed, all := 0, 200
 	for seed := range all {
@@ -125,12 +128,12 @@
 	}
 	// In 5 s a warm endpoint gets half a request of each; this one 0.2 to 0.6 of seven tenths of that.
 	if allowed < 5 || allowed > 60 {
-		t.Errorf("%d of %d quiet balancers may send to a cold endpoint within 5 s", allowed, all)
+		t.Errorf("%d of %d quiet balancers may send to a warming endpoint within 5 s", allowed, all)
 	}
 }
 
-// Of many balancers, each with few requests, none earns a send to one cold endpoint apart. Together they must
-// still send the cold ones what these can do, and to no one of them too much.
+// Of many balancers with few requests each, none earns a request to each warming endpoint. Together they must still
+// send these what they can serve, and to none of them too much.
 func TestManyQuietBalancersUseWarmingEndpoints(t *testing.T) {
 	const warm, cold, balancers = 20, 20, 80
 	counts := map[uint32]int{}
@@ -179,18 +182,18 @@
 			most = max(most, n)
 		}
 	}
-	// 800 requests a second, 40 at a warm endpoint; warmth goes from 0.2 to 0.44 in these 3 s, 0.32 on average.
+	// 800 requests a second, 40 at a warm endpoint; warm-up fraction goes from 0.2 to 0.44 in these 3 s, 0.32 on average.
 	fair := 0.32 * 40 * 3
 	if got := float64(all) / cold; got < 0.3*fair || got > fair {
-		t.Errorf("a cold endpoint got %.1f on average, its warmth makes %.1f", got, fair)
+		t.Errorf("a warming endpoint got %.1f on average, its warm-up fraction makes %.1f", got, fair)
 	}
 	if float64(most) > 2*fair {
-		t.Errorf("one cold endpoint got %d, its warmth makes %.1f", most, fair)
+		t.Errorf("one warming endpoint got %d, its warm-up fraction makes %.1f", most, fair)
 	}
 }
 
-// Cold endpoints that answer as quickly as warm ones get more than their least warmth makes, once enough of them
-// did; slow ones get little more.
+// Warming endpoints that answer as quickly as warm ones get more than their least warm-up fraction allows, once enough
+// of them did; slow ones get little more.
 func TestWarmingShareFollowsMeasuredLatency(t *testing.T) {
 	got := func(answers int, took Micros) float64 {
 		s := testSettings()
@@ -230,7 +233,7 @@
 	}
 }
 
-// A cold endpoint that is too busy or too far away to be sent to does not keep the other cold ones from their turn.
+// A warming endpoint that is too busy or too far away to be sent to does not keep requests from the other warming ones.
 func TestBusyWarmingEndpointDoesNotBlockOthers(t *testing.T) {
 	s := testSettings()
 	s.Balancers = 1
@@ -241,7 +244,7 @@
 	got := map[uint32]int{}
 	for id := range uint64(200) {
 		now += 20_000
-		b.slowStart.sentWorkRate = decayingRate{10_000_000, now} // the same throughout: what is refused must not count
+		b.slowStart.sentWorkRate = decayingRate{10_000_000, now} // the same throughout: what is rejected must not count
 		for e, load := range []float32{40, 40, 0} {
 			b.HandleProbe(now, uint32(e+1), OK, 1000, []float32{load})
 		}
@@ -261,8 +264,8 @@
 	}
 }
 
-// warmingSends counts sends to a cold endpoint over the overload window just
-// after its start, beside nine warm ones under a steady load.
+// warmingSends counts requests to warming endpoints over the overload window just after their start, beside ten warm
+// ones under a steady load.
 func warmingSends(t *testing.T, rate int, colds int) (cold []int, warm float64) {
 	t.Helper()
 	s := testSettings()
@@ -306,7 +309,7 @@
 		for _, n := range cold {
 			// Warmth goes from 0.2 to 0.28 in this second; one request may round up.
 			if float64(n) > 0.28*warm+1 {
-				t.Errorf("rate %d: a cold endpoint got %d, a warm one %.1f", c.rate, n, warm)
+				t.Errorf("rate %d: a warming endpoint got %d, a warm one %.1f", c.rate, n, warm)
 			}
 		}
 	}
--- a/balancer/source_test.go
+++ b/balancer/source_test.go
@@ -29,10 +29,10 @@
 	return files
 }
 
-// maxPolicyLines is the most that one policy file holds, blank lines left out: each has one job.
+// maxPolicyLines limits the non-blank lines of one policy file: each has one job.
 const maxPolicyLines = 220
 
-// The limits on each file of the decision module.
+// Each file of the decision module keeps the limits on its size.
 func TestModuleSize(t *testing.T) {
 	for _, name := range policyFiles(t) {
 		lines := 0
--- a/balancer/streaming_test.go
+++ b/balancer/streaming_test.go
@@ -2,8 +2,8 @@
 
 import "testing"
 
-// A body that is passed on while it comes is no load until its last byte, from
-// which on the request's time counts.
+// A request body that is forwarded while it arrives is no load until its last byte, from which on the time of the
+// request counts.
 func TestStreamedRequestIsTimedFromItsLastByte(t *testing.T) {
 	b, r := start(t, testSettings(), ready(1))
 	in := testRequest(1, 0, 0)
@@ -25,16 +25,16 @@
 	}
 	b.HandleTimer(now+second, r.timers[len(r.timers)-1])
 	if len(r.rejected) != 1 || len(r.cancels) != 1 {
-		t.Errorf("at its deadline: refused %v, cancelled %v", r.rejected, r.cancels)
+		t.Errorf("at its deadline: rejected %v, cancelled %v", r.rejected, r.cancels)
 	}
 	b.HandleOutcome(now+second, Outcome{ID: 1, Endpoint: 1, Status: Cancelled, Answered: true})
 	if s := b.Stats(now); s.InFlight+s.Uploading != 0 || len(b.ledger.requests) != 0 {
-		t.Errorf("after its end: %d in flight, %d being written, %d held", s.InFlight, s.Uploading, len(b.ledger.requests))
+		t.Errorf("after its end: %d in flight, %d being written, %d open", s.InFlight, s.Uploading, len(b.ledger.requests))
 	}
 }
 
-// What can't be sent again is refused where it never ran, and failed where it may
-// have; what is still held goes elsewhere.
+// A request that can't be sent again is rejected if it never executed, and fails if it may have; one whose body is
+// complete goes to another endpoint.
 func TestConsumedBodyIsNotRetried(t *testing.T) {
 	for _, c := range []struct {
 		status          Status
@@ -55,7 +55,7 @@
 		}
 		b.HandleOutcome(2000, Outcome{ID: 1, Endpoint: r.sends[0].endpoint, Status: c.status, BodyConsumed: c.spent})
 		if len(r.sends) != c.sends || len(r.rejected) != c.no || len(r.failed) != c.fail {
-			t.Errorf("%+v: %d sends, %d refused, %d failed", c, len(r.sends), len(r.rejected), len(r.failed))
+			t.Errorf("%+v: %d sends, %d rejected, %d failed", c, len(r.sends), len(r.rejected), len(r.failed))
 		}
 	}
 }
@@ -66,7 +66,7 @@
 	b.HandleHeaders(2000, 1, 0, 1000)
 	b.HandleTimer(2*second, b.ledger.requests[1].timerToken)
 	if len(r.sends) != 1 || len(r.rejected)+len(r.failed) != 0 {
-		t.Error("a stream that began was given an end or a copy")
+		t.Error("a streamed answer that began was ended or hedged")
 	}
 	b.HandleOutcome(3*second, Outcome{ID: 1, Endpoint: r.sends[0].endpoint, Status: OK, Latency: 3 * second, Answered: true})
 	if len(b.ledger.requests) != 0 {
