--- a/balancer/admission.go
+++ b/balancer/admission.go
@@ -28,7 +28,7 @@
 func (a *admission) dispatch(now Micros, r *request) {
 	a.waiting.remove(r)
 	first := len(r.attempts) == 0
-	sent := a.startAttempt(now, r, first)
+	sent := a.startAttempt(now, r)
 	if first {
 		a.demand.recordDecision(sent)
 	}
@@ -38,7 +38,7 @@
 }
 
 // startAttempt picks an endpoint and sends to it. If its breaker drops the request, one other is tried.
-func (a *admission) startAttempt(now Micros, r *request, first bool) bool {
+func (a *admission) startAttempt(now Micros, r *request) bool {
 	if a.breakers.throttle(now) {
 		a.stats.Throttled++
 		return false
@@ -49,7 +49,7 @@
 		a.stats.NoEndpoint++
 		return false
 	}
-	if a.tooLate(now, r, e, first) {
+	if a.tooLate(now, r, e) {
 		return false
 	}
 	if !a.breakers.allow(now, r, e) {
@@ -72,7 +72,7 @@
 // sooner. As with a half-open circuit breaker, a request passes as a trial now and then, so that a wrong
 // estimate does not confirm itself. That is one of so many, since one a second at each of a thousand
 // balancers is more than an overloaded fleet can serve.
-func (a *admission) tooLate(now Micros, r *request, e *endpoint, first bool) bool {
+func (a *admission) tooLate(now Micros, r *request, e *endpoint) bool {
 	expected, limit := a.estimates.latency(now, e, r.work), a.estimates.latencyLimit(now, r, e)
 	late := expected > limit && a.estimates.queueingFactor(now, e) > 1
 	if !late {
@@ -80,7 +80,8 @@
 	}
 	c := r.class
 	c.tooLateSinceTrial++
-	if first && c.tooLateSinceTrial >= a.trialInterval && now-c.lastTrialAt >= forcedTrialInterval {
+	mayTry := len(r.attempts) == 0 && c.tooLateSinceTrial >= a.trialInterval
+	if mayTry && now-c.lastTrialAt >= forcedTrialInterval {
 		c.lastTrialAt, c.tooLateSinceTrial = now, 0
 		r.trial = true
 		return false
--- a/balancer/balancer.go
+++ b/balancer/balancer.go
@@ -18,7 +18,8 @@
 // interface stands in settings.go, events.go and actions.go, and the counts in stats.go.
 package balancer
 
-// Balancer decides for one sidecar. Make one with New. Each part owns its state; the event methods below route to them.
+// Balancer decides for one sidecar. Make one with New; it must not be copied. Each part owns its state and calls
+// methods of others; the event methods below route to the parts.
 type Balancer struct {
 	environment
 	ledger     ledger          // requests, and the rules for their attempts
@@ -136,7 +137,7 @@
 	case now >= r.Deadline:
 		for i := range r.attempts {
 			if a := &r.attempts[i]; a.inFlight {
-				b.estimates.learnServiceTime(now, r, a, float64(now-a.sentAt), true)
+				b.estimates.learnServiceTime(now, r, a, latencySample{float64(now - a.sentAt), true})
 			}
 		}
 		b.ledger.reject(r)
@@ -206,7 +207,7 @@
 	b.stats.outcome(a, o.Status, o.Latency)
 	b.breakers.recordOutcome(now, a, o.Status, o.Latency)
 	if o.Status == OK || o.Status == Timeout {
-		b.estimates.learnServiceTime(now, r, a, float64(o.Latency), o.Status == Timeout)
+		b.estimates.learnServiceTime(now, r, a, latencySample{float64(o.Latency), o.Status == Timeout})
 	}
 	inTime := o.Status == OK && !r.answered && now-r.arrivedAt <= r.class.LatencyObjective
 	b.breakers.recordResult(now, o.Status, inTime)
--- a/balancer/breaker.go
+++ b/balancer/breaker.go
@@ -48,14 +48,28 @@
 	return &k.buckets[n%breakerBuckets]
 }
 
-// count adds a request to the newest bucket. A request that the breaker dropped counts, too.
-func (k *circuitBreaker) count(now Micros, accepts, failures int) {
+// breakerResult is what became of a request.
+type breakerResult uint8
+
+const (
+	accepted breakerResult = iota
+	failed
+	dropped // by the breaker
+)
+
+// count adds a request to the newest bucket.
+func (k *circuitBreaker) count(now Micros, result breakerResult) {
 	bucket := k.advance(now)
 	bucket.requests++
-	bucket.accepts += accepts
-	bucket.failures += failures
 	k.requests++
-	k.accepts += accepts
+	switch result {
+	case accepted:
+		bucket.accepts++
+		k.accepts++
+	case failed:
+		bucket.failures++
+	case dropped:
+	}
 }
 
 // addLatency adds a latency to both averages.
@@ -143,7 +157,7 @@
 	timeout := float64(r.class.ClientTimeout)
 	probability := max(e.breaker.errorDropProbability(now), e.breaker.latencyDropProbability(timeout))
 	if k.drops(now, probability, &e.breaker.lastTrialAt) {
-		e.breaker.count(now, 0, 0)
+		e.breaker.count(now, dropped)
 		return false
 	}
 	return true
@@ -161,12 +175,12 @@
 	e := a.endpoint
 	switch status {
 	case OK:
-		e.breaker.count(now, 1, 0)
+		e.breaker.count(now, accepted)
 		e.breaker.addLatency(float64(latency))
 		e.recordOutcome(now, false, failureWeight)
 	case Cancelled, NotSent:
 	default:
-		e.breaker.count(now, 0, 1)
+		e.breaker.count(now, failed)
 		e.rejectedShare.add(indicator(status == Rejected), rejectedFailureWeight)
 		// A client that had little time left says nothing of the endpoint.
 		hasty := status == Timeout && float64(latency) < overdueFactor*a.predictedLatency
--- a/balancer/breaker_test.go
+++ b/balancer/breaker_test.go
@@ -28,16 +28,16 @@
 		var k circuitBreaker
 		now := 100 * second
 		for range c.accepts {
-			k.count(now, 1, 0)
+			k.count(now, accepted)
 		}
 		for i := range c.failures {
 			if c.spread > 1 && i%(c.failures/c.spread) == 0 {
 				now += breakerWindow / breakerBuckets
 			}
-			k.count(now, 0, 1)
+			k.count(now, failed)
 		}
 		for range c.refusals {
-			k.count(now, 0, 0)
+			k.count(now, dropped)
 		}
 		if got := k.errorDropProbability(now); !almostEqual(got, c.want) {
 			t.Errorf("%s: got %v, want %v", c.name, got, c.want)
@@ -48,7 +48,7 @@
 func TestBreakerWindowDropsOldBuckets(t *testing.T) {
 	var k circuitBreaker
 	for range 100 {
-		k.count(100*second, 0, 1)
+		k.count(100*second, failed)
 	}
 	if k.errorDropProbability(109*second) == 0 {
 		t.Error("failures of nine seconds ago are forgotten")
@@ -57,7 +57,7 @@
 		t.Errorf("after the window: chance %v, %d requests", got, k.requests)
 	}
 	for range 100 {
-		k.count(200*second, 0, 1)
+		k.count(200*second, failed)
 	}
 	k.errorDropProbability(500 * second)
 	if k.requests != 0 {
@@ -106,7 +106,7 @@
 	e := b.membership.endpoints[0]
 	now := 20 * second
 	for range 1000 {
-		e.breaker.count(now, 0, 1)
+		e.breaker.count(now, failed)
 	}
 	r := recordOf(b, Request{})
 	if !b.breakers.allow(now, r, e) {
--- a/balancer/estimates.go
+++ b/balancer/estimates.go
@@ -3,8 +3,8 @@
 import "slices"
 
 // Estimates is what a balancer has learned of the fleet. The next process of the same sidecar continues from it: to
-// learn it anew takes seconds, in which the first slow answers would count as typical of all endpoints. The JSON keys are
-// those that processes of earlier versions read.
+// learn it anew takes seconds, in which the first slow answers would count as typical of all endpoints. The JSON keys
+// are those that processes of earlier versions read.
 type Estimates struct {
 	ServiceTimeRatio float64 `json:"Pace"`  // measured over predicted service time, over the fleet
 	QueuedProbeShare float64 `json:"Waits"` // share of probes that queued behind requests
--- a/balancer/example_test.go
+++ b/balancer/example_test.go
@@ -13,7 +13,7 @@
 	h.sent = append(h.sent, endpoint)
 	fmt.Printf("send request %d to endpoint %d\n", id, endpoint)
 }
-func (h *host) Reject(id uint64, after balancer.Micros) { fmt.Printf("refuse request %d\n", id) }
+func (h *host) Reject(id uint64, after balancer.Micros) { fmt.Printf("reject request %d\n", id) }
 func (h *host) Fail(id uint64)                          { fmt.Printf("fail request %d\n", id) }
 func (h *host) Cancel(id uint64, attempt int)           {}
 func (h *host) StartTimer(balancer.Micros, uint32)      {}
@@ -51,5 +51,5 @@
 	// send request 1 to endpoint 8
 	// endpoint 8 ejected, 50% of its recent attempts failed
 	// send request 1 to endpoint 7
-	// refuse request 2
+	// reject request 2
 }
--- a/balancer/prediction.go
+++ b/balancer/prediction.go
@@ -140,19 +140,25 @@
 	}
 }
 
-// learnServiceTime learns from the latency of an attempt; atLeast tells that it is only a lower bound.
-func (est *estimator) learnServiceTime(now Micros, r *request, a *attempt, latency float64, atLeast bool) {
+// latencySample is what is known of the latency of an attempt.
+type latencySample struct {
+	latency    float64
+	lowerBound bool // there is no answer yet, or none came
+}
+
+// learnServiceTime learns from the latency of an attempt.
+func (est *estimator) learnServiceTime(now Micros, r *request, a *attempt, sample latencySample) {
 	e, c := a.endpoint, r.class
-	unloaded := max(0, latency-est.roundTrip(e)) / a.queueingFactor
+	unloaded := max(0, sample.latency-est.roundTrip(e)) / a.queueingFactor
 	// What a request of next to no work takes beyond the prediction was not spent on that work.
 	predicted, slowdown := est.serviceTimeRatio(now, e), est.warmingSlowdown(now, e)
 	measured := predicted + (unloaded-predicted*r.work)/max(r.work, minRequestWorkShare*c.work.value)
 	// An attempt that was overtaken may be lost, and then says nothing of service times.
-	if atLeast && (measured <= predicted || e.lastAnsweredSentAt > a.sentAt) {
+	if sample.lowerBound && (measured <= predicted || e.lastAnsweredSentAt > a.sentAt) {
 		return
 	}
-	est.updateTrend(now, latency/a.predictedWithoutTrend)
-	if !atLeast && r.logWorkHint != 0 && measured > 0 {
+	est.updateTrend(now, sample.latency/a.predictedWithoutTrend)
+	if !sample.lowerBound && r.logWorkHint != 0 && measured > 0 {
 		// Rough hints overstate large work and understate small: learn how far they tell.
 		step := hintTrustWeight * r.logWorkHint * math.Log(measured/predicted)
 		est.workHintTrust = min(1, max(0, est.workHintTrust+step))
@@ -165,7 +171,7 @@
 		est.warmingSlowness.add(min(1, max(0, (measured/warm-1)/(1/least-1))), warmingSlownessWeight)
 	}
 	e.serviceTimeRatioAt = now
-	if atLeast {
+	if sample.lowerBound {
 		return
 	}
 	if !r.HasWorkHint {
--- a/balancer/retries.go
+++ b/balancer/retries.go
@@ -85,7 +85,7 @@
 		return
 	}
 	a.presumedLost = true
-	if t.settings.Limits.HedgedRequests && t.hedgeBudget >= 1 && t.admission.startAttempt(now, r, false) {
+	if t.settings.Limits.HedgedRequests && t.hedgeBudget >= 1 && t.admission.startAttempt(now, r) {
 		t.hedgeBudget--
 	}
 }
@@ -102,7 +102,7 @@
 // counts against the budget.
 func (t *retrier) retry(now Micros, r *request, failed *attempt) {
 	price := budget(indicator(failed.mayHaveExecuted))
-	if t.retryBudget >= price && t.admission.startAttempt(now, r, false) {
+	if t.retryBudget >= price && t.admission.startAttempt(now, r) {
 		t.retryBudget -= price
 		return
 	}
--- a/balancer/settings.go
+++ b/balancer/settings.go
@@ -12,7 +12,8 @@
 // discovery. The backoff therefore has what the other two leave:
 //
 //	after a call that timed out:   NotificationDeadline - 2 DiscoveryCallTimeout = 0.6 s at most
-//	after a watch went silent:     NotificationDeadline - WatchDuration - WatchGrace - DiscoveryCallTimeout = 0.8 s at most
+//	after a watch went silent:     NotificationDeadline - WatchDuration - WatchGrace
+//	                               - DiscoveryCallTimeout = 0.8 s at most
 //	after a call refused at once:  NotificationDeadline - DiscoveryCallTimeout = 3.3 s at most
 //
 // Over a fleet, quiet watches make one call each in 1.5 to 2 s.
--- a/balancer/slowstart_test.go
+++ b/balancer/slowstart_test.go
@@ -204,7 +204,7 @@
 			r := b.ledger.newRequest(now, testRequest(uint64(now)+1, 0, now))
 			r.work = 80_000
 			a := attempt{endpoint: e, sentAt: now, warming: e.warming, queueingFactor: 1, predictedWithoutTrend: r.work}
-			b.estimates.learnServiceTime(now+took, r, &a, float64(took), false)
+			b.estimates.learnServiceTime(now+took, r, &a, latencySample{latency: float64(took)})
 			now += 1000
 		}
 		for _, e := range b.membership.endpoints {
--- a/balancer/stats.go
+++ b/balancer/stats.go
@@ -92,19 +92,25 @@
 	}
 	ok, probed := s.Outcomes[OK]-old.Outcomes[OK], s.Probes[OK]-old.Probes[OK]
 	warmingOK := s.WarmingOK - old.WarmingOK
-	return fmt.Sprintf("requests=%d attempts=%d rejected=%d failed=%d no_endpoint=%d too_late=%d breaker_rejected=%d throttled=%d outcomes=%s "+
-		"predicted_ms=%.1f latency_ms=%.1f warming_attempts=%d warming_ok=%d warming_timeouts=%d warming_predicted_ms=%.1f warming_latency_ms=%.1f "+
-		"probes=%s probe_ms=%.2f reported_load=%.2f queued_probes=%d open=%d in_flight=%d uploading=%d listed=%d cordoned=%d warming_up=%d ejected=%d "+
-		"pooled=%d typical_load=%.2f service_time_ratio=%.2f slowdown=%.2f rejected_share=%.2f reports_late=%v",
+	counts := fmt.Sprintf("requests=%d attempts=%d rejected=%d failed=%d "+
+		"no_endpoint=%d too_late=%d breaker_rejected=%d throttled=%d outcomes=%s ",
 		s.Requests-old.Requests, s.Attempts-old.Attempts, s.Rejected-old.Rejected, s.Failed-old.Failed,
-		s.NoEndpoint-old.NoEndpoint, s.TooLate-old.TooLate, s.BreakerRejected-old.BreakerRejected, s.Throttled-old.Throttled, statuses(&s.Outcomes, &old.Outcomes),
+		s.NoEndpoint-old.NoEndpoint, s.TooLate-old.TooLate, s.BreakerRejected-old.BreakerRejected,
+		s.Throttled-old.Throttled, statuses(&s.Outcomes, &old.Outcomes))
+	latencies := fmt.Sprintf("predicted_ms=%.1f latency_ms=%.1f warming_attempts=%d warming_ok=%d "+
+		"warming_timeouts=%d warming_predicted_ms=%.1f warming_latency_ms=%.1f ",
 		mean(s.PredictedLatency-old.PredictedLatency, ok), mean(s.Latency-old.Latency, ok),
 		s.WarmingAttempts-old.WarmingAttempts, warmingOK, s.WarmingTimeouts-old.WarmingTimeouts,
-		mean(s.WarmingPredictedLatency-old.WarmingPredictedLatency, warmingOK), mean(s.WarmingLatency-old.WarmingLatency, warmingOK),
+		mean(s.WarmingPredictedLatency-old.WarmingPredictedLatency, warmingOK),
+		mean(s.WarmingLatency-old.WarmingLatency, warmingOK))
+	probes := fmt.Sprintf("probes=%s probe_ms=%.2f reported_load=%.2f queued_probes=%d ",
 		statuses(&s.Probes, &old.Probes), mean(s.ProbeLatency-old.ProbeLatency, probed),
-		(s.ReportedLoad-old.ReportedLoad)/float64(max(1, probed)), s.QueuedProbes-old.QueuedProbes,
+		(s.ReportedLoad-old.ReportedLoad)/float64(max(1, probed)), s.QueuedProbes-old.QueuedProbes)
+	state := fmt.Sprintf("open=%d in_flight=%d uploading=%d listed=%d cordoned=%d warming_up=%d ejected=%d pooled=%d "+
+		"typical_load=%.2f service_time_ratio=%.2f slowdown=%.2f rejected_share=%.2f reports_late=%v",
 		s.Open, s.InFlight, s.Uploading, s.Listed, s.Cordoned, s.WarmingUp, s.Ejected, s.Pooled,
 		s.TypicalLoad, s.ServiceTimeRatio, s.Slowdown, s.RejectedShare, s.ReportsLate)
+	return counts + latencies + probes + state
 }
 
 // log writes a line for on-call staff, at most one a second for each topic: rejections come in thousands.
