--- a/balancer/overload_test.go
+++ b/balancer/overload_test.go
@@ -1,7 +1,6 @@
 package balancer
 
 import (
-	"container/heap"
 	"math"
 	"slices"
 	"testing"
@@ -11,8 +10,7 @@
 // closes its connection and ends its work; what was done of it by then is lost. Clients return when they are rejected
 // or give up an attempt, within their timeout.
 type service struct {
-	now            Micros
-	events         events
+	simClock
 	hosts          []*clientHost
 	endpoints      []*server
 	rng            splitMix64
@@ -120,19 +118,6 @@
 	return s
 }
 
-func (s *service) after(delay Micros, do func(now Micros)) {
-	heap.Push(&s.events, event{s.now + max(1, delay), do})
-}
-
-func (s *service) run(until Micros) {
-	for len(s.events) > 0 && s.events[0].at <= until {
-		e := heap.Pop(&s.events).(event)
-		s.now = e.at
-		e.do(e.at)
-	}
-	s.now = until
-}
-
 // traffic has requests arrive at a rate that may change with time; some balancers get several times the mean.
 func (s *service) traffic(rate func(now Micros) float64, until Micros) {
 	var next func(now Micros)
--- a/balancer/retries_test.go
+++ b/balancer/retries_test.go
@@ -98,3 +98,33 @@
 		t.Errorf("sends %v, rejected %v: a repeat that could not arrive in time", r.sends, r.rejected)
 	}
 }
+
+// Retries after attempts that may have executed are limited to a share of the requests; others cost nothing.
+func TestRetryBudgetLimitsRetries(t *testing.T) {
+	const requests = 300
+	for _, c := range []struct {
+		status   Status
+		from, to int // retries
+	}{{Reset, 10, maxBudget + requests*retryShare + 1}, {ConnectFailed, requests, 2 * requests}} {
+		s := testSettings()
+		s.Limits.MaxAttempts = 2
+		b, r := start(t, s, ready(8))
+		retries := 0
+		for id := range uint64(requests) {
+			now := Micros(id) * second // the error throttle lets one a second through
+			sends := len(r.sends)
+			b.HandleRequest(now, testRequest(id, 0, now))
+			for n := 0; sends+n < len(r.sends); n++ {
+				retries += min(n, 1)
+				at := r.sends[sends+n].endpoint
+				b.HandleOutcome(now, Outcome{ID: id, Attempt: n, Endpoint: at, Status: c.status, Latency: 1000})
+			}
+		}
+		if retries < c.from || retries > c.to {
+			t.Errorf("status %d: %d retries of %d requests, want %d to %d", c.status, retries, requests, c.from, c.to)
+		}
+		if c.status == ConnectFailed && b.retries.retryBudget != maxBudget {
+			t.Errorf("retries of attempts that never executed cost %v of the budget", maxBudget-b.retries.retryBudget)
+		}
+	}
+}
--- a/balancer/simulation_test.go
+++ b/balancer/simulation_test.go
@@ -1,38 +1,17 @@
 package balancer
 
 import (
-	"container/heap"
 	"errors"
 	"fmt"
 	"math"
 	"testing"
 )
 
-// event is something that happens to one balancer of a simulated fleet.
-type event struct {
-	at Micros
-	do func(now Micros)
-}
-
-type events []event
-
-func (e events) Len() int           { return len(e) }
-func (e events) Less(i, j int) bool { return e[i].at < e[j].at }
-func (e events) Swap(i, j int)      { e[i], e[j] = e[j], e[i] }
-func (e *events) Push(x any)        { *e = append(*e, x.(event)) }
-func (e *events) Pop() any {
-	old := *e
-	last := old[len(old)-1]
-	*e = old[:len(old)-1]
-	return last
-}
-
 // fleet simulates many balancers on one clock, and endpoints that answer all of them after a time that depends on their
 // load.
 type fleet struct {
 	settings Settings
-	now      Micros
-	events   events
+	simClock
 	members  []*member
 	list     []Endpoint
 	inFlight map[uint32]int      // requests there
@@ -66,19 +45,6 @@
 	return f
 }
 
-func (f *fleet) after(delay Micros, do func(now Micros)) {
-	heap.Push(&f.events, event{f.now + max(1, delay), do})
-}
-
-func (f *fleet) run(until Micros) {
-	for len(f.events) > 0 && f.events[0].at <= until {
-		e := heap.Pop(&f.events).(event)
-		f.now = e.at
-		e.do(e.at)
-	}
-	f.now = until
-}
-
 // traffic has requests arrive at this rate over all balancers, some of which get several times the mean of the others.
 func (f *fleet) traffic(rate float64, until Micros) {
 	id := uint64(0)
--- /dev/null
+++ b/balancer/waitlist_test.go
@@ -0,0 +1,55 @@
+package balancer
+
+import "testing"
+
+// A request resumes with the last of its probes, or with the first that finds an idle endpoint; the latest request
+// comes first.
+func TestWaitlistResumesRequests(t *testing.T) {
+	busy, idle, other := &endpoint{}, &endpoint{}, &endpoint{}
+	busy.reportedAt, busy.reportedLoad = 1000, 9
+	idle.reportedAt, idle.reportedLoad = 1000, 0
+	wait := func(w *waitlist, on ...*endpoint) *request {
+		r := &request{awaitedEndpoints: on}
+		w.add(r)
+		return r
+	}
+	for name, c := range map[string]struct {
+		answered *endpoint
+		want     int // requests resumed
+	}{
+		"busy endpoint": {busy, 1},
+		"idle endpoint": {idle, 2},
+		"nobody waits":  {other, 0},
+	} {
+		var w waitlist
+		wait(&w, busy, idle)
+		wait(&w, busy)
+		wait(&w, idle)
+		var resumed []*request
+		for r, i := w.resumable(1000, c.answered, fromEnd); r != nil; r, i = w.resumable(1000, c.answered, i) {
+			w.remove(r)
+			resumed = append(resumed, r)
+		}
+		if len(resumed) != c.want || len(w.requests) != 3-c.want {
+			t.Errorf("%s: %d resumed and %d left, want %d resumed", name, len(resumed), len(w.requests), c.want)
+		}
+		for _, r := range resumed {
+			if r.awaitingProbes || len(r.awaitedEndpoints) > 0 {
+				t.Errorf("%s: a resumed request still waits", name)
+			}
+		}
+	}
+}
+
+func TestWaitlistRemoveIgnoresOthers(t *testing.T) {
+	var w waitlist
+	first, second, stranger := &request{}, &request{}, &request{}
+	w.add(first)
+	w.add(second)
+	w.remove(stranger)
+	w.remove(first)
+	w.remove(first)
+	if len(w.requests) != 1 || w.requests[0] != second {
+		t.Errorf("%d requests wait, want the second alone", len(w.requests))
+	}
+}
