--- a/balancer/balancer.go
+++ b/balancer/balancer.go
@@ -261,8 +261,7 @@
 	if kind != ListCached {
 		b.discovery.succeeded()
 	}
-	// If a thousand balancers each probed every new endpoint, probes alone would fill it.
-	probe := b.settings.Balancers <= max(len(b.membership.all()), len(entries))
+	probe := b.probes.mayProbeNew(len(entries))
 	b.membership.beginUpdate()
 	for i := range entries {
 		b.updateEndpoint(now, &entries[i], probe)
--- a/balancer/pick.go
+++ b/balancer/pick.go
@@ -84,8 +84,9 @@
 // affinityRanking returns the endpoints that a key names by weighted rendezvous hashing, the same at every
 // balancer: first those of the own zone, then those of others.
 func (p *picker) affinityRanking(now Micros, key uint64) (top [2 * affinityChoices]candidate) {
+	contract := &p.settings.Contract
 	for _, e := range p.membership.all() {
-		if !e.usable() || e.isEjected(now) || e.isWarming(now, &p.settings.Contract) {
+		if !e.usable() || e.isEjected(now) || e.isWarming(now, contract) {
 			continue // a warming endpoint has met no keys
 		}
 		score := -math.Log(uniformHash(key, e.Name)) / max(minAffinityWeight, float64(e.Weight))
--- a/balancer/probing.go
+++ b/balancer/probing.go
@@ -103,6 +103,12 @@
 	}
 }
 
+// mayProbeNew tells whether each new endpoint of a list of so many entries is probed at once. If a thousand
+// balancers did that, probes alone would fill an endpoint.
+func (p *prober) mayProbeNew(entries int) bool {
+	return p.settings.Balancers <= max(len(p.membership.all()), entries)
+}
+
 // round probes a few random endpoints and schedules the next round.
 func (p *prober) round(now Micros) {
 	if p.roundsActive = p.settings.Limits.Probes; !p.roundsActive {
--- a/balancer/slowstart.go
+++ b/balancer/slowstart.go
@@ -97,12 +97,13 @@
 func (s *slowStart) refill(now Micros, work float64) {
 	var warm, ready, warming, least, level float64
 	s.next = nil
+	contract := &s.settings.Contract
 	for _, e := range s.membership.all() {
 		if !e.usable() {
 			continue
 		}
 		ready++
-		if !e.isWarming(now, &s.settings.Contract) {
+		if !e.isWarming(now, contract) {
 			warm++
 			continue
 		}
@@ -121,9 +122,8 @@
 	if warm == 0 { // nothing to compare with: an even share of the demand
 		warm, rate = ready, s.demand.rate(now)*work
 	}
-	c := &s.settings.Contract
-	fill := min(1, warmingShare*c.OverloadFactor) * warming * rate / max(1, warm)
-	limit := max(fill*float64(c.OverloadWindow)/float64(second)/2, work*warmingCharge)
+	fill := min(1, warmingShare*contract.OverloadFactor) * warming * rate / max(1, warm)
+	limit := max(fill*float64(contract.OverloadWindow)/float64(second)/2, work*warmingCharge)
 	s.tokens += fill * float64(now-s.tokensAt) / float64(second)
 	if s.next != nil && s.tokens > limit {
 		// An endpoint that does not use its tokens is busy or far away, and would keep them from all others: what
