--- a/balancer/admission.go
+++ b/balancer/admission.go
@@ -109,7 +109,7 @@
 func (a *admission) waitForProbes(now Micros, r *request) bool {
 	// While most requests are rejected, most go without probes: clients retry, and the probes alone would fill
 	// the fleet.
-	probing := a.probes.withRequests() && a.settings.Limits.Probes && len(a.settings.ReportFields) > 0
+	probing := a.probes.probesWithRequests() && a.settings.Limits.Probes && len(a.settings.ReportFields) > 0
 	if !probing || a.random.uniform() > max(minFirstAttemptShare, 2-2*a.demand.rejected()) {
 		return false
 	}
--- a/balancer/balancer.go
+++ b/balancer/balancer.go
@@ -56,13 +56,14 @@
 	slotBits          = 20
 )
 
-// New returns a balancer, or a *SettingError. Call Start before any other event.
-func New(s Settings, seed uint64, out Actions) (*Balancer, error) {
+// New returns a balancer, or a *SettingError. The seed and the events determine all that it does. Call Start before
+// any other event.
+func New(s Settings, seed uint64, actions Actions) (*Balancer, error) {
 	if err := s.Validate(); err != nil {
 		return nil, err
 	}
 	b := &Balancer{environment: environment{
-		actions: out, random: splitMix64(seed), lastLogged: map[string]Micros{},
+		actions: actions, random: splitMix64(seed), lastLogged: map[string]Micros{},
 	}}
 	env := &b.environment
 	b.demand = newDemand(env)
@@ -163,7 +164,7 @@
 		return
 	}
 	b.stats.Requests++
-	b.retries.earn()
+	b.retries.deposit()
 	b.demand.recordArrival(now, r)
 	b.estimates.estimateWork(r)
 	if now >= in.Deadline || b.ledger.full() {
@@ -286,7 +287,7 @@
 // that returns was likely restarted: it counts as a new process, warming up since the instant given.
 func (b *Balancer) Cordon(now Micros, name uint64, cordoned bool, since Micros) {
 	b.membership.setCordoned(name, cordoned)
-	for _, e := range b.membership.all() {
+	for _, e := range b.membership.list() {
 		if e.Name != name || e.cordoned == cordoned {
 			continue
 		}
--- a/balancer/discovery_test.go
+++ b/balancer/discovery_test.go
@@ -35,11 +35,11 @@
 			b.HandleEndpoints(0, ListDelta, nil)
 			for n := range 8 {
 				delay := fails()
-				if most := max(grace/2, minPollDelay*3/2+1); n == 0 && delay > most {
-					t.Errorf("grace %d: asked again after %d, want %d at most", grace, delay, most)
+				if atMost := max(grace/2, minPollDelay*3/2+1); n == 0 && delay > atMost {
+					t.Errorf("grace %d: asked again after %d, want %d at most", grace, delay, atMost)
 				}
-				if least := min(s.Contract.PollInterval/8, minPollDelay/2<<n); delay < least {
-					t.Errorf("grace %d: try %d after %d, want %d at least", grace, n, delay, least)
+				if atLeast := min(s.Contract.PollInterval/8, minPollDelay/2<<n); delay < atLeast {
+					t.Errorf("grace %d: try %d after %d, want %d at least", grace, n, delay, atLeast)
 				}
 			}
 		}
--- a/balancer/loadreport_test.go
+++ b/balancer/loadreport_test.go
@@ -177,10 +177,10 @@
 // one that probes many follows them.
 func TestFewReportsDoNotMoveTypicalLoad(t *testing.T) {
 	for _, c := range []struct {
-		name        string
-		endpoints   int
-		answers     []float32
-		least, most float64 // of the typical load
+		name            string
+		endpoints       int
+		answers         []float32
+		atLeast, atMost float64 // of the typical load
 	}{
 		{"the first is odd", 60, []float32{9, 1, 1, 1, 1, 1, 1, 1, 1, 1}, 1, 2},
 		{"all so far are odd", 60, []float32{9, 9}, 1, 3},
@@ -194,8 +194,8 @@
 			for i, load := range c.answers {
 				b.HandleProbe(Micros(i)*second, uint32(i%c.endpoints+1), OK, 500, []float32{load})
 			}
-			if got := b.estimates.typicalLoad.value; got < c.least || got > c.most {
-				t.Errorf("the typical load is %.2f, want %.1f to %.1f", got, c.least, c.most)
+			if got := b.estimates.typicalLoad.value; got < c.atLeast || got > c.atMost {
+				t.Errorf("the typical load is %.2f, want %.1f to %.1f", got, c.atLeast, c.atMost)
 			}
 		})
 	}
--- a/balancer/membership.go
+++ b/balancer/membership.go
@@ -27,8 +27,8 @@
 	}
 }
 
-// all returns the known endpoints. The caller must not change the slice.
-func (m *membership) all() []*endpoint { return m.endpoints }
+// list returns the known endpoints. The caller must not change the slice.
+func (m *membership) list() []*endpoint { return m.endpoints }
 
 // largestWeight returns the largest weight ever listed.
 func (m *membership) largestWeight() float64 { return m.maxWeight }
--- a/balancer/pick.go
+++ b/balancer/pick.go
@@ -56,7 +56,7 @@
 // if it can be had. Ejected endpoints are returned only if there is no other. It returns nil if there is none
 // at all.
 func (p *picker) randomEndpoint(now Micros, r *request, excluded *endpoint, maxRoundTrip float64) *endpoint {
-	endpoints := p.membership.all()
+	endpoints := p.membership.list()
 	n := len(endpoints)
 	var ejected *endpoint
 	at := int(p.random.uniform() * float64(n))
@@ -85,7 +85,7 @@
 // balancer: first those of the own zone, then those of others.
 func (p *picker) affinityRanking(now Micros, key uint64) (top [2 * affinityChoices]candidate) {
 	contract := &p.settings.Contract
-	for _, e := range p.membership.all() {
+	for _, e := range p.membership.list() {
 		if !e.usable() || e.isEjected(now) || e.isWarming(now, contract) {
 			continue // a warming endpoint has met no keys
 		}
@@ -145,7 +145,7 @@
 // pick returns the endpoint for an attempt of r, or nil if there is none.
 func (p *picker) pick(now Micros, r *request, excluded *endpoint) *endpoint {
 	p.slowStart.refill(now, r.work)
-	pool := p.probes.fresh(now, r.class.LatencyObjective)
+	pool := p.probes.freshPool(now, r.class.LatencyObjective)
 	warming := p.slowStart.candidate()
 	if warming != nil && warming.awaitsTrial && warming.lastResponseAt > 0 && warming != excluded &&
 		p.ledger.maySend(now, r, warming) {
@@ -162,7 +162,7 @@
 	// Seldom drawn, the next warming endpoint would stay cold if it did not compete.
 	p.consider(now, r, excluded, p.slowStart.candidate(), &best)
 	// If the pool holds few of the endpoints, it must not get all requests: random draws compete.
-	small := !p.probes.withRequests() && 2*len(pool) < len(p.membership.all())
+	small := !p.probes.probesWithRequests() && 2*len(pool) < len(p.membership.list())
 	if best.endpoint == nil || small {
 		for range 2 {
 			e := p.randomEndpoint(now, r, excluded, float64(r.Deadline))
--- a/balancer/pick_test.go
+++ b/balancer/pick_test.go
@@ -30,7 +30,7 @@
 
 // In a large fleet all balancers learn of the same idle endpoint: none may fill it alone.
 func TestIdleReportDoesNotAttractAHerd(t *testing.T) {
-	for _, c := range []struct{ balancers, most int }{{1, 5}, {3, 3}, {15, 2}} {
+	for _, c := range []struct{ balancers, atMost int }{{1, 5}, {3, 3}, {15, 2}} {
 		s := testSettings()
 		s.Balancers = c.balancers
 		b, r := start(t, s, ready(4))
@@ -46,9 +46,9 @@
 				n++
 			}
 		}
-		if len(r.sends) != 8 || n == 0 || n > c.most {
+		if len(r.sends) != 8 || n == 0 || n > c.atMost {
 			t.Errorf("%d balancers: %d of %d sends to the idle endpoint, want 1 to %d",
-				c.balancers, n, len(r.sends), c.most)
+				c.balancers, n, len(r.sends), c.atMost)
 		}
 	}
 }
@@ -124,12 +124,12 @@
 // does it go elsewhere, and only if there are enough own reports to know where.
 func TestKeyAffinityPicksRendezvousEndpoints(t *testing.T) {
 	for _, c := range []struct {
-		name        string
-		warm        bool
-		key         uint64
-		jammed      bool // the endpoints that the key names
-		many        bool // own probes
-		least, most int  // endpoints used
+		name            string
+		affinity        bool
+		key             uint64
+		overloaded      bool // the endpoints that the key names
+		manyProbes      bool
+		atLeast, atMost int // endpoints used
 	}{
 		{"warm keys", true, 5, false, false, 1, 2},
 		{"keys are not remembered", false, 5, false, false, 12, 40},
@@ -139,7 +139,7 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			s := testSettings()
-			s.KeyAffinity, s.Balancers, s.Zones = c.warm, 40, 2
+			s.KeyAffinity, s.Balancers, s.Zones = c.affinity, 40, 2
 			list := ready(40)
 			for i := range list {
 				list[i].Zone, list[i].Name = uint8(i%2), uint64(i+1)
@@ -158,7 +158,7 @@
 					id := list[(i*7+int(seed))%len(list)].ID
 					b.HandleProbe(1000, id, OK, 500, []float32{load(id)})
 				}
-				if c.many {
+				if c.manyProbes {
 					b.demand.requestRate.add(1000, 200) // probes go by what is asked
 				}
 				q := testRequest(1, 0, 2000)
@@ -178,18 +178,18 @@
 			}
 			for seed := range uint64(200) {
 				used[send(func(id uint32) float32 {
-					if c.jammed && names[id] {
+					if c.overloaded && names[id] {
 						return 60
 					}
 					return float32((uint64(id)*13+seed*7)%5) / 2
 				}, seed)] = true
 			}
 			delete(used, 0) // rejected
-			if len(used) < c.least || len(used) > c.most {
-				t.Errorf("%d endpoints were used, want %d to %d", len(used), c.least, c.most)
+			if len(used) < c.atLeast || len(used) > c.atMost {
+				t.Errorf("%d endpoints were used, want %d to %d", len(used), c.atLeast, c.atMost)
 			}
 			for id := range names {
-				if c.jammed && used[id] {
+				if c.overloaded && used[id] {
 					t.Errorf("endpoint %d was used though overloaded", id)
 				}
 			}
--- a/balancer/prediction.go
+++ b/balancer/prediction.go
@@ -29,11 +29,11 @@
 	probes *prober
 
 	zoneLatencies         [256]zoneLatency
-	fleetServiceTimeRatio ewma // measured over predicted service time, over warm endpoints
-	queuedProbeShare      ewma // share of probes that queued behind requests
-	lateReportShare       ewma // share of load reports that must be late
-	reportsLate           bool // so many are that their means are used instead
-	typicalLoad           cumulativeMean
+	fleetServiceTimeRatio ewma           // measured over predicted service time, over warm endpoints
+	queuedProbeShare      ewma           // share of probes that queued behind requests
+	lateReportShare       ewma           // share of load reports that must be late
+	reportsLate           bool           // so many are that their means are used instead
+	typicalLoad           cumulativeMean // requests of other balancers at a warm endpoint
 	typicalWarmingLoad    cumulativeMean // typicalLoad of warming endpoints, which all balancers send little
 	workHintTrust         float64        // power of a work hint that the actual work grows with
 	trend                 float64        // measured over predicted latency, over all endpoints
@@ -70,7 +70,7 @@
 		others = typical + (others-typical)*math.Exp(-age/float64(minPoolAge))
 	}
 	sentSince := float64(max(0, e.inFlight-e.inFlightAtReport))
-	herd := float64(est.settings.Balancers-1) / 2 * sentSince * indicator(!est.probes.withRequests())
+	herd := float64(est.settings.Balancers-1) / 2 * sentSince * indicator(!est.probes.probesWithRequests())
 	return others + float64(e.inFlight) + herd
 }
 
--- a/balancer/probing.go
+++ b/balancer/probing.go
@@ -40,8 +40,8 @@
 	}
 }
 
-// withRequests tells whether probes go with single requests, not in rounds.
-func (p *prober) withRequests() bool { return p.perRequest }
+// probesWithRequests tells whether probes go with single requests, not in rounds.
+func (p *prober) probesWithRequests() bool { return p.perRequest }
 
 // countPerRequest is the number of probes that go with a request.
 func (p *prober) countPerRequest() int { return int(p.probesPerRequest) }
@@ -62,9 +62,9 @@
 	}
 }
 
-// fresh returns the pool for a request of this latency objective, after dropping endpoints whose report is
-// too old. The caller must not change the slice.
-func (p *prober) fresh(now, objective Micros) []*endpoint {
+// freshPool returns the pool for a request of this latency objective, after dropping endpoints whose report
+// is too old. The caller must not change the slice.
+func (p *prober) freshPool(now, objective Micros) []*endpoint {
 	maxAge := p.maxReportAge(now, objective)
 	kept := p.pool[:0]
 	for _, e := range p.pool {
@@ -82,7 +82,7 @@
 	if p.perRequest {
 		return Micros(maxRequestProbeAge * float64(objective))
 	}
-	endpoints := float64(len(p.membership.all()))
+	endpoints := float64(len(p.membership.list()))
 	return max(minPoolAge, Micros(poolRounds*endpoints/p.rate(now)*float64(second)))
 }
 
@@ -90,7 +90,7 @@
 // then sent by the typical load, which a few odd reports must not move.
 func (p *prober) reportsSparse(now Micros) bool {
 	return p.settings.Limits.Probes && len(p.settings.ReportFields) > 0 &&
-		float64(len(p.membership.all()))/p.rate(now) > poolRounds*float64(minPoolAge)/float64(second)
+		float64(len(p.membership.list()))/p.rate(now) > poolRounds*float64(minPoolAge)/float64(second)
 }
 
 // probe probes e, unless a probe of it is in flight.
@@ -106,7 +106,7 @@
 // mayProbeNew tells whether each new endpoint of a list of so many entries is probed at once. If a thousand
 // balancers did that, probes alone would fill an endpoint.
 func (p *prober) mayProbeNew(entries int) bool {
-	return p.settings.Balancers <= max(len(p.membership.all()), entries)
+	return p.settings.Balancers <= max(len(p.membership.list()), entries)
 }
 
 // round probes a few random endpoints and schedules the next round.
@@ -115,7 +115,7 @@
 		p.perRequest = false
 		return
 	}
-	rate, endpoints := p.rate(now), p.membership.all()
+	rate, endpoints := p.rate(now), p.membership.list()
 	p.choosePerRequest(now, rate)
 	if p.perRequest {
 		p.actions.StartTimer(minPoolAge/2+p.random.duration(minPoolAge), probeTimerToken)
@@ -136,7 +136,7 @@
 // choosePerRequest has probes go with requests where a round of the list takes too long for a fresh pool, and
 // own requests in flight tell little of the load.
 func (p *prober) choosePerRequest(now Micros, rate float64) {
-	size := float64(len(p.membership.all()))
+	size := float64(len(p.membership.list()))
 	own := p.demand.rate(now) * p.demand.referenceWork() / float64(second)
 	p.perRequest = p.probesPerRequest >= 1 && size*float64(second) > rate*float64(minPoolAge) &&
 		own < minInFlightPerEndpoint*size
--- a/balancer/retries.go
+++ b/balancer/retries.go
@@ -13,11 +13,11 @@
 	overdueExtension = 2    // divides the time waited so far, for which a suspected attempt is waited for again
 )
 
-// budget is a token bucket of attempts, filled by requests.
+// budget is a token bucket of attempts: each request deposits a share of one, as in Finagle's retry budget.
 type budget float64
 
-// earn adds a share of an attempt.
-func (b *budget) earn(share float64) { *b = budget(min(maxBudget, float64(*b)+share)) }
+// deposit adds a share of an attempt, up to maxBudget.
+func (b *budget) deposit(share float64) { *b = budget(min(maxBudget, float64(*b)+share)) }
 
 // retrier decides on retries and hedged requests.
 type retrier struct {
@@ -39,10 +39,10 @@
 	}
 }
 
-// earn fills the budgets by one request.
-func (t *retrier) earn() {
-	t.retryBudget.earn(retryShare)
-	t.hedgeBudget.earn(hedgeShare)
+// deposit fills the budgets by one request.
+func (t *retrier) deposit() {
+	t.retryBudget.deposit(retryShare)
+	t.hedgeBudget.deposit(hedgeShare)
 }
 
 // watch starts a timer for when r's latest attempt is overdue, if attempts get lost at all.
--- a/balancer/slowstart.go
+++ b/balancer/slowstart.go
@@ -98,7 +98,7 @@
 	var warm, ready, warming, least, level float64
 	s.next = nil
 	contract := &s.settings.Contract
-	for _, e := range s.membership.all() {
+	for _, e := range s.membership.list() {
 		if !e.usable() {
 			continue
 		}
--- a/balancer/slowstart_test.go
+++ b/balancer/slowstart_test.go
@@ -175,11 +175,11 @@
 		b.HandleEndpoints(5*second, ListDelta, news)
 		run(5*second, 8*second)
 	}
-	var all, most int
+	var all, largest int
 	for id, n := range counts {
 		if id > warm {
 			all += n
-			most = max(most, n)
+			largest = max(largest, n)
 		}
 	}
 	// 800 requests a second, 40 at a warm endpoint; warm-up fraction goes from 0.2 to 0.44 in these 3 s, 0.32 on average.
@@ -187,8 +187,8 @@
 	if got := float64(all) / cold; got < 0.3*fair || got > fair {
 		t.Errorf("a warming endpoint got %.1f on average, its warm-up fraction makes %.1f", got, fair)
 	}
-	if float64(most) > 2*fair {
-		t.Errorf("one warming endpoint got %d, its warm-up fraction makes %.1f", most, fair)
+	if float64(largest) > 2*fair {
+		t.Errorf("one warming endpoint got %d, its warm-up fraction makes %.1f", largest, fair)
 	}
 }
 
@@ -221,15 +221,15 @@
 		b.slowStart.refill(now+second/10, 1)
 		return b.slowStart.tokens
 	}
-	least := got(0, 0)
-	if few := got(2, 80_000); few < least || few > 1.3*least {
-		t.Errorf("after two quick answers %v, at first %v", few, least)
+	initial := got(0, 0)
+	if few := got(2, 80_000); few < initial || few > 1.3*initial {
+		t.Errorf("after two quick answers %v, at first %v", few, initial)
 	}
-	if quick := got(60, 80_000); quick < 1.5*least || quick > 2.1*least {
-		t.Errorf("quick ones get %v, at first %v", quick, least)
+	if quick := got(60, 80_000); quick < 1.5*initial || quick > 2.1*initial {
+		t.Errorf("quick ones get %v, at first %v", quick, initial)
 	}
-	if slow := got(60, 400_000); slow > 1.4*least {
-		t.Errorf("slow ones get %v, at first %v", slow, least)
+	if slow := got(60, 400_000); slow > 1.4*initial {
+		t.Errorf("slow ones get %v, at first %v", slow, initial)
 	}
 }
 
