--- a/balancer/discovery_test.go
+++ b/balancer/discovery_test.go
@@ -30,16 +30,16 @@
 			b.Start(0)
 			b.HandleEndpoints(0, ListCached, ready(2))
 			if delay := fails(); delay < s.Contract.PollInterval/40 {
-				t.Errorf("grace %d: after a failed first call asked again after %d", grace, delay)
+				t.Errorf("grace %d: after a failed first call polled again after %d", grace, delay)
 			}
 			b.HandleEndpoints(0, ListDelta, nil)
 			for n := range 8 {
 				delay := fails()
 				if atMost := max(grace/2, minPollDelay*3/2+1); n == 0 && delay > atMost {
-					t.Errorf("grace %d: asked again after %d, want %d at most", grace, delay, atMost)
+					t.Errorf("grace %d: polled again after %d, want %d at most", grace, delay, atMost)
 				}
 				if atLeast := min(s.Contract.PollInterval/8, minPollDelay/2<<n); delay < atLeast {
-					t.Errorf("grace %d: try %d after %d, want %d at least", grace, n, delay, atLeast)
+					t.Errorf("grace %d: call %d after %d, want %d at least", grace, n, delay, atLeast)
 				}
 			}
 		}
@@ -73,7 +73,7 @@
 		} // else the answer is lost
 		fire()
 		if now-before > s.Contract.PollInterval {
-			t.Fatalf("asked only after %d", now-before)
+			t.Fatalf("polled only after %d", now-before)
 		}
 	}
 	if len(b.membership.endpoints) != 2 {
@@ -83,6 +83,6 @@
 	n := r.watches
 	b.HandleTimer(now+100*second, pollTimerToken)
 	if r.watches != n {
-		t.Error("asked again while subscribed")
+		t.Error("polled again while subscribed")
 	}
 }
--- a/balancer/loadreport_test.go
+++ b/balancer/loadreport_test.go
@@ -45,7 +45,7 @@
 		b.HandleProbe(15_000+i, busy.ID, OK, 500, []float32{5})
 	}
 	if b.estimates.reportsLate {
-		t.Error("not left again")
+		t.Error("still taken for late")
 	}
 }
 
--- a/balancer/membership_test.go
+++ b/balancer/membership_test.go
@@ -28,8 +28,8 @@
 	const began = 10 * hour // of this balancer, by its own clock
 	old := Endpoint{ID: 1, Name: 1, Weight: 1, StartTime: began - hour}
 	for name, c := range map[string]struct {
-		entry Endpoint
-		cold  bool
+		entry   Endpoint
+		warming bool
 	}{
 		"new, clocks agree":          {Endpoint{ID: 2, Name: 2, Weight: 1, StartTime: began + 60*second}, true},
 		"new, by a clock behind":     {Endpoint{ID: 2, Name: 2, Weight: 1, StartTime: began + 60*second - hour}, true},
@@ -51,8 +51,8 @@
 			b.HandleEndpoints(began+60*second, ListDelta, nil)
 			now := began + 61*second
 			b.HandleEndpoints(now, ListDelta, []Endpoint{c.entry})
-			if got := b.membership.byID[c.entry.ID].isWarming(now, &b.settings.Contract); got != c.cold {
-				t.Errorf("cold: %v, want %v", got, c.cold)
+			if got := b.membership.byID[c.entry.ID].isWarming(now, &b.settings.Contract); got != c.warming {
+				t.Errorf("warming: %v, want %v", got, c.warming)
 			}
 		})
 	}
--- a/balancer/pick.go
+++ b/balancer/pick.go
@@ -47,7 +47,7 @@
 // isLocal tells whether e is in the balancer's own zone.
 func (p *picker) isLocal(e *endpoint) bool { return int(e.Zone) == p.settings.Zone }
 
-// mayConsider tells whether r may go to e, which is neither excluded nor was tried.
+// mayConsider tells whether r may go to e, and e is neither excluded nor was tried before.
 func (p *picker) mayConsider(now Micros, r *request, excluded, e *endpoint) bool {
 	return e != excluded && !r.triedAt(e) && p.ledger.maySend(now, r, e)
 }
--- a/balancer/pick_test.go
+++ b/balancer/pick_test.go
@@ -159,7 +159,7 @@
 					b.HandleProbe(1000, id, OK, 500, []float32{load(id)})
 				}
 				if c.manyProbes {
-					b.demand.requestRate.add(1000, 200) // probes go by what is asked
+					b.demand.requestRate.add(1000, 200) // the rate of probes follows that of requests
 				}
 				q := testRequest(1, 0, 2000)
 				q.Key = c.key
--- a/balancer/rules_test.go
+++ b/balancer/rules_test.go
@@ -13,7 +13,7 @@
 	now             Micros
 	states          map[uint32]Endpoint
 	warming         map[uint32]Micros          // endpoint: start time
-	warmingRequests map[uint32]float64         // requests sent while cold
+	warmingRequests map[uint32]float64         // requests sent while warming up
 	requests        map[uint64]*checkedRequest // open and ended
 	faults          []string
 	timers          []pendingTimer
@@ -23,7 +23,7 @@
 type checkedRequest struct {
 	request  Request
 	answered int
-	closed   bool // it was told that the request is over
+	closed   bool // the balancer was notified of its end
 	attempts []checkedAttempt
 }
 
@@ -158,10 +158,10 @@
 	b.Start(c.now)
 	pause := 20_000 // at most, between events
 	list := ready(1 + rnd.Intn(6))
-	if s.Balancers > 2 { // a sliver of a large fleet
+	if s.Balancers > 2 { // one balancer of a large fleet
 		pause, list = 400_000, ready(20+rnd.Intn(60))
 	}
-	starts := rnd.Intn(3) // of all at once, cold
+	starts := rnd.Intn(3) // restarts of all endpoints at once
 	held := 0
 	members(ListCached, slices.Clone(list))
 	var open []uint64
--- a/balancer/simulation_test.go
+++ b/balancer/simulation_test.go
@@ -128,7 +128,7 @@
 				"one by one after a quiet time": func(f *fleet) {
 					f.startEndpoints(4, 4*second)
 				},
-				"one is put back": func(f *fleet) {
+				"one is uncordoned": func(f *fleet) {
 					for _, m := range f.members {
 						m.b.Cordon(f.now, 1, true, f.now)
 					}
--- a/balancer/slowstart_test.go
+++ b/balancer/slowstart_test.go
@@ -75,7 +75,7 @@
 				for _, cold := range []int{1, endpoints / 2, endpoints - 1, endpoints} {
 					for _, load := range []float64{0.5, 1, 2.5} {
 						for _, anew := range []bool{false, true} {
-							name := fmt.Sprintf("%d processes (anew %v), %d of %d endpoints cold, load %.1f, work %.0f ms", balancers, anew, cold,
+							name := fmt.Sprintf("%d processes (anew %v), %d of %d endpoints warming, load %.1f, work %.0f ms", balancers, anew, cold,
 								endpoints, load, work/1000)
 							t.Run(name, func(t *testing.T) {
 								t.Parallel()
@@ -326,6 +326,6 @@
 		}
 	}
 	if n := len(r.sends); n < 20 || n > 250 {
-		t.Errorf("%d of 400 sent to the only, cold, endpoint", n)
+		t.Errorf("%d of 400 sent to the only endpoint, which is warming", n)
 	}
 }
