--- a/balancer/balancer.go
+++ b/balancer/balancer.go
@@ -36,16 +36,6 @@
 	retries    retrier         // retries and hedged requests
 }
 
-// environment is what all parts share: the settings in force, the host's actions, the only source of random numbers,
-// and the counters.
-type environment struct {
-	settings   Settings
-	actions    Actions
-	random     splitMix64
-	stats      Stats
-	lastLogged map[string]Micros // instant of the latest line by topic
-}
-
 const second Micros = 1_000_000
 
 // Timer tokens below firstRequestToken belong to the balancer; others name a request by its slot and a count of uses.
--- /dev/null
+++ b/balancer/environment.go
@@ -0,0 +1,22 @@
+package balancer
+
+import "fmt"
+
+// environment is what all parts share: the settings in force, the host's actions, the only source of random numbers,
+// and the counters.
+type environment struct {
+	settings   Settings
+	actions    Actions
+	random     splitMix64
+	stats      Stats
+	lastLogged map[string]Micros // instant of the latest line by topic
+}
+
+// log writes a line for on-call staff, at most one a second for each topic: rejections come in thousands.
+func (env *environment) log(now Micros, topic, format string, args ...any) {
+	if at, ok := env.lastLogged[topic]; ok && now-at < second {
+		return
+	}
+	env.lastLogged[topic] = now
+	env.actions.Log(fmt.Sprintf(format, args...))
+}
--- a/balancer/stats.go
+++ b/balancer/stats.go
@@ -112,12 +112,3 @@
 		s.TypicalLoad, s.ServiceTimeRatio, s.Slowdown, s.RejectedShare, s.ReportsLate)
 	return counts + latencies + probes + state
 }
-
-// log writes a line for on-call staff, at most one a second for each topic: rejections come in thousands.
-func (env *environment) log(now Micros, topic, format string, args ...any) {
-	if at, ok := env.lastLogged[topic]; ok && now-at < second {
-		return
-	}
-	env.lastLogged[topic] = now
-	env.actions.Log(fmt.Sprintf(format, args...))
-}
