--- a/balancer/admission.go
+++ b/balancer/admission.go
@@ -1,178 +1,145 @@
 package balancer
 
-import "math"
+import "slices"
 
-// Admission: whether a request is worth an attempt now.
+// Admission: whether a request is worth an attempt now, and whether endpoints are probed for it first.
 
 const (
-	minPassInterval = 10   // requests that seem too late: one of so many is sent all the same,
-	maxPassInterval = 640  // and one of so many after passes that earned nothing
-	maxWaitShare    = 0.6  // of what the aim leaves may be waited by the class of most value: latencies vary
-	minWaitShare    = 0.2  // and by any
-	tenantSlack     = 1.25 // refusals below a fifth say nothing of shares
-	windowGain      = 4.0  // worth counts more in the worst windows, and those are when requests are refused
+	minTrialInterval = 10  // one of so many requests that seem too late is sent as a trial,
+	maxTrialInterval = 640 // and one of so many after trials that were not served in time
 )
 
-// HandleRequest handles a client's request.
-func (b *Balancer) HandleRequest(now Micros, in Request) {
-	if b.requests[in.ID] != nil {
-		return
-	}
-	r := b.newRequest(now, in)
-	if r == nil {
-		b.out.Reject(in.ID, 0) // nothing is known of its class, but an answer is owed
-		return
-	}
-	b.stats.Requests++
-	b.demand.add(now, 1)
-	b.credit = min(budgetBurst, b.credit+retryShare)
-	b.copies = min(budgetBurst, b.copies+copyShare)
-	c := r.class
-	c.asked.add(now, 1)
-	if r.tenant != nil {
-		r.tenant.add(now, 1)
-	}
-	r.work = c.work.v
-	if r.hint = 0; in.HasWorkHint && in.WorkHint > 0 {
-		c.work.add(float64(in.WorkHint), workWeight)
-		r.hint = math.Log(float64(in.WorkHint) / c.work.v)
-		r.work = c.work.v * math.Exp(b.trust*r.hint)
-	}
-	if now >= in.Deadline || b.open > b.s.Limits.MaxOpenRequests {
-		b.refuse(now, r)
-		return
-	}
-	if !b.hold(now, r) {
-		b.decide(now, r)
-	}
+// admission decides whether requests are sent.
+type admission struct {
+	*environment
+	demand    *demand
+	probes    *prober
+	estimates *estimator
+	breakers  *breakers
+	picker    *picker
+	ledger    *ledger
+	waiting   *waitlist
+	retries   *retrier
+
+	trialInterval int // requests that seem too late for one that is sent as a trial
 }
 
-// decide sends a request, or refuses it.
-func (b *Balancer) decide(now Micros, r *request) {
-	b.release(r)
+// dispatch sends a request, or rejects it.
+func (a *admission) dispatch(now Micros, r *request) {
+	a.waiting.remove(r)
 	first := len(r.attempts) == 0
-	sent := b.attempt(now, r, first)
+	sent := a.startAttempt(now, r)
 	if first {
-		b.refused.add(share(!sent), shareWeight)
+		a.demand.recordDecision(sent)
 	}
 	if !sent {
-		b.refuse(now, r)
+		a.ledger.reject(r)
 	}
 }
 
-// attempt picks and sends; a pick that the breaker refuses tries one more.
-func (b *Balancer) attempt(now Micros, r *request, first bool) bool {
-	if b.throttles(now) {
-		b.stats.Throttled++
+// startAttempt picks an endpoint and sends to it. If its breaker drops the request, one other is tried.
+func (a *admission) startAttempt(now Micros, r *request) bool {
+	if a.breakers.throttle(now) {
+		a.stats.Throttled++
 		return false
 	}
-	r.value = b.value(now, r)
-	e := b.pick(now, r, nil)
+	r.priority = a.demand.priority(now, r)
+	e := a.picker.pick(now, r, nil)
 	if e == nil {
-		b.stats.NoEndpoint++
+		a.stats.NoEndpoint++
 		return false
 	}
-	x, most := b.predict(now, e, r.work), b.room(now, r, e)
-	if x > most && b.crowding(now, e) > 1 {
-		// It would come too late to be worth its work: not where nobody waits, since few samples of a
-		// long-tailed latency make a healthy endpoint look hopeless, and a sidecar that is slow itself makes
-		// all of them look so: refused clients only come back sooner. As with the breaker, one
-		// passes now and then, so that a wrong guess does not feed itself: of so many, since a pass a second
-		// at each of a thousand balancers is more than a jammed fleet can bear.
-		c := r.class
-		c.since++
-		if !first || c.since < b.passOf || now-c.passed < forcedPass {
-			b.stats.TooLate++
-			b.log(now, "refuse", "requests rejected, %.0f%% recently: the best endpoint, %d, would take %.0f ms, "+
-				"limit %.0f ms; work %.0f ms, service time ratio %.2f, load %.1f, ours %d, value %.2f",
-				100*b.refused.v, e.ID, x/1000, most/1000, r.work/1000, e.paceNow(now, b), b.load(now, e),
-				e.inflight, r.value)
-			return false
-		}
-		c.passed, c.since = now, 0
-		r.pass = true
+	if a.tooLate(now, r, e) {
+		return false
 	}
-	if !b.allows(now, r, e) {
-		if e = b.pick(now, r, e); e == nil || !b.allows(now, r, e) {
-			b.stats.BreakerRejected++
+	if !a.breakers.allow(now, r, e) {
+		if e = a.picker.pick(now, r, e); e == nil || !a.breakers.allow(now, r, e) {
+			a.stats.BreakerRejected++
 			return false
 		}
 	}
-	return b.send(now, r, e)
-}
-
-// room is the longest predicted latency at which r is still sent to e: its time there without a queue, and
-// a part of what the aim leaves for waiting. Classes of little value for their work give way first.
-func (b *Balancer) room(now Micros, r *request, e *endpoint) float64 {
-	alone := b.ways[e.Zone].v + r.work*b.slowdown(now)*e.paceNow(now, b)
-	share := max(minWaitShare, maxWaitShare*r.value)
-	if n := len(r.attempts); n > 0 && r.attempts[n-1].late {
-		// The request was swallowed: it has waited longer than its class should already.
-		share = 1
+	if !a.ledger.send(now, r, e) {
+		return false
 	}
-	spare := float64(r.class.LatencyObjective) - float64(now-r.arrived) - alone
-	return min(alone+share*spare, float64(r.Deadline-now))
+	a.retries.watch(now, r)
+	return true
 }
 
-// value ranks r's class, 0 to 1, by the goal's gain from a unit of its work: worth, and more if served worst.
-func (b *Balancer) value(now Micros, r *request) float64 {
-	var work, worth float64
-	worst := 1.0
-	for _, c := range b.classes {
-		rate := c.asked.rate(now)
-		work += rate * c.work.v
-		worth += rate * b.worth(c)
-		worst = min(worst, c.good.or(1))
-	}
-	top, own := 0.0, -1.0 // of a class that is gone
-	for _, c := range b.classes {
-		part := c.asked.rate(now) * c.work.v / work
-		v := (b.s.Goal.Overall + windowGain*b.s.Goal.WorstWindow) * b.worth(c) / c.work.v * work / worth
-		v += b.s.Goal.WorstClass / max(0.05, part) * math.Exp((worst-c.good.or(1))/0.1)
-		top = max(top, v)
-		if c.classStats == r.class.classStats {
-			own = v
-		}
+// tooLate tells whether e, the best endpoint, would serve r too late to be worth its work.
+//
+// Where no request queues, none is too late: few samples of a long-tailed latency can make a healthy endpoint
+// look hopeless, and a sidecar that is slow itself makes all look so; rejected clients would only return
+// sooner. As with a half-open circuit breaker, a request passes as a trial now and then, so that a wrong
+// estimate does not confirm itself. That is one of so many, since one a second at each of a thousand
+// balancers is more than an overloaded fleet can serve.
+func (a *admission) tooLate(now Micros, r *request, e *endpoint) bool {
+	expected, limit := a.estimates.latency(now, e, r.work), a.estimates.latencyLimit(now, r, e)
+	late := expected > limit && a.estimates.queueingFactor(now, e) > 1
+	if !late {
+		return false
 	}
-	if !(top > 0) || own < 0 {
-		return 1 // no worth was set
+	c := r.class
+	c.tooLateSinceTrial++
+	mayTry := len(r.attempts) == 0 && c.tooLateSinceTrial >= a.trialInterval
+	if mayTry && now-c.lastTrialAt >= forcedTrialInterval {
+		c.lastTrialAt, c.tooLateSinceTrial = now, 0
+		r.trial = true
+		return false
 	}
-	return own / top * b.shareWorth(now, r)
+	a.stats.TooLate++
+	a.log(now, "refuse", "requests rejected, %.0f%% recently: the best endpoint, %d, would take %.0f ms, "+
+		"limit %.0f ms; work %.0f ms, service time ratio %.2f, load %.1f, ours %d, value %.2f",
+		100*a.demand.rejected(), e.ID, expected/1000, limit/1000, r.work/1000,
+		a.estimates.serviceTimeRatio(now, e), a.estimates.load(now, e), e.inFlight, r.priority)
+	return true
 }
 
-// shareWorth ranks r's tenant, 0 to 1, by what a request of it is worth on average against one of the tenant
-// whose are worth most, given how much of a tenant's traffic lies beyond its share. Only this balancer's mix
-// and refusals are known: the whole demand is taken to exceed the sum of the allowances as it exceeds what is
-// let in here. What lowers all alike ranks none: it must not refuse more, and so lower all again.
-func (b *Balancer) shareWorth(now Micros, r *request) float64 {
-	if r.tenant == nil {
-		return 1
-	}
-	var asked, allowed, top float64
-	own := b.s.OverQuotaWeight // a tenant that is gone has no share any more
-	for _, t := range b.tenants {
-		asked += t.rate(now)
-		allowed += t.QuotaRate
+// recordTrial adapts the trial interval to an outcome of r.
+func (a *admission) recordTrial(r *request, inTime bool) {
+	if inTime {
+		a.trialInterval = minTrialInterval
+	} else if r.trial {
+		// The endpoints are still overloaded: more trials would only prolong that.
+		a.trialInterval = min(2*a.trialInterval, maxTrialInterval)
 	}
-	if allowed <= 0 {
-		return 1
+}
+
+// waitForProbes probes a few random endpoints for r, and has r wait for their answers. It returns false if r
+// should be dispatched at once.
+func (a *admission) waitForProbes(now Micros, r *request) bool {
+	// While most requests are rejected, most go without probes: clients retry, and the probes alone would fill
+	// the fleet.
+	probing := a.probes.probesWithRequests() && a.settings.Limits.Probes && len(a.settings.ReportFields) > 0
+	if !probing || a.random.uniform() > max(minFirstAttemptShare, 2-2*a.demand.rejected()) {
+		return false
 	}
-	for _, t := range b.tenants {
-		inside := 1.0
-		if mine := t.rate(now); mine > 0 {
-			inside = min(1, t.QuotaRate/allowed*asked/mine*(1-b.refused.v)*tenantSlack)
-			top = max(top, inside+(1-inside)*b.s.OverQuotaWeight)
+	wait := min(maxProbeWaitShare*float64(r.class.LatencyObjective), float64(r.Deadline-now)/4)
+	for i := range a.probes.countPerRequest() {
+		// One endpoint of the balancer's own zone, and others whose answer can come in time; farther ones while
+		// many requests are rejected.
+		maxRoundTrip := wait / 2
+		if i == 0 {
+			maxRoundTrip = 0
+		} else if a.random.uniform() < a.demand.rejected() {
+			maxRoundTrip = wait
+		}
+		e := a.picker.randomEndpoint(now, r, nil, maxRoundTrip)
+		if e == nil {
+			return false
 		}
-		if t.meter == r.tenant.meter {
-			own = inside + (1-inside)*b.s.OverQuotaWeight
+		if !slices.Contains(r.awaitedEndpoints, e) {
+			a.probes.probe(now, e)
+			r.awaitedEndpoints = append(r.awaitedEndpoints, e)
 		}
 	}
-	if !(top > 0) {
-		return 1
-	}
-	return own / top
+	a.waiting.add(r)
+	a.actions.StartTimer(max(1, Micros(wait)), r.timerToken)
+	return true
 }
 
-func (b *Balancer) worth(c *class) float64 {
-	return c.PriorityWeight * (1 + (c.work.v-1)*share(b.s.WeightByWork))
+// resumeAwaiting dispatches the requests that no longer need to wait once a probe of e has ended.
+func (a *admission) resumeAwaiting(now Micros, e *endpoint) {
+	for r, i := a.waiting.resumable(now, e, fromEnd); r != nil; r, i = a.waiting.resumable(now, e, i) {
+		a.dispatch(now, r)
+	}
 }
--- a/balancer/breaker.go
+++ b/balancer/breaker.go
@@ -1,74 +1,204 @@
 package balancer
 
-// The circuit breaker of each endpoint.
+// Circuit breakers of single endpoints, the error throttle over all of them, and outlier ejection.
 
-// go-zero's constants.
+// The constants of go-zero's adaptive breaker (its pull request 5366), which follows client-side throttling
+// in the SRE book: K falls from maxK to minK as more buckets in a row fail.
 const (
-	window      = 10 * second
-	buckets     = 40
-	maxK        = 1.5
-	minK        = 1.1
-	protection  = 5
-	forcedPass  = second
-	activation  = 3
-	ceilingPart = 0.95
-	fallDivisor = 4
-	riseDivisor = 100
-	currDivisor = 4
-	latencyCap  = 0.3
+	breakerWindow             = 10 * second
+	breakerBuckets            = 40
+	maxK                      = 1.5
+	minK                      = 1.1
+	protectedRequests         = 5      // that never count as too many
+	forcedTrialInterval       = second // after which a request is let through in spite of the draw
+	latencyActivationFactor   = 3      // times the base latency, from which requests are dropped
+	latencyCeilingShare       = 0.95   // of the client's timeout, at which maxLatencyDropProbability is reached
+	baseFallDivisor           = 4
+	baseRiseDivisor           = 100
+	currentDivisor            = 4
+	maxLatencyDropProbability = 0.3
 )
 
-func (k *breaker) errorChance(now Micros) float64 {
-	k.slide(now)
-	failing := 0
-	for i := k.head + 1; i <= k.head+buckets; i++ {
-		if at := &k.ring[i%buckets]; at.accepts > 0 {
+// circuitBreaker holds an endpoint's window of outcomes and its two latency averages.
+type circuitBreaker struct {
+	buckets        [breakerBuckets]breakerBucket
+	newest         int64 // number of the newest bucket since instant 0
+	requests       int   // over the window
+	accepts        int
+	baseLatency    float64 // falls fast and rises slowly
+	currentLatency float64
+	lastTrialAt    Micros // latest request let through in spite of the draw
+}
+
+type breakerBucket struct{ requests, accepts, failures int }
+
+// advance returns the bucket of this instant, after dropping those that left the window.
+func (k *circuitBreaker) advance(now Micros) *breakerBucket {
+	n := now / (breakerWindow / breakerBuckets)
+	if n-k.newest >= breakerBuckets {
+		k.buckets, k.requests, k.accepts, k.newest = [breakerBuckets]breakerBucket{}, 0, 0, n
+	}
+	for k.newest < n {
+		k.newest++
+		old := &k.buckets[k.newest%breakerBuckets]
+		k.requests -= old.requests
+		k.accepts -= old.accepts
+		*old = breakerBucket{}
+	}
+	return &k.buckets[n%breakerBuckets]
+}
+
+// breakerResult is what became of a request.
+type breakerResult uint8
+
+const (
+	accepted breakerResult = iota
+	failed
+	dropped // by the breaker
+)
+
+// count adds a request to the newest bucket.
+func (k *circuitBreaker) count(now Micros, result breakerResult) {
+	bucket := k.advance(now)
+	bucket.requests++
+	k.requests++
+	switch result {
+	case accepted:
+		bucket.accepts++
+		k.accepts++
+	case failed:
+		bucket.failures++
+	case dropped:
+	}
+}
+
+// addLatency adds a latency to both averages.
+func (k *circuitBreaker) addLatency(x float64) {
+	if k.baseLatency <= 0 {
+		k.baseLatency, k.currentLatency = x, x
+		return
+	}
+	divisor := float64(baseRiseDivisor)
+	if x < k.baseLatency {
+		divisor = baseFallDivisor
+	}
+	k.baseLatency = (x + (divisor-1)*k.baseLatency) / divisor
+	k.currentLatency = (x + (currentDivisor-1)*k.currentLatency) / currentDivisor
+}
+
+// errorDropProbability grows with the failures in the window.
+func (k *circuitBreaker) errorDropProbability(now Micros) float64 {
+	k.advance(now)
+	failing := 0 // buckets with failures alone since the latest success
+	for i := k.newest + 1; i <= k.newest+breakerBuckets; i++ {
+		if bucket := &k.buckets[i%breakerBuckets]; bucket.accepts > 0 {
 			failing = 0
-		} else if at.failures > 0 {
+		} else if bucket.failures > 0 {
 			failing++
 		}
 	}
-	weight := max(minK, maxK-(maxK-minK)*float64(failing)/buckets)
-	return dropChance(float64(k.requests), weight*float64(k.accepts))
+	weight := max(minK, maxK-(maxK-minK)*float64(failing)/breakerBuckets)
+	return dropProbability(float64(k.requests), weight*float64(k.accepts))
 }
 
-func dropChance(requests, allowed float64) float64 {
-	return max(0, (requests-protection-allowed)/(requests+1))
+// latencyDropProbability grows with the current latency between a multiple of the base and the timeout.
+func (k *circuitBreaker) latencyDropProbability(timeout float64) float64 {
+	threshold := latencyActivationFactor * k.baseLatency
+	ceiling := latencyCeilingShare * timeout
+	if k.baseLatency <= 0 || ceiling <= threshold {
+		return 0
+	}
+	excess := (k.currentLatency - threshold) / (ceiling - threshold)
+	return min(maxLatencyDropProbability, max(0, excess*maxLatencyDropProbability))
 }
 
-func (k *breaker) latencyChance(timeout float64) float64 {
-	threshold := activation * k.base
-	ceiling := ceilingPart * timeout
-	if k.base <= 0 || ceiling <= threshold {
-		return 0
+// dropProbability is that of client-side throttling in the SRE book.
+func dropProbability(requests, allowed float64) float64 {
+	return max(0, (requests-protectedRequests-allowed)/(requests+1))
+}
+
+// breakers draws for the circuit breakers of endpoints and for the error throttle over all of them.
+type breakers struct {
+	*environment
+	recentAttempts decayingAcceptance // attempts that ended, and those throttled
+}
+
+// configure sets the memory of the throttle: within the longest client timeout, all that is sent has its
+// outcome.
+func (k *breakers) configure(s *Settings) {
+	k.recentAttempts.timeConstant = 0
+	for i := range s.Classes {
+		k.recentAttempts.timeConstant = max(k.recentAttempts.timeConstant, s.Classes[i].ClientTimeout)
 	}
-	return min(latencyCap, max(0, (k.current-threshold)/(ceiling-threshold)*latencyCap))
 }
 
-// drops draws a lot with this chance; one request passes now and then.
-func (b *Balancer) drops(now Micros, chance float64, passed *Micros) bool {
-	if chance > 0 && now-*passed > forcedPass {
-		*passed = now
+// drops draws with this probability; one request is let through now and then.
+func (k *breakers) drops(now Micros, probability float64, lastTrialAt *Micros) bool {
+	if probability > 0 && now-*lastTrialAt > forcedTrialInterval {
+		*lastTrialAt = now
 		return false
 	}
-	return b.rng.float() < chance
+	return k.random.uniform() < probability
 }
 
-// throttles draws the lot of the error throttle over the whole pool: where each endpoint gets few requests,
-// no breaker of one gets past its protection. An answer beyond its aim is not accepted: it shows overload.
-func (b *Balancer) throttles(now Micros) bool {
-	b.recent.fade(now)
-	throttled := b.drops(now, dropChance(b.recent.requests, maxK*b.recent.accepts), &b.recent.passed)
-	b.recent.requests += share(throttled)
+// throttle draws for the error throttle over all endpoints: where each endpoint gets few requests, no breaker
+// of one gets past its protected requests. An answer later than its objective is not accepted: it shows
+// overload.
+func (k *breakers) throttle(now Micros) bool {
+	k.recentAttempts.decay(now)
+	probability := dropProbability(k.recentAttempts.requests, maxK*k.recentAttempts.accepts)
+	throttled := k.drops(now, probability, &k.recentAttempts.lastTrialAt)
+	k.recentAttempts.requests += indicator(throttled)
 	return throttled
 }
 
-// allows draws the breaker's lot for a request; a refusal counts as a request.
-func (b *Balancer) allows(now Micros, r *request, e *endpoint) bool {
-	chance := max(e.br.errorChance(now), e.br.latencyChance(float64(r.class.ClientTimeout)))
-	if b.drops(now, chance, &e.br.passed) {
-		e.br.count(now, 0, 0)
+// allow draws for e's circuit breaker; a request that it drops counts as one.
+func (k *breakers) allow(now Micros, r *request, e *endpoint) bool {
+	timeout := float64(r.class.ClientTimeout)
+	probability := max(e.breaker.errorDropProbability(now), e.breaker.latencyDropProbability(timeout))
+	if k.drops(now, probability, &e.breaker.lastTrialAt) {
+		e.breaker.count(now, dropped)
 		return false
 	}
 	return true
 }
+
+// recordResult counts an attempt for the throttle.
+func (k *breakers) recordResult(now Micros, status Status, inTime bool) {
+	if status != Cancelled && status != NotSent {
+		k.recentAttempts.add(now, inTime)
+	}
+}
+
+// recordOutcome counts an attempt for its endpoint's breaker and failure share.
+func (k *breakers) recordOutcome(now Micros, a *attempt, status Status, latency Micros) {
+	e := a.endpoint
+	switch status {
+	case OK:
+		e.breaker.count(now, accepted)
+		e.breaker.addLatency(float64(latency))
+		e.recordOutcome(now, false, failureWeight)
+	case Cancelled, NotSent:
+	default:
+		e.breaker.count(now, failed)
+		e.rejectedShare.add(indicator(status == Rejected), rejectedFailureWeight)
+		// A client that had little time left says nothing of the endpoint.
+		hasty := status == Timeout && float64(latency) < overdueFactor*a.predictedLatency
+		if !a.presumedLost && !hasty {
+			k.recordFailure(now, e, status)
+		}
+	}
+}
+
+// recordFailure counts a failure against e, and logs if that ejects it.
+func (k *breakers) recordFailure(now Micros, e *endpoint, status Status) {
+	weight := failureWeight
+	if status == Reset || status == ConnectFailed || status == Timeout {
+		weight = connectionWeight
+	}
+	before := e.isEjected(now)
+	e.recordOutcome(now, true, weight)
+	if !before && e.isEjected(now) {
+		k.log(now, "eject", "endpoint %d ejected, %.0f%% of its recent attempts failed", e.ID, 100*e.failureShare)
+	}
+}
--- /dev/null
+++ b/balancer/estimates.go
@@ -0,0 +1,141 @@
+package balancer
+
+import "slices"
+
+// Estimates is what a balancer has learned of the fleet. The next process of the same sidecar continues from it: to
+// learn it anew takes seconds, in which the first slow answers would count as typical of all endpoints. The JSON keys
+// are those that processes of earlier versions read.
+type Estimates struct {
+	ServiceTimeRatio float64 `json:"Pace"`  // measured over predicted service time, over the fleet
+	QueuedProbeShare float64 `json:"Waits"` // share of probes that queued behind requests
+	LateReportShare  float64 `json:"Lag"`   // share of load reports that came late
+	ReportsLate      bool
+
+	TypicalLoad        float64 `json:"Usual"`     // requests of others at a warm endpoint
+	TypicalWarmingLoad float64 `json:"UsualCold"` // the same at one that is warming up
+
+	WarmingSlowness float64 `json:"Chill"`  // share of the slowness that slow start permits
+	WarmingSamples  int     `json:"Chills"` // latencies that WarmingSlowness is from
+
+	ClassWork     []ClassWorkEstimate   `json:"Works"`
+	ZoneLatencies []ZoneLatencyEstimate `json:"Ways"`
+	Endpoints     []EndpointEstimate
+}
+
+// ClassWorkEstimate is the mean work of a request of a class, in microseconds of service time.
+type ClassWorkEstimate struct {
+	Class string
+	Work  float64
+}
+
+// ZoneLatencyEstimate is the round-trip time to a zone, in microseconds.
+type ZoneLatencyEstimate struct {
+	Zone      uint8
+	Latency   float64 `json:"V"`    // median
+	Deviation float64 `json:"Sway"` // mean distance from it
+}
+
+// EndpointEstimate is what is known of one process of an endpoint.
+type EndpointEstimate struct {
+	Name             uint64
+	StartTime        Micros  // of the process
+	MeasuredAt       Micros  `json:"PaceAt"` // instant of the latest sample of ServiceTimeRatio
+	ServiceTimeRatio float64 `json:"Pace"`   // measured over predicted service time
+	MeanLoad         float64 `json:"Mean"`   // requests of others there
+}
+
+// Estimates returns what is known by now.
+func (b *Balancer) Estimates() Estimates {
+	var out Estimates
+	b.estimates.export(&out)
+	b.demand.export(&out)
+	b.membership.export(&out)
+	return out
+}
+
+// Restore continues from what another process of this sidecar knew. It comes after Start and before any endpoint list.
+// Estimates that are invalid, or of a balancer with no class in common, change nothing.
+func (b *Balancer) Restore(in *Estimates) {
+	known := func(w ClassWorkEstimate) bool { return b.demand.classNamed(w.Class) != nil }
+	if !isPositiveFinite(in.ServiceTimeRatio) || !slices.ContainsFunc(in.ClassWork, known) {
+		return
+	}
+	b.estimates.restore(in)
+	b.demand.restore(in)
+	b.membership.restore(in)
+}
+
+func (est *estimator) export(out *Estimates) {
+	out.ServiceTimeRatio = est.fleetServiceTimeRatio.value
+	out.QueuedProbeShare = est.queuedProbeShare.value
+	out.LateReportShare, out.ReportsLate = est.lateReportShare.value, est.reportsLate
+	out.TypicalLoad, out.TypicalWarmingLoad = est.typicalLoad.value, est.typicalWarmingLoad.value
+	out.WarmingSlowness, out.WarmingSamples = est.warmingSlowness.value, est.warmingSamples
+	for zone := range est.zoneLatencies {
+		if z := &est.zoneLatencies[zone]; z.count > 0 {
+			known := ZoneLatencyEstimate{Zone: uint8(zone), Latency: z.median, Deviation: z.deviation.value}
+			out.ZoneLatencies = append(out.ZoneLatencies, known)
+		}
+	}
+}
+
+func (est *estimator) restore(in *Estimates) {
+	est.fleetServiceTimeRatio = ewma{in.ServiceTimeRatio, true}
+	est.warmingSlowness.value = clampShare(in.WarmingSlowness)
+	est.warmingSamples = max(0, in.WarmingSamples)
+	est.queuedProbeShare = ewma{clampShare(in.QueuedProbeShare), true}
+	est.lateReportShare.value, est.reportsLate = clampShare(in.LateReportShare), in.ReportsLate
+	if isPositiveFinite(in.TypicalLoad) {
+		est.typicalLoad.value = in.TypicalLoad
+	}
+	if isPositiveFinite(in.TypicalWarmingLoad) {
+		est.typicalWarmingLoad = cumulativeMean{in.TypicalWarmingLoad, initialTypicalLoadSamples}
+	}
+	for _, known := range in.ZoneLatencies {
+		z := &est.zoneLatencies[known.Zone]
+		if !isPositiveFinite(known.Latency) || !isPositiveFinite(known.Deviation) {
+			continue
+		}
+		for range z.samples {
+			z.add(known.Latency)
+		}
+		z.deviation.value = known.Deviation
+	}
+}
+
+func (d *demand) export(out *Estimates) {
+	for _, c := range d.classes {
+		out.ClassWork = append(out.ClassWork, ClassWorkEstimate{c.Name, c.work.value})
+	}
+}
+
+func (d *demand) restore(in *Estimates) {
+	for _, w := range in.ClassWork {
+		if c := d.classNamed(w.Class); c != nil && isPositiveFinite(w.Work) {
+			c.work.value = w.Work
+		}
+	}
+}
+
+func (m *membership) export(out *Estimates) {
+	for _, e := range m.endpoints {
+		if e.serviceTimeRatio.initialized {
+			out.Endpoints = append(out.Endpoints, EndpointEstimate{
+				Name: e.Name, StartTime: e.StartTime, MeasuredAt: e.serviceTimeRatioAt,
+				ServiceTimeRatio: e.serviceTimeRatio.value, MeanLoad: e.meanLoad.value,
+			})
+		}
+	}
+}
+
+func (m *membership) restore(in *Estimates) {
+	m.restored = map[uint64]EndpointEstimate{}
+	for _, e := range in.Endpoints {
+		if isPositiveFinite(e.ServiceTimeRatio) {
+			m.restored[e.Name] = e
+		}
+	}
+}
+
+// clampShare limits a stored share to 0..1.
+func clampShare(v float64) float64 { return min(1, max(0, v)) }
--- a/balancer/membership.go
+++ b/balancer/membership.go
@@ -2,166 +2,138 @@
 
 import "slices"
 
-// Membership: the endpoints that discovery names or operators leave out, and when discovery is called.
-
-// HandleEndpoints handles discovery's news.
-func (b *Balancer) HandleEndpoints(now Micros, kind ListUpdate, entries []Endpoint) {
-	if kind == ListFailed {
-		b.log(now, "discovery", "discovery call failed or watch broken; keeping the endpoint list and retrying")
-		b.retryAsk(now)
-		b.subscribed = false
-		return
-	}
-	if kind != ListCached && b.s.SubscribeToDiscovery {
-		b.subscribed, b.askWait = true, 0
-	}
-	whole := kind != ListDelta
-	for _, e := range b.list {
-		e.seen = false
-	}
-	// A thousand balancers that each probed all that is new would fill it with probes alone.
-	few := b.s.Balancers <= max(len(b.list), len(entries))
-	for i := range entries {
-		b.entry(now, &entries[i], few)
-	}
-	b.list = slices.DeleteFunc(b.list, func(e *endpoint) bool {
-		if whole && !e.seen {
-			e.State = Removed
-		}
-		return b.forgotten(e)
-	})
-	b.listed = b.listed || kind != ListCached || !b.s.SubscribeToDiscovery
-	if kind != ListCached {
-		b.listedAt = now
-	}
-}
+// Membership: the endpoints that discovery lists, and those that operators cordoned.
 
-// forgotten drops an endpoint that is gone with nothing out there, and says so.
-func (b *Balancer) forgotten(e *endpoint) bool {
-	forget := e.State == Removed && e.inflight+e.writing == 0
-	if forget && b.byID[e.ID] == e {
-		delete(b.byID, e.ID)
-		b.remember(e)
-	}
-	return forget
+// membership is the set of known endpoints.
+type membership struct {
+	*environment
+	endpoints         []*endpoint // in the order first listed
+	byID              map[uint32]*endpoint
+	cordoned          map[uint64]bool             // by name
+	restored          map[uint64]EndpointEstimate // estimates of an earlier process by name, until listed
+	removedStartTimes map[uint64]Micros           // start times of removed endpoints, by name
+	listReceived      bool                        // discovery has answered since the start
+	listReceivedAt    Micros                      // when it last did; 0 before
+	maxWeight         float64                     // largest weight ever listed
 }
 
-// maxDeparted bounds how many endpoints that are gone are remembered.
-const maxDeparted = 4096
+// maxRemovedEndpoints bounds removedStartTimes.
+const maxRemovedEndpoints = 4096
 
-// remember keeps the start of an endpoint that is gone: it may come back as the process that it was.
-func (b *Balancer) remember(e *endpoint) {
-	if len(b.departed) >= maxDeparted {
-		clear(b.departed)
+func newMembership(env *environment) membership {
+	return membership{
+		environment: env, byID: map[uint32]*endpoint{}, cordoned: map[uint64]bool{},
+		removedStartTimes: map[uint64]Micros{},
 	}
-	b.departed[e.Name] = e.StartTime
 }
 
-// startOf is when an endpoint that is new here, or was restarted, started. What a list says of that is by a
-// clock that may have been stepped: one that was not in the list before can't have been warm then, unless it
-// is one that had left.
-func (b *Balancer) startOf(now Micros, in *Endpoint) Micros {
-	since, known := b.departed[in.Name]
-	returned := known && since == in.StartTime
-	if b.listedAt > 0 && !returned && in.StartTime < b.listedAt-b.s.Contract.SlowStartDuration {
-		return now
+// list returns the known endpoints. The caller must not change the slice.
+func (m *membership) list() []*endpoint { return m.endpoints }
+
+// largestWeight returns the largest weight ever listed.
+func (m *membership) largestWeight() float64 { return m.maxWeight }
+
+// lookup returns the endpoint of this ID, or nil.
+func (m *membership) lookup(id uint32) *endpoint { return m.byID[id] }
+
+// setCordoned records whether endpoints of this name are cordoned, for those that are listed later.
+func (m *membership) setCordoned(name uint64, cordoned bool) { m.cordoned[name] = cordoned }
+
+// beginUpdate prepares for the entries of a list.
+func (m *membership) beginUpdate() {
+	for _, e := range m.endpoints {
+		e.listed = false
 	}
-	return in.StartTime
 }
 
-func (b *Balancer) entry(now Micros, in *Endpoint, probe bool) {
-	e := b.byID[in.ID]
-	fresh := e == nil
-	if fresh {
+// update takes over an entry of a list. newProcess tells whether it names an endpoint or a process of it that
+// was not known, which started at startTime, or long ago if that is 0.
+func (m *membership) update(now Micros, in *Endpoint) (e *endpoint, startTime Micros, newProcess bool) {
+	e = m.byID[in.ID]
+	added := e == nil
+	if added {
 		e = &endpoint{}
-		b.byID[in.ID] = e
-		b.list = append(b.list, e)
+		m.byID[in.ID] = e
+		m.endpoints = append(m.endpoints, e)
 	}
-	restarted := !fresh && in.StartTime != 0 && in.StartTime != e.StartTime
+	restarted := !added && in.StartTime != 0 && in.StartTime != e.StartTime
 	if restarted {
 		e.reset()
 	}
-	e.out = b.cordoned[in.Name]
-	started := in.StartTime
-	if started == 0 && fresh && b.listed {
-		started = now // it appeared while we watched
-	} else if started != 0 && (fresh || restarted) {
-		started = b.startOf(now, in)
-	}
-	if e.Endpoint, e.seen = *in, true; fresh {
-		b.recall(e)
-	}
-	b.largest = max(b.largest, float64(e.Weight))
-	if started != 0 && now-started < b.s.Contract.SlowStartDuration && (fresh || restarted) {
-		b.beginSlowStart(now, e, started)
+	e.cordoned = m.cordoned[in.Name]
+	startTime = in.StartTime
+	if startTime == 0 && added && m.listReceived {
+		startTime = now // it appeared while subscribed
+	} else if startTime != 0 && (added || restarted) {
+		startTime = m.effectiveStartTime(now, in)
 	}
-	if probe && (fresh || restarted) {
-		b.probe(now, e)
+	if e.Endpoint, e.listed = *in, true; added {
+		m.restoreEndpoint(e)
 	}
+	m.maxWeight = max(m.maxWeight, float64(e.Weight))
+	return e, startTime, added || restarted
 }
 
-// Cordon leaves out every endpoint of this name, whatever discovery says of it, or ends that. What comes back
-// was likely restarted: it begins as a new process, cold since then.
-func (b *Balancer) Cordon(now Micros, name uint64, out bool, since Micros) {
-	b.cordoned[name] = out
-	for _, e := range b.list {
-		if e.Name != name || e.out == out {
-			continue
-		}
-		if e.out = out; !out {
-			e.reset()
-			if now-since < b.s.Contract.SlowStartDuration {
-				b.beginSlowStart(now, e, since)
-				// Staff wait to see it serve. One request each is soon more than it can bear.
-				c, work := &b.s.Contract, b.classes[0].work.v
-				n := c.OverloadFactor * c.SlowStartInitialFraction * float64(c.OverloadWindow) / work
-				if e.pending = b.rng.float()*float64(b.s.Balancers) < min(maxPending, 1+pendingShare*n); e.pending {
-					b.spare = max(b.spare, 2*coldCharge*work) // and its probes
-				}
-			}
-			b.probe(now, e)
+// endUpdate removes endpoints that are gone, after the entries of a list.
+func (m *membership) endUpdate(now Micros, kind ListUpdate) {
+	complete := kind != ListDelta
+	m.endpoints = slices.DeleteFunc(m.endpoints, func(e *endpoint) bool {
+		if complete && !e.listed {
+			e.State = Removed
 		}
+		return m.forgetIfRemoved(e)
+	})
+	m.listReceived = m.listReceived || kind != ListCached || !m.settings.SubscribeToDiscovery
+	if kind != ListCached {
+		m.listReceivedAt = now
 	}
 }
 
-const minAskDelay = second / 20 // the shortest pause after a call that failed, about
+// dropIfRemoved drops a removed endpoint whose last attempt has ended.
+func (m *membership) dropIfRemoved(removed *endpoint) {
+	if m.forgetIfRemoved(removed) {
+		m.endpoints = slices.DeleteFunc(m.endpoints, func(e *endpoint) bool { return e == removed })
+	}
+}
 
-func (b *Balancer) askIn(now, delay Micros) {
-	b.askAt = now + delay
-	b.out.StartTimer(delay, tokenDiscovery)
+// forgetIfRemoved forgets a removed endpoint that has no attempt in flight, and reports whether it did.
+func (m *membership) forgetIfRemoved(e *endpoint) bool {
+	forget := e.State == Removed && e.inFlight+e.uploading == 0
+	if forget && m.byID[e.ID] == e {
+		delete(m.byID, e.ID)
+		m.rememberStartTime(e)
+	}
+	return forget
 }
 
-// firstAsk spreads the first calls: all balancers may start at once.
-func (b *Balancer) firstAsk(now Micros) {
-	if b.s.SubscribeToDiscovery {
-		b.askIn(now, 1+b.rng.below(min(b.s.Contract.PollInterval/10, NotificationDeadline/6)))
+// rememberStartTime keeps the start time of a removed endpoint: it may return as the same process.
+func (m *membership) rememberStartTime(e *endpoint) {
+	if len(m.removedStartTimes) >= maxRemovedEndpoints {
+		clear(m.removedStartTimes)
 	}
+	m.removedStartTimes[e.Name] = e.StartTime
 }
 
-func (b *Balancer) ask(now Micros) {
-	if b.s.SubscribeToDiscovery && !b.subscribed && now >= b.askAt {
-		b.askedAt = now
-		b.out.Watch(true)
-		// The answer may be lost, and without one we would never hear again.
-		b.askIn(now, 1+NotificationDeadline/2+b.rng.below(NotificationDeadline/10))
+// effectiveStartTime returns when an endpoint that is new here, or was restarted, started. The listed time is
+// by a clock that may have been stepped: an endpoint that was not in the list before can't have been warm
+// then, unless it is a process that had left the list.
+func (m *membership) effectiveStartTime(now Micros, in *Endpoint) Micros {
+	removed, known := m.removedStartTimes[in.Name]
+	returned := known && removed == in.StartTime
+	warmSince := m.listReceivedAt - m.settings.Contract.SlowStartDuration
+	if m.listReceivedAt > 0 && !returned && in.StartTime < warmSince {
+		return now
 	}
+	return in.StartTime
 }
 
-// retryAsk asks discovery again with a growing, random delay, but in time for NotificationDeadline.
-func (b *Balancer) retryAsk(now Micros) {
-	if b.s.SubscribeToDiscovery {
-		first := b.s.Contract.PollInterval / 20
-		if b.subscribed {
-			first = min(first, max(b.s.Contract.DrainGrace/4, minAskDelay))
-		}
-		if b.askWait = min(2*b.askWait, b.s.Contract.PollInterval/4); b.askWait == 0 {
-			b.askWait = first
-		}
-		used := min(now-b.askedAt, DiscoveryCallTimeout)
-		if b.subscribed {
-			used = WatchDuration + WatchGrace
+// restoreEndpoint takes up the estimates of an earlier balancer process for the same endpoint process.
+func (m *membership) restoreEndpoint(e *endpoint) {
+	if known, ok := m.restored[e.Name]; ok && known.StartTime == e.StartTime {
+		e.serviceTimeRatio, e.serviceTimeRatioAt = ewma{known.ServiceTimeRatio, true}, known.MeasuredAt
+		if isPositiveFinite(known.MeanLoad) {
+			e.meanLoad = ewma{known.MeanLoad, true}
 		}
-		wait := min(b.askWait, (NotificationDeadline-DiscoveryCallTimeout-used)*2/3)
-		b.askIn(now, 1+wait/2+b.rng.below(wait))
 	}
+	delete(m.restored, e.Name)
 }
--- a/balancer/pick.go
+++ b/balancer/pick.go
@@ -2,152 +2,172 @@
 
 import (
 	"math"
-	"slices"
 )
 
 // Endpoint selection.
 
 const (
-	drawTries        = 8    // random draws before the list is gone through
-	othersWeight     = 0.05 // of the delay that a send is to others there: among equals less load goes first
-	zoneWeight       = 2.0  // aims of latency that a crossing's price counts as
-	homesEach        = 2    // endpoints at home, and as many elsewhere, that a key names
-	ejectFrom        = 0.4  // share of failures from which an endpoint is ejected,
-	maxRejectedShare = 0.5  // and share of turned away among them from which it still goes ahead of a late one
+	maxRandomDraws    = 8    // weighted random draws before the list is gone through
+	externalityWeight = 0.05 // of the delay caused to others: among equals, less load is preferred
+	crossZoneWeight   = 2.0  // latency objectives that the price of crossing zones counts as
+	affinityChoices   = 2    // endpoints of the own zone, and as many of others, that a key names
+	minAffinityWeight = 0.01
+	maxRejectedShare  = 0.5 // of its failures, up to which an ejected endpoint ranks behind a late one
 )
 
-// failing is the recent share of failures at e; it fades, so that e is tried again.
-func (e *endpoint) failing(now Micros) float64 {
-	f := e.errs * math.Exp2(-float64(now-e.errAt)/float64(3*second))
-	return f * share(f > 0.01) // all but forgotten is forgotten
+// picker selects the endpoint of an attempt: of least cost among the pool, the endpoints that the request's
+// key names, the next warming endpoint, or random draws.
+type picker struct {
+	*environment
+	membership *membership
+	probes     *prober
+	slowStart  *slowStart
+	estimates  *estimator
+	ledger     *ledger
 }
 
-// ejected says whether e fails so often of late that it serves only when nothing else is left.
-func (e *endpoint) ejected(now Micros) bool { return e.failing(now) >= ejectFrom }
+// candidate is an endpoint with its cost.
+type candidate struct {
+	endpoint *endpoint
+	cost     float64
+}
+
+// cost ranks endpoints: predicted latency, plus the price of crossing zones and a likely failure as time.
+func (p *picker) cost(now Micros, r *request, e *endpoint) float64 {
+	objective := float64(r.class.LatencyObjective)
+	expected := p.estimates.latency(now, e, r.work)
+	// An endpoint that only rejects some requests ranks before a late one: what it rejects has not executed.
+	ejected := e.isEjected(now) && e.rejectedShare.value < maxRejectedShare
+	late := expected > p.estimates.latencyLimit(now, r, e)
+	c := expected + (e.currentFailureShare(now)+indicator(ejected)+indicator(late))*objective
+	c += externalityWeight * r.class.work.value * p.estimates.serviceTimeRatio(now, e) * p.estimates.load(now, e)
+	return c + crossZoneWeight*p.settings.Prices.CrossZone*objective*indicator(!p.isLocal(e))
+}
+
+// isLocal tells whether e is in the balancer's own zone.
+func (p *picker) isLocal(e *endpoint) bool { return int(e.Zone) == p.settings.Zone }
 
-// cost ranks endpoints: predicted latency, and as time a zone crossing's price and a likely failure.
-func (b *Balancer) cost(now Micros, r *request, e *endpoint) float64 {
-	aim := float64(r.class.LatencyObjective)
-	expected := b.predict(now, e, r.work)
-	// An endpoint that only rejects some goes ahead of a late one: what it rejects has not run.
-	ejected := e.ejected(now) && e.turned.v < maxRejectedShare
-	c := expected + (e.failing(now)+share(ejected)+share(expected > b.room(now, r, e)))*aim
-	c += othersWeight * r.class.work.v * e.paceNow(now, b) * b.load(now, e)
-	return c + zoneWeight*b.s.Prices.CrossZone*aim*share(int(e.Zone) != b.s.Zone)
+// mayConsider tells whether r may go to e, and e is neither excluded nor was tried before.
+func (p *picker) mayConsider(now Micros, r *request, excluded, e *endpoint) bool {
+	return e != excluded && !r.triedAt(e) && p.ledger.maySend(now, r, e)
 }
 
-// draw returns a random endpoint that r may and should go to, at home or no farther than far, or nil.
-func (b *Balancer) draw(now Micros, r *request, not *endpoint, far float64) *endpoint {
-	n := len(b.list)
-	var last *endpoint
-	at := int(b.rng.float() * float64(n))
-	for i := 0; n > 0 && i < drawTries+n; i++ {
-		if i < drawTries {
-			at = int(b.rng.float() * float64(n))
+// randomEndpoint returns a random endpoint that r may go to, of the own zone or within the round trip given
+// if it can be had. Ejected endpoints are returned only if there is no other. It returns nil if there is none
+// at all.
+func (p *picker) randomEndpoint(now Micros, r *request, excluded *endpoint, maxRoundTrip float64) *endpoint {
+	endpoints := p.membership.list()
+	n := len(endpoints)
+	var ejected *endpoint
+	at := int(p.random.uniform() * float64(n))
+	for i := 0; n > 0 && i < maxRandomDraws+n; i++ {
+		if i < maxRandomDraws {
+			at = int(p.random.uniform() * float64(n))
 		}
-		e := b.list[(at+i)%n]
-		// Larger endpoints are drawn more often.
-		away := int(e.Zone) != b.s.Zone && (far == 0 || b.ways[e.Zone].v > far)
-		if i < drawTries && (away || b.rng.float()*b.largest > float64(e.Weight)) {
+		e := endpoints[(at+i)%n]
+		// Endpoints are drawn in proportion to their weight.
+		far := !p.isLocal(e) && (maxRoundTrip == 0 || p.estimates.roundTrip(e) > maxRoundTrip)
+		if i < maxRandomDraws && (far || p.random.uniform()*p.membership.largestWeight() > float64(e.Weight)) {
 			continue
 		}
-		if e == not || r.tried(e) || !b.maySend(now, r, e) {
+		if !p.mayConsider(now, r, excluded, e) {
 			continue
 		}
-		if !e.ejected(now) {
+		if !e.isEjected(now) {
 			return e
 		}
-		last = e // ejected endpoints serve only when nothing else is left
+		ejected = e
 	}
-	return last
+	return ejected
 }
 
-// home returns the endpoint of least cost among the first two that the request's key names, the same at every
-// balancer, else of the next two where the first would be too late, else nil. Where own reports are few, the
-// pool is too old to do better: the first is returned even if late, and the request is refused there.
-func (b *Balancer) home(now Micros, r *request, not *endpoint) *endpoint {
-	if !b.s.KeyAffinity || r.Key == 0 {
-		return nil
-	}
-	var top [2 * homesEach]choice // at home and elsewhere
-	for _, e := range b.list {
-		if !e.usable() || e.ejected(now) || e.cold(now, b) {
-			continue // a cold one knows no keys
+// affinityRanking returns the endpoints that a key names by weighted rendezvous hashing, the same at every
+// balancer: first those of the own zone, then those of others.
+func (p *picker) affinityRanking(now Micros, key uint64) (top [2 * affinityChoices]candidate) {
+	contract := &p.settings.Contract
+	for _, e := range p.membership.list() {
+		if !e.usable() || e.isEjected(now) || e.isWarming(now, contract) {
+			continue // a warming endpoint has met no keys
 		}
-		// The larger an endpoint, the more keys name it.
-		at := choice{e, -math.Log(chance(r.Key, e.Name)) / max(0.01, float64(e.Weight))}
-		side := top[:homesEach]
-		if int(e.Zone) != b.s.Zone {
-			side = top[homesEach:]
+		score := -math.Log(uniformHash(key, e.Name)) / max(minAffinityWeight, float64(e.Weight))
+		inserted := candidate{e, score}
+		side := top[:affinityChoices]
+		if !p.isLocal(e) {
+			side = top[affinityChoices:]
 		}
 		for rank := range side {
-			if at.e != nil && (side[rank].e == nil || at.cost < side[rank].cost) {
-				side[rank], at = at, side[rank]
+			if inserted.endpoint != nil && (side[rank].endpoint == nil || inserted.cost < side[rank].cost) {
+				side[rank], inserted = inserted, side[rank]
 			}
 		}
 	}
+	return top
+}
+
+// affinityPick returns the endpoint of least cost among the first two that the request's key names, or of the
+// next two if the first would be too late, or nil. Where own reports are few, the pool is too old to do
+// better: the first is returned even if late, and the request is rejected there.
+func (p *picker) affinityPick(now Micros, r *request, excluded *endpoint) *endpoint {
+	if !p.settings.KeyAffinity || r.Key == 0 {
+		return nil
+	}
+	top := p.affinityRanking(now, r.Key)
 	var first *endpoint
-	for rank := range homesEach {
-		var best choice
-		for _, e := range [...]*endpoint{top[rank].e, top[homesEach+rank].e, b.turn} {
-			b.consider(now, r, not, e, &best)
-		}
-		if e := best.e; e != nil && (b.crowding(now, e) <= 1 || b.predict(now, e, r.work) <= b.room(now, r, e)) {
+	for rank := range affinityChoices {
+		var best candidate
+		p.consider(now, r, excluded, top[rank].endpoint, &best)
+		p.consider(now, r, excluded, top[affinityChoices+rank].endpoint, &best)
+		p.consider(now, r, excluded, p.slowStart.candidate(), &best)
+		if e := best.endpoint; e != nil && (p.estimates.queueingFactor(now, e) <= 1 ||
+			p.estimates.latency(now, e, r.work) <= p.estimates.latencyLimit(now, r, e)) {
 			return e
 		}
 		if first == nil {
-			first = best.e
+			first = best.endpoint
 		}
 	}
-	if b.thin(now) {
+	if p.probes.reportsSparse(now) {
 		return first
 	}
 	return nil
 }
 
-// choice is the endpoint of the least cost so far.
-type choice struct {
-	e    *endpoint
-	cost float64
-}
-
-// consider makes e the choice for r if it may be sent to, is not left out and costs less.
-func (b *Balancer) consider(now Micros, r *request, not, e *endpoint, best *choice) {
-	if e == nil || e == not || r.tried(e) || !b.maySend(now, r, e) {
+// consider makes e the best candidate if r may go to it and it costs less.
+func (p *picker) consider(now Micros, r *request, excluded, e *endpoint, best *candidate) {
+	if e == nil || !p.mayConsider(now, r, excluded, e) {
 		return
 	}
-	if c := b.cost(now, r, e); best.e == nil || c < best.cost {
-		*best = choice{e, c}
+	if c := p.cost(now, r, e); best.endpoint == nil || c < best.cost {
+		*best = candidate{e, c}
 	}
 }
 
-// pick returns the pooled endpoint of the least cost for r, leaving out those it must not or should not go
-// to; without fresh answers, the better of two random draws.
-func (b *Balancer) pick(now Micros, r *request, not *endpoint) *endpoint {
-	fresh := b.freshFor(now, r.class.LatencyObjective)
-	b.earn(now, r.work)
-	b.pool = slices.DeleteFunc(b.pool, func(e *endpoint) bool {
-		e.pooled = e.usable() && now-e.answerAt <= fresh
-		return !e.pooled
-	})
-	if e := b.turn; e != nil && e.pending && e.heardAt > 0 && e != not && b.maySend(now, r, e) {
-		return e
+// pick returns the endpoint for an attempt of r, or nil if there is none.
+func (p *picker) pick(now Micros, r *request, excluded *endpoint) *endpoint {
+	p.slowStart.refill(now, r.work)
+	pool := p.probes.freshPool(now, r.class.LatencyObjective)
+	warming := p.slowStart.candidate()
+	if warming != nil && warming.awaitsTrial && warming.lastResponseAt > 0 && warming != excluded &&
+		p.ledger.maySend(now, r, warming) {
+		return warming
 	}
-	if e := b.home(now, r, not); e != nil {
+	if e := p.affinityPick(now, r, excluded); e != nil {
 		return e
 	}
-	var best choice
-	// A random start parts equals: all balancers may hold the same list.
-	for i, at := 0, int(b.rng.float()*float64(len(b.pool))); i < len(b.pool); i++ {
-		b.consider(now, r, not, b.pool[(at+i)%len(b.pool)], &best)
+	var best candidate
+	// The random start decides between equals: all balancers may hold the same list.
+	for i, start := 0, int(p.random.uniform()*float64(len(pool))); i < len(pool); i++ {
+		p.consider(now, r, excluded, pool[(start+i)%len(pool)], &best)
 	}
-	// The cold one whose turn it is competes: seldom drawn, it would stay cold.
-	b.consider(now, r, not, b.turn, &best)
-	// A pool of few would take all: with most endpoints unanswered, the draws compete.
-	if best.e == nil || !b.sparse && 2*len(b.pool) < len(b.list) {
+	// Seldom drawn, the next warming endpoint would stay cold if it did not compete.
+	p.consider(now, r, excluded, p.slowStart.candidate(), &best)
+	// If the pool holds few of the endpoints, it must not get all requests: random draws compete.
+	small := !p.probes.probesWithRequests() && 2*len(pool) < len(p.membership.list())
+	if best.endpoint == nil || small {
 		for range 2 {
-			b.consider(now, r, not, b.draw(now, r, not, float64(r.Deadline)), &best)
+			e := p.randomEndpoint(now, r, excluded, float64(r.Deadline))
+			p.consider(now, r, excluded, e, &best)
 		}
 	}
-	return best.e
+	return best.endpoint
 }
--- a/balancer/retries.go
+++ b/balancer/retries.go
@@ -1,154 +1,112 @@
 package balancer
 
-import "slices"
-
-// Outcomes, retries and second copies of a request.
+// Retries and hedged requests.
 
 const (
-	budgetBurst  = 10.0
-	retryShare   = 0.2  // retries earned by each request
-	lostWeight   = 0.02 // of the latest outcome in the share of attempts that are lost
-	minLostShare = 0.01 // share from which late attempts get a second copy
-	copyShare    = 0.2  // second copies earned by each request
-	failWeight   = 0.5  // of the latest outcome in an endpoint's share of failures: healthy ones hardly fail
-	wayWeight    = 0.25 // the same for a failure of the way there: connections break at healthy endpoints, too
-	lateFactor   = 2.5  // times the latency expected, and
-	minLateShare = 0.25 // of the aim at least, after which an answer is late
-	turnWeight   = 0.25 // of the latest failure in that share
+	maxBudget        = 10.0 // attempts saved up, of retries and of hedged requests
+	retryShare       = 0.2  // retries earned by each request
+	hedgeShare       = 0.2  // hedged requests earned by each request
+	lostWeight       = 0.02 // of the latest outcome in the share of attempts that are lost
+	minLostShare     = 0.01 // share of lost attempts from which overdue ones are hedged
+	overdueFactor    = 2.5  // times the latency expected, and
+	minOverdueShare  = 0.25 // of the latency objective at least, after which an attempt is overdue
+	overdueExtension = 2    // divides the time waited so far, for which a suspected attempt is waited for again
 )
 
-// wake looks at a request whose probes are slow, or whose time is up.
-func (b *Balancer) wake(now Micros, r *request) {
-	if now >= r.Deadline {
-		for i := range r.attempts {
-			if a := &r.attempts[i]; a.out {
-				b.learnPace(now, r, a, float64(now-a.at), true)
-			}
-		}
-		b.refuse(now, r)
-	} else if r.held {
-		// Only the idle answer in time: to count them alone would show an idle fleet when all of it is jammed.
-		for _, e := range r.awaits {
-			b.usual.add(cores+b.line(float64(now-e.probedAt)), usualWeight)
-		}
-		b.decide(now, r)
-	} else if n := len(r.attempts); n > 0 && !r.StreamingBody {
-		if a := &r.attempts[n-1]; a.out && !a.late && now >= a.lateAt {
-			b.late(now, r, a)
-		}
-	}
+// budget is a token bucket of attempts: each request deposits a share of one, as in Finagle's retry budget.
+type budget float64
+
+// deposit adds a share of an attempt, up to maxBudget.
+func (b *budget) deposit(share float64) { *b = budget(min(maxBudget, float64(*b)+share)) }
+
+// retrier decides on retries and hedged requests.
+type retrier struct {
+	*environment
+	probes    *prober
+	estimates *estimator
+	admission *admission
+	ledger    *ledger
+
+	retryBudget      budget
+	hedgeBudget      budget
+	lostAttemptShare ewma // share of attempts that were lost on their way or at the endpoint
 }
 
-// late handles an attempt that takes far longer than was expected. Where all wait in line it must be waited
-// for: a second copy doubles the work of those that have too much. But where a later one was answered before
-// it, or nothing was heard at all since, not even a probe, it is lost: endpoints and the ways to them may
-// swallow some requests and answer the rest in time. Then a copy goes elsewhere, as far as the class permits.
-// That is done only while such losses are proven to happen: most late answers are slow, and come.
-func (b *Balancer) late(now Micros, r *request, a *attempt) {
-	e := a.ep
-	if b.lost.v < minLostShare {
-		return
-	}
-	overtaken, silent := e.answered > a.at, a.doubted && e.heardAt < a.at
-	if !overtaken && !silent {
-		a.doubted = true
-		b.probe(now, e)
-		a.lateAt = now + (now-a.at)/2
-		if a.lateAt < r.Deadline {
-			b.out.StartTimer(a.lateAt-now, r.token)
-		}
-		return
+func newRetrier(env *environment, p *prober, est *estimator, a *admission, l *ledger) retrier {
+	return retrier{
+		environment: env, probes: p, estimates: est, admission: a, ledger: l,
+		retryBudget: maxBudget, hedgeBudget: maxBudget, lostAttemptShare: ewma{initialized: true},
 	}
-	a.late = true
-	if b.s.Limits.HedgedRequests && b.copies >= 1 && b.attempt(now, r, false) {
-		b.copies--
+}
+
+// deposit fills the budgets by one request.
+func (t *retrier) deposit() {
+	t.retryBudget.deposit(retryShare)
+	t.hedgeBudget.deposit(hedgeShare)
+}
+
+// watch starts a timer for when r's latest attempt is overdue, if attempts get lost at all.
+func (t *retrier) watch(now Micros, r *request) {
+	a := &r.attempts[len(r.attempts)-1]
+	if t.lostAttemptShare.value >= minLostShare && a.overdueAt+Micros(a.predictedLatency) < r.Deadline {
+		t.actions.StartTimer(a.overdueAt-now, r.timerToken)
 	}
 }
 
-// HandleOutcome handles the end of an attempt.
-func (b *Balancer) HandleOutcome(now Micros, o Outcome) {
-	r := b.requests[o.ID]
-	if r == nil || o.Attempt < 0 || o.Attempt >= len(r.attempts) || !r.attempts[o.Attempt].out {
+// checkOverdue handles r's timer: its latest attempt may be overdue.
+func (t *retrier) checkOverdue(now Micros, r *request) {
+	n := len(r.attempts)
+	if n == 0 || r.StreamingBody {
 		return
 	}
-	a := &r.attempts[o.Attempt]
-	a.out = false
-	r.out--
-	r.spent = r.spent || o.BodyConsumed
-	if a.written {
-		a.ep.inflight--
-	} else {
-		a.ep.writing--
-	}
-	if b.forgotten(a.ep) { // the next list may be long in coming
-		b.list = slices.DeleteFunc(b.list, func(e *endpoint) bool { return e == a.ep })
-	}
-	if o.Status == Rejected || o.Status == ConnectFailed || o.Status == NotSent {
-		a.mayRun = false
-	}
-	if o.Status == OK || o.Status == EndpointError || o.Status == Rejected {
-		a.ep.heardAt, a.ep.answered = now, max(a.ep.answered, a.at)
+	if a := &r.attempts[n-1]; a.inFlight && !a.presumedLost && now >= a.overdueAt {
+		t.handleOverdue(now, r, a)
 	}
-	lost := a.late && o.Status == Cancelled ||
-		o.Status == Timeout && (a.ep.answered > a.at || a.ep.heardAt < a.at)
-	b.lost.add(share(lost), lostWeight)
-	b.record(now, r, a, o.Status, o.Latency)
-	inTime := o.Status == OK && !r.ended && now-r.arrived <= r.class.LatencyObjective
-	if o.Status != Cancelled && o.Status != NotSent {
-		b.recent.add(now, inTime)
-	}
-	if inTime {
-		r.good = 1
-		b.passOf = minPassInterval
-	} else if r.pass {
-		b.passOf = min(2*b.passOf, maxPassInterval) // a jam needs rest: what is passed into it only keeps it
-	}
-	if o.Answered || o.Status == OK || r.ended {
-		b.end(r)
+}
+
+// handleOverdue hedges an attempt that takes far longer than expected, if it is lost. Where all requests
+// queue, it must be waited for: a hedged request would double the work of endpoints that have too much. It is
+// lost if a later attempt at its endpoint was answered before it, or if not even a probe was answered since:
+// an endpoint or the network may drop some requests and serve the rest in time. Hedging is limited to times
+// when such losses are known to happen, since most late answers are slow, and do come.
+func (t *retrier) handleOverdue(now Micros, r *request, a *attempt) {
+	e := a.endpoint
+	if t.lostAttemptShare.value < minLostShare {
 		return
 	}
-	price := share(a.mayRun) // what never ran may be sent again for nothing
-	if b.credit >= price && b.attempt(now, r, false) {
-		b.credit -= price
+	overtaken, silent := e.lastAnsweredSentAt > a.sentAt, a.suspected && e.lastResponseAt < a.sentAt
+	if !overtaken && !silent {
+		a.suspected = true
+		t.probes.probe(now, e)
+		a.overdueAt = now + (now-a.sentAt)/overdueExtension
+		if a.overdueAt < r.Deadline {
+			t.actions.StartTimer(a.overdueAt-now, r.timerToken)
+		}
 		return
 	}
-	if r.out == 0 { // else another copy may still be answered
-		b.refuse(now, r)
+	a.presumedLost = true
+	if t.settings.Limits.HedgedRequests && t.hedgeBudget >= 1 && t.admission.startAttempt(now, r) {
+		t.hedgeBudget--
 	}
 }
 
-// record feeds an outcome to the averages.
-func (b *Balancer) record(now Micros, r *request, a *attempt, status Status, latency Micros) {
-	e := a.ep
-	b.stats.outcome(a, status, latency)
-	switch status {
-	case OK:
-		e.br.count(now, 1, 0)
-		e.br.latency(float64(latency))
-		e.errs, e.errAt = (1-failWeight)*e.failing(now), now
-		b.learnPace(now, r, a, float64(latency), false)
-	case Cancelled, NotSent:
-	default:
-		e.br.count(now, 0, 1)
-		e.turned.add(share(status == Rejected), turnWeight)
-		hasty := status == Timeout && float64(latency) < lateFactor*a.expected // the client had little time
-		if weight := failWeight; !a.late && !hasty {
-			if status == Reset || status == ConnectFailed || status == Timeout {
-				weight = wayWeight
-			}
-			b.blame(now, e, weight)
-		}
-		if status == Timeout {
-			b.learnPace(now, r, a, float64(latency), true)
-		}
-	}
+// recordLoss counts whether an attempt that has ended was lost.
+func (t *retrier) recordLoss(a *attempt, status Status) {
+	e := a.endpoint
+	lost := a.presumedLost && status == Cancelled ||
+		status == Timeout && (e.lastAnsweredSentAt > a.sentAt || e.lastResponseAt < a.sentAt)
+	t.lostAttemptShare.add(indicator(lost), lostWeight)
 }
 
-// blame counts a failure of this weight against e.
-func (b *Balancer) blame(now Micros, e *endpoint, weight float64) {
-	before := e.ejected(now)
-	e.errs, e.errAt = (1-weight)*e.failing(now)+weight, now
-	if !before && e.ejected(now) {
-		b.log(now, "eject", "endpoint %d ejected, %.0f%% of its recent attempts failed", e.ID, 100*e.errs)
+// retry sends r again after an attempt that failed, or gives up on it. Only an attempt that may have executed
+// counts against the budget.
+func (t *retrier) retry(now Micros, r *request, failed *attempt) {
+	price := budget(indicator(failed.mayHaveExecuted))
+	if t.retryBudget >= price && t.admission.startAttempt(now, r) {
+		t.retryBudget -= price
+		return
+	}
+	if r.inFlight == 0 { // else another attempt may still be answered
+		t.ledger.reject(r)
 	}
 }
