--- a/balancer/waitlist_test.go
+++ b/balancer/waitlist_test.go
@@ -8,11 +8,7 @@
 	busy, idle, other := &endpoint{}, &endpoint{}, &endpoint{}
 	busy.reportedAt, busy.reportedLoad = 1000, 9
 	idle.reportedAt, idle.reportedLoad = 1000, 0
-	wait := func(w *waitlist, on ...*endpoint) *request {
-		r := &request{awaitedEndpoints: on}
-		w.add(r)
-		return r
-	}
+	wait := func(w *waitlist, on ...*endpoint) { w.add(&request{awaitedEndpoints: on}) }
 	for name, c := range map[string]struct {
 		answered *endpoint
 		want     int // requests resumed
--- a/internal/emulator/endpoint/endpoint.go
+++ b/internal/emulator/endpoint/endpoint.go
@@ -61,7 +61,7 @@
 // Config returns what the endpoint was started with.
 func (e *Endpoint) Config() Config { return e.config }
 
-// StartedUnixMS returns the Unix time of the last start in milliseconds; 0 if it was long ago.
+// StartedMS returns the Unix time of the last start in milliseconds; 0 if it was long ago.
 func (e *Endpoint) StartedMS() int64 {
 	e.mu.Lock()
 	defer e.mu.Unlock()
