--- a/internal/sidecar/actions.go
+++ b/internal/sidecar/actions.go
@@ -36,7 +36,7 @@
 		l.events.post(func(at balancer.Micros) {
 			o.Status, o.Latency = result.Status, at-now
 			if upload := r.message.Upload; upload != nil {
-				o.BodyConsumed = upload.Consumed.Load() || upload.Phase.Load() != upstream.UploadStreaming
+				o.BodyConsumed = upload.BodyConsumed()
 				if !upload.WrittenAt.IsZero() {
 					o.Latency = time.Since(upload.WrittenAt).Microseconds()
 				}
--- a/internal/sidecar/server.go
+++ b/internal/sidecar/server.go
@@ -12,16 +12,16 @@
 	"oakproxy/internal/config"
 	"oakproxy/internal/downstream"
 	"oakproxy/internal/handover"
-	"oakproxy/internal/upstream"
 )
 
 // Limits of clients' connections and requests.
 const (
 	// responseMargin is the part of a client's time that is reserved for writing the final response. It is small
 	// because some clients have 40 ms in all.
-	responseMargin = 2 * time.Millisecond
-	maxTimeLeft    = time.Minute // the most time that a request gets, whatever its client asks for
-	maxIDLength    = 256         // characters of a correlation id; ids of the protocol have 16
+	responseMargin      = 2 * time.Millisecond
+	maxRequestHeadBytes = 32 << 10
+	maxTimeLeft         = time.Minute // the most time that a request gets, whatever its client asks for
+	maxIDLength         = 256         // characters of a correlation id; ids of the protocol have 16
 
 	// A client that takes longer is silent, slow on purpose or dead. It may stay for 3 s at most.
 	readTimeout  = 2500 * time.Millisecond // for the head: one that comes slowly may take 2 s
@@ -81,7 +81,7 @@
 		// Not a ServeMux: it would redirect paths that endpoints must see unchanged.
 		Handler:           http.HandlerFunc(s.serveRequest),
 		ReadHeaderTimeout: readTimeout, WriteTimeout: maxTimeLeft + writeTimeout, IdleTimeout: idleTimeout,
-		MaxHeaderBytes: upstream.MaxRequestHeadBytes,
+		MaxHeaderBytes: maxRequestHeadBytes,
 		ConnState: func(c net.Conn, state http.ConnState) {
 			if state == http.StateIdle {
 				c.(*downstream.Conn).EndRequest()
--- a/internal/upstream/client.go
+++ b/internal/upstream/client.go
@@ -15,9 +15,6 @@
 	"oakproxy/internal/stages"
 )
 
-// MaxRequestHeadBytes is the maximum size of the head of a request that is forwarded to endpoints, in bytes.
-const MaxRequestHeadBytes = 32 << 10
-
 // probeTimeout bounds a probe, the time to connect included.
 const probeTimeout = 400 * time.Millisecond
 
--- a/internal/upstream/gate.go
+++ b/internal/upstream/gate.go
@@ -16,18 +16,25 @@
 	// ClientGone reports whether the client has left, by a look at its connection; nil: there is no client.
 	ClientGone func() bool
 
-	phase atomic.Int32 // a gate phase
+	phase atomic.Int32 // a gatePhase
 }
 
-// The phases of a gate. A gate is passed or closed once, and for good.
+// gatePhase says what became of a gate. It is passed or closed once, and for good.
+type gatePhase int32
+
 const (
-	gateOpen int32 = iota
+	gateOpen gatePhase = iota
 	gatePassed
 	gateClosed
 )
 
+// leaveOpen moves the gate to its final phase, and reports whether it was the first to do so.
+func (g *Gate) leaveOpen(final gatePhase) bool {
+	return g.phase.CompareAndSwap(int32(gateOpen), int32(final))
+}
+
 // Close prevents the attempt from beginning and reports whether that came in time.
-func (g *Gate) Close() bool { return g.phase.CompareAndSwap(gateOpen, gateClosed) }
+func (g *Gate) Close() bool { return g.leaveOpen(gateClosed) }
 
 // passGate returns nil if the first byte may be written on a connection to an endpoint, and else why not.
 func (p *pool) passGate(ctx context.Context, gate *Gate, endpoint *Endpoint) error {
@@ -42,7 +49,7 @@
 		return errTooLate
 	case gate.ClientGone != nil && gate.ClientGone():
 		return errClientGone
-	case !gate.phase.CompareAndSwap(gateOpen, gatePassed):
+	case !gate.leaveOpen(gatePassed):
 		return errClientGone
 	}
 	return nil
--- a/internal/upstream/upload.go
+++ b/internal/upstream/upload.go
@@ -38,13 +38,12 @@
 	// Failed receives the first failure of the client's side. It has room for one error.
 	Failed chan error
 
-	// Phase is UploadStreaming until the last bytes are about to be written, or the upload is stopped.
-	Phase atomic.Int32
-	// Consumed is set once part of the body was read.
-	Consumed atomic.Bool
 	// ReachedEOF is set once the end of the body was read.
 	ReachedEOF atomic.Bool
 
+	phase    atomic.Int32 // an uploadPhase
+	consumed atomic.Bool  // part of the body was read
+
 	mu sync.Mutex // held during a read
 	// Body is the client's side. Between the start of the attempt and Finish only the attempt reads it.
 	Body clientBody
@@ -53,22 +52,35 @@
 	lastDataAt time.Time // when the bytes read last came to this machine
 }
 
-// The phases of an upload. Once the last bytes may be out, the request may run; an
-// upload that was stopped before never gets there.
+// uploadPhase says how far an upload has come. It leaves uploadStreaming once, for good: once the last bytes may be
+// out, the request may run, and an upload that was stopped before that never runs.
+type uploadPhase int32
+
 const (
-	UploadStreaming int32 = iota // all but the last bytes may be out
-	uploadFinishing              // the last bytes may be out
-	uploadStopped                // the last bytes are never written
+	uploadStreaming uploadPhase = iota // all but the last bytes may be out
+	uploadFinishing                    // the last bytes may be out
+	uploadStopped                      // the last bytes are never written
 )
 
+// leaveStreaming moves the upload to its final phase, and reports whether it was the first to do so.
+func (u *Upload) leaveStreaming(final uploadPhase) bool {
+	return u.phase.CompareAndSwap(int32(uploadStreaming), int32(final))
+}
+
+// BodyConsumed reports whether the body can no longer be sent again completely: part of it was read, or the upload was
+// finished or stopped.
+func (u *Upload) BodyConsumed() bool {
+	return u.consumed.Load() || uploadPhase(u.phase.Load()) != uploadStreaming
+}
+
 // Read reads for the attempt.
 func (u *Upload) Read(p []byte) (int, error) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	if u.Phase.Load() == uploadStopped {
+	if uploadPhase(u.phase.Load()) == uploadStopped {
 		return 0, errUploadStopped
 	}
-	u.Consumed.Store(true)
+	u.consumed.Store(true)
 	n, err := u.Body.Read(p)
 	u.lastDataAt = time.Now().Add(-u.Body.LastDataAge())
 	if errors.Is(err, io.EOF) {
@@ -85,7 +97,7 @@
 
 // Stop prevents the last bytes from being written, so that the request never runs, and reports whether that came in
 // time.
-func (u *Upload) Stop() bool { return u.Phase.CompareAndSwap(UploadStreaming, uploadStopped) }
+func (u *Upload) Stop() bool { return u.leaveStreaming(uploadStopped) }
 
 // Deadline returns when the client's time is up, once the last byte is written.
 func (u *Upload) Deadline() time.Time { return u.lastDataAt.Add(u.TimeLeft) }
@@ -104,7 +116,7 @@
 	if time.Since(u.lastDataAt) > maxWriteLag || u.Body.ClientClosed() {
 		u.Stop()
 	}
-	if !u.Phase.CompareAndSwap(UploadStreaming, uploadFinishing) {
+	if !u.leaveStreaming(uploadFinishing) {
 		return errUploadStopped
 	}
 	return nil
