--- a/internal/emulator/worker/messages.go
+++ b/internal/emulator/worker/messages.go
@@ -12,7 +12,6 @@
 	"oakproxy/internal/emulator/endpoint"
 	"oakproxy/internal/emulator/load"
 	"oakproxy/internal/emulator/registry"
-	"oakproxy/internal/emulator/sidecarlog"
 )
 
 // Role names what a worker process does.
@@ -134,15 +133,6 @@
 	Missing   []string
 }
 
-// SidecarCounts are the counts of all sidecars that a worker hosts or has hosted.
-type SidecarCounts struct {
-	sidecarlog.Counts
-	Running      int
-	Goroutines   int
-	Failed       uint64 // sidecars that ended with an error
-	FirstFailure string
-}
-
 // Requests of the load role, each with the types of its request and response.
 const (
 	SendLoad control.Kind = "send load" // LoadPlans, LoadReports
