--- a/internal/emulator/play/replace.go
+++ b/internal/emulator/play/replace.go
@@ -10,39 +10,6 @@
 	"oakproxy/internal/emulator/worker"
 )
 
-// propagationTimeout is how long a version of the endpoint list may take to reach a sidecar until it counts
-// as missing.
-const propagationTimeout = 10 * time.Second
-
-// propagation collects how long versions of the endpoint list took to reach sidecars.
-type propagation struct {
-	delays  []time.Duration
-	missing int
-}
-
-func (p *propagation) distribution(what string) result.Distribution {
-	return result.NewDistribution(what, len(p.delays)+p.missing, p.delays)
-}
-
-// awaitList waits until every simulated sidecar has received a version of the list.
-func (r *runner) awaitList(ctx context.Context, version worker.ListVersion, times *propagation) error {
-	request := worker.Await{Version: version.Number, Timeout: propagationTimeout}
-	received, err := callAll[worker.Completions](ctx, r.sidecarWorkers, worker.AwaitList, request)
-	if err != nil {
-		return err
-	}
-	for _, completions := range received {
-		times.missing += len(completions.Missing)
-		for _, completion := range completions.Completed {
-			// A sidecar that started later got the version with its first list.
-			if completion.StartedAt.Before(version.CreatedAt) {
-				times.delays = append(times.delays, completion.At.Sub(version.CreatedAt))
-			}
-		}
-	}
-	return nil
-}
-
 // replacement is an endpoint that restarts, and the simulated sidecar of the same application.
 type replacement struct {
 	endpoint fleet.Endpoint
@@ -124,11 +91,6 @@
 	return failure
 }
 
-func (p *propagation) add(other propagation) {
-	p.delays = append(p.delays, other.delays...)
-	p.missing += other.missing
-}
-
 // replace drains an endpoint and its sidecar and restarts both.
 func (r *runner) replace(ctx context.Context, c replacement) (done replacementResult) {
 	done.err = r.drainOne(ctx, c, &done)
--- a/internal/emulator/play/runner.go
+++ b/internal/emulator/play/runner.go
@@ -1,7 +1,6 @@
 package play
 
 import (
-	"cmp"
 	"context"
 	"errors"
 	"fmt"
@@ -170,26 +169,6 @@
 // setPhase sets the phase for the progress line.
 func (r *runner) setPhase(phase string) { r.phase.Store(&phase) }
 
-// watch ends the run if a child exits unexpectedly.
-func (r *runner) watch(child *process.Child) {
-	go func() {
-		<-child.Ended()
-		r.expectedMu.Lock()
-		expected := r.expectedExits[child]
-		r.expectedMu.Unlock()
-		if !expected && !r.stopping.Load() {
-			r.cancel(fmt.Errorf("%s ended by itself: %w", child.Name, cmp.Or(child.Err(), errExitedCleanly)))
-		}
-	}()
-}
-
-// expectExit records that a child's exit is part of the scenario.
-func (r *runner) expectExit(child *process.Child) {
-	r.expectedMu.Lock()
-	defer r.expectedMu.Unlock()
-	r.expectedExits[child] = true
-}
-
 // pause waits for a duration. It returns the cause of ctx if that is done before.
 func pause(ctx context.Context, length time.Duration) error {
 	timer := time.NewTimer(length)
--- a/internal/emulator/play/sidecars.go
+++ b/internal/emulator/play/sidecars.go
@@ -3,8 +3,6 @@
 import (
 	"context"
 	"errors"
-	"os"
-	"path/filepath"
 	"sync"
 	"time"
 
@@ -38,24 +36,6 @@
 	return err
 }
 
-// configPath returns the path of a sidecar's configuration file.
-func (r *runner) configPath(s fleet.Sidecar) string { return filepath.Join(r.scratch, s.Name+".json") }
-
-// writeConfig atomically replaces a sidecar's file by the current version of its configuration, and returns
-// the file's size.
-func (r *runner) writeConfig(s fleet.Sidecar, listen string) (int, error) {
-	text, err := r.configurations.Encode(s, listen, r.version)
-	if err != nil {
-		return 0, err
-	}
-	path := r.configPath(s)
-	temporary := path + ".next"
-	if err := os.WriteFile(temporary, text, 0o600); err != nil {
-		return 0, err
-	}
-	return len(text), os.Rename(temporary, path)
-}
-
 // startSidecars starts all sidecars evenly over limits.start_spread, scaled by the size of the fleet, and
 // waits until they are ready.
 func (r *runner) startSidecars(ctx context.Context) error {
