--- a/internal/emulator/endpoint/endpoint.go
+++ b/internal/emulator/endpoint/endpoint.go
@@ -8,7 +8,6 @@
 
 import (
 	"errors"
-	"net"
 	"sync"
 	"time"
 
@@ -90,63 +89,6 @@
 	return e.start(time.Now())
 }
 
-// Crash ends the process: connections are reset and new ones refused, until Restart or Recover.
-func (e *Endpoint) Crash() {
-	e.mu.Lock()
-	defer e.mu.Unlock()
-	e.stop()
-}
-
-// Disconnect cuts the machine off the network: connections stay open and silent, and new ones time out, until
-// Restart or Recover. It returns ErrClosed after Close.
-func (e *Endpoint) Disconnect() error {
-	e.mu.Lock()
-	defer e.mu.Unlock()
-	if e.closed {
-		return ErrClosed
-	}
-	if e.unreachable || e.acceptor == nil {
-		return nil
-	}
-	e.suspend()
-	e.unreachable = true
-	return e.acceptor.dropSYNs()
-}
-
-// Hang suspends the process or resumes it. While it hangs, connections are established and no request gets a
-// response.
-func (e *Endpoint) Hang(hang bool) {
-	e.mu.Lock()
-	defer e.mu.Unlock()
-	switch {
-	case e.unreachable || e.acceptor == nil:
-	case hang:
-		e.suspend()
-	default:
-		e.resume()
-	}
-}
-
-// Recover ends the fault that is injected. An endpoint that hung resumes; one that was draining accepts requests
-// again; one that was disconnected resets the connections it had and keeps its start time; one that crashed
-// starts a new incarnation. It returns ErrClosed after Close.
-func (e *Endpoint) Recover() error {
-	e.mu.Lock()
-	defer e.mu.Unlock()
-	switch {
-	case e.closed:
-		return ErrClosed
-	case e.acceptor == nil:
-		return e.start(time.Now())
-	case e.unreachable:
-		e.stop()
-		return e.start(e.startedAt)
-	}
-	e.draining = false
-	e.resume()
-	return nil
-}
-
 // Counts returns the counters so far.
 func (e *Endpoint) Counts() Counts {
 	return Counts{
@@ -172,79 +114,3 @@
 	e.serving.Wait()
 	return nil
 }
-
-// start starts an incarnation of the process. e.mu is locked.
-func (e *Endpoint) start(startedAt time.Time) error {
-	acceptor, err := listen(e.address)
-	if err != nil {
-		return err
-	}
-	e.acceptor = acceptor
-	e.address = acceptor.listener.Addr().String()
-	e.startedAt = startedAt
-	e.draining = false
-	e.queue = &queue{
-		cores:       e.config.Cores,
-		limit:       e.config.QueueLimit,
-		serviceTime: func(now time.Time) time.Duration { return e.config.serviceTimeAt(now.Sub(startedAt)) },
-	}
-	e.serving.Add(1)
-	go e.accept(acceptor)
-	return nil
-}
-
-// stop ends the incarnation of the process, if there is one. e.mu is locked.
-func (e *Endpoint) stop() {
-	if e.acceptor == nil {
-		return
-	}
-	e.acceptor.close()
-	e.acceptor = nil
-	e.connections.ResetAll()
-	e.unreachable = false
-	e.pauseGate.resume()
-}
-
-// suspend blocks all goroutines that serve. e.mu is locked.
-func (e *Endpoint) suspend() {
-	e.pauseGate.pause()
-	e.acceptor.pause()
-}
-
-// resume undoes suspend. e.mu is locked.
-func (e *Endpoint) resume() {
-	e.acceptor.resume()
-	e.pauseGate.resume()
-}
-
-// accept serves the connections of one incarnation until that ends.
-func (e *Endpoint) accept(from *acceptor) {
-	defer e.serving.Done()
-	for {
-		e.pauseGate.wait()
-		socket, err := from.accept()
-		var timeout net.Error
-		switch {
-		case err == nil:
-			e.serveConn(from, httpconn.New(socket, &e.traffic))
-		case errors.Is(err, net.ErrClosed):
-			return
-		case errors.As(err, &timeout) && timeout.Timeout(): // suspended
-		default:
-			time.Sleep(acceptPause)
-		}
-	}
-}
-
-// serveConn starts serving a connection, unless the incarnation that accepted it is over.
-func (e *Endpoint) serveConn(from *acceptor, c *httpconn.Conn) {
-	e.mu.Lock()
-	defer e.mu.Unlock()
-	if e.acceptor != from {
-		c.Reset()
-		return
-	}
-	e.connections.Add(c)
-	e.serving.Add(1)
-	go e.serve(c)
-}
--- a/internal/emulator/endpoint/serve.go
+++ b/internal/emulator/endpoint/serve.go
@@ -1,6 +1,8 @@
 package endpoint
 
 import (
+	"errors"
+	"net"
 	"net/http"
 	"strconv"
 	"time"
@@ -132,13 +134,6 @@
 	return e.config.LoadField + "=" + strconv.Itoa(queue.inFlight())
 }
 
-// incarnation returns the queue of the current incarnation, and whether it is draining.
-func (e *Endpoint) incarnation() (current *queue, draining bool) {
-	e.mu.Lock()
-	defer e.mu.Unlock()
-	return e.queue, e.draining
-}
-
 // parseDeadline returns the deadline of a request from its header; zero if it has none.
 func parseDeadline(header http.Header) time.Time {
 	milliseconds, err := strconv.ParseInt(header.Get(remainingTimeHeader), 10, 64)
@@ -147,3 +142,35 @@
 	}
 	return time.Now().Add(time.Duration(milliseconds) * time.Millisecond)
 }
+
+// accept serves the connections of one incarnation until that ends.
+func (e *Endpoint) accept(from *acceptor) {
+	defer e.serving.Done()
+	for {
+		e.pauseGate.wait()
+		socket, err := from.accept()
+		var timeout net.Error
+		switch {
+		case err == nil:
+			e.serveConn(from, httpconn.New(socket, &e.traffic))
+		case errors.Is(err, net.ErrClosed):
+			return
+		case errors.As(err, &timeout) && timeout.Timeout(): // suspended
+		default:
+			time.Sleep(acceptPause)
+		}
+	}
+}
+
+// serveConn starts serving a connection, unless the incarnation that accepted it is over.
+func (e *Endpoint) serveConn(from *acceptor, c *httpconn.Conn) {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	if e.acceptor != from {
+		c.Reset()
+		return
+	}
+	e.connections.Add(c)
+	e.serving.Add(1)
+	go e.serve(c)
+}
