--- /dev/null
+++ b/internal/emulator/registry/listen.go
@@ -0,0 +1,101 @@
+package registry
+
+import (
+	"errors"
+	"net"
+	"oakproxy/internal/emulator/httpconn"
+	"time"
+)
+
+// Listen starts serving at an address, in addition to any earlier ones. It returns ErrClosed after Close.
+func (s *Server) Listen(address string) (net.Addr, error) {
+	listener, err := net.Listen("tcp", address)
+	if err != nil {
+		return nil, err
+	}
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if s.closed {
+		_ = listener.Close()
+		return nil, ErrClosed
+	}
+	set := &httpconn.Set{}
+	s.listeners[listener] = set
+	s.serving.Add(1)
+	go s.accept(listener, set)
+	return listener.Addr(), nil
+}
+
+// Move starts serving at a new address. All earlier ones stop accepting connections, and close those they
+// have after 1.5 s.
+func (s *Server) Move(address string) (net.Addr, error) {
+	s.mu.Lock()
+	previous := make(map[net.Listener]*httpconn.Set, len(s.listeners))
+	for listener, set := range s.listeners {
+		previous[listener] = set
+	}
+	s.mu.Unlock()
+	newAddress, err := s.Listen(address)
+	if err != nil {
+		return nil, err
+	}
+	for listener, set := range previous {
+		s.abandon(listener, set)
+	}
+	s.logger.Info("registry moved", "address", newAddress)
+	return newAddress, nil
+}
+
+// abandon closes a listener, and after the move grace its connections.
+func (s *Server) abandon(listener net.Listener, set *httpconn.Set) {
+	_ = listener.Close()
+	s.mu.Lock()
+	delete(s.listeners, listener)
+	s.mu.Unlock()
+	time.AfterFunc(s.moveGrace, func() {
+		for _, c := range set.All() {
+			c.Close()
+		}
+	})
+}
+
+// accept serves the connections of a listener until it is closed.
+func (s *Server) accept(listener net.Listener, set *httpconn.Set) {
+	defer s.serving.Done()
+	for {
+		socket, err := listener.Accept()
+		if errors.Is(err, net.ErrClosed) {
+			return
+		}
+		if err != nil {
+			s.logger.Warn("registry can't accept", "error", err)
+			time.Sleep(acceptPause)
+			continue
+		}
+		c := httpconn.New(socket, &s.traffic)
+		set.Add(c)
+		if !s.track(c) {
+			c.Close()
+			return
+		}
+		go func() {
+			defer s.serving.Done()
+			defer set.Remove(c)
+			defer s.connections.Remove(c)
+			defer c.Close()
+			s.serve(c)
+		}()
+	}
+}
+
+// track registers a connection that is about to be served. It returns false if the server is closed.
+func (s *Server) track(c *httpconn.Conn) bool {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if s.closed {
+		return false
+	}
+	s.connections.Add(c)
+	s.serving.Add(1)
+	return true
+}
