--- a/cmd/emulator/commands.go
+++ b/cmd/emulator/commands.go
@@ -1,7 +1,6 @@
 package main
 
 import (
-	"cmp"
 	"fmt"
 	"os"
 	"os/exec"
@@ -12,7 +11,6 @@
 	"github.com/spf13/cobra"
 
 	"oakproxy/internal/emulator/play"
-	"oakproxy/internal/emulator/result"
 	"oakproxy/internal/emulator/spec"
 	"oakproxy/internal/emulator/worker"
 )
@@ -116,48 +114,6 @@
 	return commit
 }
 
-func newRunCommand() *cobra.Command {
-	var c commonFlags
-	var size spec.Size
-	command := &cobra.Command{
-		Use:   "run",
-		Short: "Play a scenario once",
-		Args:  cobra.NoArgs,
-		RunE: func(command *cobra.Command, _ []string) error {
-			options, err := c.options()
-			if err != nil {
-				return err
-			}
-			if size.Endpoints == 0 {
-				size.Endpoints = size.Sidecars
-			}
-			options.Size, options.Play = size, 1
-			run, err := play.Run(command.Context(), options)
-			return cmp.Or(err, c.record(run))
-		},
-	}
-	c.register(command)
-	flags := command.Flags()
-	flags.IntVar(&size.Sidecars, "sidecars", defaultSidecars, "number of sidecars, real ones included")
-	flags.IntVar(&size.Endpoints, "endpoints", 0, "number of endpoints (default: as many as sidecars)")
-	flags.IntVar(&size.Real, "real", defaultReal, "number of sidecars with a process of their own")
-	return command
-}
-
-// record prints a run and appends it to the result file. A nil run has nothing to record.
-func (c *commonFlags) record(run *result.Run) error {
-	if run == nil {
-		return nil
-	}
-	if err := result.WriteSummary(os.Stdout, run); err != nil {
-		return err
-	}
-	if c.out == "" {
-		return nil
-	}
-	return result.Append(c.out, run)
-}
-
 func newListCommand() *cobra.Command {
 	var path string
 	command := &cobra.Command{
--- a/cmd/emulator/sweep.go
+++ b/cmd/emulator/sweep.go
@@ -3,9 +3,6 @@
 import (
 	"cmp"
 	"context"
-	"errors"
-	"fmt"
-	"os"
 	"time"
 
 	"github.com/spf13/cobra"
@@ -24,59 +21,6 @@
 
 var defaultSizes = []int{54, 108, 215, 430, 860}
 
-// outputFlags are the flags for a sweep's table and plot.
-type outputFlags struct {
-	table   string
-	plot    string
-	metrics []string
-}
-
-// register adds the flags to a command.
-func (o *outputFlags) register(command *cobra.Command) {
-	flags := command.Flags()
-	flags.StringVar(&o.table, "table", "", "file for the Markdown table (default: standard output)")
-	flags.StringVar(&o.plot, "plot", "", "file for the SVG plot (default: none)")
-	flags.StringArrayVar(&o.metrics, "metric", nil,
-		"metric to plot, as the table names it; may be repeated "+defaultMetric)
-}
-
-// writeFiles writes the table and the plot.
-func (o *outputFlags) writeFiles(runs []*result.Run) error {
-	if err := o.writeTable(runs); err != nil {
-		return err
-	}
-	if o.plot == "" {
-		return nil
-	}
-	return o.writePlot(runs)
-}
-
-func (o *outputFlags) writeTable(runs []*result.Run) error {
-	table := os.Stdout
-	if o.table != "" {
-		file, err := os.Create(o.table)
-		if err != nil {
-			return err
-		}
-		defer file.Close()
-		table = file
-	}
-	return result.WriteTable(table, runs)
-}
-
-func (o *outputFlags) writePlot(runs []*result.Run) error {
-	metrics := o.metrics
-	if len(metrics) == 0 {
-		metrics = result.DefaultPlotted
-	}
-	err := result.WritePlot(o.plot, runs, metrics)
-	if errors.Is(err, result.ErrNothingToPlot) && len(o.metrics) == 0 {
-		fmt.Fprintln(os.Stderr, err) // all runs may have been omitted: the table says so
-		return nil
-	}
-	return err
-}
-
 // sweep is the command that plays a scenario at several sizes.
 type sweep struct {
 	commonFlags
@@ -150,28 +94,3 @@
 	}
 	return nil
 }
-
-func newReportCommand() *cobra.Command {
-	var o outputFlags
-	command := &cobra.Command{
-		Use:   "report FILE...",
-		Short: "Make the table and the plot of result files again",
-		Args:  cobra.MinimumNArgs(1),
-		RunE: func(_ *cobra.Command, paths []string) error {
-			var runs []*result.Run
-			for _, path := range paths {
-				fileRuns, err := result.Read(path)
-				if err != nil {
-					return spec.Invalid("%w", err)
-				}
-				runs = append(runs, fileRuns...)
-			}
-			if len(runs) == 0 {
-				return spec.Invalid("%s: no runs", fmt.Sprint(paths))
-			}
-			return o.writeFiles(runs)
-		},
-	}
-	o.register(command)
-	return command
-}
