--- /dev/null
+++ b/cmd/emulator/harness_test.go
@@ -0,0 +1,171 @@
+package main
+
+import (
+	"bytes"
+	"fmt"
+	"os"
+	"os/exec"
+	"path/filepath"
+	"strings"
+	"sync"
+	"testing"
+	"time"
+
+	"oakproxy/internal/emulator/result"
+)
+
+func TestMain(m *testing.M) {
+	if os.Getenv(runVariable) != "" {
+		main()
+	}
+	os.Exit(m.Run())
+}
+
+// sidecarPath builds the sidecar's program, once for all tests.
+var sidecarPath = sync.OnceValues(func() (string, error) {
+	directory, err := os.MkdirTemp("", "emulator-test-*")
+	if err != nil {
+		return "", err
+	}
+	path := filepath.Join(directory, sidecarProgram)
+	out, err := exec.Command("go", "build", "-o", path, "oakproxy/cmd/sidecar").CombinedOutput()
+	if err != nil {
+		return "", fmt.Errorf("%w: %s", err, out)
+	}
+	return path, nil
+})
+
+// emulator is a run of the program with a directory of its own for temporary files.
+type emulator struct {
+	*exec.Cmd
+	scratch        string
+	output, errors bytes.Buffer
+}
+
+func newEmulator(t *testing.T, arguments ...string) *emulator {
+	t.Helper()
+	e := &emulator{Cmd: exec.Command(os.Args[0], arguments...), scratch: t.TempDir()}
+	e.Env = append(os.Environ(), runVariable+"=1", "TMPDIR="+e.scratch)
+	e.Stdout, e.Stderr = &e.output, &e.errors
+	return e
+}
+
+// newRun is a run of a scenario at a small size.
+func newRun(t *testing.T, scenario string, more ...string) *emulator {
+	t.Helper()
+	sidecar, err := sidecarPath()
+	if err != nil {
+		t.Fatal(err)
+	}
+	arguments := []string{"run", "--file", smallFile, "--scenario", scenario, "--sidecar", sidecar,
+		"--sidecars", "14", "--endpoints", "12", "--real", "2"}
+	return newEmulator(t, append(arguments, more...)...)
+}
+
+// processes counts the processes that have this run's directory in their environment.
+func (e *emulator) processes() int {
+	count := 0
+	paths, _ := filepath.Glob("/proc/[0-9]*/environ")
+	for _, path := range paths {
+		text, err := os.ReadFile(path)
+		if err == nil && bytes.Contains(text, []byte("TMPDIR="+e.scratch+"\x00")) {
+			count++
+		}
+	}
+	return count
+}
+
+// checkNothingLeft checks that no process and no file of the run remain.
+func (e *emulator) checkNothingLeft(t *testing.T) {
+	t.Helper()
+	if n := e.processes(); n > 0 {
+		t.Errorf("%d processes remain", n)
+	}
+	files, err := os.ReadDir(e.scratch)
+	if err != nil || len(files) > 0 {
+		t.Errorf("files remain: %v, %v", files, err)
+	}
+}
+
+func await(t *testing.T, what string, is func() bool) {
+	t.Helper()
+	for end := time.Now().Add(patience); !is(); time.Sleep(5 * time.Millisecond) {
+		if time.Now().After(end) {
+			t.Fatalf("timed out waiting for %s", what)
+		}
+	}
+}
+
+// playOnce plays a scenario to its end and returns what it measured.
+func playOnce(t *testing.T, scenario string) *result.Run {
+	t.Helper()
+	path := filepath.Join(t.TempDir(), "runs.jsonl")
+	e := newRun(t, scenario, "--out", path)
+	if err := e.Run(); err != nil {
+		t.Fatalf("%v: %s", err, e.errors.String())
+	}
+	e.checkNothingLeft(t)
+	if !strings.Contains(e.output.String(), "phase "+loadedName) {
+		t.Errorf("printed %q", e.output.String())
+	}
+	runs, err := result.Read(path)
+	if err != nil || len(runs) != 1 {
+		t.Fatalf("%d runs, %v", len(runs), err)
+	}
+	return runs[0]
+}
+
+// checkPhase checks what also holds on a busy machine.
+func checkPhase(t *testing.T, phase *result.Phase) {
+	t.Helper()
+	if phase.Proxied != nil && phase.Proxied.Counts.Served == 0 {
+		t.Errorf("%s: no request was served: %+v", phase.Name, phase.Proxied.Counts)
+	}
+	if phase.Proxied == nil && phase.Name != "rest" {
+		t.Errorf("%s: no requests", phase.Name)
+	}
+	if phase.Endpoints.Duplicates > phase.Endpoints.Requests/2 {
+		t.Errorf("%s: %d of %d requests are duplicates", phase.Name, phase.Endpoints.Duplicates, phase.Endpoints.Requests)
+	}
+	for _, role := range []result.Role{result.RealSidecar, result.SimulatedSidecar, result.Endpoint, result.Discovery} {
+		usage := phase.Usage(role)
+		if usage == nil || usage.Processes == 0 || usage.ResidentMB <= 0 || usage.Descriptors <= 0 {
+			t.Errorf("%s: %s spends %+v", phase.Name, role, usage)
+		}
+	}
+	for _, spread := range phase.Distributions {
+		if spread.Total == 0 || spread.Missing > 0 {
+			t.Errorf("%s: %+v", phase.Name, spread)
+		}
+	}
+}
+
+// changedFile writes the small scenario file with one change.
+func changedFile(t *testing.T, old, replacement string) string {
+	t.Helper()
+	text, err := os.ReadFile(smallFile)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if !strings.Contains(string(text), old) {
+		t.Fatalf("%q is not in the file", old)
+	}
+	path := filepath.Join(t.TempDir(), "changed.toml")
+	if err := os.WriteFile(path, []byte(strings.Replace(string(text), old, replacement, 1)), 0o600); err != nil {
+		t.Fatal(err)
+	}
+	return path
+}
+
+// startRun starts a long run and waits until its sidecars run.
+func startRun(t *testing.T) *emulator {
+	t.Helper()
+	e := newRun(t, "steady")
+	if err := e.Start(); err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { e.Process.Kill() })
+	const children = 2 + 3 + 3 + 1 // real sidecars, and workers for endpoints, simulated sidecars and discovery
+	await(t, "the children", func() bool { return e.processes() > children })
+	return e
+}
--- /dev/null
+++ b/cmd/emulator/scenarios_test.go
@@ -0,0 +1,82 @@
+package main
+
+import (
+	"bytes"
+	"os"
+	"path/filepath"
+	"testing"
+
+	"oakproxy/internal/emulator/result"
+)
+
+// Each scenario is played to its end: its sidecars forward requests, and all reach the expected states.
+func TestScenariosRunToTheirEnd(t *testing.T) {
+	for scenario, phases := range map[string][]string{
+		"steady":  {"rest", loadedName},
+		"replace": {loadedName, "replace"},
+		"zone":    {loadedName, "gone", "back"},
+	} {
+		t.Run(scenario, func(t *testing.T) {
+			run := playOnce(t, scenario)
+			if len(run.Phases) != len(phases) {
+				t.Fatalf("%d phases, want %v", len(run.Phases), phases)
+			}
+			for i, phase := range run.Phases {
+				if phase.Name != phases[i] {
+					t.Errorf("phase %d is %s, want %s", i, phase.Name, phases[i])
+				}
+				checkPhase(t, &phase)
+			}
+			if simulated := run.End.Simulated; simulated.Running != 12 || simulated.Failed != 0 {
+				t.Errorf("at the end: %+v", simulated)
+			}
+			if ready := run.Startup.SimulatedReady; ready.Total != 12 || ready.Missing != 0 {
+				t.Errorf("at the start: %+v", ready)
+			}
+		})
+	}
+}
+
+// Each change replaces all files, and the sidecars that apply it are counted.
+func TestChangesAreRolledOutAndApplied(t *testing.T) {
+	run := playOnce(t, "changes")
+	if len(run.Phases) != 3 {
+		t.Fatalf("%d phases", len(run.Phases))
+	}
+	changes, burst := run.Phases[1], run.Phases[2]
+	if changes.Events != 2 || burst.Events != 3 || changes.ConfigBytes == 0 {
+		t.Errorf("%d changes, then %d at once, %d bytes", changes.Events, burst.Events, changes.ConfigBytes)
+	}
+	for _, phase := range run.Phases {
+		checkPhase(t, &phase)
+	}
+}
+
+// A sweep plays each size as often as --plays says, and report reproduces its table.
+func TestSweepRunsEachSizeAndReportReproducesItsTable(t *testing.T) {
+	sidecar, err := sidecarPath()
+	if err != nil {
+		t.Fatal(err)
+	}
+	directory := t.TempDir()
+	at := func(name string) string { return filepath.Join(directory, name) }
+	e := newEmulator(t, "sweep", "--file", smallFile, "--sidecar", sidecar, "--sizes", "3,5",
+		"--plays", "2", "--real", "1",
+		"--out", at("runs.jsonl"), "--table", at("table.md"), "--plot", at("plot.svg"))
+	if err := e.Run(); err != nil {
+		t.Fatalf("%v: %s", err, e.errors.String())
+	}
+	e.checkNothingLeft(t)
+	runs, err := result.Read(at("runs.jsonl"))
+	if err != nil || len(runs) != 4 || runs[0].Size.Sidecars != 3 || runs[3].Size.Sidecars != 5 || runs[3].Play != 2 {
+		t.Fatalf("%d runs, %v", len(runs), err)
+	}
+	table, err := os.ReadFile(at("table.md"))
+	if err != nil || !bytes.Contains(table, []byte("| rest: hollow sidecar, processor time |")) && runs[0].Usable() {
+		t.Errorf("table %s, %v", table, err)
+	}
+	again := newEmulator(t, "report", at("runs.jsonl"))
+	if err := again.Run(); err != nil || !bytes.Equal(again.output.Bytes(), table) {
+		t.Errorf("report: %v, %s", err, again.output.String())
+	}
+}
--- /dev/null
+++ b/internal/emulator/endpoint/faults_test.go
@@ -0,0 +1,90 @@
+package endpoint
+
+import (
+	"errors"
+	"net"
+	"syscall"
+	"testing"
+	"time"
+)
+
+func TestDrainingEndpointRejectsRequests(t *testing.T) {
+	e := start(t, Config{})
+	c := newClient(t, e)
+	e.Drain()
+	c.expect(503, "/search", "id1")
+	c.expect(503, "/health/live", "")
+	succeed(t, e.Recover)
+	c.expect(200, "/search", "id1")
+}
+
+func TestRestartBeginsANewIncarnation(t *testing.T) {
+	e := start(t, Config{ServiceTime: time.Hour})
+	c := newClient(t, e)
+	result := c.begin("id1")
+	awaitInFlight(t, e, "inflight=1")
+	if e.StartedMS() != 0 {
+		t.Errorf("started at %d", e.StartedMS())
+	}
+	succeed(t, e.Restart)
+	if got := <-result; !errors.Is(got.err, syscall.ECONNRESET) {
+		t.Errorf("got %+v", got)
+	}
+	c.expect(200, "/health/live", "")
+	restarted := e.StartedMS()
+	e.Crash()
+	if got := c.send("GET", "/health/live", ""); !errors.Is(got.err, syscall.ECONNREFUSED) {
+		t.Errorf("got %+v", got)
+	}
+	succeed(t, e.Recover)
+	c.expect(200, "/health/live", "")
+	if recovered := e.StartedMS(); restarted == 0 || recovered < restarted || e.Address() != c.address {
+		t.Errorf("started at %d and %d, at %s", restarted, recovered, e.Address())
+	}
+}
+
+func TestDisconnectedEndpointIsSilentUntilRecovery(t *testing.T) {
+	e := start(t, Config{})
+	c := newClient(t, e)
+	c.expect(200, "/search", "id1")
+	await(t, "first answer", func() bool { return e.Counts().Served == 1 })
+	succeed(t, e.Disconnect)
+	before := e.Counts()
+	silent := c.begin("id2") // on the connection it has
+	await(t, "byte of a request", func() bool { return e.Counts().BytesIn > before.BytesIn })
+	_, err := net.DialTimeout("tcp", c.address, 50*time.Millisecond)
+	var timeout net.Error
+	if !errors.As(err, &timeout) || !timeout.Timeout() {
+		t.Errorf("dialling gave %v", err)
+	}
+	if after := e.Counts(); after.BytesOut != before.BytesOut {
+		t.Errorf("%d bytes sent while it was disconnected", after.BytesOut-before.BytesOut)
+	}
+	succeed(t, e.Recover)
+	if got := <-silent; !errors.Is(got.err, syscall.ECONNRESET) {
+		t.Errorf("got %+v", got)
+	}
+	c.expect(200, "/search", "id3")
+	if e.StartedMS() != 0 {
+		t.Error("the start time has changed")
+	}
+}
+
+func TestHungEndpointRespondsOnceItResumes(t *testing.T) {
+	e := start(t, Config{})
+	c := newClient(t, e)
+	e.Hang(true)
+	result := c.begin("id1")
+	connected, err := net.Dial("tcp", c.address)
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer connected.Close()
+	if got := e.Counts(); got.Requests != 0 || got.BytesOut != 0 {
+		t.Errorf("counts while it hangs %+v", got)
+	}
+	e.Hang(false)
+	if got := <-result; got.status != 200 {
+		t.Errorf("got %+v", got)
+	}
+}
--- /dev/null
+++ b/internal/emulator/endpoint/harness_test.go
@@ -0,0 +1,101 @@
+package endpoint
+
+import (
+	"io"
+	"net/http"
+	"runtime"
+	"strings"
+	"testing"
+	"time"
+)
+
+func start(t *testing.T, config Config) *Endpoint {
+	t.Helper()
+	config.Name, config.Address = "s-1", "127.0.0.1:0"
+	e, err := Start(config)
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { succeed(t, e.Close) })
+	return e
+}
+
+func succeed(t *testing.T, do func() error) {
+	t.Helper()
+	if err := do(); err != nil {
+		t.Fatal(err)
+	}
+}
+
+// reply is the outcome of a request.
+type reply struct {
+	status int
+	header http.Header
+	body   string
+	err    error
+}
+
+// client sends requests to an endpoint on persistent connections.
+type client struct {
+	http.Client
+	t       *testing.T
+	address string
+}
+
+func newClient(t *testing.T, e *Endpoint) *client {
+	c := &client{t: t, address: e.Address()}
+	c.Transport = &http.Transport{}
+	t.Cleanup(c.CloseIdleConnections)
+	return c
+}
+
+func (c *client) send(method, path, id string) reply {
+	request, err := http.NewRequest(method, "http://"+c.address+path, strings.NewReader("body"))
+	if err != nil {
+		return reply{err: err}
+	}
+	if method == http.MethodGet {
+		request.Body = http.NoBody
+	}
+	if id != "" {
+		request.Header.Set(correlationIDHeader, id)
+	}
+	response, err := c.Do(request)
+	if err != nil {
+		return reply{err: err}
+	}
+	defer response.Body.Close()
+	body, err := io.ReadAll(response.Body)
+	return reply{response.StatusCode, response.Header, string(body), err}
+}
+
+// expect sends a request and checks its status. A 503 has to say that the request was not processed.
+func (c *client) expect(status int, path, id string) {
+	c.t.Helper()
+	got := c.send(http.MethodGet, path, id)
+	rejected := got.header.Get(unprocessedHeader) == "1"
+	if got.status != status || rejected != (status == http.StatusServiceUnavailable && id != "") {
+		c.t.Errorf("%s: got %+v, want %d", path, got, status)
+	}
+}
+
+// begin sends a request in the background.
+func (c *client) begin(id string) <-chan reply {
+	result := make(chan reply, 1)
+	go func() { result <- c.send(http.MethodPost, "/checkout", id) }()
+	return result
+}
+
+func await(t *testing.T, what string, reached func() bool) {
+	t.Helper()
+	for end := time.Now().Add(10 * time.Second); !reached(); runtime.Gosched() {
+		if time.Now().After(end) {
+			t.Fatalf("no %s", what)
+		}
+	}
+}
+
+func awaitInFlight(t *testing.T, e *Endpoint, want string) {
+	t.Helper()
+	await(t, want, func() bool { return e.loadReport() == want })
+}
