--- a/cmd/emulator/report.go
+++ b/cmd/emulator/report.go
@@ -3,11 +3,12 @@
 import (
 	"errors"
 	"fmt"
-	"oakproxy/internal/emulator/result"
-	"oakproxy/internal/emulator/spec"
 	"os"
 
 	"github.com/spf13/cobra"
+
+	"oakproxy/internal/emulator/result"
+	"oakproxy/internal/emulator/spec"
 )
 
 // outputFlags are the flags for a sweep's table and plot.
--- a/cmd/emulator/run.go
+++ b/cmd/emulator/run.go
@@ -2,12 +2,13 @@
 
 import (
 	"cmp"
-	"oakproxy/internal/emulator/play"
-	"oakproxy/internal/emulator/result"
-	"oakproxy/internal/emulator/spec"
 	"os"
 
 	"github.com/spf13/cobra"
+
+	"oakproxy/internal/emulator/play"
+	"oakproxy/internal/emulator/result"
+	"oakproxy/internal/emulator/spec"
 )
 
 func newRunCommand() *cobra.Command {
--- a/internal/emulator/load/report.go
+++ b/internal/emulator/load/report.go
@@ -1,10 +1,11 @@
 package load
 
 import (
-	"oakproxy/internal/emulator/counter"
 	"sync"
 	"syscall"
 	"time"
+
+	"oakproxy/internal/emulator/counter"
 )
 
 // outcome is the outcome of a request.
--- a/internal/emulator/play/configfiles.go
+++ b/internal/emulator/play/configfiles.go
@@ -1,10 +1,11 @@
 package play
 
 import (
-	"oakproxy/internal/emulator/fleet"
 	"os"
 	"path/filepath"
 	"time"
+
+	"oakproxy/internal/emulator/fleet"
 )
 
 // configPath returns the path of a sidecar's configuration file.
--- a/internal/emulator/play/exits.go
+++ b/internal/emulator/play/exits.go
@@ -3,6 +3,7 @@
 import (
 	"cmp"
 	"fmt"
+
 	"oakproxy/internal/emulator/process"
 )
 
--- a/internal/emulator/play/propagation.go
+++ b/internal/emulator/play/propagation.go
@@ -2,9 +2,10 @@
 
 import (
 	"context"
+	"time"
+
 	"oakproxy/internal/emulator/result"
 	"oakproxy/internal/emulator/worker"
-	"time"
 )
 
 // propagationTimeout is how long a version of the endpoint list may take to reach a sidecar until it counts
--- a/internal/emulator/play/roles.go
+++ b/internal/emulator/play/roles.go
@@ -1,9 +1,10 @@
 package play
 
 import (
+	"os"
+
 	"oakproxy/internal/emulator/process"
 	"oakproxy/internal/emulator/result"
-	"os"
 )
 
 // descriptorReserve is the divisor for the part of its descriptors below which a process is near its limit.
--- a/internal/emulator/play/rollout.go
+++ b/internal/emulator/play/rollout.go
@@ -4,14 +4,15 @@
 	"context"
 	"errors"
 	"fmt"
+	"sync"
+	"syscall"
+	"time"
+
 	"oakproxy/internal/config"
 	"oakproxy/internal/emulator/control"
 	"oakproxy/internal/emulator/result"
 	"oakproxy/internal/emulator/sidecarlog"
 	"oakproxy/internal/emulator/worker"
-	"sync"
-	"syscall"
-	"time"
 )
 
 // reloadTimeout is how long a sidecar may take to apply a change until it counts as missing.
--- a/internal/emulator/registry/listen.go
+++ b/internal/emulator/registry/listen.go
@@ -3,8 +3,9 @@
 import (
 	"errors"
 	"net"
-	"oakproxy/internal/emulator/httpconn"
 	"time"
+
+	"oakproxy/internal/emulator/httpconn"
 )
 
 // Listen starts serving at an address, in addition to any earlier ones. It returns ErrClosed after Close.
--- a/internal/emulator/sidecarlog/events.go
+++ b/internal/emulator/sidecarlog/events.go
@@ -7,9 +7,10 @@
 
 import (
 	"context"
-	"oakproxy/internal/emulator/counter"
 	"sync"
 	"time"
+
+	"oakproxy/internal/emulator/counter"
 )
 
 // endpointList is an endpoint list that a sidecar received.
--- a/internal/emulator/worker/hostedsidecar.go
+++ b/internal/emulator/worker/hostedsidecar.go
@@ -2,12 +2,13 @@
 
 import (
 	"context"
-	"oakproxy/internal/config"
-	"oakproxy/internal/emulator/sidecarlog"
-	"oakproxy/internal/sidecar"
 	"os"
 	"sync"
 	"time"
+
+	"oakproxy/internal/config"
+	"oakproxy/internal/emulator/sidecarlog"
+	"oakproxy/internal/sidecar"
 )
 
 // hostedSidecar is one incarnation of a sidecar.
--- a/internal/emulator/worker/worker.go
+++ b/internal/emulator/worker/worker.go
@@ -3,9 +3,10 @@
 import (
 	"context"
 	"io"
+	"slices"
+
 	"oakproxy/internal/emulator/control"
 	"oakproxy/internal/emulator/spec"
-	"slices"
 )
 
 // service implements one role.
