--- a/internal/emulator/play/runner.go
+++ b/internal/emulator/play/runner.go
@@ -14,6 +14,7 @@
 	"oakproxy/internal/emulator/result"
 	"oakproxy/internal/emulator/spec"
 	"oakproxy/internal/emulator/worker"
+	"oakproxy/internal/system"
 )
 
 const (
@@ -169,16 +170,10 @@
 // setPhase sets the phase for the progress line.
 func (r *runner) setPhase(phase string) { r.phase.Store(&phase) }
 
-// pause waits for a duration. It returns the cause of ctx if that is done before.
-func pause(ctx context.Context, length time.Duration) error {
-	timer := time.NewTimer(length)
-	defer timer.Stop()
-	select {
-	case <-timer.C:
-		return nil
-	case <-ctx.Done():
-		return context.Cause(ctx)
-	}
+// pause waits for a duration. It returns the cause of ctx if that is done by then.
+func pause(ctx context.Context, duration time.Duration) error {
+	system.Sleep(ctx, duration)
+	return context.Cause(ctx)
 }
 
 // simulatedCount returns the number of simulated sidecars.
--- a/internal/emulator/worker/sidecars.go
+++ b/internal/emulator/worker/sidecars.go
@@ -11,6 +11,7 @@
 
 	"oakproxy/internal/emulator/control"
 	"oakproxy/internal/emulator/sidecarlog"
+	"oakproxy/internal/system"
 )
 
 // errAlreadyRunning is returned for the start of a sidecar that is running.
@@ -45,8 +46,11 @@
 func (s *sidecarService) start(ctx context.Context, request Sidecars) (control.Empty, error) {
 	interval := request.Over / time.Duration(max(1, len(request.Files)))
 	for i, file := range request.Files {
-		if i > 0 && !sleep(ctx, interval) {
-			return control.Empty{}, ctx.Err()
+		if i > 0 {
+			system.Sleep(ctx, interval)
+			if err := ctx.Err(); err != nil {
+				return control.Empty{}, err
+			}
 		}
 		if err := s.startOne(file); err != nil {
 			return control.Empty{}, fmt.Errorf("%s: %w", file.Name, err)
@@ -55,18 +59,6 @@
 	return control.Empty{}, nil
 }
 
-// sleep waits for a time and says whether ctx was not done before.
-func sleep(ctx context.Context, length time.Duration) bool {
-	timer := time.NewTimer(length)
-	defer timer.Stop()
-	select {
-	case <-timer.C:
-		return true
-	case <-ctx.Done():
-		return false
-	}
-}
-
 // startOne starts a sidecar for the first time, or again once it has ended.
 func (s *sidecarService) startOne(file SidecarFile) error {
 	s.mu.Lock()
