--- a/internal/emulator/play/zone.go
+++ b/internal/emulator/play/zone.go
@@ -87,14 +87,7 @@
 	if err != nil {
 		return err
 	}
-	var received propagation
-	if err := r.awaitList(ctx, version, &received); err != nil {
-		return err
-	}
-	phase.Events = 1
-	phase.Distributions = append(phase.Distributions,
-		received.distribution("from discovery's word of the loss to its being heard"))
-	return nil
+	return r.recordPropagation(ctx, phase, version, "from discovery's word of the loss to its being heard")
 }
 
 // stopSidecars stops the sidecars of a zone: it kills the real ones, and shuts the simulated ones down
@@ -133,13 +126,24 @@
 	if err != nil {
 		return err
 	}
+	err = r.recordPropagation(ctx, phase, version, "from discovery's word of the return to its being heard")
+	if err != nil {
+		return err
+	}
+	phase.Distributions = append(phase.Distributions, startup.simulated, startup.real)
+	return nil
+}
+
+// recordPropagation waits until the sidecars have received a version of the endpoint list, and records it as
+// the one event of a phase.
+func (r *runner) recordPropagation(
+	ctx context.Context, phase *result.Phase, version worker.ListVersion, what string,
+) error {
 	var received propagation
 	if err := r.awaitList(ctx, version, &received); err != nil {
 		return err
 	}
 	phase.Events = 1
-	phase.Distributions = append(phase.Distributions,
-		received.distribution("from discovery's word of the return to its being heard"),
-		startup.simulated, startup.real)
+	phase.Distributions = append(phase.Distributions, received.distribution(what))
 	return nil
 }
