--- a/internal/emulator/spec/spec.go
+++ b/internal/emulator/spec/spec.go
@@ -1,7 +1,9 @@
 // Package spec defines what the emulator plays: the scenario file and the size of the fleet.
 //
-// It validates every value, so that the packages that use them need not. Values are stored with results: the JSON
-// keys equal the keys of the scenario file and must not change.
+// It validates every value, so that the packages that use them need not.
+//
+// Each field has two tags, since the decoder of the scenario file reads toml tags and stored results are encoded by
+// json tags. Their keys are equal, so that a result shows the scenario file's keys, and must not change.
 package spec
 
 import "time"
