--- a/cmd/emulator/report.go
+++ b/cmd/emulator/report.go
@@ -11,6 +11,8 @@
 	"oakproxy/internal/emulator/spec"
 )
 
+const defaultMetric = "(a choice for each scenario)"
+
 // outputFlags are the flags for a sweep's table and plot.
 type outputFlags struct {
 	table   string
--- a/cmd/emulator/sweep.go
+++ b/cmd/emulator/sweep.go
@@ -13,10 +13,9 @@
 )
 
 const (
-	defaultPlays  = 2
-	maxPlays      = 20
-	sweepPause    = 2 * time.Second // for the system to settle after a run
-	defaultMetric = "(a choice for each scenario)"
+	defaultPlays = 2
+	maxPlays     = 20
+	sweepPause   = 2 * time.Second // for the system to settle after a run
 )
 
 var defaultSizes = []int{54, 108, 215, 430, 860}
