--- a/cmd/emulator/harness_test.go
+++ b/cmd/emulator/harness_test.go
@@ -39,14 +39,14 @@
 type emulator struct {
 	*exec.Cmd
 	scratch        string
-	output, errors bytes.Buffer
+	stdout, stderr bytes.Buffer
 }
 
 func newEmulator(t *testing.T, arguments ...string) *emulator {
 	t.Helper()
 	e := &emulator{Cmd: exec.Command(os.Args[0], arguments...), scratch: t.TempDir()}
 	e.Env = append(os.Environ(), runVariable+"=1", "TMPDIR="+e.scratch)
-	e.Stdout, e.Stderr = &e.output, &e.errors
+	e.Stdout, e.Stderr = &e.stdout, &e.stderr
 	return e
 }
 
@@ -75,8 +75,8 @@
 	return count
 }
 
-// checkNothingLeft checks that no process and no file of the run remain.
-func (e *emulator) checkNothingLeft(t *testing.T) {
+// checkNothingRemains checks that no process and no file of the run remain.
+func (e *emulator) checkNothingRemains(t *testing.T) {
 	t.Helper()
 	if n := e.processes(); n > 0 {
 		t.Errorf("%d processes remain", n)
@@ -89,7 +89,7 @@
 
 func await(t *testing.T, what string, is func() bool) {
 	t.Helper()
-	for end := time.Now().Add(patience); !is(); time.Sleep(5 * time.Millisecond) {
+	for end := time.Now().Add(awaitTimeout); !is(); time.Sleep(5 * time.Millisecond) {
 		if time.Now().After(end) {
 			t.Fatalf("timed out waiting for %s", what)
 		}
@@ -102,11 +102,11 @@
 	path := filepath.Join(t.TempDir(), "runs.jsonl")
 	e := newRun(t, scenario, "--out", path)
 	if err := e.Run(); err != nil {
-		t.Fatalf("%v: %s", err, e.errors.String())
+		t.Fatalf("%v: %s", err, e.stderr.String())
 	}
-	e.checkNothingLeft(t)
-	if !strings.Contains(e.output.String(), "phase "+loadedName) {
-		t.Errorf("printed %q", e.output.String())
+	e.checkNothingRemains(t)
+	if !strings.Contains(e.stdout.String(), "phase "+loadedPhase) {
+		t.Errorf("printed %q", e.stdout.String())
 	}
 	runs, err := result.Read(path)
 	if err != nil || len(runs) != 1 {
--- a/cmd/emulator/main_test.go
+++ b/cmd/emulator/main_test.go
@@ -9,15 +9,15 @@
 )
 
 const (
-	runVariable = "EMULATOR_TEST_RUN" // makes the test binary the program
-	smallFile   = "testdata/small.toml"
-	patience    = 60 * time.Second
+	runVariable  = "EMULATOR_TEST_RUN" // makes the test binary the program
+	smallFile    = "testdata/small.toml"
+	awaitTimeout = 60 * time.Second
 )
 
-const loadedName = "loaded"
+const loadedPhase = "loaded"
 
 // Bad input ends with one line that names it, exit code 2, and nothing started.
-func TestBadInputEndsWithExitCode2(t *testing.T) {
+func TestInvalidInputExitsWithCode2(t *testing.T) {
 	changed := func(old, replacement string) string { return changedFile(t, old, replacement) }
 	for name, c := range map[string]struct {
 		arguments []string
@@ -44,17 +44,17 @@
 			if !errors.As(err, &exit) || exit.ExitCode() != exitBadInput {
 				t.Errorf("%v, want exit code %d", err, exitBadInput)
 			}
-			said := e.errors.String()
-			if strings.Count(said, "\n") != 1 || !strings.Contains(said, c.want) || e.output.Len() > 0 {
-				t.Errorf("said %q and printed %q, want one line with %q", said, e.output.String(), c.want)
+			said := e.stderr.String()
+			if strings.Count(said, "\n") != 1 || !strings.Contains(said, c.want) || e.stdout.Len() > 0 {
+				t.Errorf("said %q and printed %q, want one line with %q", said, e.stdout.String(), c.want)
 			}
-			e.checkNothingLeft(t)
+			e.checkNothingRemains(t)
 		})
 	}
 }
 
 // The programs that are deployed hold no package of others, and nothing of the emulator.
-func TestSidecarHasNoExternalPackages(t *testing.T) {
+func TestDeployedProgramsHaveNoExternalDependencies(t *testing.T) {
 	list := exec.Command("go", "list", "-deps", "-f", "{{if not .Standard}}{{.ImportPath}}{{end}}",
 		"oakproxy/cmd/sidecar", "oakproxy/cmd/simhost", "oakproxy/balancer")
 	out, err := list.Output()
--- a/cmd/emulator/scenarios_test.go
+++ b/cmd/emulator/scenarios_test.go
@@ -10,11 +10,11 @@
 )
 
 // Each scenario is played to its end: its sidecars forward requests, and all reach the expected states.
-func TestScenariosRunToTheirEnd(t *testing.T) {
+func TestScenariosRunToCompletion(t *testing.T) {
 	for scenario, phases := range map[string][]string{
-		"steady":  {"rest", loadedName},
-		"replace": {loadedName, "replace"},
-		"zone":    {loadedName, "gone", "back"},
+		"steady":  {"rest", loadedPhase},
+		"replace": {loadedPhase, "replace"},
+		"zone":    {loadedPhase, "gone", "back"},
 	} {
 		t.Run(scenario, func(t *testing.T) {
 			run := playOnce(t, scenario)
@@ -53,7 +53,7 @@
 }
 
 // A sweep plays each size as often as --plays says, and report reproduces its table.
-func TestSweepRunsEachSizeAndReportReproducesItsTable(t *testing.T) {
+func TestReportReproducesTheTableOfASweep(t *testing.T) {
 	sidecar, err := sidecarPath()
 	if err != nil {
 		t.Fatal(err)
@@ -64,9 +64,9 @@
 		"--plays", "2", "--real", "1",
 		"--out", at("runs.jsonl"), "--table", at("table.md"), "--plot", at("plot.svg"))
 	if err := e.Run(); err != nil {
-		t.Fatalf("%v: %s", err, e.errors.String())
+		t.Fatalf("%v: %s", err, e.stderr.String())
 	}
-	e.checkNothingLeft(t)
+	e.checkNothingRemains(t)
 	runs, err := result.Read(at("runs.jsonl"))
 	if err != nil || len(runs) != 4 || runs[0].Size.Sidecars != 3 || runs[3].Size.Sidecars != 5 || runs[3].Play != 2 {
 		t.Fatalf("%d runs, %v", len(runs), err)
@@ -76,7 +76,7 @@
 		t.Errorf("table %s, %v", table, err)
 	}
 	again := newEmulator(t, "report", at("runs.jsonl"))
-	if err := again.Run(); err != nil || !bytes.Equal(again.output.Bytes(), table) {
-		t.Errorf("report: %v, %s", err, again.output.String())
+	if err := again.Run(); err != nil || !bytes.Equal(again.stdout.Bytes(), table) {
+		t.Errorf("report: %v, %s", err, again.stdout.String())
 	}
 }
--- a/cmd/emulator/termination_test.go
+++ b/cmd/emulator/termination_test.go
@@ -12,7 +12,7 @@
 )
 
 // A run that goes over a limit ends by itself, says which, and keeps what it measured.
-func TestLimitsEndARun(t *testing.T) {
+func TestExceededLimitsEndTheRun(t *testing.T) {
 	for name, c := range map[string]struct{ old, new, want string }{
 		"memory":   {"memory_mb = 2048", "memory_mb = 64", "limits.memory_mb"},
 		"duration": {`duration = "120s"`, `duration = "1s"`, "limits.duration"},
@@ -24,10 +24,10 @@
 			if err := e.Run(); !errors.As(err, &exit) || exit.ExitCode() != exitFailure {
 				t.Errorf("%v, want exit code %d", err, exitFailure)
 			}
-			if said := e.errors.String(); !strings.Contains(said, c.want) {
+			if said := e.stderr.String(); !strings.Contains(said, c.want) {
 				t.Errorf("said %q, want %q", said, c.want)
 			}
-			e.checkNothingLeft(t)
+			e.checkNothingRemains(t)
 			runs, err := result.Read(out)
 			if err != nil || len(runs) != 1 || !strings.Contains(runs[0].Stopped, c.want) || runs[0].Usable() {
 				t.Errorf("recorded %d runs, %v", len(runs), err)
@@ -46,10 +46,10 @@
 		if err := e.Wait(); !errors.As(err, &exit) || exit.ExitCode() != exitFailure {
 			t.Errorf("%s: %v", signal, err)
 		}
-		if !strings.Contains(e.errors.String(), errInterrupted.Error()) {
-			t.Errorf("%s: said %q", signal, e.errors.String())
+		if !strings.Contains(e.stderr.String(), errInterrupted.Error()) {
+			t.Errorf("%s: said %q", signal, e.stderr.String())
 		}
-		e.checkNothingLeft(t)
+		e.checkNothingRemains(t)
 	}
 }
 
@@ -60,5 +60,5 @@
 	}
 	await(t, "the children's end", func() bool { return e.processes() == 0 })
 	_ = e.Wait()
-	e.checkNothingLeft(t)
+	e.checkNothingRemains(t)
 }
--- a/internal/emulator/endpoint/endpoint_test.go
+++ b/internal/emulator/endpoint/endpoint_test.go
@@ -44,13 +44,13 @@
 func TestFullQueueRejectsRequests(t *testing.T) {
 	e := start(t, Config{ServiceTime: time.Hour, QueueLimit: 1})
 	c := newClient(t, e)
-	running := c.begin("id1")
+	running := c.sendAsync("id1")
 	awaitInFlight(t, e, "inflight=1")
-	queued := c.begin("id2")
+	queued := c.sendAsync("id2")
 	awaitInFlight(t, e, "inflight=2")
 	c.expect(503, "/search", "id3")
 	e.connections.ResetAll()
-	for _, result := range []<-chan reply{running, queued} {
+	for _, result := range []<-chan requestResult{running, queued} {
 		if got := <-result; got.err == nil {
 			t.Errorf("got %+v", got)
 		}
--- a/internal/emulator/endpoint/faults_test.go
+++ b/internal/emulator/endpoint/faults_test.go
@@ -14,19 +14,19 @@
 	e.Drain()
 	c.expect(503, "/search", "id1")
 	c.expect(503, "/health/live", "")
-	succeed(t, e.Recover)
+	mustSucceed(t, e.Recover)
 	c.expect(200, "/search", "id1")
 }
 
 func TestRestartBeginsANewIncarnation(t *testing.T) {
 	e := start(t, Config{ServiceTime: time.Hour})
 	c := newClient(t, e)
-	result := c.begin("id1")
+	result := c.sendAsync("id1")
 	awaitInFlight(t, e, "inflight=1")
 	if e.StartedMS() != 0 {
 		t.Errorf("started at %d", e.StartedMS())
 	}
-	succeed(t, e.Restart)
+	mustSucceed(t, e.Restart)
 	if got := <-result; !errors.Is(got.err, syscall.ECONNRESET) {
 		t.Errorf("got %+v", got)
 	}
@@ -36,7 +36,7 @@
 	if got := c.send("GET", "/health/live", ""); !errors.Is(got.err, syscall.ECONNREFUSED) {
 		t.Errorf("got %+v", got)
 	}
-	succeed(t, e.Recover)
+	mustSucceed(t, e.Recover)
 	c.expect(200, "/health/live", "")
 	if recovered := e.StartedMS(); restarted == 0 || recovered < restarted || e.Address() != c.address {
 		t.Errorf("started at %d and %d, at %s", restarted, recovered, e.Address())
@@ -48,9 +48,9 @@
 	c := newClient(t, e)
 	c.expect(200, "/search", "id1")
 	await(t, "first answer", func() bool { return e.Counts().Served == 1 })
-	succeed(t, e.Disconnect)
+	mustSucceed(t, e.Disconnect)
 	before := e.Counts()
-	silent := c.begin("id2") // on the connection it has
+	silent := c.sendAsync("id2") // on the connection it has
 	await(t, "byte of a request", func() bool { return e.Counts().BytesIn > before.BytesIn })
 	_, err := net.DialTimeout("tcp", c.address, 50*time.Millisecond)
 	var timeout net.Error
@@ -60,7 +60,7 @@
 	if after := e.Counts(); after.BytesOut != before.BytesOut {
 		t.Errorf("%d bytes sent while it was disconnected", after.BytesOut-before.BytesOut)
 	}
-	succeed(t, e.Recover)
+	mustSucceed(t, e.Recover)
 	if got := <-silent; !errors.Is(got.err, syscall.ECONNRESET) {
 		t.Errorf("got %+v", got)
 	}
@@ -74,7 +74,7 @@
 	e := start(t, Config{})
 	c := newClient(t, e)
 	e.Hang(true)
-	result := c.begin("id1")
+	result := c.sendAsync("id1")
 	connected, err := net.Dial("tcp", c.address)
 	if err != nil {
 		t.Fatal(err)
--- a/internal/emulator/endpoint/harness_test.go
+++ b/internal/emulator/endpoint/harness_test.go
@@ -16,19 +16,19 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { succeed(t, e.Close) })
+	t.Cleanup(func() { mustSucceed(t, e.Close) })
 	return e
 }
 
-func succeed(t *testing.T, do func() error) {
+func mustSucceed(t *testing.T, do func() error) {
 	t.Helper()
 	if err := do(); err != nil {
 		t.Fatal(err)
 	}
 }
 
-// reply is the outcome of a request.
-type reply struct {
+// requestResult is the outcome of a request.
+type requestResult struct {
 	status int
 	header http.Header
 	body   string
@@ -49,10 +49,10 @@
 	return c
 }
 
-func (c *client) send(method, path, id string) reply {
+func (c *client) send(method, path, id string) requestResult {
 	request, err := http.NewRequest(method, "http://"+c.address+path, strings.NewReader("body"))
 	if err != nil {
-		return reply{err: err}
+		return requestResult{err: err}
 	}
 	if method == http.MethodGet {
 		request.Body = http.NoBody
@@ -62,11 +62,11 @@
 	}
 	response, err := c.Do(request)
 	if err != nil {
-		return reply{err: err}
+		return requestResult{err: err}
 	}
 	defer response.Body.Close()
 	body, err := io.ReadAll(response.Body)
-	return reply{response.StatusCode, response.Header, string(body), err}
+	return requestResult{response.StatusCode, response.Header, string(body), err}
 }
 
 // expect sends a request and checks its status. A 503 has to say that the request was not processed.
@@ -79,9 +79,9 @@
 	}
 }
 
-// begin sends a request in the background.
-func (c *client) begin(id string) <-chan reply {
-	result := make(chan reply, 1)
+// sendAsync sends a request in the background.
+func (c *client) sendAsync(id string) <-chan requestResult {
+	result := make(chan requestResult, 1)
 	go func() { result <- c.send(http.MethodPost, "/checkout", id) }()
 	return result
 }
--- a/internal/emulator/fleet/fleet_test.go
+++ b/internal/emulator/fleet/fleet_test.go
@@ -7,7 +7,7 @@
 	"oakproxy/internal/emulator/spec"
 )
 
-func shipped(t *testing.T) *spec.File {
+func readShippedFile(t *testing.T) *spec.File {
 	t.Helper()
 	file, err := spec.Read("../../../deploy/emulator.toml")
 	if err != nil {
@@ -17,7 +17,7 @@
 }
 
 func TestLayoutSpreadsTheFleetEvenly(t *testing.T) {
-	l := New(shipped(t), spec.Size{Sidecars: 860, Endpoints: 860, Real: 16})
+	l := New(readShippedFile(t), spec.Size{Sidecars: 860, Endpoints: 860, Real: 16})
 	names, addresses, zones := map[string]bool{}, map[string]bool{}, map[int]int{}
 	for _, e := range l.Endpoints {
 		names[e.Name], addresses[e.Address] = true, true
@@ -46,7 +46,7 @@
 
 // A sidecar parses the configurations, and their hashes differ by version only.
 func TestConfigurationsParseAndDifferByVersion(t *testing.T) {
-	file := shipped(t)
+	file := readShippedFile(t)
 	layout := New(file, spec.Size{Sidecars: 12, Endpoints: 12})
 	c := &Configurations{File: file, Layout: layout, Discovery: "127.0.0.1:1", Seed: 7}
 	parse := func(number, version int) *config.Config {
--- a/internal/emulator/load/load_test.go
+++ b/internal/emulator/load/load_test.go
@@ -16,15 +16,15 @@
 	"oakproxy/internal/emulator/endpoint"
 )
 
-// target starts a server with a handler and returns its address.
-func target(t *testing.T, handle http.HandlerFunc) string {
+// startTarget starts a server with a handler and returns its address.
+func startTarget(t *testing.T, handle http.HandlerFunc) string {
 	t.Helper()
 	server := httptest.NewServer(handle)
 	t.Cleanup(server.Close)
 	return server.Listener.Addr().String()
 }
 
-func run(ctx context.Context, t *testing.T, plan Plan) *Report {
+func mustRun(ctx context.Context, t *testing.T, plan Plan) *Report {
 	t.Helper()
 	report, err := Run(ctx, plan)
 	if err != nil {
@@ -33,7 +33,7 @@
 	return report
 }
 
-func requests(t *testing.T, plan Plan) []request {
+func scheduledRequests(t *testing.T, plan Plan) []request {
 	t.Helper()
 	plan, err := plan.withDefaults()
 	if err != nil {
@@ -51,7 +51,7 @@
 	plan := Plan{Targets: []string{"a", "b"}, Rate: 1000, Duration: 10 * time.Second, Seed: 7,
 		Tenants: []string{"t1", "t2"},
 		Classes: []Class{{Name: "search", Weight: 3}, {Name: "checkout", HasIdempotencyKey: true, Weight: 1}}}
-	all := requests(t, plan)
+	all := scheduledRequests(t, plan)
 	if len(all) < 9500 || len(all) > 10500 {
 		t.Errorf("%d requests, want about 10000", len(all))
 	}
@@ -71,11 +71,11 @@
 	if seen["a"] == 0 || seen["b"] == 0 || seen["t1"] == 0 || seen["t2"] == 0 {
 		t.Errorf("seen %v", seen)
 	}
-	if !reflect.DeepEqual(all, requests(t, plan)) {
+	if !reflect.DeepEqual(all, scheduledRequests(t, plan)) {
 		t.Error("another schedule for the same seed")
 	}
 	plan.Arrivals, plan.MaxRequests = Fixed, 3
-	if fixed := requests(t, plan); len(fixed) != 3 || fixed[2].startOffset != 3*time.Millisecond {
+	if fixed := scheduledRequests(t, plan); len(fixed) != 3 || fixed[2].startOffset != 3*time.Millisecond {
 		t.Errorf("fixed arrivals: %+v", fixed)
 	}
 }
@@ -96,7 +96,7 @@
 }
 
 func TestOutcomesAreCounted(t *testing.T) {
-	address := target(t, func(w http.ResponseWriter, r *http.Request) {
+	address := startTarget(t, func(w http.ResponseWriter, r *http.Request) {
 		switch r.URL.Path {
 		case "/full":
 			w.WriteHeader(http.StatusServiceUnavailable)
@@ -125,7 +125,7 @@
 			class.Timeout = 20 * time.Millisecond
 		}
 		plan := Plan{Targets: []string{address}, Rate: 10000, MaxRequests: 4, Classes: []Class{class}}
-		report := run(context.Background(), t, plan)
+		report := mustRun(context.Background(), t, plan)
 		got := report.Counts
 		if got.Connections == 0 || got.BytesOut == 0 || uint64(report.Latency.Count()) != want.Served ||
 			report.AllLatency.Count() != 4 {
@@ -140,11 +140,11 @@
 
 func TestLatencyIsMeasuredFromTheIntendedStart(t *testing.T) {
 	const serviceTime = 10 * time.Millisecond
-	address := target(t, func(w http.ResponseWriter, r *http.Request) {
+	address := startTarget(t, func(w http.ResponseWriter, r *http.Request) {
 		time.Sleep(serviceTime)
 		_, _ = io.WriteString(w, r.Header.Get("X-Correlation-Id"))
 	})
-	report := run(context.Background(), t,
+	report := mustRun(context.Background(), t,
 		Plan{Targets: []string{address}, Rate: 1000, MaxRequests: 5, MaxInFlight: 1, Arrivals: Fixed})
 	const least = 5*serviceTime - 4*time.Millisecond
 	if report.Counts.Served != 5 || report.Latency.Max() < least || report.SendDelay.Max() < least-serviceTime {
@@ -153,7 +153,7 @@
 }
 
 func TestRequestOnAStaleConnectionIsResentOnce(t *testing.T) {
-	address := target(t, func(w http.ResponseWriter, r *http.Request) {
+	address := startTarget(t, func(w http.ResponseWriter, r *http.Request) {
 		socket, _, err := http.NewResponseController(w).Hijack()
 		if err != nil {
 			t.Error(err)
@@ -163,11 +163,11 @@
 		_ = socket.Close()
 	})
 	plan := Plan{Targets: []string{address}, Rate: 10000, MaxRequests: 3, MaxInFlight: 1}
-	if got := run(context.Background(), t, plan).Counts; got.Served != 3 || got.Resent != 2 || got.Connections != 3 {
+	if got := mustRun(context.Background(), t, plan).Counts; got.Served != 3 || got.Resent != 2 || got.Connections != 3 {
 		t.Errorf("got %+v", got)
 	}
 	plan.Direct = true
-	if got := run(context.Background(), t, plan).Counts; got.Served != 2 || got.Broken != 1 || got.Resent != 0 {
+	if got := mustRun(context.Background(), t, plan).Counts; got.Served != 2 || got.Broken != 1 || got.Resent != 0 {
 		t.Errorf("direct: got %+v", got)
 	}
 }
@@ -175,11 +175,11 @@
 func TestRunEndsWithItsContext(t *testing.T) {
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	address := target(t, func(_ http.ResponseWriter, r *http.Request) {
+	address := startTarget(t, func(_ http.ResponseWriter, r *http.Request) {
 		cancel()
 		<-r.Context().Done()
 	})
-	report := run(ctx, t, Plan{Targets: []string{address}, Rate: 100, Duration: time.Hour,
+	report := mustRun(ctx, t, Plan{Targets: []string{address}, Rate: 100, Duration: time.Hour,
 		Classes: []Class{{Name: "x", Weight: 1, Timeout: time.Hour}}})
 	if got := report.Counts; got.Cancelled == 0 || got.Cancelled != got.Planned {
 		t.Errorf("got %+v", got)
@@ -188,7 +188,7 @@
 
 func TestAwaitReadyPollsUntilReady(t *testing.T) {
 	var polls atomic.Int32
-	address := target(t, func(w http.ResponseWriter, _ *http.Request) {
+	address := startTarget(t, func(w http.ResponseWriter, _ *http.Request) {
 		if polls.Add(1) < 3 {
 			w.WriteHeader(http.StatusServiceUnavailable)
 		}
@@ -209,7 +209,7 @@
 		t.Fatal(err)
 	}
 	defer e.Close()
-	report := run(context.Background(), t, Plan{Targets: []string{e.Address()}, Rate: 2000, MaxRequests: 50,
+	report := mustRun(context.Background(), t, Plan{Targets: []string{e.Address()}, Rate: 2000, MaxRequests: 50,
 		Direct: true, Seed: 1,
 		Classes: []Class{{Name: "search", Weight: 1}, {Name: "checkout", HasIdempotencyKey: true, Weight: 1}}})
 	if got := e.Counts(); report.Counts.Served != 50 || got.Requests != 50 || got.Duplicates != 0 ||
--- a/internal/emulator/registry/harness_test.go
+++ b/internal/emulator/registry/harness_test.go
@@ -9,17 +9,17 @@
 	"time"
 )
 
-// fixture is a listening Server and a client with connections of its own.
-type fixture struct {
+// testRegistry is a listening Server and a client with connections of its own.
+type testRegistry struct {
 	*Server
 	t       testing.TB
 	address string
 	client  http.Client
 }
 
-func newFixture(t testing.TB, options Options) *fixture {
+func startRegistry(t testing.TB, options Options) *testRegistry {
 	t.Helper()
-	w := &fixture{Server: New(options), t: t}
+	w := &testRegistry{Server: New(options), t: t}
 	w.client.Transport = &http.Transport{}
 	address, err := w.Listen("127.0.0.1:0")
 	if err != nil {
@@ -35,20 +35,20 @@
 	return w
 }
 
-// reply is the outcome of a call.
-type reply struct {
+// callResult is the outcome of a call.
+type callResult struct {
 	status int
 	list   responseBody
 	err    error
 }
 
-func (w *fixture) call(query string) reply {
+func (w *testRegistry) call(query string) callResult {
 	response, err := w.client.Get("http://" + w.address + listPath + query)
 	if err != nil {
-		return reply{err: err}
+		return callResult{err: err}
 	}
 	defer response.Body.Close()
-	got := reply{status: response.StatusCode}
+	got := callResult{status: response.StatusCode}
 	if got.status == http.StatusOK {
 		got.err = json.NewDecoder(response.Body).Decode(&got.list)
 	}
@@ -56,20 +56,20 @@
 }
 
 // startWatch makes a call in the background and returns once it is pending.
-func (w *fixture) startWatch(query string) <-chan reply {
-	result := make(chan reply, 1)
+func (w *testRegistry) startWatch(query string) <-chan callResult {
+	result := make(chan callResult, 1)
 	go func() { result <- w.call(query) }()
 	w.await("a pending watch", func() bool { return w.pendingWatches() == 1 })
 	return result
 }
 
-func (w *fixture) pendingWatches() int {
+func (w *testRegistry) pendingWatches() int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return len(w.watches)
 }
 
-func (w *fixture) await(what string, reached func() bool) {
+func (w *testRegistry) await(what string, reached func() bool) {
 	w.t.Helper()
 	for end := time.Now().Add(10 * time.Second); !reached(); runtime.Gosched() {
 		if time.Now().After(end) {
@@ -78,7 +78,7 @@
 	}
 }
 
-func (w *fixture) expect(got reply, version uint64, complete bool, hosts ...string) {
+func (w *testRegistry) expect(got callResult, version uint64, complete bool, hosts ...string) {
 	w.t.Helper()
 	names := []string{}
 	for _, instance := range got.list.Hosts {
@@ -90,7 +90,7 @@
 	}
 }
 
-func (w *fixture) expectUnavailable(query string) {
+func (w *testRegistry) expectUnavailable(query string) {
 	w.t.Helper()
 	if got := w.call(query); got.status != http.StatusServiceUnavailable {
 		w.t.Errorf("%s: got %+v", query, got)
--- a/internal/emulator/registry/registry_test.go
+++ b/internal/emulator/registry/registry_test.go
@@ -10,7 +10,7 @@
 )
 
 func TestResponsesDependOnTheRequestedVersion(t *testing.T) {
-	w := newFixture(t, Options{History: 2})
+	w := startRegistry(t, Options{History: 2})
 	w.Set([]Instance{instance("x", Ready), instance("y", Ready)})
 	w.Update(instance("x", Terminating))
 	w.Update(instance("x", Removed), instance("z", Ready))
@@ -38,7 +38,7 @@
 }
 
 func TestWatchBlocksUntilTheNextVersion(t *testing.T) {
-	w := newFixture(t, Options{})
+	w := startRegistry(t, Options{})
 	w.Set(nil)
 	result := w.startWatch("?after=1&wait_ms=60000")
 	w.Update(instance("x", Ready))
@@ -49,7 +49,7 @@
 }
 
 func TestWatchEndsWhenItsClientDisconnects(t *testing.T) {
-	w := newFixture(t, Options{})
+	w := startRegistry(t, Options{})
 	w.client.Timeout = 50 * time.Millisecond
 	if got := w.call("?after=0&wait_ms=60000"); got.err == nil {
 		t.Errorf("answered: %+v", got)
@@ -58,7 +58,7 @@
 }
 
 func TestCallsOverTheQueueDelayGet503(t *testing.T) {
-	w := newFixture(t, Options{CallsPerSecond: 0.001, MaxQueueDelay: time.Millisecond})
+	w := startRegistry(t, Options{CallsPerSecond: 0.001, MaxQueueDelay: time.Millisecond})
 	w.expect(w.call(""), 0, true)
 	w.expectUnavailable("")
 	if got := w.Counts(); got.Unavailable != 1 || got.CompleteResponses != 1 {
@@ -67,7 +67,7 @@
 }
 
 func TestCallsAreRateLimited(t *testing.T) {
-	w := newFixture(t, Options{CallsPerSecond: 100})
+	w := startRegistry(t, Options{CallsPerSecond: 100})
 	start := time.Now()
 	for range 3 {
 		w.expect(w.call(""), 0, true)
@@ -78,7 +78,7 @@
 }
 
 func TestOutageResetsWatchesAndRejectsCalls(t *testing.T) {
-	w := newFixture(t, Options{})
+	w := startRegistry(t, Options{})
 	for _, fail := range []func(){w.ResetConnections, func() { w.SetDown(true) }} {
 		result := w.startWatch("?after=0&wait_ms=60000")
 		fail()
@@ -95,8 +95,8 @@
 	}
 }
 
-func TestSilentServerHoldsWatchesOnly(t *testing.T) {
-	w := newFixture(t, Options{})
+func TestSilentServerLeavesOnlyWatchesPending(t *testing.T) {
+	w := startRegistry(t, Options{})
 	w.SetSilent(true)
 	result := w.startWatch("?after=0&wait_ms=0")
 	w.Update(instance("x", Ready))
@@ -109,7 +109,7 @@
 }
 
 func TestMoveServesOnlyTheNewAddress(t *testing.T) {
-	w := newFixture(t, Options{})
+	w := startRegistry(t, Options{})
 	w.moveGrace = 0
 	result := w.startWatch("?after=0&wait_ms=60000")
 	to, err := w.Move("127.0.0.1:0")
@@ -127,7 +127,7 @@
 }
 
 func TestInvalidCallsAreRejected(t *testing.T) {
-	w := newFixture(t, Options{})
+	w := startRegistry(t, Options{})
 	for query, want := range map[string]int{"?after=x": 400, "?after=1&wait_ms=-1": 400, "/more": 404} {
 		if got := w.call(query); got.status != want {
 			t.Errorf("%s: got %+v, want %d", query, got, want)
@@ -136,7 +136,7 @@
 }
 
 func benchmarkCall(b *testing.B, query string) {
-	w := newFixture(b, Options{})
+	w := startRegistry(b, Options{})
 	instances := make([]Instance, 860)
 	for i := range instances {
 		instances[i] = instance(fmt.Sprintf("s-%08x", i), Ready)
--- a/internal/emulator/result/counts_test.go
+++ b/internal/emulator/result/counts_test.go
@@ -24,8 +24,8 @@
 	}
 }
 
-// filled returns counts whose counters all have a value.
-func filled[Counts any](value int) (counts Counts) {
+// filledCounts returns counts whose counters all have a value.
+func filledCounts[Counts any](value int) (counts Counts) {
 	setCounters(reflect.ValueOf(&counts).Elem(), value)
 	return counts
 }
@@ -35,7 +35,7 @@
 	Since(Counts) Counts
 }](t *testing.T) {
 	t.Helper()
-	if got, want := filled[Counts](5).Since(filled[Counts](2)), filled[Counts](3); got != want {
+	if got, want := filledCounts[Counts](5).Since(filledCounts[Counts](2)), filledCounts[Counts](3); got != want {
 		t.Errorf("got %+v, want %+v", got, want)
 	}
 }
@@ -47,20 +47,20 @@
 }
 
 func TestSumsAddEveryCounter(t *testing.T) {
-	endpoints := filled[endpoint.Counts](2)
-	endpoints.Add(filled[endpoint.Counts](3))
-	if want := filled[endpoint.Counts](5); endpoints != want {
+	endpoints := filledCounts[endpoint.Counts](2)
+	endpoints.Add(filledCounts[endpoint.Counts](3))
+	if want := filledCounts[endpoint.Counts](5); endpoints != want {
 		t.Errorf("got %+v, want %+v", endpoints, want)
 	}
-	sidecars := filled[worker.SidecarCounts](2)
-	sidecars.Add(filled[worker.SidecarCounts](3))
-	if want := filled[worker.SidecarCounts](5); sidecars != want {
+	sidecars := filledCounts[worker.SidecarCounts](2)
+	sidecars.Add(filledCounts[worker.SidecarCounts](3))
+	if want := filledCounts[worker.SidecarCounts](5); sidecars != want {
 		t.Errorf("got %+v, want %+v", sidecars, want)
 	}
 	first, second := load.NewReport(), load.NewReport()
-	first.Counts, second.Counts = filled[load.Counts](2), filled[load.Counts](3)
+	first.Counts, second.Counts = filledCounts[load.Counts](2), filledCounts[load.Counts](3)
 	first.Merge(second)
-	if want := filled[load.Counts](5); first.Counts != want {
+	if want := filledCounts[load.Counts](5); first.Counts != want {
 		t.Errorf("got %+v, want %+v", first.Counts, want)
 	}
 }
--- a/internal/emulator/result/result_test.go
+++ b/internal/emulator/result/result_test.go
@@ -25,7 +25,7 @@
 	return runs
 }
 
-func startSeries(t *testing.T, runs []*Run) Series {
+func startupSeries(t *testing.T, runs []*Run) Series {
 	t.Helper()
 	for _, s := range AllSeries(runs) {
 		if s.Name == "start: time to the last sidecar's being ready" {
@@ -36,18 +36,18 @@
 	return Series{}
 }
 
-func near(a, b float64) bool { return math.Abs(a-b) < 1e-9*max(1, math.Abs(b)) }
+func almostEqual(a, b float64) bool { return math.Abs(a-b) < 1e-9*max(1, math.Abs(b)) }
 
 func TestFitFindsTheLeastSquaresLine(t *testing.T) {
 	sizes := []int{10, 20, 40, 80}
 	// At each size one play is above and one below the line, by the same distance.
 	runs := runsOf(sizes, 2, func(size, play int) float64 { return 3 + 0.5*float64(size) + float64(2*play-3) })
-	f := startSeries(t, runs).Fit
+	f := startupSeries(t, runs).Fit
 	if f == nil {
 		t.Fatal("no line")
 	}
-	if !near(f.Intercept, 3) || !near(f.Slope, 0.5) || !near(f.MaxResidual, 1) || !near(f.Deviation, 1) ||
-		!near(f.PlayRange, 2) {
+	if !almostEqual(f.Intercept, 3) || !almostEqual(f.Slope, 0.5) || !almostEqual(f.MaxResidual, 1) || !almostEqual(f.Deviation, 1) ||
+		!almostEqual(f.PlayRange, 2) {
 		t.Errorf("got %+v", f)
 	}
 	if len(f.Residuals) != 8 || f.RSquared < 0.99 || f.RSquared >= 1 {
@@ -57,15 +57,15 @@
 
 func TestTooFewPointsHaveNoFit(t *testing.T) {
 	line := func(size, _ int) float64 { return float64(size) }
-	if startSeries(t, runsOf([]int{10, 20, 40}, 2, line)).Fit != nil {
+	if startupSeries(t, runsOf([]int{10, 20, 40}, 2, line)).Fit != nil {
 		t.Error("a line through three sizes")
 	}
-	if startSeries(t, runsOf([]int{10, 20, 40, 80}, 1, line)).Fit != nil {
+	if startupSeries(t, runsOf([]int{10, 20, 40, 80}, 1, line)).Fit != nil {
 		t.Error("a line through single plays")
 	}
 	runs := runsOf([]int{10, 20, 40, 80}, 2, line)
 	runs[0].Saturated, runs[1].Stopped = true, "interrupted"
-	if s := startSeries(t, runs); s.Fit != nil || len(s.Points) != 6 {
+	if s := startupSeries(t, runs); s.Fit != nil || len(s.Points) != 6 {
 		t.Errorf("unusable runs are used: %+v", s)
 	}
 }
@@ -96,7 +96,7 @@
 	const name = "changes: hollow sidecar, processor time of an event"
 	for _, m := range run.Metrics() {
 		if m.Name == name {
-			if m.Unit != "ms" || !near(m.Value, 20) { // (3 - 2) s over 5 events and 10 sidecars
+			if m.Unit != "ms" || !almostEqual(m.Value, 20) { // (3 - 2) s over 5 events and 10 sidecars
 				t.Errorf("got %+v", m)
 			}
 			return
