--- a/internal/emulator/endpoint/endpoint_test.go
+++ b/internal/emulator/endpoint/endpoint_test.go
@@ -8,6 +8,7 @@
 	"testing"
 	"time"
 
+	"oakproxy/internal/emulator/emulatortest"
 	"oakproxy/internal/emulator/httpconn"
 )
 
@@ -32,7 +33,7 @@
 			t.Errorf("%+v: got %+v", check, got)
 		}
 	}
-	await(t, "third answer", func() bool { return e.Counts().Served == 3 })
+	emulatortest.Await(t, "third answer", func() bool { return e.Counts().Served == 3 })
 	got := e.Counts()
 	if got.Requests != 4 || got.MissingIDs != 1 || got.Duplicates != 1 || got.HealthChecks != 2 ||
 		got.BytesIn == 0 || got.BytesOut == 0 ||
@@ -56,7 +57,7 @@
 		}
 	}
 	awaitInFlight(t, e, "inflight=0")
-	await(t, "abandoned requests", func() bool { return e.Counts().Abandoned == 2 })
+	emulatortest.Await(t, "abandoned requests", func() bool { return e.Counts().Abandoned == 2 })
 	if got := e.Counts(); got.Rejected != 1 || got.Served != 0 {
 		t.Errorf("counts %+v", got)
 	}
@@ -72,7 +73,7 @@
 	if _, err := socket.Read(make([]byte, 1)); !errors.Is(err, io.EOF) {
 		t.Errorf("reading gave %v, want EOF", err)
 	}
-	await(t, "closed connection", func() bool { return e.Counts().Connections.Open == 0 })
+	emulatortest.Await(t, "closed connection", func() bool { return e.Counts().Connections.Open == 0 })
 }
 
 func TestInvalidRequestsCloseTheConnection(t *testing.T) {
--- a/internal/emulator/endpoint/faults_test.go
+++ b/internal/emulator/endpoint/faults_test.go
@@ -6,6 +6,8 @@
 	"syscall"
 	"testing"
 	"time"
+
+	"oakproxy/internal/emulator/emulatortest"
 )
 
 func TestDrainingEndpointRejectsRequests(t *testing.T) {
@@ -47,11 +49,11 @@
 	e := start(t, Config{})
 	c := newClient(t, e)
 	c.expect(200, "/search", "id1")
-	await(t, "first answer", func() bool { return e.Counts().Served == 1 })
+	emulatortest.Await(t, "first answer", func() bool { return e.Counts().Served == 1 })
 	mustSucceed(t, e.Disconnect)
 	before := e.Counts()
 	silent := c.sendAsync("id2") // on the connection it has
-	await(t, "byte of a request", func() bool { return e.Counts().BytesIn > before.BytesIn })
+	emulatortest.Await(t, "byte of a request", func() bool { return e.Counts().BytesIn > before.BytesIn })
 	_, err := net.DialTimeout("tcp", c.address, 50*time.Millisecond)
 	var timeout net.Error
 	if !errors.As(err, &timeout) || !timeout.Timeout() {
--- a/internal/emulator/endpoint/harness_test.go
+++ b/internal/emulator/endpoint/harness_test.go
@@ -3,10 +3,10 @@
 import (
 	"io"
 	"net/http"
-	"runtime"
 	"strings"
 	"testing"
-	"time"
+
+	"oakproxy/internal/emulator/emulatortest"
 )
 
 func start(t *testing.T, config Config) *Endpoint {
@@ -86,16 +86,7 @@
 	return result
 }
 
-func await(t *testing.T, what string, reached func() bool) {
-	t.Helper()
-	for end := time.Now().Add(10 * time.Second); !reached(); runtime.Gosched() {
-		if time.Now().After(end) {
-			t.Fatalf("no %s", what)
-		}
-	}
-}
-
 func awaitInFlight(t *testing.T, e *Endpoint, want string) {
 	t.Helper()
-	await(t, want, func() bool { return e.loadReport() == want })
+	emulatortest.Await(t, want, func() bool { return e.loadReport() == want })
 }
--- a/internal/emulator/registry/harness_test.go
+++ b/internal/emulator/registry/harness_test.go
@@ -3,10 +3,10 @@
 import (
 	"encoding/json"
 	"net/http"
-	"runtime"
 	"strings"
 	"testing"
-	"time"
+
+	"oakproxy/internal/emulator/emulatortest"
 )
 
 // testRegistry is a listening Server and a client with connections of its own.
@@ -59,7 +59,7 @@
 func (w *testRegistry) startWatch(query string) <-chan callResult {
 	result := make(chan callResult, 1)
 	go func() { result <- w.call(query) }()
-	w.await("a pending watch", func() bool { return w.pendingWatches() == 1 })
+	emulatortest.Await(w.t, "a pending watch", func() bool { return w.pendingWatches() == 1 })
 	return result
 }
 
@@ -69,15 +69,6 @@
 	return len(w.watches)
 }
 
-func (w *testRegistry) await(what string, reached func() bool) {
-	w.t.Helper()
-	for end := time.Now().Add(10 * time.Second); !reached(); runtime.Gosched() {
-		if time.Now().After(end) {
-			w.t.Fatalf("no %s", what)
-		}
-	}
-}
-
 func (w *testRegistry) expect(got callResult, version uint64, complete bool, hosts ...string) {
 	w.t.Helper()
 	names := []string{}
--- a/internal/emulator/registry/registry_test.go
+++ b/internal/emulator/registry/registry_test.go
@@ -7,6 +7,8 @@
 	"syscall"
 	"testing"
 	"time"
+
+	"oakproxy/internal/emulator/emulatortest"
 )
 
 func TestResponsesDependOnTheRequestedVersion(t *testing.T) {
@@ -54,7 +56,9 @@
 	if got := w.call("?after=0&wait_ms=60000"); got.err == nil {
 		t.Errorf("answered: %+v", got)
 	}
-	w.await("end of the watch", func() bool { return w.pendingWatches() == 0 && w.Counts().Connections.Open == 0 })
+	emulatortest.Await(t, "the end of the watch and its connection", func() bool {
+		return w.pendingWatches() == 0 && w.Counts().Connections.Open == 0
+	})
 }
 
 func TestCallsOverTheQueueDelayGet503(t *testing.T) {
@@ -85,7 +89,7 @@
 		if got := <-result; !errors.Is(got.err, syscall.ECONNRESET) {
 			t.Errorf("watch ended with %+v", got)
 		}
-		w.await("end of the watch", func() bool { return w.pendingWatches() == 0 })
+		emulatortest.Await(t, "the end of the watch", func() bool { return w.pendingWatches() == 0 })
 	}
 	w.expectUnavailable("?after=0&wait_ms=60000")
 	w.SetDown(false)
