--- a/cmd/emulator/harness_test.go
+++ b/cmd/emulator/harness_test.go
@@ -28,9 +28,9 @@
 		return "", err
 	}
 	path := filepath.Join(directory, sidecarProgram)
-	out, err := exec.Command("go", "build", "-o", path, "oakproxy/cmd/sidecar").CombinedOutput()
+	output, err := exec.Command("go", "build", "-o", path, "oakproxy/cmd/sidecar").CombinedOutput()
 	if err != nil {
-		return "", fmt.Errorf("%w: %s", err, out)
+		return "", fmt.Errorf("%w: %s", err, output)
 	}
 	return path, nil
 })
@@ -50,8 +50,8 @@
 	return e
 }
 
-// newRun is a run of a scenario at a small size.
-func newRun(t *testing.T, scenario string, more ...string) *emulator {
+// newRun returns a run of a scenario at a small size.
+func newRun(t *testing.T, scenario string, extraArguments ...string) *emulator {
 	t.Helper()
 	sidecar, err := sidecarPath()
 	if err != nil {
@@ -59,7 +59,7 @@
 	}
 	arguments := []string{"run", "--file", smallFile, "--scenario", scenario, "--sidecar", sidecar,
 		"--sidecars", "14", "--endpoints", "12", "--real", "2"}
-	return newEmulator(t, append(arguments, more...)...)
+	return newEmulator(t, append(arguments, extraArguments...)...)
 }
 
 // processes counts the processes that have this run's directory in their environment.
@@ -87,10 +87,10 @@
 	}
 }
 
-func await(t *testing.T, what string, is func() bool) {
+func await(t *testing.T, what string, condition func() bool) {
 	t.Helper()
-	for end := time.Now().Add(awaitTimeout); !is(); time.Sleep(5 * time.Millisecond) {
-		if time.Now().After(end) {
+	for deadline := time.Now().Add(awaitTimeout); !condition(); time.Sleep(5 * time.Millisecond) {
+		if time.Now().After(deadline) {
 			t.Fatalf("timed out waiting for %s", what)
 		}
 	}
@@ -102,27 +102,27 @@
 	path := filepath.Join(t.TempDir(), "runs.jsonl")
 	e := newRun(t, scenario, "--out", path)
 	if err := e.Run(); err != nil {
-		t.Fatalf("%v: %s", err, e.stderr.String())
+		t.Fatalf("%v, stderr %q", err, e.stderr.String())
 	}
 	e.checkNothingRemains(t)
 	if !strings.Contains(e.stdout.String(), "phase "+loadedPhase) {
-		t.Errorf("printed %q", e.stdout.String())
+		t.Errorf("the summary lacks the loaded phase: %q", e.stdout.String())
 	}
 	runs, err := result.Read(path)
 	if err != nil || len(runs) != 1 {
-		t.Fatalf("%d runs, %v", len(runs), err)
+		t.Fatalf("read %d runs, %v, want 1", len(runs), err)
 	}
 	return runs[0]
 }
 
-// checkPhase checks what also holds on a busy machine.
+// checkPhase checks what holds for every phase, also on a busy machine.
 func checkPhase(t *testing.T, phase *result.Phase) {
 	t.Helper()
 	if phase.Proxied != nil && phase.Proxied.Counts.Served == 0 {
-		t.Errorf("%s: no request was served: %+v", phase.Name, phase.Proxied.Counts)
+		t.Errorf("%s: no request was served, counts %+v", phase.Name, phase.Proxied.Counts)
 	}
 	if phase.Proxied == nil && phase.Name != "rest" {
-		t.Errorf("%s: no requests", phase.Name)
+		t.Errorf("%s: no requests were sent", phase.Name)
 	}
 	if phase.Endpoints.Duplicates > phase.Endpoints.Requests/2 {
 		t.Errorf("%s: %d of %d requests are duplicates", phase.Name, phase.Endpoints.Duplicates, phase.Endpoints.Requests)
@@ -130,12 +130,12 @@
 	for _, role := range []result.Role{result.RealSidecar, result.SimulatedSidecar, result.Endpoint, result.Discovery} {
 		usage := phase.Usage(role)
 		if usage == nil || usage.Processes == 0 || usage.ResidentMB <= 0 || usage.Descriptors <= 0 {
-			t.Errorf("%s: %s spends %+v", phase.Name, role, usage)
+			t.Errorf("%s: usage of %s is incomplete: %+v", phase.Name, role, usage)
 		}
 	}
-	for _, spread := range phase.Distributions {
-		if spread.Total == 0 || spread.Missing > 0 {
-			t.Errorf("%s: %+v", phase.Name, spread)
+	for _, distribution := range phase.Distributions {
+		if distribution.Total == 0 || distribution.Missing > 0 {
+			t.Errorf("%s: distribution is incomplete: %+v", phase.Name, distribution)
 		}
 	}
 }
@@ -166,6 +166,6 @@
 	}
 	t.Cleanup(func() { e.Process.Kill() })
 	const children = 2 + 3 + 3 + 1 // real sidecars, and workers for endpoints, simulated sidecars and discovery
-	await(t, "the children", func() bool { return e.processes() > children })
+	await(t, "all child processes", func() bool { return e.processes() > children })
 	return e
 }
--- a/cmd/emulator/scenarios_test.go
+++ b/cmd/emulator/scenarios_test.go
@@ -9,7 +9,7 @@
 	"oakproxy/internal/emulator/result"
 )
 
-// Each scenario is played to its end: its sidecars forward requests, and all reach the expected states.
+// Each scenario runs to completion: its sidecars forward requests, and all reach the expected states.
 func TestScenariosRunToCompletion(t *testing.T) {
 	for scenario, phases := range map[string][]string{
 		"steady":  {"rest", loadedPhase},
@@ -19,7 +19,7 @@
 		t.Run(scenario, func(t *testing.T) {
 			run := playOnce(t, scenario)
 			if len(run.Phases) != len(phases) {
-				t.Fatalf("%d phases, want %v", len(run.Phases), phases)
+				t.Fatalf("got %d phases, want %v", len(run.Phases), phases)
 			}
 			for i, phase := range run.Phases {
 				if phase.Name != phases[i] {
@@ -28,10 +28,10 @@
 				checkPhase(t, &phase)
 			}
 			if simulated := run.End.Simulated; simulated.Running != 12 || simulated.Failed != 0 {
-				t.Errorf("at the end: %+v", simulated)
+				t.Errorf("counts at the end: %+v, want 12 running and none failed", simulated)
 			}
 			if ready := run.Startup.SimulatedReady; ready.Total != 12 || ready.Missing != 0 {
-				t.Errorf("at the start: %+v", ready)
+				t.Errorf("startup: %+v, want 12 ready and none missing", ready)
 			}
 		})
 	}
@@ -41,11 +41,12 @@
 func TestChangesAreRolledOutAndApplied(t *testing.T) {
 	run := playOnce(t, "changes")
 	if len(run.Phases) != 3 {
-		t.Fatalf("%d phases", len(run.Phases))
+		t.Fatalf("got %d phases, want 3", len(run.Phases))
 	}
 	changes, burst := run.Phases[1], run.Phases[2]
 	if changes.Events != 2 || burst.Events != 3 || changes.ConfigBytes == 0 {
-		t.Errorf("%d changes, then %d at once, %d bytes", changes.Events, burst.Events, changes.ConfigBytes)
+		t.Errorf("got %d changes, a burst of %d, %d bytes, want 2, 3 and some bytes",
+			changes.Events, burst.Events, changes.ConfigBytes)
 	}
 	for _, phase := range run.Phases {
 		checkPhase(t, &phase)
@@ -69,14 +70,14 @@
 	e.checkNothingRemains(t)
 	runs, err := result.Read(at("runs.jsonl"))
 	if err != nil || len(runs) != 4 || runs[0].Size.Sidecars != 3 || runs[3].Size.Sidecars != 5 || runs[3].Play != 2 {
-		t.Fatalf("%d runs, %v", len(runs), err)
+		t.Fatalf("read %d runs, %v, want plays 1 and 2 of 3 and 5 sidecars", len(runs), err)
 	}
 	table, err := os.ReadFile(at("table.md"))
 	if err != nil || !bytes.Contains(table, []byte("| rest: hollow sidecar, processor time |")) && runs[0].Usable() {
-		t.Errorf("table %s, %v", table, err)
+		t.Errorf("unexpected table %s, %v", table, err)
 	}
-	again := newEmulator(t, "report", at("runs.jsonl"))
-	if err := again.Run(); err != nil || !bytes.Equal(again.stdout.Bytes(), table) {
-		t.Errorf("report: %v, %s", err, again.stdout.String())
+	report := newEmulator(t, "report", at("runs.jsonl"))
+	if err := report.Run(); err != nil || !bytes.Equal(report.stdout.Bytes(), table) {
+		t.Errorf("report printed another table: %v, %s", err, report.stdout.String())
 	}
 }
--- a/cmd/emulator/termination_test.go
+++ b/cmd/emulator/termination_test.go
@@ -11,26 +11,26 @@
 	"oakproxy/internal/emulator/result"
 )
 
-// A run that goes over a limit ends by itself, says which, and keeps what it measured.
+// A run that exceeds a limit ends by itself, names the limit, and records what it measured.
 func TestExceededLimitsEndTheRun(t *testing.T) {
-	for name, c := range map[string]struct{ old, new, want string }{
+	for name, test := range map[string]struct{ old, replacement, want string }{
 		"memory":   {"memory_mb = 2048", "memory_mb = 64", "limits.memory_mb"},
 		"duration": {`duration = "120s"`, `duration = "1s"`, "limits.duration"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			out := filepath.Join(t.TempDir(), "runs.jsonl")
-			e := newRun(t, "steady", "--file", changedFile(t, c.old, c.new), "--out", out)
+			e := newRun(t, "steady", "--file", changedFile(t, test.old, test.replacement), "--out", out)
 			var exit *exec.ExitError
 			if err := e.Run(); !errors.As(err, &exit) || exit.ExitCode() != exitFailure {
-				t.Errorf("%v, want exit code %d", err, exitFailure)
+				t.Errorf("got %v, want exit code %d", err, exitFailure)
 			}
-			if said := e.stderr.String(); !strings.Contains(said, c.want) {
-				t.Errorf("said %q, want %q", said, c.want)
+			if stderr := e.stderr.String(); !strings.Contains(stderr, test.want) {
+				t.Errorf("got stderr %q, want %q in it", stderr, test.want)
 			}
 			e.checkNothingRemains(t)
 			runs, err := result.Read(out)
-			if err != nil || len(runs) != 1 || !strings.Contains(runs[0].Stopped, c.want) || runs[0].Usable() {
-				t.Errorf("recorded %d runs, %v", len(runs), err)
+			if err != nil || len(runs) != 1 || !strings.Contains(runs[0].Stopped, test.want) || runs[0].Usable() {
+				t.Errorf("recorded %d runs, %v, want one that is unusable and names the limit", len(runs), err)
 			}
 		})
 	}
@@ -44,10 +44,10 @@
 		}
 		var exit *exec.ExitError
 		if err := e.Wait(); !errors.As(err, &exit) || exit.ExitCode() != exitFailure {
-			t.Errorf("%s: %v", signal, err)
+			t.Errorf("%s: got %v, want exit code %d", signal, err, exitFailure)
 		}
 		if !strings.Contains(e.stderr.String(), errInterrupted.Error()) {
-			t.Errorf("%s: said %q", signal, e.stderr.String())
+			t.Errorf("%s: got stderr %q", signal, e.stderr.String())
 		}
 		e.checkNothingRemains(t)
 	}
@@ -58,7 +58,7 @@
 	if err := e.Process.Kill(); err != nil {
 		t.Fatal(err)
 	}
-	await(t, "the children's end", func() bool { return e.processes() == 0 })
+	await(t, "the end of all child processes", func() bool { return e.processes() == 0 })
 	_ = e.Wait()
 	e.checkNothingRemains(t)
 }
--- a/internal/emulator/control/control_test.go
+++ b/internal/emulator/control/control_test.go
@@ -13,14 +13,14 @@
 	kindWait   Kind = "wait"
 )
 
-// startWorker serves in this process; closeInput ends its input.
+// startWorker serves requests in this process until closeInput is called.
 func startWorker(t *testing.T) (client *Client, closeInput func()) {
 	t.Helper()
 	requests, toWorker := io.Pipe()
 	responses, fromWorker := io.Pipe()
 	handlers := Handlers{
 		kindDouble: Handle(func(_ context.Context, n int) (int, error) { return 2 * n, nil }),
-		kindFail:   Handle(func(context.Context, Empty) (Empty, error) { return Empty{}, errors.New("no luck") }),
+		kindFail:   Handle(func(context.Context, Empty) (Empty, error) { return Empty{}, errors.New("a failure") }),
 		kindWait: Handle(func(ctx context.Context, _ Empty) (Empty, error) {
 			<-ctx.Done()
 			return Empty{}, ctx.Err()
@@ -42,25 +42,25 @@
 	go func() { waited <- client.Call(t.Context(), kindWait, Empty{}, nil) }()
 	var doubled int
 	if err := client.Call(t.Context(), kindDouble, 21, &doubled); err != nil || doubled != 42 {
-		t.Errorf("got %d, %v", doubled, err)
+		t.Errorf("got %d, %v, want 42", doubled, err)
 	}
 	var remote *RemoteError
-	if err := client.Call(t.Context(), kindFail, Empty{}, nil); !errors.As(err, &remote) || remote.Message != "no luck" {
+	if err := client.Call(t.Context(), kindFail, Empty{}, nil); !errors.As(err, &remote) || remote.Message != "a failure" {
 		t.Errorf("got %v, want the worker's error", err)
 	}
 	if err := client.Call(t.Context(), "other", Empty{}, nil); !errors.As(err, &remote) {
-		t.Errorf("an unknown request: %v", err)
+		t.Errorf("unknown kind: got %v, want a RemoteError", err)
 	}
 	closeInput()
 	if err := <-waited; err == nil {
-		t.Error("a call succeeded although its worker had ended")
+		t.Error("the pending call succeeded although its worker had ended")
 	}
 }
 
 func TestCallFailsAfterWorkerExit(t *testing.T) {
 	client, closeInput := startWorker(t)
 	closeInput()
-	for { // the end is seen a little later
+	for { // until the client has noticed the end
 		err := client.Call(t.Context(), kindDouble, 1, nil)
 		if errors.Is(err, ErrClosed) || errors.Is(err, io.ErrClosedPipe) {
 			return
--- a/internal/emulator/endpoint/endpoint_test.go
+++ b/internal/emulator/endpoint/endpoint_test.go
@@ -30,15 +30,15 @@
 		got := c.send(check.method, check.path, check.id)
 		if got.err != nil || got.status != check.status || got.body != check.body ||
 			got.header.Get(loadHeader) != "inflight=0" {
-			t.Errorf("%+v: got %+v", check, got)
+			t.Errorf("got %+v, want %+v", got, check)
 		}
 	}
-	emulatortest.Await(t, "third answer", func() bool { return e.Counts().Served == 3 })
+	emulatortest.Await(t, "the third response", func() bool { return e.Counts().Served == 3 })
 	got := e.Counts()
 	if got.Requests != 4 || got.MissingIDs != 1 || got.Duplicates != 1 || got.HealthChecks != 2 ||
 		got.BytesIn == 0 || got.BytesOut == 0 ||
 		got.Connections != (httpconn.SetCounts{Accepted: 1, Open: 1, MaxOpen: 1}) {
-		t.Errorf("counts %+v", got)
+		t.Errorf("got counts %+v", got)
 	}
 }
 
@@ -57,9 +57,9 @@
 		}
 	}
 	awaitInFlight(t, e, "inflight=0")
-	emulatortest.Await(t, "abandoned requests", func() bool { return e.Counts().Abandoned == 2 })
+	emulatortest.Await(t, "the abandoned requests", func() bool { return e.Counts().Abandoned == 2 })
 	if got := e.Counts(); got.Rejected != 1 || got.Served != 0 {
-		t.Errorf("counts %+v", got)
+		t.Errorf("got counts %+v", got)
 	}
 }
 
@@ -71,9 +71,9 @@
 	}
 	defer socket.Close()
 	if _, err := socket.Read(make([]byte, 1)); !errors.Is(err, io.EOF) {
-		t.Errorf("reading gave %v, want EOF", err)
+		t.Errorf("got %v, want EOF", err)
 	}
-	emulatortest.Await(t, "closed connection", func() bool { return e.Counts().Connections.Open == 0 })
+	emulatortest.Await(t, "the connection to be closed", func() bool { return e.Counts().Connections.Open == 0 })
 }
 
 func TestInvalidRequestsCloseTheConnection(t *testing.T) {
@@ -88,23 +88,23 @@
 			t.Fatal(err)
 		}
 		defer socket.Close()
-		_, _ = io.WriteString(socket, sent) // it may be cut off
+		_, _ = io.WriteString(socket, sent) // fails if the connection is closed first
 		if got, _ := io.ReadAll(socket); len(got) > 0 {
-			t.Errorf("%s: answered %q", name, got)
+			t.Errorf("%s: got response %q, want none", name, got)
 		}
 	}
 }
 
 func TestServiceTimeFallsDuringWarmUp(t *testing.T) {
 	config := Config{ServiceTime: 10 * time.Millisecond, WarmUp: time.Second, ColdCapacity: 0.2}.withDefaults()
-	for since, want := range map[time.Duration]time.Duration{
+	for elapsed, want := range map[time.Duration]time.Duration{
 		0:                      50 * time.Millisecond,
 		375 * time.Millisecond: 20 * time.Millisecond,
 		time.Second:            10 * time.Millisecond,
 		time.Hour:              10 * time.Millisecond,
 	} {
-		if got := config.serviceTimeAt(since); got.Round(time.Microsecond) != want {
-			t.Errorf("%v after the start: %v, want %v", since, got, want)
+		if got := config.serviceTimeAt(elapsed); got.Round(time.Microsecond) != want {
+			t.Errorf("%v after the start: got %v, want %v", elapsed, got, want)
 		}
 	}
 }
--- a/internal/emulator/endpoint/faults_test.go
+++ b/internal/emulator/endpoint/faults_test.go
@@ -26,7 +26,7 @@
 	result := c.sendAsync("id1")
 	awaitInFlight(t, e, "inflight=1")
 	if e.StartedMS() != 0 {
-		t.Errorf("started at %d", e.StartedMS())
+		t.Errorf("started at %d, want 0", e.StartedMS())
 	}
 	mustSucceed(t, e.Restart)
 	if got := <-result; !errors.Is(got.err, syscall.ECONNRESET) {
@@ -49,18 +49,18 @@
 	e := start(t, Config{})
 	c := newClient(t, e)
 	c.expect(200, "/search", "id1")
-	emulatortest.Await(t, "first answer", func() bool { return e.Counts().Served == 1 })
+	emulatortest.Await(t, "the first response", func() bool { return e.Counts().Served == 1 })
 	mustSucceed(t, e.Disconnect)
 	before := e.Counts()
-	silent := c.sendAsync("id2") // on the connection it has
-	emulatortest.Await(t, "byte of a request", func() bool { return e.Counts().BytesIn > before.BytesIn })
+	silent := c.sendAsync("id2") // on the open connection
+	emulatortest.Await(t, "the request's first byte", func() bool { return e.Counts().BytesIn > before.BytesIn })
 	_, err := net.DialTimeout("tcp", c.address, 50*time.Millisecond)
 	var timeout net.Error
 	if !errors.As(err, &timeout) || !timeout.Timeout() {
-		t.Errorf("dialling gave %v", err)
+		t.Errorf("dial: got %v, want a timeout", err)
 	}
 	if after := e.Counts(); after.BytesOut != before.BytesOut {
-		t.Errorf("%d bytes sent while it was disconnected", after.BytesOut-before.BytesOut)
+		t.Errorf("%d bytes were sent while it was disconnected", after.BytesOut-before.BytesOut)
 	}
 	mustSucceed(t, e.Recover)
 	if got := <-silent; !errors.Is(got.err, syscall.ECONNRESET) {
@@ -68,7 +68,7 @@
 	}
 	c.expect(200, "/search", "id3")
 	if e.StartedMS() != 0 {
-		t.Error("the start time has changed")
+		t.Error("recovery changed the start time")
 	}
 }
 
@@ -83,7 +83,7 @@
 	}
 	defer connected.Close()
 	if got := e.Counts(); got.Requests != 0 || got.BytesOut != 0 {
-		t.Errorf("counts while it hangs %+v", got)
+		t.Errorf("counts while it hangs: %+v", got)
 	}
 	e.Hang(false)
 	if got := <-result; got.status != 200 {
--- a/internal/emulator/endpoint/memory_test.go
+++ b/internal/emulator/endpoint/memory_test.go
@@ -11,9 +11,8 @@
 // idleConnections is how many connections are measured. Each takes two descriptors.
 const idleConnections = 5000
 
-// BenchmarkIdleConnections tells the memory that an endpoint spends on a connection that
-// has carried a request and is idle. The clients' ends are bare descriptors, which take
-// no memory of the process.
+// BenchmarkIdleConnections reports the memory that an endpoint uses for an idle connection after its first request.
+// The clients' ends are bare descriptors, which use no memory of the process.
 func BenchmarkIdleConnections(b *testing.B) {
 	e, err := Start(Config{Name: "s-1", Address: "127.0.0.1:0", Cores: 1, QueueLimit: idleConnections})
 	if err != nil {
@@ -22,15 +21,15 @@
 	defer e.Close()
 	port := netip.MustParseAddrPort(e.Address()).Port()
 	for b.Loop() {
-		before := memoryInUse()
+		baseline := memoryInUse()
 		for range idleConnections {
 			defer unix.Close(exchange(b, int(port)))
 		}
-		b.ReportMetric(float64(memoryInUse()-before)/idleConnections, "B/connection")
+		b.ReportMetric(float64(memoryInUse()-baseline)/idleConnections, "B/connection")
 	}
 }
 
-// exchange opens a connection and sends a request on it.
+// exchange opens a connection, sends a request and reads the response.
 func exchange(b *testing.B, port int) (descriptor int) {
 	descriptor, err := unix.Socket(unix.AF_INET, unix.SOCK_STREAM, 0)
 	if err == nil {
@@ -39,9 +38,9 @@
 	if err == nil {
 		_, err = unix.Write(descriptor, []byte("GET /search HTTP/1.1\r\nHost: x\r\nX-Correlation-Id: id\r\n\r\n"))
 	}
-	var answer [512]byte
+	var response [512]byte
 	if err == nil {
-		_, err = unix.Read(descriptor, answer[:])
+		_, err = unix.Read(descriptor, response[:])
 	}
 	if err != nil {
 		b.Fatal(err)
@@ -49,7 +48,7 @@
 	return descriptor
 }
 
-// memoryInUse is what the heap and the stacks hold after a collection.
+// memoryInUse returns the bytes of the heap and the stacks after a garbage collection.
 func memoryInUse() uint64 {
 	var stats runtime.MemStats
 	runtime.GC()
--- a/internal/emulator/endpoint/queue_test.go
+++ b/internal/emulator/endpoint/queue_test.go
@@ -19,19 +19,19 @@
 	second, third := &task{conn: conn}, &task{conn: conn}
 	for _, next := range []*task{first, late, second, third} {
 		if !q.admit(next) {
-			t.Fatal("rejected")
+			t.Fatal("a task was rejected")
 		}
 	}
 	if got := q.finish(first); got != running {
-		t.Errorf("the first was %v", got)
+		t.Errorf("the first task was in state %v, want running", got)
 	}
 	if late.state != expired || second.state != running || third.state != queued {
-		t.Errorf("late %v, second %v, third %v", late.state, second.state, third.state)
+		t.Errorf("states: expired task %v, second %v, third %v", late.state, second.state, third.state)
 	}
 	for _, next := range []*task{third, late, second} {
 		q.finish(next)
 	}
 	if got := q.inFlight(); got != 0 {
-		t.Errorf("%d in flight", got)
+		t.Errorf("%d tasks in flight, want 0", got)
 	}
 }
--- a/internal/emulator/fleet/fleet_test.go
+++ b/internal/emulator/fleet/fleet_test.go
@@ -24,11 +24,11 @@
 		zones[e.Zone]++
 	}
 	if len(l.Zones) != 6 || len(names) != 860 || len(addresses) != 860 {
-		t.Errorf("%d zones, %d names, %d addresses", len(l.Zones), len(names), len(addresses))
+		t.Errorf("%d zones, %d names, %d addresses, want 6, 860, 860", len(l.Zones), len(names), len(addresses))
 	}
 	for zone, count := range zones {
 		if count < 143 || count > 144 {
-			t.Errorf("%d endpoints in zone %d", count, zone)
+			t.Errorf("%d endpoints in zone %d, want 143 or 144", count, zone)
 		}
 	}
 	realZones := map[int]bool{}
@@ -40,11 +40,11 @@
 		}
 	}
 	if realCount != 16 || len(realZones) != 6 {
-		t.Errorf("%d real sidecars in %d zones", realCount, len(realZones))
+		t.Errorf("%d real sidecars in %d zones, want 16 in 6", realCount, len(realZones))
 	}
 }
 
-// A sidecar parses the configurations, and their hashes differ by version only.
+// A sidecar can parse the configurations, and their hashes differ by version only.
 func TestConfigurationsParseAndDifferByVersion(t *testing.T) {
 	file := readShippedFile(t)
 	layout := New(file, spec.Size{Sidecars: 12, Endpoints: 12})
@@ -67,9 +67,9 @@
 		t.Errorf("settings %+v", s)
 	}
 	if first.Hash() != other.Hash() {
-		t.Error("sidecars of one fleet differ in what should be the same")
+		t.Error("two sidecars have configurations with different hashes")
 	}
 	if first.Hash() == next.Hash() {
-		t.Error("two versions are the same")
+		t.Error("two versions have the same hash")
 	}
 }
--- a/internal/emulator/imports_test.go
+++ b/internal/emulator/imports_test.go
@@ -1,4 +1,4 @@
-// Package emulator_test checks what the emulator must not touch.
+// Package emulator_test checks the dependencies between the sidecar and the emulator.
 package emulator_test
 
 import (
@@ -7,18 +7,18 @@
 	"testing"
 )
 
-// TestSidecarDoesNotDependOnTheEmulator keeps the emulator and what it requires out of
-// the sidecar's own packages.
+// The sidecar's packages depend neither on the emulator nor on the external modules that it requires.
 func TestSidecarDoesNotDependOnTheEmulator(t *testing.T) {
-	listed, err := exec.Command("go", "list", "-deps", "oakproxy/balancer", "oakproxy/internal/sidecar", "oakproxy/cmd/sidecar").Output()
+	list := exec.Command("go", "list", "-deps", "oakproxy/balancer", "oakproxy/internal/sidecar", "oakproxy/cmd/sidecar")
+	output, err := list.Output()
 	if err != nil {
 		t.Fatal(err)
 	}
-	for _, name := range strings.Fields(string(listed)) {
-		domain, _, _ := strings.Cut(name, "/")
-		required := strings.Contains(domain, ".")
-		if required || strings.HasPrefix(name, "oakproxy/internal/emulator") {
-			t.Errorf("the sidecar depends on %s", name)
+	for _, path := range strings.Fields(string(output)) {
+		domain, _, _ := strings.Cut(path, "/")
+		external := strings.Contains(domain, ".")
+		if external || strings.HasPrefix(path, "oakproxy/internal/emulator") {
+			t.Errorf("the sidecar depends on %s", path)
 		}
 	}
 }
--- a/internal/emulator/load/load_test.go
+++ b/internal/emulator/load/load_test.go
@@ -40,8 +40,8 @@
 		t.Fatal(err)
 	}
 	var all []request
-	made := newSchedule(plan)
-	for next, more := made.next(); more; next, more = made.next() {
+	schedule := newSchedule(plan)
+	for next, more := schedule.next(); more; next, more = schedule.next() {
 		all = append(all, next)
 	}
 	return all
@@ -55,42 +55,42 @@
 	if len(all) < 9500 || len(all) > 10500 {
 		t.Errorf("%d requests, want about 10000", len(all))
 	}
-	seen := map[string]int{}
+	counts := map[string]int{}
 	for _, one := range all {
-		seen[one.target]++
-		seen[one.tenant]++
-		seen[one.class.Name]++
-		keyed := one.class.Name == "checkout"
-		if (one.idempotencyKey != "") != keyed || (one.class.Method == http.MethodPost) != keyed {
+		counts[one.target]++
+		counts[one.tenant]++
+		counts[one.class.Name]++
+		hasKey := one.class.Name == "checkout"
+		if (one.idempotencyKey != "") != hasKey || (one.class.Method == http.MethodPost) != hasKey {
 			t.Fatalf("request %+v", one)
 		}
 	}
-	if part := float64(seen["search"]) / float64(len(all)); part < 0.72 || part > 0.78 {
-		t.Errorf("part of the class with three quarters: %.3f", part)
+	if fraction := float64(counts["search"]) / float64(len(all)); fraction < 0.72 || fraction > 0.78 {
+		t.Errorf("fraction of the class with three quarters of the weight: %.3f", fraction)
 	}
-	if seen["a"] == 0 || seen["b"] == 0 || seen["t1"] == 0 || seen["t2"] == 0 {
-		t.Errorf("seen %v", seen)
+	if counts["a"] == 0 || counts["b"] == 0 || counts["t1"] == 0 || counts["t2"] == 0 {
+		t.Errorf("counts %v", counts)
 	}
 	if !reflect.DeepEqual(all, scheduledRequests(t, plan)) {
-		t.Error("another schedule for the same seed")
+		t.Error("two schedules with the same seed differ")
 	}
 	plan.Arrivals, plan.MaxRequests = Fixed, 3
 	if fixed := scheduledRequests(t, plan); len(fixed) != 3 || fixed[2].startOffset != 3*time.Millisecond {
-		t.Errorf("fixed arrivals: %+v", fixed)
+		t.Errorf("fixed arrivals: got %+v", fixed)
 	}
 }
 
 func TestInvalidPlansAreRejected(t *testing.T) {
 	for name, plan := range map[string]Plan{
-		"no target":    {Rate: 1, MaxRequests: 1},
-		"no rate":      {Targets: []string{"a"}, MaxRequests: 1},
-		"no end":       {Targets: []string{"a"}, Rate: 1},
-		"unnamed":      {Targets: []string{"a"}, Rate: 1, MaxRequests: 1, Classes: []Class{{Weight: 1}}},
-		"weight of 0":  {Targets: []string{"a"}, Rate: 1, MaxRequests: 1, Classes: []Class{{Name: "x"}}},
-		"weight below": {Targets: []string{"a"}, Rate: 1, MaxRequests: 1, Classes: []Class{{Name: "x", Weight: -1}}},
+		"no target":       {Rate: 1, MaxRequests: 1},
+		"no rate":         {Targets: []string{"a"}, MaxRequests: 1},
+		"no limit":        {Targets: []string{"a"}, Rate: 1},
+		"unnamed class":   {Targets: []string{"a"}, Rate: 1, MaxRequests: 1, Classes: []Class{{Weight: 1}}},
+		"zero weight":     {Targets: []string{"a"}, Rate: 1, MaxRequests: 1, Classes: []Class{{Name: "x"}}},
+		"negative weight": {Targets: []string{"a"}, Rate: 1, MaxRequests: 1, Classes: []Class{{Name: "x", Weight: -1}}},
 	} {
 		if report, err := Run(context.Background(), plan); err == nil {
-			t.Errorf("%s: got %+v", name, report)
+			t.Errorf("%s: got %+v, want an error", name, report)
 		}
 	}
 }
@@ -113,12 +113,12 @@
 		}
 	})
 	for name, want := range map[string]Counts{
-		"good":  {Planned: 4, Served: 4},
-		"full":  {Planned: 4, Rejected: 4},
-		"bad":   {Planned: 4, Failed: 4},
-		"other": {Planned: 4, Mismatched: 4},
-		"slow":  {Planned: 4, TimedOut: 4},
-		"cut":   {Planned: 4, Broken: 4},
+		"served": {Planned: 4, Served: 4},
+		"full":   {Planned: 4, Rejected: 4},
+		"bad":    {Planned: 4, Failed: 4},
+		"other":  {Planned: 4, Mismatched: 4},
+		"slow":   {Planned: 4, TimedOut: 4},
+		"cut":    {Planned: 4, Broken: 4},
 	} {
 		class := Class{Name: name, Weight: 1}
 		if name == "slow" {
@@ -146,9 +146,10 @@
 	})
 	report := mustRun(context.Background(), t,
 		Plan{Targets: []string{address}, Rate: 1000, MaxRequests: 5, MaxInFlight: 1, Arrivals: Fixed})
-	const least = 5*serviceTime - 4*time.Millisecond
-	if report.Counts.Served != 5 || report.Latency.Max() < least || report.SendDelay.Max() < least-serviceTime {
-		t.Errorf("counts %+v, latency %v at most, lateness %v", report.Counts, report.Latency.Max(), report.SendDelay.Max())
+	const minLatency = 5*serviceTime - 4*time.Millisecond
+	if report.Counts.Served != 5 || report.Latency.Max() < minLatency || report.SendDelay.Max() < minLatency-serviceTime {
+		t.Errorf("counts %+v, maximum latency %v, maximum send delay %v",
+			report.Counts, report.Latency.Max(), report.SendDelay.Max())
 	}
 }
 
@@ -194,12 +195,12 @@
 		}
 	})
 	if err := AwaitReady(context.Background(), []string{address}); err != nil || polls.Load() != 3 {
-		t.Errorf("polled %d times, %v", polls.Load(), err)
+		t.Errorf("%d polls, %v, want 3 polls", polls.Load(), err)
 	}
-	ended, cancel := context.WithCancel(context.Background())
+	cancelled, cancel := context.WithCancel(context.Background())
 	cancel()
-	if err := AwaitReady(ended, []string{address}); !errors.Is(err, context.Canceled) {
-		t.Errorf("after the end of its context: %v", err)
+	if err := AwaitReady(cancelled, []string{address}); !errors.Is(err, context.Canceled) {
+		t.Errorf("with a cancelled context: got %v, want %v", err, context.Canceled)
 	}
 }
 
@@ -214,7 +215,7 @@
 		Classes: []Class{{Name: "search", Weight: 1}, {Name: "checkout", HasIdempotencyKey: true, Weight: 1}}})
 	if got := e.Counts(); report.Counts.Served != 50 || got.Requests != 50 || got.Duplicates != 0 ||
 		report.Counts.BytesOut != got.BytesIn || !report.Direct {
-		t.Errorf("generator %+v, endpoint %+v", report.Counts, got)
+		t.Errorf("the generator counted %+v, the endpoint %+v", report.Counts, got)
 	}
 }
 
@@ -238,9 +239,9 @@
 	}
 	if got := first.Latency; got.Count() != 2 || got.Quantile(0.5) != time.Millisecond ||
 		got.Max().Round(time.Millisecond) != time.Second {
-		t.Errorf("latency: %d, median %v, longest %v", got.Count(), got.Quantile(0.5), got.Max())
+		t.Errorf("latency: %d values, median %v, maximum %v", got.Count(), got.Quantile(0.5), got.Max())
 	}
 	if err := json.Unmarshal([]byte(`{"latency":"`+strings.Repeat("x", 9)+`"}`), &received); err == nil {
-		t.Error("a histogram that is none was read")
+		t.Error("an invalid histogram was decoded")
 	}
 }
--- a/internal/emulator/process/process_test.go
+++ b/internal/emulator/process/process_test.go
@@ -32,7 +32,7 @@
 	}
 }
 
-// Stop ends children that exit at the end of their input, children that exit on SIGTERM, and children that ignore both.
+// Stop ends children that exit at the end of their input, on SIGTERM, or on SIGKILL only.
 func TestStopEndsAllChildren(t *testing.T) {
 	g := NewGroup()
 	programs := []Program{
@@ -49,19 +49,19 @@
 		children = append(children, child)
 	}
 	if n := len(g.Children()); n != 3 || g.ResidentKB() <= 0 {
-		t.Errorf("%d children hold %d kB", n, g.ResidentKB())
+		t.Errorf("%d children with %d kB, want 3 with memory", n, g.ResidentKB())
 	}
 	g.Stop(grace)
 	for _, child := range children {
 		if err := syscall.Kill(child.PID(), 0); !errors.Is(err, syscall.ESRCH) {
-			t.Errorf("%s is still there: %v", child.Name, err)
+			t.Errorf("%s has not ended: %v", child.Name, err)
 		}
 	}
 	if err := children[0].Err(); err != nil {
-		t.Errorf("the piped child: %v", err)
+		t.Errorf("the piped child ended with %v", err)
 	}
 	if _, err := g.Start(programs[0]); !errors.Is(err, ErrStopped) {
-		t.Errorf("a start after the end: %v", err)
+		t.Errorf("start after Stop: got %v, want ErrStopped", err)
 	}
 }
 
@@ -69,6 +69,6 @@
 	g := NewGroup()
 	defer g.Stop(grace)
 	if _, err := g.Start(Program{Name: "none", Path: "/nonesuch"}); !errors.Is(err, os.ErrNotExist) {
-		t.Errorf("got %v", err)
+		t.Errorf("got %v, want %v", err, os.ErrNotExist)
 	}
 }
--- a/internal/emulator/registry/registry_test.go
+++ b/internal/emulator/registry/registry_test.go
@@ -25,7 +25,7 @@
 	if got := w.Counts(); got.ListCalls != 1 || got.WatchCalls != 5 || got.CompleteResponses != 3 ||
 		got.DeltaResponses != 2 || got.EmptyResponses != 1 || got.BytesOut == 0 || got.BytesIn == 0 ||
 		got.HandlingCPU <= 0 || got.Connections.Accepted != 1 {
-		t.Errorf("counts %+v", got)
+		t.Errorf("got counts %+v", got)
 	}
 }
 
@@ -54,7 +54,7 @@
 	w := startRegistry(t, Options{})
 	w.client.Timeout = 50 * time.Millisecond
 	if got := w.call("?after=0&wait_ms=60000"); got.err == nil {
-		t.Errorf("answered: %+v", got)
+		t.Errorf("got response %+v, want a timeout", got)
 	}
 	emulatortest.Await(t, "the end of the watch and its connection", func() bool {
 		return w.pendingWatches() == 0 && w.Counts().Connections.Open == 0
@@ -66,7 +66,7 @@
 	w.expect(w.call(""), 0, true)
 	w.expectUnavailable("")
 	if got := w.Counts(); got.Unavailable != 1 || got.CompleteResponses != 1 {
-		t.Errorf("counts %+v", got)
+		t.Errorf("got counts %+v", got)
 	}
 }
 
@@ -77,7 +77,7 @@
 		w.expect(w.call(""), 0, true)
 	}
 	if elapsed := time.Since(start); elapsed < 20*time.Millisecond {
-		t.Errorf("three calls took %v at 10 ms each", elapsed)
+		t.Errorf("three calls took %v, want at least 20 ms", elapsed)
 	}
 }
 
@@ -87,7 +87,7 @@
 		result := w.startWatch("?after=0&wait_ms=60000")
 		fail()
 		if got := <-result; !errors.Is(got.err, syscall.ECONNRESET) {
-			t.Errorf("watch ended with %+v", got)
+			t.Errorf("watch: got %+v, want a reset", got)
 		}
 		emulatortest.Await(t, "the end of the watch", func() bool { return w.pendingWatches() == 0 })
 	}
@@ -95,7 +95,7 @@
 	w.SetDown(false)
 	w.expect(w.call(""), 0, true)
 	if got := w.Counts(); got.Reset != 2 || got.Unavailable != 1 {
-		t.Errorf("counts %+v", got)
+		t.Errorf("got counts %+v", got)
 	}
 }
 
@@ -106,7 +106,7 @@
 	w.Update(instance("x", Ready))
 	w.expect(w.call(""), 1, true, "x=Ready")
 	if got := w.Counts(); w.pendingWatches() != 1 || got.DeltaResponses+got.EmptyResponses != 0 {
-		t.Errorf("the watch was answered: %+v", got)
+		t.Errorf("the watch got a response: %+v", got)
 	}
 	w.SetSilent(false)
 	w.expect(<-result, 1, false, "x=Ready")
@@ -116,17 +116,17 @@
 	w := startRegistry(t, Options{})
 	w.moveGrace = 0
 	result := w.startWatch("?after=0&wait_ms=60000")
-	to, err := w.Move("127.0.0.1:0")
+	newAddress, err := w.Move("127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	if got := <-result; got.err == nil {
-		t.Errorf("the old address answered %+v", got)
+		t.Errorf("the watch at the old address got response %+v", got)
 	}
 	if got := w.call(""); !errors.Is(got.err, syscall.ECONNREFUSED) {
-		t.Errorf("the old address gave %+v", got)
+		t.Errorf("the old address: got %+v, want connection refused", got)
 	}
-	w.address = to.String()
+	w.address = newAddress.String()
 	w.expect(w.call(""), 0, true)
 }
 
--- a/internal/emulator/result/result_test.go
+++ b/internal/emulator/result/result_test.go
@@ -41,32 +41,33 @@
 func TestFitFindsTheLeastSquaresLine(t *testing.T) {
 	sizes := []int{10, 20, 40, 80}
 	// At each size one play is above and one below the line, by the same distance.
-	runs := runsOf(sizes, 2, func(size, play int) float64 { return 3 + 0.5*float64(size) + float64(2*play-3) })
+	seconds := func(size, play int) float64 { return 3 + 0.5*float64(size) + float64(2*play-3) }
+	runs := runsOf(sizes, 2, seconds)
 	f := startupSeries(t, runs).Fit
 	if f == nil {
-		t.Fatal("no line")
+		t.Fatal("got no fit")
 	}
-	if !almostEqual(f.Intercept, 3) || !almostEqual(f.Slope, 0.5) || !almostEqual(f.MaxResidual, 1) || !almostEqual(f.Deviation, 1) ||
-		!almostEqual(f.PlayRange, 2) {
-		t.Errorf("got %+v", f)
+	if !almostEqual(f.Intercept, 3) || !almostEqual(f.Slope, 0.5) || !almostEqual(f.MaxResidual, 1) ||
+		!almostEqual(f.Deviation, 1) || !almostEqual(f.PlayRange, 2) {
+		t.Errorf("got %+v, want intercept 3, slope 0.5, residual and deviation 1, range 2", f)
 	}
 	if len(f.Residuals) != 8 || f.RSquared < 0.99 || f.RSquared >= 1 {
-		t.Errorf("got %+v", f)
+		t.Errorf("got %+v, want 8 residuals and an R² from 0.99 to 1", f)
 	}
 }
 
 func TestTooFewPointsHaveNoFit(t *testing.T) {
 	line := func(size, _ int) float64 { return float64(size) }
 	if startupSeries(t, runsOf([]int{10, 20, 40}, 2, line)).Fit != nil {
-		t.Error("a line through three sizes")
+		t.Error("three sizes have a fit")
 	}
 	if startupSeries(t, runsOf([]int{10, 20, 40, 80}, 1, line)).Fit != nil {
-		t.Error("a line through single plays")
+		t.Error("single plays of each size have a fit")
 	}
 	runs := runsOf([]int{10, 20, 40, 80}, 2, line)
 	runs[0].Saturated, runs[1].Stopped = true, "interrupted"
 	if s := startupSeries(t, runs); s.Fit != nil || len(s.Points) != 6 {
-		t.Errorf("unusable runs are used: %+v", s)
+		t.Errorf("unusable runs count: %+v", s)
 	}
 }
 
@@ -80,11 +81,11 @@
 		t.Errorf("got %+v, want %+v", got, want)
 	}
 	if got := NewDistribution("none", 3, nil); got.Missing != 3 || got.MaxMS != 0 {
-		t.Errorf("got %+v", got)
+		t.Errorf("got %+v, want 3 missing and no maximum", got)
 	}
 }
 
-// The cost of an event is what a phase spends beyond the phase without events, over the same time.
+// The cost of an event is what its phase spends beyond the loaded phase, scaled to the same duration.
 func TestEventMetricsAreRelativeToTheLoadedPhase(t *testing.T) {
 	usage := func(cpu float64) []RoleUsage {
 		return []RoleUsage{{Role: SimulatedSidecar, Processes: 1, Units: 10, CPUSeconds: cpu}}
@@ -97,12 +98,12 @@
 	for _, m := range run.Metrics() {
 		if m.Name == name {
 			if m.Unit != "ms" || !almostEqual(m.Value, 20) { // (3 - 2) s over 5 events and 10 sidecars
-				t.Errorf("got %+v", m)
+				t.Errorf("got %+v, want 20 ms", m)
 			}
 			return
 		}
 	}
-	t.Errorf("no metric %q", name)
+	t.Errorf("metric %q is missing", name)
 }
 
 func TestRunsAreStoredTabulatedAndPlotted(t *testing.T) {
@@ -124,22 +125,22 @@
 	}
 	const want = "| start: time to the last sidecar's being ready | s | 10.00 | 20.00 | 40.00 | 80.00 |"
 	if !strings.Contains(table.String(), want) {
-		t.Errorf("no line %q in\n%s", want, table.String())
+		t.Errorf("the line %q is missing in\n%s", want, table.String())
 	}
 	plot := filepath.Join(directory, "plot.svg")
 	if err := WritePlot(plot, read, []string{"start: time to the last sidecar's being ready"}); err != nil {
 		t.Fatal(err)
 	}
 	if text, err := os.ReadFile(plot); err != nil || !bytes.Contains(text, []byte("<svg")) {
-		t.Errorf("the plot is no SVG: %v", err)
+		t.Errorf("the plot is not an SVG file: %v", err)
 	}
 	if err := WritePlot(plot, read, []string{"nonesuch"}); err == nil {
-		t.Error("a plot of nothing")
+		t.Error("an unknown metric was plotted")
 	}
 	if err := os.WriteFile(path, []byte("{\n"), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	if _, err := Read(path); err == nil {
-		t.Error("a broken file is read")
+		t.Error("a malformed file was read")
 	}
 }
--- a/internal/emulator/sidecarlog/events_test.go
+++ b/internal/emulator/sidecarlog/events_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-// checkBothSources logs to events as a hosted sidecar does, and as a process does by its lines.
+// checkBothSources checks events that a hosted sidecar logs, and those that a process writes as lines of text.
 func checkBothSources(t *testing.T, log func(*slog.Logger), check func(*Events)) {
 	t.Helper()
 	hosted := New()
@@ -18,12 +18,12 @@
 	check(process)
 }
 
-// byteWriter writes a byte at a time.
-type byteWriter struct{ to io.Writer }
+// byteWriter writes one byte at a time.
+type byteWriter struct{ destination io.Writer }
 
-func (o byteWriter) Write(text []byte) (int, error) {
+func (w byteWriter) Write(text []byte) (int, error) {
 	for i := range text {
-		if _, err := o.to.Write(text[i : i+1]); err != nil {
+		if _, err := w.destination.Write(text[i : i+1]); err != nil {
 			return i, err
 		}
 	}
@@ -37,13 +37,13 @@
 		log.Error("configuration not reloaded", "error", "a reason", "hash", "0123")
 		log.Info("configuration in force", "generation", 2, "hash", "4567")
 	}, func(e *Events) {
-		if c := e.Counts(); c.ConfigsApplied != 2 || c.ConfigsRejected != 1 {
-			t.Errorf("counts %+v", c)
+		if counts := e.Counts(); counts.ConfigsApplied != 2 || counts.ConfigsRejected != 1 {
+			t.Errorf("got counts %+v", counts)
 		}
-		ended, cancel := context.WithCancel(t.Context())
+		done, cancel := context.WithCancel(t.Context())
 		cancel()
-		if _, met := e.Await(ended, ConfigApplied("0123")); met {
-			t.Error("the first configuration still counts as applied")
+		if _, met := e.Await(done, ConfigApplied("0123")); met {
+			t.Error("the replaced configuration counts as applied")
 		}
 		if at, met := e.Await(t.Context(), ConfigApplied("4567")); !met || at.IsZero() {
 			t.Error("the second configuration does not count as applied")
@@ -60,19 +60,19 @@
 		met <- received
 	}()
 	log.Debug("endpoint list received", "seq", uint64(5), "whole", true, "hosts", 0)
-	ended, cancel := context.WithCancel(t.Context())
+	done, cancel := context.WithCancel(t.Context())
 	cancel()
-	if _, ready := e.Await(ended, Ready); ready {
-		t.Error("ready without an endpoint")
+	if _, ready := e.Await(done, Ready); ready {
+		t.Error("ready without endpoints")
 	}
 	log.Debug("endpoint list received", "seq", uint64(8), "whole", false, "hosts", 3)
 	if !<-met {
-		t.Error("a newer version does not count")
+		t.Error("a newer version of the list does not count as received")
 	}
 	if _, ready := e.Await(t.Context(), Ready); !ready {
 		t.Error("not ready with endpoints")
 	}
-	if c := e.Counts(); c.CompleteLists != 1 || c.ListChanges != 1 {
-		t.Errorf("counts %+v", c)
+	if counts := e.Counts(); counts.CompleteLists != 1 || counts.ListChanges != 1 {
+		t.Errorf("got counts %+v", counts)
 	}
 }
--- a/internal/emulator/spec/read_test.go
+++ b/internal/emulator/spec/read_test.go
@@ -17,25 +17,25 @@
 	}
 	scenario, err := file.Scenario("changes")
 	if err != nil || scenario.Kind != Changes {
-		t.Fatalf("%+v, %v", scenario, err)
+		t.Fatalf("got scenario %+v, %v, want kind %s", scenario, err, Changes)
 	}
-	// 1,300 a day, 66.5 times as fast, are one in 0.9994 s.
+	// 1,300 changes a day, 66.5 times as fast, are one each 0.9994 s.
 	if interval := scenario.Interval().Round(time.Millisecond); interval != 999*time.Millisecond {
-		t.Errorf("a change in %v", interval)
+		t.Errorf("interval %v, want 999 ms", interval)
 	}
 }
 
 func TestSizesOutOfRangeAreRejected(t *testing.T) {
 	for _, size := range []Size{{1, 1, 0}, {1, 1, 1}, {860, 860, 100}, {maxSidecars, maxEndpoints, maxReal}} {
 		if err := size.Validate(); err != nil {
-			t.Errorf("%+v: %v", size, err)
+			t.Errorf("%+v: got %v, want no error", size, err)
 		}
 	}
 	for _, size := range []Size{{0, 1, 0}, {1, 0, 0}, {1, 1, 2}, {200, 200, 101}, {1, 1, -1},
 		{maxSidecars + 1, 1, 0}, {1, maxEndpoints + 1, 0}} {
-		var bad *InputError
-		if err := size.Validate(); !errors.As(err, &bad) {
-			t.Errorf("%+v: %v", size, err)
+		var inputErr *InputError
+		if err := size.Validate(); !errors.As(err, &inputErr) {
+			t.Errorf("%+v: got %v, want an InputError", size, err)
 		}
 	}
 }
