--- a/internal/emulator/registry/harness_test.go
+++ b/internal/emulator/registry/harness_test.go
@@ -19,20 +19,20 @@
 
 func startRegistry(t testing.TB, options Options) *testRegistry {
 	t.Helper()
-	w := &testRegistry{Server: New(options), t: t}
-	w.client.Transport = &http.Transport{}
-	address, err := w.Listen("127.0.0.1:0")
+	r := &testRegistry{Server: New(options), t: t}
+	r.client.Transport = &http.Transport{}
+	address, err := r.Listen("127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	w.address = address.String()
+	r.address = address.String()
 	t.Cleanup(func() {
-		w.client.CloseIdleConnections()
-		if err := w.Close(); err != nil {
+		r.client.CloseIdleConnections()
+		if err := r.Close(); err != nil {
 			t.Error(err)
 		}
 	})
-	return w
+	return r
 }
 
 // callResult is the outcome of a call.
@@ -42,8 +42,8 @@
 	err    error
 }
 
-func (w *testRegistry) call(query string) callResult {
-	response, err := w.client.Get("http://" + w.address + listPath + query)
+func (r *testRegistry) call(query string) callResult {
+	response, err := r.client.Get("http://" + r.address + listPath + query)
 	if err != nil {
 		return callResult{err: err}
 	}
@@ -56,35 +56,35 @@
 }
 
 // startWatch makes a call in the background and returns once it is pending.
-func (w *testRegistry) startWatch(query string) <-chan callResult {
+func (r *testRegistry) startWatch(query string) <-chan callResult {
 	result := make(chan callResult, 1)
-	go func() { result <- w.call(query) }()
-	emulatortest.Await(w.t, "a pending watch", func() bool { return w.pendingWatches() == 1 })
+	go func() { result <- r.call(query) }()
+	emulatortest.Await(r.t, "a pending watch", func() bool { return r.pendingWatches() == 1 })
 	return result
 }
 
-func (w *testRegistry) pendingWatches() int {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	return len(w.watches)
+func (r *testRegistry) pendingWatches() int {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	return len(r.watches)
 }
 
-func (w *testRegistry) expect(got callResult, version uint64, complete bool, hosts ...string) {
-	w.t.Helper()
+func (r *testRegistry) expect(got callResult, version uint64, complete bool, hosts ...string) {
+	r.t.Helper()
 	names := []string{}
 	for _, instance := range got.list.Hosts {
 		names = append(names, instance.Host+"="+instance.Health)
 	}
 	if got.err != nil || got.status != http.StatusOK || got.list.Version != version || got.list.Complete != complete ||
 		strings.Join(names, " ") != strings.Join(hosts, " ") {
-		w.t.Errorf("got %+v, want version %d, complete %v, hosts %v", got, version, complete, hosts)
+		r.t.Errorf("got %+v, want version %d, complete %v, hosts %v", got, version, complete, hosts)
 	}
 }
 
-func (w *testRegistry) expectUnavailable(query string) {
-	w.t.Helper()
-	if got := w.call(query); got.status != http.StatusServiceUnavailable {
-		w.t.Errorf("%s: got %+v", query, got)
+func (r *testRegistry) expectUnavailable(query string) {
+	r.t.Helper()
+	if got := r.call(query); got.status != http.StatusServiceUnavailable {
+		r.t.Errorf("%s: got %+v", query, got)
 	}
 }
 
--- a/internal/emulator/registry/registry_test.go
+++ b/internal/emulator/registry/registry_test.go
@@ -12,17 +12,17 @@
 )
 
 func TestResponsesDependOnTheRequestedVersion(t *testing.T) {
-	w := startRegistry(t, Options{History: 2})
-	w.Set([]Instance{instance("x", Ready), instance("y", Ready)})
-	w.Update(instance("x", Terminating))
-	w.Update(instance("x", Removed), instance("z", Ready))
-	w.expect(w.call(""), 3, true, "y=Ready", "z=Ready")
-	w.expect(w.call("?after=2"), 3, false, "x=Gone", "z=Ready")
-	w.expect(w.call("?after=1"), 3, false, "x=Gone", "z=Ready")
-	w.expect(w.call("?after=0"), 3, true, "y=Ready", "z=Ready") // older than the history
-	w.expect(w.call("?after=9"), 3, true, "y=Ready", "z=Ready") // of another numbering
-	w.expect(w.call("?after=3&wait_ms=1"), 3, false)
-	if got := w.Counts(); got.ListCalls != 1 || got.WatchCalls != 5 || got.CompleteResponses != 3 ||
+	r := startRegistry(t, Options{History: 2})
+	r.Set([]Instance{instance("x", Ready), instance("y", Ready)})
+	r.Update(instance("x", Terminating))
+	r.Update(instance("x", Removed), instance("z", Ready))
+	r.expect(r.call(""), 3, true, "y=Ready", "z=Ready")
+	r.expect(r.call("?after=2"), 3, false, "x=Gone", "z=Ready")
+	r.expect(r.call("?after=1"), 3, false, "x=Gone", "z=Ready")
+	r.expect(r.call("?after=0"), 3, true, "y=Ready", "z=Ready") // older than the history
+	r.expect(r.call("?after=9"), 3, true, "y=Ready", "z=Ready") // of another numbering
+	r.expect(r.call("?after=3&wait_ms=1"), 3, false)
+	if got := r.Counts(); got.ListCalls != 1 || got.WatchCalls != 5 || got.CompleteResponses != 3 ||
 		got.DeltaResponses != 2 || got.EmptyResponses != 1 || got.BytesOut == 0 || got.BytesIn == 0 ||
 		got.HandlingCPU <= 0 || got.Connections.Accepted != 1 {
 		t.Errorf("got counts %+v", got)
@@ -40,41 +40,41 @@
 }
 
 func TestWatchBlocksUntilTheNextVersion(t *testing.T) {
-	w := startRegistry(t, Options{})
-	w.Set(nil)
-	result := w.startWatch("?after=1&wait_ms=60000")
-	w.Update(instance("x", Ready))
-	w.expect(<-result, 2, false, "x=Ready")
-	result = w.startWatch("?after=2&wait_ms=60000")
-	w.Set([]Instance{instance("y", Ready)})
-	w.expect(<-result, 3, true, "y=Ready")
+	r := startRegistry(t, Options{})
+	r.Set(nil)
+	result := r.startWatch("?after=1&wait_ms=60000")
+	r.Update(instance("x", Ready))
+	r.expect(<-result, 2, false, "x=Ready")
+	result = r.startWatch("?after=2&wait_ms=60000")
+	r.Set([]Instance{instance("y", Ready)})
+	r.expect(<-result, 3, true, "y=Ready")
 }
 
 func TestWatchEndsWhenItsClientDisconnects(t *testing.T) {
-	w := startRegistry(t, Options{})
-	w.client.Timeout = 50 * time.Millisecond
-	if got := w.call("?after=0&wait_ms=60000"); got.err == nil {
+	r := startRegistry(t, Options{})
+	r.client.Timeout = 50 * time.Millisecond
+	if got := r.call("?after=0&wait_ms=60000"); got.err == nil {
 		t.Errorf("got response %+v, want a timeout", got)
 	}
 	emulatortest.Await(t, "the end of the watch and its connection", func() bool {
-		return w.pendingWatches() == 0 && w.Counts().Connections.Open == 0
+		return r.pendingWatches() == 0 && r.Counts().Connections.Open == 0
 	})
 }
 
 func TestCallsOverTheQueueDelayGet503(t *testing.T) {
-	w := startRegistry(t, Options{CallsPerSecond: 0.001, MaxQueueDelay: time.Millisecond})
-	w.expect(w.call(""), 0, true)
-	w.expectUnavailable("")
-	if got := w.Counts(); got.Unavailable != 1 || got.CompleteResponses != 1 {
+	r := startRegistry(t, Options{CallsPerSecond: 0.001, MaxQueueDelay: time.Millisecond})
+	r.expect(r.call(""), 0, true)
+	r.expectUnavailable("")
+	if got := r.Counts(); got.Unavailable != 1 || got.CompleteResponses != 1 {
 		t.Errorf("got counts %+v", got)
 	}
 }
 
 func TestCallsAreRateLimited(t *testing.T) {
-	w := startRegistry(t, Options{CallsPerSecond: 100})
+	r := startRegistry(t, Options{CallsPerSecond: 100})
 	start := time.Now()
 	for range 3 {
-		w.expect(w.call(""), 0, true)
+		r.expect(r.call(""), 0, true)
 	}
 	if elapsed := time.Since(start); elapsed < 20*time.Millisecond {
 		t.Errorf("three calls took %v, want at least 20 ms", elapsed)
@@ -82,76 +82,76 @@
 }
 
 func TestOutageResetsWatchesAndRejectsCalls(t *testing.T) {
-	w := startRegistry(t, Options{})
-	for _, fail := range []func(){w.ResetConnections, func() { w.SetDown(true) }} {
-		result := w.startWatch("?after=0&wait_ms=60000")
+	r := startRegistry(t, Options{})
+	for _, fail := range []func(){r.ResetConnections, func() { r.SetDown(true) }} {
+		result := r.startWatch("?after=0&wait_ms=60000")
 		fail()
 		if got := <-result; !errors.Is(got.err, syscall.ECONNRESET) {
 			t.Errorf("watch: got %+v, want a reset", got)
 		}
-		emulatortest.Await(t, "the end of the watch", func() bool { return w.pendingWatches() == 0 })
+		emulatortest.Await(t, "the end of the watch", func() bool { return r.pendingWatches() == 0 })
 	}
-	w.expectUnavailable("?after=0&wait_ms=60000")
-	w.SetDown(false)
-	w.expect(w.call(""), 0, true)
-	if got := w.Counts(); got.Reset != 2 || got.Unavailable != 1 {
+	r.expectUnavailable("?after=0&wait_ms=60000")
+	r.SetDown(false)
+	r.expect(r.call(""), 0, true)
+	if got := r.Counts(); got.Reset != 2 || got.Unavailable != 1 {
 		t.Errorf("got counts %+v", got)
 	}
 }
 
 func TestSilentServerLeavesOnlyWatchesPending(t *testing.T) {
-	w := startRegistry(t, Options{})
-	w.SetSilent(true)
-	result := w.startWatch("?after=0&wait_ms=0")
-	w.Update(instance("x", Ready))
-	w.expect(w.call(""), 1, true, "x=Ready")
-	if got := w.Counts(); w.pendingWatches() != 1 || got.DeltaResponses+got.EmptyResponses != 0 {
+	r := startRegistry(t, Options{})
+	r.SetSilent(true)
+	result := r.startWatch("?after=0&wait_ms=0")
+	r.Update(instance("x", Ready))
+	r.expect(r.call(""), 1, true, "x=Ready")
+	if got := r.Counts(); r.pendingWatches() != 1 || got.DeltaResponses+got.EmptyResponses != 0 {
 		t.Errorf("the watch got a response: %+v", got)
 	}
-	w.SetSilent(false)
-	w.expect(<-result, 1, false, "x=Ready")
+	r.SetSilent(false)
+	r.expect(<-result, 1, false, "x=Ready")
 }
 
 func TestMoveServesOnlyTheNewAddress(t *testing.T) {
-	w := startRegistry(t, Options{})
-	w.moveGrace = 0
-	result := w.startWatch("?after=0&wait_ms=60000")
-	newAddress, err := w.Move("127.0.0.1:0")
+	r := startRegistry(t, Options{})
+	r.moveGrace = 0
+	result := r.startWatch("?after=0&wait_ms=60000")
+	newAddress, err := r.Move("127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	if got := <-result; got.err == nil {
 		t.Errorf("the watch at the old address got response %+v", got)
 	}
-	if got := w.call(""); !errors.Is(got.err, syscall.ECONNREFUSED) {
+	if got := r.call(""); !errors.Is(got.err, syscall.ECONNREFUSED) {
 		t.Errorf("the old address: got %+v, want connection refused", got)
 	}
-	w.address = newAddress.String()
-	w.expect(w.call(""), 0, true)
+	r.address = newAddress.String()
+	r.expect(r.call(""), 0, true)
 }
 
 func TestInvalidCallsAreRejected(t *testing.T) {
-	w := startRegistry(t, Options{})
+	r := startRegistry(t, Options{})
 	for query, want := range map[string]int{"?after=x": 400, "?after=1&wait_ms=-1": 400, "/more": 404} {
-		if got := w.call(query); got.status != want {
+		if got := r.call(query); got.status != want {
 			t.Errorf("%s: got %+v, want %d", query, got, want)
 		}
 	}
 }
 
 func benchmarkCall(b *testing.B, query string) {
-	w := startRegistry(b, Options{})
+	r := startRegistry(b, Options{})
 	instances := make([]Instance, 860)
 	for i := range instances {
 		instances[i] = instance(fmt.Sprintf("s-%08x", i), Ready)
 	}
-	w.Set(instances)
+	r.Set(instances)
 	for b.Loop() {
-		if got := w.call(query); got.err != nil {
+		if got := r.call(query); got.err != nil {
 			b.Fatal(got.err)
 		}
 	}
-	b.ReportMetric(float64(w.Counts().HandlingCPU.Nanoseconds())/float64(b.N), "cpu-ns/call")
+	b.ReportMetric(float64(r.Counts().HandlingCPU.Nanoseconds())/float64(b.N), "cpu-ns/call")
 }
 
 func BenchmarkCompleteList(b *testing.B) { benchmarkCall(b, "") }
