--- a/cmd/emulator/main.go
+++ b/cmd/emulator/main.go
@@ -1,5 +1,5 @@
-// Command emulator plays a fleet of sidecars and endpoints on the loopback interface of this machine and reports what
-// each role spends.
+// Command emulator plays a fleet of sidecars and endpoints on the loopback interface of this machine and reports the
+// resource usage of each role.
 //
 // It exits with 1 when a run fails or is interrupted, and with 2 on bad input, before anything is started.
 package main
--- a/internal/emulator/play/real.go
+++ b/internal/emulator/play/real.go
@@ -35,8 +35,9 @@
 	pastUsage process.Usage // of earlier processes
 }
 
-// reserveAddress returns a free port of the real sidecar's own address. It is only free: nothing holds it.
-func reserveAddress(number int) (string, error) {
+// freeAddress returns a free port of the real sidecar's own address. It does not reserve the
+// port: another process may take it.
+func freeAddress(number int) (string, error) {
 	address := fmt.Sprintf("127.%d.%d.%d:0", realOctet, number/hostsPerOctet, 1+number%hostsPerOctet)
 	listener, err := net.Listen("tcp", address)
 	if err != nil {
--- a/internal/emulator/play/roles.go
+++ b/internal/emulator/play/roles.go
@@ -7,19 +7,20 @@
 	"oakproxy/internal/emulator/result"
 )
 
-// descriptorReserve is the divisor for the part of its descriptors below which a process is near its limit.
+// descriptorReserve sets when a process is near its limit of descriptors: when less than one in descriptorReserve
+// remains.
 const descriptorReserve = 20
 
-// roleTotals is what the processes of a role have spent since their start, and hold.
+// roleTotals is the resource usage of the processes of a role since their start.
 type roleTotals struct {
 	role      result.Role
 	usage     process.Usage
 	processes int
 	units     int
-	nearLimit int // processes that hold nearly all the descriptors they may open
+	nearLimit int // processes with nearly as many open descriptors as they may have
 }
 
-// readRoles reads what the processes of each role have spent.
+// readRoles reads the resource usage of each role.
 func (r *runner) readRoles() ([]roleTotals, error) {
 	byRole := []struct {
 		role    result.Role
@@ -52,7 +53,7 @@
 	return append(all, realTotals, own), nil
 }
 
-// readReal reads what the real sidecars have spent, earlier processes included.
+// readReal reads the resource usage of the real sidecars, including that of their earlier processes.
 func (r *runner) readReal() (roleTotals, error) {
 	totals := roleTotals{role: result.RealSidecar, units: len(r.real)}
 	for _, s := range r.real {
@@ -67,7 +68,7 @@
 	return totals, nil
 }
 
-// read adds a process.
+// read adds the resource usage of a process.
 func (t *roleTotals) read(pid int) error {
 	usage, err := process.ReadUsage(pid)
 	if err != nil {
@@ -85,7 +86,7 @@
 	return nil
 }
 
-// since returns what a role has spent since an earlier reading.
+// since returns the resource usage of a role since an earlier reading.
 func (t roleTotals) since(earlier roleTotals) result.RoleUsage {
 	return result.RoleUsage{
 		Role:        t.role,
--- a/internal/emulator/play/sidecars.go
+++ b/internal/emulator/play/sidecars.go
@@ -19,7 +19,7 @@
 	perWorker := r.spec().Fleet.SimulatedPerWorker
 	for _, s := range r.layout.Sidecars {
 		if s.Real {
-			listen, err := reserveAddress(len(r.real))
+			listen, err := freeAddress(len(r.real))
 			if err != nil {
 				return err
 			}
--- a/internal/emulator/play/zone.go
+++ b/internal/emulator/play/zone.go
@@ -20,8 +20,8 @@
 	real      []*realSidecar
 }
 
-// playZone makes one zone fail and recover cold. Its real sidecars get no load in any phase, as their
-// applications would have failed as well.
+// playZone makes one zone fail and recover with endpoints that warm up. The zone's real sidecars get no load in any
+// phase, since their applications would have failed as well.
 func playZone(ctx context.Context, r *runner) error {
 	zone := r.membersOf(failedZone)
 	r.exclude(zone)
@@ -113,7 +113,7 @@
 	return nil
 }
 
-// recoverZone restarts a zone's endpoints, which are cold, and starts all of its sidecars at the same time.
+// recoverZone restarts a zone's endpoints, which warm up, and starts all of its sidecars at the same time.
 func (r *runner) recoverZone(ctx context.Context, phase *result.Phase, members *zoneMembers) error {
 	if err := r.applyAction(ctx, worker.Restart, members.endpoints); err != nil {
 		return err
--- a/internal/emulator/process/usage.go
+++ b/internal/emulator/process/usage.go
@@ -91,11 +91,11 @@
 	}
 	var ticks int64
 	for _, field := range []int{userField, systemField} {
-		spent, err := strconv.ParseInt(string(fields[field-firstField]), 10, 64)
+		value, err := strconv.ParseInt(string(fields[field-firstField]), 10, 64)
 		if err != nil {
 			return 0, err
 		}
-		ticks += spent
+		ticks += value
 	}
 	return time.Duration(ticks) * time.Second / ticksPerSecond, nil
 }
@@ -132,18 +132,18 @@
 	line, _, _ := strings.Cut(string(text), "\n")
 	const idleField, waitField, countedFields = 3, 4, 8 // guest time is part of user time
 	var cpu MachineCPU
-	for i, word := range strings.Fields(strings.TrimPrefix(line, "cpu")) {
-		ticks, err := strconv.ParseInt(word, 10, 64)
+	for i, field := range strings.Fields(strings.TrimPrefix(line, "cpu")) {
+		ticks, err := strconv.ParseInt(field, 10, 64)
 		if err != nil {
 			return MachineCPU{}, err
 		}
 		if i >= countedFields {
 			break
 		}
-		spent := time.Duration(ticks) * time.Second / ticksPerSecond
-		cpu.Total += spent
+		elapsed := time.Duration(ticks) * time.Second / ticksPerSecond
+		cpu.Total += elapsed
 		if i != idleField && i != waitField {
-			cpu.Busy += spent
+			cpu.Busy += elapsed
 		}
 	}
 	return cpu, nil
--- a/internal/emulator/registry/counts.go
+++ b/internal/emulator/registry/counts.go
@@ -69,11 +69,11 @@
 
 // threadCPU returns the processor time of the calling thread.
 func threadCPU() time.Duration {
-	var spent unix.Timespec
-	if err := unix.ClockGettime(unix.CLOCK_THREAD_CPUTIME_ID, &spent); err != nil {
+	var cpu unix.Timespec
+	if err := unix.ClockGettime(unix.CLOCK_THREAD_CPUTIME_ID, &cpu); err != nil {
 		return 0
 	}
-	return time.Duration(spent.Nano())
+	return time.Duration(cpu.Nano())
 }
 
 // processCPU returns the processor time of this process.
--- a/internal/emulator/result/metrics.go
+++ b/internal/emulator/result/metrics.go
@@ -58,7 +58,7 @@
 	return Metric{Name: p.Name + ": " + fmt.Sprintf(format, args...), Unit: unit, Value: value}
 }
 
-// roleMetrics returns what one unit of each role spends and holds.
+// roleMetrics returns the resource usage of one unit of each role.
 func (p *Phase) roleMetrics() []Metric {
 	var metrics []Metric
 	for _, usage := range p.Roles {
@@ -156,8 +156,8 @@
 	return metrics
 }
 
-// eventMetrics returns the processor time of one event in a unit of each role, beyond what the unit spends in the
-// phase with load and nothing else.
+// eventMetrics returns the processor time that one event costs a unit of each role, in addition to its processor time
+// in the phase with load and nothing else.
 func (p *Phase) eventMetrics(baseline *Phase) []Metric {
 	if p.Events == 0 {
 		return nil
--- a/internal/emulator/result/result.go
+++ b/internal/emulator/result/result.go
@@ -87,7 +87,8 @@
 	Generator        Role = "load generator"
 )
 
-// RoleUsage is what the processes of a role spent in a phase, and what they held at its end.
+// RoleUsage is the resource usage of the processes of a role: processor time and bytes during a phase, memory and
+// descriptors at its end.
 type RoleUsage struct {
 	Role        Role    `json:"role"`
 	Processes   int     `json:"processes"`
--- a/internal/emulator/result/summary.go
+++ b/internal/emulator/result/summary.go
@@ -85,7 +85,7 @@
 	}
 }
 
-// unitUsage is what one unit of a role spends, each second, and holds on average.
+// unitUsage is the resource usage of an average unit of a role: processor time and bytes per second, and memory.
 type unitUsage struct{ cpuPercent, residentMB, readBytes, writeBytes float64 }
 
 // perUnit divides the usage of a role in a phase of this length by the number of its units.
--- a/internal/emulator/worker/messages.go
+++ b/internal/emulator/worker/messages.go
@@ -79,7 +79,7 @@
 	Names  []string
 }
 
-// Incarnation is where an endpoint is reached, and since when its process runs.
+// Incarnation is the address of an endpoint and the start time of its process.
 type Incarnation struct {
 	Name      string
 	Address   string
@@ -94,9 +94,9 @@
 	StartSidecars  control.Kind = "start sidecars"  // Sidecars, Empty
 	StopSidecars   control.Kind = "stop sidecars"   // Names, Empty
 	ReloadSidecars control.Kind = "reload sidecars" // Names, Empty
-	AwaitReady     control.Kind = "await ready"     // Await, Arrivals
-	AwaitList      control.Kind = "await heard"     // Await, Arrivals
-	AwaitConfig    control.Kind = "await in force"  // Await, Arrivals
+	AwaitReady     control.Kind = "await ready"     // Await, Completions
+	AwaitList      control.Kind = "await heard"     // Await, Completions
+	AwaitConfig    control.Kind = "await in force"  // Await, Completions
 	CountSidecars  control.Kind = "count sidecars"  // Empty, SidecarCounts
 )
 
@@ -136,7 +136,7 @@
 // Requests of the load role, each with the types of its request and response.
 const (
 	SendLoad control.Kind = "send load" // LoadPlans, LoadReports
-	StopLoad control.Kind = "stop load" // Empty, Empty: SendLoad ends with what it has
+	StopLoad control.Kind = "stop load" // Empty, Empty; makes SendLoad return what it has measured
 )
 
 // LoadPlans are requests through sidecars and, for comparison, directly to endpoints. A plan without
