--- a/internal/emulator/result/result_test.go
+++ b/internal/emulator/result/result_test.go
@@ -12,6 +12,8 @@
 	"oakproxy/internal/emulator/spec"
 )
 
+const startupMetric = "start: time to the last sidecar's being ready"
+
 // runsOf returns the runs of a sweep whose starts take as many seconds as given.
 func runsOf(sizes []int, plays int, seconds func(size, play int) float64) []*Run {
 	var runs []*Run
@@ -28,7 +30,7 @@
 func startupSeries(t *testing.T, runs []*Run) Series {
 	t.Helper()
 	for _, s := range AllSeries(runs) {
-		if s.Name == "start: time to the last sidecar's being ready" {
+		if s.Name == startupMetric {
 			return s
 		}
 	}
@@ -106,10 +108,11 @@
 	t.Errorf("metric %q is missing", name)
 }
 
-func TestRunsAreStoredTabulatedAndPlotted(t *testing.T) {
+// storedSweep stores the runs of a sweep in a file and returns its path and the runs that were read from it.
+func storedSweep(t *testing.T) (path string, read []*Run) {
+	t.Helper()
 	runs := runsOf([]int{10, 20, 40, 80}, 2, func(size, _ int) float64 { return float64(size) })
-	directory := t.TempDir()
-	path := filepath.Join(directory, "runs.jsonl")
+	path = filepath.Join(t.TempDir(), "runs.jsonl")
 	for _, run := range runs {
 		if err := Append(path, run); err != nil {
 			t.Fatal(err)
@@ -117,8 +120,23 @@
 	}
 	read, err := Read(path)
 	if err != nil || len(read) != len(runs) || read[3].Startup.Seconds != 80 {
-		t.Fatalf("read %d runs, %v", len(read), err)
+		t.Fatalf("read %d runs, %v, want %d", len(read), err, len(runs))
+	}
+	return path, read
+}
+
+func TestStoredRunsAreReadAndMalformedFilesRejected(t *testing.T) {
+	path, _ := storedSweep(t)
+	if err := os.WriteFile(path, []byte("{\n"), 0o600); err != nil {
+		t.Fatal(err)
+	}
+	if _, err := Read(path); err == nil {
+		t.Error("a malformed file was read")
 	}
+}
+
+func TestStoredRunsAreTabulated(t *testing.T) {
+	_, read := storedSweep(t)
 	var table bytes.Buffer
 	if err := WriteTable(&table, read); err != nil {
 		t.Fatal(err)
@@ -127,8 +145,12 @@
 	if !strings.Contains(table.String(), want) {
 		t.Errorf("the line %q is missing in\n%s", want, table.String())
 	}
-	plot := filepath.Join(directory, "plot.svg")
-	if err := WritePlot(plot, read, []string{"start: time to the last sidecar's being ready"}); err != nil {
+}
+
+func TestStoredRunsArePlotted(t *testing.T) {
+	_, read := storedSweep(t)
+	plot := filepath.Join(t.TempDir(), "plot.svg")
+	if err := WritePlot(plot, read, []string{startupMetric}); err != nil {
 		t.Fatal(err)
 	}
 	if text, err := os.ReadFile(plot); err != nil || !bytes.Contains(text, []byte("<svg")) {
@@ -137,10 +159,4 @@
 	if err := WritePlot(plot, read, []string{"nonesuch"}); err == nil {
 		t.Error("an unknown metric was plotted")
 	}
-	if err := os.WriteFile(path, []byte("{\n"), 0o600); err != nil {
-		t.Fatal(err)
-	}
-	if _, err := Read(path); err == nil {
-		t.Error("a malformed file was read")
-	}
 }
