--- a/internal/emulator/load/load_test.go
+++ b/internal/emulator/load/load_test.go
@@ -95,23 +95,26 @@
 	}
 }
 
+// respondByClass responds to the requests of each class of TestOutcomesAreCounted with the outcome that it needs.
+func respondByClass(w http.ResponseWriter, r *http.Request) {
+	switch r.URL.Path {
+	case "/full":
+		w.WriteHeader(http.StatusServiceUnavailable)
+	case "/bad":
+		w.WriteHeader(http.StatusInternalServerError)
+	case "/other":
+		_, _ = io.WriteString(w, "a response to another request")
+	case "/slow":
+		<-r.Context().Done()
+	case "/cut":
+		panic(http.ErrAbortHandler)
+	default:
+		_, _ = io.WriteString(w, r.Header.Get("X-Correlation-Id"))
+	}
+}
+
 func TestOutcomesAreCounted(t *testing.T) {
-	address := startTarget(t, func(w http.ResponseWriter, r *http.Request) {
-		switch r.URL.Path {
-		case "/full":
-			w.WriteHeader(http.StatusServiceUnavailable)
-		case "/bad":
-			w.WriteHeader(http.StatusInternalServerError)
-		case "/other":
-			_, _ = io.WriteString(w, "a response to another request")
-		case "/slow":
-			<-r.Context().Done()
-		case "/cut":
-			panic(http.ErrAbortHandler)
-		default:
-			_, _ = io.WriteString(w, r.Header.Get("X-Correlation-Id"))
-		}
-	})
+	address := startTarget(t, respondByClass)
 	for name, want := range map[string]Counts{
 		"served": {Planned: 4, Served: 4},
 		"full":   {Planned: 4, Rejected: 4},
