--- a/cmd/emulator/harness_test.go
+++ b/cmd/emulator/harness_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"bytes"
+	"errors"
 	"fmt"
 	"os"
 	"os/exec"
@@ -75,6 +76,15 @@
 	return count
 }
 
+// checkExitCode checks the exit code of a program that ended with an error.
+func checkExitCode(t *testing.T, err error, want int) {
+	t.Helper()
+	var exit *exec.ExitError
+	if !errors.As(err, &exit) || exit.ExitCode() != want {
+		t.Errorf("got %v, want exit code %d", err, want)
+	}
+}
+
 // checkNothingRemains checks that no process and no file of the run remain.
 func (e *emulator) checkNothingRemains(t *testing.T) {
 	t.Helper()
--- a/cmd/emulator/main_test.go
+++ b/cmd/emulator/main_test.go
@@ -1,7 +1,6 @@
 package main
 
 import (
-	"errors"
 	"os/exec"
 	"strings"
 	"testing"
@@ -39,11 +38,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			e := newRun(t, "steady", test.arguments...)
-			err := e.Run()
-			var exit *exec.ExitError
-			if !errors.As(err, &exit) || exit.ExitCode() != exitBadInput {
-				t.Errorf("got %v, want exit code %d", err, exitBadInput)
-			}
+			checkExitCode(t, e.Run(), exitBadInput)
 			stderr := e.stderr.String()
 			if strings.Count(stderr, "\n") != 1 || !strings.Contains(stderr, test.want) || e.stdout.Len() > 0 {
 				t.Errorf("got stderr %q and stdout %q, want one line with %q on stderr", stderr, e.stdout.String(), test.want)
--- a/cmd/emulator/termination_test.go
+++ b/cmd/emulator/termination_test.go
@@ -1,8 +1,6 @@
 package main
 
 import (
-	"errors"
-	"os/exec"
 	"path/filepath"
 	"strings"
 	"syscall"
@@ -20,10 +18,7 @@
 		t.Run(name, func(t *testing.T) {
 			out := filepath.Join(t.TempDir(), "runs.jsonl")
 			e := newRun(t, "steady", "--file", changedFile(t, test.old, test.replacement), "--out", out)
-			var exit *exec.ExitError
-			if err := e.Run(); !errors.As(err, &exit) || exit.ExitCode() != exitFailure {
-				t.Errorf("got %v, want exit code %d", err, exitFailure)
-			}
+			checkExitCode(t, e.Run(), exitFailure)
 			if stderr := e.stderr.String(); !strings.Contains(stderr, test.want) {
 				t.Errorf("got stderr %q, want %q in it", stderr, test.want)
 			}
@@ -38,18 +33,17 @@
 
 func TestSignalEndsTheRunAndItsChildren(t *testing.T) {
 	for _, signal := range []syscall.Signal{syscall.SIGINT, syscall.SIGTERM} {
-		e := startRun(t)
-		if err := e.Process.Signal(signal); err != nil {
-			t.Fatal(err)
-		}
-		var exit *exec.ExitError
-		if err := e.Wait(); !errors.As(err, &exit) || exit.ExitCode() != exitFailure {
-			t.Errorf("%s: got %v, want exit code %d", signal, err, exitFailure)
-		}
-		if !strings.Contains(e.stderr.String(), errInterrupted.Error()) {
-			t.Errorf("%s: got stderr %q", signal, e.stderr.String())
-		}
-		e.checkNothingRemains(t)
+		t.Run(signal.String(), func(t *testing.T) {
+			e := startRun(t)
+			if err := e.Process.Signal(signal); err != nil {
+				t.Fatal(err)
+			}
+			checkExitCode(t, e.Wait(), exitFailure)
+			if stderr := e.stderr.String(); !strings.Contains(stderr, errInterrupted.Error()) {
+				t.Errorf("got stderr %q, want %q in it", stderr, errInterrupted)
+			}
+			e.checkNothingRemains(t)
+		})
 	}
 }
 
