--- /dev/null
+++ b/internal/emulator/registry/harness_test.go
@@ -0,0 +1,93 @@
+package registry
+
+import (
+	"encoding/json"
+	"net/http"
+	"strings"
+	"testing"
+
+	"oakproxy/internal/emulator/emulatortest"
+)
+
+// testRegistry is a listening Server and a client with connections of its own.
+type testRegistry struct {
+	*Server
+	t       testing.TB
+	address string
+	client  http.Client
+}
+
+func startRegistry(t testing.TB, options Options) *testRegistry {
+	t.Helper()
+	r := &testRegistry{Server: New(options), t: t}
+	r.client.Transport = &http.Transport{}
+	address, err := r.Listen("127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	r.address = address.String()
+	t.Cleanup(func() {
+		r.client.CloseIdleConnections()
+		if err := r.Close(); err != nil {
+			t.Error(err)
+		}
+	})
+	return r
+}
+
+// callResult is the outcome of a call.
+type callResult struct {
+	status int
+	list   responseBody
+	err    error
+}
+
+func (r *testRegistry) call(query string) callResult {
+	response, err := r.client.Get("http://" + r.address + listPath + query)
+	if err != nil {
+		return callResult{err: err}
+	}
+	defer response.Body.Close()
+	got := callResult{status: response.StatusCode}
+	if got.status == http.StatusOK {
+		got.err = json.NewDecoder(response.Body).Decode(&got.list)
+	}
+	return got
+}
+
+// startWatch makes a call in the background and returns once it is pending.
+func (r *testRegistry) startWatch(query string) <-chan callResult {
+	result := make(chan callResult, 1)
+	go func() { result <- r.call(query) }()
+	emulatortest.Await(r.t, "a pending watch", func() bool { return r.pendingWatches() == 1 })
+	return result
+}
+
+func (r *testRegistry) pendingWatches() int {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	return len(r.watches)
+}
+
+func (r *testRegistry) expect(got callResult, version uint64, complete bool, hosts ...string) {
+	r.t.Helper()
+	names := []string{}
+	for _, instance := range got.list.Hosts {
+		names = append(names, instance.Host+"="+instance.Health)
+	}
+	if got.err != nil || got.status != http.StatusOK || got.list.Version != version || got.list.Complete != complete ||
+		strings.Join(names, " ") != strings.Join(hosts, " ") {
+		r.t.Errorf("got %+v, want version %d, complete %v, hosts %v", got, version, complete, hosts)
+	}
+}
+
+func (r *testRegistry) expectUnavailable(query string) {
+	r.t.Helper()
+	if got := r.call(query); got.status != http.StatusServiceUnavailable {
+		r.t.Errorf("%s: got %+v", query, got)
+	}
+}
+
+func instance(name, health string) Instance {
+	return Instance{Host: name, Address: "127.0.0.1:1", Zone: "a", MachineKind: "m", Health: health, Weight: 1}
+}
--- a/internal/emulator/result/result_test.go
+++ b/internal/emulator/result/result_test.go
@@ -12,6 +12,8 @@
 	"oakproxy/internal/emulator/spec"
 )
 
+const startupMetric = "start: time to the last sidecar's being ready"
+
 // runsOf returns the runs of a sweep whose starts take as many seconds as given.
 func runsOf(sizes []int, plays int, seconds func(size, play int) float64) []*Run {
 	var runs []*Run
@@ -25,10 +27,10 @@
 	return runs
 }
 
-func startSeries(t *testing.T, runs []*Run) Series {
+func startupSeries(t *testing.T, runs []*Run) Series {
 	t.Helper()
 	for _, s := range AllSeries(runs) {
-		if s.Name == "start: time to the last sidecar's being ready" {
+		if s.Name == startupMetric {
 			return s
 		}
 	}
@@ -36,37 +38,38 @@
 	return Series{}
 }
 
-func near(a, b float64) bool { return math.Abs(a-b) < 1e-9*max(1, math.Abs(b)) }
+func almostEqual(a, b float64) bool { return math.Abs(a-b) < 1e-9*max(1, math.Abs(b)) }
 
 func TestFitFindsTheLeastSquaresLine(t *testing.T) {
 	sizes := []int{10, 20, 40, 80}
 	// At each size one play is above and one below the line, by the same distance.
-	runs := runsOf(sizes, 2, func(size, play int) float64 { return 3 + 0.5*float64(size) + float64(2*play-3) })
-	f := startSeries(t, runs).Fit
+	seconds := func(size, play int) float64 { return 3 + 0.5*float64(size) + float64(2*play-3) }
+	runs := runsOf(sizes, 2, seconds)
+	f := startupSeries(t, runs).Fit
 	if f == nil {
-		t.Fatal("no line")
+		t.Fatal("got no fit")
 	}
-	if !near(f.Intercept, 3) || !near(f.Slope, 0.5) || !near(f.MaxResidual, 1) || !near(f.Deviation, 1) ||
-		!near(f.PlayRange, 2) {
-		t.Errorf("got %+v", f)
+	if !almostEqual(f.Intercept, 3) || !almostEqual(f.Slope, 0.5) || !almostEqual(f.MaxResidual, 1) ||
+		!almostEqual(f.Deviation, 1) || !almostEqual(f.PlayRange, 2) {
+		t.Errorf("got %+v, want intercept 3, slope 0.5, residual and deviation 1, range 2", f)
 	}
 	if len(f.Residuals) != 8 || f.RSquared < 0.99 || f.RSquared >= 1 {
-		t.Errorf("got %+v", f)
+		t.Errorf("got %+v, want 8 residuals and an R² from 0.99 to 1", f)
 	}
 }
 
 func TestTooFewPointsHaveNoFit(t *testing.T) {
 	line := func(size, _ int) float64 { return float64(size) }
-	if startSeries(t, runsOf([]int{10, 20, 40}, 2, line)).Fit != nil {
-		t.Error("a line through three sizes")
+	if startupSeries(t, runsOf([]int{10, 20, 40}, 2, line)).Fit != nil {
+		t.Error("three sizes have a fit")
 	}
-	if startSeries(t, runsOf([]int{10, 20, 40, 80}, 1, line)).Fit != nil {
-		t.Error("a line through single plays")
+	if startupSeries(t, runsOf([]int{10, 20, 40, 80}, 1, line)).Fit != nil {
+		t.Error("single plays of each size have a fit")
 	}
 	runs := runsOf([]int{10, 20, 40, 80}, 2, line)
 	runs[0].Saturated, runs[1].Stopped = true, "interrupted"
-	if s := startSeries(t, runs); s.Fit != nil || len(s.Points) != 6 {
-		t.Errorf("unusable runs are used: %+v", s)
+	if s := startupSeries(t, runs); s.Fit != nil || len(s.Points) != 6 {
+		t.Errorf("unusable runs count: %+v", s)
 	}
 }
 
@@ -80,11 +83,11 @@
 		t.Errorf("got %+v, want %+v", got, want)
 	}
 	if got := NewDistribution("none", 3, nil); got.Missing != 3 || got.MaxMS != 0 {
-		t.Errorf("got %+v", got)
+		t.Errorf("got %+v, want 3 missing and no maximum", got)
 	}
 }
 
-// The cost of an event is what a phase spends beyond the phase without events, over the same time.
+// The cost of an event is what its phase spends beyond the loaded phase, scaled to the same duration.
 func TestEventMetricsAreRelativeToTheLoadedPhase(t *testing.T) {
 	usage := func(cpu float64) []RoleUsage {
 		return []RoleUsage{{Role: SimulatedSidecar, Processes: 1, Units: 10, CPUSeconds: cpu}}
@@ -96,19 +99,20 @@
 	const name = "changes: hollow sidecar, processor time of an event"
 	for _, m := range run.Metrics() {
 		if m.Name == name {
-			if m.Unit != "ms" || !near(m.Value, 20) { // (3 - 2) s over 5 events and 10 sidecars
-				t.Errorf("got %+v", m)
+			if m.Unit != "ms" || !almostEqual(m.Value, 20) { // (3 - 2) s over 5 events and 10 sidecars
+				t.Errorf("got %+v, want 20 ms", m)
 			}
 			return
 		}
 	}
-	t.Errorf("no metric %q", name)
+	t.Errorf("metric %q is missing", name)
 }
 
-func TestRunsAreStoredTabulatedAndPlotted(t *testing.T) {
+// storedSweep stores the runs of a sweep in a file and returns its path and the runs that were read from it.
+func storedSweep(t *testing.T) (path string, read []*Run) {
+	t.Helper()
 	runs := runsOf([]int{10, 20, 40, 80}, 2, func(size, _ int) float64 { return float64(size) })
-	directory := t.TempDir()
-	path := filepath.Join(directory, "runs.jsonl")
+	path = filepath.Join(t.TempDir(), "runs.jsonl")
 	for _, run := range runs {
 		if err := Append(path, run); err != nil {
 			t.Fatal(err)
@@ -116,30 +120,43 @@
 	}
 	read, err := Read(path)
 	if err != nil || len(read) != len(runs) || read[3].Startup.Seconds != 80 {
-		t.Fatalf("read %d runs, %v", len(read), err)
+		t.Fatalf("read %d runs, %v, want %d", len(read), err, len(runs))
+	}
+	return path, read
+}
+
+func TestStoredRunsAreReadAndMalformedFilesRejected(t *testing.T) {
+	path, _ := storedSweep(t)
+	if err := os.WriteFile(path, []byte("{\n"), 0o600); err != nil {
+		t.Fatal(err)
+	}
+	if _, err := Read(path); err == nil {
+		t.Error("a malformed file was read")
 	}
+}
+
+func TestStoredRunsAreTabulated(t *testing.T) {
+	_, read := storedSweep(t)
 	var table bytes.Buffer
 	if err := WriteTable(&table, read); err != nil {
 		t.Fatal(err)
 	}
 	const want = "| start: time to the last sidecar's being ready | s | 10.00 | 20.00 | 40.00 | 80.00 |"
 	if !strings.Contains(table.String(), want) {
-		t.Errorf("no line %q in\n%s", want, table.String())
+		t.Errorf("the line %q is missing in\n%s", want, table.String())
 	}
-	plot := filepath.Join(directory, "plot.svg")
-	if err := WritePlot(plot, read, []string{"start: time to the last sidecar's being ready"}); err != nil {
+}
+
+func TestStoredRunsArePlotted(t *testing.T) {
+	_, read := storedSweep(t)
+	plot := filepath.Join(t.TempDir(), "plot.svg")
+	if err := WritePlot(plot, read, []string{startupMetric}); err != nil {
 		t.Fatal(err)
 	}
 	if text, err := os.ReadFile(plot); err != nil || !bytes.Contains(text, []byte("<svg")) {
-		t.Errorf("the plot is no SVG: %v", err)
+		t.Errorf("the plot is not an SVG file: %v", err)
 	}
 	if err := WritePlot(plot, read, []string{"nonesuch"}); err == nil {
-		t.Error("a plot of nothing")
-	}
-	if err := os.WriteFile(path, []byte("{\n"), 0o600); err != nil {
-		t.Fatal(err)
-	}
-	if _, err := Read(path); err == nil {
-		t.Error("a broken file is read")
+		t.Error("an unknown metric was plotted")
 	}
 }
--- a/internal/emulator/worker/messages.go
+++ b/internal/emulator/worker/messages.go
@@ -12,7 +12,6 @@
 	"oakproxy/internal/emulator/endpoint"
 	"oakproxy/internal/emulator/load"
 	"oakproxy/internal/emulator/registry"
-	"oakproxy/internal/emulator/sidecarlog"
 )
 
 // Role names what a worker process does.
@@ -80,7 +79,7 @@
 	Names  []string
 }
 
-// Incarnation is where an endpoint is reached, and since when its process runs.
+// Incarnation is the address of an endpoint and the start time of its process.
 type Incarnation struct {
 	Name      string
 	Address   string
@@ -95,9 +94,9 @@
 	StartSidecars  control.Kind = "start sidecars"  // Sidecars, Empty
 	StopSidecars   control.Kind = "stop sidecars"   // Names, Empty
 	ReloadSidecars control.Kind = "reload sidecars" // Names, Empty
-	AwaitReady     control.Kind = "await ready"     // Await, Arrivals
-	AwaitList      control.Kind = "await heard"     // Await, Arrivals
-	AwaitConfig    control.Kind = "await in force"  // Await, Arrivals
+	AwaitReady     control.Kind = "await ready"     // Await, Completions
+	AwaitList      control.Kind = "await heard"     // Await, Completions
+	AwaitConfig    control.Kind = "await in force"  // Await, Completions
 	CountSidecars  control.Kind = "count sidecars"  // Empty, SidecarCounts
 )
 
@@ -134,19 +133,10 @@
 	Missing   []string
 }
 
-// SidecarCounts are the counts of all sidecars that a worker hosts or has hosted.
-type SidecarCounts struct {
-	sidecarlog.Counts
-	Running      int
-	Goroutines   int
-	Failed       uint64 // sidecars that ended with an error
-	FirstFailure string
-}
-
 // Requests of the load role, each with the types of its request and response.
 const (
 	SendLoad control.Kind = "send load" // LoadPlans, LoadReports
-	StopLoad control.Kind = "stop load" // Empty, Empty: SendLoad ends with what it has
+	StopLoad control.Kind = "stop load" // Empty, Empty; makes SendLoad return what it has measured
 )
 
 // LoadPlans are requests through sidecars and, for comparison, directly to endpoints. A plan without
