--- a/internal/admin/admin_test.go
+++ b/internal/admin/admin_test.go
@@ -123,7 +123,7 @@
 func TestCallThatCannotBeStoredFails(t *testing.T) {
 	disk := &sidecartest.FaultyDisk{}
 	url, applied := serve(t, fakeSidecar{true}, disk.FileOps())
-	disk.Fail("sync", io.ErrShortWrite)
+	disk.Fail(sidecartest.DiskSync, io.ErrShortWrite)
 	if status, text := makeCall(t, "POST", url+"/admin/quiesce", ""); status != http.StatusInternalServerError {
 		t.Errorf("got %d %q, want %d", status, text, http.StatusInternalServerError)
 	}
--- a/internal/operatorstate/store_test.go
+++ b/internal/operatorstate/store_test.go
@@ -50,12 +50,14 @@
 // While the disk fails, an update returns an error and no earlier one is lost. Once the disk is mended, the next update
 // succeeds, and all that were acknowledged are in force in both processes.
 func TestNoAcknowledgedUpdateIsLostToDiskFaults(t *testing.T) {
-	for operation, errs := range map[string][]error{
-		"write": {syscall.ENOSPC, syscall.EIO}, "sync": {syscall.ENOSPC, syscall.EIO},
-		"rename": {syscall.ENOSPC, syscall.EIO}, "read": {syscall.EIO, syscall.ENFILE},
+	for operation, errs := range map[sidecartest.DiskOperation][]error{
+		sidecartest.DiskWrite:  {syscall.ENOSPC, syscall.EIO},
+		sidecartest.DiskSync:   {syscall.ENOSPC, syscall.EIO},
+		sidecartest.DiskRename: {syscall.ENOSPC, syscall.EIO},
+		sidecartest.DiskRead:   {syscall.EIO, syscall.ENFILE},
 	} {
 		for _, err := range errs {
-			t.Run(operation+" "+err.Error(), func(t *testing.T) {
+			t.Run(string(operation)+" "+err.Error(), func(t *testing.T) {
 				dir, disk := t.TempDir(), &sidecartest.FaultyDisk{}
 				s, inForce := newStore(dir, disk.FileOps(), system.Clock{})
 				other, otherInForce := newStore(dir, system.FileOps{}, system.Clock{})
@@ -105,13 +107,13 @@
 	if err := before.setCordon("a", true); err != nil {
 		t.Fatal(err)
 	}
-	disk.Fail("read", syscall.EIO)
+	disk.Fail(sidecartest.DiskRead, syscall.EIO)
 	waiting, _ := newStore(dir, disk.FileOps(), system.Clock{})
 	time.AfterFunc(3*system.StartRetryDelay, disk.Repair)
 	if st := waiting.Load(t.Context()); !isCordoned(st, "a") {
 		t.Errorf("a load that waited returns %+v", st)
 	}
-	disk.Fail("read", syscall.EIO)
+	disk.Fail(sidecartest.DiskRead, syscall.EIO)
 	canceled, cancel := context.WithCancel(t.Context())
 	cancel()
 	s, inForce := newStore(dir, disk.FileOps(), system.Clock{})
--- a/internal/sidecar/faults_test.go
+++ b/internal/sidecar/faults_test.go
@@ -22,7 +22,7 @@
 	if got := callStatus(t, "POST", address, "/admin/quiesce"); got != http.StatusOK {
 		t.Fatal(got)
 	}
-	disk.Fail("sync", syscall.EIO)
+	disk.Fail(sidecartest.DiskSync, syscall.EIO)
 	if got := callStatus(t, "POST", address, "/admin/resume"); got != http.StatusInternalServerError {
 		t.Errorf("a call that can't be stored: %d", got)
 	}
