--- a/internal/admin/admin_test.go
+++ b/internal/admin/admin_test.go
@@ -14,21 +14,27 @@
 	"oakproxy/internal/system"
 )
 
-// fakeSidecar is ready or not, and knows the endpoint s-1.
+// fakeSidecar is a sidecar that knows the endpoint s-1.
 type fakeSidecar struct{ ready bool }
 
 func (f fakeSidecar) Ready() bool                    { return f.ready }
 func (f fakeSidecar) KnowsEndpoint(name string) bool { return name == "s-1" }
 
-// serve runs a server on a new store until the test ends. It returns the server's URL and what the store last put in
-// force.
+// serve runs a server on a new store until the test ends. It returns the server's URL and the states that the store
+// applies.
 func serve(t *testing.T, sidecar Sidecar, files system.FileOps) (url string, applied <-chan operatorstate.State) {
 	t.Helper()
 	states := make(chan operatorstate.State, 16)
 	log := slog.New(slog.DiscardHandler)
-	store := &operatorstate.Store{Directory: t.TempDir(), Sidecar: "n0", Log: log, Files: files,
-		Time: system.Clock{}.OrSystem(), Retention: func() time.Duration { return time.Minute },
-		Apply: func(state operatorstate.State) { states <- state }}
+	store := &operatorstate.Store{
+		Directory: t.TempDir(),
+		Sidecar:   "n0",
+		Log:       log,
+		Files:     files,
+		Time:      system.Clock{}.OrSystem(),
+		Retention: func() time.Duration { return time.Minute },
+		Apply:     func(state operatorstate.State) { states <- state },
+	}
 	listener, err := Listen(t.Context(), "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -64,23 +70,24 @@
 	return response.StatusCode, string(read)
 }
 
-func TestCallsAnswerWithTheirStatus(t *testing.T) {
+func TestCallsReturnTheirStatus(t *testing.T) {
 	for name, test := range map[string]struct {
 		ready              bool
 		method, path, body string
 		status             int
 		text               string
 	}{
-		"ready":              {true, "GET", "/admin/health", "", 200, "ok\n"},
-		"not ready":          {false, "GET", "/admin/health", "", 503, "not ready\n"},
-		"unknown path":       {true, "GET", "/admin/none", "", 404, "no such call\n"},
-		"wrong method":       {true, "GET", "/admin/quiesce", "", 405, "this call is POST\n"},
-		"unknown endpoint":   {true, "POST", "/admin/cordon?name=s-2", "", 404, "no endpoint has this name\n"},
-		"no endpoint":        {true, "POST", "/admin/cordon", "", 400, "name=ID must name one endpoint\n"},
-		"two endpoints":      {true, "POST", "/admin/uncordon?name=s-1&name=s-1", "", 400, "name=ID must name one endpoint\n"},
-		"unreadable query":   {true, "POST", "/admin/cordon?name=%zz", "", 400, "the query could not be read\n"},
-		"body that is small": {true, "POST", "/admin/resume", "x", 200, "ok\n"},
-		"body too large": {true, "POST", "/admin/resume", strings.Repeat("x", maxBodyBytes+1), 400,
+		"ready":            {true, "GET", "/admin/health", "", 200, "ok\n"},
+		"not ready":        {false, "GET", "/admin/health", "", 503, "not ready\n"},
+		"unknown path":     {true, "GET", "/admin/none", "", 404, "no such call\n"},
+		"wrong method":     {true, "GET", "/admin/quiesce", "", 405, "this call is POST\n"},
+		"unknown endpoint": {true, "POST", "/admin/cordon?name=s-2", "", 404, "no endpoint has this name\n"},
+		"no endpoint":      {true, "POST", "/admin/cordon", "", 400, "name=ID must name one endpoint\n"},
+		"two endpoints": {true, "POST", "/admin/uncordon?name=s-1&name=s-1", "", 400,
+			"name=ID must name one endpoint\n"},
+		"unreadable query": {true, "POST", "/admin/cordon?name=%zz", "", 400, "the query could not be read\n"},
+		"small body":       {true, "POST", "/admin/resume", "x", 200, "ok\n"},
+		"large body": {true, "POST", "/admin/resume", strings.Repeat("x", maxBodyBytes+1), 400,
 			"the call's body could not be read, or is too large\n"},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -93,7 +100,7 @@
 	}
 }
 
-func TestCallsPutTheirStateInForce(t *testing.T) {
+func TestCallsApplyTheirState(t *testing.T) {
 	url, applied := serve(t, fakeSidecar{true}, system.FileOps{})
 	for _, test := range []struct {
 		path              string
@@ -105,9 +112,9 @@
 		{"/admin/resume", false, false},
 	} {
 		if status, text := makeCall(t, "POST", url+test.path, ""); status != http.StatusOK {
-			t.Fatalf("%s: %d %q", test.path, status, text)
+			t.Fatalf("%s: got %d %q, want 200", test.path, status, text)
 		}
-		sidecartest.Await(t, test.path+" in force", func() bool { // the store may apply a state again
+		sidecartest.Await(t, test.path+" to apply", func() bool { // the store may repeat the previous state
 			var state operatorstate.State
 			select {
 			case state = <-applied:
@@ -127,9 +134,9 @@
 	if status, text := makeCall(t, "POST", url+"/admin/quiesce", ""); status != http.StatusInternalServerError {
 		t.Errorf("got %d %q, want %d", status, text, http.StatusInternalServerError)
 	}
-	for len(applied) > 0 { // the state of before
+	for len(applied) > 0 { // only the previous state may be applied
 		if state := <-applied; state.Drained {
-			t.Errorf("%+v is in force", state)
+			t.Errorf("got %+v applied, want no drain", state)
 		}
 	}
 }
--- a/internal/sidecar/admin_test.go
+++ b/internal/sidecar/admin_test.go
@@ -32,7 +32,14 @@
 	return listener.Addr().String()
 }
 
-// rawCall sends bytes to the admin address and returns all that comes until the end of the connection.
+// cordoned reports whether an endpoint is cordoned by operators.
+func (w *harness) cordoned(name string) (cordoned bool) {
+	w.t.Helper()
+	w.runInLoop(func() { cordoned = w.loop.endpoints.overrides[name].Cordoned })
+	return cordoned
+}
+
+// rawCall sends text to an address and returns all that it reads until the connection ends.
 func rawCall(t *testing.T, address, text string) string {
 	t.Helper()
 	conn, err := net.Dial("tcp", address)
@@ -44,7 +51,7 @@
 	io.WriteString(conn, text)
 	got, err := io.ReadAll(conn)
 	if timedOut(err) {
-		t.Errorf("the connection stays open; so far: %q", got)
+		t.Errorf("got %q and no end of the connection", got)
 	}
 	return string(got)
 }
@@ -72,17 +79,17 @@
 	w := start(t, nil, ready("s-1", e.Address))
 	address := w.startAdmin(t.TempDir())
 	for name, c := range map[string]struct{ text, want string }{
-		"health":         {"GET /admin/health HTTP/1.1\r\nHost: a\r\n\r\n", "HTTP/1.1 200"},
-		"two calls":      {strings.Repeat("GET /admin/health HTTP/1.1\r\nHost: a\r\n\r\n", 2), "HTTP/1.1 200"},
-		"another path":   {"GET /admin/wealth HTTP/1.1\r\nHost: a\r\n\r\n", "HTTP/1.1 404"},
-		"another method": {"PUT /admin/health HTTP/1.1\r\nHost: a\r\nContent-Length: 0\r\n\r\n", "HTTP/1.1 405"},
-		"noise":          {"\x16\x03\x01\x02\r\n\r\n", "HTTP/1.1 400"},
-		"a head without end": {"GET /admin/health HTTP/1.1\r\nHost: a\r\nX-Pad: " + strings.Repeat("p", 100<<10),
+		"health":       {"GET /admin/health HTTP/1.1\r\nHost: a\r\n\r\n", "HTTP/1.1 200"},
+		"two calls":    {strings.Repeat("GET /admin/health HTTP/1.1\r\nHost: a\r\n\r\n", 2), "HTTP/1.1 200"},
+		"unknown path": {"GET /admin/wealth HTTP/1.1\r\nHost: a\r\n\r\n", "HTTP/1.1 404"},
+		"wrong method": {"PUT /admin/health HTTP/1.1\r\nHost: a\r\nContent-Length: 0\r\n\r\n", "HTTP/1.1 405"},
+		"noise":        {"\x16\x03\x01\x02\r\n\r\n", "HTTP/1.1 400"},
+		"endless head": {"GET /admin/health HTTP/1.1\r\nHost: a\r\nX-Pad: " + strings.Repeat("p", 100<<10),
 			"HTTP/1.1 431"},
-		"a huge body": {"GET /admin/health HTTP/1.1\r\nHost: a\r\nContent-Length: 1000000\r\n\r\n" + strings.Repeat("x", 100<<10),
-			"HTTP/1.1 400"},
-		"a body that stops": {"GET /admin/health HTTP/1.1\r\nHost: a\r\nContent-Length: 9\r\n\r\nabc", "HTTP/1.1 400"},
-		"half a call":       {"GET /admin/health HTTP/1.1\r\nHost", ""},
+		"large body": {"GET /admin/health HTTP/1.1\r\nHost: a\r\nContent-Length: 1000000\r\n\r\n" +
+			strings.Repeat("x", 100<<10), "HTTP/1.1 400"},
+		"truncated body": {"GET /admin/health HTTP/1.1\r\nHost: a\r\nContent-Length: 9\r\n\r\nabc", "HTTP/1.1 400"},
+		"truncated head": {"GET /admin/health HTTP/1.1\r\nHost", ""},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -92,13 +99,13 @@
 				t.Errorf("got %q, want %s", got, c.want)
 			}
 			if c.want == "HTTP/1.1 200" && got == "" {
-				t.Error("a good call got nothing")
+				t.Error("a valid call got no response")
 			}
 		})
 	}
 }
 
-// Callers that hold connections and stay silent delay no other call: the longest silent connection is closed.
+// Connections on which callers stay silent delay no other call: the one that has been silent longest is closed.
 func TestAdminAnswersDespiteSilentCallers(t *testing.T) {
 	e := newServingEndpoint(t)
 	w := start(t, nil, ready("s-1", e.Address))
@@ -112,10 +119,10 @@
 	}
 	began := time.Now()
 	if got := callStatus(t, http.MethodGet, address, "/admin/health"); got != http.StatusOK {
-		t.Errorf("health: %d", got)
+		t.Errorf("health: got %d, want 200", got)
 	}
 	if took := time.Since(began); took >= admin.CallTimeout {
-		t.Errorf("the answer took %v, as long as silent callers may stay", took)
+		t.Errorf("the response took %v, want less than %v", took, admin.CallTimeout)
 	}
 }
 
@@ -127,25 +134,25 @@
 	address := w.startAdmin(t.TempDir())
 	health := func() int { return callStatus(t, http.MethodGet, address, "/admin/health") }
 	if got := health(); got != http.StatusServiceUnavailable {
-		t.Errorf("without endpoints: %d", got)
+		t.Errorf("without endpoints: got %d, want 503", got)
 	}
 	w.discovery.change(func() {
-		w.discovery.list = discovery.List{Version: 1, Complete: true, Entries: []discovery.Entry{ready("s-1", e.Address)}}
+		w.discovery.list = completeList(1, ready("s-1", e.Address))
 	})
 	w.await("health", func() bool { return health() == http.StatusOK })
 	w.stop()
-	w.await("the end of health", func() bool { return health() == http.StatusServiceUnavailable })
+	w.await("unhealthy", func() bool { return health() == http.StatusServiceUnavailable })
 }
 
 func TestInvalidAdminAddressFailsTheStart(t *testing.T) {
 	for _, address := range []string{"9100", "127.0.0.1"} {
 		if err := config.CheckAdminAddress(address); err == nil || !strings.Contains(err.Error(), "admin_addr") {
-			t.Errorf("%q: %v, want an error that names admin_addr", address, err)
+			t.Errorf("%q: got %v, want an error that names admin_addr", address, err)
 		}
 	}
 	if _, err := admin.Listen(t.Context(), "127.0.0.1:99999"); err == nil ||
 		!strings.Contains(err.Error(), "admin_addr") {
-		t.Errorf("a port that there is not: %v", err)
+		t.Errorf("a port out of range: got %v, want an error that names admin_addr", err)
 	}
 }
 
@@ -161,94 +168,89 @@
 		method, path string
 		want         int
 	}{
-		{"POST", "/admin/cordon", 400}, {"POST", "/admin/cordon?name=", 400}, {"POST", "/admin/cordon?name=s-1&name=s-2", 400},
-		{"POST", "/admin/cordon?name=%zz", 400}, {"POST", "/admin/cordon?name=s-2", 404}, {"GET", "/admin/cordon?name=s-1", 405},
-		{"POST", "/admin/uncordon?name=s-2", 404}, {"POST", "/admin/uncordon?name=s-1", 200},
+		{"POST", "/admin/cordon", 400},
+		{"POST", "/admin/cordon?name=", 400},
+		{"POST", "/admin/cordon?name=s-1&name=s-2", 400},
+		{"POST", "/admin/cordon?name=%zz", 400},
+		{"POST", "/admin/cordon?name=s-2", 404},
+		{"GET", "/admin/cordon?name=s-1", 405},
+		{"POST", "/admin/uncordon?name=s-2", 404},
+		{"POST", "/admin/uncordon?name=s-1", 200},
 	} {
 		if got := callStatus(t, c.method, address, c.path); got != c.want {
-			t.Errorf("%s %s: %d, want %d", c.method, c.path, got, c.want)
+			t.Errorf("%s %s: got %d, want %d", c.method, c.path, got, c.want)
 		}
 	}
 	if got := read(); got != 200 {
-		t.Fatalf("before any call: %d", got)
+		t.Fatalf("before the cordon: got %d, want 200", got)
 	}
 	for range 2 { // the second changes nothing
 		if got := callStatus(t, "POST", address, "/admin/cordon?name=s-1"); got != 200 {
-			t.Fatalf("the call out: %d", got)
+			t.Fatalf("cordon: got %d, want 200", got)
 		}
 	}
 	if got := read(); got != 503 {
-		t.Errorf("with the only endpoint out: %d", got)
-	}
-	again := ready("s-1", e.Address)
-	again.StartUnixMS = time.Now().UnixMilli()
-	w.discovery.change(
-		func() {
-			w.discovery.list = discovery.List{Version: 1, Complete: true, Entries: []discovery.Entry{again}}
-		},
-	)
-	w.await("the change", func() bool {
-		var born int64
-		w.runInLoop(func() { born = w.loop.endpoints.byID[w.loop.endpoints.ids["s-1"]].entry.StartUnixMS })
-		return born == again.StartUnixMS
+		t.Errorf("with the only endpoint cordoned: got %d, want 503", got)
+	}
+	restarted := ready("s-1", e.Address)
+	restarted.StartUnixMS = time.Now().UnixMilli()
+	w.discovery.change(func() { w.discovery.list = completeList(1, restarted) })
+	w.await("the restarted endpoint", func() bool {
+		var started int64
+		w.runInLoop(func() { started = w.loop.endpoints.byID[w.loop.endpoints.ids["s-1"]].entry.StartUnixMS })
+		return started == restarted.StartUnixMS
 	})
 	if got := read(); got != 503 {
-		t.Errorf("after discovery listed its restart: %d", got)
+		t.Errorf("after discovery listed its restart: got %d, want 503", got)
 	}
-	// Neither a list without it nor one that has it again is a call back.
-	for seq, hosts := range map[uint64][]discovery.Entry{2: {}, 3: {again}} {
-		w.discovery.change(func() { w.discovery.list = discovery.List{Version: seq, Complete: true, Entries: hosts} })
+	// Neither a list without the endpoint nor one that names it again ends the cordon.
+	for version, entries := range map[uint64][]discovery.Entry{2: {}, 3: {restarted}} {
+		w.discovery.change(func() { w.discovery.list = completeList(version, entries...) })
 	}
 	if got := callStatus(t, "POST", address, "/admin/cordon?name=s-1"); got != 200 {
-		t.Errorf("a call for one that is out and may be gone: %d", got)
+		t.Errorf("cordon of an endpoint that may be removed: got %d, want 200", got)
 	}
-	w.discovery.change(
-		func() {
-			w.discovery.list = discovery.List{Version: 4, Complete: true, Entries: []discovery.Entry{again}}
-		},
-	)
+	w.discovery.change(func() { w.discovery.list = completeList(4, restarted) })
 	w.await("the endpoint to be listed", func() bool {
 		var listed bool
 		w.runInLoop(func() { listed = w.loop.endpoints.ids["s-1"] != 0 })
 		return listed
 	})
 	if got := read(); got != 503 {
-		t.Errorf("after it was gone and came back: %d", got)
+		t.Errorf("after it was removed and listed again: got %d, want 503", got)
 	}
 	if n, _ := e.Seen(); n != 1 {
-		t.Errorf("the endpoint that is out got %d requests, want the first alone", n)
+		t.Errorf("the cordoned endpoint got %d requests, want 1, from before the cordon", n)
 	}
 	if got := callStatus(t, "POST", address, "/admin/uncordon?name=s-1"); got != 200 {
-		t.Errorf("the call back: %d", got)
+		t.Errorf("uncordon: got %d, want 200", got)
 	}
 	w.await("a request to be served", func() bool { return read() == 200 })
 }
 
-// An override set in one process applies in the other, and in one that starts later.
+// An override that is set in one process applies in the other, and in one that starts later.
 func TestOperatorStateIsSharedAndOutlivesAProcess(t *testing.T) {
 	e := newServingEndpoint(t)
 	dir := t.TempDir()
 	first, second := start(t, nil, ready("s-1", e.Address)), start(t, nil, ready("s-1", e.Address))
-	one, two := first.startAdmin(dir), second.startAdmin(dir)
-	out := func(w *harness) (out bool) {
-		w.runInLoop(func() { out = w.loop.endpoints.overrides["s-1"].Cordoned })
-		return out
+	firstAdmin, secondAdmin := first.startAdmin(dir), second.startAdmin(dir)
+	if got := callStatus(t, "POST", firstAdmin, "/admin/cordon?name=s-1"); got != 200 {
+		t.Fatalf("got %d, want 200", got)
 	}
-	if got := callStatus(t, "POST", one, "/admin/cordon?name=s-1"); got != 200 {
-		t.Fatal(got)
+	if !first.cordoned("s-1") {
+		t.Error("the override does not apply in the process that answered the call")
 	}
-	if !out(first) {
-		t.Error("it does not hold where the call was answered")
-	}
-	first.await("the other process to follow", func() bool { return out(second) })
+	first.await("the override in the other process", func() bool { return second.cordoned("s-1") })
 	third := &harness{t: t, discovery: first.discovery}
 	third.launch(configure(t, first.discovery.address, nil, ready("s-1", e.Address)))
 	third.startAdmin(dir)
-	first.await("the third process to follow", func() bool { return out(third) })
-	if got := callStatus(t, "POST", two, "/admin/uncordon?name=s-1"); got != 200 {
-		t.Fatal(got)
+	first.await("the override in the third process", func() bool { return third.cordoned("s-1") })
+	if got := callStatus(t, "POST", secondAdmin, "/admin/uncordon?name=s-1"); got != 200 {
+		t.Fatalf("got %d, want 200", got)
 	}
-	first.await("the call back to hold everywhere", func() bool { return !out(first) && !out(second) && !out(third) })
+	first.await("the end of the override in all processes", func() bool {
+		return !first.cordoned("s-1") && !second.cordoned("s-1") && !third.cordoned("s-1")
+	})
 }
 
 // Stored overrides apply before the first request.
@@ -257,7 +259,7 @@
 	dir := t.TempDir()
 	w := start(t, nil, ready("s-1", e.Address))
 	if got := callStatus(t, "POST", w.startAdmin(dir), "/admin/cordon?name=s-1"); got != 200 {
-		t.Fatal(got)
+		t.Fatalf("got %d, want 200", got)
 	}
 	l, err := newLoop(t.Context(), configure(t, w.discovery.address, nil, ready("s-1", e.Address)), w.loop.log)
 	if err != nil {
@@ -268,11 +270,11 @@
 	store.Directory = dir
 	s.restoreOperatorState(t.Context(), store)
 	if !l.endpoints.overrides["s-1"].Cordoned {
-		t.Error("the stored state does not hold")
+		t.Error("the stored override does not apply")
 	}
 }
 
-// A damaged state file is ignored, and the next call replaces it. If it can't be written, the call fails and changes
+// A damaged state file is ignored, and the next call replaces it. If it cannot be written, the call fails and changes
 // nothing.
 func TestDamagedAndUnwritableOperatorState(t *testing.T) {
 	e := newServingEndpoint(t)
@@ -280,101 +282,102 @@
 	dir := t.TempDir()
 	path := filepath.Join(dir, operatorstate.FileName)
 	address := w.startAdmin(dir)
-	good := `{"version":1,"sidecar":"n0","hosts":[{"host":"s-1","out":true}]}`
-	out := func() (out bool) {
-		w.runInLoop(func() { out = w.loop.endpoints.overrides["s-1"].Cordoned })
-		return out
-	}
+	valid := `{"version":1,"sidecar":"n0","hosts":[{"host":"s-1","out":true}]}`
+	cordoned := func() bool { return w.cordoned("s-1") }
 	for name, text := range map[string]string{
-		"cut short": good[:30], "empty": "", "noise": "\x00\xff", "another version": strings.Replace(good, "1", "2", 1),
-		"another sidecar": strings.Replace(good, "n0", "n1", 1), "no name": strings.Replace(good, "s-1", "", 1),
+		"truncated":     valid[:30],
+		"empty":         "",
+		"noise":         "\x00\xff",
+		"other version": strings.Replace(valid, "1", "2", 1),
+		"other sidecar": strings.Replace(valid, "n0", "n1", 1),
+		"no name":       strings.Replace(valid, "s-1", "", 1),
 	} {
 		if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 			t.Fatal(err)
 		}
-		if got := callStatus(t, "POST", address, "/admin/uncordon?name=s-1"); got != 200 || out() {
-			t.Errorf("%s: answer %d, out %v", name, got, out())
+		if got := callStatus(t, "POST", address, "/admin/uncordon?name=s-1"); got != 200 || cordoned() {
+			t.Errorf("%s: got %d, cordoned %v, want 200, false", name, got, cordoned())
 		}
 	}
-	if err := os.WriteFile(path, []byte(good), 0o600); err != nil {
+	if err := os.WriteFile(path, []byte(valid), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	w.await("a good file to hold", out)
-	if err := os.WriteFile(path, []byte(good[:30]), 0o600); err != nil {
+	w.await("the override of a valid file", cordoned)
+	if err := os.WriteFile(path, []byte(valid[:30]), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	if err := os.RemoveAll(dir); err != nil {
 		t.Fatal(err)
 	}
-	if got := callStatus(t, "POST", address, "/admin/uncordon?name=s-1"); got != 500 || !out() {
-		t.Errorf("without its folder: answer %d, out %v", got, out())
+	if got := callStatus(t, "POST", address, "/admin/uncordon?name=s-1"); got != 500 || !cordoned() {
+		t.Errorf("without its directory: got %d, cordoned %v, want 500, true", got, cordoned())
 	}
 }
 
-// A drain by operators sends clients away without losing a request, and resuming undoes all of it. Repeated calls
+// A drain by operators moves clients to other sidecars without losing a request, and resuming ends it. Repeated calls
 // change nothing.
 func TestOperatorDrain(t *testing.T) {
 	answer := make(chan struct{})
 	e := sidecartest.NewEndpoint(t, sidecartest.BlockPay(answer))
 	w := start(t, nil, ready("s-1", e.Address))
 	address := w.startAdmin(t.TempDir())
-	front := func() int { return callStatus(t, "GET", strings.TrimPrefix(w.url, "http://"), "/health/ready") }
-	ask := func(conn net.Conn, in *bufio.Reader) *http.Response {
+	readiness := func() int { return callStatus(t, "GET", strings.TrimPrefix(w.url, "http://"), "/health/ready") }
+	exchange := func(conn net.Conn, in *bufio.Reader) *http.Response {
 		t.Helper()
 		w.request("read", "", time.Minute).Write(conn)
 		response, err := http.ReadResponse(in, nil)
 		if err != nil || response.StatusCode != http.StatusOK {
-			t.Fatalf("a request: %v, %v", response, err)
+			t.Fatalf("got %v, %v, want 200", response, err)
 		}
 		io.Copy(io.Discard, response.Body)
 		return response
 	}
 	used, silent := w.dial(), w.dial()
 	in := bufio.NewReader(used)
-	if ask(used, in).Close {
-		t.Error("before the drain an answer ends its connection")
+	if exchange(used, in).Close {
+		t.Error("a response before the drain closes its connection")
 	}
 	pending := make(chan reply)
 	go func() { pending <- w.send(w.request("pay", "x", time.Minute)) }()
-	w.await("the request in flight", func() bool { n, _ := e.Seen(); return n == 2 })
+	w.awaitRequests(e, 2)
 	for range 2 {
 		if got := callStatus(t, "POST", address, "/admin/quiesce"); got != 200 {
-			t.Fatalf("quiesce: %d", got)
+			t.Fatalf("quiesce: got %d, want 200", got)
 		}
-		if got := front(); got != 503 {
-			t.Errorf("readiness in the drain: %d", got)
+		if got := readiness(); got != 503 {
+			t.Errorf("readiness while drained: got %d, want 503", got)
 		}
 		if got := callStatus(t, "GET", address, "/admin/health"); got != 200 {
-			t.Errorf("health in the drain: %d", got)
+			t.Errorf("health while drained: got %d, want 200", got)
 		}
 	}
-	// New connections still come, with one request each.
+	// New connections are accepted, for one request each.
 	late := w.dial()
-	if !ask(late, bufio.NewReader(late)).Close {
-		t.Error("an answer in the drain keeps its connection")
+	if !exchange(late, bufio.NewReader(late)).Close {
+		t.Error("a response while drained keeps its connection open")
 	}
 	for name, c := range map[string]io.Reader{"used": in, "silent": silent} {
 		if _, err := c.Read(make([]byte, 1)); err != io.EOF {
-			t.Errorf("the %s connection: %v, want its end", name, err)
+			t.Errorf("the %s connection: got %v, want its end", name, err)
 		}
 	}
 	close(answer)
 	if got := <-pending; got.code != 200 || got.body != "done" {
-		t.Errorf("the request in flight: %+v", got)
+		t.Errorf("the request in flight: got %+v, want 200", got)
 	}
 	for range 2 {
 		if got := callStatus(t, "POST", address, "/admin/resume"); got != 200 {
-			t.Fatalf("resume: %d", got)
+			t.Fatalf("resume: got %d, want 200", got)
 		}
-		if got := front(); got != 200 {
-			t.Errorf("readiness after the drain: %d", got)
+		if got := readiness(); got != 200 {
+			t.Errorf("readiness after the drain: got %d, want 200", got)
 		}
 	}
-	again := w.dial()
-	in = bufio.NewReader(again)
+	resumed := w.dial()
+	in = bufio.NewReader(resumed)
 	for range 2 {
-		if ask(again, in).Close {
-			t.Error("after the drain an answer ends its connection")
+		if exchange(resumed, in).Close {
+			t.Error("a response after the drain closes its connection")
 		}
 	}
 }
--- a/internal/sidecar/extrabytes_test.go
+++ b/internal/sidecar/extrabytes_test.go
@@ -3,7 +3,6 @@
 import (
 	"io"
 	"net/http"
-	"slices"
 	"strings"
 	"testing"
 	"time"
@@ -14,14 +13,14 @@
 // A client that sends extra bytes after its request and disconnects is noticed, however many they are, though net/http
 // reads one of them and no end.
 func TestClientThatLeavesAfterExtraBytesIsNoticed(t *testing.T) {
-	for what, c := range map[string]struct{ with, later string }{
-		"one byte with the request":        {"x", ""},
-		"a request with the request":       {sidecartest.ReadHead + "X-Correlation-Id: 99\r\n\r\n", ""},
-		"a lot with the request":           {strings.Repeat("x", 50<<10), ""},
-		"half a line after it":             {"", "GET /re"},
-		"something with it and more after": {"x", strings.Repeat("y", 5000)},
+	for name, c := range map[string]struct{ with, later string }{
+		"one byte with the request":  {"x", ""},
+		"a request with the request": {sidecartest.ReadHead + "X-Correlation-Id: 99\r\n\r\n", ""},
+		"50 kB with the request":     {strings.Repeat("x", 50<<10), ""},
+		"half a line after it":       {"", "GET /re"},
+		"bytes with it and after it": {"x", strings.Repeat("y", 5000)},
 	} {
-		t.Run(what, func(t *testing.T) {
+		t.Run(name, func(t *testing.T) {
 			e := newServingEndpoint(t)
 			w := start(t, nil, ready("s-1", e.Address))
 			dial := sidecartest.BlockDials(&w.loop.upstream.Dialer, e.Address)
@@ -32,15 +31,11 @@
 			<-dial.Started
 			io.WriteString(conn, c.later)
 			conn.Close()
-			w.await("the client's going", func() bool {
-				w.recorder.mu.Lock()
-				defer w.recorder.mu.Unlock()
-				return slices.Contains(w.recorder.events, "gone")
-			})
+			w.awaitClientGone()
 			close(dial.Unblock)
-			w.await("the outcome", func() bool { return len(w.recorder.statuses()) == 1 })
+			w.awaitOutcomes(1)
 			if n, _ := e.Seen(); n != 0 {
-				t.Errorf("the endpoint got %d requests", n)
+				t.Errorf("the endpoint got %d requests, want none", n)
 			}
 		})
 	}
@@ -52,7 +47,9 @@
 	e := newServingEndpoint(t)
 	w := start(t, nil, ready("s-1", e.Address))
 	for what, behind := range map[string]string{
-		"a byte": "x", "a request": sidecartest.ReadHead + "X-Correlation-Id: 99\r\n\r\n", "a lot": strings.Repeat("x", 200<<10),
+		"a byte":    "x",
+		"a request": sidecartest.ReadHead + "X-Correlation-Id: 99\r\n\r\n",
+		"200 kB":    strings.Repeat("x", 200<<10),
 	} {
 		got := w.raw(
 			sidecartest.ReadHead + "X-Correlation-Id: " + strings.ReplaceAll(what, " ", "") + "\r\n\r\n" + behind,
--- a/internal/sidecar/fakediscovery_test.go
+++ b/internal/sidecar/fakediscovery_test.go
@@ -6,30 +6,32 @@
 	"io"
 	"net"
 	"net/http"
-	"oakproxy/internal/discovery"
 	"strconv"
 	"sync"
 	"sync/atomic"
 	"testing"
 	"time"
+
+	"oakproxy/internal/discovery"
 )
 
-// fakeDiscovery is a discovery service with one list.
+// fakeDiscovery is a discovery service that sends one list, which a test can change.
 type fakeDiscovery struct {
 	address string
 
 	mu        sync.Mutex
 	list      discovery.List
 	down      bool
-	malformed string // sent in place of the list, if set
-	calls     []string
+	malformed string        // sent in place of the list, if set
+	calls     []string      // query strings
 	changed   chan struct{} // closed and replaced with every change
 	conns     atomic.Int32  // open connections
 }
 
-func newFakeDiscovery(t *testing.T, hosts ...discovery.Entry) *fakeDiscovery {
+// newFakeDiscovery starts a discovery service with a complete list of version 0 until the test ends.
+func newFakeDiscovery(t *testing.T, entries ...discovery.Entry) *fakeDiscovery {
 	t.Helper()
-	d := &fakeDiscovery{list: discovery.List{Complete: true, Entries: hosts}, changed: make(chan struct{})}
+	d := &fakeDiscovery{list: completeList(0, entries...), changed: make(chan struct{})}
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -68,7 +70,7 @@
 	switch {
 	case d.down:
 		w.WriteHeader(http.StatusServiceUnavailable)
-		json.NewEncoder(w).Encode(d.list) // which must not be believed
+		json.NewEncoder(w).Encode(d.list) // must be ignored, because of the status
 	case d.malformed != "":
 		io.WriteString(w, d.malformed)
 	case after == fmt.Sprint(d.list.Version):
@@ -78,7 +80,7 @@
 	}
 }
 
-// change alters the service and wakes the calls that wait.
+// change runs alter under the lock and answers the calls that wait for a change.
 func (d *fakeDiscovery) change(alter func()) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -87,6 +89,7 @@
 	d.changed = make(chan struct{})
 }
 
+// count returns the number of calls received.
 func (d *fakeDiscovery) count() int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/internal/sidecar/faults_test.go
+++ b/internal/sidecar/faults_test.go
@@ -14,7 +14,7 @@
 	"oakproxy/internal/sidecartest"
 )
 
-// A disk fault costs no request and no connection: only admin calls fail meanwhile.
+// During a disk fault only admin calls fail: requests are served.
 func TestServesDespiteDiskFaults(t *testing.T) {
 	e, disk := newServingEndpoint(t), &sidecartest.FaultyDisk{}
 	w := startWith(t, nil, func(c *config.Config) { c.Host.Files = disk.FileOps() }, ready("s-1", e.Address))
@@ -24,26 +24,26 @@
 	}
 	disk.Fail(sidecartest.DiskSync, syscall.EIO)
 	if got := callStatus(t, "POST", address, "/admin/resume"); got != http.StatusInternalServerError {
-		t.Errorf("a call that can't be stored: %d", got)
+		t.Errorf("a call that cannot be stored: got %d, want 500", got)
 	}
 	if got := w.send(w.request("read", "", time.Minute)); got.code != http.StatusOK || w.server.acceptsRequests() {
-		t.Errorf("a request meanwhile: %+v", got)
+		t.Errorf("a request during the fault: got %+v, want 200 and a drained sidecar", got)
 	}
 	disk.Repair()
 	if got := callStatus(t, "POST", address, "/admin/resume"); got != http.StatusOK || !w.server.acceptsRequests() {
-		t.Errorf("the call afterwards: %d", got)
+		t.Errorf("the call after the repair: got %d, want 200 and a resumed sidecar", got)
 	}
 }
 
-// A process slot is acquired once the directory allows it, and a peer that was seen there counts as alive while its
-// slot can't be read.
+// A process slot is acquired once its directory exists. A peer that was found there counts as alive while its slot cannot
+// be read.
 func TestProcessSlotDespiteFaults(t *testing.T) {
 	e := newServingEndpoint(t)
 	w := start(t, nil, ready("s-1", e.Address))
-	dir := filepath.Join(t.TempDir(), "later")
+	dir := filepath.Join(t.TempDir(), "created-later")
 	w.server.acquireSlot(t.Context(), dir)
 	if w.server.slot.Load() != nil {
-		t.Fatal("a slot in a directory that does not exist")
+		t.Fatal("got a slot in a directory that does not exist, want none")
 	}
 	go w.server.followPeers(t.Context(), dir)
 	if err := os.Mkdir(dir, 0o700); err != nil {
@@ -62,15 +62,15 @@
 	if err := os.Rename(path, path+".gone"); err != nil {
 		t.Fatal(err)
 	}
-	if err := os.Symlink(path, path); err != nil { // ELOOP: it can't be looked at
+	if err := os.Symlink(path, path); err != nil { // reading it fails with ELOOP
 		t.Fatal(err)
 	}
 	if !w.server.replaced() {
-		t.Error("the other process is not seen any more")
+		t.Error("got no ready peer while its slot cannot be read, want one")
 	}
 }
 
-// A process whose clock is off by an hour computes from discovery's date which endpoints have just started.
+// A process whose wall clock is wrong by an hour computes the ages of endpoints from the date of discovery's response.
 func TestEndpointStartTimesDespiteClockSkew(t *testing.T) {
 	e := newServingEndpoint(t)
 	for _, step := range []time.Duration{-time.Hour, 0, time.Hour} {
@@ -79,26 +79,22 @@
 		young, old := ready("s-1", e.Address), ready("s-2", e.Address)
 		young.StartUnixMS, old.StartUnixMS = time.Now().UnixMilli(), time.Now().Add(-2*time.Hour).UnixMilli()
 		w := &harness{t: t, discovery: newFakeDiscovery(t, young, old)}
-		cfg := configure(t, w.discovery.address, nil) // it knows no list but discovery's
+		cfg := configure(t, w.discovery.address, nil) // without a known list
 		cfg.Host.Time = times.Clock()
 		w.launch(cfg)
-		w.untilReady()
+		w.awaitReady()
 		var ages []time.Duration
 		w.runInLoop(func() {
 			for _, name := range []string{"s-1", "s-2"} {
-				ages = append(
-					ages,
-					time.Duration(
-						w.loop.clock.now()-w.loop.endpoints.byID[w.loop.endpoints.ids[name]].startedAt,
-					)*time.Microsecond,
-				)
+				startedAt := w.loop.endpoints.byID[w.loop.endpoints.ids[name]].startedAt
+				ages = append(ages, time.Duration(w.loop.clock.now()-startedAt)*time.Microsecond)
 			}
 		})
 		if ages[0] > sidecartest.WaitTimeout || ages[0] < -2*discovery.MinSkew {
-			t.Errorf("step %v: one that has just started is %v old", step, ages[0])
+			t.Errorf("step %v: got age %v of an endpoint that has just started", step, ages[0])
 		}
 		if off := ages[1] - 2*time.Hour; off > sidecartest.WaitTimeout || off < -2*discovery.MinSkew {
-			t.Errorf("step %v: one that started two hours ago is %v old", step, ages[1])
+			t.Errorf("step %v: got age %v of an endpoint that started two hours ago", step, ages[1])
 		}
 	}
 }
--- a/internal/sidecar/harness_test.go
+++ b/internal/sidecar/harness_test.go
@@ -9,6 +9,7 @@
 	"log/slog"
 	"net"
 	"net/http"
+	"slices"
 	"strings"
 	"sync/atomic"
 	"testing"
@@ -25,7 +26,19 @@
 	return discovery.Entry{Name: name, Address: address, Zone: "a", MachineKind: "m1", Health: "Ready", Weight: 1}
 }
 
-// harness is a running sidecar with its surroundings.
+// drainingEntry is discovery's entry for an endpoint that drains.
+func drainingEntry(name, address string) discovery.Entry {
+	entry := ready(name, address)
+	entry.Health = "Terminating"
+	return entry
+}
+
+// completeList is a list of discovery that names all endpoints.
+func completeList(version uint64, entries ...discovery.Entry) discovery.List {
+	return discovery.List{Version: version, Complete: true, Entries: entries}
+}
+
+// harness is a running sidecar with its discovery service.
 type harness struct {
 	t         *testing.T
 	url       string
@@ -33,13 +46,13 @@
 	server    *server
 	recorder  *balancerRecorder
 	discovery *fakeDiscovery
-	stop      context.CancelFunc // as SIGTERM does
-	ended     chan error
+	stop      context.CancelFunc // begins the shutdown, as SIGTERM does
+	ended     chan error         // receives the result of the sidecar when it ends
 
-	wrap func(net.Listener) net.Listener // of clients; may be nil
+	wrap func(net.Listener) net.Listener // wraps the clients' listener; may be nil
 }
 
-// configure returns a configuration that knows the given list.
+// configure returns a configuration whose known list has these entries. alter may change its settings; it may be nil.
 func configure(
 	t *testing.T,
 	discoveryAddress string,
@@ -74,7 +87,7 @@
 	return startWith(t, alter, nil, hosts...)
 }
 
-// startWith does that with a configuration that a test has changed.
+// startWith is start with a configuration that change may change; it may be nil.
 func startWith(
 	t *testing.T,
 	alter func(settings map[string]any),
@@ -88,20 +101,21 @@
 		change(cfg)
 	}
 	w.launch(cfg)
-	w.untilReady()
+	w.awaitReady()
 	return w
 }
 
-// startWithListener does that with a listener of clients that a test has wrapped.
+// startWithListener is start with a wrapper for the clients' listener.
 func startWithListener(t *testing.T, wrap func(net.Listener) net.Listener, hosts ...discovery.Entry) *harness {
 	t.Helper()
 	w := &harness{t: t, discovery: newFakeDiscovery(t, hosts...), wrap: wrap}
 	w.launch(configure(t, w.discovery.address, nil, hosts...))
-	w.untilReady()
+	w.awaitReady()
 	return w
 }
 
-func (w *harness) untilReady() {
+// awaitReady waits until the sidecar reports that it is ready.
+func (w *harness) awaitReady() {
 	w.t.Helper()
 	w.await("ready", func() bool {
 		response, err := http.Get(w.url + "/health/ready")
@@ -143,15 +157,46 @@
 	w.t.Cleanup(func() {
 		stop()
 		w.server.http.Close()
-		// Left to its drain, the sidecar would go on calling a discovery whose port may be another test's by then.
+		// A sidecar that drains would go on calling discovery, whose port may by then belong to another test.
 		stopLoop()
 	})
 }
 
-// await waits for something to become true.
-func (w *harness) await(what string, is func() bool) {
+// await waits for a condition to hold.
+func (w *harness) await(what string, condition func() bool) {
+	w.t.Helper()
+	sidecartest.Await(w.t, what, condition)
+}
+
+// awaitRequests waits until an endpoint has read as many complete requests.
+func (w *harness) awaitRequests(e *sidecartest.Endpoint, want int) {
+	w.t.Helper()
+	w.await(fmt.Sprintf("%d requests at the endpoint", want), func() bool {
+		requests, _ := e.Seen()
+		return requests == want
+	})
+}
+
+// awaitOutcomes waits until as many outcomes of attempts were reported to the balancer.
+func (w *harness) awaitOutcomes(want int) {
+	w.t.Helper()
+	w.await(fmt.Sprintf("%d outcomes", want), func() bool { return len(w.recorder.statuses()) == want })
+}
+
+// awaitReleasedMemory waits until no memory is reserved for bodies.
+func (w *harness) awaitReleasedMemory() {
 	w.t.Helper()
-	sidecartest.Await(w.t, what, is)
+	w.await("the body memory to be released", func() bool { return w.loop.upstream.BodyMemory.Used.Load() == 0 })
+}
+
+// awaitClientGone waits until the balancer is notified that a client disconnected.
+func (w *harness) awaitClientGone() {
+	w.t.Helper()
+	w.await("the client to be gone", func() bool {
+		w.recorder.mu.Lock()
+		defer w.recorder.mu.Unlock()
+		return slices.Contains(w.recorder.events, "gone")
+	})
 }
 
 // runInLoop runs f in the loop and waits for it.
@@ -165,9 +210,10 @@
 	<-done
 }
 
-var lastID atomic.Uint32 // of requests made by request
+// lastID is the number of requests that request has returned.
+var lastID atomic.Uint32
 
-// request makes a client's request of a class.
+// request returns a client's request of a class.
 func (w *harness) request(class, body string, timeLeft time.Duration) *http.Request {
 	w.t.Helper()
 	method := http.MethodPost
@@ -189,12 +235,13 @@
 
 // reply is a final response as a client sees it.
 type reply struct {
-	code   int
+	code   int // status; 0 means no response
 	header http.Header
 	body   string
 	err    error
 }
 
+// send sends a request on a connection of its own and reads its response.
 func (w *harness) send(r *http.Request) reply {
 	transport := &http.Transport{DisableKeepAlives: true}
 	response, err := (&http.Client{Transport: transport, Timeout: sidecartest.WaitTimeout}).Do(r)
--- a/internal/sidecar/host_test.go
+++ b/internal/sidecar/host_test.go
@@ -11,51 +11,51 @@
 	"oakproxy/internal/config"
 )
 
-// A sidecar that shares its process leaves that process's memory limit and files alone; one that has the process to
-// itself limits its memory.
+// A sidecar that shares its process changes neither that process's memory limit nor its files. One with a process of its
+// own sets the memory limit.
 func TestMemoryLimitDependsOnTheHost(t *testing.T) {
 	t.Setenv("TMPDIR", t.TempDir())
 	before := debug.SetMemoryLimit(-1)
-	defer debug.SetMemoryLimit(before)
+	t.Cleanup(func() { debug.SetMemoryLimit(before) })
 	debug.SetMemoryLimit(math.MaxInt64)
 
 	w := start(t, nil, ready("s-1", newServingEndpoint(t).Address))
 	shared := configure(t, w.discovery.address, nil)
 	runOnce(t, shared)
 	if limit := debug.SetMemoryLimit(-1); limit != math.MaxInt64 {
-		t.Errorf("the memory limit is %d after a sidecar that shares its process", limit)
+		t.Errorf("shared process: got memory limit %d, want it unchanged", limit)
 	}
 	if files, err := os.ReadDir(os.TempDir()); err != nil || len(files) > 0 {
-		t.Errorf("files after a sidecar that shares its process: %v, %v", files, err)
+		t.Errorf("shared process: got files %v, %v, want none", files, err)
 	}
 
 	own := configure(t, w.discovery.address, nil)
 	own.Host = config.OwnProcessHost()
 	runOnce(t, own)
 	if limit, want := debug.SetMemoryLimit(-1), int64(own.Limits.MemoryMB)<<20/10*heapTenths; limit != want {
-		t.Errorf("the memory limit is %d after a sidecar with a process of its own, want %d", limit, want)
+		t.Errorf("own process: got memory limit %d, want %d", limit, want)
 	}
 }
 
-// runOnce runs a sidecar until it has asked discovery.
+// runOnce runs a sidecar until it has received an endpoint list.
 func runOnce(t *testing.T, cfg *config.Config) {
 	t.Helper()
-	heard, reloads := make(chan struct{}, 1), make(chan *config.Config)
+	received, reloads := make(chan struct{}, 1), make(chan *config.Config)
 	close(reloads)
 	ctx, stop := context.WithCancel(t.Context())
 	defer stop()
 	ended := make(chan error, 1)
 	go func() {
-		ended <- Run(ctx, cfg, reloads, slog.New(&messageHandler{slog.DiscardHandler, "endpoint list received", heard}))
+		ended <- Run(ctx, cfg, reloads, slog.New(&messageHandler{slog.DiscardHandler, "endpoint list received", received}))
 	}()
-	<-heard
+	<-received
 	stop()
 	if err := <-ended; err != nil {
 		t.Error(err)
 	}
 }
 
-// messageHandler tells of records with a message.
+// messageHandler signals seen when a record with the message is logged.
 type messageHandler struct {
 	slog.Handler
 	message string
--- a/internal/sidecar/recorder_test.go
+++ b/internal/sidecar/recorder_test.go
@@ -1,8 +1,9 @@
 package sidecar
 
 import (
-	"oakproxy/balancer"
 	"sync"
+
+	"oakproxy/balancer"
 )
 
 // balancerRecorder passes all events to the balancer and records them.
@@ -27,7 +28,7 @@
 }
 
 func (s *balancerRecorder) HandleTimer(now balancer.Micros, token uint32) {
-	if token >= 1<<20 { // names a request
+	if token >= 1<<20 { // the token names a request
 		s.record(func() { s.events = append(s.events, "timer") })
 	}
 	s.decider.HandleTimer(now, token)
@@ -57,13 +58,14 @@
 	s.decider.HandleProbe(now, id, status, latency, load)
 }
 
+// record runs f under the lock.
 func (s *balancerRecorder) record(f func()) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	f()
 }
 
-// statuses returns how the attempts ended so far.
+// statuses returns the statuses of the outcomes recorded so far.
 func (s *balancerRecorder) statuses() (all []balancer.Status) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/sidecar/scripteddiscovery_test.go
+++ b/internal/sidecar/scripteddiscovery_test.go
@@ -9,13 +9,14 @@
 	"log/slog"
 	"net"
 	"net/http"
-	"oakproxy/internal/discovery"
-	"oakproxy/internal/system"
 	"strconv"
 	"sync"
 	"testing"
 	"testing/synctest"
 	"time"
+
+	"oakproxy/internal/discovery"
+	"oakproxy/internal/system"
 )
 
 // pipes is a listener whose connections are pipes within the process.
@@ -44,10 +45,10 @@
 func (p *pipes) Addr() net.Addr { return &net.TCPAddr{} }
 
 func (p *pipes) dial(ctx context.Context, _, _ string) (net.Conn, error) {
-	ours, theirs := net.Pipe()
+	client, server := net.Pipe()
 	select {
-	case p.conns <- theirs:
-		return ours, nil
+	case p.conns <- server:
+		return client, nil
 	case <-p.end:
 		return nil, net.ErrClosed
 	case <-ctx.Done():
@@ -55,78 +56,79 @@
 	}
 }
 
-// recordedCall is a call that the registry of a test took.
+// recordedCall is a call that a scriptedDiscovery received.
 type recordedCall struct {
 	at     time.Time
 	wait   time.Duration
-	silent bool // it was never answered
+	silent bool // whether it is never answered
 }
 
-// scriptedDiscovery is a registry whose open calls fall silent when a test says so.
+// scriptedDiscovery is a discovery service whose responses and faults a test controls.
 type scriptedDiscovery struct {
 	mu               sync.Mutex
 	list             discovery.List
 	calls            []recordedCall
-	open             int           // calls that wait for a change, and have not fallen silent
+	open             int           // calls that wait for a change and are not silenced
 	silencing        chan struct{} // closed: calls open then are never answered
 	resetting        chan struct{} // closed: connections of calls open then are reset
 	changed          chan struct{} // closed: the list has changed
-	unresponsive     bool          // calls made while it is are never answered
-	queueDelay       time.Duration // that a call waits for its turn
-	down             bool          // calls made while it is end with 503
-	malformedReplies []string      // to answer the next calls with, in place of the list
-	openReply        string        // the same for the one that is open
+	unresponsive     bool          // while it is set, new calls are never answered
+	queueDelay       time.Duration // time that a new call is queued
+	down             bool          // while it is set, new calls are answered 503
+	malformedReplies []string      // responses to the next calls, in place of the list
+	openReply        string        // response to the open call, in place of the list
 }
 
 func (s *scriptedDiscovery) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	ms, _ := strconv.Atoi(r.FormValue("wait_ms"))
 	wait := time.Duration(ms) * time.Millisecond
 	s.mu.Lock()
-	i, mute := len(s.calls), s.silencing
+	call, silenced := len(s.calls), s.silencing
 	s.calls = append(s.calls, recordedCall{at: time.Now(), wait: wait})
 	behind := r.FormValue("after") != strconv.FormatUint(s.list.Version, 10)
-	cut, fresh, deaf, down, turn, words := s.resetting, s.changed, s.unresponsive, s.down, s.queueDelay, ""
+	reset, changed, unresponsive, down := s.resetting, s.changed, s.unresponsive, s.down
+	queueDelay, malformed := s.queueDelay, ""
 	if len(s.malformedReplies) > 0 {
-		words, s.malformedReplies = s.malformedReplies[0], s.malformedReplies[1:]
+		malformed, s.malformedReplies = s.malformedReplies[0], s.malformedReplies[1:]
 	}
 	s.mu.Unlock()
-	if turn > 0 { // a timer of no time at all, in a bubble with -race, now and then crashes Go 1.26's runtime
-		system.Sleep(r.Context(), turn)
+	if queueDelay > 0 { // with -race, a timer of zero in a synctest bubble sometimes crashes the runtime of Go 1.26
+		system.Sleep(r.Context(), queueDelay)
 	}
 	if down {
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
 	}
-	if words != "" {
-		io.WriteString(w, words)
+	if malformed != "" {
+		io.WriteString(w, malformed)
 		return
 	}
-	if deaf {
+	if unresponsive {
 		<-r.Context().Done()
 		return
 	}
 	if wait > 0 && !behind {
 		s.addOpen(1)
-		var over, reset, muted bool
+		var isDone, isReset, isSilenced bool
 		select {
 		case <-time.After(wait):
-		case <-fresh:
+		case <-changed:
 		case <-r.Context().Done():
-			over = true
-		case <-cut:
-			reset = true
-		case <-mute:
-			muted = true
+			isDone = true
+		case <-reset:
+			isReset = true
+		case <-silenced:
+			isSilenced = true
 		}
 		s.addOpen(-1)
 		switch {
-		case over:
+		case isDone:
 			return
-		case reset:
+		case isReset:
 			panic(http.ErrAbortHandler)
-		case muted:
+		case isSilenced:
 			s.mu.Lock()
-			s.calls[i].silent = true
+			s.calls[call].silent = true
 			s.mu.Unlock()
 			<-r.Context().Done()
 			return
@@ -139,39 +141,37 @@
 		s.openReply = ""
 		return
 	}
-	answer := discovery.List{Version: s.list.Version, Entries: []discovery.Entry{}}
+	response := discovery.List{Version: s.list.Version, Entries: []discovery.Entry{}}
 	if r.FormValue("after") != strconv.FormatUint(s.list.Version, 10) {
-		answer = s.list
+		response = s.list
 	}
-	json.NewEncoder(w).Encode(answer)
+	json.NewEncoder(w).Encode(response)
 }
 
 // drainEndpoint has the endpoint drain, and answers the open calls with the change.
 func (s *scriptedDiscovery) drainEndpoint() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	draining := ready("s-1", "127.0.0.1:1")
-	draining.Health = "Terminating"
-	s.list = discovery.List{Version: s.list.Version + 1, Complete: true, Entries: []discovery.Entry{draining}}
+	s.list = completeList(s.list.Version+1, drainingEntry("s-1", "127.0.0.1:1"))
 	close(s.changed)
 	s.changed = make(chan struct{})
 }
 
 // setResponsive sets whether calls are answered from now on.
-func (s *scriptedDiscovery) setResponsive(is bool) {
+func (s *scriptedDiscovery) setResponsive(responsive bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.unresponsive = !is
+	s.unresponsive = !responsive
 }
 
-// replyToOpenCall answers the open call with this text.
-func (s *scriptedDiscovery) replyToOpenCall(words string) {
+// replyToOpenCall sets the response to the open call, in place of the list.
+func (s *scriptedDiscovery) replyToOpenCall(text string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.openReply = words
+	s.openReply = text
 }
 
-// pendingReplies returns how many malformed replies are still to be sent.
+// pendingReplies returns a number that is 0 once all malformed replies and the open reply were sent.
 func (s *scriptedDiscovery) pendingReplies() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -199,16 +199,16 @@
 	for {
 		synctest.Wait()
 		s.mu.Lock()
-		waits := s.open > 0
+		waiting := s.open > 0
 		s.mu.Unlock()
-		if waits {
+		if waiting {
 			return
 		}
 		time.Sleep(time.Millisecond)
 	}
 }
 
-// silenceOpenCalls keeps all open calls from being answered, ever, and returns the last of them.
+// silenceOpenCalls prevents all open calls from being answered and returns the last of them.
 func (s *scriptedDiscovery) silenceOpenCalls() recordedCall {
 	s.mu.Lock()
 	close(s.silencing)
@@ -222,9 +222,10 @@
 
 // newScriptedDiscovery starts a discovery that lists one endpoint, and returns how to dial it.
 func newScriptedDiscovery(t *testing.T) (*scriptedDiscovery, dialer) {
+	t.Helper()
 	listener := newPipes()
 	dir := &scriptedDiscovery{
-		list:      discovery.List{Version: 1, Complete: true, Entries: []discovery.Entry{ready("s-1", "127.0.0.1:1")}},
+		list:      completeList(1, ready("s-1", "127.0.0.1:1")),
 		silencing: make(chan struct{}),
 		resetting: make(chan struct{}),
 		changed:   make(chan struct{}),
@@ -238,4 +239,5 @@
 	return dir, listener.dial
 }
 
+// dialer dials in place of net.Dialer.DialContext.
 type dialer = func(ctx context.Context, network, address string) (net.Conn, error)
--- a/internal/sidecar/sendgate_test.go
+++ b/internal/sidecar/sendgate_test.go
@@ -9,14 +9,13 @@
 	"time"
 
 	"oakproxy/balancer"
-	"oakproxy/internal/discovery"
 	"oakproxy/internal/sidecartest"
 )
 
 // A retry of a request with an idempotency key is decided within the window and gets its connection after it: it is
 // not sent, and the client gets its response.
 func TestRetryIsNotSentAfterItsWindow(t *testing.T) {
-	const window = 2 * time.Second // long enough to decide on the repeat within it
+	const window = 2 * time.Second // long enough to decide on the retry within it
 	reset := make(chan struct{})
 	broken := sidecartest.NewEndpoint(t, func(e *sidecartest.Endpoint, conn net.Conn, in *bufio.Reader) {
 		e.Next(in)
@@ -30,41 +29,37 @@
 	dial := sidecartest.BlockDials(&w.loop.upstream.Dialer, slow.Address)
 	answer := make(chan reply, 1)
 	go func() { answer <- w.send(w.request("pay", "x", time.Minute)) }()
-	w.await("the first attempt", func() bool { n, _ := broken.Seen(); return n == 1 })
+	w.awaitRequests(broken, 1)
 	w.discovery.change(func() {
-		w.discovery.list = discovery.List{
-			Version:  1,
-			Complete: true,
-			Entries:  []discovery.Entry{ready("s-1", broken.Address), ready("s-2", slow.Address)},
-		}
+		w.discovery.list = completeList(1, ready("s-1", broken.Address), ready("s-2", slow.Address))
 	})
-	w.await("the change", func() bool {
+	w.await("the second endpoint", func() bool {
 		var n int
 		w.runInLoop(func() { n = len(w.loop.endpoints.byID) })
 		return n == 2
 	})
 	close(reset)
 	<-dial.Started
-	began := time.Now()
-	sidecartest.Await(t, "the end of the window", func() bool { return time.Since(began) > window })
+	dialStart := time.Now()
+	sidecartest.Await(t, "the end of the window", func() bool { return time.Since(dialStart) > window })
 	close(dial.Unblock)
 	if got := <-answer; got.code != http.StatusServiceUnavailable {
 		t.Errorf("got %+v, want 503", got)
 	}
 	if n, _ := slow.Seen(); n != 0 {
-		t.Error("the repeat was sent after its window")
+		t.Errorf("the second endpoint got %d requests after the window, want none", n)
 	}
 }
 
 // Nothing is sent for a client that disconnects while an attempt waits for its connection, whether or not the settings
 // let attempts be cancelled.
 func TestNothingIsSentForADisconnectedClient(t *testing.T) {
-	for name, may := range map[string]bool{"may cancel": true, "may not cancel": false} {
+	for name, cancel := range map[string]bool{"may cancel": true, "may not cancel": false} {
 		t.Run(name, func(t *testing.T) {
 			e := newServingEndpoint(t)
 			w := start(
 				t,
-				func(s map[string]any) { s["limits"].(map[string]any)["cancel"] = may },
+				func(s map[string]any) { s["limits"].(map[string]any)["cancel"] = cancel },
 				ready("s-1", e.Address),
 			)
 			dial := sidecartest.BlockDials(&w.loop.upstream.Dialer, e.Address)
@@ -72,13 +67,13 @@
 			w.request("pay", "x", time.Minute).Write(conn)
 			<-dial.Started
 			conn.Close()
-			close(dial.Unblock) // at once: that it has left need not have been heard by then
-			w.await("the outcome", func() bool { return len(w.recorder.statuses()) == 1 })
+			close(dial.Unblock) // at once: the disconnect may not have been noticed yet
+			w.awaitOutcomes(1)
 			if all := w.recorder.statuses(); !slices.Equal(all, []balancer.Status{balancer.NotSent}) {
-				t.Errorf("outcomes %v, want not sent", all)
+				t.Errorf("got outcomes %v, want not sent", all)
 			}
 			if n, _ := e.Seen(); n != 0 {
-				t.Errorf("the endpoint got %d requests", n)
+				t.Errorf("the endpoint got %d requests, want none", n)
 			}
 		})
 	}
--- a/internal/sidecar/slot_test.go
+++ b/internal/sidecar/slot_test.go
@@ -6,8 +6,8 @@
 	"oakproxy/internal/handover"
 )
 
-// Two processes share the limits of one sidecar, and the one that remains gets them in full again. Idle connections
-// beyond its part are closed.
+// Two processes share the limits of one sidecar. Idle connections beyond a process's share are closed, and the process that
+// remains gets the full limits again.
 func TestProcessesShareLimits(t *testing.T) {
 	e := newServingEndpoint(t)
 	w := start(t, nil, ready("s-1", e.Address))
@@ -22,26 +22,26 @@
 	for range connections {
 		w.dial()
 	}
-	w.await("all connections to be taken", func() bool { return w.server.clients.Count() == connections })
+	w.await("the limit of connections", func() bool { return w.server.clients.Count() == connections })
 	other, err := handover.AcquireSlot(dir)
 	if err != nil {
 		t.Fatal(err)
 	}
 	go w.server.followPeers(t.Context(), dir)
 	half := (w.loop.cfg.Limits.Sockets/2 - reservedSockets) / 2
-	w.await("connections beyond its part to end", func() bool { return w.server.clients.Count() == half })
-	w.await("the part", func() bool { return w.loop.upstream.BodyMemory.Limit.Load() == bodies/2 })
+	w.await("connections beyond the share to end", func() bool { return w.server.clients.Count() == half })
+	w.await("the share of body memory", func() bool { return w.loop.upstream.BodyMemory.Limit.Load() == bodies/2 })
 	if !w.server.hasPeer() || w.server.replaced() {
-		t.Error("the other process is not seen, or taken for ready")
+		t.Error("got no peer or a ready one, want one that is not ready")
 	}
 	if err := other.MarkReady(); err != nil {
 		t.Fatal(err)
 	}
 	if !w.server.replaced() {
-		t.Error("the other process is not seen to be ready")
+		t.Error("got no ready peer, want one")
 	}
 	other.Release()
-	w.await("the full limits again", func() bool {
+	w.await("the full limits", func() bool {
 		limit, _ := w.server.clients.Limits()
 		return limit == connections && w.loop.upstream.BodyMemory.Limit.Load() == bodies
 	})
--- a/internal/sidecar/stages_test.go
+++ b/internal/sidecar/stages_test.go
@@ -9,26 +9,22 @@
 
 // The stages of a request that its first attempt served are counted; those of one that took two attempts are not.
 func TestStagesOfServedRequests(t *testing.T) {
-	served, turnsAway := newServingEndpoint(
-		t,
-	), sidecartest.NewEndpoint(
-		t,
-		sidecartest.FirstThen(sidecartest.Rejected, sidecartest.Served),
-	)
+	serving := newServingEndpoint(t)
+	rejecting := sidecartest.NewEndpoint(t, sidecartest.FirstThen(sidecartest.Rejected, sidecartest.Served))
 	for _, test := range []struct {
 		endpoint *sidecartest.Endpoint
 		counted  uint64
-	}{{served, 1}, {turnsAway, 0}} {
+	}{{serving, 1}, {rejecting, 0}} {
 		w := start(t, nil, ready("e0", test.endpoint.Address), ready("e1", test.endpoint.Address))
 		if got := w.send(w.request("read", "", sidecartest.WaitTimeout)); got.code != http.StatusOK {
-			t.Fatalf("answered %d (%v)", got.code, got.err)
+			t.Fatalf("got %d (%v), want 200", got.code, got.err)
 		}
 		w.stop()
 		if err := <-w.ended; err != nil { // the handler has returned by then
 			t.Fatal(err)
 		}
 		if requests, text := w.loop.stages.Summary(); requests != test.counted {
-			t.Errorf("%d requests counted, want %d: %s", requests, test.counted, text)
+			t.Errorf("got %d requests counted (%s), want %d", requests, text, test.counted)
 		}
 	}
 }
--- a/internal/sidecartest/handlers.go
+++ b/internal/sidecartest/handlers.go
@@ -42,12 +42,19 @@
 	}
 }
 
+// BlockAll returns a Handler that serves each request after a receive from release.
+func BlockAll(release <-chan struct{}) Handler { return blockPaths("", release) }
+
 // BlockPay returns a Handler that serves every request, but those whose path begins with /pay only after a receive from
 // release.
-func BlockPay(release <-chan struct{}) Handler {
+func BlockPay(release <-chan struct{}) Handler { return blockPaths("/pay", release) }
+
+// blockPaths returns a Handler that serves requests whose path has a prefix after a receive from release, and others at
+// once.
+func blockPaths(prefix string, release <-chan struct{}) Handler {
 	return func(e *Endpoint, conn net.Conn, in *bufio.Reader) {
 		for r := e.Next(in); r != nil; r = e.Next(in) {
-			if strings.HasPrefix(r.RequestURI, "/pay") {
+			if strings.HasPrefix(r.RequestURI, prefix) {
 				<-release
 			}
 			io.WriteString(conn, Served)
