--- a/cmd/sidecar/faults_test.go
+++ b/cmd/sidecar/faults_test.go
@@ -17,7 +17,7 @@
 	"oakproxy/internal/faults"
 )
 
-// faultyFleet is a running program with endpoints of which some are behind a fault proxy, and with traffic.
+// faultyFleet is a running program with endpoints, some of which are behind a fault proxy.
 type faultyFleet struct {
 	t         *testing.T
 	socket    *passedSocket
@@ -34,26 +34,27 @@
 	t.Helper()
 	w := &faultyFleet{t: t, socket: newPassedSocket(t), ledger: &ledger{arrivals: map[string]arrival{}}}
 	w.injection = filepath.Join(t.TempDir(), "injection")
-	hosts := make([]string, faultyFleetSize)
-	for i := range hosts {
+	entries := make([]string, faultyFleetSize)
+	for i := range entries {
 		address := newEndpoint(t, w.ledger)
 		if i%3 == 0 {
 			address = newFaultProxy(t, address)
 		}
-		hosts[i] = fmt.Sprintf(`{"host":"s-%d","dial":%q,"site":"a","health":"Ready","share":1}`, i, address)
+		entries[i] = fmt.Sprintf(`{"host":"s-%d","dial":%q,"site":"a","health":"Ready","share":1}`, i, address)
 	}
-	list := fmt.Sprintf(`{"seq":1,"whole":true,"hosts":[%s]}`, strings.Join(hosts, ","))
-	discovery := httptest.NewServer(http.HandlerFunc(func(out http.ResponseWriter, in *http.Request) {
-		if in.FormValue("wait_ms") != "" {
+	list := fmt.Sprintf(`{"seq":1,"whole":true,"hosts":[%s]}`, strings.Join(entries, ","))
+	discovery := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+		if r.FormValue("wait_ms") != "" {
 			time.Sleep(50 * time.Millisecond)
 		}
-		fmt.Fprint(out, list)
+		fmt.Fprint(w, list)
 	}))
 	t.Cleanup(discovery.Close)
 	text := terminationConfig("127.0.0.1:1", "", 0)
 	from, to := strings.Index(text, `"known":`), strings.Index(text, `"settings":`)
 	text = text[:from] + `"known":` + list + "," + text[to:]
-	w.config = strings.Replace(text, `"discovery":"127.0.0.1:1"`, fmt.Sprintf(`"discovery":%q`, discovery.Listener.Addr()), 1)
+	address := fmt.Sprintf(`"discovery":%q`, discovery.Listener.Addr())
+	w.config = strings.Replace(text, `"discovery":"127.0.0.1:1"`, address, 1)
 	w.program = w.launch()
 	return w
 }
@@ -77,10 +78,10 @@
 func (w *faultyFleet) waitForExit(old *program) {
 	w.t.Helper()
 	if err := old.Wait(); err != nil {
-		w.t.Errorf("the old process ended with %v", err)
+		w.t.Errorf("the replaced process ended with %v, want exit code 0", err)
 	}
 	if n := old.log.count("aborted by shutdown"); n > 0 {
-		w.t.Errorf("%d requests aborted by shutdown", n)
+		w.t.Errorf("got %d requests aborted by shutdown, want none", n)
 	}
 }
 
@@ -97,6 +98,7 @@
 	})
 }
 
+// inject replaces the faults that are injected into the program.
 func (w *faultyFleet) inject(i faults.Injection) {
 	w.t.Helper()
 	if err := i.Store(w.injection); err != nil {
@@ -104,110 +106,139 @@
 	}
 }
 
-// Under each fault the process keeps running, each request that it forwards has exactly one response, and it serves once
-// the fault is over. No connection may end under a request except where clients are drained.
+// processFault is a fault, or an operation, under which a faultyFleet must keep serving.
+type processFault struct {
+	inject   func(w *faultyFleet)
+	maxEnded int // limit of requests on connections that ended
+}
+
+// maxCrossing limits the requests that cross the end of a drained connection; each client has one connection.
+const maxCrossing = 40
+
+var processFaults = map[string]processFault{
+	"none":                    {func(*faultyFleet) {}, 0},
+	"shortage of descriptors": {(*faultyFleet).exhaustDescriptors, 0},
+	"paused":                  {(*faultyFleet).pauseRepeatedly, 0},
+	"wall clock steps":        {(*faultyFleet).stepWallClock, 0},
+	"disk errors":             {(*faultyFleet).failDisk, 0},
+	"configuration reloads":   {(*faultyFleet).reloadRepeatedly, 0},
+	"drained and resumed":     {(*faultyFleet).drainRepeatedly, maxCrossing},
+	"hand-over":               {(*faultyFleet).handOver, maxCrossing},
+	"hand-over, shortage of descriptors, repeated signals": {(*faultyFleet).handOverUnderFaults, maxCrossing},
+}
+
+func (w *faultyFleet) exhaustDescriptors() {
+	w.t.Helper()
+	before, err := faults.LimitDescriptors(w.program.Process, 8)
+	if err != nil {
+		w.t.Fatal(err)
+	}
+	time.Sleep(400 * time.Millisecond)
+	if _, err := faults.LimitDescriptors(w.program.Process, before); err != nil {
+		w.t.Fatal(err)
+	}
+}
+
+func (w *faultyFleet) pauseRepeatedly() {
+	w.t.Helper()
+	for range 3 {
+		if err := faults.Pause(w.program.Process, 150*time.Millisecond); err != nil {
+			w.t.Fatal(err)
+		}
+		time.Sleep(100 * time.Millisecond)
+	}
+}
+
+func (w *faultyFleet) stepWallClock() {
+	w.t.Helper()
+	for _, step := range []time.Duration{time.Hour, -time.Hour, 3 * time.Second, -3 * time.Second, 0} {
+		w.inject(faults.Injection{WallClockStep: step})
+		w.adminCall("/admin/cordon?name=s-1")
+		w.adminCall("/admin/uncordon?name=s-1")
+		time.Sleep(50 * time.Millisecond)
+	}
+}
+
+func (w *faultyFleet) failDisk() {
+	w.t.Helper()
+	for _, operation := range []faults.FileOperation{faults.Write, faults.Sync, faults.Rename, faults.Read} {
+		w.inject(faults.Injection{FailOperation: operation, Errno: syscall.EIO})
+		time.Sleep(100 * time.Millisecond)
+	}
+	w.inject(faults.Injection{})
+	w.adminCall("/admin/cordon?name=s-1")
+}
+
+func (w *faultyFleet) reloadRepeatedly() {
+	w.t.Helper()
+	for i := range 20 {
+		target := fmt.Sprintf(`"target":%d`, 300000+i)
+		w.program.replaceConfig(strings.Replace(w.config, `"target":300000`, target, 1))
+		w.program.signal(syscall.SIGHUP)
+		time.Sleep(10 * time.Millisecond)
+	}
+}
+
+func (w *faultyFleet) drainRepeatedly() {
+	w.t.Helper()
+	for range 3 {
+		w.adminCall("/admin/quiesce")
+		time.Sleep(300 * time.Millisecond)
+		w.adminCall("/admin/resume")
+	}
+}
+
+func (w *faultyFleet) handOver() {
+	w.t.Helper()
+	old := w.replaceProgram()
+	old.signal(syscall.SIGTERM)
+	w.waitForExit(old)
+}
+
+func (w *faultyFleet) handOverUnderFaults() {
+	w.t.Helper()
+	old := w.replaceProgram()
+	if _, err := faults.LimitDescriptors(old.Process, 8); err != nil {
+		w.t.Fatal(err)
+	}
+	old.signal(syscall.SIGTERM)
+	old.signal(syscall.SIGHUP)
+	old.signal(syscall.SIGTERM)
+	if err := faults.Pause(old.Process, 100*time.Millisecond); err != nil {
+		w.t.Fatal(err)
+	}
+	if err := old.Wait(); err != nil {
+		w.t.Errorf("the replaced process ended with %v, want exit code 0", err)
+	}
+}
+
+// Under each fault the process keeps running, each request that it forwards has exactly one response, and it serves
+// once the fault is over. No connection may end under a request except where clients are drained.
 func TestServesThroughFaults(t *testing.T) {
-	const maxCrossing = 40 // requests that cross the end of a drained connection; a client has one connection
-	for what, c := range map[string]struct {
-		inject   func(w *faultyFleet)
-		maxEnded int
-	}{
-		"nothing": {func(w *faultyFleet) {}, 0},
-		"out of descriptors": {func(w *faultyFleet) {
-			before, err := faults.LimitDescriptors(w.program.Process, 8)
-			if err != nil {
-				w.t.Fatal(err)
-			}
-			time.Sleep(400 * time.Millisecond)
-			if _, err := faults.LimitDescriptors(w.program.Process, before); err != nil {
-				w.t.Fatal(err)
-			}
-		}, 0},
-		"paused": {func(w *faultyFleet) {
-			for range 3 {
-				if err := faults.Pause(w.program.Process, 150*time.Millisecond); err != nil {
-					w.t.Fatal(err)
-				}
-				time.Sleep(100 * time.Millisecond)
-			}
-		}, 0},
-		"wall clock steps": {func(w *faultyFleet) {
-			for _, step := range []time.Duration{time.Hour, -time.Hour, 3 * time.Second, -3 * time.Second, 0} {
-				w.inject(faults.Injection{WallClockStep: step})
-				w.adminCall("/admin/cordon?name=s-1")
-				w.adminCall("/admin/uncordon?name=s-1")
-				time.Sleep(50 * time.Millisecond)
-			}
-		}, 0},
-		"disk errors": {func(w *faultyFleet) {
-			for _, operation := range []faults.FileOperation{faults.Write, faults.Sync, faults.Rename, faults.Read} {
-				w.inject(faults.Injection{FailOperation: operation, Errno: syscall.EIO})
-				time.Sleep(100 * time.Millisecond)
-			}
-			w.inject(faults.Injection{})
-			w.adminCall("/admin/cordon?name=s-1")
-		}, 0},
-		"configuration reloads": {func(w *faultyFleet) {
-			for i := range 20 {
-				w.program.replaceConfig(strings.Replace(w.config, `"target":300000`, fmt.Sprintf(`"target":%d`, 300000+i), 1))
-				w.program.signal(syscall.SIGHUP)
-				time.Sleep(10 * time.Millisecond)
-			}
-		}, 0},
-		"drained and resumed": {func(w *faultyFleet) {
-			for range 3 {
-				w.adminCall("/admin/quiesce")
-				time.Sleep(300 * time.Millisecond)
-				w.adminCall("/admin/resume")
-			}
-		}, maxCrossing},
-		"handed over": {func(w *faultyFleet) {
-			old := w.replaceProgram()
-			old.signal(syscall.SIGTERM)
-			w.waitForExit(old)
-		}, maxCrossing},
-		"handed over, out of descriptors, repeated signals": {func(w *faultyFleet) {
-			old := w.replaceProgram()
-			if _, err := faults.LimitDescriptors(old.Process, 8); err != nil {
-				w.t.Fatal(err)
-			}
-			old.signal(syscall.SIGTERM)
-			old.signal(syscall.SIGHUP)
-			old.signal(syscall.SIGTERM)
-			if err := faults.Pause(old.Process, 100*time.Millisecond); err != nil {
-				w.t.Fatal(err)
-			}
-			if err := old.Wait(); err != nil {
-				w.t.Errorf("the old process ended with %v", err)
-			}
-		}, maxCrossing},
-	} {
-		t.Run(what, func(t *testing.T) {
+	for name, fault := range processFaults {
+		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			w := newFaultyFleet(t)
 			f := startTraffic(w.socket.address, w.ledger, 24)
 			waitFor(t, "the first responses", func() bool { return f.served.Load() > 20 })
-			c.inject(w)
+			fault.inject(w)
 			before := f.served.Load()
 			waitFor(t, "responses after the fault", func() bool { return f.served.Load() > before+20 })
 			f.stop()
-			f.check(t, c.maxEnded)
-			w.program.signal(syscall.SIGTERM)
-			if err := w.program.Wait(); err != nil {
-				t.Errorf("the program ended with %v", err)
-			}
+			f.check(t, fault.maxEnded)
+			w.program.terminate()
 		})
 	}
 }
 
-// At whatever moment a process is shut down, the one that replaces it serves, and each request that either forwards has
+// Whenever a process is shut down, the process that replaces it serves, and each request that either forwards has
 // exactly one response.
 func TestHandOverAtAnyMomentLosesNoRequest(t *testing.T) {
 	w := newFaultyFleet(t)
 	f := startTraffic(w.socket.address, w.ledger, 24)
-	for moment := time.Duration(0); moment <= 120*time.Millisecond; moment += 20 * time.Millisecond {
+	for delay := time.Duration(0); delay <= 120*time.Millisecond; delay += 20 * time.Millisecond {
 		old := w.replaceProgram()
-		time.Sleep(moment)
+		time.Sleep(delay)
 		old.signal(syscall.SIGTERM)
 		w.waitForExit(old)
 	}
@@ -227,7 +258,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		defer conn.Close()
+		t.Cleanup(func() { conn.Close() })
 		id := fmt.Sprintf("paused-%d", i)
 		f := &traffic{ledger: w.ledger}
 		if err := f.writeRequest(conn, id, true); err != nil {
@@ -242,13 +273,10 @@
 	for _, id := range ids {
 		a := w.ledger.of(id)
 		if remaining := trafficTimeLeft - a.at.Sub(written); a.count > 0 && a.timeLeft > remaining+slack {
-			t.Errorf("%s: %v of remaining time forwarded, its client has %v", id, a.timeLeft, remaining)
+			t.Errorf("%s: got %v of remaining time forwarded, want at most its client's %v", id, a.timeLeft, remaining)
 		}
 	}
-	w.program.signal(syscall.SIGTERM)
-	if err := w.program.Wait(); err != nil {
-		t.Errorf("the program ended with %v", err)
-	}
+	w.program.terminate()
 }
 
 // Overrides whose admin calls succeeded are in force in the next process, whenever the previous one is killed.
@@ -280,7 +308,7 @@
 		w.program.Wait()
 		w.program = w.launch()
 		if n := w.program.log.count("operator state ignored"); n > 0 {
-			t.Error("the next process ignores the stored state")
+			t.Errorf("got %d log lines on an ignored state, want none", n)
 		}
 		checkOverrides(t, filepath.Join(w.socket.folder, "oakproxy-state.json"), expected)
 	}
@@ -308,7 +336,7 @@
 	}
 	for name, want := range expected {
 		if cordoned[name] != want {
-			t.Errorf("%s: cordoned %v, want %v", name, cordoned[name], want)
+			t.Errorf("%s: got cordoned %v, want %v", name, cordoned[name], want)
 		}
 	}
 }
--- a/cmd/sidecar/frozen_test.go
+++ b/cmd/sidecar/frozen_test.go
@@ -69,7 +69,7 @@
 	}
 }
 
-// readJSON returns the object in a file of folder; nil where the file is not there.
+// readJSON returns the object in a file of folder, or nil if there is no such file.
 func readJSON(t *testing.T, folder, name string) map[string]any {
 	t.Helper()
 	text, err := os.ReadFile(filepath.Join(folder, name))
@@ -86,11 +86,12 @@
 	return object
 }
 
+// wantKeys fails the test unless an object has exactly the given keys.
 func wantKeys(t *testing.T, what string, object any, want ...string) {
 	t.Helper()
 	got := slices.Sorted(maps.Keys(object.(map[string]any)))
 	if slices.Sort(want); !slices.Equal(got, want) {
-		t.Errorf("%s has the keys %q, want %q", what, got, want)
+		t.Errorf("%s: got keys %q, want %q", what, got, want)
 	}
 }
 
@@ -110,7 +111,7 @@
 	return response.StatusCode
 }
 
-// The program reads what the release before stored, and stores it under the same names and keys.
+// The program reads what the previous release stored, and stores it under the same names and keys.
 func TestReadsAndWritesFilesOfThePreviousRelease(t *testing.T) {
 	socket := newPassedSocket(t)
 	for _, name := range []string{"oakproxy-state.json", "oakproxy-learned.json"} {
@@ -128,50 +129,50 @@
 	if err := cmd.Start(); err != nil {
 		t.Fatal(err)
 	}
-	defer func() {
+	t.Cleanup(func() {
 		cmd.Process.Kill()
 		cmd.Wait()
-	}()
+	})
 	waitFor(t, "health", func() bool { return statusOf("http://"+admin+"/admin/health") == http.StatusOK })
 	if log.count("hash="+releaseHash) == 0 {
-		t.Errorf("the hash of the configuration is no longer %s", releaseHash)
+		t.Errorf("the logged hash of the configuration is not %s", releaseHash)
 	}
-	if got := statusOf("http://" + socket.address + "/health/ready"); got != http.StatusServiceUnavailable {
-		t.Errorf("readiness of a sidecar that was drained: %d", got)
+	if got := readiness(socket.address); got != http.StatusServiceUnavailable {
+		t.Errorf("readiness of a drained sidecar: got %d, want 503", got)
 	}
 
 	for path, want := range map[string]int{"/admin/quiesce": 200, "/admin/resume": 200, "/admin/cordon?name=s-1": 200,
 		"/admin/uncordon?name=s-2": 200, "/admin/cordon?name=nobody": 404} {
 		if got := call(t, http.MethodPost, "http://"+admin+path); got != want {
-			t.Errorf("%s: %d, want %d", path, got, want)
+			t.Errorf("%s: got %d, want %d", path, got, want)
 		}
 	}
 	call(t, http.MethodPost, "http://"+admin+"/admin/resume")
-	now := readJSON(t, socket.folder, "oakproxy-state.json")
-	state["drained"] = false // all else stands: each call repeated what was set
-	if !reflect.DeepEqual(now, state) {
-		t.Errorf("the state is stored as %v, want %v", now, state)
+	stored := readJSON(t, socket.folder, "oakproxy-state.json")
+	state["drained"] = false // the other calls repeated what was set
+	if !reflect.DeepEqual(stored, state) {
+		t.Errorf("got stored state %v, want %v", stored, state)
 	}
-	wantKeys(t, "the state", now, "version", "sidecar", "drained", "hosts")
-	for _, host := range now["hosts"].([]any) {
+	wantKeys(t, "the state", stored, "version", "sidecar", "drained", "hosts")
+	for _, host := range stored["hosts"].([]any) {
 		wantKeys(t, "a host of the state", host, "host", "out", "since_ms", "up_ms")
 	}
 
 	written := learned
-	waitFor(t, "what was learned to be stored again", func() bool {
+	waitFor(t, "the warm-start data to be stored again", func() bool {
 		written = readJSON(t, socket.folder, "oakproxy-learned.json")
 		return written["at_ms"] != learned["at_ms"]
 	})
-	wantKeys(t, "what was learned", written, "version", "sidecar", "at_ms", "up_ms", "clock_us", "learned")
+	wantKeys(t, "the warm-start data", written, "version", "sidecar", "at_ms", "up_ms", "clock_us", "learned")
 	before, after := learned["learned"].(map[string]any), written["learned"].(map[string]any)
-	for _, known := range []any{before, after} { // its times go by the clock of the process that wrote it
+	for _, known := range []any{before, after} { // times by the clock of the process that wrote them
 		for _, endpoint := range known.(map[string]any)["Endpoints"].([]any) {
 			wantKeys(t, "an endpoint", endpoint, "Name", "StartTime", "PaceAt", "Pace", "Mean")
 			delete(endpoint.(map[string]any), "PaceAt")
 		}
 	}
 	if !reflect.DeepEqual(after, before) {
-		t.Errorf("what was learned is stored as\n%v, want\n%v", after, before)
+		t.Errorf("got stored warm-start data\n%v, want\n%v", after, before)
 	}
 
 	var names []string
@@ -181,16 +182,17 @@
 		}
 		return err
 	})
-	if want := []string{"oakproxy-learned.json", "oakproxy-process.0", "oakproxy-state.json", "oakproxy-state.lock"}; err != nil || !slices.Equal(names, want) {
-		t.Errorf("files %q (%v), want %q", names, err, want)
+	want := []string{"oakproxy-learned.json", "oakproxy-process.0", "oakproxy-state.json", "oakproxy-state.lock"}
+	if err != nil || !slices.Equal(names, want) {
+		t.Errorf("got files %q (%v), want %q", names, err, want)
 	}
-	waitFor(t, "the process to say that it is ready", func() bool {
+	waitFor(t, "the process slot to be marked ready", func() bool {
 		text, err := os.ReadFile(filepath.Join(socket.folder, "oakproxy-process.0"))
 		return err == nil && string(text) == "ready"
 	})
 }
 
-// What goes to endpoints and to discovery, and which headers of a client are read.
+// The form of requests to endpoints and to discovery, and the headers that are read from clients, are fixed.
 func TestRequestsKeepTheirForm(t *testing.T) {
 	received := make(chan *http.Request, 16)
 	probed := make(chan string, 256)
@@ -208,11 +210,11 @@
 			fmt.Fprint(conn, "HTTP/1.1 200 OK\r\nX-Backend-Load: busy_reqs=1\r\nContent-Length: 2\r\n\r\nok")
 		})
 	})
-	asked := make(chan string, 256)
+	polled := make(chan string, 256)
 	discovery := serveConnections(t, func(conn net.Conn) {
 		readRequests(conn, func(r *http.Request) {
 			select {
-			case asked <- r.Method + " " + r.URL.RequestURI():
+			case polled <- r.Method + " " + r.URL.RequestURI():
 			default:
 			}
 			fmt.Fprint(conn, "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n")
@@ -224,18 +226,18 @@
 	if err := cmd.Start(); err != nil {
 		t.Fatal(err)
 	}
-	defer func() {
+	t.Cleanup(func() {
 		cmd.Process.Kill()
 		cmd.Wait()
-	}()
-	waitFor(t, "readiness", func() bool { return statusOf("http://"+listen+"/health/ready") == http.StatusOK })
-	send := func(path, class string, more http.Header) {
+	})
+	awaitReady(t, listen)
+	send := func(path, class string, extra http.Header) {
 		t.Helper()
 		request, err := http.NewRequest(http.MethodPost, "http://"+listen+path, strings.NewReader("body"))
 		if err != nil {
 			t.Fatal(err)
 		}
-		maps.Copy(request.Header, more)
+		maps.Copy(request.Header, extra)
 		for name, value := range map[string]string{"X-Correlation-Id": "id-" + class, "X-Service-Class": class,
 			"X-Account": "acme", "X-Session-Key": "k", "X-Time-Left-Ms": "1500", "X-Repeat": "0", "X-Weight-Hint": "1000"} {
 			request.Header.Set(name, value)
@@ -247,20 +249,23 @@
 		}
 		response.Body.Close()
 		if response.StatusCode != http.StatusOK {
-			t.Fatalf("%s: %s", class, response.Status)
+			t.Fatalf("class %s: got %s, want 200", class, response.Status)
 		}
 	}
 	send("/pay/1?q=2", "pay", http.Header{"Idempotency-Key": {"key"}})
-	got := <-received
-	if got.Method != http.MethodPost || got.RequestURI != "/pay/1?q=2" || got.Header.Get("X-Correlation-Id") != "id-pay" ||
-		got.Header.Get("Idempotency-Key") != "key" || got.Header.Get("X-Time-Left-Ms") == "" {
-		t.Errorf("an endpoint got %s %s with %v", got.Method, got.RequestURI, got.Header)
+	forwarded := <-received
+	header := forwarded.Header
+	if forwarded.Method != http.MethodPost || forwarded.RequestURI != "/pay/1?q=2" ||
+		header.Get("X-Correlation-Id") != "id-pay" || header.Get("Idempotency-Key") != "key" ||
+		header.Get("X-Time-Left-Ms") == "" {
+		t.Errorf("the endpoint got %s %s with %v", forwarded.Method, forwarded.RequestURI, header)
 	}
 	if got := <-probed; got != "GET /stats" {
-		t.Errorf("a probe is %s", got)
+		t.Errorf("got load probe %s, want GET /stats", got)
 	}
-	if got := <-asked; got != "GET /registry/instances" && !strings.HasPrefix(got, "GET /registry/instances?after=41&wait_ms=") {
-		t.Errorf("discovery is asked by %s", got)
+	got := <-polled
+	if got != "GET /registry/instances" && !strings.HasPrefix(got, "GET /registry/instances?after=41&wait_ms=") {
+		t.Errorf("got call %s to discovery, want one for the list", got)
 	}
 }
 
--- a/cmd/sidecar/largefleet_test.go
+++ b/cmd/sidecar/largefleet_test.go
@@ -28,18 +28,19 @@
 	minSockets     = 256
 )
 
-// endpointList returns an endpoint list whose second half is in the given state.
-func endpointList(seq int, whole bool, health, first, second string) []byte {
-	var hosts []map[string]any
+// endpointList returns an endpoint list whose second half has the given health and its own address.
+func endpointList(version int, complete bool, health, first, second string) []byte {
+	var entries []map[string]any
 	for i := range largeEndpoints {
-		h := map[string]any{"host": fmt.Sprintf("s-%08x", i), "dial": first, "site": "a", "class": "m",
+		entry := map[string]any{"host": fmt.Sprintf("s-%08x", i), "dial": first, "site": "a", "class": "m",
 			"block": i / 8, "health": "Ready", "share": 1.0, "born_ms": 0}
 		if i >= largeEndpoints/2 {
-			h["dial"], h["health"] = second, health
+			entry["dial"], entry["health"] = second, health
 		}
-		hosts = append(hosts, h)
+		entries = append(entries, entry)
 	}
-	text, err := json.MarshalIndent(map[string]any{"seq": seq, "whole": whole, "hosts": hosts}, "", "    ")
+	list := map[string]any{"seq": version, "whole": complete, "hosts": entries}
+	text, err := json.MarshalIndent(list, "", "    ")
 	if err != nil {
 		panic(err)
 	}
@@ -56,7 +57,7 @@
 	io.WriteString(w, "done")
 }
 
-// raceDetectorEnabled reports whether the race detector is built in, which takes memory of its own.
+// raceDetectorEnabled reports whether the race detector is built in, which needs memory of its own.
 func raceDetectorEnabled() bool {
 	info, _ := debug.ReadBuildInfo()
 	return info != nil && slices.Contains(info.Settings, debug.BuildSetting{Key: "-race", Value: "true"})
@@ -112,25 +113,34 @@
 	}
 	tenants := make([]map[string]any, largeTenants)
 	for i := range tenants {
-		tenants[i] = map[string]any{"name": fmt.Sprintf("tenant-%d", i), "allowance-per-s": 10.0, "share": 1.0 / largeTenants}
-	}
-	text, err := json.Marshal(map[string]any{"name": "n349", "listen": listen, "discovery": f.discovery.Listener.Addr().String(),
-		"seed": "1f", "limits": map[string]any{"cores": 1, "memory_mb": minMemoryMB, "sockets": minSockets},
-		"peer_listen": peers[largeSidecars-1], "peers": peers, "known": json.RawMessage(endpointList(41, true, "Ready", f.first, f.second)),
-		"settings": map[string]any{"areas": []string{"a"}, "skus": []string{"m"}, "discovery": "subscribe",
-			"peers-total": largeSidecars, "position": largeSidecars - 1, "tenants": tenants,
-			"contract":  map[string]any{"ask-within": 1_000_000, "drain-grace": 500_000},
-			"limits":    map[string]any{"keepalive": 5000000, "dial-timeout": 250000, "most-tries": 3, "probes": true},
-			"reporting": map[string]any{"how": "none"},
-			"classes":   []map[string]any{{"name": "read", "repeat": "pure", "target": 5000000, "give-up": 10000000, "credit": 1.0}}}})
+		tenants[i] = map[string]any{
+			"name": fmt.Sprintf("tenant-%d", i), "allowance-per-s": 10.0, "share": 1.0 / largeTenants,
+		}
+	}
+	class := map[string]any{"name": "read", "repeat": "pure", "target": 5000000, "give-up": 10000000, "credit": 1.0}
+	settings := map[string]any{
+		"areas": []string{"a"}, "skus": []string{"m"}, "discovery": "subscribe",
+		"peers-total": largeSidecars, "position": largeSidecars - 1, "tenants": tenants,
+		"contract":  map[string]any{"ask-within": 1_000_000, "drain-grace": 500_000},
+		"limits":    map[string]any{"keepalive": 5000000, "dial-timeout": 250000, "most-tries": 3, "probes": true},
+		"reporting": map[string]any{"how": "none"},
+		"classes":   []map[string]any{class},
+	}
+	text, err := json.Marshal(map[string]any{
+		"name": "n349", "listen": listen, "discovery": f.discovery.Listener.Addr().String(), "seed": "1f",
+		"limits":      map[string]any{"cores": 1, "memory_mb": minMemoryMB, "sockets": minSockets},
+		"peer_listen": peers[largeSidecars-1], "peers": peers,
+		"known":    json.RawMessage(endpointList(41, true, "Ready", f.first, f.second)),
+		"settings": settings,
+	})
 	if err != nil {
 		t.Fatal(err)
 	}
 	return string(text)
 }
 
-// sendReads sends n requests of rotating tenants and keys, 16 at a time, each of which must be served. It returns the most
-// descriptors that the program had open meanwhile.
+// sendReads sends n requests of rotating tenants and keys, 16 at a time, and fails the test unless each is served. It
+// returns the largest number of descriptors that the program had open.
 func sendReads(t *testing.T, p *program, listen string, n int) (descriptors int) {
 	t.Helper()
 	var senders sync.WaitGroup
@@ -161,7 +171,7 @@
 	return descriptors
 }
 
-// sendRead sends request i of n. An error says that it was not served.
+// sendRead sends request i of n. It returns an error if the request was not served.
 func sendRead(listen string, n, i int) error {
 	r, err := http.NewRequest(http.MethodGet, "http://"+listen+"/read", nil)
 	if err != nil {
@@ -180,7 +190,7 @@
 		return err
 	}
 	if response.StatusCode != http.StatusOK {
-		return fmt.Errorf("%s %v", response.Status, response.Header)
+		return fmt.Errorf("got %s with %v, want 200", response.Status, response.Header)
 	}
 	return nil
 }
@@ -205,34 +215,34 @@
 func TestLargeFleetFitsSmallestLimits(t *testing.T) {
 	fleet, listen := newLargeFleet(t), freeAddress(t)
 	p := launch(t, command(t, fleet.config(t, listen)))
-	defer func() {
+	t.Cleanup(func() {
 		if t.Failed() {
 			t.Log(p.log.String())
 		}
-	}()
-	waitFor(t, "the program to be ready", func() bool { return statusOf("http://"+listen+"/health/ready") == http.StatusOK })
+	})
+	awaitReady(t, listen)
 
 	descriptors := sendReads(t, p, listen, 2*largeEndpoints)
-	if fleet.ready.served.Load() == 0 || fleet.draining.served.Load() == 0 {
-		t.Errorf("%d requests went to one half of the list, %d to the other", fleet.ready.served.Load(), fleet.draining.served.Load())
+	if first, second := fleet.ready.served.Load(), fleet.draining.served.Load(); first == 0 || second == 0 {
+		t.Errorf("got %d requests at the first half of the list and %d at the second, want some at both", first, second)
 	}
 	close(fleet.drain)
-	select { // the next call comes once the previous list was passed on
+	select { // the next call follows once the balancer has the list
 	case <-fleet.drainPassed:
 	case <-time.After(20 * time.Second):
-		t.Fatal("no call after the change")
+		t.Fatal("got no call after the change in 20 s")
 	}
 	before := fleet.draining.served.Load()
 	descriptors = max(descriptors, sendReads(t, p, listen, largeEndpoints+1))
 	if late := fleet.draining.served.Load() - before; late > 0 {
-		t.Errorf("%d requests went to draining endpoints", late)
+		t.Errorf("got %d requests at draining endpoints, want none", late)
 	}
 	if descriptors > minSockets {
-		t.Errorf("%d descriptors open, the limit is %d", descriptors, minSockets)
+		t.Errorf("got %d open descriptors, want at most %d", descriptors, minSockets)
 	}
 	kb := peakMemoryKB(t, p)
 	if kb > minMemoryMB<<10 && !raceDetectorEnabled() {
-		t.Errorf("peak memory %d kB, the limit is %d MB", kb, minMemoryMB)
+		t.Errorf("got peak memory of %d kB, want at most %d MB", kb, minMemoryMB)
 	}
 	t.Logf("%d descriptors, peak memory %d kB", descriptors, kb)
 }
--- a/cmd/sidecar/main_test.go
+++ b/cmd/sidecar/main_test.go
@@ -42,62 +42,67 @@
 	os.Exit(0)
 }
 
+// keepAliveReady reports whether the program that listens at an address is ready. Unlike readiness, it may reuse a
+// connection.
+func keepAliveReady(address string) bool {
+	response, err := http.Get("http://" + address + "/health/ready")
+	if err != nil {
+		return false
+	}
+	response.Body.Close()
+	return response.StatusCode == http.StatusOK
+}
+
 func TestInvalidConfigurationFailsWithOneLine(t *testing.T) {
-	good := configJSON("127.0.0.1:0")
+	valid := configJSON("127.0.0.1:0")
 	for name, c := range map[string]struct{ text, key string }{
-		"no seed":       {strings.Replace(good, `"seed"`, `"sed"`, 1), "seed"},
-		"not JSON":      {good[:40], "JSON"},
-		"missing class": {strings.Replace(good, `"classes"`, `"glasses"`, 1), "classes"},
+		"no seed":       {strings.Replace(valid, `"seed"`, `"sed"`, 1), "seed"},
+		"not JSON":      {valid[:40], "JSON"},
+		"missing class": {strings.Replace(valid, `"classes"`, `"glasses"`, 1), "classes"},
 	} {
 		cmd := command(t, c.text)
-		out, err := cmd.CombinedOutput()
+		output, err := cmd.CombinedOutput()
 		var exit *exec.ExitError
 		if !errors.As(err, &exit) || exit.ExitCode() != 1 {
-			t.Errorf("%s: %v, want exit code 1", name, err)
+			t.Errorf("%s: got %v, want exit code 1", name, err)
 		}
-		if bytes.Count(out, []byte("\n")) != 1 || !bytes.Contains(out, []byte(c.key)) {
-			t.Errorf("%s: output %q, want one line with %q", name, out, c.key)
+		if bytes.Count(output, []byte("\n")) != 1 || !bytes.Contains(output, []byte(c.key)) {
+			t.Errorf("%s: got output %q, want one line with %q", name, output, c.key)
 		}
 	}
-	cmd := command(t, good)
+	cmd := command(t, valid)
 	cmd.Env = append(cmd.Env, "BALANCER_CONFIG=")
-	if out, err := cmd.CombinedOutput(); err == nil || !bytes.Contains(out, []byte("BALANCER_CONFIG")) {
-		t.Errorf("without the variable: %v, %q", err, out)
+	if output, err := cmd.CombinedOutput(); err == nil || !bytes.Contains(output, []byte("BALANCER_CONFIG")) {
+		t.Errorf("without BALANCER_CONFIG: got %v, %q, want an error that names it", err, output)
 	}
 }
 
-// SIGHUP, which by default ends a process, reloads the file; an invalid file changes nothing. SIGTERM shuts the program
-// down, also when SIGHUP follows at once.
+// SIGHUP, whose default action is to end a process, reloads the file; an invalid file changes nothing. SIGTERM shuts
+// the program down, also when SIGHUP follows at once.
 func TestSIGHUPReloadsAndSIGTERMShutsDown(t *testing.T) {
 	listen := freeAddress(t)
 	p := launch(t, command(t, configJSON(listen)))
-	ready := func() bool {
-		response, err := http.Get("http://" + listen + "/health/ready")
-		if err != nil {
-			return false
-		}
-		response.Body.Close()
-		return response.StatusCode == http.StatusOK
-	}
+	ready := func() bool { return keepAliveReady(listen) }
 	waitFor(t, "the program to be ready", ready)
 	p.replaceConfig("{")
 	p.signal(syscall.SIGHUP)
-	waitFor(t, "the log line on the invalid file", func() bool { return p.log.count("configuration not reloaded") == 1 })
-	registry := make(chan string, 100)
+	waitFor(t, "the rejected reload", func() bool { return p.log.count("configuration not reloaded") == 1 })
+	calls := make(chan string, 100)
 	discovery := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		registry <- r.URL.String()
-		io.WriteString(w, `{"seq":1,"whole":true,"hosts":[{"host":"s-1","dial":"127.0.0.1:1","site":"a","health":"Ready","share":1}]}`)
+		calls <- r.URL.String()
+		io.WriteString(w, `{"seq":1,"whole":true,`+
+			`"hosts":[{"host":"s-1","dial":"127.0.0.1:1","site":"a","health":"Ready","share":1}]}`)
 	}))
-	defer discovery.Close()
+	t.Cleanup(discovery.Close)
 	p.replaceConfig(strings.Replace(configJSON(listen), "127.0.0.1:1", discovery.Listener.Addr().String(), 1))
 	p.signal(syscall.SIGHUP)
 	select {
-	case call := <-registry:
+	case call := <-calls:
 		if call != "/registry/instances" {
-			t.Errorf("the first call to the new address: %s", call)
+			t.Errorf("got first call %s to the new address, want /registry/instances", call)
 		}
 	case <-time.After(20 * time.Second):
-		t.Fatal("the new address is not polled")
+		t.Fatal("got no call to the new address in 20 s")
 	}
 	if !ready() {
 		t.Error("the program is not ready after SIGHUP")
@@ -109,23 +114,16 @@
 	}
 }
 
-// While the first process serves, a second one inherits the same socket, reports ready at its own admin address, and
-// serves on when the first is shut down.
+// While the first process serves, a second one inherits the same socket and reports ready at its own admin address. It
+// serves alone after the first is shut down.
 func TestHandOverOnPassedSocket(t *testing.T) {
 	socket := newPassedSocket(t)
 	http.DefaultTransport.(*http.Transport).CloseIdleConnections()
-	launch := func() *program { return socket.launch(t, configJSON("127.0.0.1:1")) } // it could not listen there
-	clients := func() bool {                                                         // over a connection that is kept, unlike code's
-		response, err := http.Get("http://" + socket.address + "/health/ready")
-		if err != nil {
-			return false
-		}
-		response.Body.Close()
-		return response.StatusCode == http.StatusOK
-	}
+	launch := func() *program { return socket.launch(t, configJSON("127.0.0.1:1")) } // the address is not listened at
+	clients := func() bool { return keepAliveReady(socket.address) }
 	first := launch()
 	waitFor(t, "the first process to be ready", first.healthy)
-	waitFor(t, "readiness at the clients' address", clients)
+	waitFor(t, "readiness for clients", clients)
 	second := launch()
 	waitFor(t, "the second process to be ready", second.healthy)
 	first.terminate()
@@ -140,18 +138,18 @@
 	socket := newPassedSocket(t)
 	first := socket.launch(t, configJSON("127.0.0.1:1"))
 	waitFor(t, "the first process to be ready", first.healthy)
-	known := configJSON("127.0.0.1:1")
-	from, to := strings.Index(known, `[{"host"`), strings.Index(known, `]},`)
-	second := socket.launch(t, known[:from+1]+known[to:])
+	config := configJSON("127.0.0.1:1")
+	from, to := strings.Index(config, `[{"host"`), strings.Index(config, `]},`)
+	second := socket.launch(t, config[:from+1]+config[to:]) // knows no endpoint
 	waitFor(t, "the second process to answer", func() bool { return second.health() == http.StatusServiceUnavailable })
 	ended := make(chan error, 1)
 	for i := range 400 {
-		if i == 200 { // rolled back
+		if i == 200 { // as in a rollback
 			second.signal(syscall.SIGTERM)
 			go func() { ended <- second.Wait() }()
 		}
-		if got := statusOf("http://" + socket.address + "/health/ready"); got != http.StatusOK {
-			t.Fatalf("connection %d: %d", i, got)
+		if got := readiness(socket.address); got != http.StatusOK {
+			t.Fatalf("connection %d: got %d, want 200", i, got)
 		}
 	}
 	if err := <-ended; err != nil {
--- a/cmd/sidecar/program_test.go
+++ b/cmd/sidecar/program_test.go
@@ -25,11 +25,12 @@
 	if err := os.WriteFile(path, []byte(config), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	c := exec.Command(os.Args[0])
-	c.Env = append(os.Environ(), "SIDECAR_TEST_RUN=1", "BALANCER_CONFIG="+path)
-	return c
+	cmd := exec.Command(os.Args[0])
+	cmd.Env = append(os.Environ(), "SIDECAR_TEST_RUN=1", "BALANCER_CONFIG="+path)
+	return cmd
 }
 
+// freeAddress returns an address that was free a moment ago.
 func freeAddress(t *testing.T) string {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -40,6 +41,7 @@
 	return listener.Addr().String()
 }
 
+// configJSON returns a configuration with one class and one endpoint, which refuses connections.
 func configJSON(listen string) string {
 	return fmt.Sprintf(`{"name":"n0","listen":%q,"discovery":"127.0.0.1:1","seed":"1f",
 "limits":{"cores":1,"memory_mb":192,"sockets":1024},
@@ -66,16 +68,18 @@
 	return l.text.String()
 }
 
-func (l *logBuffer) count(what string) int {
+// count returns how often text occurs in the output.
+func (l *logBuffer) count(text string) int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return strings.Count(l.text.String(), what)
+	return strings.Count(l.text.String(), text)
 }
 
-func waitFor(t *testing.T, what string, is func() bool) {
+// waitFor waits until a condition holds. It fails the test, naming what it waited for, after 20 s.
+func waitFor(t *testing.T, what string, condition func() bool) {
 	t.Helper()
-	for end := time.Now().Add(20 * time.Second); !is(); time.Sleep(5 * time.Millisecond) {
-		if time.Now().After(end) {
+	for deadline := time.Now().Add(20 * time.Second); !condition(); time.Sleep(5 * time.Millisecond) {
+		if time.Now().After(deadline) {
 			t.Fatalf("timed out waiting for: %s", what)
 		}
 	}
@@ -127,17 +131,29 @@
 	return response.StatusCode
 }
 
+// readiness returns the status that clients at an address get for the program's readiness; 0 means no response.
+func readiness(address string) int { return statusOf("http://" + address + "/health/ready") }
+
+// awaitReady waits until the program that listens at an address is ready.
+func awaitReady(t *testing.T, address string) {
+	t.Helper()
+	waitFor(t, "the program to be ready", func() bool { return readiness(address) == http.StatusOK })
+}
+
 // withEndpoint starts an endpoint that answers 200 and names it in a configuration.
 func withEndpoint(t *testing.T, text string) string {
 	t.Helper()
-	endpoint := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) { io.WriteString(w, "done") }))
+	endpoint := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
+		io.WriteString(w, "done")
+	}))
 	t.Cleanup(endpoint.Close)
 	return strings.Replace(text, `"dial":"127.0.0.1:1"`, fmt.Sprintf(`"dial":%q`, endpoint.Listener.Addr()), 1)
 }
 
 // withSearchClass adds the class "search" to a configuration.
 func withSearchClass(text string) string {
-	return strings.Replace(text, `"classes":[`, `"classes":[{"name":"search","repeat":"pure","target":600000,"give-up":1000000},`, 1)
+	return strings.Replace(text, `"classes":[`,
+		`"classes":[{"name":"search","repeat":"pure","target":600000,"give-up":1000000},`, 1)
 }
 
 var lastRequestID atomic.Int32
--- a/cmd/sidecar/reload_test.go
+++ b/cmd/sidecar/reload_test.go
@@ -9,14 +9,14 @@
 	"testing"
 )
 
-// A class that is added to the file is served after SIGHUP; a truncated file changes nothing.
+// A class that is added to the file is served after SIGHUP. A truncated file changes nothing.
 func TestReloadAddsClass(t *testing.T) {
 	listen := freeAddress(t)
 	text := withEndpoint(t, configJSON(listen))
 	p := launch(t, command(t, text))
-	waitFor(t, "the program to be ready", func() bool { return statusOf("http://"+listen+"/health/ready") == http.StatusOK })
+	awaitReady(t, listen)
 	if n := p.log.count("generation=1"); n != 1 || requestStatus(t, listen, "search") != http.StatusBadRequest {
-		t.Errorf("%d log lines on the first configuration, or the new class is known already", n)
+		t.Errorf("got %d log lines on generation 1, want 1, and 400 for the class that is not configured", n)
 	}
 	p.replaceConfig(withSearchClass(text)[:300])
 	p.signal(syscall.SIGHUP)
@@ -25,15 +25,15 @@
 	p.signal(syscall.SIGHUP)
 	waitFor(t, "the reload", func() bool { return p.log.count("generation=2") == 1 })
 	if got := requestStatus(t, listen, "search"); got != http.StatusOK {
-		t.Errorf("the new class: status %d", got)
+		t.Errorf("the new class: got %d, want 200", got)
 	}
 	if got := requestStatus(t, listen, "read"); got != http.StatusOK {
-		t.Errorf("the old class: status %d", got)
+		t.Errorf("the previous class: got %d, want 200", got)
 	}
 	p.terminate()
 }
 
-// SIGHUP during startup has the file read again after startup.
+// After a SIGHUP during startup the file is read again once startup is complete.
 func TestSIGHUPDuringStartup(t *testing.T) {
 	listen := freeAddress(t)
 	text := withEndpoint(t, configJSON(listen))
@@ -57,7 +57,7 @@
 	p.terminate()
 }
 
-// During a hand-over both processes reload the file, and no client is served by the old configuration.
+// During a hand-over both processes reload the file, and no client is served by the previous configuration.
 func TestSIGHUPDuringHandOver(t *testing.T) {
 	socket, text := newPassedSocket(t), withEndpoint(t, configJSON("127.0.0.1:1"))
 	start := func() *program {
@@ -77,7 +77,7 @@
 			first.terminate()
 		}
 		if got := requestStatus(t, socket.address, "search"); got != http.StatusOK {
-			t.Fatalf("request %d of the new class: status %d", i, got)
+			t.Fatalf("request %d of the new class: got %d, want 200", i, got)
 		}
 	}
 	second.terminate()
--- a/cmd/sidecar/termination_test.go
+++ b/cmd/sidecar/termination_test.go
@@ -43,7 +43,7 @@
 }
 
 // terminationConfig returns a configuration with a number of endpoints at one address and two classes, whose longest
-// deadline is 0.7 s. With an endpoint for each request none is rejected because others time out.
+// deadline is 0.7 s. With one endpoint per request, no request is rejected because others time out.
 func terminationConfig(listen, endpoint string, endpoints int) string {
 	hosts := make([]string, endpoints)
 	for i := range hosts {
@@ -81,16 +81,16 @@
 	return err == nil
 }
 
-// However long after SIGTERM a request comes on an open connection, and however long its endpoint does not respond: a
-// request that the process forwards has a complete response before the process exits.
+// A request that the process forwards after SIGTERM gets a complete response before the process exits, whenever it
+// arrives on its open connection and however long its endpoint stays silent.
 func TestShutdownAnswersForwardedRequests(t *testing.T) {
 	const (
 		step = 50 * time.Millisecond
-		last = 1400 * time.Millisecond // SIGKILL comes at the longest deadline and 0.7 s
+		last = 1400 * time.Millisecond // SIGKILL follows 0.7 s after the longest deadline
 	)
 	endpoint, listen := newHangingEndpoint(t), freeAddress(t)
 	p := launch(t, command(t, terminationConfig(listen, endpoint.address, 100)))
-	waitFor(t, "the program to be ready", func() bool { return statusOf("http://"+listen+"/health/ready") == http.StatusOK })
+	awaitReady(t, listen)
 	var requests []*lateRequest
 	for after := time.Duration(0); after <= last; after += step {
 		for _, r := range []*lateRequest{
@@ -101,53 +101,55 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			defer conn.Close()
+			t.Cleanup(func() { conn.Close() })
 			conn.SetDeadline(time.Now().Add(20 * time.Second))
-			r.id, r.after, r.conn, r.in = fmt.Sprintf("late-%s-%d", r.class, after.Milliseconds()), after, conn, bufio.NewReader(conn)
+			r.id, r.after = fmt.Sprintf("late-%s-%d", r.class, after.Milliseconds()), after
+			r.conn, r.in = conn, bufio.NewReader(conn)
 			requests = append(requests, r)
 		}
 	}
 	if err := p.Process.Signal(syscall.SIGTERM); err != nil {
 		t.Fatal(err)
 	}
-	var wait sync.WaitGroup
+	var pending sync.WaitGroup
 	for _, r := range requests {
-		wait.Add(1)
+		pending.Add(1)
 		time.AfterFunc(r.after, func() {
-			defer wait.Done()
+			defer pending.Done()
 			if r.write() == nil && !r.answered() && endpoint.received(r.id) {
-				t.Errorf("%s, %v after SIGTERM: forwarded, and no complete response", r.id, r.after)
+				t.Errorf("%s, %v after SIGTERM: forwarded, got no complete response", r.id, r.after)
 			}
 		})
 	}
-	wait.Wait()
+	pending.Wait()
 	if err := p.Wait(); err != nil {
 		t.Errorf("the program ended with %v, want exit code 0", err)
 	}
 	if n := p.log.count("request aborted by shutdown"); n > 0 {
-		t.Errorf("%d requests aborted by shutdown", n)
+		t.Errorf("got %d requests aborted by shutdown, want none", n)
 	}
 }
 
-// At whatever moment of its startup a process gets SIGTERM, it exits, without error once it handles the signal.
+// A process that gets SIGTERM during startup exits, without error if it already handles the signal.
 func TestSIGTERMDuringStartup(t *testing.T) {
 	endpoint := newHangingEndpoint(t)
-	for moment := time.Duration(0); moment < 60*time.Millisecond; moment += 3 * time.Millisecond {
-		t.Run(moment.String(), func(t *testing.T) {
+	for delay := time.Duration(0); delay < 60*time.Millisecond; delay += 3 * time.Millisecond {
+		t.Run(delay.String(), func(t *testing.T) {
 			t.Parallel()
 			p := launch(t, command(t, terminationConfig(freeAddress(t), endpoint.address, 4)))
-			time.Sleep(moment)
+			time.Sleep(delay)
 			p.signal(syscall.SIGTERM)
 			ended := make(chan error, 1)
 			go func() { ended <- p.Wait() }()
 			select {
 			case err := <-ended:
-				// Before the program handles the signal, the signal kills it.
-				if status := p.ProcessState.Sys().(syscall.WaitStatus); err != nil && status.Signal() != syscall.SIGTERM {
-					t.Error(err)
+				// A program that does not handle the signal yet is killed by it.
+				status := p.ProcessState.Sys().(syscall.WaitStatus)
+				if err != nil && status.Signal() != syscall.SIGTERM {
+					t.Errorf("the program ended with %v, want no error or SIGTERM", err)
 				}
 			case <-time.After(20 * time.Second):
-				t.Fatal("the process does not exit")
+				t.Fatal("the process did not exit in 20 s")
 			}
 		})
 	}
--- a/cmd/sidecar/traffic_test.go
+++ b/cmd/sidecar/traffic_test.go
@@ -65,7 +65,7 @@
 	return listener.Addr().String()
 }
 
-// newEndpoint starts an endpoint that takes up to 40 ms for a request and never answers one in thirty.
+// newEndpoint starts an endpoint that serves a request in up to 40 ms and never answers one in thirty.
 func newEndpoint(t *testing.T, l *ledger) (address string) {
 	t.Helper()
 	return serveConnections(t, func(conn net.Conn) { serveEndpoint(conn, l) })
@@ -127,7 +127,7 @@
 	return proxy.Address()
 }
 
-// traffic runs the clients of a test and records what became of their requests.
+// traffic runs the clients of a test and records the results of their requests.
 type traffic struct {
 	address  string
 	ledger   *ledger
@@ -172,13 +172,14 @@
 	}
 }
 
+// violation records a violation, which check reports.
 func (f *traffic) violation(format string, args ...any) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.violations = append(f.violations, fmt.Sprintf(format, args...))
 }
 
-// client sends requests of both classes in turn. Now and then it abandons a request or pauses.
+// client alternates between requests of both classes. It regularly abandons a request or pauses.
 func (f *traffic) client(number int) {
 	defer f.clients.Done()
 	var conn net.Conn
@@ -212,6 +213,7 @@
 	}
 }
 
+// writeRequest writes a request of class order or, if it is idempotent, of class read.
 func (f *traffic) writeRequest(conn net.Conn, id string, nonIdempotent bool) error {
 	method, class := http.MethodGet, "read"
 	if nonIdempotent {
@@ -249,11 +251,11 @@
 	case err != nil:
 		f.violation("%s: truncated response %d: %v", id, response.StatusCode, err)
 	case response.StatusCode == http.StatusOK && string(body) != id:
-		f.violation("%s: the response to another request, %q", id, body)
+		f.violation("%s: got the response to another request, %q", id, body)
 	case nonIdempotent && f.ledger.of(id).count > 1:
 		f.violation("%s: not idempotent, and run %d times", id, f.ledger.of(id).count)
 	case response.StatusCode == http.StatusServiceUnavailable && nonIdempotent && f.ledger.of(id).count > 0:
-		f.violation("%s: not idempotent, run, and rejected as if it never had", id)
+		f.violation("%s: not idempotent, run, and rejected as if it had not run", id)
 	}
 	f.answered.Add(1)
 	if response.StatusCode == http.StatusOK {
@@ -284,7 +286,7 @@
 	}
 	for _, id := range f.unanswered {
 		if n := f.ledger.of(id).count; n > 0 {
-			t.Errorf("%s: forwarded %d times, and no response", id, n)
+			t.Errorf("%s: forwarded %d times, got no response", id, n)
 		}
 	}
 	for id, at := range f.abandoned {
@@ -293,10 +295,12 @@
 		}
 	}
 	if len(f.unanswered) > maxUnanswered {
-		t.Errorf("%d connections ended under requests, at most %d may: %v", len(f.unanswered), maxUnanswered, f.unanswered)
+		t.Errorf("got %d connections that ended under requests, want at most %d: %v",
+			len(f.unanswered), maxUnanswered, f.unanswered)
 	}
 	if f.served.Load() == 0 {
-		t.Error("nothing was served")
+		t.Error("got no served request, want some")
 	}
-	t.Logf("%d answered, %d of them served, %d on connections that ended", f.answered.Load(), f.served.Load(), len(f.unanswered))
+	t.Logf("%d answered, %d of them served, %d on connections that ended",
+		f.answered.Load(), f.served.Load(), len(f.unanswered))
 }
