--- a/internal/sidecar/admin_test.go
+++ b/internal/sidecar/admin_test.go
@@ -32,10 +32,10 @@
 	return listener.Addr().String()
 }
 
-// cordoned reports whether an endpoint is cordoned by operators.
-func (w *harness) cordoned(name string) (cordoned bool) {
+// cordoned reports whether the endpoint s-1 is cordoned by operators.
+func (w *harness) cordoned() (cordoned bool) {
 	w.t.Helper()
-	w.runInLoop(func() { cordoned = w.loop.endpoints.overrides[name].Cordoned })
+	w.runInLoop(func() { cordoned = w.loop.endpoints.overrides["s-1"].Cordoned })
 	return cordoned
 }
 
@@ -83,7 +83,7 @@
 		"two calls":    {strings.Repeat("GET /admin/health HTTP/1.1\r\nHost: a\r\n\r\n", 2), "HTTP/1.1 200"},
 		"unknown path": {"GET /admin/wealth HTTP/1.1\r\nHost: a\r\n\r\n", "HTTP/1.1 404"},
 		"wrong method": {"PUT /admin/health HTTP/1.1\r\nHost: a\r\nContent-Length: 0\r\n\r\n", "HTTP/1.1 405"},
-		"noise":        {"\x16\x03\x01\x02\r\n\r\n", "HTTP/1.1 400"},
+		"not HTTP":     {"\x16\x03\x01\x02\r\n\r\n", "HTTP/1.1 400"},
 		"endless head": {"GET /admin/health HTTP/1.1\r\nHost: a\r\nX-Pad: " + strings.Repeat("p", 100<<10),
 			"HTTP/1.1 431"},
 		"large body": {"GET /admin/health HTTP/1.1\r\nHost: a\r\nContent-Length: 1000000\r\n\r\n" +
@@ -156,8 +156,8 @@
 	}
 }
 
-// A cordoned endpoint gets no request from the call's response on, whatever discovery says of it, and is used again
-// once uncordoned.
+// Once the call that cordons an endpoint is answered, the endpoint gets no request, whatever discovery lists, until it
+// is uncordoned.
 func TestCordonByAdminCalls(t *testing.T) {
 	e := newServingEndpoint(t)
 	w := start(t, nil, ready("s-1", e.Address))
@@ -237,19 +237,19 @@
 	if got := callStatus(t, "POST", firstAdmin, "/admin/cordon?name=s-1"); got != 200 {
 		t.Fatalf("got %d, want 200", got)
 	}
-	if !first.cordoned("s-1") {
+	if !first.cordoned() {
 		t.Error("the override does not apply in the process that answered the call")
 	}
-	first.await("the override in the other process", func() bool { return second.cordoned("s-1") })
+	first.await("the override in the other process", func() bool { return second.cordoned() })
 	third := &harness{t: t, discovery: first.discovery}
 	third.launch(configure(t, first.discovery.address, nil, ready("s-1", e.Address)))
 	third.startAdmin(dir)
-	first.await("the override in the third process", func() bool { return third.cordoned("s-1") })
+	first.await("the override in the third process", func() bool { return third.cordoned() })
 	if got := callStatus(t, "POST", secondAdmin, "/admin/uncordon?name=s-1"); got != 200 {
 		t.Fatalf("got %d, want 200", got)
 	}
 	first.await("the end of the override in all processes", func() bool {
-		return !first.cordoned("s-1") && !second.cordoned("s-1") && !third.cordoned("s-1")
+		return !first.cordoned() && !second.cordoned() && !third.cordoned()
 	})
 }
 
@@ -283,11 +283,11 @@
 	path := filepath.Join(dir, operatorstate.FileName)
 	address := w.startAdmin(dir)
 	valid := `{"version":1,"sidecar":"n0","hosts":[{"host":"s-1","out":true}]}`
-	cordoned := func() bool { return w.cordoned("s-1") }
+	cordoned := func() bool { return w.cordoned() }
 	for name, text := range map[string]string{
 		"truncated":     valid[:30],
 		"empty":         "",
-		"noise":         "\x00\xff",
+		"not JSON":      "\x00\xff",
 		"other version": strings.Replace(valid, "1", "2", 1),
 		"other sidecar": strings.Replace(valid, "n0", "n1", 1),
 		"no name":       strings.Replace(valid, "s-1", "", 1),
--- a/internal/sidecar/clients_test.go
+++ b/internal/sidecar/clients_test.go
@@ -118,7 +118,7 @@
 			"Transfer-Encoding: chunked\r\n\r\nzz\r\nabc", "HTTP/1.1 400"},
 		"GET with a body": {sidecartest.ReadHead + "X-Correlation-Id: 1\r\n" +
 			"Content-Length: 3\r\n\r\nabc", "HTTP/1.1 400"},
-		"noise":        {"\x16\x03\x01\x02\r\n\r\n", "HTTP/1.1 400"},
+		"not HTTP":     {"\x16\x03\x01\x02\r\n\r\n", "HTTP/1.1 400"},
 		"endless head": {sidecartest.PayHead + "X-Pad: " + strings.Repeat("p", 100<<10), "HTTP/1.1 431"},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -248,8 +248,8 @@
 	}
 }
 
-// Silent connections must neither block new ones nor use up the descriptors that attempts need: beyond the limit the one
-// that has been silent longest is closed, but none with a request in flight.
+// Silent connections must neither block new ones nor use up the descriptors that attempts need: beyond the limit the
+// one that has been silent longest is closed, but none with a request in flight.
 func TestClientConnectionsAreLimited(t *testing.T) {
 	answer := make(chan struct{})
 	e := sidecartest.NewEndpoint(t, sidecartest.BlockPay(answer))
@@ -376,7 +376,8 @@
 		return requests > 0
 	})
 	limit := w.loop.cfg.Limits.Sockets
-	if descriptors := 2*w.server.clients.MaxConnections + downstream.MaxRejected + admin.MaxConnections + 4; descriptors > limit {
+	descriptors := 2*w.server.clients.MaxConnections + downstream.MaxRejected + admin.MaxConnections + 4
+	if descriptors > limit {
 		t.Errorf("got limits that allow %d descriptors, want at most %d", descriptors, limit)
 	}
 	if open := w.server.clients.Count(); open > w.server.clients.MaxConnections+downstream.MaxRejected {
--- a/internal/sidecar/discovery_test.go
+++ b/internal/sidecar/discovery_test.go
@@ -166,7 +166,8 @@
 	return fmt.Sprintf(`{"host":%q,"dial":%q,"site":"a","class":"m1","health":%q,"share":1}`, name, dial, health)
 }
 
-// With pushed lists the balancer does not subscribe: the sidecar watches its agent by itself, and resumes after a failure.
+// With pushed lists the balancer does not subscribe: the sidecar watches its agent by itself, and resumes after a
+// failure.
 func TestPushedListsAreWatchedWithoutSubscription(t *testing.T) {
 	e, second := newServingEndpoint(t), newServingEndpoint(t)
 	w := start(t, func(s map[string]any) { s["discovery"] = "automatic" }, ready("s-1", e.Address))
@@ -208,8 +209,8 @@
 	}
 }
 
-// The attributes that discovery lists reach the balancer, and an endpoint keeps its id across lists. An endpoint that has
-// restarted gets a new target.
+// The attributes that discovery lists reach the balancer, and an endpoint keeps its id across lists. An endpoint that
+// has restarted gets a new target.
 func TestEndpointKeepsItsIDAcrossLists(t *testing.T) {
 	e := newServingEndpoint(t)
 	w := start(t, nil, ready("s-1", e.Address))
@@ -278,8 +279,8 @@
 	s.decider.HandleEndpoints(now, kind, entries)
 }
 
-// A new configuration moves the watch: the new discovery is called for its complete list, and later responses of the old
-// one are ignored. A request in flight is served.
+// A new configuration moves the watch: the new discovery is called for its complete list, and later responses of the
+// old one are ignored. A request in flight is served.
 func TestReloadMovesTheWatchToTheNewDiscovery(t *testing.T) {
 	answer := make(chan struct{})
 	e := sidecartest.NewEndpoint(t, sidecartest.BlockAll(answer))
@@ -325,8 +326,8 @@
 	}
 }
 
-// Endpoints are added and removed under new names all day. One that is removed is forgotten once no attempt is in flight
-// there. Its id is never reused, so that a late outcome is not attributed to another endpoint.
+// Endpoints are added and removed under new names all day. One that is removed is forgotten once no attempt is in
+// flight there. Its id is never reused, so that a late outcome is not attributed to another endpoint.
 func TestRemovedEndpointsAreForgotten(t *testing.T) {
 	answer := make(chan struct{})
 	e := sidecartest.NewEndpoint(t, sidecartest.BlockAll(answer))
--- a/internal/sidecar/extrabytes_test.go
+++ b/internal/sidecar/extrabytes_test.go
@@ -33,7 +33,7 @@
 			conn.Close()
 			w.awaitClientGone()
 			close(dial.Unblock)
-			w.awaitOutcomes(1)
+			w.awaitOutcome()
 			if n, _ := e.Seen(); n != 0 {
 				t.Errorf("the endpoint got %d requests, want none", n)
 			}
@@ -46,17 +46,17 @@
 func TestExtraBytesAfterARequestCostNoResponse(t *testing.T) {
 	e := newServingEndpoint(t)
 	w := start(t, nil, ready("s-1", e.Address))
-	for what, behind := range map[string]string{
+	for name, extra := range map[string]string{
 		"a byte":    "x",
 		"a request": sidecartest.ReadHead + "X-Correlation-Id: 99\r\n\r\n",
 		"200 kB":    strings.Repeat("x", 200<<10),
 	} {
 		got := w.raw(
-			sidecartest.ReadHead + "X-Correlation-Id: " + strings.ReplaceAll(what, " ", "") + "\r\n\r\n" + behind,
+			sidecartest.ReadHead + "X-Correlation-Id: " + strings.ReplaceAll(name, " ", "") + "\r\n\r\n" + extra,
 		)
 		if strings.Count(got, "HTTP/1.1") != 1 || !strings.HasPrefix(got, "HTTP/1.1 200") ||
 			!strings.HasSuffix(got, "done") {
-			t.Errorf("%s: got %q", what, got)
+			t.Errorf("%s: got %q, want one complete 200", name, got)
 		}
 	}
 	if n, _ := e.Seen(); n != 3 {
--- a/internal/sidecar/faults_test.go
+++ b/internal/sidecar/faults_test.go
@@ -35,8 +35,8 @@
 	}
 }
 
-// A process slot is acquired once its directory exists. A peer that was found there counts as alive while its slot cannot
-// be read.
+// A process slot is acquired once its directory exists. A peer that was found there counts as alive while its slot
+// cannot be read.
 func TestProcessSlotDespiteFaults(t *testing.T) {
 	e := newServingEndpoint(t)
 	w := start(t, nil, ready("s-1", e.Address))
--- a/internal/sidecar/harness_test.go
+++ b/internal/sidecar/harness_test.go
@@ -144,7 +144,7 @@
 	if err != nil {
 		w.t.Fatal(err)
 	}
-	w.loop.upstream.ReuseDelay = 0 // most tests use a connection again at once
+	w.loop.upstream.ReuseDelay = 0 // many tests reuse a connection immediately
 	w.recorder = &balancerRecorder{decider: w.loop.balancer}
 	w.loop.balancer = w.recorder
 	w.server = newServer(w.loop)
@@ -177,10 +177,10 @@
 	})
 }
 
-// awaitOutcomes waits until as many outcomes of attempts were reported to the balancer.
-func (w *harness) awaitOutcomes(want int) {
+// awaitOutcome waits until the outcome of exactly one attempt was reported to the balancer.
+func (w *harness) awaitOutcome() {
 	w.t.Helper()
-	w.await(fmt.Sprintf("%d outcomes", want), func() bool { return len(w.recorder.statuses()) == want })
+	w.await("one outcome", func() bool { return len(w.recorder.statuses()) == 1 })
 }
 
 // awaitReleasedMemory waits until no memory is reserved for bodies.
--- a/internal/sidecar/host_test.go
+++ b/internal/sidecar/host_test.go
@@ -11,8 +11,8 @@
 	"oakproxy/internal/config"
 )
 
-// A sidecar that shares its process changes neither that process's memory limit nor its files. One with a process of its
-// own sets the memory limit.
+// A sidecar that shares its process changes neither that process's memory limit nor its files. One with a process of
+// its own sets the memory limit.
 func TestMemoryLimitDependsOnTheHost(t *testing.T) {
 	t.Setenv("TMPDIR", t.TempDir())
 	before := debug.SetMemoryLimit(-1)
--- a/internal/sidecar/scripteddiscovery_test.go
+++ b/internal/sidecar/scripteddiscovery_test.go
@@ -85,7 +85,7 @@
 	s.mu.Lock()
 	call, silenced := len(s.calls), s.silencing
 	s.calls = append(s.calls, recordedCall{at: time.Now(), wait: wait})
-	behind := r.FormValue("after") != strconv.FormatUint(s.list.Version, 10)
+	outdated := r.FormValue("after") != strconv.FormatUint(s.list.Version, 10)
 	reset, changed, unresponsive, down := s.resetting, s.changed, s.unresponsive, s.down
 	queueDelay, malformed := s.queueDelay, ""
 	if len(s.malformedReplies) > 0 {
@@ -107,7 +107,7 @@
 		<-r.Context().Done()
 		return
 	}
-	if wait > 0 && !behind {
+	if wait > 0 && !outdated {
 		s.addOpen(1)
 		var isDone, isReset, isSilenced bool
 		select {
--- a/internal/sidecar/sendgate_test.go
+++ b/internal/sidecar/sendgate_test.go
@@ -68,7 +68,7 @@
 			<-dial.Started
 			conn.Close()
 			close(dial.Unblock) // at once: the disconnect may not have been noticed yet
-			w.awaitOutcomes(1)
+			w.awaitOutcome()
 			if all := w.recorder.statuses(); !slices.Equal(all, []balancer.Status{balancer.NotSent}) {
 				t.Errorf("got outcomes %v, want not sent", all)
 			}
--- a/internal/sidecar/shutdown_test.go
+++ b/internal/sidecar/shutdown_test.go
@@ -19,8 +19,8 @@
 // defaultClientTimeout is the client timeout of tests that do not wait for it.
 const defaultClientTimeout = 3 * time.Second
 
-// startTerminating starts a sidecar with one endpoint, whose classes have the given client timeout. closeAdmission begins
-// the shutdown and waits until admission is closed.
+// startTerminating starts a sidecar with one endpoint, whose classes have the given client timeout. closeAdmission
+// begins the shutdown and waits until admission is closed.
 func startTerminating(
 	t *testing.T,
 	serve sidecartest.Handler,
@@ -96,7 +96,7 @@
 // A request that stays partial is rejected, too, before SIGKILL. A connection that has sent nothing is closed.
 func TestPartialRequestIsRejectedAfterAdmissionCloses(t *testing.T) {
 	const rejected = http.StatusServiceUnavailable
-	for what, c := range map[string]struct {
+	for name, c := range map[string]struct {
 		text string
 		code int
 	}{
@@ -105,7 +105,7 @@
 		"a head, no end": {sidecartest.ReadHead + "X-Correlation-Id: 1\r\n", rejected},
 		"half a body":    {sidecartest.PayHead + "X-Correlation-Id: 1\r\nContent-Length: 10\r\n\r\n01234", rejected},
 	} {
-		t.Run(what, func(t *testing.T) {
+		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			w, e, closeAdmission := startTerminating(t, sidecartest.Always(sidecartest.Served), 100*time.Millisecond)
 			idle, conn := w.dial(), w.dial()
@@ -239,7 +239,7 @@
 // request gets its response, which ends its connection, and the sidecar ends after that.
 func TestTerminationAnswersOpenRequests(t *testing.T) {
 	head := sidecartest.PayHead + "Content-Length: 10\r\nX-Correlation-Id: "
-	for what, split := range map[string]int{
+	for name, split := range map[string]int{
 		"idle connection":     0,
 		"half a line":         7,
 		"half a head":         len(head) / 2,
@@ -249,7 +249,7 @@
 		"a request in flight": len(head) + len("1\r\n\r\n") + 10,
 		"half a head, reload": len(head) / 2,
 	} {
-		t.Run(what, func(t *testing.T) {
+		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			e := newServingEndpoint(t)
 			w := start(t, nil, ready("s-1", e.Address))
@@ -264,7 +264,7 @@
 			}
 			w.stop()
 			w.await("the end of service", w.server.draining)
-			if what == "half a head, reload" {
+			if name == "half a head, reload" {
 				next := *w.loop.cfg
 				w.runInLoop(func() { w.loop.reload(&next) })
 			}
--- a/internal/sidecar/sidecar_test.go
+++ b/internal/sidecar/sidecar_test.go
@@ -180,7 +180,7 @@
 	case <-time.After(sidecartest.WaitTimeout):
 		t.Fatal("the attempt's connection stays open")
 	}
-	w.awaitOutcomes(1)
+	w.awaitOutcome()
 	w.recorder.mu.Lock()
 	defer w.recorder.mu.Unlock()
 	if o := w.recorder.outcomes[0]; o.Status != balancer.Cancelled || !o.Answered {
@@ -226,7 +226,7 @@
 	cancel()
 	w.awaitClientGone()
 	close(answer)
-	w.awaitOutcomes(1)
+	w.awaitOutcome()
 	w.recorder.mu.Lock()
 	defer w.recorder.mu.Unlock()
 	if o := w.recorder.outcomes[0]; o.Status != balancer.OK || !o.Answered {
--- a/internal/sidecar/stream_test.go
+++ b/internal/sidecar/stream_test.go
@@ -26,8 +26,8 @@
 	return b.String()
 }
 
-// A large response reaches the client complete, whatever its framing. The endpoint's connection is reused unless its end
-// delimits the response.
+// A large response reaches the client complete, whatever its framing. The endpoint's connection is reused unless its
+// end delimits the response.
 func TestLargeResponsesAreStreamed(t *testing.T) {
 	body := strings.Repeat("0123456789abcdef", large/16)
 	for name, c := range map[string]struct {
--- a/internal/sidecar/syscalls_test.go
+++ b/internal/sidecar/syscalls_test.go
@@ -81,7 +81,7 @@
 		return false
 	})
 	close(dial.Unblock)
-	w.awaitOutcomes(1)
+	w.awaitOutcome()
 	if n, conns := e.Seen(); n != 0 {
 		t.Errorf("the endpoint got %d requests on %d connections, want none", n, conns)
 	}
--- a/internal/sidecar/upload_test.go
+++ b/internal/sidecar/upload_test.go
@@ -130,8 +130,8 @@
 	}
 }
 
-// A client that disconnects within its chunked body has sent no complete request: the part that arrived must not reach an
-// endpoint as a complete request, however small it is.
+// A client that disconnects within its chunked body has sent no complete request: the part that arrived must not reach
+// an endpoint as a complete request, however small it is.
 func TestTruncatedChunkedBodyIsNoRequest(t *testing.T) {
 	e := sidecartest.NewEndpoint(t, writeBodyLength)
 	w := start(t, nil, ready("s-1", e.Address))
--- a/internal/sidecartest/await.go
+++ b/internal/sidecartest/await.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// WaitTimeout is how long a test waits for what has to happen. It is long against any timeout of the sidecar, so that a
+// WaitTimeout is how long a test waits for a condition. It is much longer than any timeout of the sidecar, so that a
 // busy machine does not fail a test.
 const WaitTimeout = 20 * time.Second
 
@@ -18,7 +18,7 @@
 	t.Helper()
 	for deadline := time.Now().Add(WaitTimeout); !condition(); time.Sleep(pollInterval) {
 		if time.Now().After(deadline) {
-			t.Fatalf("waited in vain for: %s", what)
+			t.Fatalf("timed out waiting for: %s", what)
 		}
 	}
 }
--- a/internal/sidecartest/dials.go
+++ b/internal/sidecartest/dials.go
@@ -31,7 +31,7 @@
 }
 
 // ClosedAddress returns an address that refuses connections. Its port stays bound until the test ends: a port that is
-// released might be given to another test's listener, which would then get requests that are not its own.
+// released might be bound by another test's listener, which would then get requests that are not its own.
 func ClosedAddress(t *testing.T) string {
 	t.Helper()
 	fd, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM|syscall.SOCK_CLOEXEC, 0)
--- a/internal/sidecartest/texts.go
+++ b/internal/sidecartest/texts.go
@@ -8,8 +8,10 @@
  {"name":"pay","repeat":"token","group":"all","window":5000000,"target":600000,"give-up":3000000,"credit":1},
  {"name":"close","repeat":"token","group":"cell","window":5000000,"target":600000,"give-up":3000000,"credit":1},
  {"name":"order","repeat":"side_effect","target":600000,"give-up":3000000,"credit":1}],
- "contract":{"answer-slack":20000,"ask-within":1000000,"cold-from":0.3,"drain-grace":1000000,"fall-multiple":2.5,"overload-for":1000000,"ramp-time":0},
- "limits":{"cancel":true,"dial-timeout":2000000,"keepalive":5000000,"max-retry-after":1500000,"most-held":1000,"most-tries":3,"multiplex":1,"probes":false,"retry-after":true,"second-copies":true},
+ "contract":{"answer-slack":20000,"ask-within":1000000,"cold-from":0.3,"drain-grace":1000000,
+  "fall-multiple":2.5,"overload-for":1000000,"ramp-time":0},
+ "limits":{"cancel":true,"dial-timeout":2000000,"keepalive":5000000,"max-retry-after":1500000,
+  "most-held":1000,"most-tries":3,"multiplex":1,"probes":false,"retry-after":true,"second-copies":true},
  "reporting":{"how":"probe","fields":["failed_ps","pending"]},"peers-total":1,"position":0,"zone":0}`
 
 // PayHead is the head of a request of class pay, without the empty line that ends it, so that a test may add headers.
