--- a/cmd/sidecar/frozen_test.go
+++ b/cmd/sidecar/frozen_test.go
@@ -117,7 +117,7 @@
 	for _, name := range []string{"oakproxy-state.json", "oakproxy-learned.json"} {
 		restoreFile(t, socket.folder, name)
 	}
-	state := readJSON(t, socket.folder, "oakproxy-state.json")
+	restored := readJSON(t, socket.folder, "oakproxy-state.json")
 	learned := readJSON(t, socket.folder, "oakproxy-learned.json")
 	admin := freeAddress(t)
 	cmd := command(t, releaseConfig(t, socket.address, unusedAddress, unusedAddress))
@@ -148,19 +148,35 @@
 		}
 	}
 	call(t, http.MethodPost, "http://"+admin+"/admin/resume")
-	stored := readJSON(t, socket.folder, "oakproxy-state.json")
-	state["drained"] = false // the other calls repeated what was set
-	if !reflect.DeepEqual(stored, state) {
-		t.Errorf("got stored state %v, want %v", stored, state)
+	restored["drained"] = false // the other calls repeated what was set
+	checkStateFile(t, socket.folder, restored)
+	checkLearnedFile(t, socket.folder, learned)
+	checkFileNames(t, socket.folder)
+	waitFor(t, "the process slot to be marked ready", func() bool {
+		text, err := os.ReadFile(filepath.Join(socket.folder, "oakproxy-process.0"))
+		return err == nil && string(text) == "ready"
+	})
+}
+
+// checkStateFile compares the stored state with an object, and its keys with those of the previous release.
+func checkStateFile(t *testing.T, folder string, want map[string]any) {
+	t.Helper()
+	stored := readJSON(t, folder, "oakproxy-state.json")
+	if !reflect.DeepEqual(stored, want) {
+		t.Errorf("got stored state %v, want %v", stored, want)
 	}
 	wantKeys(t, "the state", stored, "version", "sidecar", "drained", "hosts")
 	for _, host := range stored["hosts"].([]any) {
 		wantKeys(t, "a host of the state", host, "host", "out", "since_ms", "up_ms")
 	}
+}
 
+// checkLearnedFile waits until the warm-start data is stored again, and compares it with what was stored before.
+func checkLearnedFile(t *testing.T, folder string, learned map[string]any) {
+	t.Helper()
 	written := learned
 	waitFor(t, "the warm-start data to be stored again", func() bool {
-		written = readJSON(t, socket.folder, "oakproxy-learned.json")
+		written = readJSON(t, folder, "oakproxy-learned.json")
 		return written["at_ms"] != learned["at_ms"]
 	})
 	wantKeys(t, "the warm-start data", written, "version", "sidecar", "at_ms", "up_ms", "clock_us", "learned")
@@ -174,9 +190,13 @@
 	if !reflect.DeepEqual(after, before) {
 		t.Errorf("got stored warm-start data\n%v, want\n%v", after, before)
 	}
+}
 
+// checkFileNames compares the names of all files in a folder with those of the previous release.
+func checkFileNames(t *testing.T, folder string) {
+	t.Helper()
 	var names []string
-	err := filepath.WalkDir(socket.folder, func(path string, entry fs.DirEntry, err error) error {
+	err := filepath.WalkDir(folder, func(path string, entry fs.DirEntry, err error) error {
 		if name := entry.Name(); !entry.IsDir() && !strings.HasPrefix(name, "oakproxy-learned.json.") {
 			names = append(names, name)
 		}
@@ -186,10 +206,6 @@
 	if err != nil || !slices.Equal(names, want) {
 		t.Errorf("got files %q (%v), want %q", names, err, want)
 	}
-	waitFor(t, "the process slot to be marked ready", func() bool {
-		text, err := os.ReadFile(filepath.Join(socket.folder, "oakproxy-process.0"))
-		return err == nil && string(text) == "ready"
-	})
 }
 
 // The form of requests to endpoints and to discovery, and the headers that are read from clients, are fixed.
@@ -231,34 +247,14 @@
 		cmd.Wait()
 	})
 	awaitReady(t, listen)
-	send := func(path, class string, extra http.Header) {
-		t.Helper()
-		request, err := http.NewRequest(http.MethodPost, "http://"+listen+path, strings.NewReader("body"))
-		if err != nil {
-			t.Fatal(err)
-		}
-		maps.Copy(request.Header, extra)
-		for name, value := range map[string]string{"X-Correlation-Id": "id-" + class, "X-Service-Class": class,
-			"X-Account": "acme", "X-Session-Key": "k", "X-Time-Left-Ms": "1500", "X-Repeat": "0", "X-Weight-Hint": "1000"} {
-			request.Header.Set(name, value)
-		}
-		client := http.Client{Transport: &http.Transport{DisableKeepAlives: true}}
-		response, err := client.Do(request)
-		if err != nil {
-			t.Fatal(err)
-		}
-		response.Body.Close()
-		if response.StatusCode != http.StatusOK {
-			t.Fatalf("class %s: got %s, want 200", class, response.Status)
-		}
-	}
-	send("/pay/1?q=2", "pay", http.Header{"Idempotency-Key": {"key"}})
+	sendPayment(t, "http://"+listen+"/pay/1?q=2")
 	forwarded := <-received
 	header := forwarded.Header
 	if forwarded.Method != http.MethodPost || forwarded.RequestURI != "/pay/1?q=2" ||
 		header.Get("X-Correlation-Id") != "id-pay" || header.Get("Idempotency-Key") != "key" ||
 		header.Get("X-Time-Left-Ms") == "" {
-		t.Errorf("the endpoint got %s %s with %v", forwarded.Method, forwarded.RequestURI, header)
+		t.Errorf("the endpoint got %s %s with %v, want the client's POST, path and headers",
+			forwarded.Method, forwarded.RequestURI, header)
 	}
 	if got := <-probed; got != "GET /stats" {
 		t.Errorf("got load probe %s, want GET /stats", got)
@@ -269,6 +265,36 @@
 	}
 }
 
+// sendPayment sends a request of class pay with every header that a client may set. It must be served.
+func sendPayment(t *testing.T, url string) {
+	t.Helper()
+	request, err := http.NewRequest(http.MethodPost, url, strings.NewReader("body"))
+	if err != nil {
+		t.Fatal(err)
+	}
+	for name, value := range map[string]string{
+		"Idempotency-Key":  "key",
+		"X-Correlation-Id": "id-pay",
+		"X-Service-Class":  "pay",
+		"X-Account":        "acme",
+		"X-Session-Key":    "k",
+		"X-Time-Left-Ms":   "1500",
+		"X-Repeat":         "0",
+		"X-Weight-Hint":    "1000",
+	} {
+		request.Header.Set(name, value)
+	}
+	client := http.Client{Transport: &http.Transport{DisableKeepAlives: true}}
+	response, err := client.Do(request)
+	if err != nil {
+		t.Fatal(err)
+	}
+	response.Body.Close()
+	if response.StatusCode != http.StatusOK {
+		t.Fatalf("got %s, want 200", response.Status)
+	}
+}
+
 // The platform reads these keys of the deploy file, and no others.
 func TestDeployFileKeepsItsKeys(t *testing.T) {
 	var file map[string]any
--- a/cmd/sidecar/traffic_test.go
+++ b/cmd/sidecar/traffic_test.go
@@ -291,7 +291,8 @@
 	}
 	for id, at := range f.abandoned {
 		if a := f.ledger.of(id); a.count > 0 && a.at.After(at.Add(maxLateArrival)) {
-			t.Errorf("%s: forwarded %v after its client had abandoned it", id, a.at.Sub(at))
+			t.Errorf("%s: forwarded %v after its client had abandoned it, want at most %v",
+				id, a.at.Sub(at), maxLateArrival)
 		}
 	}
 	if len(f.unanswered) > maxUnanswered {
--- a/internal/sidecar/clients_test.go
+++ b/internal/sidecar/clients_test.go
@@ -56,7 +56,7 @@
 		got := w.raw(sidecartest.PayHead + "X-Correlation-Id: 1\r\n" + head + "\r\n" + body)
 		if strings.Count(got, "HTTP/1.1") != 1 || !strings.HasPrefix(got, "HTTP/1.1 400") ||
 			!strings.Contains(got, "Transfer-Encoding") {
-			t.Errorf("%s: got %q", name, got)
+			t.Errorf("%s: got %q, want one 400 that names Transfer-Encoding", name, got)
 		}
 	}
 	// After a request net/http skips empty lines.
@@ -90,7 +90,7 @@
 	} {
 		got := w.raw(text)
 		if strings.Count(got, "HTTP/1.1") != 1 || !strings.HasPrefix(got, "HTTP/1.1 200") {
-			t.Errorf("%s: got %q", name, got)
+			t.Errorf("%s: got %q, want one 200", name, got)
 		}
 	}
 	if n, _ := e.Seen(); n != 2 {
@@ -267,7 +267,7 @@
 		return w.server.clients.Count() == w.server.clients.MaxConnections
 	})
 	if got := w.send(w.request("read", "", 3*time.Second)); got.code != http.StatusOK {
-		t.Errorf("beyond the limit: %+v", got)
+		t.Errorf("beyond the limit: got %+v, want 200", got)
 	}
 	if _, err := oldest.Read(make([]byte, 1)); err == nil {
 		t.Error("the longest silent connection has data, want its end")
@@ -317,7 +317,7 @@
 	w.loop.upstream.BodyMemory.Used.Add(int64(w.loop.cfg.Limits.MemoryMB) << 20 / bodyMemoryDivisor)
 	if got := w.send(w.request("pay", "x", 3*time.Second)); got.code != http.StatusServiceUnavailable ||
 		got.header.Get("Retry-After") == "" {
-		t.Errorf("beyond the limit: %+v", got)
+		t.Errorf("beyond the limit: got %+v, want 503 with Retry-After", got)
 	}
 	w.loop.upstream.BodyMemory.Used.Store(0)
 	if got := w.send(w.request("pay", "x", 3*time.Second)); got.code != http.StatusOK {
@@ -381,7 +381,7 @@
 		t.Errorf("got limits that allow %d descriptors, want at most %d", descriptors, limit)
 	}
 	if open := w.server.clients.Count(); open > w.server.clients.MaxConnections+downstream.MaxRejected {
-		t.Errorf("got %d client connections, limit %d", open, w.server.clients.MaxConnections)
+		t.Errorf("got %d client connections, want at most %d", open, w.server.clients.MaxConnections+downstream.MaxRejected)
 	}
 	close(stop)
 	for range n {
--- a/internal/sidecar/extrabytes_test.go
+++ b/internal/sidecar/extrabytes_test.go
@@ -63,6 +63,6 @@
 		t.Errorf("the endpoint got %d requests, want 3", n)
 	}
 	if got := w.send(w.request("read", "", time.Minute)); got.code != http.StatusOK {
-		t.Errorf("another client: %+v", got)
+		t.Errorf("another client: got %+v, want 200", got)
 	}
 }
--- a/internal/sidecar/faults_test.go
+++ b/internal/sidecar/faults_test.go
@@ -91,10 +91,10 @@
 			}
 		})
 		if ages[0] > sidecartest.WaitTimeout || ages[0] < -2*discovery.MinSkew {
-			t.Errorf("step %v: got age %v of an endpoint that has just started", step, ages[0])
+			t.Errorf("step %v: got age %v, want that of an endpoint that has just started", step, ages[0])
 		}
 		if off := ages[1] - 2*time.Hour; off > sidecartest.WaitTimeout || off < -2*discovery.MinSkew {
-			t.Errorf("step %v: got age %v of an endpoint that started two hours ago", step, ages[1])
+			t.Errorf("step %v: got age %v, want about 2 h", step, ages[1])
 		}
 	}
 }
--- a/internal/sidecar/scripteddiscovery_test.go
+++ b/internal/sidecar/scripteddiscovery_test.go
@@ -83,11 +83,10 @@
 	ms, _ := strconv.Atoi(r.FormValue("wait_ms"))
 	wait := time.Duration(ms) * time.Millisecond
 	s.mu.Lock()
-	call, silenced := len(s.calls), s.silencing
+	call, signals := len(s.calls), callSignals{s.silencing, s.resetting, s.changed}
 	s.calls = append(s.calls, recordedCall{at: time.Now(), wait: wait})
 	outdated := r.FormValue("after") != strconv.FormatUint(s.list.Version, 10)
-	reset, changed, unresponsive, down := s.resetting, s.changed, s.unresponsive, s.down
-	queueDelay, malformed := s.queueDelay, ""
+	unresponsive, down, queueDelay, malformed := s.unresponsive, s.down, s.queueDelay, ""
 	if len(s.malformedReplies) > 0 {
 		malformed, s.malformedReplies = s.malformedReplies[0], s.malformedReplies[1:]
 	}
@@ -107,32 +106,8 @@
 		<-r.Context().Done()
 		return
 	}
-	if wait > 0 && !outdated {
-		s.addOpen(1)
-		var isDone, isReset, isSilenced bool
-		select {
-		case <-time.After(wait):
-		case <-changed:
-		case <-r.Context().Done():
-			isDone = true
-		case <-reset:
-			isReset = true
-		case <-silenced:
-			isSilenced = true
-		}
-		s.addOpen(-1)
-		switch {
-		case isDone:
-			return
-		case isReset:
-			panic(http.ErrAbortHandler)
-		case isSilenced:
-			s.mu.Lock()
-			s.calls[call].silent = true
-			s.mu.Unlock()
-			<-r.Context().Done()
-			return
-		}
+	if wait > 0 && !outdated && !s.awaitChange(r.Context(), call, wait, signals) {
+		return
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -148,6 +123,45 @@
 	json.NewEncoder(w).Encode(response)
 }
 
+// callSignals end the wait of an open call. They are taken when the call arrives.
+type callSignals struct{ silenced, reset, changed <-chan struct{} }
+
+// awaitChange keeps an open call waiting for a change of the list. It reports whether the call is to be answered. A
+// silenced call waits until its client gives up; the connection of a reset call is closed by a panic.
+func (s *scriptedDiscovery) awaitChange(
+	ctx context.Context,
+	call int,
+	wait time.Duration,
+	signals callSignals,
+) (answer bool) {
+	s.addOpen(1)
+	var isDone, isReset, isSilenced bool
+	select {
+	case <-time.After(wait):
+	case <-signals.changed:
+	case <-ctx.Done():
+		isDone = true
+	case <-signals.reset:
+		isReset = true
+	case <-signals.silenced:
+		isSilenced = true
+	}
+	s.addOpen(-1)
+	switch {
+	case isDone:
+		return false
+	case isReset:
+		panic(http.ErrAbortHandler)
+	case isSilenced:
+		s.mu.Lock()
+		s.calls[call].silent = true
+		s.mu.Unlock()
+		<-ctx.Done()
+		return false
+	}
+	return true
+}
+
 // drainEndpoint has the endpoint drain, and answers the open calls with the change.
 func (s *scriptedDiscovery) drainEndpoint() {
 	s.mu.Lock()
