--- a/internal/sidecar/admin_test.go
+++ b/internal/sidecar/admin_test.go
@@ -115,7 +115,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		defer conn.Close()
+		t.Cleanup(func() { conn.Close() })
 	}
 	began := time.Now()
 	if got := callStatus(t, http.MethodGet, address, "/admin/health"); got != http.StatusOK {
--- a/internal/sidecar/sidecar_test.go
+++ b/internal/sidecar/sidecar_test.go
@@ -200,7 +200,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer conn.Close()
+	t.Cleanup(func() { conn.Close() })
 	w.request("pay", "x", time.Minute).Write(conn)
 	w.awaitRequests(e, 1)
 	conn.(*net.TCPConn).CloseWrite()
@@ -296,17 +296,17 @@
 func TestDrainDuringDialRetriesElsewhere(t *testing.T) {
 	first, second := newServingEndpoint(t), newServingEndpoint(t)
 	w := start(t, nil, ready("s-1", first.Address))
-	dialling, proceed := make(chan struct{}), make(chan struct{})
+	dialing, proceed := make(chan struct{}), make(chan struct{})
 	w.loop.upstream.Dialer.Control = func(_, address string, _ syscall.RawConn) error {
 		if address == first.Address {
-			close(dialling)
+			close(dialing)
 			<-proceed
 		}
 		return nil
 	}
 	answer := make(chan reply)
 	go func() { answer <- w.send(w.request("order", "x", time.Minute)) }()
-	<-dialling
+	<-dialing
 	w.discovery.change(func() {
 		w.discovery.list = completeList(1, drainingEntry("s-1", first.Address), ready("s-2", second.Address))
 	})
@@ -338,7 +338,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer idle.Close()
+	t.Cleanup(func() { idle.Close() })
 	w.request("read", "", time.Minute).Write(idle)
 	in := bufio.NewReader(idle)
 	response, err := http.ReadResponse(in, nil)
@@ -360,7 +360,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer conn.Close()
+	t.Cleanup(func() { conn.Close() })
 	w.request("read", "", time.Minute).Write(conn)
 	conn.SetReadDeadline(time.Now().Add(sidecartest.WaitTimeout))
 	if late, err := http.ReadResponse(bufio.NewReader(conn), nil); err != nil || late.StatusCode != 200 || !late.Close {
