--- a/balancer/breaker.go
+++ b/balancer/breaker.go
@@ -2,34 +2,41 @@
 
 // Circuit breakers of single endpoints, the error throttle over all of them, and outlier ejection.
 
-// The constants of go-zero's adaptive breaker (its pull request 5366), which follows client-side throttling
-// in the SRE book: K falls from maxK to minK as more buckets in a row fail.
+// The constants of go-zero's adaptive breaker (its pull request 5366). It follows client-side throttling in
+// the SRE book (chapter "Handling Overload"), with a K that falls as more buckets in a row fail.
 const (
-	breakerWindow             = 10 * second
-	breakerBuckets            = 40
-	maxK                      = 1.5
-	minK                      = 1.1
-	protectedRequests         = 5      // that never count as too many
-	forcedTrialInterval       = second // after which a request is let through in spite of the draw
-	latencyActivationFactor   = 3      // times the base latency, from which requests are dropped
-	latencyCeilingShare       = 0.95   // of the client's timeout, at which maxLatencyDropProbability is reached
-	baseFallDivisor           = 4
-	baseRiseDivisor           = 100
-	currentDivisor            = 4
+	breakerWindow     = 10 * second // of the outcomes that a breaker judges by
+	breakerBuckets    = 40          // in the window
+	maxAcceptFactor   = 1.5         // requests allowed for each accepted one: K of the SRE book
+	minAcceptFactor   = 1.1         // K if every bucket of the window has failures alone
+	protectedRequests = 5           // requests of a window that no failure drops: too few to judge by
+
+	// forcedTrialInterval is the time after which a request is let through in spite of the draw, so that a
+	// recovery is noticed.
+	forcedTrialInterval = second
+
+	latencyThresholdFactor    = 3    // multiple of the base latency from which requests are dropped
+	latencyCeilingShare       = 0.95 // of the client's timeout, at which the drop probability is largest
 	maxLatencyDropProbability = 0.3
+
+	// A divisor of n gives the latest latency a weight of 1/n in its average.
+	baseLatencyFallDivisor = 4   // if it is below the average
+	baseLatencyRiseDivisor = 100 // if it is above: the base latency is not to follow an overload
+	currentLatencyDivisor  = 4
 )
 
 // circuitBreaker holds an endpoint's window of outcomes and its two latency averages.
 type circuitBreaker struct {
 	buckets        [breakerBuckets]breakerBucket
-	newest         int64 // number of the newest bucket since instant 0
-	requests       int   // over the window
-	accepts        int
-	baseLatency    float64 // falls fast and rises slowly
-	currentLatency float64
-	lastTrialAt    Micros // latest request let through in spite of the draw
+	newest         int64   // number of the newest bucket, counted from instant 0
+	requests       int     // over the window
+	accepts        int     // over the window
+	baseLatency    float64 // microseconds; falls fast and rises slowly
+	currentLatency float64 // microseconds; an average over the latest few
+	lastTrialAt    Micros  // latest request let through in spite of the draw
 }
 
+// breakerBucket counts the requests of one bucket of the window.
 type breakerBucket struct{ requests, accepts, failures int }
 
 // advance returns the bucket of this instant, after dropping those that left the window.
@@ -72,24 +79,24 @@
 	}
 }
 
-// addLatency adds a latency to both averages.
+// addLatency adds a latency in microseconds to both averages.
 func (k *circuitBreaker) addLatency(x float64) {
 	if k.baseLatency <= 0 {
 		k.baseLatency, k.currentLatency = x, x
 		return
 	}
-	divisor := float64(baseRiseDivisor)
+	divisor := float64(baseLatencyRiseDivisor)
 	if x < k.baseLatency {
-		divisor = baseFallDivisor
+		divisor = baseLatencyFallDivisor
 	}
 	k.baseLatency = (x + (divisor-1)*k.baseLatency) / divisor
-	k.currentLatency = (x + (currentDivisor-1)*k.currentLatency) / currentDivisor
+	k.currentLatency = (x + (currentLatencyDivisor-1)*k.currentLatency) / currentLatencyDivisor
 }
 
 // errorDropProbability grows with the failures in the window.
 func (k *circuitBreaker) errorDropProbability(now Micros) float64 {
 	k.advance(now)
-	failing := 0 // buckets with failures alone since the latest success
+	failing := 0 // buckets with failures alone, since the latest bucket with a success
 	for i := k.newest + 1; i <= k.newest+breakerBuckets; i++ {
 		if bucket := &k.buckets[i%breakerBuckets]; bucket.accepts > 0 {
 			failing = 0
@@ -97,13 +104,15 @@
 			failing++
 		}
 	}
-	weight := max(minK, maxK-(maxK-minK)*float64(failing)/breakerBuckets)
-	return dropProbability(float64(k.requests), weight*float64(k.accepts))
+	factor := max(minAcceptFactor,
+		maxAcceptFactor-(maxAcceptFactor-minAcceptFactor)*float64(failing)/breakerBuckets)
+	return dropProbability(float64(k.requests), factor*float64(k.accepts))
 }
 
-// latencyDropProbability grows with the current latency between a multiple of the base and the timeout.
+// latencyDropProbability grows with the current latency between a multiple of the base and the client's
+// timeout, which is in microseconds.
 func (k *circuitBreaker) latencyDropProbability(timeout float64) float64 {
-	threshold := latencyActivationFactor * k.baseLatency
+	threshold := latencyThresholdFactor * k.baseLatency
 	ceiling := latencyCeilingShare * timeout
 	if k.baseLatency <= 0 || ceiling <= threshold {
 		return 0
@@ -112,7 +121,8 @@
 	return min(maxLatencyDropProbability, max(0, excess*maxLatencyDropProbability))
 }
 
-// dropProbability is that of client-side throttling in the SRE book.
+// dropProbability is that of client-side throttling in the SRE book, where allowed is K times the accepted
+// requests. Unlike there, some requests are protected.
 func dropProbability(requests, allowed float64) float64 {
 	return max(0, (requests-protectedRequests-allowed)/(requests+1))
 }
@@ -123,8 +133,8 @@
 	recentAttempts decayingAcceptance // attempts that ended, and those throttled
 }
 
-// configure sets the memory of the throttle: within the longest client timeout, all that is sent has its
-// outcome.
+// configure sets the time constant of the throttle to the longest client timeout: within that, every attempt
+// has its outcome.
 func (k *breakers) configure(s *Settings) {
 	k.recentAttempts.timeConstant = 0
 	for i := range s.Classes {
@@ -132,7 +142,8 @@
 	}
 }
 
-// drops draws with this probability; one request is let through now and then.
+// drops draws whether to drop a request with this probability. One request in each forcedTrialInterval
+// passes.
 func (k *breakers) drops(now Micros, probability float64, lastTrialAt *Micros) bool {
 	if probability > 0 && now-*lastTrialAt > forcedTrialInterval {
 		*lastTrialAt = now
@@ -146,7 +157,7 @@
 // overload.
 func (k *breakers) throttle(now Micros) bool {
 	k.recentAttempts.decay(now)
-	probability := dropProbability(k.recentAttempts.requests, maxK*k.recentAttempts.accepts)
+	probability := dropProbability(k.recentAttempts.requests, maxAcceptFactor*k.recentAttempts.accepts)
 	throttled := k.drops(now, probability, &k.recentAttempts.lastTrialAt)
 	k.recentAttempts.requests += indicator(throttled)
 	return throttled
@@ -182,9 +193,9 @@
 	default:
 		e.breaker.count(now, failed)
 		e.rejectedShare.add(indicator(status == Rejected), rejectedFailureWeight)
-		// A client that had little time left says nothing of the endpoint.
-		hasty := status == Timeout && float64(latency) < overdueFactor*a.predictedLatency
-		if !a.presumedLost && !hasty {
+		// A timeout at a short remaining deadline tells nothing of the endpoint.
+		shortDeadline := status == Timeout && float64(latency) < overdueFactor*a.predictedLatency
+		if !a.declaredLost && !shortDeadline {
 			k.recordFailure(now, e, status)
 		}
 	}
@@ -194,11 +205,11 @@
 func (k *breakers) recordFailure(now Micros, e *endpoint, status Status) {
 	weight := failureWeight
 	if status == Reset || status == ConnectFailed || status == Timeout {
-		weight = connectionWeight
+		weight = connectionFailureWeight
 	}
-	before := e.isEjected(now)
+	wasEjected := e.isEjected(now)
 	e.recordOutcome(now, true, weight)
-	if !before && e.isEjected(now) {
+	if !wasEjected && e.isEjected(now) {
 		k.log(now, "eject", "endpoint %d ejected, %.0f%% of its recent attempts failed", e.ID, 100*e.failureShare)
 	}
 }
--- a/balancer/demand.go
+++ b/balancer/demand.go
@@ -5,10 +5,16 @@
 // Demand: classes and tenants, what is known of each, and the priority of a request.
 
 const (
-	tenantSlack       = 1.25 // a rejected share below a fifth says nothing of quotas
-	worstWindowGain   = 4.0  // weight counts more in the worst windows, and those are when requests are rejected
-	minWorkShare      = 0.05 // of all work: the least that the goal's worst class is divided by
-	servedInTimeScale = 0.1  // difference in it that lowers a class's part by a factor of e
+	// quotaTolerance is the factor by which a tenant may exceed its quota, measured by this balancer's traffic
+	// alone, before it counts as over it: with it, a share of up to 1 - 1/1.25 rejected lowers no priority.
+	quotaTolerance = 1.25
+
+	// worstWindowGain is by how much more a priority weight counts in the goal's worst windows than overall:
+	// requests are rejected in just those.
+	worstWindowGain = 4.0
+
+	minWorkShare      = 0.05 // of all work: lower bound of a class's share, by which its gain is divided
+	servedInTimeScale = 0.1  // lead in the share served in time that lowers a class's gain by a factor of e
 )
 
 // demand is what clients ask for: the classes and tenants in force, and the rate of requests.
@@ -35,7 +41,7 @@
 
 // classStats is what a balancer knows of a class.
 type classStats struct {
-	work              ewma // mean service time of a request at an endpoint without load
+	work              ewma // mean service time in microseconds of a request at an endpoint without load
 	requestRate       decayingRate
 	servedInTime      ewma   // share answered within the latency objective
 	lastTrialAt       Micros // latest request sent as a trial although it seemed too late
@@ -74,7 +80,7 @@
 // rejected is the recent share of requests rejected at arrival.
 func (d *demand) rejected() float64 { return d.rejectedShare.value }
 
-// referenceWork is the mean work of the first class, the unit where no request is at hand.
+// referenceWork is the mean work of the first class in microseconds, the unit where no request is at hand.
 func (d *demand) referenceWork() float64 { return d.classes[0].work.value }
 
 // recordArrival counts a request.
@@ -150,8 +156,8 @@
 	return nil
 }
 
-// priority ranks r's class and tenant, 0 to 1, by what the goal gains from a unit of work: the priority
-// weight of the class, and more if it is the one served worst.
+// priority ranks r's class and tenant from 0 to 1 by what the goal gains from a unit of their work: by the
+// priority weight of the class, and higher the closer it is to being the class that is served worst.
 func (d *demand) priority(now Micros, r *request) float64 {
 	var work, weight float64
 	worst := 1.0
@@ -173,17 +179,18 @@
 			own = gain
 		}
 	}
-	if !(top > 0) || own < 0 {
-		return 1 // no weight was set
+	if !(top > 0) || own < 0 { // !(top > 0) holds for NaN, too
+		return 1 // no weight is set, or the class is no longer in force
 	}
 	return own / top * d.tenantPriority(now, r)
 }
 
-// tenantPriority ranks r's tenant, 0 to 1, by the mean weight of its requests against the tenant whose
-// requests weigh most, given how much of a tenant's traffic exceeds its quota. Only this balancer's mix and
-// rejections are known: the whole demand is taken to exceed the sum of the quotas as it exceeds what is
-// admitted here. What lowers all tenants alike ranks none: it must not reject more requests, and so lower all
-// again.
+// tenantPriority ranks r's tenant from 0 to 1: the mean weight of its requests, of which those over its quota
+// weigh OverQuotaWeight, over that of the tenant with the largest.
+//
+// Only this balancer's traffic and rejections are known. The total demand is taken to exceed the sum of the
+// quotas by the factor by which it exceeds what is admitted here. The rank is relative because a factor
+// common to all tenants would reject more requests, and so lower all of them again.
 func (d *demand) tenantPriority(now Micros, r *request) float64 {
 	if r.tenant == nil {
 		return 1
@@ -200,7 +207,7 @@
 	for _, t := range d.tenants {
 		within := 1.0
 		if rate := t.rate(now); rate > 0 {
-			within = min(1, t.QuotaRate/quota*requested/rate*(1-d.rejectedShare.value)*tenantSlack)
+			within = min(1, t.QuotaRate/quota*requested/rate*(1-d.rejectedShare.value)*quotaTolerance)
 			top = max(top, within+(1-within)*d.settings.OverQuotaWeight)
 		}
 		if t.decayingRate == r.tenant.decayingRate {
@@ -213,7 +220,7 @@
 	return own / top
 }
 
-// requestWeight is the weight of a request of a class in the goal.
+// requestWeight is the weight of a request of a class in the goal; with WeightByWork, times its work.
 func (d *demand) requestWeight(c *class) float64 {
 	return c.PriorityWeight * (1 + (c.work.value-1)*indicator(d.settings.WeightByWork))
 }
--- a/balancer/endpoint.go
+++ b/balancer/endpoint.go
@@ -3,12 +3,16 @@
 import "math"
 
 const (
-	failureHalfLife       = 3 * second
-	negligibleFailure     = 0.01 // failure share below which it counts as none
-	ejectThreshold        = 0.4  // failure share from which an endpoint is ejected
-	failureWeight         = 0.5  // of the latest outcome in the failure share: healthy endpoints hardly fail
-	connectionWeight      = 0.25 // of a connection failure or timeout: they occur at healthy endpoints, too
-	rejectedFailureWeight = 0.25 // of the latest failure in the share of rejections among them
+	failureHalfLife   = 3 * second // of the failure share, without outcomes
+	negligibleFailure = 0.01       // failure share up to which it counts as none
+	ejectThreshold    = 0.4        // failure share from which an endpoint is ejected
+
+	// Weights of the latest outcome in the failure share. A healthy endpoint hardly ever returns an error, but
+	// connection failures and timeouts also happen there.
+	failureWeight           = 0.5
+	connectionFailureWeight = 0.25
+
+	rejectedFailureWeight = 0.25 // of the latest failure in rejectedShare
 )
 
 // endpoint is what a balancer knows of an endpoint.
@@ -17,12 +21,12 @@
 	listed       bool // by the list being read
 	cordoned     bool // by operators
 	awaitsTrial  bool // no longer cordoned, and to get one request soon, so that operators see it serve
-	warming      bool // use isWarming
+	warming      bool // as of the latest call of isWarming
 	warmingSince Micros
-	warmingWork  float64 // work that it got from this balancer while warming up
+	warmingWork  float64 // microseconds of work charged to it by this balancer while warming up
 
-	inFlight           int // own attempts without outcome
-	uploading          int // and those whose last byte is not sent yet
+	inFlight           int // own attempts without outcome whose body is written
+	uploading          int // own attempts whose body is not written yet
 	lastSentAt         Micros
 	lastAnsweredSentAt Micros // latest sending time of an attempt that was answered
 	lastResponseAt     Micros // of any kind, also to a probe
@@ -32,19 +36,20 @@
 	hasReport        bool
 	pooled           bool
 	reportedAt       Micros  // latest load report; 0 if a probe failed since
-	reportedLoad     float64 // requests of others then
-	inFlightAtReport int     // own requests then
+	reportedLoad     float64 // requests of other balancers at that instant
+	inFlightAtReport int     // own requests at that instant
 	meanLoad         ewma    // of reportedLoad
 
 	serviceTimeRatio   ewma // measured over predicted service time, once warm
 	serviceTimeRatioAt Micros
-	failureShare       float64 // use currentFailureShare
+	failureShare       float64 // at failureShareAt: currentFailureShare decays it
 	failureShareAt     Micros
 	rejectedShare      ewma // share of the failures that were rejections
 	breaker            circuitBreaker
 }
 
-// reset forgets all but the list entry and what is in flight: a new process shares nothing else with the old.
+// reset drops all state but the list entry and the counts of attempts: a new process shares nothing else with
+// the old one.
 func (e *endpoint) reset() {
 	*e = endpoint{
 		Endpoint: e.Endpoint, listed: e.listed, pooled: e.pooled, inFlight: e.inFlight, uploading: e.uploading,
@@ -71,7 +76,8 @@
 	return from + (1-from)*float64(now-e.warmingSince)/float64(c.SlowStartDuration)
 }
 
-// currentFailureShare is the recent share of failures at e. It decays, so that e is tried again.
+// currentFailureShare is the recent share of failures at e. It halves in each failureHalfLife without an
+// outcome, so that an ejected endpoint is tried again.
 func (e *endpoint) currentFailureShare(now Micros) float64 {
 	share := e.failureShare * math.Exp2(-float64(now-e.failureShareAt)/float64(failureHalfLife))
 	return share * indicator(share > negligibleFailure)
--- a/balancer/loadreport.go
+++ b/balancer/loadreport.go
@@ -5,17 +5,21 @@
 // Load reports: what the answers to probes tell of the load at endpoints.
 
 const (
-	queuedProbeThreshold      = 0.05 // share of queued probes from which probes are known to queue
-	minRequestsAhead          = 0.5  // requests that a probe waited for, from which it counts as queued
-	initialTypicalLoad        = 0.5  // until reports tell,
-	initialTypicalLoadSamples = 10   // with the weight of so many of them
-	typicalLoadWeight         = 0.1  // of the latest report
-	sparseTypicalLoadWeight   = 0.03 // the same where reports are sparse
-	meanLoadWeight            = 0.1  // of the latest report in the mean of its endpoint
-	maxLateShare              = 0.1  // share of late reports above which their means are used instead
-	shareWeight               = 0.02 // of the latest sample in a share of all
-	settleRoundTrips          = 5.0  // round trips after which a request has surely arrived
-	lateTolerance             = 0.5  // requests that a report may be short of
+	queuedProbeThreshold = 0.05 // share of queued probes above which probes are known to queue behind requests
+	minRequestsAhead     = 0.5  // requests that a probe waited for, from which it counts as queued
+
+	initialTypicalLoad        = 0.5 // requests, until reports arrive
+	initialTypicalLoadSamples = 10  // that initialTypicalLoad counts as
+
+	// Weights of the latest sample in an average.
+	typicalLoadWeight       = 0.1
+	sparseTypicalLoadWeight = 0.03 // of the typical load where reports are sparse: single ones must not move it
+	meanLoadWeight          = 0.1  // of an endpoint's mean load
+	shareWeight             = 0.02 // of the shares of queued probes, late reports and rejected requests
+
+	maxLateReportShare  = 0.1 // share of late reports above which the means of reports are used instead
+	lateReportTolerance = 0.5 // requests by which a report may fall short of the own ones without being late
+	arrivalRoundTrips   = 5.0 // round trips after which a request is sure to have arrived
 )
 
 // loadReport is what a probe tells of an endpoint.
@@ -29,12 +33,13 @@
 
 func (l *loadReport) queued() bool { return l.ahead >= minRequestsAhead }
 
-// readReport reads a load report, and learns from the probe's latency.
+// readReport reads a load report, and learns from the probe's latency in microseconds. load holds the figures
+// in the order of Settings.ReportFields.
 func (est *estimator) readReport(e *endpoint, latency float64, load []float32) loadReport {
 	fields := est.settings.ReportFields
 	inFlight, queue := reportValue(fields, load, FieldInFlight), reportValue(fields, load, FieldQueue)
 	counted, utilization := inFlight >= 0, reportValue(fields, load, FieldUtilization)
-	// Each figure proves that at least so many requests are there.
+	// Without a count, the other figures give a lower bound of it.
 	if !counted && queue >= 0 {
 		inFlight = queue + assumedCores*indicator(queue >= 1)
 	} else if !counted && utilization >= 0 {
@@ -54,7 +59,7 @@
 	return report
 }
 
-// learnReport takes over the load at e.
+// learnReport stores the load at e, and adds it to the averages.
 func (est *estimator) learnReport(now Micros, e *endpoint, report *loadReport) {
 	e.hasReport, e.reportedAt = true, now
 	e.reportedLoad, e.inFlightAtReport = max(0, report.inFlight-float64(e.inFlight)), e.inFlight
@@ -70,41 +75,43 @@
 	e.meanLoad.add(e.reportedLoad, meanLoadWeight)
 	if est.queuedProbeShare.value > queuedProbeThreshold && !report.queued() &&
 		est.typicalLoad.value < assumedCores {
-		// Probes queue behind requests, and this one did not, whatever a late report says.
+		// Probes queue behind requests, but this one did not: a core was idle, even if a late report differs.
 		e.reportedLoad = min(e.reportedLoad, assumedCores-1)
 	}
 }
 
-// checkReportDelay finds out whether load reports come late. A report of fewer requests than this balancer
+// checkReportDelay detects whether load reports come late. A report of fewer requests than this balancer
 // has at e is late, unless some are still on their way there. If many are, their means are used instead.
 func (est *estimator) checkReportDelay(now Micros, e *endpoint, report *loadReport) {
-	settled := float64(now-e.lastSentAt) > settleRoundTrips*est.roundTrip(e)
+	settled := float64(now-e.lastSentAt) > arrivalRoundTrips*est.roundTrip(e)
 	if !report.counted || e.inFlight <= 0 || !settled {
 		return
 	}
 	share := &est.lateReportShare
-	share.add(indicator(report.inFlight+lateTolerance < float64(e.inFlight)), shareWeight)
-	if share.value > maxLateShare && !est.reportsLate || share.value < maxLateShare/3 && est.reportsLate {
+	share.add(indicator(report.inFlight+lateReportTolerance < float64(e.inFlight)), shareWeight)
+	if share.value > maxLateReportShare && !est.reportsLate ||
+		share.value < maxLateReportShare/3 && est.reportsLate {
 		est.reportsLate = !est.reportsLate
 		est.log(now, "lag", "load reports delayed: %v, %.0f%% count fewer requests than our own in flight",
 			est.reportsLate, 100*share.value)
 	}
 }
 
-// learnProbeTimeout learns from a probe that was not answered in time. It shows load only where probes queue
-// behind requests; elsewhere the probe was lost.
+// learnProbeTimeout learns from a probe that was not answered within waited, in microseconds. It indicates
+// load only where probes queue behind requests; elsewhere the probe was lost.
 func (est *estimator) learnProbeTimeout(waited float64) {
 	if est.queuedProbeShare.value > queuedProbeThreshold {
 		est.learnProbeDelay(waited)
 	}
 }
 
-// learnProbeDelay counts a probe that has waited so long as a report of the load that explains it.
+// learnProbeDelay counts a probe that has waited so long, in microseconds, as a report of the load that
+// explains the delay.
 func (est *estimator) learnProbeDelay(waited float64) {
 	est.typicalLoad.add(assumedCores+est.requestsAhead(waited), typicalLoadWeight)
 }
 
-// requestsAhead is how many requests are ahead of a probe that waits so long.
+// requestsAhead is how many requests are ahead of a probe that waits so long, in microseconds.
 func (est *estimator) requestsAhead(waited float64) float64 {
 	return waited / est.demand.referenceWork() * assumedCores
 }
--- a/balancer/prediction.go
+++ b/balancer/prediction.go
@@ -5,21 +5,32 @@
 // Prediction: the load and the latency to expect at endpoints, learned from outcomes and load reports.
 
 const (
-	serviceTimeRatioLife   = 10 * second // without new samples, after which an endpoint's ratio counts no more
-	serviceTimeRatioWeight = 0.03
-	fleetWeight            = 0.02 // of the latest sample in the fleet's ratio
-	workWeight             = 0.01
-	minClassWorkShare      = 0.001 // of its latency objective: no class's work is taken for less
-	minRequestWorkShare    = 0.1   // of its class's work: in the ratio, a request counts as having no less
-	assumedCores           = 2.0   // requests that an endpoint is assumed to serve side by side
-	hintTrustWeight        = 0.005
-	initialHintTrust       = 0.5
-	trendWeight            = 0.1
-	maxTrendRatio          = 5.0 // one outcome counts as no more than this many times the prediction
-	trendNoise             = 1.5 // trend up to which there is no slowdown
-	trendLife              = second
-	maxQueueingShare       = 0.6 // of the time left may be spent queueing by the class of highest priority,
-	minQueueingShare       = 0.2 // and by any: latencies vary
+	// assumedCores is how many requests an endpoint is assumed to serve at the same time. Its true number isn't
+	// known; the service time ratio absorbs the difference.
+	assumedCores = 2.0
+
+	maxServiceTimeRatioAge = 10 * second // over which an endpoint's ratio fades linearly into the fleet's
+	trendTimeConstant      = second      // of the exponential decay of the trend without outcomes
+
+	// Weights of the latest sample in an average.
+	serviceTimeRatioWeight      = 0.03 // of an endpoint
+	fleetServiceTimeRatioWeight = 0.02
+	workWeight                  = 0.01 // of a class's work
+	trendWeight                 = 0.1
+
+	minClassWorkShare   = 0.001 // of its latency objective: lower bound of a class's work
+	minRequestWorkShare = 0.1   // of its class's work: lower bound of the work that a latency is divided by
+
+	maxTrendRatio = 5.0 // upper bound of a sample: one outlier must not make the fleet look slow
+	trendNoise    = 1.5 // trend up to which there is no slowdown
+
+	initialWorkHintExponent = 0.5
+	workHintLearningRate    = 0.005 // step of the exponent for an error of factor e at a hint of factor e
+
+	// The share of the remaining time that a request may spend queueing, at the highest priority and at the
+	// lowest. The remainder is a margin for the variance of latencies.
+	maxQueueingShare = 0.6
+	minQueueingShare = 0.2
 )
 
 // estimator learns the load and the latency to expect at endpoints.
@@ -35,25 +46,27 @@
 	reportsLate           bool           // so many are that their means are used instead
 	typicalLoad           cumulativeMean // requests of other balancers at a warm endpoint
 	typicalWarmingLoad    cumulativeMean // typicalLoad of warming endpoints, which all balancers send little
-	workHintTrust         float64        // power of a work hint that the actual work grows with
-	trend                 float64        // measured over predicted latency, over all endpoints
+	workHintExponent      float64        // actual work grows with this power of its hint, 0 to 1
+	trend                 float64        // measured over predicted latency, over all endpoints, at trendAt
 	trendAt               Micros
-	warmingSlowness       ewma // of the slowness that the least warm-up fraction implies, the share that shows
+	warmingSlowness       ewma // measured share of the slowness that the least warm-up fraction implies
 	warmingSamples        int  // latencies in warmingSlowness
 }
 
 func newEstimator(env *environment, d *demand, p *prober) estimator {
 	return estimator{
-		environment: env, demand: d, probes: p, trend: 1, workHintTrust: initialHintTrust,
+		environment: env, demand: d, probes: p, trend: 1, workHintExponent: initialWorkHintExponent,
 		lateReportShare: ewma{initialized: true},
 		warmingSlowness: ewma{value: initialWarmingSlowness, initialized: true},
 		typicalLoad:     cumulativeMean{value: initialTypicalLoad, samples: initialTypicalLoadSamples},
 	}
 }
 
-// load estimates the requests at e: the last report, plus own requests sent since, less own answers since.
-// Where balancers keep a pool, half of the others are assumed to send as this one, or all would choose the
-// same low report. Late reports do not tell the present load, but their mean still ranks the endpoints.
+// load estimates the requests at e: those of others by the latest report, plus the own ones in flight.
+//
+// Where balancers keep a pool, half of the others are assumed to have sent what this one has since the
+// report, or all would choose the endpoint with the same low report. Late reports do not tell the present
+// load, but their mean still ranks the endpoints.
 func (est *estimator) load(now Micros, e *endpoint) float64 {
 	typical := est.typicalLoad.value
 	if e.warming {
@@ -64,10 +77,10 @@
 	}
 	others := e.reportedLoad
 	if est.probes.reportsSparse(now) {
-		// A report may be minutes old. In an overload, low ones of calmer times would attract all requests, and
+		// A report may be minutes old. In an overload, low reports from before it would attract all requests, and
 		// none would seem late.
 		age := float64(now - e.reportedAt)
-		others = typical + (others-typical)*math.Exp(-age/float64(minPoolAge))
+		others = typical + (others-typical)*math.Exp(-age/float64(minReportTTL))
 	}
 	sentSince := float64(max(0, e.inFlight-e.inFlightAtReport))
 	herd := float64(est.settings.Balancers-1) / 2 * sentSince * indicator(!est.probes.probesWithRequests())
@@ -79,50 +92,51 @@
 	return max(1, (est.load(now, e)+1)/assumedCores)
 }
 
-// roundTrip is the latency of the network to e's zone and back.
+// roundTrip is the round-trip time to e's zone in microseconds.
 func (est *estimator) roundTrip(e *endpoint) float64 { return est.zoneLatencies[e.Zone].median }
 
 // serviceTimeRatio is e's measured over its predicted service time, higher while it is warming up. Without
 // recent samples it returns to the fleet's, so that an endpoint once found slow is tried again.
 func (est *estimator) serviceTimeRatio(now Micros, e *endpoint) float64 {
 	typical := est.fleetServiceTimeRatio.or(1)
-	age := float64(now-e.serviceTimeRatioAt) / float64(serviceTimeRatioLife)
-	trust := max(0, 1-age) * indicator(e.serviceTimeRatio.initialized)
-	return (typical + (e.serviceTimeRatio.value-typical)*trust) * est.warmingSlowdown(now, e)
+	age := float64(now-e.serviceTimeRatioAt) / float64(maxServiceTimeRatioAge)
+	weight := max(0, 1-age) * indicator(e.serviceTimeRatio.initialized)
+	return (typical + (e.serviceTimeRatio.value-typical)*weight) * est.warmingSlowdown(now, e)
 }
 
 // warmingSlowdown is how many times longer than once warm a request takes at e. The warm-up fraction is only
-// the least that e may have: how much of the slowness that it implies is real shows in the latencies.
+// a lower bound of e's capacity; measured latencies tell how much of the slowness that it implies is real.
 func (est *estimator) warmingSlowdown(now Micros, e *endpoint) float64 {
 	return 1 + (1/e.warmupFraction(now, &est.settings.Contract)-1)*est.warmingSlowness.value
 }
 
-// likelyWarmupFraction is the share of its capacity that e likely has by now: as latencies show, but limited
-// to a multiple of the least.
+// likelyWarmupFraction is the expected share of its capacity that e has by now: as latencies show, but
+// limited to a multiple of the least.
 func (est *estimator) likelyWarmupFraction(now Micros, e *endpoint) float64 {
-	limit := 1 + maxExtraFraction*min(1, float64(est.warmingSamples)/fullTrustSamples)
+	limit := 1 + maxExtraFraction*min(1, float64(est.warmingSamples)/fullExtraSamples)
 	least := e.warmupFraction(now, &est.settings.Contract)
 	return min(limit*least, max(least, 1/est.warmingSlowdown(now, e)))
 }
 
-// latency is the latency expected of a request of this work sent to e now.
+// latency is the latency expected of a request of this work sent to e now, in microseconds.
 func (est *estimator) latency(now Micros, e *endpoint, work float64) float64 {
 	return est.roundTrip(e) +
 		work*est.slowdown(now)*est.serviceTimeRatio(now, e)*est.queueingFactor(now, e)
 }
 
-// latencyWithoutTrend is the same from e's service time and load alone.
+// latencyWithoutTrend is the latency expected from e's service time and load alone.
 func (est *estimator) latencyWithoutTrend(now Micros, e *endpoint, work float64) float64 {
 	return est.roundTrip(e) + work*est.serviceTimeRatio(now, e)*est.queueingFactor(now, e)
 }
 
-// latencyLimit is the longest predicted latency at which r is still sent to e: its time there without load,
-// and a part of the time that its latency objective leaves, for queueing. The part shrinks with the priority.
+// latencyLimit is the longest predicted latency, in microseconds, at which r is still sent to e: its latency
+// there without load, and for queueing a share of the time that its objective leaves. Requests of high
+// priority get the larger share, so that those of low priority are shed first.
 func (est *estimator) latencyLimit(now Micros, r *request, e *endpoint) float64 {
 	unloaded := est.roundTrip(e) + r.work*est.slowdown(now)*est.serviceTimeRatio(now, e)
 	share := max(minQueueingShare, maxQueueingShare*r.priority)
-	if n := len(r.attempts); n > 0 && r.attempts[n-1].presumedLost {
-		// The lost attempt has taken the time that the request might have queued.
+	if n := len(r.attempts); n > 0 && r.attempts[n-1].declaredLost {
+		// The lost attempt has used up the time for queueing.
 		share = 1
 	}
 	headroom := float64(r.class.LatencyObjective) - float64(now-r.arrivedAt) - unloaded
@@ -136,21 +150,21 @@
 	if r.HasWorkHint && r.WorkHint > 0 {
 		c.work.add(float64(r.WorkHint), workWeight)
 		r.logWorkHint = math.Log(float64(r.WorkHint) / c.work.value)
-		r.work = c.work.value * math.Exp(est.workHintTrust*r.logWorkHint)
+		r.work = c.work.value * math.Exp(est.workHintExponent*r.logWorkHint)
 	}
 }
 
 // latencySample is what is known of the latency of an attempt.
 type latencySample struct {
-	latency    float64
-	lowerBound bool // there is no answer yet, or none came
+	latency    float64 // microseconds
+	lowerBound bool    // the attempt has not been answered by then
 }
 
-// learnServiceTime learns from the latency of an attempt.
+// learnServiceTime updates the ratios, the work of r's class and the trend by the latency of an attempt.
 func (est *estimator) learnServiceTime(now Micros, r *request, a *attempt, sample latencySample) {
 	e, c := a.endpoint, r.class
 	unloaded := max(0, sample.latency-est.roundTrip(e)) / a.queueingFactor
-	// What a request of next to no work takes beyond the prediction was not spent on that work.
+	// A request with hardly any work spends what it takes beyond the prediction elsewhere.
 	predicted, slowdown := est.serviceTimeRatio(now, e), est.warmingSlowdown(now, e)
 	measured := predicted + (unloaded-predicted*r.work)/max(r.work, minRequestWorkShare*c.work.value)
 	// An attempt that was overtaken may be lost, and then says nothing of service times.
@@ -159,11 +173,11 @@
 	}
 	est.updateTrend(now, sample.latency/a.predictedWithoutTrend)
 	if !sample.lowerBound && r.logWorkHint != 0 && measured > 0 {
-		// Rough hints overstate large work and understate small: learn how far they tell.
-		step := hintTrustWeight * r.logWorkHint * math.Log(measured/predicted)
-		est.workHintTrust = min(1, max(0, est.workHintTrust+step))
+		// Inaccurate hints overstate large work and understate small: a gradient step in logarithms.
+		step := workHintLearningRate * r.logWorkHint * math.Log(measured/predicted)
+		est.workHintExponent = min(1, max(0, est.workHintExponent+step))
 	}
-	warm := predicted / slowdown // the ratio is stored as of a warm endpoint
+	warm := predicted / slowdown // the stored ratio is that of the endpoint once warm
 	e.serviceTimeRatio = ewma{value: warm, initialized: true}
 	e.serviceTimeRatio.add(measured/slowdown, serviceTimeRatioWeight)
 	if least := e.warmupFraction(now, &est.settings.Contract); least < 1 && warm > 0 {
@@ -181,24 +195,24 @@
 		c.work.add(min(max(least, unloaded), limit), workWeight)
 	}
 	if !e.warming {
-		est.fleetServiceTimeRatio.add(measured, fleetWeight)
+		est.fleetServiceTimeRatio.add(measured, fleetServiceTimeRatioWeight)
 	}
 }
 
-// updateTrend moves the trend by one outcome: if the whole fleet slows down or recovers, the ratios of
+// updateTrend updates the trend by one outcome: if the entire fleet slows down or recovers, the ratios of
 // endpoints that get few requests from here are learned late. ratio is the latency over the prediction
-// without the trend, or requests sent before the trend rose would raise it a second time.
+// without the trend; with it, requests sent before the trend rose would raise it a second time.
 func (est *estimator) updateTrend(now Micros, ratio float64) {
 	trend := est.currentTrend(now)
 	est.trend, est.trendAt = trend+(min(ratio, maxTrendRatio)-trend)*trendWeight, now
 }
 
-// currentTrend decays to 1 without outcomes: rejections must not keep it up.
+// currentTrend decays to 1 without outcomes, so that a trend which rejects all requests ends.
 func (est *estimator) currentTrend(now Micros) float64 {
-	return 1 + (est.trend-1)*math.Exp(-float64(now-est.trendAt)/float64(trendLife))
+	return 1 + (est.trend-1)*math.Exp(-float64(now-est.trendAt)/float64(trendTimeConstant))
 }
 
-// slowdown is the trend beyond noise.
+// slowdown is the factor by which all endpoints are slower than predicted; 1 while that may be noise.
 func (est *estimator) slowdown(now Micros) float64 {
 	return max(1, est.currentTrend(now)/trendNoise)
 }
--- a/balancer/prediction_test.go
+++ b/balancer/prediction_test.go
@@ -62,7 +62,7 @@
 // One slow answer to a request of almost no work tells of the network, not of the service time of others.
 func TestSlowAnswerToTinyRequestDoesNotAffectServiceTime(t *testing.T) {
 	b, r := start(t, testSettings(), ready(1))
-	b.estimates.workHintTrust = 1
+	b.estimates.workHintExponent = 1
 	now := second
 	for range 100 {
 		now += second / 10
@@ -202,8 +202,8 @@
 					Latency: c.latency(hint), Answered: true})
 			}
 		}
-		if b.estimates.workHintTrust < c.from || b.estimates.workHintTrust > c.to {
-			t.Errorf("%s: trust %.2f, want %.2f to %.2f", c.name, b.estimates.workHintTrust, c.from, c.to)
+		if b.estimates.workHintExponent < c.from || b.estimates.workHintExponent > c.to {
+			t.Errorf("%s: trust %.2f, want %.2f to %.2f", c.name, b.estimates.workHintExponent, c.from, c.to)
 		}
 	}
 }
--- a/balancer/probing.go
+++ b/balancer/probing.go
@@ -3,18 +3,26 @@
 // Probing: when endpoints are probed, and the pool of those whose reports are fresh, after Prequal.
 
 const (
-	maxProbeGap            = second / 10 // longest delay between probe rounds
-	maxProbeSpend          = 0.005       // of the result, at most, is spent on probes in rounds
-	maxRequestProbeSpend   = 0.02        // of the result, at most, is spent on probes with requests
-	minFirstAttemptShare   = 0.3         // share of requests probed for, at least, while many are rejected
-	maxProbesPerRequest    = 4.0
-	maxProbeWaitShare      = 0.1    // of its latency objective, at most, a request waits for its probes
-	maxRequestProbeAge     = 0.25   // of the latency objective: age limit of a report if probes go with requests
-	probeBatch             = 3      // endpoints a round
-	minInFlightPerEndpoint = 0.1    // own requests at an endpoint from which they alone tell its load
-	minPoolAge             = second // a report is fresh for so long,
-	poolRounds             = 3      // or for so many rounds of the whole list
-	probeTimeout           = 5 * second
+	maxProbeGap      = second / 10 // longest delay between probe rounds
+	probeBatch       = 3           // endpoints probed a round
+	lostProbeTimeout = 5 * second  // after which a probe without answer no longer prevents another
+
+	// Shares of the result that may be spent on probes: in rounds, and with requests, where a fresh report is
+	// worth more.
+	maxProbeSpend        = 0.005
+	maxRequestProbeSpend = 0.02
+
+	maxProbesPerRequest  = 4.0
+	minFirstAttemptShare = 0.3  // share of requests probed for, at least, while many are rejected
+	maxProbeWaitShare    = 0.1  // of its latency objective: how long a request waits for its probes
+	requestProbeTTLShare = 0.25 // of the latency objective: age limit of a report if probes go with requests
+
+	minReportTTL    = second // for which a report is fresh, at least, if probes go in rounds,
+	reportTTLRounds = 3      // or for so many rounds of the complete list
+
+	// minInFlightPerEndpoint is the mean of own requests in flight at an endpoint from which they tell enough of
+	// its load.
+	minInFlightPerEndpoint = 0.1
 )
 
 // prober decides when endpoints are probed, and holds the pool of those with a fresh report.
@@ -32,7 +40,7 @@
 
 // start begins the probe rounds, unless they run.
 func (p *prober) start() {
-	// A price of 0 permits the most.
+	// A price of 0 permits the maximum.
 	p.probesPerRequest = min(maxProbesPerRequest, maxRequestProbeSpend/p.settings.Prices.Probe)
 	if p.settings.Limits.Probes && !p.roundsActive {
 		p.roundsActive = true
@@ -49,8 +57,7 @@
 // rate is the rate of probes a second that the price permits.
 func (p *prober) rate(now Micros) float64 {
 	perRequest := min(maxProbesPerRequest, maxProbeSpend/p.settings.Prices.Probe)
-	// The price counts requests that are sent. While all are rejected, reports must still show when that may
-	// end.
+	// The price is paid for requests that are sent. While all are rejected, reports must still show a recovery.
 	return max(1, perRequest*p.demand.rate(now)*max(minFirstAttemptShare, 1-p.demand.rejected()))
 }
 
@@ -80,22 +87,22 @@
 // maxReportAge is how long a report may be used for a request of this latency objective.
 func (p *prober) maxReportAge(now, objective Micros) Micros {
 	if p.perRequest {
-		return Micros(maxRequestProbeAge * float64(objective))
+		return Micros(requestProbeTTLShare * float64(objective))
 	}
 	endpoints := float64(len(p.membership.list()))
-	return max(minPoolAge, Micros(poolRounds*endpoints/p.rate(now)*float64(second)))
+	return max(minReportTTL, Micros(reportTTLRounds*endpoints/p.rate(now)*float64(second)))
 }
 
-// reportsSparse tells whether a round of the whole list takes longer than reports last. Most requests are
-// then sent by the typical load, which a few odd reports must not move.
+// reportsSparse tells whether a round of the complete list takes longer than reports are fresh. The typical
+// load then decides on nearly all requests, and a few outliers must not move it.
 func (p *prober) reportsSparse(now Micros) bool {
 	return p.settings.Limits.Probes && len(p.settings.ReportFields) > 0 &&
-		float64(len(p.membership.list()))/p.rate(now) > poolRounds*float64(minPoolAge)/float64(second)
+		float64(len(p.membership.list()))/p.rate(now) > reportTTLRounds*float64(minReportTTL)/float64(second)
 }
 
 // probe probes e, unless a probe of it is in flight.
 func (p *prober) probe(now Micros, e *endpoint) {
-	lost := now-e.lastProbeAt > probeTimeout
+	lost := now-e.lastProbeAt > lostProbeTimeout
 	if p.settings.Limits.Probes && e.usable() && (lost || !e.probeInFlight) {
 		e.probeInFlight, e.lastProbeAt = true, now
 		p.slowStart.chargeProbe(now, e)
@@ -103,8 +110,8 @@
 	}
 }
 
-// mayProbeNew tells whether each new endpoint of a list of so many entries is probed at once. If a thousand
-// balancers did that, probes alone would fill an endpoint.
+// mayProbeNew tells whether each new endpoint of a list of so many entries is probed at once. In a fleet with
+// more balancers than endpoints, these probes alone could overload an endpoint.
 func (p *prober) mayProbeNew(entries int) bool {
 	return p.settings.Balancers <= max(len(p.membership.list()), entries)
 }
@@ -118,7 +125,7 @@
 	rate, endpoints := p.rate(now), p.membership.list()
 	p.choosePerRequest(now, rate)
 	if p.perRequest {
-		p.actions.StartTimer(minPoolAge/2+p.random.duration(minPoolAge), probeTimerToken)
+		p.actions.StartTimer(minReportTTL/2+p.random.duration(minReportTTL), probeTimerToken)
 		return
 	}
 	n := max(1, min(probeBatch, int(rate*float64(maxProbeGap)/float64(second))))
@@ -133,11 +140,11 @@
 	p.actions.StartTimer(1+Micros(gap*(0.5+p.random.uniform())), probeTimerToken)
 }
 
-// choosePerRequest has probes go with requests where a round of the list takes too long for a fresh pool, and
-// own requests in flight tell little of the load.
+// choosePerRequest decides that probes go with requests if a round of the list takes too long for a fresh
+// pool, and the own requests in flight tell little of the load.
 func (p *prober) choosePerRequest(now Micros, rate float64) {
 	size := float64(len(p.membership.list()))
 	own := p.demand.rate(now) * p.demand.referenceWork() / float64(second)
-	p.perRequest = p.probesPerRequest >= 1 && size*float64(second) > rate*float64(minPoolAge) &&
+	p.perRequest = p.probesPerRequest >= 1 && size*float64(second) > rate*float64(minReportTTL) &&
 		own < minInFlightPerEndpoint*size
 }
--- a/balancer/request.go
+++ b/balancer/request.go
@@ -35,7 +35,7 @@
 	queueingFactor        float64 // when sent
 	overdueAt             Micros  // when to check whether it is lost
 	suspected             bool    // it was overdue once
-	presumedLost          bool    // it no longer hinders a hedged request, though its outcome may still come
+	declaredLost          bool    // it no longer hinders a hedged request, though its outcome may still come
 	warming               bool    // the endpoint was warming up when sent to
 	inFlight              bool    // no outcome yet
 	mayHaveExecuted       bool    // it may have had its effect, or may yet
@@ -64,7 +64,7 @@
 // is presumed lost does not.
 func (r *request) hasPendingAttempt(mayHedge bool) bool {
 	return slices.ContainsFunc(r.attempts, func(a attempt) bool {
-		return a.inFlight && (!mayHedge || !a.presumedLost)
+		return a.inFlight && (!mayHedge || !a.declaredLost)
 	})
 }
 
--- a/balancer/retries.go
+++ b/balancer/retries.go
@@ -3,14 +3,19 @@
 // Retries and hedged requests.
 
 const (
-	maxBudget        = 10.0 // attempts saved up, of retries and of hedged requests
-	retryShare       = 0.2  // retries earned by each request
-	hedgeShare       = 0.2  // hedged requests earned by each request
-	lostWeight       = 0.02 // of the latest outcome in the share of attempts that are lost
-	minLostShare     = 0.01 // share of lost attempts from which overdue ones are hedged
-	overdueFactor    = 2.5  // times the latency expected, and
-	minOverdueShare  = 0.25 // of the latency objective at least, after which an attempt is overdue
-	overdueExtension = 2    // divides the time waited so far, for which a suspected attempt is waited for again
+	maxBudget  = 10.0 // attempts that a budget holds
+	retryShare = 0.2  // of an attempt, deposited by each request for retries
+	hedgeShare = 0.2  // of an attempt, deposited by each request for hedged requests
+
+	lossRateWeight     = 0.02 // of the latest outcome in the loss rate
+	minHedgingLossRate = 0.01 // from which overdue attempts are hedged
+
+	// An attempt is overdue after this multiple of its predicted latency, and after no less than this share of
+	// the latency objective. If it can't be declared lost then, it is checked again after the time waited so far
+	// divided by overdueExtension.
+	overdueFactor    = 2.5
+	minOverdueShare  = 0.25
+	overdueExtension = 2
 )
 
 // budget is a token bucket of attempts: each request deposits a share of one, as in Finagle's retry budget.
@@ -27,15 +32,15 @@
 	admission *admission
 	ledger    *ledger
 
-	retryBudget      budget
-	hedgeBudget      budget
-	lostAttemptShare ewma // share of attempts that were lost on their way or at the endpoint
+	retryBudget budget
+	hedgeBudget budget
+	lossRate    ewma // share of attempts that were lost in the network or at the endpoint
 }
 
 func newRetrier(env *environment, p *prober, est *estimator, a *admission, l *ledger) retrier {
 	return retrier{
 		environment: env, probes: p, estimates: est, admission: a, ledger: l,
-		retryBudget: maxBudget, hedgeBudget: maxBudget, lostAttemptShare: ewma{initialized: true},
+		retryBudget: maxBudget, hedgeBudget: maxBudget, lossRate: ewma{initialized: true},
 	}
 }
 
@@ -45,10 +50,10 @@
 	t.hedgeBudget.deposit(hedgeShare)
 }
 
-// watch starts a timer for when r's latest attempt is overdue, if attempts get lost at all.
+// watch starts a timer for the instant at which r's latest attempt is overdue, if attempts get lost at all.
 func (t *retrier) watch(now Micros, r *request) {
 	a := &r.attempts[len(r.attempts)-1]
-	if t.lostAttemptShare.value >= minLostShare && a.overdueAt+Micros(a.predictedLatency) < r.Deadline {
+	if t.lossRate.value >= minHedgingLossRate && a.overdueAt+Micros(a.predictedLatency) < r.Deadline {
 		t.actions.StartTimer(a.overdueAt-now, r.timerToken)
 	}
 }
@@ -59,19 +64,19 @@
 	if n == 0 || r.StreamingBody {
 		return
 	}
-	if a := &r.attempts[n-1]; a.inFlight && !a.presumedLost && now >= a.overdueAt {
+	if a := &r.attempts[n-1]; a.inFlight && !a.declaredLost && now >= a.overdueAt {
 		t.handleOverdue(now, r, a)
 	}
 }
 
-// handleOverdue hedges an attempt that takes far longer than expected, if it is lost. Where all requests
-// queue, it must be waited for: a hedged request would double the work of endpoints that have too much. It is
-// lost if a later attempt at its endpoint was answered before it, or if not even a probe was answered since:
-// an endpoint or the network may drop some requests and serve the rest in time. Hedging is limited to times
-// when such losses are known to happen, since most late answers are slow, and do come.
+// handleOverdue hedges an overdue attempt if it can be declared lost: if its endpoint answered a later
+// attempt before it, or has not answered even the probe sent once it was overdue.
+//
+// An attempt that merely queues is waited for, since a hedged request would double the work of an overloaded
+// endpoint. Hence hedging also requires a loss rate: without losses, overdue attempts are slow.
 func (t *retrier) handleOverdue(now Micros, r *request, a *attempt) {
 	e := a.endpoint
-	if t.lostAttemptShare.value < minLostShare {
+	if t.lossRate.value < minHedgingLossRate {
 		return
 	}
 	overtaken, silent := e.lastAnsweredSentAt > a.sentAt, a.suspected && e.lastResponseAt < a.sentAt
@@ -84,26 +89,26 @@
 		}
 		return
 	}
-	a.presumedLost = true
+	a.declaredLost = true
 	if t.settings.Limits.HedgedRequests && t.hedgeBudget >= 1 && t.admission.startAttempt(now, r) {
 		t.hedgeBudget--
 	}
 }
 
-// recordLoss counts whether an attempt that has ended was lost.
+// recordLoss updates the loss rate by an attempt that has ended.
 func (t *retrier) recordLoss(a *attempt, status Status) {
 	e := a.endpoint
-	lost := a.presumedLost && status == Cancelled ||
+	lost := a.declaredLost && status == Cancelled ||
 		status == Timeout && (e.lastAnsweredSentAt > a.sentAt || e.lastResponseAt < a.sentAt)
-	t.lostAttemptShare.add(indicator(lost), lostWeight)
+	t.lossRate.add(indicator(lost), lossRateWeight)
 }
 
-// retry sends r again after an attempt that failed, or gives up on it. Only an attempt that may have executed
-// counts against the budget.
+// retry sends r again after an attempt that failed, or rejects it. Only an attempt that may have executed is
+// charged to the budget: others have cost no work.
 func (t *retrier) retry(now Micros, r *request, failed *attempt) {
-	price := budget(indicator(failed.mayHaveExecuted))
-	if t.retryBudget >= price && t.admission.startAttempt(now, r) {
-		t.retryBudget -= price
+	charge := budget(indicator(failed.mayHaveExecuted))
+	if t.retryBudget >= charge && t.admission.startAttempt(now, r) {
+		t.retryBudget -= charge
 		return
 	}
 	if r.inFlight == 0 { // else another attempt may still be answered
--- a/balancer/retries_test.go
+++ b/balancer/retries_test.go
@@ -20,7 +20,7 @@
 func TestLostAttemptsAreHedged(t *testing.T) {
 	for class, copies := range []int{1, 1, 1, 1, 0} {
 		b, r := start(t, testSettings(), ready(4))
-		b.retries.lostAttemptShare.value = minLostShare
+		b.retries.lossRate.value = minHedgingLossRate
 		b.HandleRequest(1000, testRequest(1, uint8(class), 1000))
 		first := r.sends[0]
 		b.membership.byID[first.endpoint].lastAnsweredSentAt = 2000
