--- a/balancer/admission.go
+++ b/balancer/admission.go
@@ -4,9 +4,11 @@
 
 // Admission: whether a request is worth an attempt now, and whether endpoints are probed for it first.
 
+// One of so many requests that seem too late is sent as a trial. The interval starts at the minimum and
+// doubles with each trial that is not served in time.
 const (
-	minTrialInterval = 10  // one of so many requests that seem too late is sent as a trial,
-	maxTrialInterval = 640 // and one of so many after trials that were not served in time
+	minTrialInterval = 10
+	maxTrialInterval = 640
 )
 
 // admission decides whether requests are sent.
@@ -21,7 +23,7 @@
 	waiting   *waitlist
 	retries   *retrier
 
-	trialInterval int // requests that seem too late for one that is sent as a trial
+	trialInterval int // one of so many requests that seem too late is sent as a trial
 }
 
 // dispatch sends a request, or rejects it.
@@ -65,13 +67,14 @@
 	return true
 }
 
-// tooLate tells whether e, the best endpoint, would serve r too late to be worth its work.
+// tooLate tells whether e, the best endpoint, would serve r too late for the work to be worth it.
 //
-// Where no request queues, none is too late: few samples of a long-tailed latency can make a healthy endpoint
-// look hopeless, and a sidecar that is slow itself makes all look so; rejected clients would only return
-// sooner. As with a half-open circuit breaker, a request passes as a trial now and then, so that a wrong
-// estimate does not confirm itself. That is one of so many, since one a second at each of a thousand
-// balancers is more than an overloaded fleet can serve.
+// Where no request queues, none is too late. There, a few samples of a long-tailed latency can make a healthy
+// endpoint look slow, and a slow sidecar makes all endpoints look so; rejecting requests relieves neither.
+//
+// As with a half-open circuit breaker, some requests pass as trials, so that a wrong estimate is corrected.
+// Their number is a share of the requests, since one a second at each of a thousand balancers would be more
+// than an overloaded fleet can serve.
 func (a *admission) tooLate(now Micros, r *request, e *endpoint) bool {
 	expected, limit := a.estimates.latency(now, e, r.work), a.estimates.latencyLimit(now, r, e)
 	late := expected > limit && a.estimates.queueingFactor(now, e) > 1
@@ -80,8 +83,8 @@
 	}
 	c := r.class
 	c.tooLateSinceTrial++
-	mayTry := len(r.attempts) == 0 && c.tooLateSinceTrial >= a.trialInterval
-	if mayTry && now-c.lastTrialAt >= forcedTrialInterval {
+	trialDue := len(r.attempts) == 0 && c.tooLateSinceTrial >= a.trialInterval
+	if trialDue && now-c.lastTrialAt >= forcedTrialInterval {
 		c.lastTrialAt, c.tooLateSinceTrial = now, 0
 		r.trial = true
 		return false
@@ -99,24 +102,24 @@
 	if inTime {
 		a.trialInterval = minTrialInterval
 	} else if r.trial {
-		// The endpoints are still overloaded: more trials would only prolong that.
+		// The endpoints are still overloaded, and trials add to that.
 		a.trialInterval = min(2*a.trialInterval, maxTrialInterval)
 	}
 }
 
-// waitForProbes probes a few random endpoints for r, and has r wait for their answers. It returns false if r
-// should be dispatched at once.
+// waitForProbes probes a few random endpoints for r, and puts r on the waitlist for their answers. It returns
+// false if r should be dispatched at once.
 func (a *admission) waitForProbes(now Micros, r *request) bool {
-	// While most requests are rejected, most go without probes: clients retry, and the probes alone would fill
-	// the fleet.
+	// Beyond half of the requests rejected, fewer and fewer get probes: clients retry, and the probes for all
+	// their requests could overload the fleet by themselves.
 	probing := a.probes.probesWithRequests() && a.settings.Limits.Probes && len(a.settings.ReportFields) > 0
 	if !probing || a.random.uniform() > max(minFirstAttemptShare, 2-2*a.demand.rejected()) {
 		return false
 	}
 	wait := min(maxProbeWaitShare*float64(r.class.LatencyObjective), float64(r.Deadline-now)/4)
 	for i := range a.probes.countPerRequest() {
-		// One endpoint of the balancer's own zone, and others whose answer can come in time; farther ones while
-		// many requests are rejected.
+		// The first probe goes to the balancer's own zone. The others go where an answer comes within half the
+		// wait; within all of it with a probability of the share of requests rejected.
 		maxRoundTrip := wait / 2
 		if i == 0 {
 			maxRoundTrip = 0
--- a/balancer/balancer.go
+++ b/balancer/balancer.go
@@ -20,6 +20,16 @@
 
 // Balancer decides for one sidecar. Make one with New; it must not be copied. Each part owns its state and calls
 // methods of others; the event methods below route to the parts.
+//
+// Two cycles of pointers are inherent in the decisions. The parts are therefore allocated together here, and New
+// connects them:
+//
+//   - prober -> slowStart -> estimator -> prober: a probe is charged to the slow start budget, that budget depends on
+//     measured latencies, and the estimates depend on how fresh the probing keeps load reports.
+//   - admission <-> retrier: an admitted attempt starts the timer for its hedging, and a retry or hedged request is
+//     admitted like a first attempt.
+//
+// Neither recurses: each call goes one step along the cycle.
 type Balancer struct {
 	environment
 	ledger     ledger          // requests, and the rules for their attempts
@@ -38,7 +48,8 @@
 
 const second Micros = 1_000_000
 
-// Timer tokens below firstRequestToken belong to the balancer; others name a request by its slot and a count of uses.
+// Timer tokens below firstRequestToken belong to the balancer. The others name a request: the low slotBits hold its
+// slot in the ledger plus firstRequestToken, the high bits count the uses of that slot.
 const (
 	probeTimerToken = iota
 	pollTimerToken
@@ -133,7 +144,7 @@
 		}
 		b.ledger.reject(r)
 	case r.awaitingProbes:
-		// Only idle endpoints answer in time: counting those alone would show an overloaded fleet as idle.
+		// Only idle endpoints answer in time: counting their answers alone would show an overloaded fleet as idle.
 		for _, e := range r.awaitedEndpoints {
 			b.estimates.learnProbeDelay(float64(now - e.lastProbeAt))
 		}
@@ -166,7 +177,8 @@
 	}
 }
 
-// HandleHeaders handles the start of a streamed answer: from here on no deadline and no attempt concern the request.
+// HandleHeaders handles the start of a streamed answer: from here on, the request has no deadline and gets no other
+// attempt.
 func (b *Balancer) HandleHeaders(_ Micros, id uint64, attempt int, _ Micros) {
 	if r := b.ledger.lookup(id); r != nil && !r.answered && attempt >= 0 && attempt < len(r.attempts) {
 		r.streaming = true
@@ -193,7 +205,7 @@
 	if r == nil {
 		return
 	}
-	b.membership.dropIfRemoved(a.endpoint) // the next list may be long in coming
+	b.membership.dropIfRemoved(a.endpoint) // the next list may come much later
 	b.retries.recordLoss(a, o.Status)
 	b.stats.outcome(a, o.Status, o.Latency)
 	b.breakers.recordOutcome(now, a, o.Status, o.Latency)
@@ -225,7 +237,7 @@
 		e.lastResponseAt = now
 	}
 	if status != OK {
-		e.reportedAt = 0 // an endpoint that rejects probes or lets them wait should get no request
+		e.reportedAt = 0 // this removes it from the pool: it rejects probes or answers late
 		if status == Timeout {
 			b.estimates.learnProbeTimeout(float64(latency))
 		}
--- a/balancer/demand.go
+++ b/balancer/demand.go
@@ -13,6 +13,8 @@
 	// requests are rejected in just those.
 	worstWindowGain = 4.0
 
+	initialWorkDivisor = 5 // of its latency objective: a class's work until the first sample
+
 	minWorkShare      = 0.05 // of all work: lower bound of a class's share, by which its gain is divided
 	servedInTimeScale = 0.1  // lead in the share served in time that lowers a class's gain by a factor of e
 )
@@ -49,7 +51,7 @@
 }
 
 func newDemand(env *environment) demand {
-	return demand{environment: env, rejectedShare: ewma{initialized: true}}
+	return demand{environment: env, rejectedShare: newEWMA(0)}
 }
 
 // configure takes up new classes and tenants. What is known of those of the same names stays.
@@ -110,7 +112,7 @@
 	inForce := d.classNamed(definition.Name)
 	switch {
 	case inForce == nil:
-		work := ewma{value: float64(definition.LatencyObjective) / 5, initialized: true}
+		work := newEWMA(float64(definition.LatencyObjective) / initialWorkDivisor)
 		return &class{definition, &classStats{work: work}}
 	case inForce.Class == definition:
 		return inForce
--- a/balancer/discovery.go
+++ b/balancer/discovery.go
@@ -2,16 +2,16 @@
 
 // Discovery: when the balancer subscribes to the endpoint list.
 
-// minPollDelay is about the shortest delay after a call that failed.
+// minPollDelay is about the shortest delay of the first call after a watch that broke.
 const minPollDelay = second / 20
 
 // discoveryPoller subscribes to discovery and repeats calls that fail.
 type discoveryPoller struct {
 	*environment
 	subscribed bool
-	nextPollAt Micros // unless subscribed by then
+	nextPollAt Micros // instant of the next call, unless subscribed by then
 	lastPollAt Micros
-	backoff    Micros // 0 after a success
+	backoff    Micros // before the next call; 0 after a success
 }
 
 // start spreads the first calls: all balancers may start at once.
@@ -43,8 +43,8 @@
 	}
 }
 
-// failed schedules the next call after one that failed, or after a watch that broke. The delay grows and is
-// random, but leaves time to learn of a change by NotificationDeadline.
+// failed schedules the next call after one that failed, or after a watch that broke: with exponential backoff
+// and jitter, but early enough to be notified of a change by NotificationDeadline.
 func (d *discoveryPoller) failed(now Micros) {
 	wasSubscribed := d.subscribed
 	d.subscribed = false
--- a/balancer/estimates.go
+++ b/balancer/estimates.go
@@ -2,20 +2,20 @@
 
 import "slices"
 
-// Estimates is what a balancer has learned of the fleet. The next process of the same sidecar continues from it: to
-// learn it anew takes seconds, in which the first slow answers would count as typical of all endpoints. The JSON keys
-// are those that processes of earlier versions read.
+// Estimates is what a balancer has learned of the fleet. The next process of the same sidecar continues from it:
+// learning it again takes seconds, in which the first slow answers would count as typical of all endpoints. The JSON
+// keys are those that processes of earlier versions read.
 type Estimates struct {
 	ServiceTimeRatio float64 `json:"Pace"`  // measured over predicted service time, over the fleet
 	QueuedProbeShare float64 `json:"Waits"` // share of probes that queued behind requests
 	LateReportShare  float64 `json:"Lag"`   // share of load reports that came late
 	ReportsLate      bool
 
-	TypicalLoad        float64 `json:"Usual"`     // requests of others at a warm endpoint
-	TypicalWarmingLoad float64 `json:"UsualCold"` // the same at one that is warming up
+	TypicalLoad        float64 `json:"Usual"`     // requests of other balancers at a warm endpoint
+	TypicalWarmingLoad float64 `json:"UsualCold"` // the same at an endpoint that is warming up
 
-	WarmingSlowness float64 `json:"Chill"`  // share of the slowness that slow start permits
-	WarmingSamples  int     `json:"Chills"` // latencies that WarmingSlowness is from
+	WarmingSlowness float64 `json:"Chill"`  // measured share of the slowness that the warm-up fraction implies
+	WarmingSamples  int     `json:"Chills"` // latencies measured for WarmingSlowness
 
 	ClassWork     []ClassWorkEstimate   `json:"Works"`
 	ZoneLatencies []ZoneLatencyEstimate `json:"Ways"`
@@ -32,7 +32,7 @@
 type ZoneLatencyEstimate struct {
 	Zone      uint8
 	Latency   float64 `json:"V"`    // median
-	Deviation float64 `json:"Sway"` // mean distance from it
+	Deviation float64 `json:"Sway"` // mean distance of samples from the median
 }
 
 // EndpointEstimate is what is known of one process of an endpoint.
@@ -41,7 +41,7 @@
 	StartTime        Micros  // of the process
 	MeasuredAt       Micros  `json:"PaceAt"` // instant of the latest sample of ServiceTimeRatio
 	ServiceTimeRatio float64 `json:"Pace"`   // measured over predicted service time
-	MeanLoad         float64 `json:"Mean"`   // requests of others there
+	MeanLoad         float64 `json:"Mean"`   // requests of other balancers there
 }
 
 // Estimates returns what is known by now.
@@ -53,8 +53,8 @@
 	return out
 }
 
-// Restore continues from what another process of this sidecar knew. It comes after Start and before any endpoint list.
-// Estimates that are invalid, or of a balancer with no class in common, change nothing.
+// Restore continues from the estimates of an earlier process of this sidecar. Call it after Start and before any
+// endpoint list. Estimates that are invalid, or of a balancer with no class in common, change nothing.
 func (b *Balancer) Restore(in *Estimates) {
 	known := func(w ClassWorkEstimate) bool { return b.demand.classNamed(w.Class) != nil }
 	if !isPositiveFinite(in.ServiceTimeRatio) || !slices.ContainsFunc(in.ClassWork, known) {
@@ -80,10 +80,10 @@
 }
 
 func (est *estimator) restore(in *Estimates) {
-	est.fleetServiceTimeRatio = ewma{in.ServiceTimeRatio, true}
+	est.fleetServiceTimeRatio = newEWMA(in.ServiceTimeRatio)
 	est.warmingSlowness.value = clampShare(in.WarmingSlowness)
 	est.warmingSamples = max(0, in.WarmingSamples)
-	est.queuedProbeShare = ewma{clampShare(in.QueuedProbeShare), true}
+	est.queuedProbeShare = newEWMA(clampShare(in.QueuedProbeShare))
 	est.lateReportShare.value, est.reportsLate = clampShare(in.LateReportShare), in.ReportsLate
 	if isPositiveFinite(in.TypicalLoad) {
 		est.typicalLoad.value = in.TypicalLoad
--- a/balancer/events.go
+++ b/balancer/events.go
@@ -18,7 +18,7 @@
 	MachineKind uint8
 	Cell        uint16
 	State       EndpointState
-	Weight      float32 // of its capacity
+	Weight      float32 // its capacity relative to others
 	StartTime   Micros  // of its present process; 0 for long ago
 }
 
@@ -79,6 +79,6 @@
 	Status       Status
 	Latency      Micros
 	Answered     bool // the request has its final answer
-	BodyConsumed bool // the body is no longer complete at the host: it can't be sent again
+	BodyConsumed bool // the body is no longer complete at the host, so it can't be sent again
 	LoadReport   []float32
 }
--- a/balancer/ledger.go
+++ b/balancer/ledger.go
@@ -6,6 +6,13 @@
 // servedInTimeWeight is the weight of the latest request in its class's share served in time.
 const servedInTimeWeight = 0.02
 
+// A Retry-After is drawn uniformly from a range in shares of the latency objective: the retries are spread,
+// and come while an answer is still useful.
+const (
+	minRetryAfterShare = 0.1
+	retryAfterSpread   = 0.2
+)
+
 // ledger holds every request that has an attempt in flight or lacks its final answer.
 type ledger struct {
 	*environment
@@ -51,7 +58,7 @@
 		r = &request{timerToken: uint32(len(l.slots) + firstRequestToken)}
 		l.slots = append(l.slots, r)
 	}
-	// The high bits count uses of the slot, so that a timer of an earlier use finds nothing.
+	// The high bits count the uses of the slot, so that a timer of an earlier use is ignored.
 	r.timerToken += 1 << slotBits
 	underEarlierSettings := in.ReceivedUnder != nil
 	in.ReceivedUnder = nil // a free record must not keep old settings alive
@@ -109,7 +116,7 @@
 	r.attempts = append(r.attempts, a)
 	r.inFlight++
 	if e.lastSentAt = now; r.StreamingBody {
-		e.uploading++ // the endpoint begins the request with its last byte
+		e.uploading++ // the endpoint starts to serve the request at its last byte
 	} else {
 		e.inFlight++
 	}
@@ -168,8 +175,7 @@
 	}
 	var retryAfter Micros
 	if l.settings.Limits.RetryAfter {
-		// The retries are spread, and come while an answer is still wanted.
-		spread := (0.1 + 0.2*l.random.uniform()) * float64(r.class.LatencyObjective)
+		spread := (minRetryAfterShare + retryAfterSpread*l.random.uniform()) * float64(r.class.LatencyObjective)
 		retryAfter = min(Micros(spread), l.settings.Limits.MaxRetryAfter)
 	}
 	l.stats.Rejected++
--- a/balancer/membership.go
+++ b/balancer/membership.go
@@ -14,7 +14,7 @@
 	removedStartTimes map[uint64]Micros           // start times of removed endpoints, by name
 	listReceived      bool                        // discovery has answered since the start
 	listReceivedAt    Micros                      // when it last did; 0 before
-	maxWeight         float64                     // largest weight ever listed
+	maxWeight         float64                     // largest weight ever listed, by which random draws are scaled
 }
 
 // maxRemovedEndpoints bounds removedStartTimes.
@@ -36,7 +36,7 @@
 // lookup returns the endpoint of this ID, or nil.
 func (m *membership) lookup(id uint32) *endpoint { return m.byID[id] }
 
-// setCordoned records whether endpoints of this name are cordoned, for those that are listed later.
+// setCordoned records whether endpoints of this name are cordoned. It concerns entries listed from now on.
 func (m *membership) setCordoned(name uint64, cordoned bool) { m.cordoned[name] = cordoned }
 
 // beginUpdate prepares for the entries of a list.
@@ -46,8 +46,8 @@
 	}
 }
 
-// update takes over an entry of a list. newProcess tells whether it names an endpoint or a process of it that
-// was not known, which started at startTime, or long ago if that is 0.
+// update stores an entry of a list. newProcess tells whether it names an endpoint, or a process of one, that
+// was not known. That process started at startTime, or long ago if startTime is 0.
 func (m *membership) update(now Micros, in *Endpoint) (e *endpoint, startTime Micros, newProcess bool) {
 	e = m.byID[in.ID]
 	added := e == nil
@@ -114,14 +114,14 @@
 	m.removedStartTimes[e.Name] = e.StartTime
 }
 
-// effectiveStartTime returns when an endpoint that is new here, or was restarted, started. The listed time is
-// by a clock that may have been stepped: an endpoint that was not in the list before can't have been warm
-// then, unless it is a process that had left the list.
+// effectiveStartTime returns the instant at which an endpoint that is new here, or was restarted, started.
+// The listed time is by another clock, which may have been stepped. A process that the latest list did not
+// name can't be warm already, unless it is one that was removed and returns.
 func (m *membership) effectiveStartTime(now Micros, in *Endpoint) Micros {
 	removed, known := m.removedStartTimes[in.Name]
 	returned := known && removed == in.StartTime
-	warmSince := m.listReceivedAt - m.settings.Contract.SlowStartDuration
-	if m.listReceivedAt > 0 && !returned && in.StartTime < warmSince {
+	latestWarmStart := m.listReceivedAt - m.settings.Contract.SlowStartDuration
+	if m.listReceivedAt > 0 && !returned && in.StartTime < latestWarmStart {
 		return now
 	}
 	return in.StartTime
@@ -130,9 +130,9 @@
 // restoreEndpoint takes up the estimates of an earlier balancer process for the same endpoint process.
 func (m *membership) restoreEndpoint(e *endpoint) {
 	if known, ok := m.restored[e.Name]; ok && known.StartTime == e.StartTime {
-		e.serviceTimeRatio, e.serviceTimeRatioAt = ewma{known.ServiceTimeRatio, true}, known.MeasuredAt
+		e.serviceTimeRatio, e.serviceTimeRatioAt = newEWMA(known.ServiceTimeRatio), known.MeasuredAt
 		if isPositiveFinite(known.MeanLoad) {
-			e.meanLoad = ewma{known.MeanLoad, true}
+			e.meanLoad = newEWMA(known.MeanLoad)
 		}
 	}
 	delete(m.restored, e.Name)
--- a/balancer/pick.go
+++ b/balancer/pick.go
@@ -7,16 +7,16 @@
 // Endpoint selection.
 
 const (
-	maxRandomDraws    = 8    // weighted random draws before the list is gone through
-	externalityWeight = 0.05 // of the delay caused to others: among equals, less load is preferred
-	crossZoneWeight   = 2.0  // latency objectives that the price of crossing zones counts as
-	affinityChoices   = 2    // endpoints of the own zone, and as many of others, that a key names
-	minAffinityWeight = 0.01
-	maxRejectedShare  = 0.5 // of its failures, up to which an ejected endpoint ranks behind a late one
+	maxRandomDraws    = 8    // weighted random draws, before the list is scanned from a random start
+	externalityWeight = 0.05 // of the delay caused to others in the cost: among equals, less load is preferred
+	crossZoneWeight   = 2.0  // latency objectives that a price of 1 for crossing zones counts as
+	affinityChoices   = 2    // endpoints of the own zone, and as many of others, that a key maps to
+	minAffinityWeight = 0.01 // lower bound of the weight in rendezvous hashing, which divides by it
+	maxRejectedShare  = 0.5  // of its failures, from which an ejected endpoint ranks before a late one
 )
 
-// picker selects the endpoint of an attempt: of least cost among the pool, the endpoints that the request's
-// key names, the next warming endpoint, or random draws.
+// picker selects the endpoint of an attempt: that of least cost among the pool, the endpoints that the
+// request's key maps to, the next warming endpoint, and random draws.
 type picker struct {
 	*environment
 	membership *membership
@@ -29,10 +29,11 @@
 // candidate is an endpoint with its cost.
 type candidate struct {
 	endpoint *endpoint
-	cost     float64
+	cost     float64 // microseconds, or the score of affinityRanking
 }
 
-// cost ranks endpoints: predicted latency, plus the price of crossing zones and a likely failure as time.
+// cost ranks endpoints for r by the predicted latency in microseconds, to which the expected failures, the
+// delay caused to others and the price of crossing zones are added as time.
 func (p *picker) cost(now Micros, r *request, e *endpoint) float64 {
 	objective := float64(r.class.LatencyObjective)
 	expected := p.estimates.latency(now, e, r.work)
@@ -52,9 +53,9 @@
 	return e != excluded && !r.triedAt(e) && p.ledger.maySend(now, r, e)
 }
 
-// randomEndpoint returns a random endpoint that r may go to, of the own zone or within the round trip given
-// if it can be had. Ejected endpoints are returned only if there is no other. It returns nil if there is none
-// at all.
+// randomEndpoint returns a random endpoint that r may go to, or nil if there is none. It prefers endpoints of
+// the own zone or, if maxRoundTrip is not 0, within that many microseconds. It returns an ejected one only if
+// there is no other.
 func (p *picker) randomEndpoint(now Micros, r *request, excluded *endpoint, maxRoundTrip float64) *endpoint {
 	endpoints := p.membership.list()
 	n := len(endpoints)
@@ -81,13 +82,15 @@
 	return ejected
 }
 
-// affinityRanking returns the endpoints that a key names by weighted rendezvous hashing, the same at every
-// balancer: first those of the own zone, then those of others.
+// affinityRanking returns the endpoints that a key maps to by weighted rendezvous hashing, by ascending
+// score: first those of the own zone, then those of others. The score -ln(u)/weight, with u a uniform hash of
+// key and endpoint, gives each endpoint a share of the keys in proportion to its weight, and is the same at
+// every balancer.
 func (p *picker) affinityRanking(now Micros, key uint64) (top [2 * affinityChoices]candidate) {
 	contract := &p.settings.Contract
 	for _, e := range p.membership.list() {
 		if !e.usable() || e.isEjected(now) || e.isWarming(now, contract) {
-			continue // a warming endpoint has met no keys
+			continue // a warming endpoint has cached nothing for any key
 		}
 		score := -math.Log(uniformHash(key, e.Name)) / max(minAffinityWeight, float64(e.Weight))
 		inserted := candidate{e, score}
@@ -104,9 +107,10 @@
 	return top
 }
 
-// affinityPick returns the endpoint of least cost among the first two that the request's key names, or of the
-// next two if the first would be too late, or nil. Where own reports are few, the pool is too old to do
-// better: the first is returned even if late, and the request is rejected there.
+// affinityPick returns an endpoint that the request's key maps to, or nil: of least cost among the first of
+// the own zone and the first of the others or, if that would be too late, among the second ones. Where
+// reports are sparse, the pool is too old to do better: the former is returned even if too late, and the
+// request is rejected.
 func (p *picker) affinityPick(now Micros, r *request, excluded *endpoint) *endpoint {
 	if !p.settings.KeyAffinity || r.Key == 0 {
 		return nil
@@ -159,9 +163,9 @@
 	for i, start := 0, int(p.random.uniform()*float64(len(pool))); i < len(pool); i++ {
 		p.consider(now, r, excluded, pool[(start+i)%len(pool)], &best)
 	}
-	// Seldom drawn, the next warming endpoint would stay cold if it did not compete.
+	// Random draws hit the next warming endpoint too seldom to warm it up.
 	p.consider(now, r, excluded, p.slowStart.candidate(), &best)
-	// If the pool holds few of the endpoints, it must not get all requests: random draws compete.
+	// Random draws compete with a pool of less than half of the endpoints, which must not get all requests.
 	small := !p.probes.probesWithRequests() && 2*len(pool) < len(p.membership.list())
 	if best.endpoint == nil || small {
 		for range 2 {
--- a/balancer/prediction.go
+++ b/balancer/prediction.go
@@ -56,8 +56,8 @@
 func newEstimator(env *environment, d *demand, p *prober) estimator {
 	return estimator{
 		environment: env, demand: d, probes: p, trend: 1, workHintExponent: initialWorkHintExponent,
-		lateReportShare: ewma{initialized: true},
-		warmingSlowness: ewma{value: initialWarmingSlowness, initialized: true},
+		lateReportShare: newEWMA(0),
+		warmingSlowness: newEWMA(initialWarmingSlowness),
 		typicalLoad:     cumulativeMean{value: initialTypicalLoad, samples: initialTypicalLoadSamples},
 	}
 }
@@ -178,7 +178,7 @@
 		est.workHintExponent = min(1, max(0, est.workHintExponent+step))
 	}
 	warm := predicted / slowdown // the stored ratio is that of the endpoint once warm
-	e.serviceTimeRatio = ewma{value: warm, initialized: true}
+	e.serviceTimeRatio = newEWMA(warm)
 	e.serviceTimeRatio.add(measured/slowdown, serviceTimeRatioWeight)
 	if least := e.warmupFraction(now, &est.settings.Contract); least < 1 && warm > 0 {
 		est.warmingSamples++
--- a/balancer/request.go
+++ b/balancer/request.go
@@ -10,8 +10,8 @@
 	tenant           *tenant     // nil where there is none
 	timerToken       uint32
 	arrivedAt        Micros
-	work             float64 // expected service time of one at an endpoint without load
-	logWorkHint      float64 // logarithm of its work hint over the mean of its class
+	work             float64 // expected service time in microseconds at an endpoint without load
+	logWorkHint      float64 // natural logarithm of its work hint over the mean of its class; 0 without hint
 	priority         float64 // of its class and tenant, 0 to 1, at the latest decision
 	attempts         []attempt
 	inFlight         int     // attempts without outcome
@@ -30,12 +30,12 @@
 	zone                  uint8 // of the endpoint when sent: its list entry may change
 	cell                  uint16
 	sentAt                Micros
-	predictedLatency      float64
-	predictedWithoutTrend float64 // latency predicted from the endpoint's service time and load alone
+	predictedLatency      float64 // microseconds
+	predictedWithoutTrend float64 // microseconds, from the endpoint's service time and load alone
 	queueingFactor        float64 // when sent
 	overdueAt             Micros  // when to check whether it is lost
-	suspected             bool    // it was overdue once
-	declaredLost          bool    // it no longer hinders a hedged request, though its outcome may still come
+	suspected             bool    // it was overdue once, and its endpoint was probed
+	declaredLost          bool    // no answer is expected: it permits a hedged request, but may still be answered
 	warming               bool    // the endpoint was warming up when sent to
 	inFlight              bool    // no outcome yet
 	mayHaveExecuted       bool    // it may have had its effect, or may yet
@@ -61,7 +61,7 @@
 }
 
 // hasPendingAttempt tells whether an attempt in flight forbids another. If the request may be hedged, one that
-// is presumed lost does not.
+// is declared lost does not.
 func (r *request) hasPendingAttempt(mayHedge bool) bool {
 	return slices.ContainsFunc(r.attempts, func(a attempt) bool {
 		return a.inFlight && (!mayHedge || !a.declaredLost)
--- a/balancer/retries.go
+++ b/balancer/retries.go
@@ -40,7 +40,7 @@
 func newRetrier(env *environment, p *prober, est *estimator, a *admission, l *ledger) retrier {
 	return retrier{
 		environment: env, probes: p, estimates: est, admission: a, ledger: l,
-		retryBudget: maxBudget, hedgeBudget: maxBudget, lossRate: ewma{initialized: true},
+		retryBudget: maxBudget, hedgeBudget: maxBudget, lossRate: newEWMA(0),
 	}
 }
 
--- a/balancer/rules.go
+++ b/balancer/rules.go
@@ -18,7 +18,7 @@
 			r.class.DeduplicationScope.covers(first, e)
 }
 
-// covers tells whether e drops a repeat of a request that the first attempt may have brought to the scope.
+// covers tells whether e drops a repeat of the request that the first attempt may have executed.
 func (scope DeduplicationScope) covers(first *attempt, e *endpoint) bool {
 	return scope == ScopeAll || scope == ScopeZone && e.Zone == first.zone ||
 		scope == ScopeCell && e.Cell == first.cell
@@ -35,16 +35,15 @@
 	return first.sentAt + r.class.DeduplicationWindow - Micros(l.estimates.roundTrip(e))
 }
 
-// mayReject tells whether it is true that a client's retry would be harmless.
+// mayReject tells whether r may be answered as rejected, which promises that a client's retry is harmless.
 func (l *ledger) mayReject(r *request) bool {
 	return r.idempotency == Idempotent || r.firstExecuted() == nil ||
 		r.idempotency == IdempotentWithKey && r.class.DeduplicationScope == ScopeAll
 }
 
-// restrictIdempotency applies the class in force to the attempts still to come of r, which otherwise keeps
-// the class that it arrived under. If that class permitted more, r may lack the key by which endpoints drop a
-// repeat, so none may begin any more. If several attempts may have executed, those in flight are to be
-// withdrawn.
+// restrictIdempotency makes r non-idempotent if its class, as now in force, permits less than the one that r
+// arrived under: r may lack the key by which endpoints drop repeats. It returns the attempts to withdraw: if
+// several may have executed, those in flight.
 func (l *ledger) restrictIdempotency(r *request) (withdrawn []AttemptID) {
 	if c := l.demand.classNamed(r.class.Name); c != nil && c.Idempotency > r.idempotency {
 		r.idempotency = NonIdempotent
--- a/balancer/settings.go
+++ b/balancer/settings.go
@@ -97,8 +97,8 @@
 	DrainGrace               Micros  // for which a draining endpoint still serves
 	SlowStartInitialFraction float64 `json:"ColdFrom"`     // share of its capacity, at least, that an endpoint starts with
 	SlowStartDuration        Micros  `json:"RampTime"`     // after which it is warm, at the latest
-	OverloadFactor           float64 `json:"FallMultiple"` // of its present capacity, sent for OverloadWindow,
-	OverloadWindow           Micros  `json:"OverloadFor"`  // overloads an endpoint that is warming up
+	OverloadFactor           float64 `json:"FallMultiple"` // times its present capacity overload a warming endpoint
+	OverloadWindow           Micros  `json:"OverloadFor"`  // if sent for this time
 	PollInterval             Micros  `json:"AskWithin"`    // between polls of a balancer without subscription, at most
 	AnswerGrace              Micros  `json:"AnswerSlack"`
 }
@@ -141,7 +141,7 @@
 	Tick            Micros  // the least time between two rounds of events
 	OverQuotaWeight float64 `json:"OverShareWorth"` // of a request beyond its tenant's quota, as a share
 	WeightByWork    bool    `json:"WorthByWork"`    // PriorityWeight counts per unit of work, not per request
-	KeyAffinity     bool    `json:"WarmKeys"`       // an endpoint that met a key lately does less work for it
+	KeyAffinity     bool    `json:"WarmKeys"`       // an endpoint that served a key recently does less work for it
 }
 
 // SettingError names a setting that is invalid. Key is its path in Settings.
