--- a/balancer/helpers_test.go
+++ b/balancer/helpers_test.go
@@ -10,9 +10,7 @@
 		Balancers: 2, Zones: 1, MachineKinds: 1, Tick: 5000,
 		Classes: []Class{
 			{Name: "read", Idempotency: Idempotent, LatencyObjective: 400_000, ClientTimeout: second, PriorityWeight: 1},
-			{Name: "keyed-all", Idempotency: IdempotentWithKey, DeduplicationScope: ScopeAll, DeduplicationWindow: 500_000, LatencyObjective: 400_000, ClientTimeout: second, PriorityWeight: 1},
-			{Name: "keyed-zone", Idempotency: IdempotentWithKey, DeduplicationScope: ScopeZone, DeduplicationWindow: 500_000, LatencyObjective: 400_000, ClientTimeout: second, PriorityWeight: 1},
-			{Name: "keyed-cell", Idempotency: IdempotentWithKey, DeduplicationScope: ScopeCell, DeduplicationWindow: 500_000, LatencyObjective: 400_000, ClientTimeout: second, PriorityWeight: 1},
+			keyedClass("keyed-all", ScopeAll), keyedClass("keyed-zone", ScopeZone), keyedClass("keyed-cell", ScopeCell),
 			{Name: "write", Idempotency: NonIdempotent, LatencyObjective: 400_000, ClientTimeout: second, PriorityWeight: 1},
 		},
 		ReportFields: []ReportField{FieldInFlight},
@@ -24,6 +22,23 @@
 	}
 }
 
+// keyedClass returns a class of requests with an idempotency key.
+func keyedClass(name string, scope DeduplicationScope) Class {
+	return Class{
+		Name: name, Idempotency: IdempotentWithKey, DeduplicationScope: scope, DeduplicationWindow: 500_000,
+		LatencyObjective: 400_000, ClientTimeout: second, PriorityWeight: 1,
+	}
+}
+
+// readClass returns a single class of idempotent requests.
+func readClass(latencyObjective, clientTimeout Micros) []Class {
+	return []Class{{
+		Name: "read", Idempotency: Idempotent,
+		LatencyObjective: latencyObjective, ClientTimeout: clientTimeout, PriorityWeight: 1,
+	}}
+}
+
+// sent is an attempt that a balancer sent.
 type sent struct {
 	id       uint64
 	endpoint uint32
@@ -65,6 +80,7 @@
 	return list
 }
 
+// start returns a started balancer with this endpoint list, and the recorder of its actions.
 func start(t *testing.T, s Settings, list []Endpoint) (*Balancer, *recorder) {
 	t.Helper()
 	r := &recorder{}
@@ -77,6 +93,7 @@
 	return b, r
 }
 
+// testRequest returns a request whose deadline is a second from now.
 func testRequest(id uint64, class uint8, now Micros) Request {
 	return Request{ID: id, Class: class, Deadline: now + second}
 }
--- a/balancer/overload_test.go
+++ b/balancer/overload_test.go
@@ -6,36 +6,36 @@
 	"testing"
 )
 
-// service simulates a fleet of balancers before endpoints of finite capacity, on one clock. A request that is given up
-// closes its connection and ends its work; what was done of it by then is lost. Clients return when they are rejected
-// or give up an attempt, within their timeout.
+// service simulates a fleet of balancers and endpoints of finite capacity, on one clock. An attempt that its client
+// abandons closes its connection and ends its work; what was done by then is lost. Clients retry, within their timeout,
+// when they are rejected or an attempt times out.
 type service struct {
 	simClock
 	hosts          []*clientHost
 	endpoints      []*server
 	rng            splitMix64
 	clientAttempts uint64
-	offered        []int // requests of users, by the second of their arrival
+	offered        []int // client requests, by the second of their arrival
 	inTime         []int // those of them served within the latency objective
 }
 
 // clientHost is the host of one balancer.
 type clientHost struct {
-	s    *service
-	b    *Balancer
-	open map[uint64]*clientAttempt
-	idle map[uint32]int // connections, by endpoint
+	service         *service
+	balancer        *Balancer
+	open            map[uint64]*clientAttempt
+	idleConnections map[uint32]int // connections, by endpoint
 }
 
-// user is one request as its client sees it: up to three attempts.
-type user struct {
-	at       Micros
-	attempts int
+// clientRequest is one request as its client sees it: up to simMaxAttempts attempts.
+type clientRequest struct {
+	arrivedAt Micros
+	attempts  int
 }
 
 // clientAttempt is one attempt of a client, as one balancer gets it.
 type clientAttempt struct {
-	user     *user
+	request  *clientRequest
 	id       uint64
 	deadline Micros
 	attempts []*job
@@ -43,29 +43,30 @@
 
 // job is one attempt at work at a server.
 type job struct {
-	remaining float64 // work
-	server    *server
-	startedAt Micros // when it got a slot
-	done      func(now Micros)
-	ended     bool
+	remainingWork float64 // microseconds
+	server        *server
+	startedAt     Micros // when it got a slot
+	onDone        func(now Micros)
+	ended         bool
 }
 
 // server shares its cores among its jobs. While overloaded it takes longer for the same work.
 type server struct {
-	s               *service
+	service         *service
 	cores           float64
-	speed           float64
+	speed           float64 // microseconds of work that a core does in a microsecond
 	jobs            []*job
-	advanced        Micros
-	timerGeneration int       // of its timer
-	meanLoad        float64   // requests a core, of late
-	reported        []float32 // queue, and latency of late in milliseconds
-	serviceTime     ewma      // from the start in a slot to the end
-	overloadedAt    Micros    // since when it has had too many jobs; 0 if it has not
-	idleAt          Micros    // since when it has had few jobs; 0 if it has not
+	advancedTo      Micros    // instant up to which work is done
+	timerGeneration int       // of its latest timer; earlier ones are void
+	meanLoad        float64   // requests a core, averaged over loadTimeConstant
+	lastReport      []float32 // queue, and recent service time in milliseconds
+	serviceTime     ewma      // microseconds from the start in a slot to the end
+	overloadedAt    Micros    // start of the time with too many jobs; 0 if it has not too many
+	idleAt          Micros    // start of the time with few jobs; 0 if it has more
 	overloaded      bool
 }
 
+// The simulated clients and requests; times and work in microseconds.
 const (
 	simLatencyObjective = 200 * 1000 // of a client's request, over all its attempts
 	simClientTimeout    = 500 * 1000 // of the client, over all its attempts
@@ -73,12 +74,13 @@
 	simMaxAttempts      = 3
 	meanWork            = 27_000.0 // of a request
 	handshakeWork       = 1100     // of a new connection
-	reportPeriod        = second
-	slotsPerCore        = 4 // requests worked at side by side; the others wait
+	reportPeriod        = second   // of a server's load reports
+	slotsPerCore        = 4        // requests served concurrently by a core; the others queue
 )
 
-// A server is overloaded, and its work takes overloadSlowdown times as long, from when it has had over overloadFrom
-// requests a core for overloadAfter until it has had under idleBelow for idleAfter, as means over loadTimeConstant.
+// A server becomes overloaded once its mean load has exceeded overloadFrom requests a core for overloadAfter. Its work
+// then takes overloadSlowdown times as long, until its mean load has been below idleBelow for idleAfter. The mean decays
+// with loadTimeConstant.
 const (
 	overloadFrom     = 4.0
 	overloadAfter    = 2 * second
@@ -93,39 +95,39 @@
 	s := &service{rng: 11, offered: make([]int, 64), inTime: make([]int, 64)}
 	var list []Endpoint
 	for i := range endpoints {
-		kind := [...]server{{cores: 1, speed: 1.6}, {cores: 2, speed: 1}, {cores: 2, speed: 0.6}}[i%3]
-		kind.s = s
-		s.endpoints = append(s.endpoints, &kind)
-		list = append(list, Endpoint{ID: uint32(i + 1), Name: uint64(i + 1), Weight: float32(kind.cores * kind.speed)})
-		s.after(Micros(s.rng.uniform()*float64(reportPeriod)), kind.report)
+		v := [...]server{{cores: 1, speed: 1.6}, {cores: 2, speed: 1}, {cores: 2, speed: 0.6}}[i%3]
+		v.service = s
+		s.endpoints = append(s.endpoints, &v)
+		list = append(list, Endpoint{ID: uint32(i + 1), Name: uint64(i + 1), Weight: float32(v.cores * v.speed)})
+		s.after(Micros(s.rng.uniform()*float64(reportPeriod)), v.report)
 	}
 	settings := testSettings()
 	settings.Balancers = balancers
-	settings.Classes = []Class{{Name: "read", Idempotency: Idempotent, LatencyObjective: simLatencyObjective, ClientTimeout: simClientTimeout, PriorityWeight: 1}}
+	settings.Classes = readClass(simLatencyObjective, simClientTimeout)
 	settings.ReportFields = []ReportField{FieldQueue, FieldLatency}
 	settings.Limits.HedgedRequests = false
 	settings.Prices.Probe = 0.03
 	for i := range balancers {
-		m := &clientHost{s: s, open: map[uint64]*clientAttempt{}, idle: map[uint32]int{}}
+		m := &clientHost{service: s, open: map[uint64]*clientAttempt{}, idleConnections: map[uint32]int{}}
 		var err error
-		if m.b, err = New(settings, uint64(i)+1, m); err != nil {
+		if m.balancer, err = New(settings, uint64(i)+1, m); err != nil {
 			t.Fatal(err)
 		}
 		s.hosts = append(s.hosts, m)
-		m.b.Start(0)
-		m.b.HandleEndpoints(0, ListFull, list)
+		m.balancer.Start(0)
+		m.balancer.HandleEndpoints(0, ListFull, list)
 	}
 	return s
 }
 
-// traffic has requests arrive at a rate that may change with time; some balancers get several times the mean.
-func (s *service) traffic(rate func(now Micros) float64, until Micros) {
+// startTraffic has requests arrive at a rate that may change with time; some balancers get several times the mean.
+func (s *service) startTraffic(rate func(now Micros) float64, until Micros) {
 	var next func(now Micros)
 	next = func(now Micros) {
-		at := s.rng.uniform()
-		m := s.hosts[int(at*at*at*float64(len(s.hosts)))]
+		draw := s.rng.uniform()
+		m := s.hosts[int(draw*draw*draw*float64(len(s.hosts)))]
 		s.offered[now/second]++
-		m.arrive(now, &user{at: now})
+		m.startAttempt(now, &clientRequest{arrivedAt: now})
 		if now < until {
 			s.after(Micros(-math.Log(1-s.rng.uniform())/rate(now)*float64(second)), next)
 		}
@@ -133,65 +135,71 @@
 	s.after(1, next)
 }
 
-// arrive is one more attempt of a client's request.
-func (m *clientHost) arrive(now Micros, u *user) {
-	if u.attempts == simMaxAttempts || now >= u.at+simClientTimeout {
+// startAttempt has a client send its request again, within its timeout and limit of attempts.
+func (m *clientHost) startAttempt(now Micros, u *clientRequest) {
+	if u.attempts == simMaxAttempts || now >= u.arrivedAt+simClientTimeout {
 		return
 	}
 	u.attempts++
-	m.s.clientAttempts++
-	t := &clientAttempt{user: u, id: m.s.clientAttempts, deadline: min(now+simAttemptTimeout, u.at+simClientTimeout)}
+	m.service.clientAttempts++
+	t := &clientAttempt{
+		request: u, id: m.service.clientAttempts,
+		deadline: min(now+simAttemptTimeout, u.arrivedAt+simClientTimeout),
+	}
 	m.open[t.id] = t
-	m.s.after(t.deadline-now, func(now Micros) { m.timeOut(now, t) })
-	m.b.HandleRequest(now, Request{ID: t.id, Deadline: t.deadline})
+	m.service.after(t.deadline-now, func(now Micros) { m.timeOut(now, t) })
+	m.balancer.HandleRequest(now, Request{ID: t.id, Deadline: t.deadline})
 }
 
-// retryLater has the client return after a delay.
-func (m *clientHost) retryLater(t *clientAttempt) {
+// scheduleRetry ends an attempt of a client, which retries after a random backoff.
+func (m *clientHost) scheduleRetry(t *clientAttempt) {
 	if m.open[t.id] == nil {
 		return
 	}
 	delete(m.open, t.id)
-	pause := Micros((25 + 175*m.s.rng.uniform()) * 1000)
-	m.s.after(pause, func(now Micros) { m.arrive(now, t.user) })
+	backoff := Micros((25 + 175*m.service.rng.uniform()) * 1000)
+	m.service.after(backoff, func(now Micros) { m.startAttempt(now, t.request) })
 }
 
+// timeOut ends an attempt of a client at its deadline.
 func (m *clientHost) timeOut(now Micros, t *clientAttempt) {
 	for i, j := range t.attempts {
 		if !j.ended {
 			j.server.remove(now, j)
-			m.b.HandleOutcome(now, Outcome{ID: t.id, Attempt: i, Status: Timeout, Latency: simAttemptTimeout})
+			m.balancer.HandleOutcome(now, Outcome{ID: t.id, Attempt: i, Status: Timeout, Latency: simAttemptTimeout})
 		}
 	}
-	m.retryLater(t)
+	m.scheduleRetry(t)
 }
 
 func (m *clientHost) Send(id uint64, endpoint uint32, _ Micros) {
-	t, begun, at := m.open[id], m.s.now, m.s.endpoints[endpoint-1]
-	work := (0.4 + 1.2*m.s.rng.uniform()) * meanWork
-	if m.idle[endpoint] > 0 {
-		m.idle[endpoint]--
+	t, sentAt, target := m.open[id], m.service.now, m.service.endpoints[endpoint-1]
+	work := (0.4 + 1.2*m.service.rng.uniform()) * meanWork
+	if m.idleConnections[endpoint] > 0 {
+		m.idleConnections[endpoint]--
 	} else {
 		work += handshakeWork
 	}
-	j, n := &job{remaining: work, server: at}, len(t.attempts)
-	j.done = func(now Micros) {
-		m.idle[endpoint]++
+	j, attempt := &job{remainingWork: work, server: target}, len(t.attempts)
+	j.onDone = func(now Micros) {
+		m.idleConnections[endpoint]++
 		if m.open[id] != nil {
 			delete(m.open, id)
-			if now-t.user.at <= simLatencyObjective {
-				m.s.inTime[t.user.at/second]++
+			if now-t.request.arrivedAt <= simLatencyObjective {
+				m.service.inTime[t.request.arrivedAt/second]++
 			}
 		}
-		m.b.HandleOutcome(now, Outcome{ID: id, Attempt: n, Status: OK, Latency: now - begun, Answered: true})
+		m.balancer.HandleOutcome(now, Outcome{
+			ID: id, Attempt: attempt, Status: OK, Latency: now - sentAt, Answered: true,
+		})
 	}
 	t.attempts = append(t.attempts, j)
-	at.accept(begun, j)
+	target.accept(sentAt, j)
 }
 
 func (m *clientHost) Reject(id uint64, _ Micros) {
 	if t := m.open[id]; t != nil {
-		m.retryLater(t)
+		m.scheduleRetry(t)
 	}
 }
 
@@ -200,21 +208,23 @@
 func (m *clientHost) Cancel(uint64, int) {}
 
 func (m *clientHost) Probe(endpoint uint32) {
-	m.s.after(2000, func(now Micros) {
-		m.b.HandleProbe(now, endpoint, OK, 2000, m.s.endpoints[endpoint-1].reported)
+	m.service.after(2000, func(now Micros) {
+		m.balancer.HandleProbe(now, endpoint, OK, 2000, m.service.endpoints[endpoint-1].lastReport)
 	})
 }
 
 func (m *clientHost) StartTimer(delay Micros, token uint32) {
-	m.s.after(delay, func(now Micros) { m.b.HandleTimer(now, token) })
+	m.service.after(delay, func(now Micros) { m.balancer.HandleTimer(now, token) })
 }
 
 func (m *clientHost) Watch(bool) {}
 func (m *clientHost) Log(string) {}
 
+// report takes the server's next load report, which probes bring until the one after it.
 func (v *server) report(now Micros) {
-	v.reported = []float32{float32(max(0, float64(len(v.jobs))-v.cores)), float32(v.serviceTime.value / 1000)}
-	v.s.after(reportPeriod, v.report)
+	queued := max(0, float64(len(v.jobs))-v.cores)
+	v.lastReport = []float32{float32(queued), float32(v.serviceTime.value / 1000)}
+	v.service.after(reportPeriod, v.report)
 }
 
 // serving returns the jobs at work; the others wait for a slot.
@@ -224,23 +234,24 @@
 
 // rate is the work done a microsecond for each job at work.
 func (v *server) rate() float64 {
-	p := v.speed * min(1, v.cores/float64(max(1, len(v.serving()))))
+	rate := v.speed * min(1, v.cores/float64(max(1, len(v.serving()))))
 	if v.overloaded {
-		p /= overloadSlowdown
+		rate /= overloadSlowdown
 	}
-	return p
+	return rate
 }
 
-// advance works until now, and finds out whether the server is overloaded.
+// advance does the work up to now, and updates whether the server is overloaded.
 func (v *server) advance(now Micros) {
-	done := v.rate() * float64(now-v.advanced)
+	done := v.rate() * float64(now-v.advancedTo)
 	for _, j := range v.serving() {
-		j.remaining -= done
+		j.remainingWork -= done
 	}
-	v.meanLoad += (float64(len(v.jobs))/v.cores - v.meanLoad) * (1 - math.Exp(-float64(now-v.advanced)/loadTimeConstant))
-	v.advanced = now
-	trackSince(&v.overloadedAt, v.meanLoad > overloadFrom, now)
-	trackSince(&v.idleAt, v.meanLoad < idleBelow, now)
+	weight := 1 - math.Exp(-float64(now-v.advancedTo)/loadTimeConstant)
+	v.meanLoad += (float64(len(v.jobs))/v.cores - v.meanLoad) * weight
+	v.advancedTo = now
+	trackStart(&v.overloadedAt, v.meanLoad > overloadFrom, now)
+	trackStart(&v.idleAt, v.meanLoad < idleBelow, now)
 	if v.overloadedAt > 0 && now-v.overloadedAt > overloadAfter {
 		v.overloaded = true
 	}
@@ -249,8 +260,8 @@
 	}
 }
 
-// trackSince keeps the instant since which a condition has held.
-func trackSince(at *Micros, holds bool, now Micros) {
+// trackStart keeps the instant from which a condition has held, or 0 while it does not hold.
+func trackStart(at *Micros, holds bool, now Micros) {
 	if !holds {
 		*at = 0
 	} else if *at == 0 {
@@ -258,12 +269,14 @@
 	}
 }
 
+// accept adds a job.
 func (v *server) accept(now Micros, j *job) {
 	v.advance(now)
 	v.jobs = append(v.jobs, j)
 	v.scheduleNext()
 }
 
+// remove ends a job, whether it is done or not.
 func (v *server) remove(now Micros, j *job) {
 	v.advance(now)
 	j.ended = true
@@ -271,7 +284,7 @@
 	v.scheduleNext()
 }
 
-// scheduleNext sets the timer of the first job that will be done.
+// scheduleNext sets the timer for the first job that will be done, and voids any earlier timer.
 func (v *server) scheduleNext() {
 	v.timerGeneration++
 	if len(v.jobs) == 0 {
@@ -279,47 +292,49 @@
 	}
 	for _, j := range v.serving() {
 		if j.startedAt == 0 {
-			j.startedAt = v.advanced
+			j.startedAt = v.advancedTo
 		}
 	}
-	first := slices.MinFunc(v.serving(), func(a, b *job) int { return int(math.Copysign(1, a.remaining-b.remaining)) })
-	turn := v.timerGeneration
-	v.s.after(Micros(math.Ceil(max(0, first.remaining)/v.rate())), func(now Micros) {
-		if turn == v.timerGeneration {
+	first := slices.MinFunc(v.serving(), func(a, b *job) int {
+		return int(math.Copysign(1, a.remainingWork-b.remainingWork))
+	})
+	generation := v.timerGeneration
+	v.service.after(Micros(math.Ceil(max(0, first.remainingWork)/v.rate())), func(now Micros) {
+		if generation == v.timerGeneration {
 			v.remove(now, first)
 			v.serviceTime.add(float64(now-first.startedAt), 0.2)
-			first.done(now)
+			first.onDone(now)
 		}
 	})
 }
 
-// A burst of some seconds beyond the endpoints' capacity leaves them overloaded and the clients retrying. Within a few
-// seconds after it all is served in time again: the demand is within the capacity then.
+// A burst of some seconds beyond the endpoints' capacity leaves them overloaded and the clients retrying. A few seconds
+// after it, when the demand is within the capacity, all requests must be served in time again.
 func TestFleetRecoversFromABurst(t *testing.T) {
 	const (
 		burstFrom = 6 * second
 		burstTo   = 10 * second
 		recovery  = 5 * second
-		day       = 22 * second
+		end       = 22 * second
 	)
-	for name, times := range map[string]float64{"burst": 2.2, "large burst": 3} {
+	for name, factor := range map[string]float64{"burst": 2.2, "large burst": 3} {
 		t.Run(name, func(t *testing.T) {
 			s := newService(t, 285, 168)
-			usual := 0.5 * s.capacity()
-			s.after(3*second, func(now Micros) { s.slowDownSome(now) })
-			s.traffic(func(now Micros) float64 {
+			baseRate := 0.5 * s.capacity()
+			s.after(3*second, func(now Micros) { s.slowDownQuarter(now) })
+			s.startTraffic(func(now Micros) float64 {
 				if now >= burstFrom && now < burstTo {
-					return times * usual
+					return factor * baseRate
 				}
-				return usual
-			}, day)
-			s.run(day + simClientTimeout)
+				return baseRate
+			}, end)
+			s.run(end + simClientTimeout)
 			before, burst := s.inTimeShare(second, burstFrom), s.inTimeShare(burstFrom, burstTo)
-			after := s.inTimeShare(burstTo+recovery, day)
+			after := s.inTimeShare(burstTo+recovery, end)
 			t.Logf("in time: %.2f before the burst, %.2f in it, %.2f later than %d s after it; by the second %v of %v",
-				before, burst, after, recovery/second, s.inTime[:day/second], s.offered[:day/second])
+				before, burst, after, recovery/second, s.inTime[:end/second], s.offered[:end/second])
 			if before < 0.9 || burst > 0.8 {
-				t.Errorf("%.2f in time before the burst and %.2f in it: it shows nothing", before, burst)
+				t.Errorf("%.2f in time before the burst and %.2f in it: the burst is no overload", before, burst)
 			}
 			if after < 0.9*before {
 				t.Errorf("%.2f in time from %d s after the burst on, %.2f before it", after, recovery/second, before)
@@ -337,8 +352,8 @@
 	return sum
 }
 
-// slowDownSome halves the speed of a quarter of the endpoints.
-func (s *service) slowDownSome(now Micros) {
+// slowDownQuarter halves the speed of every fourth endpoint.
+func (s *service) slowDownQuarter(now Micros) {
 	for i, v := range s.endpoints {
 		if i%4 == 0 {
 			v.advance(now)
@@ -358,9 +373,9 @@
 	return float64(inTime) / float64(max(1, offered))
 }
 
-// If a balancer sends few requests to each of many endpoints, no breaker of one gets past its protected requests. The
-// throttle over all endpoints rejects most requests while nearly none is served in time, lets at least one a second
-// through, and rejects none soon after all are served in time again.
+// If a balancer sends few requests to each of many endpoints, no breaker gets past its protected requests. While hardly
+// any request is served in time, the throttle over all endpoints must reject at least half of them and let at least one
+// a second through. Soon after all are served in time again, it must reject none.
 func TestErrorThrottleCoversAllEndpoints(t *testing.T) {
 	for _, late := range []struct {
 		name   string
@@ -370,20 +385,20 @@
 			s := testSettings()
 			b, r := start(t, s, ready(200))
 			id, now := uint64(0), Micros(0)
-			var due []event
-			// play has a request come every 50 ms.
-			play := func(n int, status Status, took Micros) (sent int) {
+			var outcomes []event // still to come
+			// play sends n requests, one each 50 ms, whose attempts end with this status after this latency.
+			play := func(n int, status Status, latency Micros) (sent int) {
 				for range n {
 					now += 50_000
-					for ; len(due) > 0 && due[0].at <= now; due = due[1:] {
-						due[0].do(due[0].at)
+					for ; len(outcomes) > 0 && outcomes[0].at <= now; outcomes = outcomes[1:] {
+						outcomes[0].handle(outcomes[0].at)
 					}
 					id++
-					o, before := Outcome{ID: id, Status: status, Latency: took, Answered: true}, len(r.sends)
+					o, before := Outcome{ID: id, Status: status, Latency: latency, Answered: true}, len(r.sends)
 					b.HandleRequest(now, Request{ID: id, Deadline: now + second})
 					if len(r.sends) > before {
 						sent++
-						due = append(due, event{now + took, func(at Micros) { b.HandleOutcome(at, o) }})
+						outcomes = append(outcomes, event{now + latency, func(at Micros) { b.HandleOutcome(at, o) }})
 					}
 				}
 				return sent
@@ -398,7 +413,7 @@
 				t.Errorf("%d of 200 sent while none is answered in time", sent)
 			}
 			if b.stats.BreakerRejected > 0 {
-				t.Errorf("%d rejected by breakers of single endpoints: it shows nothing", b.stats.BreakerRejected)
+				t.Errorf("%d rejected by breakers of single endpoints, want none", b.stats.BreakerRejected)
 			}
 			play(100, OK, 20_000)
 			if sent = play(100, OK, 20_000); sent != 100 {
--- a/balancer/rules_test.go
+++ b/balancer/rules_test.go
@@ -9,20 +9,19 @@
 
 // checker hosts a balancer and asserts the rules on every action.
 type checker struct {
-	settings        Settings
-	now             Micros
-	states          map[uint32]Endpoint
-	warming         map[uint32]Micros          // endpoint: start time
-	warmingRequests map[uint32]float64         // requests sent while warming up
-	requests        map[uint64]*checkedRequest // open and ended
-	faults          []string
-	timers          []pendingTimer
-	probes          []uint32
+	settings  Settings
+	now       Micros
+	endpoints map[uint32]Endpoint        // as listed
+	requests  map[uint64]*checkedRequest // open and ended
+	faults    []string
+	timers    []pendingTimer
+	probes    []uint32 // without answer
 }
 
+// checkedRequest is a request as its client and the endpoints see it.
 type checkedRequest struct {
 	request  Request
-	answered int
+	answered int  // final answers by the balancer
 	closed   bool // the balancer was notified of its end
 	attempts []checkedAttempt
 }
@@ -39,10 +38,12 @@
 	token uint32
 }
 
+// fault records a broken rule.
 func (c *checker) fault(format string, args ...any) {
 	c.faults = append(c.faults, fmt.Sprintf("at %d: ", c.now)+fmt.Sprintf(format, args...))
 }
 
+// firstExecuted returns the first attempt that may have executed, or nil.
 func (r *checkedRequest) firstExecuted() *checkedAttempt {
 	for i := range r.attempts {
 		if r.attempts[i].mayHaveExecuted {
@@ -58,7 +59,7 @@
 		c.fault("send for unknown request %d", id)
 		return
 	}
-	e, known := c.states[endpoint]
+	e, known := c.endpoints[endpoint]
 	class := c.settings.Classes[r.request.Class]
 	if r.answered > 0 || r.closed {
 		c.fault("send after the end of %d", id)
@@ -74,19 +75,19 @@
 			c.fault("hedged attempt of %d", id)
 		}
 	}
-	if b := r.firstExecuted(); b != nil && class.Idempotency != Idempotent {
-		same := class.DeduplicationScope == ScopeAll || class.DeduplicationScope == ScopeZone && b.endpoint.Zone == e.Zone ||
-			class.DeduplicationScope == ScopeCell && b.endpoint.Cell == e.Cell
-		if class.Idempotency == NonIdempotent || !same || c.now > b.sentAt+class.DeduplicationWindow {
-			c.fault("repeat of %d (%s) may have a second effect", id, class.Name)
+	if first := r.firstExecuted(); first != nil && class.Idempotency != Idempotent {
+		scope := class.DeduplicationScope
+		deduplicated := scope == ScopeAll || scope == ScopeZone && first.endpoint.Zone == e.Zone ||
+			scope == ScopeCell && first.endpoint.Cell == e.Cell
+		late := c.now > first.sentAt+class.DeduplicationWindow
+		if class.Idempotency == NonIdempotent || !deduplicated || late {
+			c.fault("retry of %d (%s) may have a second effect", id, class.Name)
 		}
 	}
-	if _, cold := c.warming[endpoint]; cold {
-		c.warmingRequests[endpoint]++
-	}
 	r.attempts = append(r.attempts, checkedAttempt{endpoint: e, sentAt: c.now, inFlight: true, mayHaveExecuted: true})
 }
 
+// final records a final answer. It returns the request, or nil if it is not open.
 func (c *checker) final(id uint64) *checkedRequest {
 	r := c.requests[id]
 	if r == nil || r.answered > 0 || r.closed {
@@ -100,7 +101,8 @@
 func (c *checker) Reject(id uint64, _ Micros) {
 	if r := c.final(id); r != nil && r.firstExecuted() != nil {
 		class := c.settings.Classes[r.request.Class]
-		if class.Idempotency == NonIdempotent || class.Idempotency == IdempotentWithKey && class.DeduplicationScope != ScopeAll {
+		scoped := class.Idempotency == IdempotentWithKey && class.DeduplicationScope != ScopeAll
+		if class.Idempotency == NonIdempotent || scoped {
 			c.fault("rejection of %d (%s), which may have executed", id, class.Name)
 		}
 	}
@@ -122,7 +124,7 @@
 }
 
 func (c *checker) Probe(e uint32) {
-	if _, known := c.states[e]; !known {
+	if _, known := c.endpoints[e]; !known {
 		c.fault("probe of unknown endpoint %d", e)
 	}
 	c.probes = append(c.probes, e)
@@ -136,137 +138,196 @@
 
 func (c *checker) Log(string) {}
 
+// randomPlay plays legal random events to a balancer whose actions are checked. The order of its random draws is part
+// of each seed's meaning.
+type randomPlay struct {
+	*checker
+	balancer     *Balancer
+	random       *rand.Rand
+	maxInterval  int        // between two events, in microseconds
+	list         []Endpoint // what discovery lists
+	massRestarts int        // restarts of all endpoints at once that are still to come
+	open         []uint64   // requests sent to the balancer, ended ones included
+	nextID       uint64
+	maxWaiting   int // largest number of requests that waited for probes
+}
+
+// outcomeStatuses are the statuses of random outcomes, with OK as the most frequent one.
+var outcomeStatuses = [...]Status{
+	OK, OK, OK, EndpointError, Rejected, Timeout, ConnectFailed, Reset, Cancelled, NotSent,
+}
+
 // playRandomEvents plays legal random events from a seed and returns the faults found.
 func playRandomEvents(t *testing.T, s Settings, seed int64) []string {
 	t.Helper()
-	rnd := rand.New(rand.NewSource(seed))
-	c := &checker{settings: s, now: 1_000_000, states: map[uint32]Endpoint{}, warming: map[uint32]Micros{},
-		warmingRequests: map[uint32]float64{}, requests: map[uint64]*checkedRequest{}}
-	b, err := New(s, uint64(seed), c)
-	if err != nil {
-		t.Fatal(err)
+	p := newRandomPlay(t, s, seed)
+	for range 3000 {
+		p.now += Micros(p.random.Intn(p.maxInterval))
+		p.maxWaiting = max(p.maxWaiting, len(p.balancer.waiting.requests))
+		p.fireTimers(0)
+		p.playEvent()
 	}
-	members := func(kind ListUpdate, entries []Endpoint) {
-		if kind != ListDelta && kind != ListFailed {
-			clear(c.states)
-		}
-		for _, e := range entries {
-			c.states[e.ID] = e
+	// Every request that is still open must be answered by its deadline.
+	for range 400 {
+		p.now += 5000
+		p.fireTimers(firstRequestToken)
+	}
+	for id, r := range p.requests {
+		if r.answered == 0 && !r.closed {
+			p.fault("request %d never got a final answer", id)
 		}
-		b.HandleEndpoints(c.now, kind, entries)
 	}
-	b.Start(c.now)
-	pause := 20_000 // at most, between events
-	list := ready(1 + rnd.Intn(6))
+	requestsMayWait := s.Balancers > 2 && s.Limits.Probes && s.Prices.Probe < maxRequestProbeSpend
+	if requestsMayWait && p.maxWaiting == 0 {
+		p.fault("no request ever waited for probes: the run does not cover those that do")
+	}
+	return p.faults
+}
+
+// newRandomPlay returns a play whose balancer has its first endpoint list.
+func newRandomPlay(t *testing.T, s Settings, seed int64) *randomPlay {
+	t.Helper()
+	p := &randomPlay{
+		checker: &checker{
+			settings: s, now: 1_000_000,
+			endpoints: map[uint32]Endpoint{}, requests: map[uint64]*checkedRequest{},
+		},
+		random: rand.New(rand.NewSource(seed)),
+		nextID: 1,
+	}
+	var err error
+	if p.balancer, err = New(s, uint64(seed), p.checker); err != nil {
+		t.Fatal(err)
+	}
+	p.balancer.Start(p.now)
+	p.maxInterval, p.list = 20_000, ready(1+p.random.Intn(6))
 	if s.Balancers > 2 { // one balancer of a large fleet
-		pause, list = 400_000, ready(20+rnd.Intn(60))
-	}
-	starts := rnd.Intn(3) // restarts of all endpoints at once
-	held := 0
-	members(ListCached, slices.Clone(list))
-	var open []uint64
-	next := uint64(1)
-	statuses := []Status{OK, OK, OK, EndpointError, Rejected, Timeout, ConnectFailed, Reset, Cancelled, NotSent}
-	for range 3000 {
-		c.now += Micros(rnd.Intn(pause))
-		held = max(held, len(b.waiting.requests))
-		for i := 0; i < len(c.timers); {
-			if p := c.timers[i]; p.at <= c.now {
-				c.timers = slices.Delete(c.timers, i, i+1)
-				b.HandleTimer(c.now, p.token)
-				continue
-			}
-			i++
-		}
-		switch n := rnd.Intn(20); {
-		case n < 8:
-			in := Request{ID: next, Class: uint8(rnd.Intn(len(s.Classes))),
-				Deadline: c.now + Micros(rnd.Intn(1_000_000)) - 50_000}
-			next++
-			c.requests[in.ID] = &checkedRequest{request: in}
-			open = append(open, in.ID)
-			b.HandleRequest(c.now, in)
-		case n < 15 && len(open) > 0:
-			at := rnd.Intn(len(open))
-			r := c.requests[open[at]]
-			for i := range r.attempts {
-				a := &r.attempts[i]
-				if !a.inFlight {
-					continue
-				}
-				a.inFlight = false
-				status := statuses[rnd.Intn(len(statuses))]
-				if status == Rejected || status == ConnectFailed || status == NotSent {
-					a.mayHaveExecuted = false
-				}
-				if status == OK && r.answered == 0 && !r.closed {
-					r.closed = true
-				}
-				settled := r.answered > 0 || r.closed
-				b.HandleOutcome(c.now, Outcome{ID: r.request.ID, Attempt: i, Endpoint: a.endpoint.ID, Status: status,
-					Latency: c.now - a.sentAt, Answered: settled})
-				break
-			}
-		case n < 16 && len(open) > 0:
-			r := c.requests[open[rnd.Intn(len(open))]]
-			if r.answered == 0 {
-				r.closed = true
-			}
-			b.HandleClientGone(c.now, r.request.ID)
-		case n < 18:
-			for _, e := range c.probes {
-				load := []float32{float32(rnd.Intn(8)), rnd.Float32() * 2}[:rnd.Intn(3)]
-				b.HandleProbe(c.now, e, statuses[rnd.Intn(len(statuses))], 500+Micros(rnd.Intn(200_000)), load)
-			}
-			c.probes = c.probes[:0]
-		default:
-			e := &list[rnd.Intn(len(list))]
-			e.State = EndpointState(rnd.Intn(3))
-			if rnd.Intn(4) == 0 {
-				e.State, e.StartTime = Ready, c.now-Micros(rnd.Intn(1_000_000))
-			}
-			if e.State == Ready && rnd.Intn(4) == 0 {
-				e.Zone = uint8(rnd.Intn(3))
-			}
-			if starts > 0 && rnd.Intn(50) == 0 {
-				starts--
-				for i := range list {
-					list[i].State, list[i].StartTime = Ready, c.now-Micros(rnd.Intn(1000))
-				}
-				members(ListFull, slices.Clone(list))
-				continue
-			}
-			switch rnd.Intn(6) {
-			case 0:
-				members(ListFull, slices.Clone(list[:rnd.Intn(len(list)+1)]))
-			case 1:
-				members(ListFailed, nil)
-			default:
-				members(ListDelta, []Endpoint{*e, *e})
-			}
-		}
+		p.maxInterval, p.list = 400_000, ready(20+p.random.Intn(60))
 	}
-	// All that is still open must be answered by its deadline.
-	for range 400 {
-		c.now += 5000
-		for i := 0; i < len(c.timers); {
-			if p := c.timers[i]; p.at <= c.now && p.token >= firstRequestToken {
-				c.timers = slices.Delete(c.timers, i, i+1)
-				b.HandleTimer(c.now, p.token)
-				continue
-			}
+	p.massRestarts = p.random.Intn(3)
+	p.updateList(ListCached, slices.Clone(p.list))
+	return p
+}
+
+// fireTimers fires every timer that is due, of the tokens from the first one on.
+func (p *randomPlay) fireTimers(firstToken uint32) {
+	for i := 0; i < len(p.timers); {
+		timer := p.timers[i]
+		if timer.at > p.now || timer.token < firstToken {
 			i++
+			continue
 		}
+		p.timers = slices.Delete(p.timers, i, i+1)
+		p.balancer.HandleTimer(p.now, timer.token)
 	}
-	for id, r := range c.requests {
-		if r.answered == 0 && !r.closed {
-			c.fault("request %d never got a final answer", id)
+}
+
+// playEvent plays one random event.
+func (p *randomPlay) playEvent() {
+	switch n := p.random.Intn(20); {
+	case n < 8:
+		p.sendRequest()
+	case n < 15 && len(p.open) > 0:
+		p.endAttempt(p.open[p.random.Intn(len(p.open))])
+	case n < 16 && len(p.open) > 0:
+		p.abandonRequest(p.open[p.random.Intn(len(p.open))])
+	case n < 18:
+		p.answerProbes()
+	default:
+		p.changeList()
+	}
+}
+
+// sendRequest sends a request of a random class; the deadline of some has passed.
+func (p *randomPlay) sendRequest() {
+	in := Request{
+		ID: p.nextID, Class: uint8(p.random.Intn(len(p.settings.Classes))),
+		Deadline: p.now + Micros(p.random.Intn(1_000_000)) - 50_000,
+	}
+	p.nextID++
+	p.requests[in.ID] = &checkedRequest{request: in}
+	p.open = append(p.open, in.ID)
+	p.balancer.HandleRequest(p.now, in)
+}
+
+// endAttempt ends the first attempt of a request that is in flight, if any, with a random status.
+func (p *randomPlay) endAttempt(id uint64) {
+	r := p.requests[id]
+	i := slices.IndexFunc(r.attempts, func(a checkedAttempt) bool { return a.inFlight })
+	if i < 0 {
+		return
+	}
+	a := &r.attempts[i]
+	a.inFlight = false
+	status := outcomeStatuses[p.random.Intn(len(outcomeStatuses))]
+	if status == Rejected || status == ConnectFailed || status == NotSent {
+		a.mayHaveExecuted = false
+	}
+	if status == OK && r.answered == 0 && !r.closed {
+		r.closed = true
+	}
+	p.balancer.HandleOutcome(p.now, Outcome{
+		ID: id, Attempt: i, Endpoint: a.endpoint.ID, Status: status,
+		Latency: p.now - a.sentAt, Answered: r.answered > 0 || r.closed,
+	})
+}
+
+// abandonRequest has the client of a request go.
+func (p *randomPlay) abandonRequest(id uint64) {
+	r := p.requests[id]
+	if r.answered == 0 {
+		r.closed = true
+	}
+	p.balancer.HandleClientGone(p.now, id)
+}
+
+// answerProbes ends all probes, with load reports that may be incomplete.
+func (p *randomPlay) answerProbes() {
+	for _, e := range p.probes {
+		load := []float32{float32(p.random.Intn(8)), p.random.Float32() * 2}[:p.random.Intn(3)]
+		status := outcomeStatuses[p.random.Intn(len(outcomeStatuses))]
+		p.balancer.HandleProbe(p.now, e, status, 500+Micros(p.random.Intn(200_000)), load)
+	}
+	p.probes = p.probes[:0]
+}
+
+// changeList changes a random endpoint, or restarts all, and sends the list in one of its forms.
+func (p *randomPlay) changeList() {
+	e := &p.list[p.random.Intn(len(p.list))]
+	e.State = EndpointState(p.random.Intn(3))
+	if p.random.Intn(4) == 0 {
+		e.State, e.StartTime = Ready, p.now-Micros(p.random.Intn(1_000_000))
+	}
+	if e.State == Ready && p.random.Intn(4) == 0 {
+		e.Zone = uint8(p.random.Intn(3))
+	}
+	if p.massRestarts > 0 && p.random.Intn(50) == 0 {
+		p.massRestarts--
+		for i := range p.list {
+			p.list[i].State, p.list[i].StartTime = Ready, p.now-Micros(p.random.Intn(1000))
 		}
+		p.updateList(ListFull, slices.Clone(p.list))
+		return
 	}
-	if s.Balancers > 2 && s.Limits.Probes && s.Prices.Probe < maxRequestProbeSpend && held == 0 {
-		c.fault("no request ever waited for probes: the run says nothing of those that do")
+	switch p.random.Intn(6) {
+	case 0:
+		p.updateList(ListFull, slices.Clone(p.list[:p.random.Intn(len(p.list)+1)]))
+	case 1:
+		p.updateList(ListFailed, nil)
+	default:
+		p.updateList(ListDelta, []Endpoint{*e, *e})
 	}
-	return c.faults
+}
+
+// updateList sends an endpoint list to the balancer, and to the checker.
+func (p *randomPlay) updateList(kind ListUpdate, entries []Endpoint) {
+	if kind != ListDelta && kind != ListFailed {
+		clear(p.endpoints)
+	}
+	for _, e := range entries {
+		p.endpoints[e.ID] = e
+	}
+	p.balancer.HandleEndpoints(p.now, kind, entries)
 }
 
 func TestRulesHoldUnderRandomEvents(t *testing.T) {
@@ -278,14 +339,16 @@
 		s.Limits.MaxAttempts = 1 + int(seed%4)
 		if seed >= 40 {
 			s.Balancers = []int{300, 1500}[seed%2]
-			s.ReportFields = [][]ReportField{{FieldInFlight}, {FieldQueue, FieldServedRate}, {FieldServedRate, FieldUtilization}, {FieldUnknown}}[seed%4]
+			s.ReportFields = [][]ReportField{
+				{FieldInFlight}, {FieldQueue, FieldServedRate}, {FieldServedRate, FieldUtilization}, {FieldUnknown},
+			}[seed%4]
 			s.Prices = Prices{Probe: []float64{0, 0.002, 0.01, 0.5}[seed/3%4], CrossZone: 0.03}
 			s.Tenants = []Tenant{{Name: "one", QuotaRate: 50}, {Name: "two"}}[:seed%3]
 			s.Limits.CancelAttempts, s.Limits.RetryAfter = seed%3 != 0, seed%4 != 0
 		}
-		for i, bad := range playRandomEvents(t, s, seed) {
+		for i, fault := range playRandomEvents(t, s, seed) {
 			if i < 5 {
-				t.Errorf("seed %d: %s", seed, bad)
+				t.Errorf("seed %d: %s", seed, fault)
 			}
 		}
 	}
@@ -293,20 +356,22 @@
 
 // The checker itself must detect each broken rule.
 func TestCheckerDetectsBrokenRules(t *testing.T) {
-	fresh := func() *checker {
-		c := &checker{settings: testSettings(), states: map[uint32]Endpoint{}, requests: map[uint64]*checkedRequest{}}
+	newChecker := func() *checker {
+		c := &checker{
+			settings: testSettings(), endpoints: map[uint32]Endpoint{}, requests: map[uint64]*checkedRequest{},
+		}
 		for _, e := range ready(4) {
-			c.states[e.ID] = e
+			c.endpoints[e.ID] = e
 		}
 		for class := range uint8(5) {
 			c.requests[uint64(class)] = &checkedRequest{request: testRequest(uint64(class), class, 0)}
 		}
 		return c
 	}
-	for name, do := range map[string]func(*checker){
+	for name, breakRule := range map[string]func(*checker){
 		"two final answers":         func(c *checker) { c.Reject(0, 0); c.Fail(0) },
 		"send after the end":        func(c *checker) { c.Fail(0); c.Send(0, 1, 0) },
-		"send to the drained":       func(c *checker) { c.states[1] = Endpoint{ID: 1, State: Draining}; c.Send(0, 1, 0) },
+		"send to a draining one":    func(c *checker) { c.endpoints[1] = Endpoint{ID: 1, State: Draining}; c.Send(0, 1, 0) },
 		"non-idempotent sent twice": func(c *checker) { c.Send(4, 1, 0); c.Send(4, 2, 0) },
 		"non-idempotent rejected":   func(c *checker) { c.Send(4, 1, 0); c.Reject(4, 0) },
 		"keyed outside its zone":    func(c *checker) { c.Send(2, 1, 0); c.Send(2, 3, 0) },
@@ -314,9 +379,9 @@
 		"keyed after its window":    func(c *checker) { c.Send(1, 1, 0); c.now = second; c.Send(1, 2, 0) },
 		"too many attempts":         func(c *checker) { c.Send(0, 1, 0); c.Send(0, 2, 0); c.Send(0, 3, 0); c.Send(0, 4, 0) },
 	} {
-		c := fresh()
-		if do(c); len(c.faults) == 0 {
-			t.Errorf("%s: not seen", name)
+		c := newChecker()
+		if breakRule(c); len(c.faults) == 0 {
+			t.Errorf("%s: not detected", name)
 		}
 	}
 }
--- a/balancer/simclock_test.go
+++ b/balancer/simclock_test.go
@@ -4,8 +4,8 @@
 
 // event is something that happens in a simulation.
 type event struct {
-	at Micros
-	do func(now Micros)
+	at     Micros
+	handle func(now Micros)
 }
 
 type events []event
@@ -37,7 +37,7 @@
 	for len(c.events) > 0 && c.events[0].at <= until {
 		e := heap.Pop(&c.events).(event)
 		c.now = e.at
-		e.do(e.at)
+		e.handle(e.at)
 	}
 	c.now = until
 }
--- a/balancer/slowstart_test.go
+++ b/balancer/slowstart_test.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-// slowStartBudget is how many requests of mean work a warming endpoint bears that may get n: with what is put down to
-// chance.
+// slowStartBudget is how many requests of mean work may reach a warming endpoint that is permitted n: n and a margin for
+// random variation.
 func slowStartBudget(n float64) float64 {
 	if n < 30 {
 		return n + 3*math.Sqrt(n) + 3
@@ -25,14 +25,15 @@
 			for at[first] <= now-c.OverloadWindow {
 				first++
 			}
-			warmth := f.warmupFraction(id, at[first])
-			if warmth == 1 {
+			fraction := f.warmupFraction(id, at[first])
+			if fraction == 1 {
 				continue
 			}
-			n := c.OverloadFactor * warmth * float64(c.OverloadWindow) / f.work
+			n := c.OverloadFactor * fraction * float64(c.OverloadWindow) / f.work
 			got := float64(i - first + 1)
-			if part := got / budget(n); part > worst {
-				worst, where = part, fmt.Sprintf("endpoint %d got %.0f by %.2f s, N is %.1f", id, got, float64(now)/1e6, n)
+			if share := got / budget(n); share > worst {
+				worst = share
+				where = fmt.Sprintf("endpoint %d got %.0f by %.2f s, N is %.1f", id, got, float64(now)/1e6, n)
 			}
 		}
 	}
@@ -45,69 +46,85 @@
 		f.list[i].StartTime = f.now
 	}
 	for _, m := range f.members {
-		m.b.HandleEndpoints(f.now, ListDelta, f.list[:n])
+		m.balancer.HandleEndpoints(f.now, ListDelta, f.list[:n])
 	}
 }
 
-// restartBalancers restarts every balancer, with nothing but the endpoint list.
+// restartBalancers replaces every balancer by a new one that knows nothing but the endpoint list.
 func (f *fleet) restartBalancers(t *testing.T, seed uint64) {
 	t.Helper()
 	for i := range f.members {
-		fresh := &member{f: f, attempts: map[uint64]int{}}
+		m := &member{fleet: f, attempts: map[uint64]int{}}
 		var err error
-		if fresh.b, err = New(f.settings, seed+uint64(i), fresh); err != nil {
+		if m.balancer, err = New(f.settings, seed+uint64(i), m); err != nil {
 			t.Fatal(err)
 		}
-		fresh.b.Start(f.now)
-		fresh.b.HandleEndpoints(f.now, ListCached, f.list)
-		fresh.b.HandleEndpoints(f.now, ListFull, f.list)
-		f.members[i] = fresh
+		m.balancer.Start(f.now)
+		m.balancer.HandleEndpoints(f.now, ListCached, f.list)
+		m.balancer.HandleEndpoints(f.now, ListFull, f.list)
+		f.members[i] = m
 	}
 }
 
-// The budget of a warming endpoint holds in the smallest fleets, too: if one balancer sends all requests, if most or
-// all endpoints are warming up, under a burst, and if the balancers start with the endpoints and know nothing.
-func TestSmallFleetsKeepTheSlowStartBudget(t *testing.T) {
-	const warmUp, end = 4 * second, 12 * second
+// smallFleet is a case of TestSmallFleetsKeepTheSlowStartBudget.
+type smallFleet struct {
+	work               float64 // mean work of a request in microseconds
+	balancers          int
+	endpoints, warming int
+	load               float64 // share of the endpoints' capacity
+	restartBalancers   bool    // with the endpoints
+}
+
+// smallFleets returns every combination of sizes, loads and restarts.
+func smallFleets() (cases []smallFleet) {
 	for _, work := range []float64{25_000, 150_000} {
 		for _, balancers := range []int{1, 2, 5, 24} {
 			for _, endpoints := range []int{2, 5, 12} {
-				for _, cold := range []int{1, endpoints / 2, endpoints - 1, endpoints} {
+				for _, warming := range []int{1, endpoints / 2, endpoints - 1, endpoints} {
 					for _, load := range []float64{0.5, 1, 2.5} {
-						for _, anew := range []bool{false, true} {
-							name := fmt.Sprintf("%d processes (anew %v), %d of %d endpoints warming, load %.1f, work %.0f ms", balancers, anew, cold,
-								endpoints, load, work/1000)
-							t.Run(name, func(t *testing.T) {
-								t.Parallel()
-								s := slowStartSettings(work)
-								list := uniformList(endpoints)
-								f := newFleet(t, s, balancers, work, list)
-								f.traffic(load*float64(endpoints)*float64(second)/work, end)
-								f.run(warmUp)
-								f.restartEndpoints(cold)
-								if anew {
-									f.restartBalancers(t, 100)
-								}
-								f.run(end)
-								worst, where := f.worstWindow(slowStartBudget)
-								if worst > 1 {
-									t.Errorf("%.2f of the budget: %s", worst, where)
-								}
-								t.Logf("%.2f of the budget at most: %s", worst, where)
-							})
+						for _, restart := range []bool{false, true} {
+							cases = append(cases, smallFleet{work, balancers, endpoints, warming, load, restart})
 						}
 					}
 				}
 			}
 		}
 	}
+	return cases
+}
+
+// The budget of a warming endpoint holds in the smallest fleets, too: if one balancer sends all requests, if nearly all
+// or all endpoints are warming up, under a burst, and if the balancers restart with the endpoints and know nothing.
+func TestSmallFleetsKeepTheSlowStartBudget(t *testing.T) {
+	const restartAt, end = 4 * second, 12 * second
+	for _, c := range smallFleets() {
+		name := fmt.Sprintf("%d balancers (restarted %v), %d of %d endpoints warming, load %.1f, work %.0f ms",
+			c.balancers, c.restartBalancers, c.warming, c.endpoints, c.load, c.work/1000)
+		t.Run(name, func(t *testing.T) {
+			t.Parallel()
+			f := newFleet(t, slowStartSettings(c.work), c.balancers, c.work, uniformList(c.endpoints))
+			f.startTraffic(c.load*float64(c.endpoints)*float64(second)/c.work, end)
+			f.run(restartAt)
+			f.restartEndpoints(c.warming)
+			if c.restartBalancers {
+				f.restartBalancers(t, 100)
+			}
+			f.run(end)
+			worst, where := f.worstWindow(slowStartBudget)
+			if worst > 1 {
+				t.Errorf("%.2f of the budget: %s", worst, where)
+			}
+			t.Logf("at most %.2f of the budget: %s", worst, where)
+		})
+	}
 }
 
-// A quiet balancer takes minutes to earn the tokens of one request to a warming endpoint: all must not start from
-// nothing.
+// A quiet balancer takes minutes to earn the tokens of one request to a warming endpoint, so not all may start with an
+// empty bucket.
 func TestQuietBalancersTogetherServeWarmingEndpoints(t *testing.T) {
-	allowed, all := 0, 200
-	for seed := range all {
+	const balancers = 200
+	allowed := 0
+	for seed := range balancers {
 		b, err := New(testSettings(), uint64(seed), &recorder{})
 		if err != nil {
 			t.Fatal(err)
@@ -126,65 +143,31 @@
 			allowed++
 		}
 	}
-	// In 5 s a warm endpoint gets half a request of each; this one 0.2 to 0.6 of seven tenths of that.
+	// In 5 s a warm endpoint gets half a request of each balancer; this one gets 0.2 to 0.6 of 0.7 times that.
 	if allowed < 5 || allowed > 60 {
-		t.Errorf("%d of %d quiet balancers may send to a warming endpoint within 5 s", allowed, all)
+		t.Errorf("%d of %d quiet balancers may send to a warming endpoint within 5 s, want 5 to 60", allowed, balancers)
 	}
 }
 
 // Of many balancers with few requests each, none earns a request to each warming endpoint. Together they must still
 // send these what they can serve, and to none of them too much.
 func TestManyQuietBalancersUseWarmingEndpoints(t *testing.T) {
-	const warm, cold, balancers = 20, 20, 80
-	counts := map[uint32]int{}
+	const warm, warming, balancers = 20, 20, 80
+	counts := map[uint32]int{} // requests by endpoint since the warming ones were listed
 	for seed := range uint64(balancers) {
-		s := testSettings()
-		s.Balancers = balancers
-		r := &recorder{}
-		b, err := New(s, seed, r)
-		if err != nil {
-			t.Fatal(err)
-		}
-		b.Start(0)
-		b.HandleEndpoints(0, ListCached, ready(warm))
-		id := uint64(0)
-		run := func(from, to Micros) {
-			for now := from; now < to; now += second / 10 {
-				for _, e := range b.membership.endpoints { // the warm ones are busy
-					if float64(id%uint64(warm+cold)) == float64(e.ID%(warm+cold)) {
-						b.HandleProbe(now, e.ID, OK, 500, []float32{3 * float32(indicator(e.ID <= warm))})
-					}
-				}
-				id++
-				sends := len(r.sends)
-				b.HandleRequest(now, testRequest(id, 0, now))
-				for _, s := range r.sends[sends:] {
-					if from > 0 {
-						counts[s.endpoint]++
-					}
-					b.HandleOutcome(now, Outcome{ID: s.id, Endpoint: s.endpoint, Status: OK,
-						Latency: 100_000, Answered: true})
-				}
-			}
-		}
-		run(0, 5*second)
-		var news []Endpoint
-		for i := range uint32(cold) {
-			news = append(news, Endpoint{ID: warm + 1 + i, Weight: 1, StartTime: 5 * second})
-		}
-		b.HandleEndpoints(5*second, ListDelta, news)
-		run(5*second, 8*second)
+		countSendsOfQuietBalancer(t, seed, balancers, warm, warming, counts)
 	}
-	var all, largest int
+	var total, largest int
 	for id, n := range counts {
 		if id > warm {
-			all += n
+			total += n
 			largest = max(largest, n)
 		}
 	}
-	// 800 requests a second, 40 at a warm endpoint; warm-up fraction goes from 0.2 to 0.44 in these 3 s, 0.32 on average.
+	// 800 requests a second are 40 at a warm endpoint. The warm-up fraction rises from 0.2 to 0.44 in these 3 s, with a
+	// mean of 0.32.
 	fair := 0.32 * 40 * 3
-	if got := float64(all) / cold; got < 0.3*fair || got > fair {
+	if got := float64(total) / warming; got < 0.3*fair || got > fair {
 		t.Errorf("a warming endpoint got %.1f on average, its warm-up fraction makes %.1f", got, fair)
 	}
 	if float64(largest) > 2*fair {
@@ -192,48 +175,93 @@
 	}
 }
 
+// countSendsOfQuietBalancer has one balancer get ten requests a second, for 5 s with the warm endpoints alone and for 3 s
+// with the warming ones, and counts the requests of the latter time by endpoint. The warm endpoints report a load of 3.
+func countSendsOfQuietBalancer(t *testing.T, seed uint64, balancers, warm, warming int, counts map[uint32]int) {
+	t.Helper()
+	s := testSettings()
+	s.Balancers = balancers
+	r := &recorder{}
+	b, err := New(s, seed, r)
+	if err != nil {
+		t.Fatal(err)
+	}
+	b.Start(0)
+	b.HandleEndpoints(0, ListCached, ready(warm))
+	id := uint64(0)
+	run := func(from, to Micros) {
+		for now := from; now < to; now += second / 10 {
+			for _, e := range b.membership.endpoints {
+				if id%uint64(warm+warming) == uint64(e.ID)%uint64(warm+warming) {
+					load := 3 * float32(indicator(int(e.ID) <= warm))
+					b.HandleProbe(now, e.ID, OK, 500, []float32{load})
+				}
+			}
+			id++
+			sends := len(r.sends)
+			b.HandleRequest(now, testRequest(id, 0, now))
+			for _, s := range r.sends[sends:] {
+				if from > 0 {
+					counts[s.endpoint]++
+				}
+				b.HandleOutcome(now, Outcome{
+					ID: s.id, Endpoint: s.endpoint, Status: OK, Latency: 100_000, Answered: true,
+				})
+			}
+		}
+	}
+	run(0, 5*second)
+	var added []Endpoint
+	for i := range warming {
+		added = append(added, Endpoint{ID: uint32(warm + 1 + i), Weight: 1, StartTime: 5 * second})
+	}
+	b.HandleEndpoints(5*second, ListDelta, added)
+	run(5*second, 8*second)
+}
+
 // Warming endpoints that answer as quickly as warm ones get more than their least warm-up fraction allows, once enough
 // of them did; slow ones get little more.
 func TestWarmingShareFollowsMeasuredLatency(t *testing.T) {
-	got := func(answers int, took Micros) float64 {
+	// tokensAfter returns the tokens that 0.1 s brings after so many answers of this latency by a warming endpoint.
+	tokensAfter := func(answers int, latency Micros) float64 {
 		s := testSettings()
 		s.Balancers = 1
 		b, _ := start(t, s, ready(10))
 		now := Micros(0)
-		serve := func(e *endpoint, took Micros) {
+		serve := func(e *endpoint, latency Micros) {
 			r := b.ledger.newRequest(now, testRequest(uint64(now)+1, 0, now))
 			r.work = 80_000
 			a := attempt{endpoint: e, sentAt: now, warming: e.warming, queueingFactor: 1, predictedWithoutTrend: r.work}
-			b.estimates.learnServiceTime(now+took, r, &a, latencySample{latency: float64(took)})
+			b.estimates.learnServiceTime(now+latency, r, &a, latencySample{latency: float64(latency)})
 			now += 1000
 		}
 		for _, e := range b.membership.endpoints {
 			serve(e, 80_000)
 		}
 		b.HandleEndpoints(now, ListDelta, []Endpoint{{ID: 11, Weight: 1, StartTime: now}})
-		cold := b.membership.byID[11]
-		cold.serviceTimeRatio = ewma{1, true}
+		warming := b.membership.byID[11]
+		warming.serviceTimeRatio = newEWMA(1)
 		for range answers {
-			serve(cold, took)
+			serve(warming, latency)
 		}
 		b.slowStart.tokens, b.slowStart.tokensAt = 0, now
 		b.slowStart.sentWorkRate = decayingRate{10_000_000, now}
 		b.slowStart.refill(now+second/10, 1)
 		return b.slowStart.tokens
 	}
-	initial := got(0, 0)
-	if few := got(2, 80_000); few < initial || few > 1.3*initial {
-		t.Errorf("after two quick answers %v, at first %v", few, initial)
+	initial := tokensAfter(0, 0)
+	if few := tokensAfter(2, 80_000); few < initial || few > 1.3*initial {
+		t.Errorf("tokens after two quick answers %v, at first %v", few, initial)
 	}
-	if quick := got(60, 80_000); quick < 1.5*initial || quick > 2.1*initial {
-		t.Errorf("quick ones get %v, at first %v", quick, initial)
+	if quick := tokensAfter(60, 80_000); quick < 1.5*initial || quick > 2.1*initial {
+		t.Errorf("tokens after many quick answers %v, at first %v", quick, initial)
 	}
-	if slow := got(60, 400_000); slow > 1.4*initial {
-		t.Errorf("slow ones get %v, at first %v", slow, initial)
+	if slow := tokensAfter(60, 400_000); slow > 1.4*initial {
+		t.Errorf("tokens after many slow answers %v, at first %v", slow, initial)
 	}
 }
 
-// A warming endpoint that is too busy or too far away to be sent to does not keep requests from the other warming ones.
+// A warming endpoint that is too busy or too far away to be sent to must not block the other warming ones.
 func TestBusyWarmingEndpointDoesNotBlockOthers(t *testing.T) {
 	s := testSettings()
 	s.Balancers = 1
@@ -241,17 +269,17 @@
 	now := Micros(0)
 	b.slowStart.sentWorkRate = decayingRate{10_000_000, now}
 	b.HandleEndpoints(now, ListDelta, []Endpoint{{ID: 2, Weight: 1, StartTime: 1}, {ID: 3, Weight: 1, StartTime: 1}})
-	got := map[uint32]int{}
+	received := map[uint32]int{}
 	for id := range uint64(200) {
 		now += 20_000
-		b.slowStart.sentWorkRate = decayingRate{10_000_000, now} // the same throughout: what is rejected must not count
+		b.slowStart.sentWorkRate = decayingRate{10_000_000, now} // constant, also if requests are rejected
 		for e, load := range []float32{40, 40, 0} {
 			b.HandleProbe(now, uint32(e+1), OK, 1000, []float32{load})
 		}
 		sends := len(r.sends)
 		b.HandleRequest(now, testRequest(id+1, 0, now))
 		for _, s := range r.sends[sends:] {
-			got[s.endpoint]++
+			received[s.endpoint]++
 			o := Outcome{ID: s.id, Endpoint: s.endpoint, Status: OK, Latency: 80_000, Answered: true}
 			if s.endpoint != 3 {
 				o.Status, o.Latency = Timeout, second
@@ -259,14 +287,14 @@
 			b.HandleOutcome(now, o)
 		}
 	}
-	if got[3] < 20 {
-		t.Errorf("sends by endpoint %v, want many at the third, which is idle", got)
+	if received[3] < 20 {
+		t.Errorf("sends by endpoint %v, want 20 at least at the third, which is idle", received)
 	}
 }
 
-// warmingSends counts requests to warming endpoints over the overload window just after their start, beside ten warm
-// ones under a steady load.
-func warmingSends(t *testing.T, rate int, colds int) (cold []int, warm float64) {
+// warmingSends counts the requests to each warming endpoint over the overload window just after their start, and the mean
+// of those to ten warm ones, under a constant rate.
+func warmingSends(t *testing.T, rate, warmingEndpoints int) (warming []int, warm float64) {
 	t.Helper()
 	s := testSettings()
 	list := ready(10)
@@ -289,25 +317,25 @@
 	}
 	run(0, 5*second)
 	clear(counts)
-	for i := range colds {
+	for i := range warmingEndpoints {
 		b.HandleEndpoints(5*second, ListDelta, []Endpoint{{ID: uint32(11 + i), State: Ready, StartTime: 5 * second}})
 	}
 	run(5*second, 6*second)
 	for e, n := range counts {
 		if e >= 11 {
-			cold = append(cold, n)
+			warming = append(warming, n)
 		} else {
 			warm += float64(n) / 10
 		}
 	}
-	return cold, warm
+	return warming, warm
 }
 
 func TestWarmingEndpointGetsItsSlowStartShare(t *testing.T) {
-	for _, c := range []struct{ rate, colds int }{{100, 1}, {500, 1}, {500, 2}, {2000, 2}} {
-		cold, warm := warmingSends(t, c.rate, c.colds)
-		for _, n := range cold {
-			// Warmth goes from 0.2 to 0.28 in this second; one request may round up.
+	for _, c := range []struct{ rate, warmingEndpoints int }{{100, 1}, {500, 1}, {500, 2}, {2000, 2}} {
+		warming, warm := warmingSends(t, c.rate, c.warmingEndpoints)
+		for _, n := range warming {
+			// The warm-up fraction rises from 0.2 to 0.28 in this second; one request is for rounding.
 			if float64(n) > 0.28*warm+1 {
 				t.Errorf("rate %d: a warming endpoint got %d, a warm one %.1f", c.rate, n, warm)
 			}
@@ -326,6 +354,6 @@
 		}
 	}
 	if n := len(r.sends); n < 20 || n > 250 {
-		t.Errorf("%d of 400 sent to the only endpoint, which is warming", n)
+		t.Errorf("%d of 400 sent to the only endpoint, which is warming up; want 20 to 250", n)
 	}
 }
