--- a/balancer/admission_test.go
+++ b/balancer/admission_test.go
@@ -5,21 +5,21 @@
 	"testing"
 )
 
-// A wrong estimate of a class's work must not reject that class for ever; but a trial a second at each of a thousand
+// A wrong estimate of a class's work must not reject that class for good, but one trial a second at each of a thousand
 // quiet balancers would keep an overloaded fleet overloaded.
 func TestTooLateRejectionLetsTrialsThrough(t *testing.T) {
 	for _, c := range []struct {
-		gap      Micros
-		from, to int
+		interval           Micros // between requests
+		minSends, maxSends int
 	}{{second / 100, 3, 6}, {second, 28, 33}} {
 		b, r := start(t, testSettings(), ready(1))
 		b.demand.classes[0].work.value = float64(100 * second)
 		for i := range uint64(300) {
-			now := 10*second + Micros(i)*c.gap
+			now := 10*second + Micros(i)*c.interval
 			b.HandleRequest(now, testRequest(i, 0, now))
 		}
-		if n := len(r.sends); n < c.from || n > c.to {
-			t.Errorf("a request every %d us: %d of 300 sent, want %d to %d", c.gap, n, c.from, c.to)
+		if n := len(r.sends); n < c.minSends || n > c.maxSends {
+			t.Errorf("a request every %d us: %d of 300 sent, want %d to %d", c.interval, n, c.minSends, c.maxSends)
 		}
 		if len(r.rejected) != 300-len(r.sends) {
 			t.Errorf("%d rejected, %d sent", len(r.rejected), len(r.sends))
@@ -27,10 +27,10 @@
 	}
 }
 
-// A quiet balancer in a large fleet cannot keep a fresh pool: it must probe when a request arrives, and send to the
-// best endpoint, without losing requests that wait.
+// A balancer with few requests in a large fleet cannot keep a fresh pool: it must probe when a request arrives, and send
+// to the best endpoint, without losing requests that wait.
 func TestQuietBalancerProbesBeforeItSends(t *testing.T) {
-	quiet := func() (*Balancer, *recorder) {
+	startWaiting := func() (*Balancer, *recorder) { // request 1 waits for its probes
 		s := testSettings()
 		s.Balancers = 1000
 		b, r := start(t, s, ready(40))
@@ -49,7 +49,7 @@
 		b.HandleProbe(2*second+1000, r.probes[i], OK, 500, []float32{load})
 	}
 
-	b, r := quiet()
+	b, r := startWaiting()
 	for i := range r.probes {
 		answer(b, r, i, float32(4-i))
 	}
@@ -57,39 +57,39 @@
 		t.Errorf("sends %v, want one to %d, the least loaded of %v", r.sends, last, r.probes)
 	}
 
-	b, r = quiet()
+	b, r = startWaiting()
 	answer(b, r, 0, 0)
 	if len(r.sends) != 1 || r.sends[0].endpoint != r.probes[0] {
 		t.Errorf("sends %v, want one to the idle endpoint %d at once", r.sends, r.probes[0])
 	}
 
-	b, r = quiet() // no answer at all
+	b, r = startWaiting() // no answer at all
 	b.HandleTimer(2*second+50_000, r.timers[len(r.timers)-1])
 	if len(r.sends) != 1 {
 		t.Errorf("%d sends after the wait for probes", len(r.sends))
 	}
 
-	b, r = quiet()
+	b, r = startWaiting()
 	b.HandleClientGone(2*second+500, 1)
 	for i := range r.probes {
 		answer(b, r, i, 0)
 	}
 	b.HandleTimer(2*second+50_000, r.timers[len(r.timers)-1])
 	if len(r.sends)+len(r.rejected)+len(r.failed) != 0 || len(b.waiting.requests) != 0 {
-		t.Error("a request that its client left is still acted on")
+		t.Error("a request whose client has gone is still acted on")
 	}
 }
 
-// If the sidecar itself is slow, all latencies grow: rejecting requests where none queues helps no endpoint, and brings
-// the clients back at once.
+// If the sidecar itself is slow, all latencies grow: rejecting requests where none queues relieves no endpoint, and makes
+// clients retry.
 func TestSlowdownAloneRejectsNothing(t *testing.T) {
 	b, r := start(t, testSettings(), ready(1))
 	b.estimates.trend, b.estimates.trendAt = maxTrendRatio, 1000
-	b.estimates.fleetServiceTimeRatio = ewma{value: 20, initialized: true}
+	b.estimates.fleetServiceTimeRatio = newEWMA(20)
 	b.HandleProbe(1000, 1, OK, 500, []float32{0})
 	b.HandleRequest(2000, testRequest(1, 0, 2000))
 	if len(r.sends) != 1 {
-		t.Errorf("%d sends to an idle endpoint while all seem slow", len(r.sends))
+		t.Errorf("%d sends to an idle endpoint while all seem slow, want 1", len(r.sends))
 	}
 	b.HandleProbe(3000, 1, OK, 500, []float32{5})
 	b.HandleRequest(3000, testRequest(2, 0, 3000))
@@ -101,11 +101,12 @@
 // A few long latencies must not get requests rejected at an endpoint where none queues.
 func TestIdleEndpointIsNeverTooLate(t *testing.T) {
 	b, r := start(t, testSettings(), ready(1))
-	b.membership.endpoints[0].serviceTimeRatio, b.membership.endpoints[0].serviceTimeRatioAt = ewma{value: 9, initialized: true}, 1000
+	e := b.membership.endpoints[0]
+	e.serviceTimeRatio, e.serviceTimeRatioAt = newEWMA(9), 1000
 	b.HandleProbe(1000, 1, OK, 500, []float32{0})
 	b.HandleRequest(2000, testRequest(1, 0, 2000))
 	if len(r.sends) != 1 {
-		t.Errorf("%d sends to an idle endpoint thought slow", len(r.sends))
+		t.Errorf("%d sends to an idle endpoint expected to be slow, want 1", len(r.sends))
 	}
 }
 
@@ -113,18 +114,18 @@
 func TestFailedTrialsLengthenTheInterval(t *testing.T) {
 	b, r := start(t, testSettings(), ready(1))
 	b.demand.classes[0].work.value = float64(100 * second)
-	passed := [2]int{}
+	trials := [2]int{} // in the first and the second half
 	for i := range uint64(400) {
 		now := 10*second + Micros(i)*second
 		b.HandleProbe(now, 1, OK, 500, []float32{50})
 		b.HandleRequest(now, testRequest(i, 0, now))
 		if n := len(r.sends); n > 0 && r.sends[n-1].id == i {
-			passed[i/200]++
+			trials[i/200]++
 			b.HandleOutcome(now+second, Outcome{ID: i, Endpoint: 1, Status: Timeout, Latency: second})
 		}
 	}
-	if passed[0] < 3 || passed[0] > 8 || passed[1] > 2 {
-		t.Errorf("%d of the first 200 passed and %d of the next", passed[0], passed[1])
+	if trials[0] < 3 || trials[0] > 8 || trials[1] > 2 {
+		t.Errorf("%d of the first 200 were trials, want 3 to 8; %d of the next, want 2 at most", trials[0], trials[1])
 	}
 	b.admission.trialInterval = maxTrialInterval
 	r.sends = nil
@@ -134,7 +135,7 @@
 	b.HandleRequest(502*second, testRequest(1001, 0, 502*second))
 	b.HandleOutcome(502*second+1000, Outcome{ID: 1001, Endpoint: 1, Status: OK, Latency: 1000, Answered: true})
 	if b.admission.trialInterval != minTrialInterval {
-		t.Errorf("one of %d passes after an answer in time", b.admission.trialInterval)
+		t.Errorf("trial interval %d after an answer in time, want %d", b.admission.trialInterval, minTrialInterval)
 	}
 }
 
@@ -147,7 +148,8 @@
 		list[i].Zone = uint8(i % 2)
 	}
 	b, r := start(t, s, list)
-	b.estimates.zoneLatencies[0], b.estimates.zoneLatencies[1] = zoneLatency{median: 500, count: 1}, zoneLatency{median: 30_000, count: 1}
+	b.estimates.zoneLatencies[0] = zoneLatency{median: 500, count: 1}
+	b.estimates.zoneLatencies[1] = zoneLatency{median: 30_000, count: 1}
 	b.HandleTimer(second, probeTimerToken)
 	for id := range uint64(20) {
 		b.HandleRequest(2*second, testRequest(id, 0, 2*second))
--- a/balancer/breaker_test.go
+++ b/balancer/breaker_test.go
@@ -11,8 +11,8 @@
 	for _, c := range []struct {
 		name              string
 		accepts, failures int
-		refusals          int
-		spread            int // buckets that failures are spread over
+		drops             int
+		failingBuckets    int // that the failures are spread over
 		want              float64
 	}{
 		{"empty", 0, 0, 0, 1, 0},
@@ -23,7 +23,7 @@
 		{"dropped requests count", 10, 0, 20, 1, (30.0 - 5 - 15) / 31},
 		{"all accepted", 40, 0, 0, 1, 0},
 		// 20 failing buckets after the accepts: K = 1.5 - 0.4*20/40 = 1.3.
-		{"K eases", 10, 20, 0, 20, (30.0 - 5 - 13) / 31},
+		{"K falls", 10, 20, 0, 20, (30.0 - 5 - 13) / 31},
 	} {
 		var k circuitBreaker
 		now := 100 * second
@@ -31,12 +31,12 @@
 			k.count(now, accepted)
 		}
 		for i := range c.failures {
-			if c.spread > 1 && i%(c.failures/c.spread) == 0 {
+			if c.failingBuckets > 1 && i%(c.failures/c.failingBuckets) == 0 {
 				now += breakerWindow / breakerBuckets
 			}
 			k.count(now, failed)
 		}
-		for range c.refusals {
+		for range c.drops {
 			k.count(now, dropped)
 		}
 		if got := k.errorDropProbability(now); !almostEqual(got, c.want) {
@@ -54,14 +54,14 @@
 		t.Error("failures of nine seconds ago are forgotten")
 	}
 	if got := k.errorDropProbability(110*second + 1); got != 0 || k.requests != 0 {
-		t.Errorf("after the window: chance %v, %d requests", got, k.requests)
+		t.Errorf("after the window: drop probability %v, %d requests", got, k.requests)
 	}
 	for range 100 {
 		k.count(200*second, failed)
 	}
 	k.errorDropProbability(500 * second)
 	if k.requests != 0 {
-		t.Errorf("after a long pause: %d requests", k.requests)
+		t.Errorf("after a long idle time: %d requests", k.requests)
 	}
 }
 
@@ -71,11 +71,11 @@
 	if k.baseLatency != 100 || k.currentLatency != 100 {
 		t.Fatalf("first: base %v current %v", k.baseLatency, k.currentLatency)
 	}
-	k.addLatency(60) // falls by a quarter of the way; current (60+3*100)/4
+	k.addLatency(60) // base falls to (60+3*100)/4, as does current
 	if !almostEqual(k.baseLatency, 90) || !almostEqual(k.currentLatency, 90) {
 		t.Fatalf("fall: base %v current %v", k.baseLatency, k.currentLatency)
 	}
-	k.addLatency(190) // rises by a hundredth: (190+99*90)/100; current (190+270)/4
+	k.addLatency(190) // base rises to (190+99*90)/100, current to (190+3*90)/4
 	if !almostEqual(k.baseLatency, 91) || !almostEqual(k.currentLatency, 115) {
 		t.Fatalf("rise: base %v current %v", k.baseLatency, k.currentLatency)
 	}
@@ -89,7 +89,7 @@
 	}{
 		{"no sample", 0, 0, 1000, 0},
 		{"under three times the baseline", 100, 299, 1000, 0},
-		{"halfway to the ceiling", 100, 625, 1000, 0.15}, // (625-300)/(950-300)*0.3
+		{"half of the range", 100, 625, 1000, 0.15}, // (625-300)/(950-300)*0.3
 		{"at the ceiling", 100, 950, 1000, 0.3},
 		{"capped", 100, 5000, 1000, 0.3},
 		{"ceiling under the threshold", 400, 5000, 1000, 0},
@@ -110,7 +110,7 @@
 	}
 	r := recordOf(b, Request{})
 	if !b.breakers.allow(now, r, e) {
-		t.Fatal("the first is passed as a trial")
+		t.Fatal("the first request is not let through as a trial")
 	}
 	passed := 0
 	for range 200 {
@@ -119,14 +119,14 @@
 		}
 	}
 	if passed > 20 {
-		t.Errorf("%d of 200 passed an endpoint that fails all", passed)
+		t.Errorf("%d of 200 let through to an endpoint that fails all, want 20 at most", passed)
 	}
 	if !b.breakers.allow(now+forcedTrialInterval+1001, r, e) {
-		t.Error("none passed after the trial interval")
+		t.Error("none is let through after the trial interval")
 	}
 }
 
-// If all endpoints fail at once, ejection must not leave the last few with all requests.
+// If all endpoints fail at once, ejection must not send all requests to the few that are not ejected yet.
 func TestLoadStaysSpreadWhenAllFail(t *testing.T) {
 	b, r := start(t, testSettings(), ready(8))
 	sends := map[uint32]int{}
@@ -162,17 +162,17 @@
 			b.HandleProbe(now, e+1, OK, 500, []float32{0})
 		}
 		id++
-		from := len(r.sends)
+		next := len(r.sends)
 		b.HandleRequest(now, testRequest(id, 0, now))
-		for n := 0; from < len(r.sends); n++ {
-			to := r.sends[from].endpoint
-			from++
-			sends[to]++
+		for attempt := 0; next < len(r.sends); attempt++ {
+			target := r.sends[next].endpoint
+			next++
+			sends[target]++
 			status := OK
-			if to == 1 {
+			if target == 1 {
 				status = EndpointError
 			}
-			b.HandleOutcome(now, Outcome{ID: id, Attempt: n, Endpoint: to, Status: status,
+			b.HandleOutcome(now, Outcome{ID: id, Attempt: attempt, Endpoint: target, Status: status,
 				Latency: 30_000 + Micros(id*7919%60_000), Answered: status == OK})
 		}
 	}
@@ -180,7 +180,7 @@
 		step()
 	}
 	if sends[1] > 300 {
-		t.Errorf("a fast failing endpoint got %d of 3000", sends[1])
+		t.Errorf("an endpoint that fails fast got %d of 3000, want 300 at most", sends[1])
 	}
 	if sends[1] < 2 {
 		t.Errorf("a failing endpoint is never tried again: %d sends", sends[1])
--- a/balancer/cordon_test.go
+++ b/balancer/cordon_test.go
@@ -10,14 +10,15 @@
 	return list
 }
 
-// A cordoned endpoint gets neither requests nor probes, whatever discovery says of it. Cordoning twice needs ending
-// only once.
+// A cordoned endpoint gets neither requests nor probes, whatever discovery says of it. Cordoning is idempotent, as is
+// uncordoning.
 func TestCordonedEndpointGetsNothing(t *testing.T) {
 	list := withNames(ready(2))
 	b, r := start(t, testSettings(), list)
 	now := Micros(0)
 	id := uint64(0)
-	play := func() (to [3]int) {
+	// play sends 200 requests. It returns the probes of endpoint 1 and the attempts by endpoint.
+	play := func() (probes int, sends [3]int) {
 		r.sends = r.sends[:0]
 		for range 200 {
 			now += 20_000
@@ -27,31 +28,35 @@
 			for _, p := range r.probes {
 				b.HandleProbe(now, p, OK, 1000, []float32{0})
 				if p == 1 {
-					to[0]++ // probes of the first
+					probes++
 				}
 			}
 			r.probes = r.probes[:0]
 			s := r.sends[len(r.sends)-1]
-			to[s.endpoint]++
-			b.HandleOutcome(now+10_000, Outcome{ID: s.id, Endpoint: s.endpoint, Status: OK, Latency: 10_000, Answered: true})
+			sends[s.endpoint]++
+			b.HandleOutcome(now+10_000, Outcome{
+				ID: s.id, Endpoint: s.endpoint, Status: OK, Latency: 10_000, Answered: true,
+			})
 		}
-		return to
+		return probes, sends
 	}
-	if to := play(); to[1] == 0 || to[0] == 0 {
-		t.Fatalf("before the call: %v", to)
+	if probes, sends := play(); sends[1] == 0 || probes == 0 {
+		t.Fatalf("before the cordon: %d probes, sends %v", probes, sends)
 	}
 	b.Cordon(now, 101, true, now)
 	b.Cordon(now, 101, true, now)
 	restarted := list[0]
 	restarted.StartTime = now + 1
-	gone := list[0]
-	gone.State = Removed
-	for name, news := range map[string][]Endpoint{"no news": nil, "a restart": {restarted}, "gone and back": {gone, restarted}} {
-		for i := range news {
-			b.HandleEndpoints(now, ListDelta, news[i:i+1])
+	removed := list[0]
+	removed.State = Removed
+	for name, updates := range map[string][]Endpoint{
+		"no update": nil, "a restart": {restarted}, "a removal and return": {removed, restarted},
+	} {
+		for i := range updates {
+			b.HandleEndpoints(now, ListDelta, updates[i:i+1])
 		}
-		if to := play(); to[1] != 0 || to[0] != 0 || to[2] != 200 {
-			t.Errorf("after %s: %v", name, to)
+		if probes, sends := play(); sends[1] != 0 || probes != 0 || sends[2] != 200 {
+			t.Errorf("after %s: %d probes, sends %v", name, probes, sends)
 		}
 	}
 	if s := b.Stats(now); s.Cordoned != 1 {
@@ -60,13 +65,13 @@
 	b.Cordon(now, 101, false, now)
 	e := b.membership.byID[1]
 	if !e.isWarming(now, &b.settings.Contract) {
-		t.Error("it comes back warm")
+		t.Error("an endpoint that is no longer cordoned is not warming up")
 	}
-	if to := play(); to[1] == 0 {
-		t.Errorf("after the end of the cordon: %v", to)
+	if probes, sends := play(); sends[1] == 0 {
+		t.Errorf("after the end of the cordon: %d probes, sends %v", probes, sends)
 	}
 	if b.Cordon(now, 101, false, now); b.membership.byID[1].warmingSince != e.warmingSince {
-		t.Error("a repeated end of the cordon begins its warm-up anew")
+		t.Error("uncordoning a second time restarts the slow start")
 	}
 }
 
--- a/balancer/demand_test.go
+++ b/balancer/demand_test.go
@@ -15,8 +15,10 @@
 	}
 	over, within := recordOf(b, Request{Tenant: 0}), recordOf(b, Request{Tenant: 1})
 	b.demand.rejectedShare.value = 0.5
-	if o, w := b.demand.tenantPriority(100_000, over), b.demand.tenantPriority(100_000, within); w != 1 || o > 0.6 {
-		t.Errorf("weights %v over, %v within the share", o, w)
+	overPriority := b.demand.tenantPriority(100_000, over)
+	withinPriority := b.demand.tenantPriority(100_000, within)
+	if withinPriority != 1 || overPriority > 0.6 {
+		t.Errorf("priority %v over the quota, %v within it", overPriority, withinPriority)
 	}
 	if got := b.demand.tenantPriority(100_000, recordOf(b, Request{Tenant: 9})); got != 1 {
 		t.Errorf("unknown tenant: %v", got)
@@ -34,7 +36,7 @@
 	b.demand.rejectedShare.value = 0.8
 	for tenant := range uint16(2) {
 		if got := b.demand.tenantPriority(0, recordOf(b, Request{Tenant: tenant})); got < 0.99 {
-			t.Errorf("tenant %d, within its share of the mix, weighs %.2f while most is rejected", tenant, got)
+			t.Errorf("tenant %d, within its share of the traffic, has priority %.2f while 80%% are rejected", tenant, got)
 		}
 	}
 }
--- a/balancer/discovery_test.go
+++ b/balancer/discovery_test.go
@@ -5,9 +5,9 @@
 	"testing"
 )
 
-// A change that a broken subscription missed may count as notified: the first call after that leaves time for its
-// answer within the drain grace, whatever that is, and later ones back off. Without a subscription before, there is no
-// hurry.
+// A change that a broken subscription missed may count as notified: the first call after that must leave time for its
+// answer within the drain grace, whatever that is, and later ones back off. Without an earlier subscription, the first
+// call backs off, too.
 func TestBrokenSubscriptionIsRenewedWithinDrainGrace(t *testing.T) {
 	for _, grace := range []Micros{0, second / 5, second / 2, 2 * second, 30 * second} {
 		s := testSettings()
@@ -18,7 +18,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			fails := func() Micros {
+			failCall := func() Micros { // returns the delay of the next call
 				r.timers, r.delays = nil, nil
 				b.HandleEndpoints(0, ListFailed, nil)
 				i := slices.Index(r.timers, uint32(pollTimerToken))
@@ -29,17 +29,17 @@
 			}
 			b.Start(0)
 			b.HandleEndpoints(0, ListCached, ready(2))
-			if delay := fails(); delay < s.Contract.PollInterval/40 {
+			if delay := failCall(); delay < s.Contract.PollInterval/40 {
 				t.Errorf("grace %d: after a failed first call polled again after %d", grace, delay)
 			}
 			b.HandleEndpoints(0, ListDelta, nil)
 			for n := range 8 {
-				delay := fails()
-				if atMost := max(grace/2, minPollDelay*3/2+1); n == 0 && delay > atMost {
-					t.Errorf("grace %d: polled again after %d, want %d at most", grace, delay, atMost)
+				delay := failCall()
+				if limit := max(grace/2, minPollDelay*3/2+1); n == 0 && delay > limit {
+					t.Errorf("grace %d: polled again after %d, want %d at most", grace, delay, limit)
 				}
-				if atLeast := min(s.Contract.PollInterval/8, minPollDelay/2<<n); delay < atLeast {
-					t.Errorf("grace %d: call %d after %d, want %d at least", grace, n, delay, atLeast)
+				if limit := min(s.Contract.PollInterval/8, minPollDelay/2<<n); delay < limit {
+					t.Errorf("grace %d: call %d after %d, want %d at least", grace, n, delay, limit)
 				}
 			}
 		}
@@ -51,7 +51,7 @@
 	s.SubscribeToDiscovery = true
 	b, r := start(t, s, ready(2))
 	now := Micros(0)
-	fire := func() {
+	fireTimer := func() {
 		for i, token := range r.timers {
 			if token == pollTimerToken {
 				now += r.delays[i]
@@ -62,18 +62,18 @@
 		}
 		t.Fatal("no timer for discovery")
 	}
-	fire()
+	fireTimer()
 	for n := 1; n < 8; n++ {
 		if r.watches != n {
-			t.Fatalf("%d calls, %d wanted", r.watches, n)
+			t.Fatalf("%d calls, want %d", r.watches, n)
 		}
 		before := now
 		if n%2 == 0 {
 			b.HandleEndpoints(now, ListFailed, nil)
 		} // else the answer is lost
-		fire()
+		fireTimer()
 		if now-before > s.Contract.PollInterval {
-			t.Fatalf("polled only after %d", now-before)
+			t.Fatalf("polled after %d, want %d at most", now-before, s.Contract.PollInterval)
 		}
 	}
 	if len(b.membership.endpoints) != 2 {
--- a/balancer/estimates_test.go
+++ b/balancer/estimates_test.go
@@ -19,16 +19,18 @@
 			old.HandleProbe(now, p, OK, 5000, []float32{float32((id/8 + uint64(p)) % 4)})
 		}
 		s := r.sends[len(r.sends)-1]
-		took := 100_000 + 1000*Micros(s.endpoint)
-		old.HandleOutcome(now+took, Outcome{ID: s.id, Endpoint: s.endpoint, Status: OK, Latency: took, Answered: true})
+		latency := 100_000 + 1000*Micros(s.endpoint)
+		old.HandleOutcome(now+latency, Outcome{
+			ID: s.id, Endpoint: s.endpoint, Status: OK, Latency: latency, Answered: true,
+		})
 	}
 	now := 20 * second
 	text, err := json.Marshal(old.Estimates())
 	if err != nil {
 		t.Fatal(err)
 	}
-	var l Estimates
-	if err := json.Unmarshal(text, &l); err != nil {
+	var restored Estimates
+	if err := json.Unmarshal(text, &restored); err != nil {
 		t.Fatal(err)
 	}
 	list[3].StartTime = 6
@@ -37,60 +39,75 @@
 		t.Fatal(err)
 	}
 	next.Start(now)
-	next.Restore(&l)
+	next.Restore(&restored)
 	next.HandleEndpoints(now, ListCached, list)
-	work := next.demand.classes[0].work.value
-	if work != old.demand.classes[0].work.value || next.estimates.typicalLoad.value != old.estimates.typicalLoad.value || next.estimates.zoneLatencies[0].median != old.estimates.zoneLatencies[0].median {
-		t.Errorf("work %v, typical load %v, zone latency %v; want %v, %v, %v", work, next.estimates.typicalLoad.value, next.estimates.zoneLatencies[0].median,
-			old.demand.classes[0].work.value, old.estimates.typicalLoad.value, old.estimates.zoneLatencies[0].median)
+	type learned struct{ work, typicalLoad, zoneLatency float64 }
+	learnedBy := func(b *Balancer) learned {
+		return learned{
+			b.demand.classes[0].work.value, b.estimates.typicalLoad.value, b.estimates.zoneLatencies[0].median,
+		}
+	}
+	if got, want := learnedBy(next), learnedBy(old); got != want {
+		t.Errorf("restored %+v, want %+v", got, want)
 	}
-	seen := 0
+	measured := 0
 	for id := uint32(1); id <= 3; id++ {
-		was, is := old.estimates.serviceTimeRatio(now, old.membership.byID[id]), next.estimates.serviceTimeRatio(now, next.membership.byID[id])
-		if math.Abs(was-is) > 1e-9 {
-			t.Errorf("service time ratio of endpoint %d: %v, was %v", id, is, was)
+		want := old.estimates.serviceTimeRatio(now, old.membership.byID[id])
+		got := next.estimates.serviceTimeRatio(now, next.membership.byID[id])
+		if math.Abs(want-got) > 1e-9 {
+			t.Errorf("service time ratio of endpoint %d: %v, want %v", id, got, want)
 		}
 		if old.membership.byID[id].serviceTimeRatio.initialized {
-			seen++
+			measured++
 		}
 	}
-	if seen < 2 {
-		t.Error("few endpoints have a service time ratio: the test shows little")
+	if measured < 2 {
+		t.Errorf("%d endpoints have a service time ratio, want 2 at least", measured)
 	}
 	if next.membership.byID[4].serviceTimeRatio.initialized {
-		t.Error("a new process takes over the service time ratio of the old")
+		t.Error("a new process of an endpoint has the service time ratio of the old one")
 	}
 }
 
 // Estimates that are invalid, or from other settings, change nothing.
 func TestInvalidEstimatesAreIgnored(t *testing.T) {
-	unknown := []ClassWorkEstimate{{"read", 0}}
-	for name, l := range map[string]Estimates{
-		"nothing": {}, "other classes": {ServiceTimeRatio: 2, ClassWork: []ClassWorkEstimate{{"elsewhere", 1}}}, "no service time ratio": {ServiceTimeRatio: math.NaN(), ClassWork: unknown},
-		"endless": {ServiceTimeRatio: math.Inf(1), ClassWork: unknown}, "no work": {ServiceTimeRatio: 1, ClassWork: unknown, WarmingSlowness: 9},
+	noWork := []ClassWorkEstimate{{"read", 0}}
+	otherClass := []ClassWorkEstimate{{"elsewhere", 1}}
+	for name, invalid := range map[string]Estimates{
+		"empty":                       {},
+		"other classes":               {ServiceTimeRatio: 2, ClassWork: otherClass},
+		"NaN service time ratio":      {ServiceTimeRatio: math.NaN(), ClassWork: noWork},
+		"infinite service time ratio": {ServiceTimeRatio: math.Inf(1), ClassWork: noWork},
+		"no work":                     {ServiceTimeRatio: 1, ClassWork: noWork, WarmingSlowness: 9},
 	} {
 		b, _ := start(t, testSettings(), ready(2))
-		work := b.demand.classes[0].work.value
-		b.Restore(&l)
-		if b.demand.classes[0].work.value != work || b.estimates.warmingSlowness.value > 1 || !isPositiveFinite(b.estimates.fleetServiceTimeRatio.or(1)) {
-			t.Errorf("%s: work %v, warmingSlowness %v, service time ratio %v", name, b.demand.classes[0].work.value, b.estimates.warmingSlowness.value, b.estimates.fleetServiceTimeRatio.value)
+		before := b.demand.classes[0].work.value
+		b.Restore(&invalid)
+		work, slowness := b.demand.classes[0].work.value, b.estimates.warmingSlowness.value
+		ratio := b.estimates.fleetServiceTimeRatio
+		if work != before || slowness > 1 || !isPositiveFinite(ratio.or(1)) {
+			t.Errorf("%s: work %v, warming slowness %v, service time ratio %v", name, work, slowness, ratio.value)
 		}
 	}
 }
 
-// The next process may have the classes in another order, and others beside them.
+// The next process may have the classes in another order, and new ones.
 func TestClassWorkIsRestoredByName(t *testing.T) {
 	b, _ := start(t, testSettings(), ready(2))
 	for i, c := range b.demand.classes {
 		c.work.value = float64(i + 1)
 	}
 	b.estimates.fleetServiceTimeRatio.add(1, 1)
-	l := b.Estimates()
+	estimates := b.Estimates()
 	s := testSettings()
 	s.Classes = []Class{{Name: "new", LatencyObjective: 500, ClientTimeout: second}, s.Classes[4], s.Classes[0]}
 	next, _ := start(t, s, ready(2))
-	next.Restore(&l)
-	if got := [...]float64{next.demand.classes[0].work.value, next.demand.classes[1].work.value, next.demand.classes[2].work.value}; got != [...]float64{100, 5, 1} {
-		t.Errorf("works of new, write and read: %v, want 100, 5 and 1", got)
+	next.Restore(&estimates)
+	var got [3]float64
+	for i, c := range next.demand.classes {
+		got[i] = c.work.value
+	}
+	if got != [...]float64{100, 5, 1} {
+		t.Errorf("work of new, write and read: %v, want 100, 5 and 1", got)
 	}
 }
--- a/balancer/example_test.go
+++ b/balancer/example_test.go
@@ -6,11 +6,10 @@
 	"oakproxy/balancer"
 )
 
-// host prints the actions of a balancer. A sidecar would carry them out.
-type host struct{ sent []uint32 }
+// host prints the actions of a balancer. A sidecar would perform them.
+type host struct{}
 
 func (h *host) Send(id uint64, endpoint uint32, _ balancer.Micros) {
-	h.sent = append(h.sent, endpoint)
 	fmt.Printf("send request %d to endpoint %d\n", id, endpoint)
 }
 func (h *host) Reject(id uint64, after balancer.Micros) { fmt.Printf("reject request %d\n", id) }
@@ -23,8 +22,11 @@
 
 func Example() {
 	settings := balancer.Settings{
-		Balancers:    1,
-		Classes:      []balancer.Class{{Name: "read", Idempotency: balancer.Idempotent, LatencyObjective: 200_000, ClientTimeout: 800_000, PriorityWeight: 1}},
+		Balancers: 1,
+		Classes: []balancer.Class{{
+			Name: "read", Idempotency: balancer.Idempotent,
+			LatencyObjective: 200_000, ClientTimeout: 800_000, PriorityWeight: 1,
+		}},
 		ReportFields: []balancer.ReportField{balancer.FieldInFlight},
 		Limits:       balancer.Limits{Probes: true, MaxAttempts: 2, MaxOpenRequests: 1000},
 		Contract:     balancer.Contract{SlowStartInitialFraction: 0.2, SlowStartDuration: 10_000_000, OverloadFactor: 2.5},
@@ -38,14 +40,18 @@
 	}
 	b.Start(0)
 	b.HandleEndpoints(0, balancer.ListCached, []balancer.Endpoint{{ID: 7}, {ID: 8}})
-	b.HandleProbe(1_000, 7, balancer.OK, 500, []float32{2}) // endpoint 7 holds two requests,
+	b.HandleProbe(1_000, 7, balancer.OK, 500, []float32{2}) // endpoint 7 serves two requests,
 	b.HandleProbe(1_000, 8, balancer.OK, 500, []float32{0}) // endpoint 8 none
 
 	b.HandleRequest(2_000, balancer.Request{ID: 1, Deadline: 802_000})
 	b.HandleOutcome(3_000, balancer.Outcome{ID: 1, Endpoint: 8, Status: balancer.EndpointError, Latency: 1_000})
-	b.HandleOutcome(40_000, balancer.Outcome{ID: 1, Attempt: 1, Endpoint: 7, Status: balancer.OK, Latency: 37_000, Answered: true})
+	b.HandleOutcome(40_000, balancer.Outcome{
+		ID: 1, Attempt: 1, Endpoint: 7, Status: balancer.OK, Latency: 37_000, Answered: true,
+	})
 
-	b.HandleEndpoints(50_000, balancer.ListDelta, []balancer.Endpoint{{ID: 7, State: balancer.Removed}, {ID: 8, State: balancer.Draining}})
+	b.HandleEndpoints(50_000, balancer.ListDelta, []balancer.Endpoint{
+		{ID: 7, State: balancer.Removed}, {ID: 8, State: balancer.Draining},
+	})
 	b.HandleRequest(60_000, balancer.Request{ID: 2, Deadline: 860_000})
 	// Output:
 	// send request 1 to endpoint 8
--- a/balancer/ledger_test.go
+++ b/balancer/ledger_test.go
@@ -4,7 +4,7 @@
 
 // Each idempotency against each outcome of the first attempt.
 func TestAttemptsAfterEachOutcome(t *testing.T) {
-	never := map[Status]bool{Rejected: true, ConnectFailed: true, NotSent: true}
+	neverExecuted := map[Status]bool{Rejected: true, ConnectFailed: true, NotSent: true}
 	for class := range uint8(5) {
 		for status := EndpointError; status <= NotSent; status++ {
 			s := testSettings()
@@ -14,15 +14,15 @@
 			b.HandleOutcome(2000, Outcome{ID: 1, Endpoint: a.endpoint.ID, Status: status, Latency: 1000})
 			sends := len(r.sends)
 			switch kind := s.Classes[class]; {
-			case kind.Idempotency == NonIdempotent && !never[status]:
+			case kind.Idempotency == NonIdempotent && !neverExecuted[status]:
 				if sends != 1 || len(r.failed) != 1 {
 					t.Errorf("non-idempotent, status %d: %d sends, %d failed", status, sends, len(r.failed))
 				}
 			case sends != 2:
-				t.Errorf("class %d status %d: %d sends, 2 wanted", class, status, sends)
-			case kind.Idempotency == IdempotentWithKey && kind.DeduplicationScope != ScopeAll && !never[status]:
+				t.Errorf("class %d status %d: %d sends, want 2", class, status, sends)
+			case kind.Idempotency == IdempotentWithKey && kind.DeduplicationScope != ScopeAll && !neverExecuted[status]:
 				if (r.sends[0].endpoint-1)/2 != (r.sends[1].endpoint-1)/2 {
-					t.Errorf("class %d status %d left its scope", class, status)
+					t.Errorf("class %d status %d: retry outside the deduplication scope", class, status)
 				}
 			}
 		}
@@ -59,8 +59,9 @@
 		t.Fatalf("failed %v, cancelled %v", r.failed, r.cancels)
 	}
 	b.HandleOutcome(2*second, Outcome{ID: 1, Endpoint: 1, Status: OK, Latency: second, Answered: true})
-	if b.membership.endpoints[0].breaker.accepts != 1 || b.membership.endpoints[0].inFlight != 0 || len(b.ledger.requests) != 0 {
-		t.Error("a late outcome must still feed the statistics")
+	e := b.membership.endpoints[0]
+	if e.breaker.accepts != 1 || e.inFlight != 0 || len(b.ledger.requests) != 0 {
+		t.Error("a late outcome is not counted")
 	}
 	b.HandleRequest(3*second, testRequest(2, 0, 3*second))
 	b.HandleTimer(3*second, token) // of the ended request, whose slot is in use again
@@ -78,11 +79,11 @@
 	}{
 		"class out of range":  {list: ready(2), in: Request{ID: 1, Class: 99, Deadline: second}},
 		"tenant out of range": {list: ready(2), in: Request{ID: 1, Tenant: 999, Deadline: second}},
-		"deadline past":       {list: ready(2), in: Request{ID: 1, Deadline: 10}},
+		"deadline passed":     {list: ready(2), in: Request{ID: 1, Deadline: 10}},
 		"empty list":          {in: Request{ID: 1, Deadline: second}},
 		"all draining":        {list: []Endpoint{{ID: 1, State: Draining}}, in: Request{ID: 1, Deadline: second}},
 		"repeated id":         {list: ready(2), in: Request{ID: 1, Deadline: second}, twice: true},
-		"hint without sense":  {list: ready(2), in: Request{ID: 1, Deadline: second, WorkHint: -5, HasWorkHint: true}},
+		"negative work hint":  {list: ready(2), in: Request{ID: 1, Deadline: second, WorkHint: -5, HasWorkHint: true}},
 	} {
 		b, r := start(t, testSettings(), c.list)
 		b.HandleRequest(1000, c.in)
