--- a/balancer/admission_test.go
+++ b/balancer/admission_test.go
@@ -27,8 +27,8 @@
 	}
 }
 
-// A balancer with few requests in a large fleet cannot keep a fresh pool: it must probe when a request arrives, and send
-// to the best endpoint, without losing requests that wait.
+// A balancer with few requests in a large fleet cannot keep a fresh pool: it must probe when a request arrives, and
+// send to the best endpoint, without losing requests that wait.
 func TestQuietBalancerProbesBeforeItSends(t *testing.T) {
 	startWaiting := func() (*Balancer, *recorder) { // request 1 waits for its probes
 		s := testSettings()
@@ -80,8 +80,8 @@
 	}
 }
 
-// If the sidecar itself is slow, all latencies grow: rejecting requests where none queues relieves no endpoint, and makes
-// clients retry.
+// If the sidecar itself is slow, all latencies grow: rejecting requests where none queues relieves no endpoint, and
+// makes clients retry.
 func TestSlowdownAloneRejectsNothing(t *testing.T) {
 	b, r := start(t, testSettings(), ready(1))
 	b.estimates.trend, b.estimates.trendAt = maxTrendRatio, 1000
--- a/balancer/loadreport_test.go
+++ b/balancer/loadreport_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"math"
+	"slices"
 	"testing"
 )
 
@@ -11,13 +12,13 @@
 	for _, load := range [][]float32{nil, {}, {nan}, {-3}, {float32(math.Inf(1))}} {
 		b.HandleProbe(1000, 1, OK, 500, load)
 		if b.membership.endpoints[0].hasReport {
-			t.Errorf("report %v taken for a load", load)
+			t.Errorf("report %v counts as a load", load)
 		}
 	}
 	b.HandleProbe(1000, 99, OK, 500, []float32{1}) // unknown endpoint
 	b.HandleProbe(1000, 1, OK, 500, []float32{2, 7, 9})
 	if b.estimates.load(1000, b.membership.endpoints[0]) != 2 {
-		t.Errorf("load %v", b.estimates.load(1000, b.membership.endpoints[0]))
+		t.Errorf("load %v, want 2", b.estimates.load(1000, b.membership.endpoints[0]))
 	}
 }
 
@@ -34,10 +35,10 @@
 		b.HandleProbe(13_000+i, busy.ID, OK, 500, []float32{0})
 	}
 	if !b.estimates.reportsLate {
-		t.Fatal("not found out")
+		t.Fatal("late reports are not detected")
 	}
 	if got := b.estimates.load(14_000, busy); got < float64(busy.inFlight) {
-		t.Errorf("load %v is under own in-flight %d", got, busy.inFlight)
+		t.Errorf("load %v, want the %d own attempts in flight at least", got, busy.inFlight)
 	}
 	for i := range Micros(400) {
 		busy.probeInFlight = false
@@ -45,12 +46,12 @@
 		b.HandleProbe(15_000+i, busy.ID, OK, 500, []float32{5})
 	}
 	if b.estimates.reportsLate {
-		t.Error("still taken for late")
+		t.Error("reports count as late though they are not any longer")
 	}
 }
 
-// While reports are late, their mean at each endpoint decides: one that others load heavily differs from the rest, and
-// no endpoint may be filled up to the latency objective because of the fleet's mean.
+// While reports are late, their mean at each endpoint counts: endpoints under heavy load from other balancers must
+// differ from the others, and the fleet's mean must not raise the latency limit of any.
 func TestDelayedReportsAreAveragedByEndpoint(t *testing.T) {
 	b, _ := start(t, testSettings(), ready(2))
 	b.demand.classes[0].requestRate.add(0, 1)
@@ -62,15 +63,18 @@
 		b.HandleProbe(1000, 1, OK, 500, []float32{float32(4 + 2*(i%2))})
 		b.HandleProbe(1000, 2, OK, 500, []float32{float32(i % 2)})
 	}
-	if crowded, quiet := b.estimates.load(1000, b.membership.byID[1]), b.estimates.load(1000, b.membership.byID[2]); crowded < 4 || quiet > 1 {
-		t.Errorf("load %.1f where reports tell 4 to 6, %.1f where they tell 0 to 1", crowded, quiet)
+	busy := b.estimates.load(1000, b.membership.byID[1])
+	idle := b.estimates.load(1000, b.membership.byID[2])
+	if busy < 4 || idle > 1 {
+		t.Errorf("load %.1f where reports say 4 to 6, %.1f where they say 0 to 1", busy, idle)
 	}
-	if after := b.estimates.latencyLimit(0, r, b.membership.endpoints[0]); after > before+500 { // the zone latency is known by now
+	const roundTrip = 500 // known since the first probe
+	if after := b.estimates.latencyLimit(0, r, b.membership.endpoints[0]); after > before+roundTrip {
 		t.Errorf("limit %v before, %v while late", before, after)
 	}
 }
 
-// If reports are old or hold no count, a probe that queued still shows that there is a queue.
+// If reports are old or hold no count, a probe that queued still indicates a queue.
 func TestQueuedProbeShowsLoad(t *testing.T) {
 	s := testSettings()
 	s.ReportFields = []ReportField{FieldServedRate, FieldUtilization}
@@ -81,7 +85,7 @@
 	}
 	b.HandleProbe(1000, 1, OK, 500, []float32{90, 0.5})
 	if got := b.estimates.load(1000, e); got != 0.5*assumedCores {
-		t.Errorf("load %v of a half busy endpoint", got)
+		t.Errorf("load %v at a utilization of 0.5, want %v", got, 0.5*assumedCores)
 	}
 	b.HandleProbe(2000, 1, OK, 160_500, []float32{90, 0.5})
 	if got := b.estimates.load(2000, e); got < 2*assumedCores {
@@ -89,12 +93,12 @@
 	}
 	b.HandleProbe(3000, 1, Rejected, 500, nil)
 	if e.reportedAt != 0 {
-		t.Error("an endpoint that rejects probes keeps its place in the pool")
+		t.Error("an endpoint that rejects probes stays in the pool")
 	}
 }
 
-// The latency to a far zone varies by as much as a request's work takes: that is no queue there. Nor may a quick answer
-// or two make all later probes seem to have queued.
+// The latency to a far zone varies by as much as a request's work takes: that must not count as a queue. Nor may a few
+// quick answers make all later probes seem to have queued.
 func TestVaryingZoneLatencyIsNoQueue(t *testing.T) {
 	for _, c := range []struct {
 		name  string
@@ -105,15 +109,15 @@
 		b, _ := start(t, s, ready(2))
 		var noise splitMix64 = 5
 		now := Micros(1000)
-		probed := func(latency Micros, held float32) {
+		probe := func(latency Micros) { // whose report counts no request
 			now += 100_000
-			b.HandleProbe(now, 1, OK, latency, []float32{held})
+			b.HandleProbe(now, 1, OK, latency, []float32{0})
 		}
 		for range c.quick {
-			probed(200, 0)
+			probe(200)
 		}
 		for range 5 {
-			if probed(11_000+noise.duration(4000), 0); b.estimates.load(now, b.membership.byID[1]) > 0 {
+			if probe(11_000 + noise.duration(4000)); b.estimates.load(now, b.membership.byID[1]) > 0 {
 				t.Errorf("%s: an idle endpoint shows a load while its zone latency is being learned", c.name)
 			}
 		}
@@ -122,20 +126,20 @@
 		}
 		queued := 0
 		for range 100 {
-			probed(11_000+noise.duration(6000), 0)
+			probe(11_000 + noise.duration(6000))
 			queued += int(indicator(b.estimates.load(now, b.membership.byID[1]) > 0))
 		}
 		if queued > 5 {
 			t.Errorf("%s: %d of 100 probes of an idle endpoint show a load", c.name, queued)
 		}
-		probed(60_000, 0)
+		probe(60_000)
 		if got := b.estimates.load(now, b.membership.byID[1]); got < assumedCores {
 			t.Errorf("%s: load %v after a probe that waited 47 ms", c.name, got)
 		}
 	}
 }
 
-// Only idle endpoints answer a probe in time. In an overload the timeouts must count, or the fleet looks idle.
+// Only idle endpoints answer a probe in time. In an overload, the timeouts must count, or the fleet seems idle.
 func TestProbeTimeoutsCountAsLoad(t *testing.T) {
 	s := testSettings()
 	s.Balancers = 1000
@@ -155,7 +159,7 @@
 	}
 }
 
-// Where probes do not queue behind requests, a lost one says nothing of the load.
+// Where probes do not queue behind requests, a probe without answer must not count as load.
 func TestLostProbeIsNotLoad(t *testing.T) {
 	b, _ := start(t, testSettings(), ready(2))
 	for i := range Micros(20) {
@@ -169,33 +173,33 @@
 	b.estimates.queuedProbeShare.value = 0.5
 	b.HandleProbe(40_000, 2, Timeout, 400_000, nil)
 	if b.estimates.typicalLoad.value <= before {
-		t.Errorf("typical load %.1f after silence, where probes queue", b.estimates.typicalLoad.value)
+		t.Errorf("typical load %.1f after a timeout where probes queue", b.estimates.typicalLoad.value)
 	}
 }
 
-// A balancer that probes one endpoint of sixty a second must not reject by what its last few reports happened to be;
-// one that probes many follows them.
+// A balancer that probes one endpoint of sixty a second must not reject requests by its latest few reports, which may
+// be outliers; one that probes many follows them.
 func TestFewReportsDoNotMoveTypicalLoad(t *testing.T) {
 	for _, c := range []struct {
-		name            string
-		endpoints       int
-		answers         []float32
-		atLeast, atMost float64 // of the typical load
+		name             string
+		endpoints        int
+		loads            []float32
+		minLoad, maxLoad float64 // of the typical load
 	}{
-		{"the first is odd", 60, []float32{9, 1, 1, 1, 1, 1, 1, 1, 1, 1}, 1, 2},
-		{"all so far are odd", 60, []float32{9, 9}, 1, 3},
-		{"the latest are odd", 60, []float32{1, 1, 1, 1, 1, 1, 1, 1, 1, 1, 1, 1, 1, 1, 1, 1, 1, 1, 1, 1, 9, 9}, 1, 2},
-		{"probes are many", 2, []float32{1, 1, 1, 1, 1, 1, 1, 1, 1, 1, 1, 1, 1, 1, 1, 1, 1, 1, 1, 1, 9, 9}, 2, 3},
+		{"the first is an outlier", 60, []float32{9, 1, 1, 1, 1, 1, 1, 1, 1, 1}, 1, 2},
+		{"all so far are outliers", 60, []float32{9, 9}, 1, 3},
+		{"the latest are outliers", 60, append(slices.Repeat([]float32{1}, 20), 9, 9), 1, 2},
+		{"many probes", 2, append(slices.Repeat([]float32{1}, 20), 9, 9), 2, 3},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			s := testSettings()
 			s.Balancers, s.Prices.Probe = 80, 0.08
 			b, _ := start(t, s, ready(c.endpoints))
-			for i, load := range c.answers {
+			for i, load := range c.loads {
 				b.HandleProbe(Micros(i)*second, uint32(i%c.endpoints+1), OK, 500, []float32{load})
 			}
-			if got := b.estimates.typicalLoad.value; got < c.atLeast || got > c.atMost {
-				t.Errorf("the typical load is %.2f, want %.1f to %.1f", got, c.atLeast, c.atMost)
+			if got := b.estimates.typicalLoad.value; got < c.minLoad || got > c.maxLoad {
+				t.Errorf("the typical load is %.2f, want %.1f to %.1f", got, c.minLoad, c.maxLoad)
 			}
 		})
 	}
--- a/balancer/membership_test.go
+++ b/balancer/membership_test.go
@@ -17,39 +17,39 @@
 		}
 	}
 	if pooled != 1 {
-		t.Errorf("it stands in the pool %d times", pooled)
+		t.Errorf("it is in the pool %d times, want once", pooled)
 	}
 }
 
-// An endpoint counts as warming up if the list before shows that it can't be old: clocks may be stepped, either way. An
-// endpoint that returns as the same process stays warm, and so does what the first list names as old.
+// An endpoint counts as warming up if the list before proves that it is new, since clocks may be stepped either way. An
+// endpoint that returns as the same process stays warm, and so does one that the first list names as old.
 func TestStartTimeOfASteppedClock(t *testing.T) {
 	const hour = 3600 * second
-	const began = 10 * hour // of this balancer, by its own clock
-	old := Endpoint{ID: 1, Name: 1, Weight: 1, StartTime: began - hour}
+	const startedAt = 10 * hour // of this balancer, by its own clock
+	old := Endpoint{ID: 1, Name: 1, Weight: 1, StartTime: startedAt - hour}
 	for name, c := range map[string]struct {
 		entry   Endpoint
 		warming bool
 	}{
-		"new, clocks agree":          {Endpoint{ID: 2, Name: 2, Weight: 1, StartTime: began + 60*second}, true},
-		"new, by a clock behind":     {Endpoint{ID: 2, Name: 2, Weight: 1, StartTime: began + 60*second - hour}, true},
-		"new, by a clock ahead":      {Endpoint{ID: 2, Name: 2, Weight: 1, StartTime: began + 60*second + hour}, true},
-		"restarted, clocks agree":    {Endpoint{ID: 1, Name: 1, Weight: 1, StartTime: began + 60*second}, true},
-		"restarted, a clock behind":  {Endpoint{ID: 1, Name: 1, Weight: 1, StartTime: began + 60*second - hour}, true},
-		"the same, said once more":   {old, false},
-		"back as the process it was": {Endpoint{ID: 3, Name: 3, Weight: 1, StartTime: began - hour}, false},
+		"new, clocks agree":            {Endpoint{ID: 2, Name: 2, Weight: 1, StartTime: startedAt + 60*second}, true},
+		"new, by a clock behind":       {Endpoint{ID: 2, Name: 2, Weight: 1, StartTime: startedAt + 60*second - hour}, true},
+		"new, by a clock ahead":        {Endpoint{ID: 2, Name: 2, Weight: 1, StartTime: startedAt + 60*second + hour}, true},
+		"restarted, clocks agree":      {Endpoint{ID: 1, Name: 1, Weight: 1, StartTime: startedAt + 60*second}, true},
+		"restarted, by a clock behind": {Endpoint{ID: 1, Name: 1, Weight: 1, StartTime: startedAt + 60*second - hour}, true},
+		"unchanged":                    {old, false},
+		"returned as the same process": {Endpoint{ID: 3, Name: 3, Weight: 1, StartTime: startedAt - hour}, false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			b, err := New(testSettings(), 7, &recorder{})
 			if err != nil {
 				t.Fatal(err)
 			}
-			b.Start(began)
-			left := Endpoint{ID: 3, Name: 3, Weight: 1, StartTime: began - hour}
-			b.HandleEndpoints(began, ListFull, []Endpoint{old, left})
-			b.HandleEndpoints(began+second, ListFull, []Endpoint{old})
-			b.HandleEndpoints(began+60*second, ListDelta, nil)
-			now := began + 61*second
+			b.Start(startedAt)
+			removed := Endpoint{ID: 3, Name: 3, Weight: 1, StartTime: startedAt - hour}
+			b.HandleEndpoints(startedAt, ListFull, []Endpoint{old, removed})
+			b.HandleEndpoints(startedAt+second, ListFull, []Endpoint{old})
+			b.HandleEndpoints(startedAt+60*second, ListDelta, nil)
+			now := startedAt + 61*second
 			b.HandleEndpoints(now, ListDelta, []Endpoint{c.entry})
 			if got := b.membership.byID[c.entry.ID].isWarming(now, &b.settings.Contract); got != c.warming {
 				t.Errorf("warming: %v, want %v", got, c.warming)
--- a/balancer/overload_test.go
+++ b/balancer/overload_test.go
@@ -79,8 +79,8 @@
 )
 
 // A server becomes overloaded once its mean load has exceeded overloadFrom requests a core for overloadAfter. Its work
-// then takes overloadSlowdown times as long, until its mean load has been below idleBelow for idleAfter. The mean decays
-// with loadTimeConstant.
+// then takes overloadSlowdown times as long, until its mean load has been below idleBelow for idleAfter. The mean
+// decays with loadTimeConstant.
 const (
 	overloadFrom     = 4.0
 	overloadAfter    = 2 * second
--- a/balancer/pick_test.go
+++ b/balancer/pick_test.go
@@ -14,7 +14,7 @@
 	for id := range uint64(4) {
 		b.HandleRequest(2000, testRequest(id, 0, 2000))
 	}
-	// Endpoint 2 stays least until it holds as many as endpoint 1 reported.
+	// Endpoint 2 has the least load until it serves as many requests as endpoint 1 reported.
 	for i, s := range r.sends {
 		if s.endpoint != 2 {
 			t.Errorf("send %d went to %d", i, s.endpoint)
@@ -24,13 +24,14 @@
 		t.Fatalf("%d sends", len(r.sends))
 	}
 	if got := b.estimates.load(2000, b.membership.byID[2]); got != 4 {
-		t.Errorf("load with own sends: %v", got)
+		t.Errorf("load %v with 4 own requests, want 4", got)
 	}
 }
 
-// In a large fleet all balancers learn of the same idle endpoint: none may fill it alone.
+// In a large fleet, all balancers learn of the same idle endpoint: the more there are, the fewer requests may each
+// send.
 func TestIdleReportDoesNotAttractAHerd(t *testing.T) {
-	for _, c := range []struct{ balancers, atMost int }{{1, 5}, {3, 3}, {15, 2}} {
+	for _, c := range []struct{ balancers, maxSends int }{{1, 5}, {3, 3}, {15, 2}} {
 		s := testSettings()
 		s.Balancers = c.balancers
 		b, r := start(t, s, ready(4))
@@ -41,14 +42,14 @@
 			b.HandleRequest(2000, Request{ID: id, Deadline: second, WorkHint: 10_000, HasWorkHint: true})
 		}
 		n := 0
-		for _, at := range r.sends {
-			if at.endpoint == 1 {
+		for _, s := range r.sends {
+			if s.endpoint == 1 {
 				n++
 			}
 		}
-		if len(r.sends) != 8 || n == 0 || n > c.atMost {
+		if len(r.sends) != 8 || n == 0 || n > c.maxSends {
 			t.Errorf("%d balancers: %d of %d sends to the idle endpoint, want 1 to %d",
-				c.balancers, n, len(r.sends), c.atMost)
+				c.balancers, n, len(r.sends), c.maxSends)
 		}
 	}
 }
@@ -60,12 +61,12 @@
 	for id := range uint64(24) {
 		b.HandleRequest(2000, testRequest(id, 0, 2000))
 	}
-	seen := map[uint32]int{}
+	sends := map[uint32]int{}
 	for _, s := range r.sends {
-		seen[s.endpoint]++
+		sends[s.endpoint]++
 	}
-	if len(r.sends) != 24 || len(seen) < 4 || seen[3] > 12 {
-		t.Errorf("%d sends, by endpoint %v", len(r.sends), seen)
+	if len(r.sends) != 24 || len(sends) < 4 || sends[3] > 12 {
+		t.Errorf("%d sends, by endpoint %v", len(r.sends), sends)
 	}
 }
 
@@ -78,30 +79,33 @@
 		}
 		b, _ := start(t, testSettings(), list)
 		for range 50 {
-			if e := b.picker.randomEndpoint(1000, recordOf(b, testRequest(1, 0, 1000)), nil, 0); (e == nil) != (n == 0) {
+			request := recordOf(b, testRequest(1, 0, 1000))
+			if e := b.picker.randomEndpoint(1000, request, nil, 0); (e == nil) != (n == 0) {
 				t.Fatalf("%d endpoints: drew %v", n, e)
 			}
 		}
 	}
 }
 
-// An endpoint that rejects some requests before they execute and serves the rest at once ranks before one that would be
-// too late, also when it is ejected. One whose failures may have executed does not.
+// An endpoint that rejects some requests before they execute and serves the others at once ranks before one that would
+// be too late, even if it is ejected. One whose failures may have executed does not.
 func TestRejectingEndpointRanksBeforeALateOne(t *testing.T) {
 	for _, c := range []struct {
 		status Status
-		to     uint32
+		want   uint32
 	}{{Rejected, 1}, {EndpointError, 2}} {
 		s := testSettings()
 		s.Balancers = 1
 		b, r := start(t, s, ready(2))
 		now := second
 		b.HandleProbe(now, 1, OK, 500, []float32{0})
-		asked := b.ledger.newRequest(now, testRequest(1000, 1, now))
-		asked.work = b.demand.classes[1].work.value
-		late := float32(0)
-		for ; b.estimates.latency(now, b.membership.byID[2], asked.work) <= b.estimates.latencyLimit(now, asked, b.membership.byID[2]); late++ {
-			b.HandleProbe(now, 2, OK, 500, []float32{late})
+		request := b.ledger.newRequest(now, testRequest(1000, 1, now))
+		request.work = b.demand.classes[1].work.value
+		late := b.membership.byID[2]
+		load := float32(0)
+		for b.estimates.latency(now, late, request.work) <= b.estimates.latencyLimit(now, request, late) {
+			b.HandleProbe(now, 2, OK, 500, []float32{load})
+			load++
 		}
 		for id := uint64(1); !b.membership.byID[1].isEjected(now); id++ {
 			if id > 100 {
@@ -110,85 +114,98 @@
 			b.HandleRequest(now, testRequest(id, 1, now))
 			first := r.sends[len(r.sends)-1]
 			if first.endpoint != 1 {
-				t.Fatalf("%v: went to %d, want the idle endpoint", c.status, first.endpoint)
+				t.Fatalf("%v: sent to %d, want the idle endpoint", c.status, first.endpoint)
 			}
 			b.HandleOutcome(now, Outcome{ID: id, Endpoint: 1, Status: c.status, Latency: 500, Answered: true})
 		}
-		if got := b.picker.pick(now, asked, nil).ID; got != c.to {
-			t.Errorf("%v: endpoint 2 late with a load of %v: picked %d, want %d", c.status, late, got, c.to)
+		if got := b.picker.pick(now, request, nil).ID; got != c.want {
+			t.Errorf("%v: endpoint 2 late with a load of %v: picked %d, want %d", c.status, load, got, c.want)
 		}
 	}
 }
 
+// affinityCase is a case of TestKeyAffinityPicksRendezvousEndpoints.
+type affinityCase struct {
+	name                       string
+	affinity                   bool
+	key                        uint64
+	overloaded                 bool // the endpoints that the key maps to
+	manyProbes                 bool
+	minEndpoints, maxEndpoints int // that are used
+}
+
+// affinityList returns forty endpoints in two zones.
+func affinityList() []Endpoint {
+	list := ready(40)
+	for i := range list {
+		list[i].Zone, list[i].Name = uint8(i%2), uint64(i+1)
+	}
+	return list
+}
+
+// send has a new balancer get one request with the key, and returns the endpoint that it goes to, or 0 if it is
+// rejected.
+func (c *affinityCase) send(t *testing.T, load func(id uint32) float32, seed uint64) uint32 {
+	t.Helper()
+	s, list := testSettings(), affinityList()
+	s.KeyAffinity, s.Balancers, s.Zones, s.Index = c.affinity, 40, 2, int(seed)
+	r := &recorder{}
+	b, err := New(s, seed, r)
+	if err != nil {
+		t.Fatal(err)
+	}
+	b.Start(0)
+	b.HandleEndpoints(0, ListCached, list)
+	for i := range list {
+		id := list[(i*7+int(seed))%len(list)].ID
+		b.HandleProbe(1000, id, OK, 500, []float32{load(id)})
+	}
+	if c.manyProbes {
+		b.demand.requestRate.add(1000, 200) // the rate of probes follows that of requests
+	}
+	request := testRequest(1, 0, 2000)
+	request.Key = c.key
+	b.HandleRequest(2000, request)
+	if len(r.sends)+len(r.rejected) != 1 {
+		t.Fatalf("%d sends and %d rejections of one request", len(r.sends), len(r.rejected))
+	}
+	if len(r.rejected) == 1 {
+		return 0
+	}
+	return r.sends[0].endpoint
+}
+
 // With key affinity, all balancers send a key to the same two endpoints, by load. Only if it would be too late there
-// does it go elsewhere, and only if there are enough own reports to know where.
+// may it go elsewhere, and only if enough own reports tell where.
 func TestKeyAffinityPicksRendezvousEndpoints(t *testing.T) {
-	for _, c := range []struct {
-		name            string
-		affinity        bool
-		key             uint64
-		overloaded      bool // the endpoints that the key names
-		manyProbes      bool
-		atLeast, atMost int // endpoints used
-	}{
-		{"warm keys", true, 5, false, false, 1, 2},
-		{"keys are not remembered", false, 5, false, false, 12, 40},
+	for _, c := range []affinityCase{
+		{"affinity", true, 5, false, false, 1, 2},
+		{"affinity is off", false, 5, false, false, 12, 40},
 		{"no key", true, 0, false, false, 12, 40},
-		{"too late where the key is known", true, 5, true, true, 12, 40},
-		{"too late there, and no fresh answers", true, 5, true, false, 0, 0},
+		{"too late there", true, 5, true, true, 12, 40},
+		{"too late there, and no fresh reports", true, 5, true, false, 0, 0},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			s := testSettings()
-			s.KeyAffinity, s.Balancers, s.Zones = c.affinity, 40, 2
-			list := ready(40)
-			for i := range list {
-				list[i].Zone, list[i].Name = uint8(i%2), uint64(i+1)
-			}
-			used := map[uint32]bool{}
-			send := func(load func(id uint32) float32, seed uint64) uint32 {
-				r := &recorder{}
-				s.Index = int(seed)
-				b, err := New(s, seed, r)
-				if err != nil {
-					t.Fatal(err)
-				}
-				b.Start(0)
-				b.HandleEndpoints(0, ListCached, list)
-				for i := range list {
-					id := list[(i*7+int(seed))%len(list)].ID
-					b.HandleProbe(1000, id, OK, 500, []float32{load(id)})
-				}
-				if c.manyProbes {
-					b.demand.requestRate.add(1000, 200) // the rate of probes follows that of requests
-				}
-				q := testRequest(1, 0, 2000)
-				q.Key = c.key
-				b.HandleRequest(2000, q)
-				if len(r.sends)+len(r.rejected) != 1 {
-					t.Fatalf("%d sends and %d rejections of one request", len(r.sends), len(r.rejected))
-				}
-				if len(r.rejected) == 1 {
-					return 0
-				}
-				return r.sends[0].endpoint
-			}
-			names := map[uint32]bool{}
+			mapped := map[uint32]bool{} // endpoints that the key maps to
 			for seed := range uint64(100) {
-				names[send(func(id uint32) float32 { return float32((uint64(id)*13 + seed*7) % 17) }, seed)] = true
+				load := func(id uint32) float32 { return float32((uint64(id)*13 + seed*7) % 17) }
+				mapped[c.send(t, load, seed)] = true
 			}
+			used := map[uint32]bool{}
 			for seed := range uint64(200) {
-				used[send(func(id uint32) float32 {
-					if c.overloaded && names[id] {
+				load := func(id uint32) float32 {
+					if c.overloaded && mapped[id] {
 						return 60
 					}
 					return float32((uint64(id)*13+seed*7)%5) / 2
-				}, seed)] = true
+				}
+				used[c.send(t, load, seed)] = true
 			}
 			delete(used, 0) // rejected
-			if len(used) < c.atLeast || len(used) > c.atMost {
-				t.Errorf("%d endpoints were used, want %d to %d", len(used), c.atLeast, c.atMost)
+			if len(used) < c.minEndpoints || len(used) > c.maxEndpoints {
+				t.Errorf("%d endpoints were used, want %d to %d", len(used), c.minEndpoints, c.maxEndpoints)
 			}
-			for id := range names {
+			for id := range mapped {
 				if c.overloaded && used[id] {
 					t.Errorf("endpoint %d was used though overloaded", id)
 				}
@@ -197,7 +214,7 @@
 	}
 }
 
-// Without probes, two random draws serve beyond the endpoints that a key names, as everywhere else.
+// Without probes, random draws add other endpoints to those that a key maps to, as for requests without key.
 func TestKeyAffinityWithoutProbesUsesOtherEndpoints(t *testing.T) {
 	s := testSettings()
 	s.KeyAffinity, s.Balancers, s.Limits.Probes, s.Prices.Probe = true, 40, false, 0.08
@@ -208,9 +225,9 @@
 	b, r := start(t, s, list)
 	used := map[uint32]bool{}
 	for id := range uint64(60) {
-		q := testRequest(id, 0, 1000)
-		q.Key = 5
-		b.HandleRequest(1000, q)
+		request := testRequest(id, 0, 1000)
+		request.Key = 5
+		b.HandleRequest(1000, request)
 	}
 	for _, s := range r.sends {
 		used[s.endpoint] = true
--- a/balancer/prediction_test.go
+++ b/balancer/prediction_test.go
@@ -14,13 +14,15 @@
 		b.HandleRequest(now, Request{ID: id, Deadline: now + 10*second, WorkHint: hint, HasWorkHint: hint > 0})
 	}
 	for _, send := range r.sends {
-		b.HandleOutcome(now+latency, Outcome{ID: send.id, Endpoint: send.endpoint, Status: OK, Latency: latency, Answered: true})
+		b.HandleOutcome(now+latency, Outcome{
+			ID: send.id, Endpoint: send.endpoint, Status: OK, Latency: latency, Answered: true,
+		})
 	}
 	return len(r.rejected)
 }
 
-// Endpoints that answer within the time of a probe show next to no work. A stall of the sidecar's own process delays
-// all answers due at that moment, and must not make idle endpoints look hopeless.
+// Requests that are answered within the round trip of a probe have hardly any measurable work. A stall of the sidecar's
+// own process delays all answers due at that moment, and must not make idle endpoints seem too late.
 func TestStallAfterFastAnswersRejectsNothing(t *testing.T) {
 	const (
 		together = 16
@@ -30,7 +32,7 @@
 	for _, stall := range []Micros{30_000, 300_000, second} {
 		s := testSettings()
 		s.Balancers, s.ReportFields = 350, nil
-		s.Classes = []Class{{Name: "read", Idempotency: Idempotent, LatencyObjective: 5 * second, ClientTimeout: 10 * second, PriorityWeight: 1}}
+		s.Classes = readClass(5*second, 10*second)
 		list := ready(8)
 		for i := range list {
 			list[i].Zone = 0
@@ -42,8 +44,8 @@
 		}
 		for range 200 {
 			now += interval
-			if refused := serveTogether(b, r, now, together, 0, fast); refused > 0 {
-				t.Fatalf("%d rejected before the stall", refused)
+			if rejected := serveTogether(b, r, now, together, 0, fast); rejected > 0 {
+				t.Fatalf("%d rejected before the stall", rejected)
 			}
 		}
 		now += interval
@@ -51,15 +53,17 @@
 		now += stall
 		for round := range 100 {
 			now += interval
-			if refused := serveTogether(b, r, now, together, 0, fast); refused > 0 {
-				t.Errorf("%d of %d rejected in round %d after a stall of %d us: %v", refused, together, round, stall, r.logs)
+			if rejected := serveTogether(b, r, now, together, 0, fast); rejected > 0 {
+				t.Errorf("%d of %d rejected in round %d after a stall of %d us: %v",
+					rejected, together, round, stall, r.logs)
 				break
 			}
 		}
 	}
 }
 
-// One slow answer to a request of almost no work tells of the network, not of the service time of others.
+// One slow answer to a request with hardly any work is due to the network. It must not change the service times
+// expected of others.
 func TestSlowAnswerToTinyRequestDoesNotAffectServiceTime(t *testing.T) {
 	b, r := start(t, testSettings(), ready(1))
 	b.estimates.workHintExponent = 1
@@ -71,23 +75,24 @@
 	before := b.estimates.latency(now, b.membership.endpoints[0], 20_000)
 	now += second / 10
 	serveTogether(b, r, now, 1, 2, 30_000)
-	now += 10 * second // the slowdown of all has faded
+	now += 10 * second // the trend has decayed
 	b.membership.endpoints[0].serviceTimeRatioAt = now
 	if after := b.estimates.latency(now, b.membership.endpoints[0], 20_000); after > 2*before {
 		t.Errorf("%.0f us expected before, %.0f us after an answer in 30,000 us", before, after)
 	}
 }
 
-// Latencies of zero leave estimates that can be computed with.
+// Latencies of zero must leave positive, finite estimates.
 func TestZeroLatencyKeepsEstimatesFinite(t *testing.T) {
 	b, r := start(t, testSettings(), ready(1))
 	for i := range Micros(100_000) {
 		serveTogether(b, r, 1000*i, 1, 0, 0)
 	}
 	serveTogether(b, r, 100*second, 1, 0, second/10)
-	work, pace := b.demand.classes[0].work.value, b.estimates.serviceTimeRatio(100*second, b.membership.endpoints[0])
-	if !(work > 0) || math.IsNaN(pace) || math.IsInf(pace, 0) {
-		t.Errorf("work %v, service time ratio %v", work, pace)
+	work := b.demand.classes[0].work.value
+	ratio := b.estimates.serviceTimeRatio(100*second, b.membership.endpoints[0])
+	if !(work > 0) || math.IsNaN(ratio) || math.IsInf(ratio, 0) {
+		t.Errorf("work %v, service time ratio %v", work, ratio)
 	}
 }
 
@@ -97,14 +102,15 @@
 	b, _ := start(t, testSettings(), ready(2))
 	b.HandleEndpoints(1000, ListDelta, []Endpoint{{ID: 9, State: Ready, StartTime: 1000}})
 	e := b.membership.byID[9]
-	if got := b.estimates.serviceTimeRatio(1000, e); !almostEqual(got, 1+4*initialWarmingSlowness) { // warm-up fraction 0.2
-		t.Errorf("service time ratio %v just started, before any was seen", got)
+	// The warm-up fraction is 0.2.
+	if got := b.estimates.serviceTimeRatio(1000, e); !almostEqual(got, 1+4*initialWarmingSlowness) {
+		t.Errorf("service time ratio %v just started, before any was measured", got)
 	}
-	b.estimates.warmingSlowness = ewma{value: 1, initialized: true} // as slow as its least warm-up fraction makes it
+	b.estimates.warmingSlowness = newEWMA(1) // as slow as the least warm-up fraction implies
 	if got := b.estimates.serviceTimeRatio(1000, e); !almostEqual(got, 5) {
 		t.Errorf("service time ratio %v just started", got)
 	}
-	e.serviceTimeRatio, e.serviceTimeRatioAt = ewma{value: 2, initialized: true}, 6*second
+	e.serviceTimeRatio, e.serviceTimeRatioAt = newEWMA(2), 6*second
 	if got := b.estimates.serviceTimeRatio(6*second, e); got < 2.9 || got > 3 { // warm-up fraction 0.68
 		t.Errorf("service time ratio %v halfway", got)
 	}
@@ -113,11 +119,12 @@
 	}
 }
 
-// If the whole fleet turns slow, an endpoint known as fast must be expected to be slow, too, and must be trusted again
+// If the entire fleet slows down, an endpoint measured as fast must be expected to be slow, too, and to be fast again
 // soon after the recovery.
 func TestFleetWideSlowdownIsLearnedAtOnce(t *testing.T) {
 	b, r := start(t, testSettings(), ready(4))
-	serve := func(from Micros, n int, times float64) {
+	// serve sends n requests, whose attempts take this factor of the predicted latency.
+	serve := func(from Micros, n int, factor float64) {
 		for i := range n {
 			now := from + 1000*Micros(i)
 			id := uint64(now)
@@ -126,30 +133,32 @@
 			if len(r.sends) == 0 || r.sends[len(r.sends)-1].id != id {
 				continue // rejected
 			}
-			latency := Micros(times * b.ledger.requests[id].attempts[0].predictedLatency)
+			latency := Micros(factor * b.ledger.requests[id].attempts[0].predictedLatency)
 			b.HandleOutcome(now, Outcome{ID: id, Endpoint: r.sends[len(r.sends)-1].endpoint, Status: OK,
 				Latency: latency, Answered: true})
 		}
 	}
-	one := func(now Micros) float64 {
+	// expected is the latency expected of a request at endpoint 1 while it is idle and measured as fast.
+	expected := func(now Micros) float64 {
 		b.HandleProbe(now, 1, OK, 500, []float32{0})
-		b.membership.byID[1].serviceTimeRatio, b.membership.byID[1].serviceTimeRatioAt = ewma{value: 1, initialized: true}, now
-		return b.estimates.latency(now, b.membership.byID[1], 10_000)
+		e := b.membership.byID[1]
+		e.serviceTimeRatio, e.serviceTimeRatioAt = newEWMA(1), now
+		return b.estimates.latency(now, e, 10_000)
 	}
 	serve(0, 50, 1)
-	before := one(60_000)
+	before := expected(60_000)
 	serve(100_000, 15, 4)
-	if slow := one(120_000); slow < 2*before {
+	if slow := expected(120_000); slow < 2*before {
 		t.Errorf("expected %v before, %v after 15 outcomes of four times the prediction", before, slow)
 	}
 	serve(200_000, 48, 0.5)
-	if after := one(250_000); after > 1.2*before {
+	if after := expected(250_000); after > 1.2*before {
 		t.Errorf("expected %v before, %v after the recovery", before, after)
 	}
 }
 
-// Attempts sent before a slowdown was noticed must not raise it twice: many are in flight at once, and their outcomes
-// all come later.
+// Attempts sent before a slowdown was detected must not raise it a second time: many are in flight by then, and all of
+// their outcomes come later.
 func TestSlowdownIsNotOverestimated(t *testing.T) {
 	b, r := start(t, testSettings(), ready(4))
 	now := second
@@ -161,7 +170,9 @@
 	}
 	for _, s := range r.sends {
 		latency := Micros(2 * b.ledger.requests[s.id].attempts[0].predictedLatency)
-		b.HandleOutcome(now+100_000, Outcome{ID: s.id, Endpoint: s.endpoint, Status: OK, Latency: latency, Answered: true})
+		b.HandleOutcome(now+100_000, Outcome{
+			ID: s.id, Endpoint: s.endpoint, Status: OK, Latency: latency, Answered: true,
+		})
 	}
 	if got := b.estimates.slowdown(now + 100_000); got < 1.1 || got > 2 {
 		t.Errorf("slowdown %.2f after 60 outcomes of twice the prediction", got)
@@ -172,24 +183,24 @@
 func TestSlowdownDecaysWithoutOutcomes(t *testing.T) {
 	b, _ := start(t, testSettings(), ready(4))
 	b.estimates.trend, b.estimates.trendAt = maxTrendRatio, second
-	if at, later := b.estimates.slowdown(second), b.estimates.slowdown(4*second); at < 2 || later != 1 {
-		t.Errorf("slowdown %.2f at the last outcome, %.2f three seconds after it", at, later)
+	if initial, later := b.estimates.slowdown(second), b.estimates.slowdown(4*second); initial < 2 || later != 1 {
+		t.Errorf("slowdown %.2f at the last outcome, %.2f three seconds after it", initial, later)
 	}
 	b.estimates.updateTrend(4*second, 1)
 	if got := b.estimates.slowdown(4 * second); got != 1 {
-		t.Errorf("slowdown %.2f after an outcome as predicted brought back what had faded", got)
+		t.Errorf("slowdown %.2f after an outcome as predicted, want 1: the earlier one has decayed", got)
 	}
 }
 
-// A hint must count for as much as it tells, or requests that are only said to be large are rejected at idle endpoints.
-func TestWorkHintTrustIsLearned(t *testing.T) {
+// A work hint must count for as much as it predicts, or requests with wrong hints are rejected at idle endpoints.
+func TestWorkHintExponentIsLearned(t *testing.T) {
 	for _, c := range []struct {
-		name     string
-		latency  func(hint Micros) Micros
-		from, to float64
+		name                     string
+		latency                  func(hint Micros) Micros
+		minExponent, maxExponent float64
 	}{
-		{"hints tell nothing", func(Micros) Micros { return 20_000 }, 0, 0.15},
-		{"hints tell all", func(hint Micros) Micros { return hint }, 0.85, 1},
+		{"hints without relation", func(Micros) Micros { return 20_000 }, 0, 0.15},
+		{"exact hints", func(hint Micros) Micros { return hint }, 0.85, 1},
 	} {
 		b, r := start(t, testSettings(), ready(4))
 		hints := splitMix64(3)
@@ -202,14 +213,14 @@
 					Latency: c.latency(hint), Answered: true})
 			}
 		}
-		if b.estimates.workHintExponent < c.from || b.estimates.workHintExponent > c.to {
-			t.Errorf("%s: trust %.2f, want %.2f to %.2f", c.name, b.estimates.workHintExponent, c.from, c.to)
+		if got := b.estimates.workHintExponent; got < c.minExponent || got > c.maxExponent {
+			t.Errorf("%s: exponent %.2f, want %.2f to %.2f", c.name, got, c.minExponent, c.maxExponent)
 		}
 	}
 }
 
-// The timeout of an attempt that a later one overtook must not raise the trend: the endpoint was well, and the whole
-// fleet would count as slow.
+// The timeout of an attempt that a later one overtook must not raise the trend: the endpoint was not slow, and the
+// entire fleet would count as slow.
 func TestOvertakenAttemptsDoNotAffectTrend(t *testing.T) {
 	for name, overtaken := range map[string]bool{"overtaken": true, "not overtaken": false} {
 		b, r := start(t, testSettings(), ready(1))
@@ -222,7 +233,7 @@
 		for _, s := range r.sends {
 			b.HandleOutcome(990_000, Outcome{ID: s.id, Endpoint: 1, Status: Timeout, Latency: 989_000})
 		}
-		if taught := b.estimates.trend > 1; taught == overtaken {
+		if raised := b.estimates.trend > 1; raised == overtaken {
 			t.Errorf("%s: trend %v", name, b.estimates.trend)
 		}
 	}
--- a/balancer/reconfigure_test.go
+++ b/balancer/reconfigure_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// reconfigure puts changed settings in force.
+// reconfigure puts changed settings in force, and returns the attempts withdrawn.
 func reconfigure(t *testing.T, b *Balancer, change func(*Settings)) []AttemptID {
 	t.Helper()
 	next := b.settings
@@ -18,8 +18,8 @@
 	return withdrawn
 }
 
-// What was learned of classes and tenants stays with their names, wherever they are in the new list; new ones start
-// without, and invalid settings change nothing.
+// The estimates of classes and tenants stay with their names, at any position of the new list. New classes and tenants
+// start without, and invalid settings change nothing.
 func TestReconfigureKeepsEstimatesByName(t *testing.T) {
 	s := testSettings()
 	s.Tenants = []Tenant{{Name: "a", QuotaRate: 50}, {Name: "b", QuotaRate: 50}}
@@ -37,15 +37,17 @@
 	if c := b.demand.classes[0]; c.Name != "write" || c.work.value != 22 || c.LatencyObjective != 300_000 {
 		t.Errorf("the first class is now %+v with work %v", c.Class, c.work.value)
 	}
-	if read, fresh := b.demand.classes[4], b.demand.classes[5]; read.Name != "read" || read.work.value != 11 || fresh.work.value != 100 {
-		t.Errorf("read %v has work %v, the new class %v", read.Name, read.work.value, fresh.work.value)
+	read, added := b.demand.classes[4], b.demand.classes[5]
+	if read.Name != "read" || read.work.value != 11 || added.work.value != 100 {
+		t.Errorf("read %v has work %v, the new class %v", read.Name, read.work.value, added.work.value)
 	}
-	if a, c := b.demand.tenants[2], b.demand.tenants[0]; a.rate(0) != rateA || a.QuotaRate != 60 || c.rate(0) != 0 || b.demand.tenants[1].rate(0) != rateB {
-		t.Errorf("tenants a, b, c have rates %v, %v, %v", a.rate(0), b.demand.tenants[1].rate(0), c.rate(0))
+	tenantC, tenantB, tenantA := b.demand.tenants[0], b.demand.tenants[1], b.demand.tenants[2]
+	if tenantA.rate(0) != rateA || tenantA.QuotaRate != 60 || tenantB.rate(0) != rateB || tenantC.rate(0) != 0 {
+		t.Errorf("tenants a, b, c have rates %v, %v, %v", tenantA.rate(0), tenantB.rate(0), tenantC.rate(0))
 	}
-	bad := b.settings
-	bad.Limits.MaxOpenRequests = 0
-	if _, err := b.Reconfigure(bad); err == nil || b.settings.Limits.MaxOpenRequests == 0 {
+	invalid := b.settings
+	invalid.Limits.MaxOpenRequests = 0
+	if _, err := b.Reconfigure(invalid); err == nil || b.settings.Limits.MaxOpenRequests == 0 {
 		t.Errorf("invalid settings: error %v, limit %d", err, b.settings.Limits.MaxOpenRequests)
 	}
 }
@@ -55,7 +57,7 @@
 func TestOpenRequestKeepsItsClass(t *testing.T) {
 	for name, change := range map[string]func(*Settings){
 		"reordered":  func(s *Settings) { slices.Reverse(s.Classes) },
-		"gone":       func(s *Settings) { s.Classes = s.Classes[:1] },
+		"removed":    func(s *Settings) { s.Classes = s.Classes[:1] },
 		"changed":    func(s *Settings) { s.Classes[3].DeduplicationWindow, s.Classes[3].DeduplicationScope = 1, ScopeAll },
 		"idempotent": func(s *Settings) { s.Classes[3].Idempotency = Idempotent },
 	} {
@@ -67,33 +69,42 @@
 		}
 		b.HandleOutcome(2000, Outcome{ID: 1, Endpoint: first.endpoint, Status: Reset, Latency: 1000})
 		if len(r.sends) != 2 || (r.sends[1].endpoint-1)/2 != (first.endpoint-1)/2 {
-			t.Errorf("%s: sent to %v, want a repeat within the cell", name, r.sends)
+			t.Errorf("%s: sent to %v, want a retry within the cell", name, r.sends)
 			continue
 		}
 		if latest := r.latest[1]; latest > 1000+500_000 || latest < 1000+400_000 {
-			t.Errorf("%s: the repeat may begin until %d, want by the window that it began under", name, latest)
+			t.Errorf("%s: the latest start of the retry is %d, want it by the window that it arrived under", name, latest)
 		}
-		good := b.ledger.requests[1].class
-		b.HandleOutcome(3000, Outcome{ID: 1, Attempt: 1, Endpoint: r.sends[1].endpoint, Status: OK, Latency: 1000, Answered: true})
-		if len(b.ledger.requests) != 0 || good.servedInTime.value != 1 || good.Name != "keyed-cell" {
-			t.Errorf("%s: %d requests left; answered in time: %v of %s", name, len(b.ledger.requests), good.servedInTime.value, good.Name)
+		class := b.ledger.requests[1].class
+		b.HandleOutcome(3000, Outcome{
+			ID: 1, Attempt: 1, Endpoint: r.sends[1].endpoint, Status: OK, Latency: 1000, Answered: true,
+		})
+		if len(b.ledger.requests) != 0 || class.servedInTime.value != 1 || class.Name != "keyed-cell" {
+			t.Errorf("%s: %d requests remain; share served in time: %v of %s",
+				name, len(b.ledger.requests), class.servedInTime.value, class.Name)
 		}
 	}
 }
 
 // A class that becomes stricter is so for every attempt not sent yet: none follows one that may have executed, and the
-// answer promises nothing.
+// answer does not promise that a retry is harmless.
 func TestStricterIdempotencyAppliesToOpenRequests(t *testing.T) {
-	turn := func(to Idempotency) func(*Settings) { return func(s *Settings) { s.Classes[0].Idempotency = to } }
+	set := func(to Idempotency) func(*Settings) { return func(s *Settings) { s.Classes[0].Idempotency = to } }
+	rename := func(to string) func(*Settings) { return func(s *Settings) { s.Classes[0].Name = to } }
+	both := func(first, second func(*Settings)) func(*Settings) {
+		return func(s *Settings) { first(s); second(s) }
+	}
 	for name, c := range map[string]struct {
 		changes []func(*Settings)
-		repeats int
+		retries int
 	}{
-		"non-idempotent":            {[]func(*Settings){turn(NonIdempotent)}, 0},
-		"keyed":                     {[]func(*Settings){turn(IdempotentWithKey)}, 0}, // it came without a key
-		"non-idempotent and back":   {[]func(*Settings){turn(NonIdempotent), turn(Idempotent)}, 0},
-		"gone, then non-idempotent": {[]func(*Settings){func(s *Settings) { s.Classes[0].Name = "x" }, func(s *Settings) { s.Classes[0].Name, s.Classes[0].Idempotency = "read", NonIdempotent }}, 0},
-		"as it was":                 {[]func(*Settings){turn(Idempotent)}, 1},
+		"non-idempotent":          {[]func(*Settings){set(NonIdempotent)}, 0},
+		"keyed":                   {[]func(*Settings){set(IdempotentWithKey)}, 0}, // it came without a key
+		"non-idempotent and back": {[]func(*Settings){set(NonIdempotent), set(Idempotent)}, 0},
+		"removed, then non-idempotent": {[]func(*Settings){
+			rename("x"), both(rename("read"), set(NonIdempotent)),
+		}, 0},
+		"unchanged": {[]func(*Settings){set(Idempotent)}, 1},
 	} {
 		b, r := start(t, testSettings(), ready(4))
 		b.HandleRequest(1000, testRequest(1, 0, 1000))
@@ -101,20 +112,21 @@
 			reconfigure(t, b, change)
 		}
 		b.HandleOutcome(2000, Outcome{ID: 1, Endpoint: r.sends[0].endpoint, Status: Reset, Latency: 1000})
-		if got := len(r.sends) - 1; got != c.repeats {
-			t.Errorf("%s: %d repeats, want %d", name, got, c.repeats)
+		if got := len(r.sends) - 1; got != c.retries {
+			t.Errorf("%s: %d retries, want %d", name, got, c.retries)
 		}
-		if c.repeats == 0 && (len(r.failed) != 1 || len(r.rejected) != 0) {
-			t.Errorf("%s: failed %v, rejected %v; a rejection would promise that a retry is harmless", name, r.failed, r.rejected)
+		if c.retries == 0 && (len(r.failed) != 1 || len(r.rejected) != 0) {
+			t.Errorf("%s: failed %v, rejected %v; a rejection would promise that a retry is harmless",
+				name, r.failed, r.rejected)
 		}
 	}
-	// One that never executed is followed by another all the same.
+	// An attempt that never executed is still retried.
 	b, r := start(t, testSettings(), ready(4))
 	b.HandleRequest(1000, testRequest(1, 0, 1000))
-	reconfigure(t, b, turn(NonIdempotent))
+	reconfigure(t, b, set(NonIdempotent))
 	b.HandleOutcome(2000, Outcome{ID: 1, Endpoint: r.sends[0].endpoint, Status: Rejected, Latency: 1000})
 	if len(r.sends) != 2 {
-		t.Errorf("%d sends after one that never executed, want 2", len(r.sends))
+		t.Errorf("%d sends after an attempt that never executed, want 2", len(r.sends))
 	}
 }
 
@@ -126,11 +138,11 @@
 	b.HandleRequest(1000, testRequest(2, 0, 1000))
 	b.HandleOutcome(2000, Outcome{ID: 2, Endpoint: r.sends[1].endpoint, Status: Reset, Latency: 1000})
 	if len(r.sends) != 3 {
-		t.Fatalf("sends %v, want a repeat of the second request", r.sends)
+		t.Fatalf("sends %v, want a retry of the second request", r.sends)
 	}
-	unsafe := func(s *Settings) { s.Classes[0].Idempotency = NonIdempotent }
-	if got := reconfigure(t, b, unsafe); !slices.Equal(got, []AttemptID{{2, 1}}) {
-		t.Errorf("withdrawn %v, want the repeat of the second request", got)
+	restrict := func(s *Settings) { s.Classes[0].Idempotency = NonIdempotent }
+	if got := reconfigure(t, b, restrict); !slices.Equal(got, []AttemptID{{2, 1}}) {
+		t.Errorf("withdrawn %v, want the retry of the second request", got)
 	}
 	b.HandleOutcome(3000, Outcome{ID: 2, Attempt: 1, Endpoint: r.sends[2].endpoint, Status: NotSent})
 	if !slices.Equal(r.failed, []uint64{2}) || len(r.sends) != 3 {
@@ -150,29 +162,33 @@
 		s.Tenants = []Tenant{s.Tenants[1]}
 	})
 	for id, c := range []struct {
-		class  uint8
-		tenant uint16
-		name   string
-		repeat Idempotency
-		owner  *tenant
-	}{{0, 0, "read", NonIdempotent, nil}, {1, 1, "keyed-all", IdempotentWithKey, b.demand.tenants[0]}, {4, 9, "write", NonIdempotent, nil}} {
+		class       uint8  // position under the earlier settings
+		tenant      uint16 // position under the earlier settings
+		name        string
+		idempotency Idempotency
+		owner       *tenant
+	}{
+		{0, 0, "read", NonIdempotent, nil},
+		{1, 1, "keyed-all", IdempotentWithKey, b.demand.tenants[0]},
+		{4, 9, "write", NonIdempotent, nil},
+	} {
 		in := testRequest(uint64(id+1), c.class, 1000)
 		in.Tenant, in.ReceivedUnder = c.tenant, &s
 		b.HandleRequest(1000, in)
 		got := b.ledger.requests[in.ID]
-		if got == nil || got.class.Name != c.name || got.idempotency != c.repeat || got.tenant != c.owner || got.ReceivedUnder != nil {
-			t.Errorf("request %d is taken as %+v, want class %s", in.ID, got, c.name)
+		if got == nil || got.class.Name != c.name || got.idempotency != c.idempotency ||
+			got.tenant != c.owner || got.ReceivedUnder != nil {
+			t.Errorf("request %d is recorded as %+v, want class %s", in.ID, got, c.name)
 		}
 	}
 	in := testRequest(9, 7, 1000)
 	in.ReceivedUnder = &s
 	if b.HandleRequest(1000, in); !slices.Equal(r.rejected, []uint64{9}) || len(r.sends) != 3 {
-		t.Errorf("rejected %v, sends %v; want a class that never was rejected", r.rejected, r.sends)
+		t.Errorf("rejected %v, sends %v; want the request of an unknown class rejected", r.rejected, r.sends)
 	}
 }
 
-// New limits and prices hold for what comes from then on. Probe rounds that one change stops and another starts run
-// once, not twice.
+// New limits and prices apply from then on. Probe rounds that one change stops and another starts must not run twice.
 func TestReconfiguredLimits(t *testing.T) {
 	b, r := start(t, testSettings(), ready(4))
 	b.HandleRequest(1000, testRequest(1, 0, 1000))
@@ -182,30 +198,30 @@
 	if !slices.Equal(r.rejected, []uint64{3}) || b.ledger.open != 2 || b.probes.probesPerRequest != 2 {
 		t.Errorf("rejected %v with %d open, %v probes a request", r.rejected, b.ledger.open, b.probes.probesPerRequest)
 	}
-	rounds := func() (n int) {
+	scheduledRounds := func() (n int) {
 		for _, token := range r.timers {
 			n += int(indicator(token == probeTimerToken))
 		}
 		return n
 	}
-	probes := func(on bool) { reconfigure(t, b, func(s *Settings) { s.Limits.Probes = on }) }
-	armed := rounds()
-	probes(false)
-	probes(true)
-	if rounds() != armed {
-		t.Error("a second chain of probe rounds is begun beside the first")
+	permitProbes := func(on bool) { reconfigure(t, b, func(s *Settings) { s.Limits.Probes = on }) }
+	scheduled := scheduledRounds()
+	permitProbes(false)
+	permitProbes(true)
+	if scheduledRounds() != scheduled {
+		t.Error("a second series of probe rounds is started")
 	}
-	probes(false)
-	asked := len(r.probes)
-	if b.HandleTimer(second, probeTimerToken); rounds() != armed || len(r.probes) != asked {
-		t.Error("probe rounds go on though probes are not permitted")
+	permitProbes(false)
+	probes := len(r.probes)
+	if b.HandleTimer(second, probeTimerToken); scheduledRounds() != scheduled || len(r.probes) != probes {
+		t.Error("probe rounds continue though probes are not permitted")
 	}
-	if probes(true); rounds() != armed+1 {
-		t.Error("probe rounds do not begin once probes are permitted")
+	if permitProbes(true); scheduledRounds() != scheduled+1 {
+		t.Error("probe rounds do not start once probes are permitted")
 	}
 }
 
-// Many changes leave nothing behind: a free record holds one class at most.
+// Many changes do not accumulate: a free record refers to one class at most.
 func TestReconfigureKeepsNoOldSettings(t *testing.T) {
 	b, _ := start(t, testSettings(), ready(4))
 	for i := range 1000 {
@@ -216,13 +232,15 @@
 		})
 		b.HandleRequest(now, testRequest(uint64(i), 0, now))
 		b.HandleClientGone(now, uint64(i))
-		for _, a := range b.ledger.slots {
-			for n := range a.attempts {
-				b.HandleOutcome(now, Outcome{ID: a.ID, Attempt: n, Status: Cancelled, Answered: true})
+		for _, r := range b.ledger.slots {
+			for attempt := range r.attempts {
+				b.HandleOutcome(now, Outcome{ID: r.ID, Attempt: attempt, Status: Cancelled, Answered: true})
 			}
 		}
 	}
-	if len(b.demand.classes) != 5 || len(b.demand.tenants) != 1 || len(b.ledger.requests) != 0 || len(b.ledger.slots) > 2 {
-		t.Errorf("%d classes, %d tenants, %d requests, %d records", len(b.demand.classes), len(b.demand.tenants), len(b.ledger.requests), len(b.ledger.slots))
+	classes, tenants := len(b.demand.classes), len(b.demand.tenants)
+	requests, records := len(b.ledger.requests), len(b.ledger.slots)
+	if classes != 5 || tenants != 1 || requests != 0 || records > 2 {
+		t.Errorf("%d classes, %d tenants, %d requests, %d records", classes, tenants, requests, records)
 	}
 }
--- a/balancer/retries_test.go
+++ b/balancer/retries_test.go
@@ -15,39 +15,43 @@
 	}
 }
 
-// Where endpoints lose requests and answer the rest in time, an attempt that a later one overtook is lost. It is hedged
-// as far as its class permits; whichever attempt is answered first ends the request and cancels the other.
+// Where endpoints lose requests and answer the others in time, an attempt that a later one overtook is lost. It is
+// hedged as far as its class permits. The first attempt that is answered ends the request and cancels the other.
 func TestLostAttemptsAreHedged(t *testing.T) {
-	for class, copies := range []int{1, 1, 1, 1, 0} {
+	for class, hedges := range []int{1, 1, 1, 1, 0} {
 		b, r := start(t, testSettings(), ready(4))
 		b.retries.lossRate.value = minHedgingLossRate
 		b.HandleRequest(1000, testRequest(1, uint8(class), 1000))
 		first := r.sends[0]
 		b.membership.byID[first.endpoint].lastAnsweredSentAt = 2000
 		b.HandleTimer(500_000, r.timers[len(r.timers)-1])
-		if n := len(r.sends) - 1; n != copies {
-			t.Errorf("class %d: %d hedged attempts, want %d", class, n, copies)
+		if n := len(r.sends) - 1; n != hedges {
+			t.Errorf("class %d: %d hedged requests, want %d", class, n, hedges)
 			continue
 		}
-		if copies == 0 {
+		if hedges == 0 {
 			continue
 		}
-		second := r.sends[1]
-		if second.endpoint == first.endpoint || class == 3 && b.membership.byID[second.endpoint].Cell != b.membership.byID[first.endpoint].Cell {
-			t.Errorf("class %d: the hedged attempt went to %d after %d", class, second.endpoint, first.endpoint)
+		hedge := r.sends[1]
+		sameCell := b.membership.byID[hedge.endpoint].Cell == b.membership.byID[first.endpoint].Cell
+		if hedge.endpoint == first.endpoint || class == 3 && !sameCell {
+			t.Errorf("class %d: the hedged request went to %d after %d", class, hedge.endpoint, first.endpoint)
 		}
-		// The hedged attempt fails: the first may still be answered, so no final answer yet.
-		b.HandleOutcome(510_000, Outcome{ID: 1, Attempt: 1, Endpoint: second.endpoint, Status: EndpointError, Latency: 1000})
+		// The hedged request fails. The first may still be answered, so there is no final answer yet.
+		b.HandleOutcome(510_000, Outcome{ID: 1, Attempt: 1, Endpoint: hedge.endpoint, Status: EndpointError, Latency: 1000})
 		if len(r.rejected)+len(r.failed) != 0 {
-			t.Errorf("class %d: given up while an attempt is in flight", class)
+			t.Errorf("class %d: a final answer while an attempt is in flight", class)
 		}
-		calls := len(r.cancels)
-		b.HandleOutcome(520_000, Outcome{ID: 1, Attempt: 0, Endpoint: first.endpoint, Status: OK, Latency: 519_000, Answered: true})
+		cancels := len(r.cancels)
+		b.HandleOutcome(520_000, Outcome{
+			ID: 1, Attempt: 0, Endpoint: first.endpoint, Status: OK, Latency: 519_000, Answered: true,
+		})
 		for i := 2; i < len(r.sends); i++ {
-			calls++ // a third attempt, too, is cancelled
+			cancels++ // a third attempt is cancelled, too
 		}
-		if len(r.cancels) != calls || b.ledger.open != 0 {
-			t.Errorf("class %d: %d attempts cancelled, want %d; %d requests open", class, len(r.cancels), calls, b.ledger.open)
+		if len(r.cancels) != cancels || b.ledger.open != 0 {
+			t.Errorf("class %d: %d attempts cancelled, want %d; %d requests open",
+				class, len(r.cancels), cancels, b.ledger.open)
 		}
 	}
 }
@@ -72,7 +76,7 @@
 				b.estimates.zoneLatencies[e.Zone].add(roundTrip)
 			}
 			b.HandleRequest(10_000, testRequest(1, c.class, 10_000))
-			b.HandleTimer(20_000, r.timers[len(r.timers)-1]) // should it wait for probes
+			b.HandleTimer(20_000, r.timers[len(r.timers)-1]) // in case it waits for probes
 			if len(r.sends) != 1 || r.latest[0] != 0 {
 				t.Fatalf("first attempts %v, latest %v", r.sends, r.latest)
 			}
@@ -95,16 +99,16 @@
 	at := b.ledger.requests[1].attempts[0].sentAt
 	b.HandleOutcome(at+500_000-roundTrip, Outcome{ID: 1, Endpoint: r.sends[0].endpoint, Status: Reset})
 	if len(r.sends) != 1 || len(r.rejected) != 1 {
-		t.Errorf("sends %v, rejected %v: a repeat that could not arrive in time", r.sends, r.rejected)
+		t.Errorf("sends %v, rejected %v: want no retry that could not arrive in time", r.sends, r.rejected)
 	}
 }
 
-// Retries after attempts that may have executed are limited to a share of the requests; others cost nothing.
+// Retries after attempts that may have executed are limited to a share of the requests. Other retries are not.
 func TestRetryBudgetLimitsRetries(t *testing.T) {
 	const requests = 300
 	for _, c := range []struct {
-		status   Status
-		from, to int // retries
+		status                 Status
+		minRetries, maxRetries int
 	}{{Reset, 10, maxBudget + requests*retryShare + 1}, {ConnectFailed, requests, 2 * requests}} {
 		s := testSettings()
 		s.Limits.MaxAttempts = 2
@@ -114,17 +118,20 @@
 			now := Micros(id) * second // the error throttle lets one a second through
 			sends := len(r.sends)
 			b.HandleRequest(now, testRequest(id, 0, now))
-			for n := 0; sends+n < len(r.sends); n++ {
-				retries += min(n, 1)
-				at := r.sends[sends+n].endpoint
-				b.HandleOutcome(now, Outcome{ID: id, Attempt: n, Endpoint: at, Status: c.status, Latency: 1000})
+			for attempt := 0; sends+attempt < len(r.sends); attempt++ {
+				retries += min(attempt, 1)
+				target := r.sends[sends+attempt].endpoint
+				b.HandleOutcome(now, Outcome{
+					ID: id, Attempt: attempt, Endpoint: target, Status: c.status, Latency: 1000,
+				})
 			}
 		}
-		if retries < c.from || retries > c.to {
-			t.Errorf("status %d: %d retries of %d requests, want %d to %d", c.status, retries, requests, c.from, c.to)
+		if retries < c.minRetries || retries > c.maxRetries {
+			t.Errorf("status %d: %d retries of %d requests, want %d to %d",
+				c.status, retries, requests, c.minRetries, c.maxRetries)
 		}
 		if c.status == ConnectFailed && b.retries.retryBudget != maxBudget {
-			t.Errorf("retries of attempts that never executed cost %v of the budget", maxBudget-b.retries.retryBudget)
+			t.Errorf("retries after attempts that never executed charged %v", maxBudget-b.retries.retryBudget)
 		}
 	}
 }
--- a/balancer/settings_test.go
+++ b/balancer/settings_test.go
@@ -7,8 +7,8 @@
 
 func TestNewReturnsSettingError(t *testing.T) {
 	for _, c := range []struct {
-		key   string
-		spoil func(*Settings)
+		key        string
+		invalidate func(*Settings)
 	}{
 		{"Balancers", func(s *Settings) { s.Balancers = 0 }},
 		{"Classes", func(s *Settings) { s.Classes = nil }},
@@ -19,11 +19,11 @@
 		{"Prices.Probe", func(s *Settings) { s.Prices.Probe = -1 }},
 	} {
 		s := testSettings()
-		c.spoil(&s)
+		c.invalidate(&s)
 		_, err := New(s, 1, &recorder{})
-		var bad *SettingError
-		if !errors.As(err, &bad) || bad.Key != c.key {
-			t.Errorf("want an error for %s, got %v", c.key, err)
+		var invalid *SettingError
+		if !errors.As(err, &invalid) || invalid.Key != c.key {
+			t.Errorf("got %v, want a *SettingError for %s", err, c.key)
 		}
 	}
 }
--- a/balancer/simulation_test.go
+++ b/balancer/simulation_test.go
@@ -45,7 +45,8 @@
 	return f
 }
 
-// startTraffic has requests arrive at this rate over all balancers, some of which get several times the mean of the others.
+// startTraffic has requests arrive at this rate over all balancers, some of which get several times the mean of the
+// others.
 func (f *fleet) startTraffic(rate float64, until Micros) {
 	id := uint64(0)
 	var next func(now Micros)
--- a/balancer/slowstart_test.go
+++ b/balancer/slowstart_test.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-// slowStartBudget is how many requests of mean work may reach a warming endpoint that is permitted n: n and a margin for
-// random variation.
+// slowStartBudget is how many requests of mean work may reach a warming endpoint that is permitted n: n and a margin
+// for random variation.
 func slowStartBudget(n float64) float64 {
 	if n < 30 {
 		return n + 3*math.Sqrt(n) + 3
@@ -175,8 +175,9 @@
 	}
 }
 
-// countSendsOfQuietBalancer has one balancer get ten requests a second, for 5 s with the warm endpoints alone and for 3 s
-// with the warming ones, and counts the requests of the latter time by endpoint. The warm endpoints report a load of 3.
+// countSendsOfQuietBalancer has one balancer get ten requests a second, for 5 s with the warm endpoints alone and for 3
+// s with the warming ones, and counts the requests of the latter time by endpoint. The warm endpoints report a load of
+// 3.
 func countSendsOfQuietBalancer(t *testing.T, seed uint64, balancers, warm, warming int, counts map[uint32]int) {
 	t.Helper()
 	s := testSettings()
@@ -292,8 +293,8 @@
 	}
 }
 
-// warmingSends counts the requests to each warming endpoint over the overload window just after their start, and the mean
-// of those to ten warm ones, under a constant rate.
+// warmingSends counts the requests to each warming endpoint over the overload window just after their start, and the
+// mean of those to ten warm ones, under a constant rate.
 func warmingSends(t *testing.T, rate, warmingEndpoints int) (warming []int, warm float64) {
 	t.Helper()
 	s := testSettings()
--- a/balancer/source_test.go
+++ b/balancer/source_test.go
@@ -10,7 +10,7 @@
 	"testing"
 )
 
-// policyFiles returns the files that the deploy file names as the decision logic.
+// policyFiles returns the files that deploy/balancer.toml names as the decision logic.
 func policyFiles(t *testing.T) []string {
 	t.Helper()
 	deploy, err := os.ReadFile("../deploy/balancer.toml")
@@ -45,11 +45,11 @@
 				lines++
 			}
 			if len(line) > 110 {
-				t.Errorf("%s: line %d has %d characters", name, i+1, len(line))
+				t.Errorf("%s: line %d has %d characters, want 110 at most", name, i+1, len(line))
 			}
 		}
 		if lines > maxPolicyLines {
-			t.Errorf("%s: %d lines that are not blank, %d at most", name, lines, maxPolicyLines)
+			t.Errorf("%s: %d non-blank lines, want %d at most", name, lines, maxPolicyLines)
 		}
 	}
 }
@@ -63,7 +63,7 @@
 	documentation, _, _ := strings.Cut(string(text), "\npackage ")
 	for _, name := range append(policyFiles(t), "settings.go", "events.go", "actions.go") {
 		if !strings.Contains(documentation, name) {
-			t.Errorf("the top does not name %s", name)
+			t.Errorf("the package comment does not name %s", name)
 		}
 	}
 }
--- a/balancer/streaming_test.go
+++ b/balancer/streaming_test.go
@@ -2,8 +2,8 @@
 
 import "testing"
 
-// A request body that is forwarded while it arrives is no load until its last byte, from which on the time of the
-// request counts.
+// A request whose body is forwarded while it arrives does not count as load until its last byte, and its latency is
+// measured from there.
 func TestStreamedRequestIsTimedFromItsLastByte(t *testing.T) {
 	b, r := start(t, testSettings(), ready(1))
 	in := testRequest(1, 0, 0)
@@ -21,7 +21,7 @@
 		t.Errorf("once it is written: %d in flight, %d being written", s.InFlight, s.Uploading)
 	}
 	if last := len(r.timers) - 1; r.delays[last] != second {
-		t.Errorf("its timer comes after %d", r.delays[last])
+		t.Errorf("the timer of its deadline comes after %d, want %d", r.delays[last], second)
 	}
 	b.HandleTimer(now+second, r.timers[len(r.timers)-1])
 	if len(r.rejected) != 1 || len(r.cancels) != 1 {
@@ -29,7 +29,8 @@
 	}
 	b.HandleOutcome(now+second, Outcome{ID: 1, Endpoint: 1, Status: Cancelled, Answered: true})
 	if s := b.Stats(now); s.InFlight+s.Uploading != 0 || len(b.ledger.requests) != 0 {
-		t.Errorf("after its end: %d in flight, %d being written, %d open", s.InFlight, s.Uploading, len(b.ledger.requests))
+		t.Errorf("after its end: %d in flight, %d being written, %d open",
+			s.InFlight, s.Uploading, len(b.ledger.requests))
 	}
 }
 
@@ -37,9 +38,9 @@
 // complete goes to another endpoint.
 func TestConsumedBodyIsNotRetried(t *testing.T) {
 	for _, c := range []struct {
-		status          Status
-		written, spent  bool
-		sends, no, fail int
+		status                  Status
+		written, consumed       bool // the request body
+		sends, rejected, failed int
 	}{
 		{ConnectFailed, false, false, 2, 0, 0},
 		{ConnectFailed, false, true, 1, 1, 0},
@@ -53,8 +54,8 @@
 		if c.written {
 			b.HandleBodyWritten(1000, 1, second)
 		}
-		b.HandleOutcome(2000, Outcome{ID: 1, Endpoint: r.sends[0].endpoint, Status: c.status, BodyConsumed: c.spent})
-		if len(r.sends) != c.sends || len(r.rejected) != c.no || len(r.failed) != c.fail {
+		b.HandleOutcome(2000, Outcome{ID: 1, Endpoint: r.sends[0].endpoint, Status: c.status, BodyConsumed: c.consumed})
+		if len(r.sends) != c.sends || len(r.rejected) != c.rejected || len(r.failed) != c.failed {
 			t.Errorf("%+v: %d sends, %d rejected, %d failed", c, len(r.sends), len(r.rejected), len(r.failed))
 		}
 	}
@@ -66,10 +67,12 @@
 	b.HandleHeaders(2000, 1, 0, 1000)
 	b.HandleTimer(2*second, b.ledger.requests[1].timerToken)
 	if len(r.sends) != 1 || len(r.rejected)+len(r.failed) != 0 {
-		t.Error("a streamed answer that began was ended or hedged")
+		t.Error("a request whose streamed answer has begun was ended or hedged")
 	}
-	b.HandleOutcome(3*second, Outcome{ID: 1, Endpoint: r.sends[0].endpoint, Status: OK, Latency: 3 * second, Answered: true})
+	b.HandleOutcome(3*second, Outcome{
+		ID: 1, Endpoint: r.sends[0].endpoint, Status: OK, Latency: 3 * second, Answered: true,
+	})
 	if len(b.ledger.requests) != 0 {
-		t.Error("record kept")
+		t.Error("the record of an ended request is kept")
 	}
 }
--- a/balancer/waitlist_test.go
+++ b/balancer/waitlist_test.go
@@ -8,26 +8,26 @@
 	busy, idle, other := &endpoint{}, &endpoint{}, &endpoint{}
 	busy.reportedAt, busy.reportedLoad = 1000, 9
 	idle.reportedAt, idle.reportedLoad = 1000, 0
-	wait := func(w *waitlist, on ...*endpoint) { w.add(&request{awaitedEndpoints: on}) }
+	add := func(w *waitlist, awaited ...*endpoint) { w.add(&request{awaitedEndpoints: awaited}) }
 	for name, c := range map[string]struct {
 		answered *endpoint
 		want     int // requests resumed
 	}{
 		"busy endpoint": {busy, 1},
 		"idle endpoint": {idle, 2},
-		"nobody waits":  {other, 0},
+		"not awaited":   {other, 0},
 	} {
 		var w waitlist
-		wait(&w, busy, idle)
-		wait(&w, busy)
-		wait(&w, idle)
+		add(&w, busy, idle)
+		add(&w, busy)
+		add(&w, idle)
 		var resumed []*request
 		for r, i := w.resumable(1000, c.answered, fromEnd); r != nil; r, i = w.resumable(1000, c.answered, i) {
 			w.remove(r)
 			resumed = append(resumed, r)
 		}
 		if len(resumed) != c.want || len(w.requests) != 3-c.want {
-			t.Errorf("%s: %d resumed and %d left, want %d resumed", name, len(resumed), len(w.requests), c.want)
+			t.Errorf("%s: %d resumed and %d still waiting, want %d resumed", name, len(resumed), len(w.requests), c.want)
 		}
 		for _, r := range resumed {
 			if r.awaitingProbes || len(r.awaitedEndpoints) > 0 {
@@ -39,10 +39,10 @@
 
 func TestWaitlistRemoveIgnoresOthers(t *testing.T) {
 	var w waitlist
-	first, second, stranger := &request{}, &request{}, &request{}
+	first, second, absent := &request{}, &request{}, &request{}
 	w.add(first)
 	w.add(second)
-	w.remove(stranger)
+	w.remove(absent)
 	w.remove(first)
 	w.remove(first)
 	if len(w.requests) != 1 || w.requests[0] != second {
