--- a/balancer/actions.go
+++ b/balancer/actions.go
@@ -6,9 +6,9 @@
 	// Send starts an attempt, unless latest passes before its first byte can be sent: until then it may wait for a
 	// connection. A latest of 0 means until the client's deadline.
 	Send(id uint64, endpoint uint32, latest Micros)
-	// Reject is a final answer that promises that a retry is harmless. A retryAfter of 0 gives no Retry-After.
+	// Reject gives the final answer that promises that a retry is harmless. A retryAfter of 0 gives no Retry-After.
 	Reject(id uint64, retryAfter Micros)
-	// Fail is a final answer that promises nothing.
+	// Fail gives the final answer that promises nothing about a retry.
 	Fail(id uint64)
 	// Cancel stops waiting for an attempt; its outcome still comes.
 	Cancel(id uint64, attempt int)
--- a/balancer/admission.go
+++ b/balancer/admission.go
@@ -67,7 +67,7 @@
 	return true
 }
 
-// tooLate tells whether e, the best endpoint, would serve r too late for the work to be worth it.
+// tooLate reports whether e, the best endpoint, would serve r too late for the work to be worth it.
 //
 // Where no request queues, none is too late. There, a few samples of a long-tailed latency can make a healthy
 // endpoint look slow, and a slow sidecar makes all endpoints look so; rejecting requests relieves neither.
--- a/balancer/averages.go
+++ b/balancer/averages.go
@@ -97,7 +97,7 @@
 // add adds events, or an amount such as work.
 func (m *decayingRate) add(now Micros, x float64) { m.sum, m.updatedAt = m.decayed(now)+x, now }
 
-// decayed is what is left of the sum now.
+// decayed is the sum as decayed by now.
 func (m *decayingRate) decayed(now Micros) float64 {
 	if m.sum == 0 {
 		return 0
@@ -139,5 +139,5 @@
 	return 0
 }
 
-// isPositiveFinite tells whether a stored figure may be used. It is false for NaN.
+// isPositiveFinite reports whether a stored figure may be used. It is false for NaN.
 func isPositiveFinite(v float64) bool { return v > 0 && !math.IsInf(v, 0) }
--- a/balancer/balancer.go
+++ b/balancer/balancer.go
@@ -192,7 +192,7 @@
 	}
 }
 
-// HandleClientGone handles a client that left before its final answer.
+// HandleClientGone handles a client that has gone before its final answer.
 func (b *Balancer) HandleClientGone(_ Micros, id uint64) {
 	if r := b.ledger.lookup(id); r != nil {
 		b.ledger.finish(r)
@@ -285,7 +285,7 @@
 	}
 }
 
-// Cordon takes every endpoint of this name out of service, whatever discovery says of it, or ends that. An endpoint
+// Cordon excludes every endpoint of this name from service, whatever its state in discovery, or ends that. An endpoint
 // that returns was likely restarted: it counts as a new process, warming up since the instant given.
 func (b *Balancer) Cordon(now Micros, name uint64, cordoned bool, since Micros) {
 	b.membership.setCordoned(name, cordoned)
--- a/balancer/breaker.go
+++ b/balancer/breaker.go
@@ -39,7 +39,7 @@
 // breakerBucket counts the requests of one bucket of the window.
 type breakerBucket struct{ requests, accepts, failures int }
 
-// advance returns the bucket of this instant, after dropping those that left the window.
+// advance returns the bucket of this instant, after dropping those that are older than the window.
 func (k *circuitBreaker) advance(now Micros) *breakerBucket {
 	n := now / (breakerWindow / breakerBuckets)
 	if n-k.newest >= breakerBuckets {
@@ -193,7 +193,7 @@
 	default:
 		e.breaker.count(now, failed)
 		e.rejectedShare.add(indicator(status == Rejected), rejectedFailureWeight)
-		// A timeout at a short remaining deadline tells nothing of the endpoint.
+		// A timeout at a short remaining deadline is no evidence of a fault there.
 		shortDeadline := status == Timeout && float64(latency) < overdueFactor*a.predictedLatency
 		if !a.declaredLost && !shortDeadline {
 			k.recordFailure(now, e, status)
--- a/balancer/discovery.go
+++ b/balancer/discovery.go
@@ -5,7 +5,7 @@
 // minPollDelay is about the shortest delay of the first call after a watch that broke.
 const minPollDelay = second / 20
 
-// discoveryPoller subscribes to discovery and repeats calls that fail.
+// discoveryPoller subscribes to discovery and retries calls that fail.
 type discoveryPoller struct {
 	*environment
 	subscribed bool
--- a/balancer/endpoint.go
+++ b/balancer/endpoint.go
@@ -56,10 +56,10 @@
 	}
 }
 
-// usable tells whether e may be sent to at all.
+// usable reports whether e may be sent to at all.
 func (e *endpoint) usable() bool { return e.State == Ready && !e.cordoned }
 
-// isWarming tells whether e is in slow start.
+// isWarming reports whether e is in slow start.
 func (e *endpoint) isWarming(now Micros, c *Contract) bool {
 	if e.warming && now-e.warmingSince >= c.SlowStartDuration {
 		e.warming = false
@@ -89,5 +89,6 @@
 	e.failureShareAt = now
 }
 
-// isEjected tells whether e is an outlier: it fails so often that it serves only when no other endpoint may.
+// isEjected reports whether e is an outlier: it fails so often that it serves only when no other endpoint
+// may.
 func (e *endpoint) isEjected(now Micros) bool { return e.currentFailureShare(now) >= ejectThreshold }
--- a/balancer/environment.go
+++ b/balancer/environment.go
@@ -12,7 +12,7 @@
 	lastLogged map[string]Micros // instant of the latest line by topic
 }
 
-// log writes a line for on-call staff, at most one a second for each topic: rejections come in thousands.
+// log writes a line for on-call staff, at most one a second per topic, since there may be thousands of rejections.
 func (env *environment) log(now Micros, topic, format string, args ...any) {
 	if at, ok := env.lastLogged[topic]; ok && now-at < second {
 		return
--- a/balancer/events.go
+++ b/balancer/events.go
@@ -22,7 +22,7 @@
 	StartTime   Micros  // of its present process; 0 for long ago
 }
 
-// ListUpdate tells how the entries of an endpoint list are to be read.
+// ListUpdate says how the entries of an endpoint list are to be read.
 type ListUpdate uint8
 
 // The kinds of endpoint list.
@@ -55,7 +55,7 @@
 	Attempt int // counted from 0 in the order of sending
 }
 
-// Status tells how an attempt or a probe ended.
+// Status says how an attempt or a probe ended.
 type Status uint8
 
 // The ways an attempt may end. Rejected, ConnectFailed and NotSent prove that it did not execute; all others but OK
@@ -71,7 +71,7 @@
 	NotSent              // never sent
 )
 
-// Outcome tells how an attempt ended. LoadReport is valid during the call only; no decision reads it.
+// Outcome says how an attempt ended. LoadReport is valid during the call only; no decision reads it.
 type Outcome struct {
 	ID           uint64
 	Attempt      int // counted from 0 in the order of sending
--- a/balancer/ledger.go
+++ b/balancer/ledger.go
@@ -42,7 +42,7 @@
 // openRequests counts the requests without final answer.
 func (l *ledger) openRequests() int { return l.open }
 
-// full tells whether more requests are open than permitted.
+// full reports whether more requests are open than permitted.
 func (l *ledger) full() bool { return l.open > l.settings.Limits.MaxOpenRequests }
 
 // newRequest returns the record of a request, or nil if its class is unknown.
@@ -167,7 +167,7 @@
 	return r, a
 }
 
-// reject gives the final answer "rejected" where that is true, else "failed".
+// reject gives the final answer "rejected" where the rules allow it, otherwise "failed".
 func (l *ledger) reject(r *request) {
 	if r.answered || !l.mayReject(r) {
 		l.fail(r)
--- a/balancer/loadreport.go
+++ b/balancer/loadreport.go
@@ -2,7 +2,7 @@
 
 import "math"
 
-// Load reports: what the answers to probes tell of the load at endpoints.
+// Load reports: the load at endpoints, as the answers to probes report it.
 
 const (
 	queuedProbeThreshold = 0.05 // share of queued probes above which probes are known to queue behind requests
@@ -22,7 +22,7 @@
 	arrivalRoundTrips   = 5.0 // round trips after which a request is sure to have arrived
 )
 
-// loadReport is what a probe tells of an endpoint.
+// loadReport is the load at an endpoint by the answer to a probe.
 type loadReport struct {
 	inFlight float64 // requests there, or negative if unknown
 	counted  bool    // inFlight was reported, not derived
@@ -81,7 +81,7 @@
 }
 
 // checkReportDelay detects whether load reports come late. A report of fewer requests than this balancer
-// has at e is late, unless some are still on their way there. If many are, their means are used instead.
+// has at e is late, unless some are still in transit. If many are, their means are used instead.
 func (est *estimator) checkReportDelay(now Micros, e *endpoint, report *loadReport) {
 	settled := float64(now-e.lastSentAt) > arrivalRoundTrips*est.roundTrip(e)
 	if !report.counted || e.inFlight <= 0 || !settled {
--- a/balancer/membership.go
+++ b/balancer/membership.go
@@ -46,8 +46,8 @@
 	}
 }
 
-// update stores an entry of a list. newProcess tells whether it names an endpoint, or a process of one, that
-// was not known. That process started at startTime, or long ago if startTime is 0.
+// update stores an entry of a list. newProcess reports whether it names an endpoint, or a process of one,
+// that was not known. That process started at startTime, or long ago if startTime is 0.
 func (m *membership) update(now Micros, in *Endpoint) (e *endpoint, startTime Micros, newProcess bool) {
 	e = m.byID[in.ID]
 	added := e == nil
--- a/balancer/pick.go
+++ b/balancer/pick.go
@@ -45,10 +45,10 @@
 	return c + crossZoneWeight*p.settings.Prices.CrossZone*objective*indicator(!p.isLocal(e))
 }
 
-// isLocal tells whether e is in the balancer's own zone.
+// isLocal reports whether e is in the balancer's own zone.
 func (p *picker) isLocal(e *endpoint) bool { return int(e.Zone) == p.settings.Zone }
 
-// mayConsider tells whether r may go to e, and e is neither excluded nor was tried before.
+// mayConsider reports whether r may go to e, and e is neither excluded nor was tried before.
 func (p *picker) mayConsider(now Micros, r *request, excluded, e *endpoint) bool {
 	return e != excluded && !r.triedAt(e) && p.ledger.maySend(now, r, e)
 }
--- a/balancer/prediction.go
+++ b/balancer/prediction.go
@@ -65,7 +65,7 @@
 // load estimates the requests at e: those of others by the latest report, plus the own ones in flight.
 //
 // Where balancers keep a pool, half of the others are assumed to have sent what this one has since the
-// report, or all would choose the endpoint with the same low report. Late reports do not tell the present
+// report, or all would choose the endpoint with the same low report. Late reports do not show the present
 // load, but their mean still ranks the endpoints.
 func (est *estimator) load(now Micros, e *endpoint) float64 {
 	typical := est.typicalLoad.value
@@ -105,7 +105,7 @@
 }
 
 // warmingSlowdown is how many times longer than once warm a request takes at e. The warm-up fraction is only
-// a lower bound of e's capacity; measured latencies tell how much of the slowness that it implies is real.
+// a lower bound of e's capacity; measured latencies show how much of the slowness that it implies is real.
 func (est *estimator) warmingSlowdown(now Micros, e *endpoint) float64 {
 	return 1 + (1/e.warmupFraction(now, &est.settings.Contract)-1)*est.warmingSlowness.value
 }
--- a/balancer/probing.go
+++ b/balancer/probing.go
@@ -20,8 +20,8 @@
 	minReportTTL    = second // for which a report is fresh, at least, if probes go in rounds,
 	reportTTLRounds = 3      // or for so many rounds of the complete list
 
-	// minInFlightPerEndpoint is the mean of own requests in flight at an endpoint from which they tell enough of
-	// its load.
+	// minInFlightPerEndpoint is the mean of own requests in flight at an endpoint from which they show its
+	// load well enough.
 	minInFlightPerEndpoint = 0.1
 )
 
@@ -48,7 +48,7 @@
 	}
 }
 
-// probesWithRequests tells whether probes go with single requests, not in rounds.
+// probesWithRequests reports whether probes go with single requests, not in rounds.
 func (p *prober) probesWithRequests() bool { return p.perRequest }
 
 // countPerRequest is the number of probes that go with a request.
@@ -93,7 +93,7 @@
 	return max(minReportTTL, Micros(reportTTLRounds*endpoints/p.rate(now)*float64(second)))
 }
 
-// reportsSparse tells whether a round of the complete list takes longer than reports are fresh. The typical
+// reportsSparse reports whether a round of the complete list takes longer than reports are fresh. The typical
 // load then decides on nearly all requests, and a few outliers must not move it.
 func (p *prober) reportsSparse(now Micros) bool {
 	return p.settings.Limits.Probes && len(p.settings.ReportFields) > 0 &&
@@ -110,8 +110,8 @@
 	}
 }
 
-// mayProbeNew tells whether each new endpoint of a list of so many entries is probed at once. In a fleet with
-// more balancers than endpoints, these probes alone could overload an endpoint.
+// mayProbeNew reports whether each new endpoint of a list of so many entries is probed at once. In a fleet
+// with more balancers than endpoints, these probes alone could overload an endpoint.
 func (p *prober) mayProbeNew(entries int) bool {
 	return p.settings.Balancers <= max(len(p.membership.list()), entries)
 }
@@ -141,7 +141,7 @@
 }
 
 // choosePerRequest decides that probes go with requests if a round of the list takes too long for a fresh
-// pool, and the own requests in flight tell little of the load.
+// pool, and the own requests in flight show little of the load.
 func (p *prober) choosePerRequest(now Micros, rate float64) {
 	size := float64(len(p.membership.list()))
 	own := p.demand.rate(now) * p.demand.referenceWork() / float64(second)
--- a/balancer/request.go
+++ b/balancer/request.go
@@ -60,7 +60,7 @@
 	return n
 }
 
-// hasPendingAttempt tells whether an attempt in flight forbids another. If the request may be hedged, one that
+// hasPendingAttempt reports whether an attempt in flight forbids another. If the request may be hedged, one that
 // is declared lost does not.
 func (r *request) hasPendingAttempt(mayHedge bool) bool {
 	return slices.ContainsFunc(r.attempts, func(a attempt) bool {
@@ -68,10 +68,10 @@
 	})
 }
 
-// triedAt tells whether an attempt went to e.
+// triedAt reports whether an attempt went to e.
 func (r *request) triedAt(e *endpoint) bool {
 	return slices.ContainsFunc(r.attempts, func(a attempt) bool { return a.endpoint == e })
 }
 
-// responded tells whether an end with this status came from the endpoint itself.
+// responded reports whether an end with this status came from the endpoint itself.
 func responded(s Status) bool { return s == OK || s == EndpointError || s == Rejected }
--- a/balancer/settings.go
+++ b/balancer/settings.go
@@ -6,17 +6,17 @@
 // host's clock never runs backwards.
 type Micros = int64
 
-// Time limits for learning of a change of the endpoint list. By the protocol a sidecar counts as notified of a change
-// NotificationDeadline after discovery has it and can be reached, whatever became of earlier calls. Within that time
-// there may be a call that hangs or a watch that has gone silent, then the backoff, then a call that queues at
-// discovery. The backoff therefore has what the other two leave:
+// Time limits for a notification of a change of the endpoint list. By the protocol, a sidecar counts as notified of a
+// change NotificationDeadline after discovery has it and is reachable, whatever the state of earlier calls. Within that
+// time there may be a call that hangs or a silent watch, then the backoff, then a call that queues at discovery. The
+// backoff therefore takes no more than the other two leave:
 //
 //	after a call that timed out:   NotificationDeadline - 2 DiscoveryCallTimeout = 0.6 s at most
 //	after a watch went silent:     NotificationDeadline - WatchDuration - WatchGrace
 //	                               - DiscoveryCallTimeout = 0.8 s at most
-//	after a call refused at once:  NotificationDeadline - DiscoveryCallTimeout = 3.3 s at most
+//	after a call failed at once:   NotificationDeadline - DiscoveryCallTimeout = 3.3 s at most
 //
-// Over a fleet, quiet watches make one call each in 1.5 to 2 s.
+// Without changes, each watch of a fleet makes one call in 1.5 to 2 s.
 const (
 	NotificationDeadline Micros = 6_000_000
 	DiscoveryCallTimeout        = NotificationDeadline * 9 / 20 // of a call that is to be answered at once
@@ -29,12 +29,12 @@
 
 // The kinds of class.
 const (
-	Idempotent        Idempotency = iota // a repeat is harmless
-	IdempotentWithKey                    // the endpoints of a scope drop repeats with the same key for a while
-	NonIdempotent                        // a repeat would have a second effect
+	Idempotent        Idempotency = iota // a second execution is harmless
+	IdempotentWithKey                    // the endpoints of a scope drop duplicates by their key for DeduplicationWindow
+	NonIdempotent                        // a second execution would have a second effect
 )
 
-// DeduplicationScope is the set of endpoints that drop repeats of a request with an idempotency key.
+// DeduplicationScope is the set of endpoints that drop duplicates of a request with an idempotency key.
 type DeduplicationScope uint8
 
 // The deduplication scopes.
@@ -63,7 +63,7 @@
 	Name                string
 	Idempotency         Idempotency        `json:"Repeat"`
 	DeduplicationScope  DeduplicationScope `json:"Group"`     // for IdempotentWithKey only
-	DeduplicationWindow Micros             `json:"Window"`    // for IdempotentWithKey only: how long repeats are dropped
+	DeduplicationWindow Micros             `json:"Window"`    // for IdempotentWithKey only: duplicates are dropped so long
 	LatencyObjective    Micros             `json:"Aim"`       // an answer within this time earns the full weight
 	ClientTimeout       Micros             `json:"GiveUp"`    // of the client, over all its attempts
 	PriorityWeight      float64            `json:"Worth"`     // of one request
--- a/balancer/slowstart.go
+++ b/balancer/slowstart.go
@@ -77,7 +77,7 @@
 // candidate returns the warming endpoint that may be sent to next, or nil.
 func (s *slowStart) candidate() *endpoint { return s.next }
 
-// maySend tells whether e is the next warming endpoint, and there are tokens for a request of this work.
+// maySend reports whether e is the next warming endpoint, and there are tokens for a request of this work.
 func (s *slowStart) maySend(now Micros, e *endpoint, work float64) bool {
 	if s.tokensAt != now || s.next == nil {
 		s.refill(now, work)
