--- a/balancer/cordon_test.go
+++ b/balancer/cordon_test.go
@@ -70,7 +70,8 @@
 	if probes, sends := play(); sends[1] == 0 {
 		t.Errorf("after the end of the cordon: %d probes, sends %v", probes, sends)
 	}
-	if b.Cordon(now, 101, false, now); b.membership.byID[1].warmingSince != e.warmingSince {
+	warmingSince := e.warmingSince
+	if b.Cordon(now, 101, false, now); b.membership.byID[1].warmingSince != warmingSince {
 		t.Error("uncordoning a second time restarts the slow start")
 	}
 }
