--- a/cmd/simhost/helpers_test.go
+++ b/cmd/simhost/helpers_test.go
@@ -28,7 +28,7 @@
 const (
 	listCached          = 3   // the kind of a membership record
 	statusEndpointError = 500 // of an answer record
-	notSettled          = 0   // of an answer record: the request has no final answer yet
+	noFinalAnswer       = 0   // of an answer record: the request has no final answer yet
 )
 
 const (
@@ -93,8 +93,8 @@
 	return record(codeRequest, id, uint64(0), deadline, uint32(0), uint8(0), uint16(0), uint8(0))
 }
 
-func answer(id uint64, endpoint uint32, status uint16, settled uint8) []byte {
-	return record(codeAnswer, id, uint16(0), endpoint, status, uint32(3000), settled, uint8(0))
+func answer(id uint64, endpoint uint32, status uint16, answered uint8) []byte {
+	return record(codeAnswer, id, uint16(0), endpoint, status, uint32(3000), answered, uint8(0))
 }
 
 func timeoutFired(token uint32) []byte { return record(codeTimeoutFired, token) }
@@ -112,9 +112,9 @@
 	if int(binary.BigEndian.Uint32(reply[4:])) != len(reply) {
 		t.Fatalf("reply of %d bytes says %d", len(reply), binary.BigEndian.Uint32(reply[4:]))
 	}
-	for at := replyHeaderSize; at < len(reply); {
-		codes = append(codes, reply[at])
-		at += recordHeaderSize + int(binary.BigEndian.Uint32(reply[at+1:]))
+	for offset := replyHeaderSize; offset < len(reply); {
+		codes = append(codes, reply[offset])
+		offset += recordHeaderSize + int(binary.BigEndian.Uint32(reply[offset+1:]))
 	}
 	if int(binary.BigEndian.Uint32(reply[8:])) != len(codes) {
 		t.Fatalf("%d records, header says %d", len(codes), binary.BigEndian.Uint32(reply[8:]))
@@ -127,10 +127,10 @@
 	counts := map[string]int{}
 	for remaining := []byte(replies); len(remaining) > 0; {
 		size := int(binary.BigEndian.Uint32(remaining[4:]))
-		for at := replyHeaderSize; at < size; {
-			recordSize := recordHeaderSize + int(binary.BigEndian.Uint32(remaining[at+1:]))
-			counts[string(remaining[at:at+recordSize])]++
-			at += recordSize
+		for offset := replyHeaderSize; offset < size; {
+			recordSize := recordHeaderSize + int(binary.BigEndian.Uint32(remaining[offset+1:]))
+			counts[string(remaining[offset:offset+recordSize])]++
+			offset += recordSize
 		}
 		remaining = remaining[size:]
 	}
--- a/cmd/simhost/host.go
+++ b/cmd/simhost/host.go
@@ -14,7 +14,7 @@
 	decoder         wire.Decoder
 	reply           wire.Reply
 	instances       map[uint32]*instance
-	unknownReported [256]bool // by event code: reported once each
+	reportedUnknown [256]bool // by event code: reported once each
 	stderr          io.Writer
 }
 
@@ -22,10 +22,10 @@
 	return &host{instances: map[uint32]*instance{}, stderr: stderr}
 }
 
-// target is the instance that the events of a batch are for; none until an instance record names one.
-type target struct {
-	number uint32
-	named  bool
+// instanceTarget is the instance that the events of a batch are for; none until an instance record names one.
+type instanceTarget struct {
+	number   uint32
+	selected bool
 }
 
 // handleBatch passes the events of a batch to their instances, and returns the reply. It is valid until the next call.
@@ -36,7 +36,7 @@
 	}
 	h.reply.Reset(batch)
 	var event wire.Event
-	var to target
+	var target instanceTarget
 	for {
 		err := h.decoder.Next(&event)
 		if errors.Is(err, io.EOF) {
@@ -45,54 +45,54 @@
 		if err != nil {
 			return nil, err
 		}
-		if err := h.handleEvent(now, &event, &to); err != nil {
+		if err := h.handleEvent(now, &event, &target); err != nil {
 			return nil, err
 		}
 	}
 }
 
-func (h *host) handleEvent(now balancer.Micros, event *wire.Event, to *target) error {
+func (h *host) handleEvent(now balancer.Micros, event *wire.Event, target *instanceTarget) error {
 	switch {
 	case event.Code == wire.Manifest: // the decoder has cached the list
 		return nil
 	case event.Code == wire.Instance:
-		*to = target{number: event.Instance, named: true}
+		*target = instanceTarget{number: event.Instance, selected: true}
 		h.reply.As(event.Instance)
 		return nil
 	case !event.Code.Known():
 		h.reportUnknown(event)
 		return nil
 	}
-	i, err := h.instanceFor(event, *to)
+	inst, err := h.instanceFor(event, *target)
 	if err != nil {
 		return err
 	}
-	i.handle(now, event)
+	inst.handle(now, event)
 	return nil
 }
 
 // instanceFor returns the instance that an event is for. A begin event creates it at its first start.
-func (h *host) instanceFor(event *wire.Event, to target) (*instance, error) {
-	if !to.named {
+func (h *host) instanceFor(event *wire.Event, target instanceTarget) (*instance, error) {
+	if !target.selected {
 		return nil, eventError(event, "comes before any instance")
 	}
-	i := h.instances[to.number]
-	if i == nil {
+	inst := h.instances[target.number]
+	if inst == nil {
 		if event.Code != wire.Begin {
-			return nil, eventError(event, fmt.Sprintf("instance %d has not begun", to.number))
+			return nil, eventError(event, fmt.Sprintf("instance %d has not begun", target.number))
 		}
-		i = &instance{reply: &h.reply}
-		h.instances[to.number] = i
+		inst = &instance{reply: &h.reply}
+		h.instances[target.number] = inst
 	}
-	return i, nil
+	return inst, nil
 }
 
 // reportUnknown reports an event that this version does not know, once per code.
 func (h *host) reportUnknown(event *wire.Event) {
-	if h.unknownReported[event.Code] {
+	if h.reportedUnknown[event.Code] {
 		return
 	}
-	h.unknownReported[event.Code] = true
+	h.reportedUnknown[event.Code] = true
 	fmt.Fprintf(h.stderr, "simhost: %v at byte %d: unknown code, skipped\n", event.Code, event.Offset)
 }
 
--- a/cmd/simhost/instance.go
+++ b/cmd/simhost/instance.go
@@ -37,7 +37,7 @@
 // begin starts a new balancer, which replaces one that runs. Bad settings become an exception on the wire.
 func (i *instance) begin(now balancer.Micros, event *wire.Event) {
 	i.balancer = nil
-	settings, err := wire.ParseSettings(event.Config)
+	settings, err := wire.ParseSettings(event.SettingsText)
 	if err == nil {
 		i.balancer, err = balancer.New(settings, event.Seed, i)
 	}
--- a/cmd/simhost/main_test.go
+++ b/cmd/simhost/main_test.go
@@ -35,53 +35,53 @@
 			manifest(0, 11), membership(0, listCached), request(5, 500_000)),
 		batch(2, 2000, instanceRecord(3), record(codeStop), begin(validSettings),
 			manifest(0, 12), membership(0, listCached),
-			answer(5, 11, statusEndpointError, notSettled), request(6, 500_000)))
+			answer(5, 11, statusEndpointError, noFinalAnswer), request(6, 500_000)))
 	if err != nil {
 		t.Fatal(err)
 	}
-	first := int(binary.BigEndian.Uint32([]byte(out)[4:]))
-	_, codes := readReply(t, []byte(out)[first:])
+	firstReplySize := int(binary.BigEndian.Uint32([]byte(out)[4:]))
+	_, codes := readReply(t, []byte(out)[firstReplySize:])
 	if bytes.Count(codes, []byte{codeDeliver}) != 1 || bytes.IndexByte(codes, codeDecline) >= 0 ||
 		bytes.IndexByte(codes, codeFail) >= 0 {
 		t.Errorf("the restarted instance knows a request from before: %v", codes)
 	}
 }
 
-func TestInstancesDecideTheSameTogetherAndAlone(t *testing.T) {
-	script := func(instances ...uint32) [][]byte {
-		var all [][]byte
+func TestDecisionsDoNotDependOnOtherInstances(t *testing.T) {
+	makeBatches := func(instances ...uint32) [][]byte {
+		var batches [][]byte
 		var records [][]byte
 		records = append(records, manifest(0, 11, 12, 13))
 		for _, i := range instances {
 			records = append(records, instanceRecord(i), begin(validSettings), membership(0, listCached))
 		}
-		all = append(all, batch(1, 1000, records...))
+		batches = append(batches, batch(1, 1000, records...))
 		for n := range uint64(30) {
 			records = nil
 			for _, i := range instances {
 				records = append(records, instanceRecord(i), request(100*uint64(i)+n, 1000*n+500_000))
 			}
-			all = append(all, batch(uint32(n+2), 1000*n+2000, records...))
+			batches = append(batches, batch(uint32(n+2), 1000*n+2000, records...))
 		}
-		return all
+		return batches
 	}
-	together, _, _ := runBatches(script(1, 2)...)
-	again, _, _ := runBatches(script(1, 2)...)
+	together, _, _ := runBatches(makeBatches(1, 2)...)
+	again, _, _ := runBatches(makeBatches(1, 2)...)
 	if together != again {
 		t.Fatal("two runs differ")
 	}
 	alone := ""
 	for _, i := range []uint32{1, 2} {
-		out, _, _ := runBatches(script(i)...)
+		out, _, _ := runBatches(makeBatches(i)...)
 		alone += out
 	}
-	inOne, inTwo := countRecords(together), countRecords(alone)
-	if len(inOne) != len(inTwo) {
-		t.Fatalf("%d different records together, %d alone", len(inOne), len(inTwo))
+	togetherCounts, aloneCounts := countRecords(together), countRecords(alone)
+	if len(togetherCounts) != len(aloneCounts) {
+		t.Fatalf("%d different records together, %d alone", len(togetherCounts), len(aloneCounts))
 	}
-	for record, count := range inOne {
-		if inTwo[record] != count {
-			t.Errorf("record %x: %d together, %d alone", record, count, inTwo[record])
+	for record, count := range togetherCounts {
+		if aloneCounts[record] != count {
+			t.Errorf("record %x: %d together, %d alone", record, count, aloneCounts[record])
 		}
 	}
 }
@@ -118,7 +118,7 @@
 	}
 }
 
-func TestInvalidSettingsAreAnException(t *testing.T) {
+func TestInvalidSettingsAreReportedAsException(t *testing.T) {
 	for _, text := range []string{
 		strings.Replace(validSettings, "repeat=pure", "repeat=never", 1),
 		strings.Replace(validSettings, "target=250000", "target=-1", 1),
@@ -133,7 +133,7 @@
 	}
 }
 
-func TestPanicIsAnExceptionAndEndsTheInstance(t *testing.T) {
+func TestPanicIsReportedAsExceptionAndEndsInstance(t *testing.T) {
 	var reply wire.Reply
 	reply.Reset(1)
 	i := &instance{reply: &reply, balancer: new(balancer.Balancer)} // panics on events, for want of settings
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -51,9 +51,9 @@
 // is set where the platform holds that socket and every process of the sidecar inherits it.
 const InheritedSocketVariable = "BALANCER_PASSED_SOCKET"
 
-// adminVariable is the environment variable that overrides the admin address of the file. It may differ between the
+// adminAddressVariable is the environment variable that overrides the admin address of the file. It may differ between the
 // processes of one sidecar, which share a file.
-const adminVariable = "BALANCER_ADMIN_ADDR"
+const adminAddressVariable = "BALANCER_ADMIN_ADDR"
 
 // Load reads a configuration file and applies the environment to it. A file that cannot be opened for a passing cause
 // is tried for up to system.StartTimeout. The error is an fs.PathError, or names the key at fault; that of an address
@@ -71,7 +71,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("%s: %w", path, err)
 	}
-	if address := os.Getenv(adminVariable); address != "" {
+	if address := os.Getenv(adminAddressVariable); address != "" {
 		cfg.AdminAddress = address
 	}
 	if err := CheckAdminAddress(cfg.AdminAddress); err != nil {
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -12,11 +12,11 @@
 
 // A configuration that is not valid is rejected by an error of one line that names the key at fault.
 func TestInvalidConfigurationNamesTheKey(t *testing.T) {
-	good := `{"name":"n3","listen":"127.0.0.1:1","discovery":"127.0.0.1:2","seed":"8c1f30d27a5be964",` +
+	valid := `{"name":"n3","listen":"127.0.0.1:1","discovery":"127.0.0.1:2","seed":"8c1f30d27a5be964",` +
 		`"limits":{"cores":1.0,"memory_mb":192,"sockets":1024},` +
 		`"known":{"seq":4,"whole":true,"hosts":[{"host":"s-1","dial":"127.0.0.1:3","health":"Ready"}]},` +
 		`"settings":` + sidecartest.SettingsText + `}`
-	if cfg, err := Parse([]byte(good)); err != nil {
+	if cfg, err := Parse([]byte(valid)); err != nil {
 		t.Fatal(err)
 	} else if cfg.Settings.Limits.MaxRetryAfter != 1_500_000 || len(cfg.Settings.Classes) != 4 ||
 		cfg.Settings.Classes[1].Idempotency != balancer.IdempotentWithKey || len(cfg.Settings.ReportFields) != 2 ||
@@ -45,11 +45,11 @@
 		{`"name":"read","repeat":"pure"`, `"name":"read"`, "classes.0.repeat"},
 		{`"discovery":"subscribe"`, `"discovery":"gossip"`, "discovery"},
 	} {
-		bad := strings.Replace(good, test.old, test.new, 1)
-		if bad == good {
+		invalid := strings.Replace(valid, test.old, test.new, 1)
+		if invalid == valid {
 			t.Fatalf("%q is not in the configuration", test.old)
 		}
-		_, err := Parse([]byte(bad))
+		_, err := Parse([]byte(invalid))
 		if err == nil || !strings.Contains(err.Error(), test.key) || strings.Contains(err.Error(), "\n") {
 			t.Errorf("%s: error %v, want one line with %q", test.new, err, test.key)
 		}
@@ -58,14 +58,14 @@
 	if _, err := Load(path); err == nil {
 		t.Error("a missing file is no error")
 	}
-	os.WriteFile(path, []byte(good[:100]), 0o600)
+	os.WriteFile(path, []byte(valid[:100]), 0o600)
 	if _, err := Load(path); err == nil {
 		t.Error("a truncated file is no error")
 	}
 }
 
 // A settings object is written in the form of the simulator's first message.
-func TestFlattenWritesTheSimulatorsForm(t *testing.T) {
+func TestFlattenWritesSettingsText(t *testing.T) {
 	var out strings.Builder
 	flatten(&out, "", map[string]any{"a": map[string]any{"b": []any{
 		map[string]any{"name": "x, y\nz=1"}, map[string]any{"on": true}}}})
--- a/internal/config/parse.go
+++ b/internal/config/parse.go
@@ -75,9 +75,9 @@
 	return nil
 }
 
-// socketSettings are the settings that only a sidecar with real sockets reads. The balancer knows zones, kinds and
+// sidecarSettings are the settings that only a sidecar with real sockets reads. The balancer knows zones, kinds and
 // report fields by numbers, and has no connections that idle.
-type socketSettings struct {
+type sidecarSettings struct {
 	Zones        []string `json:"areas"`
 	MachineKinds []string `json:"skus"`
 	Limits       struct {
@@ -101,18 +101,18 @@
 	if err := checkUniqueNames(&c.Settings); err != nil {
 		return err
 	}
-	var sockets socketSettings
-	if err := json.Unmarshal(raw, &sockets); err != nil {
+	var sidecarOnly sidecarSettings
+	if err := json.Unmarshal(raw, &sidecarOnly); err != nil {
 		return err
 	}
-	if sockets.Limits.KeepaliveMicros <= 0 {
-		return fmt.Errorf("limits.keepalive: %d is not positive", sockets.Limits.KeepaliveMicros)
+	if sidecarOnly.Limits.KeepaliveMicros <= 0 {
+		return fmt.Errorf("limits.keepalive: %d is not positive", sidecarOnly.Limits.KeepaliveMicros)
 	}
 	if c.Settings.Limits.DialTimeout <= 0 {
 		return fmt.Errorf("limits.dial-timeout: %d is not positive", c.Settings.Limits.DialTimeout)
 	}
-	c.Zones, c.MachineKinds, c.ReportFields = sockets.Zones, sockets.MachineKinds, sockets.Reporting.Fields
-	c.IdleTimeout = time.Duration(sockets.Limits.KeepaliveMicros) * time.Microsecond
+	c.Zones, c.MachineKinds, c.ReportFields = sidecarOnly.Zones, sidecarOnly.MachineKinds, sidecarOnly.Reporting.Fields
+	c.IdleTimeout = time.Duration(sidecarOnly.Limits.KeepaliveMicros) * time.Microsecond
 	return nil
 }
 
--- a/internal/config/reload_test.go
+++ b/internal/config/reload_test.go
@@ -16,28 +16,28 @@
 )
 
 // Any number of signals leads to a bounded number of readings, and the file as it is at the last signal is read.
-func TestReadingsAreBoundedUnderManySignals(t *testing.T) {
+func TestReloadsAreBoundedUnderManySignals(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "config.json")
-	write := func(memory int) {
+	writeFile := func(memoryMB int) {
 		text := fmt.Sprintf(`{"listen":"127.0.0.1:0","discovery":"127.0.0.1:1","seed":"1",`+
-			`"limits":{"memory_mb":%d,"sockets":256},"settings":%s}`, memory, sidecartest.SettingsText)
+			`"limits":{"memory_mb":%d,"sockets":256},"settings":%s}`, memoryMB, sidecartest.SettingsText)
 		if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 			t.Fatal(err)
 		}
 	}
 	synctest.Test(t, func(t *testing.T) {
 		signals := make(chan os.Signal, 1)
-		var readings, last atomic.Int32
+		var reloads, lastMemoryMB atomic.Int32
 		configs := ReloadOnSignal(path, signals)
 		go func() {
 			for cfg := range configs {
-				readings.Add(1)
-				last.Store(int32(cfg.Limits.MemoryMB))
+				reloads.Add(1)
+				lastMemoryMB.Store(int32(cfg.Limits.MemoryMB))
 			}
 		}()
-		const files = 1000
-		for i := range files {
-			write(i + 1)
+		const fileVersions = 1000
+		for i := range fileVersions {
+			writeFile(i + 1)
 			select { // as the runtime delivers them
 			case signals <- syscall.SIGHUP:
 			default:
@@ -45,8 +45,8 @@
 			time.Sleep(time.Millisecond)
 		}
 		time.Sleep(2 * reloadInterval)
-		if n := readings.Load(); n < 2 || n > files*int32(time.Millisecond)/int32(reloadInterval)+2 || last.Load() != files {
-			t.Errorf("%d readings for %d signals, the last of file %d", n, files, last.Load())
+		if n := reloads.Load(); n < 2 || n > fileVersions*int32(time.Millisecond)/int32(reloadInterval)+2 || lastMemoryMB.Load() != fileVersions {
+			t.Errorf("%d readings for %d signals, the last of file %d", n, fileVersions, lastMemoryMB.Load())
 		}
 		close(signals)
 		time.Sleep(reloadInterval)
--- a/internal/config/settings_text.go
+++ b/internal/config/settings_text.go
@@ -13,14 +13,14 @@
 	case nil: // the same as no such key
 	case map[string]any:
 		for key, item := range v {
-			flatten(out, join(path, key), item)
+			flatten(out, joinPath(path, key), item)
 		}
 	case []any:
 		if len(v) > 0 {
 			if _, objects := v[0].(map[string]any); objects {
-				fmt.Fprintf(out, "%s=%d\n", join(path, "count"), len(v))
+				fmt.Fprintf(out, "%s=%d\n", joinPath(path, "count"), len(v))
 				for i, item := range v {
-					flatten(out, join(path, strconv.Itoa(i)), item)
+					flatten(out, joinPath(path, strconv.Itoa(i)), item)
 				}
 				return
 			}
@@ -35,16 +35,16 @@
 	}
 }
 
-// join returns the path of a key below path.
-func join(path, key string) string {
+// joinPath returns the path of a key below path.
+func joinPath(path, key string) string {
 	if path == "" {
 		return key
 	}
 	return path + "." + key
 }
 
-// separators replaces what would end a value of the settings text.
-var separators = strings.NewReplacer(" ", "_", ",", "_", "\n", "_", "\r", "_")
+// separatorReplacer replaces what would end a value of the settings text.
+var separatorReplacer = strings.NewReplacer(" ", "_", ",", "_", "\n", "_", "\r", "_")
 
 // scalar returns a value that is no list or object in the form of the settings text.
-func scalar(v any) string { return separators.Replace(fmt.Sprint(v)) }
+func scalar(v any) string { return separatorReplacer.Replace(fmt.Sprint(v)) }
--- a/internal/discovery/client.go
+++ b/internal/discovery/client.go
@@ -18,8 +18,8 @@
 // ends and the next begins.
 const maxConnections = 2
 
-// errNotComplete is the error of an answer with changes only where the complete list was asked for.
-var errNotComplete = errors.New("discovery's answer: changes, where the whole list was asked for")
+// errIncompleteList is the error of an answer with changes only where the complete list was asked for.
+var errIncompleteList = errors.New("discovery's answer: changes, where the whole list was asked for")
 
 // Client calls the service that lists endpoints. Make one with NewClient. Its methods may be called by several
 // goroutines.
@@ -89,7 +89,7 @@
 	defer response.Body.Close()
 	list, err := readList(response)
 	if err == nil && after == nil && !list.Complete {
-		err = &MalformedError{errNotComplete}
+		err = &MalformedError{errIncompleteList}
 	}
 	return list, err
 }
--- a/internal/discovery/timing.go
+++ b/internal/discovery/timing.go
@@ -25,19 +25,19 @@
 	// callTimeout is the timeout of a call that does not wait for a change, where lists are polled.
 	callTimeout = time.Duration(balancer.DiscoveryCallTimeout) * time.Microsecond
 
-	// notifiedAfterWait is how long after the end of a call's wait the sidecar counts as notified of what the call missed
+	// notificationDelay is how long after the end of a call's wait the sidecar counts as notified of what the call missed
 	// (protocol page, section Figures). The list must not become older than the settings allow without a watch, so
 	//
-	//	wait + notifiedAfterWait <= PollInterval, as far as minWatchWait allows.
-	notifiedAfterWait = 2 * time.Second
+	//	wait + notificationDelay <= PollInterval, as far as minWatchWait allows.
+	notificationDelay = 2 * time.Second
 
 	// minWatchWait is the shortest wait, whatever the poll interval: discovery serves all sidecars in turn, and shorter
 	// waits would multiply its calls.
 	minWatchWait = time.Second
 
-	// watchWaitJitter is the part of the wait, as a divisor, by which calls are shortened at random, so that sidecars that
+	// watchWaitJitterDivisor is the part of the wait, as a divisor, by which calls are shortened at random, so that sidecars that
 	// started together do not call together.
-	watchWaitJitter = 4
+	watchWaitJitterDivisor = 4
 
 	// watchPause is the pause between an answer and the next call of a watch. It satisfies
 	//
@@ -58,11 +58,11 @@
 	// number for which a failed call stands for a watch (wire page, contract.ask-within).
 	versionResetPolls = 4
 
-	// MovedVersionGrace replaces that time after a reload, which may have moved discovery to another address with a
+	// VersionResetTimeoutAfterReload replaces that time after a reload, which may have moved discovery to another address with a
 	// numbering of its own. It satisfies
 	//
-	//	MovedVersionGrace < NotificationDeadline, so that the moved list is in use by the time that changes in it count.
-	MovedVersionGrace = 3 * time.Second
+	//	VersionResetTimeoutAfterReload < NotificationDeadline, so that the moved list is in use by the time that changes in it count.
+	VersionResetTimeoutAfterReload = 3 * time.Second
 )
 
 // Time limits where lists are pushed to an agent on the machine. The agent's list counts as delivered, so that
@@ -71,28 +71,28 @@
 //
 //	pushedCallTimeout + 1.5 pushedRetryDelay <= 11/16 DrainGrace, for a DrainGrace of 400 ms or more.
 const (
-	pushedCallPart       = 2 // of the drain grace, as a divisor
-	minPushedCallTimeout = 200 * time.Millisecond
-	maxPushedCallTimeout = time.Second
+	pushedCallTimeoutDivisor = 2 // of the drain grace, as a divisor
+	minPushedCallTimeout     = 200 * time.Millisecond
+	maxPushedCallTimeout     = time.Second
 
-	pushedDelayPart     = 8 // of the drain grace, as a divisor
-	minPushedRetryDelay = 50 * time.Millisecond
-	maxPushedRetryDelay = time.Second
+	pushedRetryDelayDivisor = 8 // of the drain grace, as a divisor
+	minPushedRetryDelay     = 50 * time.Millisecond
+	maxPushedRetryDelay     = time.Second
 )
 
 // pushedCallTimeout returns the timeout of a call that does not wait for a change, where lists are pushed.
 func pushedCallTimeout(drainGrace time.Duration) time.Duration {
-	return max(minPushedCallTimeout, min(drainGrace/pushedCallPart, maxPushedCallTimeout))
+	return max(minPushedCallTimeout, min(drainGrace/pushedCallTimeoutDivisor, maxPushedCallTimeout))
 }
 
 // pushedRetryDelay returns the mean pause after a call that failed, where lists are pushed.
 func pushedRetryDelay(drainGrace time.Duration) time.Duration {
-	return max(minPushedRetryDelay, min(drainGrace/pushedDelayPart, maxPushedRetryDelay))
+	return max(minPushedRetryDelay, min(drainGrace/pushedRetryDelayDivisor, maxPushedRetryDelay))
 }
 
 // watchWait returns how long calls of a watch ask discovery to wait for a change, before jitter.
 func watchWait(pollInterval time.Duration) time.Duration {
-	return max(minWatchWait, min(maxWatchWait, pollInterval-notifiedAfterWait))
+	return max(minWatchWait, min(maxWatchWait, pollInterval-notificationDelay))
 }
 
 // Jitter returns a random duration between half of d and one and a half d, so that sidecars do not act in step.
--- a/internal/discovery/timing_test.go
+++ b/internal/discovery/timing_test.go
@@ -10,19 +10,19 @@
 // The time limits keep the inequalities that are stated at them.
 func TestTimeLimitsKeepTheirInequalities(t *testing.T) {
 	deadline := time.Duration(balancer.NotificationDeadline) * time.Microsecond
-	for what, limits := range map[string]struct{ used, allowed time.Duration }{
+	for name, limits := range map[string]struct{ used, allowed time.Duration }{
 		"a silent watch and a call":     {maxWatchWait + WatchGrace + callTimeout, deadline},
 		"two calls":                     {2 * callTimeout, deadline},
 		"the pause of a watch":          {watchPause, 200 * time.Millisecond},
-		"the grace of a moved version":  {MovedVersionGrace, deadline},
+		"the grace of a moved version":  {VersionResetTimeoutAfterReload, deadline},
 		"two calls that were malformed": {2*callTimeout + malformedRetryDelay*3/2 + watchPause, deadline},
 	} {
 		if limits.used >= limits.allowed {
-			t.Errorf("%s: %v is not under %v", what, limits.used, limits.allowed)
+			t.Errorf("%s: %v is not under %v", name, limits.used, limits.allowed)
 		}
 	}
-	for interval := minWatchWait + notifiedAfterWait; interval < time.Minute; interval += 100 * time.Millisecond {
-		if wait := watchWait(interval); wait < minWatchWait || wait > maxWatchWait || wait+notifiedAfterWait > interval {
+	for interval := minWatchWait + notificationDelay; interval < time.Minute; interval += 100 * time.Millisecond {
+		if wait := watchWait(interval); wait < minWatchWait || wait > maxWatchWait || wait+notificationDelay > interval {
 			t.Errorf("a wait of %v at a poll interval of %v", wait, interval)
 		}
 	}
--- a/internal/discovery/watch.go
+++ b/internal/discovery/watch.go
@@ -54,6 +54,6 @@
 		}
 		onList(list)
 		from = Position{After: &list.Version, Newest: list.Version, VersionResetAt: time.Now().Add(c.VersionResetTimeout)}
-		retried, wait = false, c.watchWait-rand.N(c.watchWait/watchWaitJitter)
+		retried, wait = false, c.watchWait-rand.N(c.watchWait/watchWaitJitterDivisor)
 	}
 }
--- a/internal/sidecar/watcher.go
+++ b/internal/sidecar/watcher.go
@@ -85,7 +85,7 @@
 func (w *discoveryWatcher) replaceClient(cfg *config.Config) (old *discovery.Client) {
 	old = w.client
 	w.client = newDiscoveryClient(cfg)
-	w.position.After, w.position.VersionResetAt = nil, time.Now().Add(discovery.MovedVersionGrace)
+	w.position.After, w.position.VersionResetAt = nil, time.Now().Add(discovery.VersionResetTimeoutAfterReload)
 	return old
 }
 
--- a/internal/wire/codes.go
+++ b/internal/wire/codes.go
@@ -2,47 +2,48 @@
 
 import "fmt"
 
-// EventCode numbers the kind of an event record. Events and actions have separate code spaces.
+// EventCode identifies the kind of an event record. The codes of events are independent of those of actions.
 type EventCode uint8
 
-// Codes of events, by the protocol's names.
+// Codes of events. Each constant is named after the protocol's event.
 const (
-	Begin             EventCode = 16 // starts an instance with its settings
-	Membership        EventCode = 17 // names an endpoint list, or says that discovery failed
-	Request           EventCode = 18 // a client's request
-	Headers           EventCode = 19 // an attempt's response headers
-	Answer            EventCode = 20 // the outcome of an attempt
-	CancelledByClient EventCode = 21 // the client withdrew its request
+	Begin             EventCode = 16 // starts an instance and carries its settings
+	Membership        EventCode = 17 // notifies an instance of an endpoint list or of a failed discovery call
+	Request           EventCode = 18 // a client sent a request
+	Headers           EventCode = 19 // the response headers of an attempt arrived
+	Answer            EventCode = 20 // an attempt ended
+	CancelledByClient EventCode = 21 // the client cancelled its request
 	TimeoutFired      EventCode = 22 // a timer fired
-	HealthResult      EventCode = 23 // the outcome of a probe
-	Whisper           EventCode = 24 // a peer's message
-	Stop              EventCode = 25 // ends an instance
-	Manifest          EventCode = 26 // conveys an endpoint list
-	Instance          EventCode = 27 // addresses the following events to an instance
+	HealthResult      EventCode = 23 // a probe ended
+	Whisper           EventCode = 24 // a peer sent a message
+	Stop              EventCode = 25 // stops an instance
+	Manifest          EventCode = 26 // carries an endpoint list, which membership events refer to by number
+	Instance          EventCode = 27 // selects the instance that receives the following events
 )
 
-var eventNames = [...]string{
+var eventCodeNames = [...]string{
 	Begin: "begin", Membership: "membership", Request: "request", Headers: "headers",
 	Answer: "answer", CancelledByClient: "cancelled_by_client", TimeoutFired: "timeout_fired",
 	HealthResult: "health_result", Whisper: "whisper", Stop: "stop", Manifest: "manifest",
 	Instance: "instance",
 }
 
-// Known reports whether the code is one of this version's protocol.
+// Known reports whether this version of the protocol defines the code.
 func (c EventCode) Known() bool { return c >= Begin && c <= Instance }
 
-// String returns the protocol's name of the event.
+// String returns the protocol's name of the event, or "event N" for the unknown code N.
 func (c EventCode) String() string {
 	if c.Known() {
-		return eventNames[c]
+		return eventCodeNames[c]
 	}
 	return fmt.Sprintf("event %d", uint8(c))
 }
 
-// ActionCode numbers the kind of an action record.
+// ActionCode identifies the kind of an action record.
 type ActionCode uint8
 
-// Codes of actions, by the protocol's names. The method of Reply with the same name writes the record.
+// Codes of actions. Each constant is named after the protocol's action. The method of Reply with the same name writes
+// the record and documents its effect.
 const (
 	Deliver   ActionCode = 80
 	Decline   ActionCode = 81
--- a/internal/wire/config_text.go
+++ b/internal/wire/config_text.go
@@ -10,49 +10,50 @@
 	"oakproxy/balancer"
 )
 
-// configText holds the pairs of a settings text and the first error met while reading them. Reading goes on after an
-// error, with the default value, so that the callers need no check after each key.
-type configText struct {
-	values map[string]string
-	err    error
+// settingsText holds the key-value pairs of a settings text and the first error in them. After an error, the methods
+// return default values, so callers need not check for an error after each key.
+type settingsText struct {
+	values map[string]string // values by key
+	err    error             // the first error; nil if there is none
 }
 
-// splitConfigText splits a settings text into its pairs, one a line. Empty lines are skipped.
-func splitConfigText(text string) (*configText, error) {
-	t := &configText{values: map[string]string{}}
+// splitSettingsText splits a settings text into its key-value pairs. Each line has the form key=value; empty lines are
+// skipped.
+func splitSettingsText(text string) (*settingsText, error) {
+	t := &settingsText{values: map[string]string{}}
 	for i, line := range strings.Split(text, "\n") {
 		line = strings.TrimSuffix(line, "\r")
 		if line == "" {
 			continue
 		}
-		key, value, ok := strings.Cut(line, "=")
-		if !ok {
+		key, value, found := strings.Cut(line, "=")
+		if !found {
 			return nil, &balancer.SettingError{Key: fmt.Sprintf("line %d", i+1), Value: line,
-				Reason: "not of the form path=value"}
+				Reason: "not of the form key=value"}
 		}
 		t.values[key] = value
 	}
 	return t, nil
 }
 
-// fail records an error, unless one came before.
-func (t *configText) fail(key, value, reason string) {
+// fail sets the error to a *balancer.SettingError, unless an error is already set.
+func (t *settingsText) fail(key, value, reason string) {
 	if t.err == nil {
 		t.err = &balancer.SettingError{Key: key, Value: value, Reason: reason}
 	}
 }
 
-// require fails if a key is absent.
-func (t *configText) require(key string) {
+// require sets the error if a key is absent.
+func (t *settingsText) require(key string) {
 	if _, ok := t.values[key]; !ok {
 		t.fail(key, "", "is missing")
 	}
 }
 
-// valueOf returns the parsed value of a key, or the default if the key is absent. A value that does not parse fails,
-// with the description of those that would.
-func valueOf[T any](
-	t *configText, key string, defaultValue T, description string, parse func(string) (T, error),
+// parseValue returns the value of a key as parsed by parse, or defaultValue if the key is absent. If parse fails,
+// parseValue sets an error that says which values are valid, taken from description, and returns defaultValue.
+func parseValue[T any](
+	t *settingsText, key string, defaultValue T, description string, parse func(string) (T, error),
 ) T {
 	text, ok := t.values[key]
 	if !ok {
@@ -66,11 +67,11 @@
 	return value
 }
 
-// text returns the value of a key as it stands, or nothing if the key is absent.
-func (t *configText) text(key string) string { return t.values[key] }
+// text returns the value of a key unchanged, or an empty string if the key is absent.
+func (t *settingsText) text(key string) string { return t.values[key] }
 
-func (t *configText) number(key string, defaultValue float64) float64 {
-	return valueOf(t, key, defaultValue, "a finite number", func(text string) (float64, error) {
+func (t *settingsText) number(key string, defaultValue float64) float64 {
+	return parseValue(t, key, defaultValue, "a finite number", func(text string) (float64, error) {
 		value, err := strconv.ParseFloat(text, 64)
 		if err == nil && (math.IsNaN(value) || math.IsInf(value, 0)) {
 			err = strconv.ErrRange
@@ -79,20 +80,21 @@
 	})
 }
 
-func (t *configText) integer(key string, defaultValue int64) int64 {
-	return valueOf(t, key, defaultValue, "a whole number", func(text string) (int64, error) {
+func (t *settingsText) integer(key string, defaultValue int64) int64 {
+	return parseValue(t, key, defaultValue, "a whole number", func(text string) (int64, error) {
 		return strconv.ParseInt(text, 10, 64)
 	})
 }
 
-// flag returns a truth value, which is false if the key is absent.
-func (t *configText) flag(key string) bool {
-	return valueOf(t, key, false, "true or false", strconv.ParseBool)
+// flag returns the boolean value of a key, or false if the key is absent.
+func (t *settingsText) flag(key string) bool {
+	return parseValue(t, key, false, "true or false", strconv.ParseBool)
 }
 
-// enum returns the meaning of a name. A name that is not among meanings fails.
-func enum[T any](t *configText, key string, defaultValue T, meanings map[string]T) T {
-	return valueOf(t, key, defaultValue, "a known word", func(name string) (T, error) {
+// enum returns the entry of meanings whose key is the value of key in t, or defaultValue if the key is absent from t.
+// It sets an error if meanings has no such entry.
+func enum[T any](t *settingsText, key string, defaultValue T, meanings map[string]T) T {
+	return parseValue(t, key, defaultValue, "one of the known values", func(name string) (T, error) {
 		if value, ok := meanings[name]; ok {
 			return value, nil
 		}
@@ -100,8 +102,8 @@
 	})
 }
 
-// items returns the number of comma-separated items of a list of plain values.
-func (t *configText) items(key string) int {
+// itemCount returns the number of items in a comma-separated list, or 0 if the key is absent or its value is empty.
+func (t *settingsText) itemCount(key string) int {
 	text := t.values[key]
 	if text == "" {
 		return 0
@@ -109,31 +111,33 @@
 	return strings.Count(text, ",") + 1
 }
 
-// objects returns the length of a list of objects, which is at most limit. Each object must have a key at least.
-func (t *configText) objects(list string, limit int64) int {
+// objectCount returns the number of objects in a list, which is the value of the key list+".count", or 0 if that key is
+// absent. It sets an error if the number is not between 0 and limit, or if one of the objects has no key in the text.
+func (t *settingsText) objectCount(list string, limit int64) int {
 	key := list + ".count"
 	length := t.integer(key, 0)
 	text := strconv.FormatInt(length, 10)
 	if length < 0 || length > limit {
-		t.fail(key, text, fmt.Sprintf("out of range, 0 to %d", limit))
+		t.fail(key, text, fmt.Sprintf("not in the range 0 to %d", limit))
 		return 0
 	}
-	if i := slices.Index(t.present(list, length), false); i >= 0 {
-		t.fail(key, text, fmt.Sprintf("%s.%d is missing", list, i))
+	if i := slices.Index(t.presentObjects(list, length), false); i >= 0 {
+		t.fail(key, text, fmt.Sprintf("%s.%d has no keys", list, i))
 	}
 	return int(length)
 }
 
-// present returns which objects of a list of this length have a key.
-func (t *configText) present(list string, length int64) []bool {
+// presentObjects reports for each index below length whether the object of the list with that index has at least one
+// key in the text.
+func (t *settingsText) presentObjects(list string, length int64) []bool {
 	present := make([]bool, length)
 	for key := range t.values {
-		path, ok := strings.CutPrefix(key, list+".")
+		rest, ok := strings.CutPrefix(key, list+".")
 		if !ok {
 			continue
 		}
-		number, _, isObject := strings.Cut(path, ".")
-		if i, err := strconv.ParseUint(number, 10, 32); err == nil && isObject && int64(i) < length {
+		index, _, isObject := strings.Cut(rest, ".")
+		if i, err := strconv.ParseUint(index, 10, 32); err == nil && isObject && int64(i) < length {
 			present[i] = true
 		}
 	}
--- a/internal/wire/decoder.go
+++ b/internal/wire/decoder.go
@@ -8,30 +8,33 @@
 	"oakproxy/balancer"
 )
 
-// Decoder reads the records of batches. It caches the numbered endpoint lists, which outlive a batch. A Decoder is for
-// one goroutine.
+// Decoder reads the event records of batches. It caches the endpoint lists of manifest records, which remain valid in
+// later batches. A Decoder must not be used by several goroutines at the same time.
 type Decoder struct {
 	frame        []byte
-	pos          int // in frame, of the next record
-	record       recordReader
+	pos          int          // index in frame of the next record
+	record       recordReader // the current record
 	lists        endpointLists
-	reportBuffer []float32 // backs the load report of the event decoded last
+	reportBuffer []float32 // load report decoded last; its memory is reused
 }
 
-// Reset starts on a frame from ReadFrame and returns its batch number and clock. Events refer to the frame's bytes.
+// Reset starts decoding a frame from ReadFrame and returns the batch number and the current time in the frame's header.
+// Decoded events may refer to the bytes of the frame, so the caller must not overwrite it while it uses them.
 func (d *Decoder) Reset(frame []byte) (batch uint32, now balancer.Micros, err error) {
 	if len(frame) < batchHeaderSize {
-		return 0, 0, headerError(len(frame), "shorter than a header")
+		return 0, 0, batchHeaderError(len(frame), "frame is shorter than a batch header")
 	}
 	if size := int(binary.BigEndian.Uint32(frame[frameSizeOffset:])); size != len(frame) {
-		return 0, 0, headerError(frameSizeOffset, fmt.Sprintf("size %d but %d bytes", size, len(frame)))
+		return 0, 0, batchHeaderError(frameSizeOffset,
+			fmt.Sprintf("frame size is %d in the header, but the frame has %d bytes", size, len(frame)))
 	}
 	d.frame, d.pos = frame, batchHeaderSize
 	return binary.BigEndian.Uint32(frame), balancer.Micros(binary.BigEndian.Uint64(frame[clockOffset:])), nil
 }
 
-// Next decodes one record into e. It returns io.EOF after the last one, and a *FrameError for a malformed one: the
-// frame is then of no more use. A record of an unknown code is returned with its code and offset alone.
+// Next decodes the next record into e. It returns io.EOF after the last record, and a *FrameError if the record is
+// malformed; the rest of the frame cannot be decoded then. For a record with an unknown code, Next sets only e.Code and
+// e.Offset.
 func (d *Decoder) Next(e *Event) error {
 	if d.pos == len(d.frame) {
 		return io.EOF
@@ -45,12 +48,12 @@
 	return d.record.finish()
 }
 
-// nextRecord moves on to the next record and reads its header.
+// nextRecord advances to the next record, reads its header and returns its code.
 func (d *Decoder) nextRecord() (EventCode, error) {
 	d.record = recordReader{name: "record", offset: d.pos}
 	remaining := len(d.frame) - d.pos
 	if remaining < recordHeaderSize {
-		d.record.fail(fmt.Sprintf("a record header needs %d bytes, has %d", recordHeaderSize, remaining))
+		d.record.fail(fmt.Sprintf("a record header needs %d bytes, but the frame has %d left", recordHeaderSize, remaining))
 		return 0, d.record.err
 	}
 	code := EventCode(d.frame[d.pos])
@@ -58,7 +61,7 @@
 	size := int(binary.BigEndian.Uint32(d.frame[d.pos+recordSizeOffset:]))
 	if size > remaining-recordHeaderSize {
 		d.record.pos = recordSizeOffset
-		d.record.fail(fmt.Sprintf("fields of %d bytes overrun the frame, which has %d left",
+		d.record.fail(fmt.Sprintf("fields of %d bytes overrun the frame, which has %d bytes left",
 			size, remaining-recordHeaderSize))
 		return 0, d.record.err
 	}
@@ -68,16 +71,16 @@
 	return code, nil
 }
 
-// decodeFields reads the fields of the current record. It calls the methods directly: were they called through a table
-// of functions, the callers' events would escape to the heap.
+// decodeFields reads the fields of the current record into e. It calls the methods directly, because calls through a
+// table of functions would make the callers' events escape to the heap.
 func (d *Decoder) decodeFields(e *Event) {
 	switch r := &d.record; e.Code {
 	case Begin:
 		r.begin(e)
 	case Manifest:
-		d.lists.manifest(r)
+		d.lists.readManifest(r)
 	case Membership:
-		d.lists.membership(r, e)
+		d.lists.readMembership(r, e)
 	case Request:
 		r.request(&e.Request)
 	case Headers:
--- a/internal/wire/frame.go
+++ b/internal/wire/frame.go
@@ -14,45 +14,45 @@
 	sizeU32 = 4
 	sizeU64 = 8
 
-	batchHeaderSize  = sizeU32 + sizeU32 + sizeU64 // batch number, frame size, clock
+	batchHeaderSize  = sizeU32 + sizeU32 + sizeU64 // batch number, frame size, current time
 	replyHeaderSize  = sizeU32 + sizeU32 + sizeU32 // batch number, frame size, number of records
 	recordHeaderSize = sizeU8 + sizeU32            // code, size of the fields
 )
 
-// Offsets of header fields.
+// Offsets of header fields in bytes from the start of the header.
 const (
-	frameSizeOffset  = 4 // in a batch header and in a reply header
-	clockOffset      = 8 // in a batch header
-	countOffset      = 8 // in a reply header
-	recordSizeOffset = 1 // in a record header
+	frameSizeOffset   = 4 // in a batch header and in a reply header
+	clockOffset       = 8 // in a batch header
+	recordCountOffset = 8 // in a reply header
+	recordSizeOffset  = 1 // in a record header
 )
 
-// Bounds on the memory that a frame may claim, in bytes.
+// Limits on the memory used to read a frame, in bytes.
 const (
 	maxFrameSize      = 1 << 30
 	initialBufferSize = 1 << 16
-	readStep          = 1 << 20 // read at once, so that a size alone claims no memory
+	readChunkSize     = 1 << 20 // most bytes read at once, so that a false frame size alone allocates little memory
 )
 
-// FrameError says which record is malformed and at which byte of its frame.
+// FrameError is the error for malformed input. It says which record is malformed, where and why.
 type FrameError struct {
-	Record string // the protocol's name of the record, or the part of the frame
-	Offset int    // in bytes from the start of the frame
-	Reason string
+	Record string // the protocol's name for the record, or the name of the malformed part of the frame
+	Offset int    // position of the error in bytes from the start of the frame
+	Reason string // what is wrong
 }
 
-// Error names the record, the byte offset and the reason.
+// Error returns a message with the record, the byte offset and the reason.
 func (e *FrameError) Error() string {
 	return fmt.Sprintf("%s at byte %d: %s", e.Record, e.Offset, e.Reason)
 }
 
-func headerError(offset int, reason string) error {
+func batchHeaderError(offset int, reason string) error {
 	return &FrameError{Record: "batch header", Offset: offset, Reason: reason}
 }
 
-// ReadFrame reads the frame of one batch and returns it, in buf or, if buf is too small, in a larger buffer.
-// ReadFrame returns io.EOF only at a clean end of input, and a *FrameError for a frame that is cut off or whose size is
-// out of range.
+// ReadFrame reads the frame of one batch and returns it. The result uses the memory of buf, or a larger buffer if buf
+// is too small. ReadFrame returns io.EOF only if the input ends before the first byte of a frame. It returns a
+// *FrameError for a truncated frame and for a frame whose size is out of range.
 func ReadFrame(r io.Reader, buf []byte) ([]byte, error) {
 	if cap(buf) < batchHeaderSize {
 		buf = make([]byte, initialBufferSize)
@@ -62,28 +62,29 @@
 		if errors.Is(err, io.EOF) {
 			return nil, io.EOF
 		}
-		return nil, headerError(n, "input ends inside it")
+		return nil, batchHeaderError(n, "input ends inside the header")
 	}
 	size := int(binary.BigEndian.Uint32(buf[frameSizeOffset:]))
 	if size < batchHeaderSize || size > maxFrameSize {
-		return nil, headerError(frameSizeOffset, fmt.Sprintf("frame size %d is out of range", size))
+		return nil, batchHeaderError(frameSizeOffset, fmt.Sprintf("frame size of %d bytes is out of range", size))
 	}
 	return readBody(r, buf, size)
 }
 
-// readBody reads what follows the header in buf until the frame has size bytes. The buffer grows as bytes arrive.
+// readBody reads the rest of a frame of size bytes whose header is in buf, and returns the whole frame. The buffer
+// grows as bytes arrive.
 func readBody(r io.Reader, buf []byte, size int) ([]byte, error) {
 	for len(buf) < size {
-		read := len(buf)
-		end := read + min(size-read, readStep)
-		if cap(buf) < end {
-			grown := make([]byte, read, max(end, 2*cap(buf)))
+		filled := len(buf)
+		newLen := filled + min(size-filled, readChunkSize)
+		if cap(buf) < newLen {
+			grown := make([]byte, filled, max(newLen, 2*cap(buf)))
 			copy(grown, buf)
 			buf = grown
 		}
-		buf = buf[:end]
-		if n, err := io.ReadFull(r, buf[read:]); err != nil {
-			return nil, &FrameError{Record: "batch", Offset: read + n,
+		buf = buf[:newLen]
+		if n, err := io.ReadFull(r, buf[filled:]); err != nil {
+			return nil, &FrameError{Record: "batch", Offset: filled + n,
 				Reason: fmt.Sprintf("input ends inside a frame of %d bytes", size)}
 		}
 	}
--- a/internal/wire/frozen_test.go
+++ b/internal/wire/frozen_test.go
@@ -9,14 +9,14 @@
 	"oakproxy/balancer"
 )
 
-// The numbers and names of records are the simulator's.
+// The simulator fixes the codes and names of records, so they must not change.
 func TestCodesMatchProtocol(t *testing.T) {
 	for number, name := range map[uint8]string{
 		16: "begin", 17: "membership", 18: "request", 19: "headers", 20: "answer", 21: "cancelled_by_client",
 		22: "timeout_fired", 23: "health_result", 24: "whisper", 25: "stop", 26: "manifest", 27: "instance",
 	} {
 		if got := EventCode(number).String(); got != name {
-			t.Errorf("event %d is %q, want %q", number, got, name)
+			t.Errorf("event %d: got name %q, want %q", number, got, name)
 		}
 	}
 	var reply Reply
@@ -33,13 +33,14 @@
 		reply.Reset(0)
 		action.write()
 		if got := reply.Bytes()[12]; got != action.code {
-			t.Errorf("an action has the code %d, want %d", got, action.code)
+			t.Errorf("got action code %d, want %d", got, action.code)
 		}
 	}
 }
 
-// Every key of the settings is read as by the release before. The names in testdata/settings.json are those under
-// which a configuration's hash counts a setting: sidecars of both releases must show the same hash.
+// Every settings key has the same meaning as in the previous release. The JSON of the settings, whose expected value is
+// in testdata/settings.json, is the input of a configuration's hash: with the same settings, sidecars of both releases
+// must show the same hash.
 func TestSettingsKeysMatchProtocol(t *testing.T) {
 	text, err := os.ReadFile("testdata/settings.txt")
 	if err != nil {
@@ -58,11 +59,11 @@
 		t.Fatal(err)
 	}
 	if !bytes.Equal(got, bytes.TrimSpace(want)) {
-		t.Errorf("settings are\n%s\nwant\n%s", got, want)
+		t.Errorf("got settings\n%s\nwant\n%s", got, want)
 	}
 }
 
-// The status codes are the simulator's.
+// The simulator fixes the status codes, so they must not change.
 func TestStatusesMatchProtocol(t *testing.T) {
 	for code, want := range map[uint16]balancer.Status{
 		200: balancer.OK, 500: balancer.EndpointError, 503: balancer.Rejected, 504: balancer.Timeout,
@@ -70,7 +71,7 @@
 	} {
 		r := recordReader{data: []byte{byte(code >> 8), byte(code)}}
 		if got := r.status(); got != want || r.err != nil {
-			t.Errorf("status %d is %v (%v), want %v", code, got, r.err, want)
+			t.Errorf("status %d: got %v, error %v; want %v and no error", code, got, r.err, want)
 		}
 	}
 }
--- a/internal/wire/lists.go
+++ b/internal/wire/lists.go
@@ -6,29 +6,31 @@
 	"oakproxy/balancer"
 )
 
-// maxLists bounds the numbers of endpoint lists, which count from 0.
+// maxLists is the number of endpoint lists that can be cached. Lists are numbered from 0 to maxLists-1.
 const maxLists = 16
 
-// Size of an entry of a manifest record in bytes: endpoint ID (4), zone (1), kind of machine (1), cell (2), state (1),
-// weight (4), start time (8).
+// manifestEntrySize is the size in bytes of one entry of a manifest record. Its fields, with their sizes, are: endpoint
+// ID (4), zone (1), machine kind (1), cell (2), state (1), weight (4), start time (8).
 const manifestEntrySize = sizeU32 + sizeU8 + sizeU8 + sizeU16 + sizeU8 + sizeU32 + sizeU64
 
-// endpointLists caches the endpoint lists of manifest records by number. A list belongs to no instance and stands until
-// a later manifest replaces it, which may be in the same batch: numbers are resolved in the order of events.
+// endpointLists caches the endpoint lists of manifest records by list number. All instances share the lists. A list
+// remains valid until a later manifest record with the same number replaces it. That may happen within one batch, so a
+// membership record refers to the list that was cached when the record is decoded.
 type endpointLists struct {
 	lists    [maxLists][]balancer.Endpoint
-	conveyed [maxLists]bool
+	received [maxLists]bool // whether a manifest record with this number has been decoded
 }
 
-// manifest reads a list and caches it under its number: 5 list number (1), 6 number of entries (4), 10 entries.
-func (l *endpointLists) manifest(r *recordReader) {
+// readManifest reads the fields of a manifest record and caches its list: 5 list number (1), 6 number of entries (4),
+// 10 entries. The numbers are offsets in bytes from the start of the record, with sizes in parentheses.
+func (l *endpointLists) readManifest(r *recordReader) {
 	number := r.u8()
 	if number >= maxLists {
-		r.failBack(sizeU8, fmt.Sprintf("list number %d is over %d", number, maxLists-1))
+		r.failAtLastField(sizeU8, fmt.Sprintf("list number %d is greater than the limit of %d", number, maxLists-1))
 	}
 	count := int(r.u32())
 	if count*manifestEntrySize > r.remaining() {
-		r.failBack(sizeU32, fmt.Sprintf("%d entries overrun the record", count))
+		r.failAtLastField(sizeU32, fmt.Sprintf("%d entries do not fit in the record", count))
 	}
 	if r.err != nil {
 		return
@@ -37,13 +39,13 @@
 	for i := 0; i < count && r.err == nil; i++ {
 		list = append(list, r.manifestEntry())
 	}
-	l.lists[number], l.conveyed[number] = list, true
+	l.lists[number], l.received[number] = list, true
 }
 
 func (r *recordReader) manifestEntry() balancer.Endpoint {
 	var e balancer.Endpoint
 	e.ID = r.u32()
-	e.Name = uint64(e.ID) // every instance knows an endpoint by the same ID
+	e.Name = uint64(e.ID) // all instances use the same ID for an endpoint
 	e.Zone = r.u8()
 	e.MachineKind = r.u8()
 	e.Cell = r.u16()
@@ -57,7 +59,7 @@
 	code := r.u8()
 	state, known := endpointStates.find(code)
 	if !known {
-		r.failBack(sizeU8, fmt.Sprintf("unknown endpoint status %d", code))
+		r.failAtLastField(sizeU8, fmt.Sprintf("unknown endpoint status %d", code))
 	}
 	return state
 }
@@ -66,22 +68,24 @@
 	code := r.u8()
 	update, known := listUpdates.find(code)
 	if !known {
-		r.failBack(sizeU8, fmt.Sprintf("unknown kind %d", code))
+		r.failAtLastField(sizeU8, fmt.Sprintf("unknown kind %d of list update", code))
 	}
 	return update
 }
 
-// membership reads which list an instance is notified of, and looks it up: 5 version (4), 9 list number (1),
-// 10 kind (1). A failed call of discovery comes without a list.
-func (l *endpointLists) membership(r *recordReader, e *Event) {
-	r.u32() // the list's version, which no decision reads
+// readMembership reads the fields of a membership record, which notifies an instance of an endpoint list, and looks the
+// list up: 5 version (4), 9 list number (1), 10 kind (1). The numbers are offsets in bytes from the start of the
+// record, with sizes in parentheses. The list number is ignored if the kind is balancer.ListFailed: a failed discovery
+// call yields no list.
+func (l *endpointLists) readMembership(r *recordReader, e *Event) {
+	r.u32() // the version of the list, which the balancer does not use
 	number := r.u8()
 	e.Update, e.Endpoints = r.listUpdate(), nil
 	if r.err != nil || e.Update == balancer.ListFailed {
 		return
 	}
-	if number >= maxLists || !l.conveyed[number] {
-		r.failBack(sizeU8+sizeU8, fmt.Sprintf("list number %d has not been conveyed", number))
+	if number >= maxLists || !l.received[number] {
+		r.failAtLastField(sizeU8+sizeU8, fmt.Sprintf("list number %d has not been received in a manifest record", number))
 		return
 	}
 	e.Endpoints = l.lists[number]
--- a/internal/wire/record.go
+++ b/internal/wire/record.go
@@ -8,38 +8,41 @@
 	"oakproxy/balancer"
 )
 
-// recordReader reads the fields of one record in order. After the first error all reads return zero values, so that a
-// record is decoded without a check after each field.
+// recordReader reads the fields of one record in order. After the first error, all reads return zero values, so callers
+// need not check for an error after each field.
 type recordReader struct {
-	name   string // for errors
-	offset int    // of the record in its frame
-	data   []byte // the record, its header included
-	pos    int    // in data, of the next byte to read
-	err    error  // the first one
+	name   string // name of the record for error messages
+	offset int    // offset of the record in bytes from the start of its frame
+	data   []byte // the record including its header
+	pos    int    // index in data of the next byte to read
+	err    error  // the first error; nil if there is none
 }
 
-// remaining returns the number of bytes that are not read yet.
+// remaining returns the number of bytes that have not been read yet.
 func (r *recordReader) remaining() int { return len(r.data) - r.pos }
 
-// fail records a malformed record at the next byte to read, unless an error came before.
-func (r *recordReader) fail(reason string) { r.failBack(0, reason) }
+// fail sets err to a *FrameError at the next byte to read, unless err is already set.
+func (r *recordReader) fail(reason string) { r.failAtLastField(0, reason) }
 
-// failBack is fail for a field of size bytes that has just been read.
-func (r *recordReader) failBack(size int, reason string) {
+// failAtLastField is like fail, but reports the error at the start of the field that was read last, which has size
+// bytes.
+func (r *recordReader) failAtLastField(size int, reason string) {
 	if r.err == nil {
 		r.err = &FrameError{Record: r.name, Offset: r.offset + r.pos - size, Reason: reason}
 	}
 }
 
-// finish returns the first error of the record; bytes that no field accounts for are one.
+// finish must be called after all fields have been read. It returns the first error of the record; unread bytes at the
+// end of the record are an error.
 func (r *recordReader) finish() error {
 	if r.err == nil && r.remaining() > 0 {
-		r.fail(fmt.Sprintf("%d bytes too many", r.remaining()))
+		r.fail(fmt.Sprintf("%d bytes too many after the last field", r.remaining()))
 	}
 	return r.err
 }
 
-// bytes returns the next n bytes, which stay part of the frame, or nil after an error.
+// bytes returns the next n bytes without copying them from the frame. It returns nil if the record has an error or
+// fewer than n bytes remain, which is an error.
 func (r *recordReader) bytes(n int) []byte {
 	if r.err != nil {
 		return nil
@@ -83,22 +86,23 @@
 
 func (r *recordReader) f32() float32 { return math.Float32frombits(r.u32()) }
 
-// micros reads a duration of 4 bytes.
+// micros reads a duration in microseconds that is encoded in 4 bytes.
 func (r *recordReader) micros() balancer.Micros { return balancer.Micros(r.u32()) }
 
-// status reads how an attempt or a probe ended; an unknown status is no success.
+// status reads the result of an attempt or a probe. An unknown code is an error and yields balancer.EndpointError, so
+// that it never looks like success.
 func (r *recordReader) status() balancer.Status {
 	code := r.u16()
 	status, known := statuses.find(code)
 	if !known {
-		r.failBack(sizeU16, fmt.Sprintf("unknown status %d", code))
+		r.failAtLastField(sizeU16, fmt.Sprintf("unknown status %d", code))
 		return balancer.EndpointError
 	}
 	return status
 }
 
-// loadReport reads a count of one byte and as many floating-point numbers. They overwrite buffer, or a larger one if it
-// is too small.
+// loadReport reads a load report: the number of values in one byte, followed by the values as floating-point numbers.
+// It stores the values in buffer, or in a larger slice if buffer is too small.
 func (r *recordReader) loadReport(buffer []float32) []float32 {
 	values := r.bytes(sizeU32 * int(r.u8()))
 	report := buffer[:0]
--- a/internal/wire/reply.go
+++ b/internal/wire/reply.go
@@ -7,129 +7,131 @@
 	"oakproxy/balancer"
 )
 
-// AllPeers addresses WritePeer to every peer.
+// AllPeers is the peer number with which WritePeer sends a message to all peers.
 const AllPeers uint32 = math.MaxUint32
 
-// Bounds on the variable parts of records, in bytes. What is longer is cut off.
+// Limits on the variable-length fields of records, in bytes. Longer values are truncated.
 const (
 	maxPeerMessageSize = 256
 	maxTextSize        = math.MaxUint16
 )
 
-// Reply builds the reply to one batch: Reset, then a method per action, then Bytes. It reuses its buffer. A Reply is
-// for one goroutine.
+// Reply builds the reply to one batch: call Reset, then one method for each action, then Bytes. It reuses its buffer. A
+// Reply must not be used by several goroutines at the same time.
 type Reply struct {
-	buf   []byte
-	count uint32 // of records
+	buf         []byte // the frame
+	recordCount uint32 // number of records since Reset
 }
 
-// Reset starts the reply to a batch.
+// Reset discards the previous reply and starts the reply to the batch with the given number.
 func (r *Reply) Reset(batch uint32) {
-	var header [replyHeaderSize]byte // Bytes sets the size and the count
+	var header [replyHeaderSize]byte // Bytes fills in the frame size and the number of records
 	binary.BigEndian.PutUint32(header[:], batch)
 	r.buf = append(r.buf[:0], header[:]...)
-	r.count = 0
+	r.recordCount = 0
 }
 
-// Bytes completes the frame and returns it. It is valid until the next call of Reset.
+// Bytes completes the frame and returns it. The frame is valid until the next call of Reset.
 func (r *Reply) Bytes() []byte {
 	binary.BigEndian.PutUint32(r.buf[frameSizeOffset:], uint32(len(r.buf)))
-	binary.BigEndian.PutUint32(r.buf[countOffset:], r.count)
+	binary.BigEndian.PutUint32(r.buf[recordCountOffset:], r.recordCount)
 	return r.buf
 }
 
-// As says which instance takes the following actions.
+// As selects the instance that performs the following actions.
 func (r *Reply) As(instance uint32) {
-	r.record(As, sizeU32)
+	r.recordHeader(As, sizeU32)
 	r.u32(instance)
 }
 
-// Deliver starts an attempt of a request. A timeout of 0 leaves it the time until the request's deadline.
+// Deliver sends a request to an endpoint as a new attempt. The attempt fails after timeout; a timeout of 0 lets it run
+// until the request's deadline.
 func (r *Reply) Deliver(id uint64, endpoint uint32, timeout balancer.Micros) {
-	r.record(Deliver, sizeU64+sizeU32+sizeU32)
+	r.recordHeader(Deliver, sizeU64+sizeU32+sizeU32)
 	r.u64(id)
 	r.u32(endpoint)
 	r.micros(timeout)
 }
 
-// Decline rejects a request: a retry is harmless. A retryAfter of 0 gives no advice on when to retry.
+// Decline rejects a request that had no effect, so that the client can retry it safely. retryAfter is the delay after
+// which the client should retry; 0 means that no delay is suggested.
 func (r *Reply) Decline(id uint64, retryAfter balancer.Micros) {
-	r.record(Decline, sizeU64+sizeU32)
+	r.recordHeader(Decline, sizeU64+sizeU32)
 	r.u64(id)
 	r.micros(retryAfter)
 }
 
-// Fail ends a request with a failure, which promises nothing about its effect.
+// Fail ends a request with a failure. The client cannot tell whether the request had an effect.
 func (r *Reply) Fail(id uint64) {
-	r.record(Fail, sizeU64)
+	r.recordHeader(Fail, sizeU64)
 	r.u64(id)
 }
 
-// Revoke cancels an attempt; the attempts of a request count from 0.
+// Revoke cancels an attempt of a request. The attempts of a request are numbered from 0.
 func (r *Reply) Revoke(id uint64, attempt int) {
-	r.record(Revoke, sizeU64+sizeU16)
+	r.recordHeader(Revoke, sizeU64+sizeU16)
 	r.u64(id)
 	r.u16(uint16(attempt))
 }
 
-// Arm starts a timer that fires after delay and returns the token.
+// Arm starts a timer that fires after delay. The resulting timeout_fired event carries token.
 func (r *Reply) Arm(delay balancer.Micros, token uint32) {
-	r.record(Arm, sizeU32+sizeU32)
+	r.recordHeader(Arm, sizeU32+sizeU32)
 	r.micros(delay)
 	r.u32(token)
 }
 
-// SoundOut probes an endpoint for its load.
+// SoundOut sends a probe to an endpoint to ask for its load report.
 func (r *Reply) SoundOut(endpoint uint32) {
-	r.record(SoundOut, sizeU32)
+	r.recordHeader(SoundOut, sizeU32)
 	r.u32(endpoint)
 }
 
 // LetGo closes the idle connections to an endpoint.
 func (r *Reply) LetGo(endpoint uint32) {
-	r.record(LetGo, sizeU32)
+	r.recordHeader(LetGo, sizeU32)
 	r.u32(endpoint)
 }
 
-// WritePeer sends a message to a peer, or to AllPeers. Bytes beyond 256 are cut off.
+// WritePeer sends a message to a peer, or to all peers if peer is AllPeers. A message over 256 bytes is truncated.
 func (r *Reply) WritePeer(peer uint32, message []byte) {
 	message = message[:min(len(message), maxPeerMessageSize)]
-	r.record(WritePeer, sizeU32+sizeU16+len(message))
+	r.recordHeader(WritePeer, sizeU32+sizeU16+len(message))
 	r.u32(peer)
 	r.u16(uint16(len(message)))
 	r.buf = append(r.buf, message...)
 }
 
-// Trace adds a line to the simulation's report. Bytes beyond 65535 are cut off.
+// Trace adds a line to the simulation's report. A line over 65535 bytes is truncated.
 func (r *Reply) Trace(line string) { r.text(Trace, line) }
 
-// Exception reports that the decision code has failed, which ends the simulation. Bytes beyond 65535 are cut off.
+// Exception reports a failure of the balancer's code, which ends the simulation. A line over 65535 bytes is truncated.
 func (r *Reply) Exception(line string) { r.text(Exception, line) }
 
-// Track subscribes to changes of the endpoint list, or ends that.
+// Track subscribes to changes of the endpoint list, or ends the subscription if subscribe is false.
 func (r *Reply) Track(subscribe bool) {
 	var flag byte
 	if subscribe {
 		flag = 1
 	}
-	r.record(Track, sizeU8)
+	r.recordHeader(Track, sizeU8)
 	r.buf = append(r.buf, flag)
 }
 
-// ListAll polls discovery for the complete endpoint list.
-func (r *Reply) ListAll() { r.record(ListAll, 0) }
+// ListAll asks discovery for the complete endpoint list.
+func (r *Reply) ListAll() { r.recordHeader(ListAll, 0) }
 
-// record writes a record's header; size bytes of fields must follow.
-func (r *Reply) record(code ActionCode, size int) {
-	r.count++
+// recordHeader appends the header of a record. The caller must append size bytes of fields.
+func (r *Reply) recordHeader(code ActionCode, size int) {
+	r.recordCount++
 	r.buf = append(r.buf, byte(code))
 	r.u32(uint32(size))
 }
 
-// text writes a record with one text, preceded by its length.
+// text appends a record whose only field is a text, which is preceded by its size in 2 bytes.
 func (r *Reply) text(code ActionCode, line string) {
 	line = line[:min(len(line), maxTextSize)]
-	r.record(code, sizeU16+len(line))
+	r.recordHeader(code, sizeU16+len(line))
 	r.u16(uint16(len(line)))
 	r.buf = append(r.buf, line...)
 }
@@ -138,5 +140,6 @@
 func (r *Reply) u32(v uint32) { r.buf = binary.BigEndian.AppendUint32(r.buf, v) }
 func (r *Reply) u64(v uint64) { r.buf = binary.BigEndian.AppendUint64(r.buf, v) }
 
-// micros writes a duration in 4 bytes. One that is out of range becomes the nearest that is not.
+// micros appends a duration in 4 bytes. A negative duration becomes 0, and one that is too long becomes the longest
+// duration that 4 bytes can hold.
 func (r *Reply) micros(v balancer.Micros) { r.u32(uint32(min(max(v, 0), math.MaxUint32))) }
--- a/internal/wire/settings.go
+++ b/internal/wire/settings.go
@@ -8,15 +8,16 @@
 	"oakproxy/balancer"
 )
 
-// Bounds on the lists of objects: a request record names its class and its tenant by a number of this size.
+// Limits on the lengths of the lists of classes and tenants. A request record identifies its class by an index of 8
+// bits and its tenant by an index of 16 bits.
 const (
 	maxClasses = math.MaxUint8 + 1
 	maxTenants = math.MaxUint16 + 1
 )
 
-const defaultPollInterval balancer.Micros = 10_000_000
+const defaultPollInterval balancer.Micros = 10_000_000 // 10 s, used if contract.ask-within is absent
 
-// Meanings of the protocol's names in values.
+// Meanings of the names that settings have as values.
 var (
 	reportFields = map[string]balancer.ReportField{
 		"busy_reqs": balancer.FieldInFlight, "pending": balancer.FieldQueue, "cpu_share": balancer.FieldUtilization,
@@ -28,16 +29,19 @@
 	deduplicationScopes = map[string]balancer.DeduplicationScope{
 		"all": balancer.ScopeAll, "zone": balancer.ScopeZone, "cell": balancer.ScopeCell,
 	}
-	reportingModes = map[string]bool{"answers": true, "probe": true, "none": false} // whether there are load reports
-	discoveryModes = map[string]bool{"automatic": false, "subscribe": true}         // whether to subscribe
-	weightModes    = map[string]bool{"request": false, "work": true}                // whether to weight by work
+	// reportingModes says whether endpoints send load reports.
+	reportingModes = map[string]bool{"answers": true, "probe": true, "none": false}
+	// discoveryModes says whether the balancer itself polls and watches discovery. Otherwise, lists are pushed to it.
+	discoveryModes = map[string]bool{"automatic": false, "subscribe": true}
+	// weightModes says whether requests are weighted by their work.
+	weightModes = map[string]bool{"request": false, "work": true}
 )
 
-// ParseSettings reads the settings text of a begin record. Keys that it does not know are skipped. Times are in
-// microseconds. Errors are *balancer.SettingError and name the key on the wire; whether the values make sense together
-// is for Settings.Validate to say.
+// ParseSettings parses the settings text of a begin record. It ignores unknown keys. Times are in microseconds. An
+// error is a *balancer.SettingError that names the key in the text. ParseSettings does not check whether values are in
+// range or consistent with each other; Settings.Validate does.
 func ParseSettings(text string) (balancer.Settings, error) {
-	t, err := splitConfigText(text)
+	t, err := splitSettingsText(text)
 	if err != nil {
 		return balancer.Settings{}, err
 	}
@@ -45,8 +49,8 @@
 		Balancers:            int(t.integer("peers-total", 1)),
 		Index:                int(t.integer("position", 0)),
 		Zone:                 int(t.integer("zone", 0)),
-		Zones:                t.items("areas"),
-		MachineKinds:         t.items("skus"),
+		Zones:                t.itemCount("areas"),
+		MachineKinds:         t.itemCount("skus"),
 		SubscribeToDiscovery: enum(t, "discovery", false, discoveryModes),
 		Tick:                 t.integer("tick", 0),
 		Limits:               t.limits(),
@@ -63,7 +67,7 @@
 	return s, t.err
 }
 
-func (t *configText) limits() balancer.Limits {
+func (t *settingsText) limits() balancer.Limits {
 	return balancer.Limits{
 		CancelAttempts:  t.flag("limits.cancel"),
 		Probes:          t.flag("limits.probes"),
@@ -77,7 +81,7 @@
 	}
 }
 
-func (t *configText) contract() balancer.Contract {
+func (t *settingsText) contract() balancer.Contract {
 	return balancer.Contract{
 		DrainGrace:               t.integer("contract.drain-grace", 0),
 		SlowStartInitialFraction: t.number("contract.cold-from", 1),
@@ -89,7 +93,7 @@
 	}
 }
 
-func (t *configText) prices() balancer.Prices {
+func (t *settingsText) prices() balancer.Prices {
 	return balancer.Prices{
 		CrossZone:     t.number("prices.cross-zone", 0),
 		Probe:         t.number("prices.probe", 0),
@@ -98,7 +102,7 @@
 	}
 }
 
-func (t *configText) goal() balancer.Goal {
+func (t *settingsText) goal() balancer.Goal {
 	return balancer.Goal{
 		Overall:     t.number("goal.whole", 1),
 		WorstWindow: t.number("goal.worst-window", 0),
@@ -107,12 +111,12 @@
 	}
 }
 
-// reportFields returns the fields of load reports, or nil where there are no reports. An unknown name stands for
-// balancer.FieldUnknown, so that the others keep their places.
-func (t *configText) reportFields() []balancer.ReportField {
-	reported := enum(t, "reporting.how", false, reportingModes)
+// reportFields returns the fields of load reports in their order, or nil if endpoints send no load reports. An unknown
+// name becomes balancer.FieldUnknown, so that the fields after it keep their positions.
+func (t *settingsText) reportFields() []balancer.ReportField {
+	enabled := enum(t, "reporting.how", false, reportingModes)
 	names := t.text("reporting.fields")
-	if !reported || names == "" {
+	if !enabled || names == "" {
 		return nil
 	}
 	var fields []balancer.ReportField
@@ -122,16 +126,16 @@
 	return fields
 }
 
-func (t *configText) classes() []balancer.Class {
+func (t *settingsText) classes() []balancer.Class {
 	t.require("classes.count")
 	var classes []balancer.Class
-	for i := range t.objects("classes", maxClasses) {
+	for i := range t.objectCount("classes", maxClasses) {
 		classes = append(classes, t.class(fmt.Sprintf("classes.%d.", i)))
 	}
 	return classes
 }
 
-func (t *configText) class(prefix string) balancer.Class {
+func (t *settingsText) class(prefix string) balancer.Class {
 	t.require(prefix + "target")
 	t.require(prefix + "give-up")
 	t.require(prefix + "repeat")
@@ -148,9 +152,9 @@
 	}
 }
 
-func (t *configText) tenants() []balancer.Tenant {
+func (t *settingsText) tenants() []balancer.Tenant {
 	var tenants []balancer.Tenant
-	for i := range t.objects("tenants", maxTenants) {
+	for i := range t.objectCount("tenants", maxTenants) {
 		prefix := fmt.Sprintf("tenants.%d.", i)
 		tenants = append(tenants, balancer.Tenant{
 			Name:          t.text(prefix + "name"),
--- a/internal/wire/settings_test.go
+++ b/internal/wire/settings_test.go
@@ -45,26 +45,27 @@
 		s.Classes[1].DeduplicationScope != balancer.ScopeZone || s.Classes[1].DeduplicationWindow != 400000 ||
 		!s.SubscribeToDiscovery || !s.WeightByWork || s.Zones != 2 || s.Limits.MaxAttempts != 3 ||
 		s.Goal.Overall != 0.6 || s.Tenants[0].QuotaRate != 137 || s.Prices.Probe != 0.002 {
-		t.Errorf("%+v", s)
+		t.Errorf("got settings %+v, want the values of validSettings", s)
 	}
 	if len(s.ReportFields) != 3 || s.ReportFields[0] != balancer.FieldInFlight ||
 		s.ReportFields[2] != balancer.FieldUnknown {
-		t.Errorf("fields %v", s.ReportFields)
+		t.Errorf("got report fields %v, want 3 that start with FieldInFlight and end with FieldUnknown", s.ReportFields)
 	}
 	if _, err := balancer.New(s, 1, nil); err != nil {
-		t.Errorf("the constructor rejects them: %v", err)
+		t.Errorf("balancer.New rejects the settings: %v", err)
 	}
 }
 
 func TestParseSettingsWithoutLoadReports(t *testing.T) {
 	s, err := ParseSettings(strings.Replace(validSettings, "how=probe", "how=none", 1))
 	if err != nil || s.ReportFields != nil {
-		t.Errorf("fields %v, error %v", s.ReportFields, err)
+		t.Errorf("got report fields %v, error %v; want neither", s.ReportFields, err)
 	}
 }
 
-// Lists are at most as long as the numbers allow by which requests name their items.
-func TestParseSettingsLimitsLists(t *testing.T) {
+// The lists of tenants and classes are at most as long as the indexes in a request record allow. Lists of the maximum
+// length are accepted, and longer ones are rejected.
+func TestParseSettingsBoundsListLengths(t *testing.T) {
 	const tenants, classes, sidecars = 1 << 16, 1 << 8, 1 << 16
 	var text strings.Builder
 	fmt.Fprintf(&text, "peers-total=%d\nposition=%d\n", sidecars, sidecars-1)
@@ -82,17 +83,18 @@
 	}
 	if len(s.Tenants) != tenants || s.Tenants[tenants-1].Name != "t65535" || len(s.Classes) != classes ||
 		s.Classes[classes-1].Name != "c255" || s.Balancers != sidecars || s.Index != sidecars-1 {
-		t.Errorf("%d tenants, %d classes, %d sidecars", len(s.Tenants), len(s.Classes), s.Balancers)
+		t.Errorf("got %d tenants, %d classes, %d sidecars, index %d; want %d, %d, %d, %d, and the last names t65535 and c255",
+			len(s.Tenants), len(s.Classes), s.Balancers, s.Index, tenants, classes, sidecars, sidecars-1)
 	}
 	if _, err := balancer.New(s, 1, nil); err != nil {
-		t.Errorf("the constructor rejects them: %v", err)
+		t.Errorf("balancer.New rejects the settings: %v", err)
 	}
 	for list, limit := range map[string]int{"tenants": tenants, "classes": classes} {
-		count, beyond := fmt.Sprintf("%s.count=%d", list, limit), fmt.Sprintf("%s.count=%d", list, limit+1)
+		atLimit, overLimit := fmt.Sprintf("%s.count=%d", list, limit), fmt.Sprintf("%s.count=%d", list, limit+1)
 		var invalid *balancer.SettingError
-		_, err := ParseSettings(strings.Replace(text.String(), count, beyond, 1))
+		_, err := ParseSettings(strings.Replace(text.String(), atLimit, overLimit, 1))
 		if !errors.As(err, &invalid) || invalid.Key != list+".count" {
-			t.Errorf("%d %s: %v", limit+1, list, err)
+			t.Errorf("%d %s: got error %v, want one for the key %s.count", limit+1, list, err, list)
 		}
 	}
 }
@@ -114,19 +116,19 @@
 			_, err := ParseSettings(strings.Replace(validSettings, test.old, test.new, 1))
 			var invalid *balancer.SettingError
 			if !errors.As(err, &invalid) || invalid.Key != test.key {
-				t.Error(err)
+				t.Errorf("got error %v, want a *balancer.SettingError for the key %s", err, test.key)
 			}
 		})
 	}
 }
 
-// Values that parse but make no sense are left to the balancer's constructor to reject.
-func TestParseSettingsLeavesMeaningToTheBalancer(t *testing.T) {
+// ParseSettings accepts well-formed values that are out of range; the balancer's constructor rejects them.
+func TestParseSettingsLeavesRangeChecksToBalancer(t *testing.T) {
 	s, err := ParseSettings(strings.Replace(validSettings, "window=400000", "window=-1", 1))
 	if err != nil {
 		t.Fatal(err)
 	}
 	if _, err = balancer.New(s, 1, nil); err == nil || !strings.Contains(err.Error(), "Window=-1") {
-		t.Errorf("negative window: %v", err)
+		t.Errorf("negative window: got error %v, want one with Window=-1", err)
 	}
 }
--- a/internal/wire/tables.go
+++ b/internal/wire/tables.go
@@ -2,14 +2,14 @@
 
 import "oakproxy/balancer"
 
-// codeTable maps codes of the protocol to their meanings. The tables are short and the most frequent codes come first,
-// so that a search in order serves better than a map.
+// codeTable maps codes of the protocol to their meanings. The tables are short and list the most frequent codes first,
+// so a linear search is faster than a map lookup.
 type codeTable[Code comparable, Meaning any] []struct {
 	code    Code
 	meaning Meaning
 }
 
-// find returns the meaning of a code, and whether the code is known.
+// find returns the meaning of a code. known is false if the table does not contain the code.
 func (t codeTable[Code, Meaning]) find(code Code) (meaning Meaning, known bool) {
 	for i := range t {
 		if t[i].code == code {
@@ -19,7 +19,8 @@
 	return meaning, false
 }
 
-// statuses are the ways an attempt or a probe ends. The codes resemble those of HTTP but are the protocol's own.
+// statuses lists the results of an attempt or a probe. The codes resemble HTTP status codes, but the protocol defines
+// them.
 var statuses = codeTable[uint16, balancer.Status]{
 	{200, balancer.OK},
 	{500, balancer.EndpointError},
@@ -31,14 +32,14 @@
 	{410, balancer.NotSent},
 }
 
-// endpointStates are the states of an entry of an endpoint list.
+// endpointStates lists the states of an entry in an endpoint list.
 var endpointStates = codeTable[uint8, balancer.EndpointState]{
 	{0, balancer.Ready},
 	{1, balancer.Draining},
 	{3, balancer.Removed},
 }
 
-// listUpdates are the kinds of a membership record.
+// listUpdates lists the kinds of membership records.
 var listUpdates = codeTable[uint8, balancer.ListUpdate]{
 	{0, balancer.ListDelta},
 	{2, balancer.ListFailed},
