--- a/cmd/simhost/helpers_test.go
+++ b/cmd/simhost/helpers_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// Codes of the protocol.
+// Codes of events and actions in the protocol.
 const (
 	codeBegin        = 16
 	codeMembership   = 17
@@ -24,13 +24,14 @@
 	codeAs        = 92
 )
 
-// Values of fields.
+// Values of record fields.
 const (
-	listCached          = 3   // the kind of a membership record
-	statusEndpointError = 500 // of an answer record
-	noFinalAnswer       = 0   // of an answer record: the request has no final answer yet
+	listCached          = 3   // kind of a membership record
+	statusEndpointError = 500 // status in an answer record
+	noFinalAnswer       = 0   // in an answer record: the request has no final answer yet
 )
 
+// Sizes of headers in bytes.
 const (
 	batchHeaderSize  = 16
 	replyHeaderSize  = 12
@@ -50,7 +51,7 @@
 reporting.how=probe
 `
 
-// record returns a record of fixed-size values and strings.
+// record returns a record with the given code and fields, which are fixed-size values and strings.
 func record(code byte, fields ...any) []byte {
 	var body bytes.Buffer
 	for _, field := range fields {
@@ -99,30 +100,32 @@
 
 func timeoutFired(token uint32) []byte { return record(codeTimeoutFired, token) }
 
-// runBatches runs the command on batches until the end of input.
+// runBatches runs the command with batches as its input and returns its output and error.
 func runBatches(batches ...[]byte) (replies, stderr string, err error) {
 	var out, log bytes.Buffer
 	err = run(bytes.NewReader(bytes.Join(batches, nil)), &out, &log)
 	return out.String(), log.String(), err
 }
 
-// readReply checks the sizes in a reply, and returns its batch number and the codes of its records.
+// readReply checks the frame size and the number of records in a reply, and returns its batch number and the codes of
+// its records.
 func readReply(t *testing.T, reply []byte) (number uint32, codes []byte) {
 	t.Helper()
 	if int(binary.BigEndian.Uint32(reply[4:])) != len(reply) {
-		t.Fatalf("reply of %d bytes says %d", len(reply), binary.BigEndian.Uint32(reply[4:]))
+		t.Fatalf("got a reply of %d bytes, want %d as in its header", len(reply), binary.BigEndian.Uint32(reply[4:]))
 	}
 	for offset := replyHeaderSize; offset < len(reply); {
 		codes = append(codes, reply[offset])
 		offset += recordHeaderSize + int(binary.BigEndian.Uint32(reply[offset+1:]))
 	}
 	if int(binary.BigEndian.Uint32(reply[8:])) != len(codes) {
-		t.Fatalf("%d records, header says %d", len(codes), binary.BigEndian.Uint32(reply[8:]))
+		t.Fatalf("got a reply of %d records, want %d as in its header", len(codes), binary.BigEndian.Uint32(reply[8:]))
 	}
 	return binary.BigEndian.Uint32(reply), codes
 }
 
-// countRecords returns how often each record occurs in a run of replies.
+// countRecords returns the number of occurrences of each record in a sequence of replies. The keys are the bytes of the
+// records.
 func countRecords(replies string) map[string]int {
 	counts := map[string]int{}
 	for remaining := []byte(replies); len(remaining) > 0; {
--- a/cmd/simhost/host.go
+++ b/cmd/simhost/host.go
@@ -9,12 +9,12 @@
 	"oakproxy/internal/wire"
 )
 
-// host runs the instances of one process.
+// host runs the balancer instances of one process.
 type host struct {
 	decoder         wire.Decoder
 	reply           wire.Reply
-	instances       map[uint32]*instance
-	reportedUnknown [256]bool // by event code: reported once each
+	instances       map[uint32]*instance // by instance number
+	reportedUnknown [256]bool            // by event code: whether an unknown event was reported
 	stderr          io.Writer
 }
 
@@ -22,13 +22,15 @@
 	return &host{instances: map[uint32]*instance{}, stderr: stderr}
 }
 
-// instanceTarget is the instance that the events of a batch are for; none until an instance record names one.
+// instanceTarget identifies the instance that receives the events of a batch. Each batch starts without one; an
+// instance record selects it.
 type instanceTarget struct {
-	number   uint32
-	selected bool
+	number   uint32 // number of the instance; valid if selected is true
+	selected bool   // whether the batch had an instance record yet
 }
 
-// handleBatch passes the events of a batch to their instances, and returns the reply. It is valid until the next call.
+// handleBatch passes the events of a batch to their instances, and returns the reply. The reply is valid until the next
+// call of handleBatch.
 func (h *host) handleBatch(frame []byte) (reply []byte, err error) {
 	batch, now, err := h.decoder.Reset(frame)
 	if err != nil {
@@ -53,7 +55,7 @@
 
 func (h *host) handleEvent(now balancer.Micros, event *wire.Event, target *instanceTarget) error {
 	switch {
-	case event.Code == wire.Manifest: // the decoder has cached the list
+	case event.Code == wire.Manifest: // nothing to do: the decoder caches the list
 		return nil
 	case event.Code == wire.Instance:
 		*target = instanceTarget{number: event.Instance, selected: true}
@@ -71,10 +73,11 @@
 	return nil
 }
 
-// instanceFor returns the instance that an event is for. A begin event creates it at its first start.
+// instanceFor returns the instance that receives an event. It creates the instance if the event is the first begin
+// event for its number.
 func (h *host) instanceFor(event *wire.Event, target instanceTarget) (*instance, error) {
 	if !target.selected {
-		return nil, eventError(event, "comes before any instance")
+		return nil, eventError(event, "comes before the first instance record of the batch")
 	}
 	inst := h.instances[target.number]
 	if inst == nil {
@@ -87,13 +90,13 @@
 	return inst, nil
 }
 
-// reportUnknown reports an event that this version does not know, once per code.
+// reportUnknown writes a message about an event with an unknown code to standard error, once for each code.
 func (h *host) reportUnknown(event *wire.Event) {
 	if h.reportedUnknown[event.Code] {
 		return
 	}
 	h.reportedUnknown[event.Code] = true
-	fmt.Fprintf(h.stderr, "simhost: %v at byte %d: unknown code, skipped\n", event.Code, event.Offset)
+	fmt.Fprintf(h.stderr, "simhost: %v at byte %d: unknown event code, skipped\n", event.Code, event.Offset)
 }
 
 func eventError(event *wire.Event, reason string) error {
--- a/cmd/simhost/instance.go
+++ b/cmd/simhost/instance.go
@@ -7,16 +7,17 @@
 	"oakproxy/internal/wire"
 )
 
-// instance is one balancer and the Actions given to it, which write to the host's reply. An instance that has stopped
-// or failed ignores events until it begins anew.
+// instance runs one balancer. It implements balancer.Actions by writing records to the host's reply. An instance that
+// has stopped or failed ignores all events except a begin event, which starts it again.
 type instance struct {
-	reply    *wire.Reply
-	balancer *balancer.Balancer // nil once stopped or failed
+	reply    *wire.Reply        // the host's reply to the current batch
+	balancer *balancer.Balancer // nil after the instance has stopped or failed
 }
 
 var _ balancer.Actions = (*instance)(nil)
 
-// handle passes an event to the balancer. A panic becomes an exception on the wire.
+// handle passes an event to the balancer. If the balancer panics, handle writes an exception record and the instance
+// has failed.
 func (i *instance) handle(now balancer.Micros, event *wire.Event) {
 	defer func() {
 		if p := recover(); p != nil {
@@ -34,7 +35,8 @@
 	}
 }
 
-// begin starts a new balancer, which replaces one that runs. Bad settings become an exception on the wire.
+// begin starts a new balancer, which replaces the previous one. If the settings are invalid, begin writes an exception
+// record.
 func (i *instance) begin(now balancer.Micros, event *wire.Event) {
 	i.balancer = nil
 	settings, err := wire.ParseSettings(event.SettingsText)
@@ -48,7 +50,8 @@
 	i.balancer.Start(now)
 }
 
-// dispatch calls the balancer's handler of an event. Peers' messages have none.
+// dispatch calls the balancer's method for an event. The balancer has no method for whisper events, so dispatch ignores
+// them.
 func (i *instance) dispatch(now balancer.Micros, event *wire.Event) {
 	switch event.Code {
 	case wire.Membership:
@@ -68,8 +71,8 @@
 	}
 }
 
-// Send writes a deliver record. The simulator's rules go by the instant of the record, so the latest time to connect is
-// not passed on: the attempt has the time until the client's deadline.
+// Send writes a deliver record. In the simulator, an attempt starts at the time of the record, so Send ignores the
+// latest time to connect. The attempt may take until the client's deadline.
 func (i *instance) Send(id uint64, endpoint uint32, _ balancer.Micros) {
 	i.reply.Deliver(id, endpoint, 0)
 }
--- a/cmd/simhost/main.go
+++ b/cmd/simhost/main.go
@@ -1,9 +1,10 @@
-// Command simhost runs balancers behind the simulator's wire: it reads batches of events on standard input and writes
-// one reply to each on standard output.
+// Command simhost runs balancers for the simulator: it reads batches of events from standard input and writes one reply
+// to each batch to standard output, in the binary protocol of package wire.
 //
-// One process hosts any number of balancer instances. They share nothing but the buffers of the wire, so that their
-// decisions do not depend on how the simulator spreads them over processes. A malformed frame ends the process, since
-// nothing after it can be trusted. Bad settings and a panic are reported on the wire and end their instance alone.
+// One process hosts any number of balancer instances. They share only the decoder, with its cache of endpoint lists,
+// and the reply buffer, so their decisions do not depend on how the simulator distributes them over processes. A
+// malformed frame ends the process, because the input after it cannot be decoded reliably. Invalid settings and panics
+// are reported in an exception record and end only the instance concerned.
 package main
 
 import (
@@ -17,9 +18,10 @@
 	"oakproxy/internal/wire"
 )
 
-const inputBufferSize = 1 << 18 // bytes
+const inputBufferSize = 1 << 18 // in bytes
 
-// gcPercent makes collections rare: in the steady state nothing is allocated.
+// gcPercent is the target percentage of the garbage collector (GOGC). The high value makes collections rare, because in
+// the steady state nothing is allocated.
 const gcPercent = 400
 
 func main() {
@@ -30,7 +32,8 @@
 	}
 }
 
-// run replies to the batches on in until its end. Each reply is one write, and none comes for a malformed batch.
+// run reads batches from in until the input ends and writes a reply to each batch to out, with one call of Write. It
+// returns an error, without a reply, at the first malformed batch. Reports of unknown events are written to stderr.
 func run(in io.Reader, out, stderr io.Writer) error {
 	h := newHost(stderr)
 	var frame []byte
@@ -48,7 +51,7 @@
 			return err
 		}
 		if _, err := out.Write(reply); err != nil {
-			return fmt.Errorf("standard output: %w", err)
+			return fmt.Errorf("write the reply to standard output: %w", err)
 		}
 	}
 }
--- a/cmd/simhost/main_test.go
+++ b/cmd/simhost/main_test.go
@@ -13,7 +13,7 @@
 func TestEmptyBatchHasAnEmptyReply(t *testing.T) {
 	out, _, err := runBatches(batch(1, 100))
 	if err != nil || out != "\x00\x00\x00\x01\x00\x00\x00\x0c\x00\x00\x00\x00" {
-		t.Errorf("%x %v", out, err)
+		t.Errorf("got reply %x, error %v; want batch number 1, size 12, no records and no error", out, err)
 	}
 }
 
@@ -21,11 +21,12 @@
 	out, stderr, err := runBatches(batch(7, 1000, instanceRecord(3), begin(validSettings),
 		manifest(0, 11, 12), membership(0, listCached), request(5, 500_000)))
 	if err != nil || stderr != "" {
-		t.Fatal(stderr, err)
+		t.Fatalf("got standard error %q, error %v; want neither", stderr, err)
 	}
 	number, codes := readReply(t, []byte(out))
 	if number != 7 || codes[0] != codeAs || bytes.Count(codes, []byte{codeDeliver}) != 1 {
-		t.Errorf("number %d, codes %v", number, codes)
+		t.Errorf("got batch %d, action codes %v; want batch 7, first code %d and one code %d",
+			number, codes, codeAs, codeDeliver)
 	}
 }
 
@@ -43,7 +44,8 @@
 	_, codes := readReply(t, []byte(out)[firstReplySize:])
 	if bytes.Count(codes, []byte{codeDeliver}) != 1 || bytes.IndexByte(codes, codeDecline) >= 0 ||
 		bytes.IndexByte(codes, codeFail) >= 0 {
-		t.Errorf("the restarted instance knows a request from before: %v", codes)
+		t.Errorf("got action codes %v, want one deliver (%d) and no decline or fail: requests from before are dropped",
+			codes, codeDeliver)
 	}
 }
 
@@ -68,7 +70,7 @@
 	together, _, _ := runBatches(makeBatches(1, 2)...)
 	again, _, _ := runBatches(makeBatches(1, 2)...)
 	if together != again {
-		t.Fatal("two runs differ")
+		t.Fatal("got different replies in two runs with the same input, want the same replies")
 	}
 	alone := ""
 	for _, i := range []uint32{1, 2} {
@@ -77,11 +79,13 @@
 	}
 	togetherCounts, aloneCounts := countRecords(together), countRecords(alone)
 	if len(togetherCounts) != len(aloneCounts) {
-		t.Fatalf("%d different records together, %d alone", len(togetherCounts), len(aloneCounts))
+		t.Fatalf("got %d different records from both instances in one process, want %d as from two processes",
+			len(togetherCounts), len(aloneCounts))
 	}
 	for record, count := range togetherCounts {
 		if aloneCounts[record] != count {
-			t.Errorf("record %x: %d together, %d alone", record, count, aloneCounts[record])
+			t.Errorf("record %x: got it %d times in one process, want %d as in two processes",
+				record, count, aloneCounts[record])
 		}
 	}
 }
@@ -101,10 +105,10 @@
 		t.Run(test.name, func(t *testing.T) {
 			out, _, err := runBatches(valid, test.input)
 			if err == nil || !strings.Contains(err.Error(), test.want) || strings.Contains(err.Error(), "\n") {
-				t.Error(err)
+				t.Errorf("got error %v, want one line with %q", err, test.want)
 			}
 			if number, _ := readReply(t, []byte(out)); number != 1 {
-				t.Error("something was written for the malformed batch")
+				t.Errorf("got a reply to batch %d, want only that to batch 1", number)
 			}
 		})
 	}
@@ -114,7 +118,7 @@
 	_, stderr, err := runBatches(batch(1, 1000,
 		record(99, uint32(1)), record(99), instanceRecord(3), begin(validSettings)))
 	if err != nil || strings.Count(stderr, "\n") != 1 || !strings.Contains(stderr, "event 99") {
-		t.Errorf("%q %v", stderr, err)
+		t.Errorf("got standard error %q, error %v; want one line about event 99 and no error", stderr, err)
 	}
 }
 
@@ -128,7 +132,7 @@
 			t.Fatal(err)
 		}
 		if _, codes := readReply(t, []byte(out)); codes[len(codes)-1] != codeException {
-			t.Errorf("codes %v", codes)
+			t.Errorf("got action codes %v, want %d last", codes, codeException)
 		}
 	}
 }
@@ -136,10 +140,11 @@
 func TestPanicIsReportedAsExceptionAndEndsInstance(t *testing.T) {
 	var reply wire.Reply
 	reply.Reset(1)
-	i := &instance{reply: &reply, balancer: new(balancer.Balancer)} // panics on events, for want of settings
+	i := &instance{reply: &reply, balancer: new(balancer.Balancer)} // panics on events, because it has no settings
 	i.handle(1000, &wire.Event{Code: wire.Request})
 	i.handle(1000, &wire.Event{Code: wire.Request})
 	if _, codes := readReply(t, reply.Bytes()); !bytes.Equal(codes, []byte{codeException}) || i.balancer != nil {
-		t.Errorf("codes %v", codes)
+		t.Errorf("got action codes %v, balancer %p; want one exception (%d) and no balancer",
+			codes, i.balancer, codeException)
 	}
 }
