--- a/internal/config/compare.go
+++ b/internal/config/compare.go
@@ -11,12 +11,12 @@
 	"oakproxy/balancer"
 )
 
-// HashBytes is the length of a configuration's hash in bytes. Its text has twice as many characters.
+// HashBytes is the length of a configuration's hash in bytes. Its hexadecimal text has twice as many characters.
 const HashBytes = 6
 
-// fleetSettings is the part of a configuration that a running sidecar can put into force and that does not tell the
-// sidecars of one fleet apart. Hash is of its JSON: the keys and their order must not change, since sidecars of two
-// versions compare their hashes during a release.
+// fleetSettings is the part of a configuration that all sidecars of one fleet share and that a running sidecar can
+// change without a restart. Hash is computed from its JSON. The keys and their order must not change, because the
+// hashes of sidecars of two versions are compared during a release.
 type fleetSettings struct {
 	Settings     balancer.Settings `json:"Settings"`
 	Sockets      int               `json:"Sockets"`
@@ -31,32 +31,33 @@
 		ReportFields: c.ReportFields, IdleTimeout: c.IdleTimeout}
 }
 
-// Hash returns a short hash, in hexadecimal, of the settings that hold for the whole fleet. Sidecars that show the same
-// one have the same settings, however their files are written.
+// Hash returns a short hash, in hexadecimal, of the settings that all sidecars of the fleet share. Sidecars with the
+// same hash have the same settings, regardless of the format of their files.
 func (c *Config) Hash() string {
 	fleet := c.fleetSettings()
-	fleet.Settings.Zone, fleet.Settings.Index = 0, 0 // a sidecar's own
+	fleet.Settings.Zone, fleet.Settings.Index = 0, 0 // differ between the sidecars of a fleet
 	fleet.Zones, fleet.MachineKinds = slices.Sorted(slices.Values(c.Zones)), slices.Sorted(slices.Values(c.MachineKinds))
 	text, err := json.Marshal(fleet)
 	if err != nil {
-		return "none: " + err.Error() // for a number that is not finite, which no file can hold
+		return "none: " + err.Error() // only for NaN or an infinite number, which no configuration file can contain
 	}
 	sum := sha256.Sum256(text)
 	return hex.EncodeToString(sum[:HashBytes])
 }
 
-// Equal reports whether a sidecar that runs by c would change nothing by next. Keys that need a restart do not count.
+// Equal reports whether a reload from c to next changes nothing. It ignores the keys that can change only by a restart.
 func (c *Config) Equal(next *Config) bool {
 	return c.DiscoveryAddress == next.DiscoveryAddress && reflect.DeepEqual(c.fleetSettings(), next.fleetSettings())
 }
 
-// RestartKeys returns the keys of the file that differ in next and cannot change in a running process.
+// RestartKeys returns the keys of the file whose values in next differ from c and can change only by a restart.
 func (c *Config) RestartKeys(next *Config) (keys []string) {
 	for _, k := range [...]struct {
 		key  string
 		same bool
 	}{
-		{"name", c.Name == next.Name}, {"listen", c.ListenAddress == next.ListenAddress}, {"admin_addr", c.AdminAddress == next.AdminAddress},
+		{"name", c.Name == next.Name}, {"listen", c.ListenAddress == next.ListenAddress},
+		{"admin_addr", c.AdminAddress == next.AdminAddress},
 		{"seed", c.Seed == next.Seed}, {"limits.memory_mb", c.Limits.MemoryMB == next.Limits.MemoryMB},
 	} {
 		if !k.same {
@@ -66,7 +67,7 @@
 	return keys
 }
 
-// ChangedParts returns the names of the parts of c that differ in next, for the log.
+// ChangedParts returns the names of the parts of the configuration that differ between c and next, for the log.
 func (c *Config) ChangedParts(next *Config) (parts []string) {
 	before, after := &c.Settings, &next.Settings
 	for _, p := range [...]struct {
@@ -88,8 +89,8 @@
 	return parts
 }
 
-// ChangesDiscovery reports whether next makes a new watch of discovery necessary: it is at another address, polled at
-// another interval, or its entries have another meaning.
+// ChangesDiscovery reports whether a reload from c to next requires a new watch of discovery. That is the case if the
+// address, the mode or the poll interval of discovery changes, or if the same entries are interpreted differently.
 func (c *Config) ChangesDiscovery(next *Config) bool {
 	before, after := &c.Settings, &next.Settings
 	return c.DiscoveryAddress != next.DiscoveryAddress || before.SubscribeToDiscovery != after.SubscribeToDiscovery ||
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -12,52 +12,53 @@
 	"oakproxy/internal/system"
 )
 
-// Config is the configuration of a sidecar: what its file and environment say, and the host that it runs on. Make one
-// with Load or Parse. It does not change once it is made.
+// Config is the configuration of a sidecar: the contents of its file, the environment variables, and the resources of
+// the process that it may use. Load and Parse create one. A Config must not be changed after that.
 type Config struct {
-	Name             string            // of the sidecar, the same after a restart
-	ListenAddress    string            // host:port for clients
+	Name             string            // name of the sidecar, which is the same after a restart
+	ListenAddress    string            // host:port at which the sidecar listens for clients
 	DiscoveryAddress string            // host:port of the service that lists endpoints
-	AdminAddress     string            // host:port of the admin interface; empty: none
-	InheritedSocket  string            // the number of an inherited listening socket's descriptor; empty: none
-	Seed             uint64            // of random numbers
-	Limits           Limits            // granted by the platform
-	Settings         balancer.Settings // of the balancer
-	Host             Host              // what the sidecar may use of its process
+	AdminAddress     string            // host:port of the admin interface; empty if there is none
+	InheritedSocket  string            // descriptor of an inherited listening socket, in decimal; empty if there is none
+	Seed             uint64            // seed of the random number generators
+	Limits           Limits            // resources that the platform grants the sidecar
+	Settings         balancer.Settings // settings of the balancer
+	Host             Host              // resources of the process that the sidecar may use
 
-	KnownEndpoints discovery.List // the last endpoint list, which may be old
-	Zones          []string       // names, by the numbers that the balancer uses
-	MachineKinds   []string       // names, by the numbers that the balancer uses
-	ReportFields   []string       // of a load report, in the order of Settings.Fields
-	IdleTimeout    time.Duration  // after which an endpoint may close a connection
+	KnownEndpoints discovery.List // endpoint list to use until discovery answers; it may be outdated
+	Zones          []string       // names of zones; the index is the number that the balancer uses
+	MachineKinds   []string       // names of machine kinds; the index is the number that the balancer uses
+	ReportFields   []string       // names of the fields of a load report, in the order of Settings.ReportFields
+	IdleTimeout    time.Duration  // time after which an endpoint may close an idle connection
 
-	// DiscoveryWait is how long discovery may hold a call until there is a change; 0: as Settings has it.
+	// DiscoveryWait is how long a call asks discovery to wait for a change. If it is 0, the time is derived from
+	// Settings.Contract.PollInterval.
 	DiscoveryWait time.Duration
 
-	// DiscoveryDial connects to discovery; nil: the network's dialer.
+	// DiscoveryDial connects to discovery. If it is nil, the standard dialer is used.
 	DiscoveryDial func(ctx context.Context, network, address string) (net.Conn, error)
 
-	// Err is why the configuration could not be read again (see ReloadOnSignal). Nothing else is set then.
+	// Err is the error of a failed reload (see ReloadOnSignal). If it is not nil, no other field is set.
 	Err error
 }
 
-// Limits is what the platform grants a sidecar.
+// Limits are the resources that the platform grants a sidecar.
 type Limits struct {
-	MemoryMB int `json:"memory_mb"` // in MiB; over it the platform kills the sidecar
-	Sockets  int `json:"sockets"`   // file descriptors
+	MemoryMB int `json:"memory_mb"` // memory in MiB; the platform kills a sidecar that uses more
+	Sockets  int `json:"sockets"`   // number of file descriptors
 }
 
-// InheritedSocketVariable is the environment variable with the number of the clients' listening socket's descriptor. It
-// is set where the platform holds that socket and every process of the sidecar inherits it.
+// InheritedSocketVariable is the environment variable with the file descriptor of the listening socket for clients. It
+// is set if the platform keeps that socket open and every process of the sidecar inherits it.
 const InheritedSocketVariable = "BALANCER_PASSED_SOCKET"
 
-// adminAddressVariable is the environment variable that overrides the admin address of the file. It may differ between the
-// processes of one sidecar, which share a file.
+// adminAddressVariable is the environment variable that overrides the admin address of the file. It may differ between
+// the processes of one sidecar, which share a file.
 const adminAddressVariable = "BALANCER_ADMIN_ADDR"
 
-// Load reads a configuration file and applies the environment to it. A file that cannot be opened for a passing cause
-// is tried for up to system.StartTimeout. The error is an fs.PathError, or names the key at fault; that of an address
-// from BALANCER_ADMIN_ADDR is the file's admin_addr.
+// Load reads a configuration file and applies the environment variables to it. If the file cannot be read for a
+// transient reason, Load retries for up to system.StartTimeout. The error is an *fs.PathError, or it names the invalid
+// key. For an invalid address in BALANCER_ADMIN_ADDR, that key is admin_addr, as for an address in the file.
 func Load(path string) (*Config, error) {
 	var data []byte
 	err := system.RetryAtStart(context.Background(), func() (err error) {
@@ -65,7 +66,7 @@
 		return err
 	})
 	if err != nil {
-		return nil, err // an fs.PathError, which names the file
+		return nil, err // an *fs.PathError, which names the file
 	}
 	cfg, err := Parse(data)
 	if err != nil {
@@ -82,7 +83,7 @@
 	return cfg, nil
 }
 
-// CheckAdminAddress returns an error unless address is host:port, or empty for no admin interface.
+// CheckAdminAddress returns an error unless address has the form host:port or is empty, which means no admin interface.
 func CheckAdminAddress(address string) error {
 	if address == "" {
 		return nil
@@ -90,10 +91,10 @@
 	return checkHostPort("admin_addr", address)
 }
 
-// checkHostPort returns an error that names key unless address is host:port.
+// checkHostPort returns an error that names key unless address has the form host:port.
 func checkHostPort(key, address string) error {
 	if _, _, err := net.SplitHostPort(address); err != nil {
-		return fmt.Errorf("%s: %q is not host:port", key, address)
+		return fmt.Errorf("%s: %q does not have the form host:port", key, address)
 	}
 	return nil
 }
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -10,7 +10,7 @@
 	"oakproxy/internal/sidecartest"
 )
 
-// A configuration that is not valid is rejected by an error of one line that names the key at fault.
+// An invalid configuration is rejected with an error of one line that names the invalid key.
 func TestInvalidConfigurationNamesTheKey(t *testing.T) {
 	valid := `{"name":"n3","listen":"127.0.0.1:1","discovery":"127.0.0.1:2","seed":"8c1f30d27a5be964",` +
 		`"limits":{"cores":1.0,"memory_mb":192,"sockets":1024},` +
@@ -21,7 +21,7 @@
 	} else if cfg.Settings.Limits.MaxRetryAfter != 1_500_000 || len(cfg.Settings.Classes) != 4 ||
 		cfg.Settings.Classes[1].Idempotency != balancer.IdempotentWithKey || len(cfg.Settings.ReportFields) != 2 ||
 		!cfg.Settings.SubscribeToDiscovery {
-		t.Errorf("settings %+v", cfg.Settings)
+		t.Errorf("got settings %+v, want those of sidecartest.SettingsText", cfg.Settings)
 	}
 	for _, test := range []struct{ old, new, key string }{
 		{`"listen":"127.0.0.1:1"`, `"listen":"here"`, "listen"},
@@ -51,20 +51,20 @@
 		}
 		_, err := Parse([]byte(invalid))
 		if err == nil || !strings.Contains(err.Error(), test.key) || strings.Contains(err.Error(), "\n") {
-			t.Errorf("%s: error %v, want one line with %q", test.new, err, test.key)
+			t.Errorf("%s: got error %v, want one line with %q", test.new, err, test.key)
 		}
 	}
 	path := filepath.Join(t.TempDir(), "config.json")
 	if _, err := Load(path); err == nil {
-		t.Error("a missing file is no error")
+		t.Error("missing file: got no error, want one")
 	}
 	os.WriteFile(path, []byte(valid[:100]), 0o600)
 	if _, err := Load(path); err == nil {
-		t.Error("a truncated file is no error")
+		t.Error("truncated file: got no error, want one")
 	}
 }
 
-// A settings object is written in the form of the simulator's first message.
+// flatten writes a settings object as settings text, the format of the simulator's first message.
 func TestFlattenWritesSettingsText(t *testing.T) {
 	var out strings.Builder
 	flatten(&out, "", map[string]any{"a": map[string]any{"b": []any{
--- a/internal/config/doc.go
+++ b/internal/config/doc.go
@@ -1,17 +1,17 @@
-// Package config reads the configuration of a sidecar from its file and the environment, compares two configurations,
-// and numbers the one in force.
+// Package config reads the configuration of a sidecar from its file and the environment, compares configurations, and
+// counts the generations of the configuration in force.
 //
-// The file's form is that of the deployment and protocol pages: addresses, limits and the endpoints known at the
-// start beside the settings object, which is the one that an instance of the simulator is given. Settings are parsed
-// by package wire, as the simulator's adapter does.
+// The deployment and protocol pages describe the format of the file. It contains addresses, limits, the endpoints known
+// at the start, and the settings object, which contains the same settings that the simulator sends to its instances.
+// Package wire parses the settings, both here and in the simulator's adapter, cmd/simhost.
 //
 // These invariants hold:
 //
 //   - A Config and a Snapshot do not change once they are made, so goroutines may read them without a lock.
-//   - Within a process, a zone or machine kind keeps its number through every Merge.
-//   - Sidecars with the same settings show the same Hash, apart from what tells the sidecars of one fleet apart, and
-//     however their files are written. The hash is of JSON whose keys are pinned by tags.
+//   - Within a process, Merge never changes the number of a zone or machine kind.
+//   - Sidecars with the same settings have the same Hash. The format of their files does not matter, nor do the
+//     settings that distinguish the sidecars of one fleet. The hash is computed from JSON whose keys are fixed by
+//     struct tags.
 //
-// The package opens no sockets and makes no balancing decisions. Putting a configuration into force is its caller's
-// job.
+// The package opens no sockets and makes no balancing decisions. The caller puts a configuration into force.
 package config
--- a/internal/config/host.go
+++ b/internal/config/host.go
@@ -7,17 +7,17 @@
 	"oakproxy/internal/system"
 )
 
-// Host is what a sidecar may use of the process that it runs in. The zero Host is for a sidecar that shares its process
-// with others: it stores no files, and does not change the memory limit of the process.
+// Host describes the resources of its process that a sidecar may use. The zero Host is for a sidecar that shares its
+// process with others: the sidecar stores no files and does not change the memory limit of the process.
 type Host struct {
-	Directory   string            // of the files that the processes of one sidecar share; empty: it stores none
-	LimitMemory func(bytes int64) // sets the memory limit of the process; nil: the limit is not the sidecar's to set
+	Directory   string            // directory of the files that the processes of one sidecar share; empty to store none
+	LimitMemory func(bytes int64) // sets the memory limit of the process; nil if the sidecar must not set it
 
-	Files system.FileOps // the zero value uses the system's; tests inject faults
-	Time  system.Clock   // the zero value uses the system's; tests step it
+	Files system.FileOps // file operations; the zero value uses the operating system, tests inject faults
+	Time  system.Clock   // clock; the zero value uses the system clock, tests change its time
 }
 
-// OwnProcessHost returns the host of a sidecar that has its process to itself.
+// OwnProcessHost returns the Host of a sidecar that is alone in its process.
 func OwnProcessHost() Host {
 	return Host{Directory: os.TempDir(), LimitMemory: func(bytes int64) { debug.SetMemoryLimit(bytes) }}
 }
--- a/internal/config/merge.go
+++ b/internal/config/merge.go
@@ -2,12 +2,13 @@
 
 import "slices"
 
-// UnknownIndex is the number of a zone or machine kind that the settings do not list. It is the largest of a uint8, so
-// smaller numbers are left for names.
+// UnknownIndex is the number of every zone or machine kind that the settings do not list. It is the largest uint8;
+// names in the settings have the numbers below it.
 const UnknownIndex = 255
 
-// Merge returns the configuration of a sidecar that runs by c once it has put next into force. Keys that need a restart
-// keep their values. Zones and machine kinds keep their numbers, and those that only next lists follow.
+// Merge returns the configuration in force after a reload from c to next. Keys that can change only by a restart keep
+// their values in c. Zones and machine kinds in c keep their numbers; those that only next lists get the numbers after
+// them.
 func (c *Config) Merge(next *Config) *Config {
 	merged := *c
 	merged.DiscoveryAddress, merged.Limits.Sockets = next.DiscoveryAddress, next.Limits.Sockets
@@ -20,8 +21,9 @@
 	return &merged
 }
 
-// appendNewNames returns names with those of next that they lack, up to UnknownIndex of them. A name's index is the
-// number by which the balancer knows it, so no index may change its name while a process runs.
+// appendNewNames returns names, followed by the elements of next that are not in names. The result is limited to
+// UnknownIndex elements. The balancer identifies a name by its index, so the index of a name must not change while the
+// process runs.
 func appendNewNames(names, next []string) []string {
 	all := slices.Clone(names)
 	for _, name := range next {
@@ -32,7 +34,8 @@
 	return all
 }
 
-// NameIndex returns the number of a zone or machine kind in names, or UnknownIndex if it is not among them.
+// NameIndex returns the index of name in names, which are the zones or machine kinds, or UnknownIndex if it is not
+// there.
 func NameIndex(names []string, name string) uint8 {
 	if i := slices.Index(names, name); i >= 0 && i < UnknownIndex {
 		return uint8(i)
--- a/internal/config/parse.go
+++ b/internal/config/parse.go
@@ -13,14 +13,14 @@
 	"oakproxy/internal/wire"
 )
 
-// minSockets is the least number of file descriptors with which a sidecar can serve: its own files and listeners, and
-// connections to some clients, endpoints and discovery.
+// minSockets is the smallest number of file descriptors with which a sidecar can work. It needs them for its own files
+// and listeners, and for connections to some clients, some endpoints and discovery.
 const minSockets = 64
 
-// errMissing is the error of a key that has to be there.
+// errMissing is the error for a required key that is absent.
 var errMissing = errors.New("is missing")
 
-// configFile is the form of a configuration file.
+// configFile is the JSON structure of a configuration file.
 type configFile struct {
 	Name      string          `json:"name"`
 	Listen    string          `json:"listen"`
@@ -28,12 +28,12 @@
 	Admin     string          `json:"admin_addr"`
 	Seed      string          `json:"seed"` // hexadecimal
 	Limits    Limits          `json:"limits"`
-	Known     json.RawMessage `json:"known"`    // a discovery.List
+	Known     json.RawMessage `json:"known"`    // JSON of a discovery.List
 	Settings  json.RawMessage `json:"settings"` // see parseSettings
 }
 
-// Parse reads the text of a configuration file. The environment is not read, and Host is the zero one. An error names
-// the key at fault.
+// Parse parses the contents of a configuration file. It does not read environment variables and leaves Host at its zero
+// value. An error names the invalid key.
 func Parse(data []byte) (*Config, error) {
 	var file configFile
 	if err := json.Unmarshal(data, &file); err != nil {
@@ -47,7 +47,7 @@
 	}
 	seed, err := strconv.ParseUint(file.Seed, 16, 64)
 	if err != nil {
-		return nil, fmt.Errorf("seed: %q is not a hexadecimal number of 64 bits", file.Seed)
+		return nil, fmt.Errorf("seed: %q is not a hexadecimal number of at most 64 bits", file.Seed)
 	}
 	if err := file.Limits.validate(); err != nil {
 		return nil, err
@@ -70,13 +70,13 @@
 		return fmt.Errorf("limits.memory_mb: %d is not positive", l.MemoryMB)
 	}
 	if l.Sockets < minSockets {
-		return fmt.Errorf("limits.sockets: %d is under %d", l.Sockets, minSockets)
+		return fmt.Errorf("limits.sockets: %d is less than the minimum of %d", l.Sockets, minSockets)
 	}
 	return nil
 }
 
-// sidecarSettings are the settings that only a sidecar with real sockets reads. The balancer knows zones, kinds and
-// report fields by numbers, and has no connections that idle.
+// sidecarSettings are the parts of the settings object that only a sidecar with real sockets needs. The balancer
+// identifies zones, machine kinds and report fields by numbers instead of names, and has no idle connections.
 type sidecarSettings struct {
 	Zones        []string `json:"areas"`
 	MachineKinds []string `json:"skus"`
@@ -88,8 +88,8 @@
 	} `json:"reporting"`
 }
 
-// parseSettings reads the settings object: the balancer's part by the parser that the simulator's adapter uses, and
-// what only real sockets need.
+// parseSettings parses the settings object into c. It parses the balancer's settings with the parser that the
+// simulator's adapter uses, and then the settings that only a sidecar with real sockets needs.
 func (c *Config) parseSettings(raw json.RawMessage) error {
 	if len(raw) == 0 {
 		return errMissing
@@ -116,10 +116,10 @@
 	return nil
 }
 
-// parseBalancerSettings returns the valid settings of the balancer in a settings object.
+// parseBalancerSettings parses and validates the balancer's settings in a settings object.
 func parseBalancerSettings(raw json.RawMessage) (balancer.Settings, error) {
 	decoder := json.NewDecoder(bytes.NewReader(raw))
-	decoder.UseNumber() // keeps the text: 5000000 must not become 5e+06
+	decoder.UseNumber() // keeps the text of numbers: 5000000 must not become 5e+06
 	tree := map[string]any{}
 	if err := decoder.Decode(&tree); err != nil {
 		return balancer.Settings{}, err
@@ -133,20 +133,20 @@
 	return settings, settings.Validate()
 }
 
-// checkUniqueNames returns an error if two classes or two tenants have the same name. Requests and saved estimates
-// refer to them by name.
+// checkUniqueNames returns an error if two classes or two tenants have the same name. Names must be unique, because
+// requests and saved estimates refer to classes and tenants by name.
 func checkUniqueNames(settings *balancer.Settings) error {
 	classes := map[string]bool{}
 	for i, class := range settings.Classes {
 		if classes[class.Name] {
-			return fmt.Errorf("classes.%d.name: %q is there twice", i, class.Name)
+			return fmt.Errorf("classes.%d.name: %q is already the name of another class", i, class.Name)
 		}
 		classes[class.Name] = true
 	}
 	tenants := map[string]bool{}
 	for i, tenant := range settings.Tenants {
 		if tenants[tenant.Name] {
-			return fmt.Errorf("tenants.%d.name: %q is there twice", i, tenant.Name)
+			return fmt.Errorf("tenants.%d.name: %q is already the name of another tenant", i, tenant.Name)
 		}
 		tenants[tenant.Name] = true
 	}
--- a/internal/config/reload.go
+++ b/internal/config/reload.go
@@ -5,16 +5,17 @@
 	"time"
 )
 
-// reloadInterval is the least time between two readings of the file. It bounds the work of a flood of signals, and is
-// short against the time in which a change of the file has to be in force.
+// reloadInterval is the pause after each reload of the file. It limits the work that many signals can cause, and is
+// short compared with the time within which a change of the file must be in force.
 const reloadInterval = 50 * time.Millisecond
 
-// ReloadOnSignal reads a configuration file again at each signal and sends the result. A file that cannot be read is
-// sent as a Config with Err set, so that the receiver can count and log it. Signals that arrive during a reading or
-// within 50 ms after it lead to one more reading, provided that the channel of signals has a buffer.
+// ReloadOnSignal starts a goroutine that loads a configuration file again for each signal and sends the result to the
+// returned channel. If the file cannot be loaded, the goroutine sends a Config with Err set, so that the receiver can
+// count and log the error. Signals that arrive during a reload or within 50 ms after it cause one more reload, provided
+// that signals is a buffered channel.
 //
-// The goroutine that does so ends, and the returned channel is closed, when signals is closed and the last result is
-// received.
+// After signals has been closed and the receiver has taken the last result, the goroutine closes the returned channel
+// and ends.
 func ReloadOnSignal(path string, signals <-chan os.Signal) <-chan *Config {
 	configs := make(chan *Config)
 	go func() {
--- a/internal/config/reload_test.go
+++ b/internal/config/reload_test.go
@@ -15,7 +15,8 @@
 	"oakproxy/internal/sidecartest"
 )
 
-// Any number of signals leads to a bounded number of readings, and the file as it is at the last signal is read.
+// Many signals in a short time cause only a limited number of reloads, and the last reload reads the file as it is at
+// the last signal.
 func TestReloadsAreBoundedUnderManySignals(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "config.json")
 	writeFile := func(memoryMB int) {
@@ -38,15 +39,17 @@
 		const fileVersions = 1000
 		for i := range fileVersions {
 			writeFile(i + 1)
-			select { // as the runtime delivers them
+			select { // drops a signal if the buffer is full, as signal.Notify does
 			case signals <- syscall.SIGHUP:
 			default:
 			}
 			time.Sleep(time.Millisecond)
 		}
 		time.Sleep(2 * reloadInterval)
-		if n := reloads.Load(); n < 2 || n > fileVersions*int32(time.Millisecond)/int32(reloadInterval)+2 || lastMemoryMB.Load() != fileVersions {
-			t.Errorf("%d readings for %d signals, the last of file %d", n, fileVersions, lastMemoryMB.Load())
+		if n := reloads.Load(); n < 2 || n > fileVersions*int32(time.Millisecond)/int32(reloadInterval)+2 ||
+			lastMemoryMB.Load() != fileVersions {
+			t.Errorf("got %d reloads for %d signals, the last of version %d of the file; want 2 to %d, the last of version %d",
+				n, fileVersions, lastMemoryMB.Load(), fileVersions*int32(time.Millisecond)/int32(reloadInterval)+2, fileVersions)
 		}
 		close(signals)
 		time.Sleep(reloadInterval)
--- a/internal/config/settings_text.go
+++ b/internal/config/settings_text.go
@@ -6,11 +6,13 @@
 	"strings"
 )
 
-// flatten writes a JSON value in the form of the settings in the simulator's first message, which wire.ParseSettings
-// reads: a path=value line for each value, with a count and an index for lists of objects, and commas in other lists.
+// flatten writes a JSON value as settings text, the format that the simulator sends in its first message and that
+// wire.ParseSettings reads. Each value becomes a line path=value. A list of objects becomes a line path.count=N and the
+// lines of each object, whose paths contain the index of the object. Any other list becomes one line with commas
+// between the items.
 func flatten(out *strings.Builder, path string, value any) {
 	switch v := value.(type) {
-	case nil: // the same as no such key
+	case nil: // null is equivalent to an absent key
 	case map[string]any:
 		for key, item := range v {
 			flatten(out, joinPath(path, key), item)
@@ -35,7 +37,7 @@
 	}
 }
 
-// joinPath returns the path of a key below path.
+// joinPath returns the path of a key in the object at path, which is empty for the top-level object.
 func joinPath(path, key string) string {
 	if path == "" {
 		return key
@@ -43,8 +45,8 @@
 	return path + "." + key
 }
 
-// separatorReplacer replaces what would end a value of the settings text.
+// separatorReplacer replaces spaces and the characters that would end a value in the settings text.
 var separatorReplacer = strings.NewReplacer(" ", "_", ",", "_", "\n", "_", "\r", "_")
 
-// scalar returns a value that is no list or object in the form of the settings text.
+// scalar returns the settings text of a value that is neither a list nor an object.
 func scalar(v any) string { return separatorReplacer.Replace(fmt.Sprint(v)) }
--- a/internal/config/snapshot.go
+++ b/internal/config/snapshot.go
@@ -6,20 +6,20 @@
 	"oakproxy/balancer"
 )
 
-// FirstGeneration is the generation of the configuration that a sidecar starts with.
+// FirstGeneration is the generation of the configuration with which a sidecar starts.
 const FirstGeneration = 1
 
-// Snapshot is a configuration in force, with what is derived from it. It does not change: the goroutines of clients
-// read it while the event loop puts the next one into force.
+// Snapshot is a configuration in force, with data derived from it. A Snapshot must not be changed, because the
+// goroutines of clients read it while the event loop puts the next one into force.
 type Snapshot struct {
 	*Config
-	Generation int               // FirstGeneration at the start, and one more with each change
-	FileHash   string            // the Hash of the file that it is from, as it is and not as it is merged
-	Classes    map[string]uint8  // index in Settings.Classes, by name
-	Tenants    map[string]uint16 // index in Settings.Tenants, by name
+	Generation int               // FirstGeneration at the start; each change adds 1
+	FileHash   string            // Hash of the configuration as read from the file, before Merge
+	Classes    map[string]uint8  // index in Settings.Classes by name
+	Tenants    map[string]uint16 // index in Settings.Tenants by name
 }
 
-// NewSnapshot returns the first configuration in force of a sidecar.
+// NewSnapshot returns the Snapshot of the configuration with which a sidecar starts.
 func NewSnapshot(cfg *Config) *Snapshot {
 	s := &Snapshot{Config: cfg, Generation: FirstGeneration, FileHash: cfg.Hash(),
 		Classes: map[string]uint8{}, Tenants: map[string]uint16{}}
@@ -32,7 +32,8 @@
 	return s
 }
 
-// Next returns the configuration in force after s. cfg is a result of Merge, and hash that of the file merged.
+// Next returns the Snapshot that replaces s after a reload. cfg is the result of Merge, and hash is the Hash of the
+// configuration as read from the file.
 func (s *Snapshot) Next(cfg *Config, hash string) *Snapshot {
 	next := NewSnapshot(cfg)
 	next.FileHash = hash
@@ -40,7 +41,7 @@
 	return next
 }
 
-// LongestClientTimeout returns the longest time that a client of any class waits for a response.
+// LongestClientTimeout returns the longest time that clients wait for a response, over all classes.
 func (c *Config) LongestClientTimeout() time.Duration {
 	var longest balancer.Micros
 	for _, class := range c.Settings.Classes {
--- a/internal/config/snapshot_test.go
+++ b/internal/config/snapshot_test.go
@@ -7,19 +7,20 @@
 	"oakproxy/balancer"
 )
 
-// Zones keep the numbers by which the balancer knows them, whatever their order in the next file.
+// Merge keeps the numbers of zones, whatever their order in the new file.
 func TestMergeKeepsZoneNumbers(t *testing.T) {
 	current := &Config{Zones: []string{"a", "b"}}
 	next := &Config{Zones: []string{"c", "b", "a"}, Settings: balancer.Settings{Zone: 1}}
 	got := current.Merge(next)
 	if !slices.Equal(got.Zones, []string{"a", "b", "c"}) || got.Settings.Zone != 1 || !current.ChangesDiscovery(got) {
-		t.Errorf("zones %v, own %d", got.Zones, got.Settings.Zone)
+		t.Errorf("got zones %v, own zone %d; want a, b, c, own zone 1 and a change of discovery",
+			got.Zones, got.Settings.Zone)
 	}
 	if fresh := NewSnapshot(next); NewSnapshot(current).Next(got, next.Hash()).FileHash != fresh.FileHash {
-		t.Error("the hash differs from that of a sidecar which starts with the file")
+		t.Errorf("got another hash after a reload than %s, the hash of a sidecar that starts with the file", fresh.FileHash)
 	}
 	next.Settings.Zone = 0
 	if got := current.Merge(next); got.Settings.Zone != 2 {
-		t.Errorf("own zone %d, want 2", got.Settings.Zone)
+		t.Errorf("got own zone %d, want 2", got.Settings.Zone)
 	}
 }
--- a/internal/discovery/client.go
+++ b/internal/discovery/client.go
@@ -11,41 +11,41 @@
 	"time"
 )
 
-// MaxListBytes is the longest answer that is read. A longer one is malformed.
+// MaxListBytes is the maximum size of an answer in bytes. A larger answer is malformed.
 const MaxListBytes = 8 << 20
 
-// maxConnections is the number of connections to discovery. A watch has one; a second may overlap while one watch
-// ends and the next begins.
+// maxConnections is the maximum number of connections to discovery. A watch uses one connection; a second one is needed
+// when a watch begins while the previous watch is still ending.
 const maxConnections = 2
 
-// errIncompleteList is the error of an answer with changes only where the complete list was asked for.
-var errIncompleteList = errors.New("discovery's answer: changes, where the whole list was asked for")
+// errIncompleteList is the error for an answer that contains only changes although the complete list was requested.
+var errIncompleteList = errors.New("discovery's answer has only changes, but the complete list was requested")
 
-// Client calls the service that lists endpoints. Make one with NewClient. Its methods may be called by several
-// goroutines.
+// Client calls the service that lists endpoints. NewClient creates one. Several goroutines may call its methods at the
+// same time.
 type Client struct {
 	HTTP                http.Client
-	RetryDelay          time.Duration // mean pause after a failed call where lists are pushed; 0 where they are polled
-	VersionResetTimeout time.Duration // without a list, after which an older version is accepted
+	RetryDelay          time.Duration // mean pause after a failed call if lists are pushed; 0 if they are polled
+	VersionResetTimeout time.Duration // time without a list after which an older version is accepted
 
-	url         string
-	watchWait   time.Duration // that calls of a watch wait for a change, before jitter
-	callTimeout time.Duration // of a call that does not wait for a change
+	url         string        // URL of a call for the complete list
+	watchWait   time.Duration // how long calls of a watch wait for a change, before jitter
+	callTimeout time.Duration // timeout of a call that does not wait for a change
 }
 
 // Options are the settings of a Client.
 type Options struct {
 	Address      string        // host:port of the service
-	PollInterval time.Duration // the longest that a list may be in use without a watch or a call
-	DrainGrace   time.Duration // after which no request may be sent to an endpoint that is draining
-	Subscribe    bool          // lists are polled and watched by the balancer's decision; otherwise they are pushed
-	Wait         time.Duration // that calls of a watch wait for a change; 0: by PollInterval
+	PollInterval time.Duration // maximum time that a list may be in use without a watch or a call
+	DrainGrace   time.Duration // time after which no request may be sent to a draining endpoint
+	Subscribe    bool          // whether the balancer decides when to poll and watch; otherwise lists are pushed
+	Wait         time.Duration // how long calls of a watch wait for a change; 0 to derive it from PollInterval
 
-	// Dial connects to the service; nil: the network's dialer.
+	// Dial connects to the service. If it is nil, the standard dialer is used.
 	Dial func(ctx context.Context, network, address string) (net.Conn, error)
 }
 
-// NewClient returns a client of the service at o.Address. It makes no call.
+// NewClient returns a Client of the service at o.Address. It does not call the service.
 func NewClient(o Options) *Client {
 	transport := &http.Transport{MaxIdleConns: 1, MaxConnsPerHost: maxConnections, DialContext: o.Dial}
 	c := &Client{
@@ -64,9 +64,9 @@
 	return c
 }
 
-// fetch makes one call. With after it asks for what is newer than that version, which may be 0, and has discovery
-// wait for a change for as long as wait; without, it asks for the complete list. The error is a MalformedError where
-// an answer arrived that cannot be used.
+// fetch makes one call. If after is nil, it requests the complete list. Otherwise, it requests the changes since
+// version *after, which may be 0, and asks discovery to wait up to wait for a change. The error is a *MalformedError if
+// an answer arrived but cannot be used.
 func (c *Client) fetch(ctx context.Context, after *uint64, wait time.Duration) (List, error) {
 	timeout := c.callTimeout
 	if wait > 0 {
@@ -84,7 +84,7 @@
 	}
 	response, err := c.HTTP.Do(request)
 	if err != nil {
-		return List{}, err // an url.Error, which names the call
+		return List{}, err // a *url.Error, which names the URL
 	}
 	defer response.Body.Close()
 	list, err := readList(response)
@@ -94,21 +94,21 @@
 	return list, err
 }
 
-// readList reads the list in an answer.
+// readList returns the list in an answer.
 func readList(response *http.Response) (List, error) {
 	body, err := io.ReadAll(io.LimitReader(response.Body, MaxListBytes+1))
 	if err != nil {
 		return List{}, fmt.Errorf("read discovery's answer: %w", err)
 	}
 	if response.StatusCode != http.StatusOK {
-		return List{}, fmt.Errorf("discovery answered %s", response.Status)
+		return List{}, fmt.Errorf("discovery answered with status %s", response.Status)
 	}
 	if len(body) > MaxListBytes {
-		return List{}, &MalformedError{fmt.Errorf("discovery's answer is over %d bytes", MaxListBytes)}
+		return List{}, &MalformedError{fmt.Errorf("discovery's answer is larger than %d bytes", MaxListBytes)}
 	}
 	var list List
 	if err := json.Unmarshal(body, &list); err != nil {
-		return List{}, &MalformedError{fmt.Errorf("discovery's answer: %w", err)}
+		return List{}, &MalformedError{fmt.Errorf("parse discovery's answer: %w", err)}
 	}
 	if date, err := http.ParseTime(response.Header.Get("Date")); err == nil {
 		list.date = date
--- a/internal/discovery/doc.go
+++ b/internal/discovery/doc.go
@@ -1,15 +1,17 @@
 // Package discovery calls the service that lists endpoints and reads its lists.
 //
-// The service's form is in the protocol page, section Discovery: GET /registry/instances returns the complete list, and
-// with ?after=VERSION&wait_ms=N it returns what is newer than VERSION, or waits up to N milliseconds for it. A Client
-// makes such calls one after another, which is a watch, and passes each usable answer on.
+// The protocol page, section Discovery, describes the interface of the service. GET /registry/instances returns the
+// complete list. With the query after=VERSION&wait_ms=N, it returns the changes since VERSION; if there are none, it
+// waits up to N milliseconds for a change. A watch is a sequence of such calls, one after another. A Client makes the
+// calls of a watch and passes each usable list to its caller.
 //
 // These invariants hold:
 //
-//   - Each call has a timeout, and the timeouts keep the inequalities stated at the constants.
-//   - A list that is passed on is not older than the one before it, unless none was received for the time after which
-//     an older one is taken for a service that has restarted its version numbers.
-//   - An entry that cannot be used does not make the others unusable, and its endpoint is treated as draining.
+//   - Each call has a timeout. The timeouts satisfy the inequalities in the comments of the constants.
+//   - A list that is passed to the caller is not older than the list before it, with one exception: if no list has been
+//     received for some time, the package assumes that the service has restarted its version numbers, and accepts an
+//     older complete list.
+//   - An invalid entry does not make the other entries of a list unusable. Its endpoint is treated as draining.
 //
-// The package does not keep the list, and does not decide when to watch again after a failure: the balancer does that.
+// The package does not store the list, and does not decide when to watch again after a failure; the balancer does.
 package discovery
--- a/internal/discovery/entry.go
+++ b/internal/discovery/entry.go
@@ -8,30 +8,31 @@
 	"oakproxy/balancer"
 )
 
-// Entry is one endpoint in a list, by the protocol page's section on discovery.
+// Entry is one endpoint in a list. The protocol page, section Discovery, defines its JSON format.
 type Entry struct {
-	Name        string  `json:"host"`    // the same at every sidecar
-	Address     string  `json:"dial"`    // host:port at which this sidecar connects
-	Zone        string  `json:"site"`    // the zone's name
-	MachineKind string  `json:"class"`   // the machine kind's name
-	Cell        uint16  `json:"block"`   // the cell, whose endpoints may deduplicate requests together
-	Health      string  `json:"health"`  // a key of HealthStates
-	Weight      float32 `json:"share"`   // its weight among the endpoints
-	StartUnixMS int64   `json:"born_ms"` // Unix time of its last start in milliseconds; 0: long ago
+	Name        string  `json:"host"`    // name of the endpoint, the same for every sidecar
+	Address     string  `json:"dial"`    // host:port at which this sidecar connects to the endpoint
+	Zone        string  `json:"site"`    // name of the zone
+	MachineKind string  `json:"class"`   // name of the machine kind
+	Cell        uint16  `json:"block"`   // number of the cell; the endpoints of a cell may deduplicate requests together
+	Health      string  `json:"health"`  // one of the keys of HealthStates
+	Weight      float32 `json:"share"`   // weight relative to the other endpoints
+	StartUnixMS int64   `json:"born_ms"` // Unix time of the last start in milliseconds; 0 means long ago
 }
 
-// healthTerminating is the health of an endpoint that is draining.
+// healthTerminating is the value of Entry.Health for a draining endpoint.
 const healthTerminating = "Terminating"
 
-// HealthStates are the values of Entry.Health and the states that they stand for. Gone occurs among changes only.
+// HealthStates maps the values of Entry.Health to endpoint states. Gone occurs only in lists of changes.
 var HealthStates = map[string]balancer.EndpointState{
 	"Ready": balancer.Ready, healthTerminating: balancer.Draining, "Gone": balancer.Removed,
 }
 
-// errNoName is the error of an entry that names no endpoint.
+// errNoName is the error for an entry without the name of an endpoint.
 var errNoName = errors.New("host is missing")
 
-// validate returns why an entry cannot be used, or nil. Only an endpoint that is ready needs an address.
+// validate returns an error if an entry cannot be used. The address is checked only if the endpoint is ready, because
+// no other endpoint needs one.
 func (e *Entry) validate() error {
 	if e.Name == "" {
 		return errNoName
@@ -44,7 +45,7 @@
 		return nil
 	}
 	if _, _, err := net.SplitHostPort(e.Address); err != nil {
-		return fmt.Errorf("dial: %q is not host:port", e.Address)
+		return fmt.Errorf("dial: %q does not have the form host:port", e.Address)
 	}
 	return nil
 }
--- a/internal/discovery/errors.go
+++ b/internal/discovery/errors.go
@@ -2,16 +2,16 @@
 
 import "errors"
 
-// ErrOutdated is the error of an answer whose version is older than that of the list in use.
-var ErrOutdated = errors.New("older than the list that is held")
+// ErrOutdated is the error for an answer whose version is older than that of the list in use.
+var ErrOutdated = errors.New("older than the version in use")
 
-// MalformedError is the error of an answer that arrived but cannot be used. By the protocol the sidecar counts as
-// notified of the changes in it.
+// MalformedError is the error for an answer that arrived but cannot be used. The protocol nevertheless regards the
+// sidecar as notified of the changes in that answer.
 type MalformedError struct {
-	Err error // what is wrong with the answer
+	Err error // reason why the answer cannot be used
 }
 
-// Error returns what is wrong with the answer.
+// Error returns the message of Err.
 func (e *MalformedError) Error() string { return e.Err.Error() }
 
 // Unwrap returns Err.
--- a/internal/discovery/list.go
+++ b/internal/discovery/list.go
@@ -7,23 +7,25 @@
 	"time"
 )
 
-// List is a list of endpoints, or of changes to one, in the form of the protocol page's section on discovery.
+// List is a complete list of endpoints or a list of changes. The protocol page, section Discovery, defines its JSON
+// format.
 type List struct {
-	Version  uint64  `json:"seq"`   // the version
-	Complete bool    `json:"whole"` // the list is complete; otherwise it has the entries that changed
+	Version  uint64  `json:"seq"`   // version of the list
+	Complete bool    `json:"whole"` // whether the list is complete; otherwise it contains only the entries that changed
 	Entries  []Entry `json:"hosts"`
 
-	Unusable   int       // the number of entries that cannot be used
-	FirstError error     // of the first such entry; nil if there is none
-	date       time.Time // of the answer by discovery's clock, to the second; zero if not known
+	Unusable   int       // number of entries that cannot be used
+	FirstError error     // error of the first entry that cannot be used; nil if there is none
+	date       time.Time // date of the answer by discovery's clock, truncated to seconds; zero if unknown
 }
 
-// errNoVersion is the error of a list without a version.
+// errNoVersion is the error for a list without a version.
 var errNoVersion = errors.New("seq is missing")
 
-// UnmarshalJSON reads a list entry by entry, so that one that cannot be used does not make the others unusable. If
-// such an entry names an endpoint, the list has it as draining, as it may no longer be ready. It fails if no entry at
-// all can be used, since the list is then of some other form.
+// UnmarshalJSON parses a list entry by entry, so that an entry that cannot be used does not make the others unusable.
+// If such an entry names an endpoint, l contains that endpoint as draining, because it may no longer be ready.
+// UnmarshalJSON fails if the list has entries and none of them can be used, because the list then has an unknown
+// format.
 func (l *List) UnmarshalJSON(data []byte) error {
 	var raw struct {
 		Seq   *uint64           `json:"seq"`
--- a/internal/discovery/skew.go
+++ b/internal/discovery/skew.go
@@ -6,12 +6,13 @@
 	"oakproxy/balancer"
 )
 
-// MinSkew is the least difference between the clocks of discovery and of this process that is taken for one. A
-// smaller one may come from the date of an answer, which is truncated to the second, and from the answer's way.
+// MinSkew is the difference between the clocks of discovery and of this process up to which ClockSkew ignores it. Such
+// a small difference may be due to the date of an answer, which is truncated to seconds, and to the network delay.
 const MinSkew = 2 * time.Second
 
-// ClockSkew returns how far, in microseconds, the clock by which a list gives start times is ahead of a clock that
-// shows now. It returns 0 if the answer had no date or the difference is at most MinSkew.
+// ClockSkew returns how far, in microseconds, the clock of discovery is ahead of the clock of this process. The start
+// times in a list are by the clock of discovery; now is the Unix time by the clock of this process. ClockSkew returns 0
+// if the answer had no date or the difference is at most MinSkew.
 func (l *List) ClockSkew(now balancer.Micros) balancer.Micros {
 	if l.date.IsZero() {
 		return 0
--- a/internal/discovery/timing.go
+++ b/internal/discovery/timing.go
@@ -7,85 +7,90 @@
 	"oakproxy/balancer"
 )
 
-// Time limits of a watch. They divide the time that the protocol allows for learning of a change, which is
-// balancer.NotificationDeadline. The deadline holds whatever became of earlier calls, so it covers a call that fails,
-// the backoff after it and the next call:
+// Time limits of a watch. The protocol requires that the sidecar is notified of a change within
+// balancer.NotificationDeadline, even if earlier calls failed. The deadline therefore covers a failed call, the backoff
+// after it and the next call:
 //
-//	maxWatchWait + WatchGrace + backoff + callTimeout <= NotificationDeadline   after a watch went silent
+//	maxWatchWait + WatchGrace + backoff + callTimeout <= NotificationDeadline   after a watch got no answer
 //	callTimeout + backoff + callTimeout               <= NotificationDeadline   after a call that timed out
 //
-// The backoff is the balancer's, and the constants of package balancer state how much is left for it.
+// The balancer chooses the backoff. The constants of package balancer state how much time remains for it.
 const (
-	// WatchGrace is how much later than the end of its wait a call of a watch may be answered before it counts as failed.
+	// WatchGrace is the time that a call of a watch may take in addition to its wait before it counts as failed.
 	WatchGrace = time.Duration(balancer.WatchGrace) * time.Microsecond
 
-	// maxWatchWait is the longest that a call of a watch asks discovery to wait for a change.
+	// maxWatchWait is the longest time that a call of a watch asks discovery to wait for a change.
 	maxWatchWait = time.Duration(balancer.WatchDuration) * time.Microsecond
 
-	// callTimeout is the timeout of a call that does not wait for a change, where lists are polled.
+	// callTimeout is the timeout of a call that does not wait for a change, if lists are polled.
 	callTimeout = time.Duration(balancer.DiscoveryCallTimeout) * time.Microsecond
 
-	// notificationDelay is how long after the end of a call's wait the sidecar counts as notified of what the call missed
-	// (protocol page, section Figures). The list must not become older than the settings allow without a watch, so
+	// notificationDelay is the time from the end of a call's wait until the protocol regards the sidecar as notified of a
+	// change that the call did not report (protocol page, section Figures). The list must not become older than
+	// PollInterval, so the wait of a call satisfies
 	//
-	//	wait + notificationDelay <= PollInterval, as far as minWatchWait allows.
+	//	wait + notificationDelay <= PollInterval, unless wait is minWatchWait.
 	notificationDelay = 2 * time.Second
 
-	// minWatchWait is the shortest wait, whatever the poll interval: discovery serves all sidecars in turn, and shorter
-	// waits would multiply its calls.
+	// minWatchWait is the shortest wait, even if the poll interval is shorter. Discovery serves all sidecars one after
+	// another, and shorter waits would multiply the number of calls.
 	minWatchWait = time.Second
 
-	// watchWaitJitterDivisor is the part of the wait, as a divisor, by which calls are shortened at random, so that sidecars that
-	// started together do not call together.
+	// watchWaitJitterDivisor limits the jitter of the wait: each wait is shortened by a random time below
+	// wait/watchWaitJitterDivisor, so that sidecars that start at the same time do not call at the same time.
 	watchWaitJitterDivisor = 4
 
-	// watchPause is the pause between an answer and the next call of a watch. It satisfies
+	// watchPause is the pause between an answer and the next call of a watch. Without a pause, a watch could overload
+	// discovery while versions change quickly. The pause satisfies
 	//
-	//	watchPause < 200 ms, after which a later call is a new watch (protocol page, section Discovery),
+	//	watchPause < 200 ms,
 	//
-	// with room for a sidecar that waits for its core. A watch without a pause could flood discovery while versions change
-	// quickly.
+	// because a call that comes later than that begins a new watch (protocol page, section Discovery). The difference
+	// leaves time for a sidecar that has to wait for its CPU core.
 	watchPause = 20 * time.Millisecond
 
-	// malformedRetryDelay is the mean pause before a call whose answer was malformed is made again.
+	// malformedRetryDelay is the mean pause before a call is repeated because its answer was malformed.
 	malformedRetryDelay = 50 * time.Millisecond
 )
 
-// Time limits for versions that go back. A discovery service that lost its state numbers its lists anew, and until
-// that is known an older version may as well be a stale answer.
+// Time limits for versions that decrease. A discovery service that has lost its state restarts its version numbers. A
+// single older version does not show whether that happened or the answer is outdated.
 const (
-	// versionResetPolls is the number of poll intervals without a list after which an older version is accepted. It is the
-	// number for which a failed call stands for a watch (wire page, contract.ask-within).
+	// versionResetPolls is the number of poll intervals without a list after which an older version is accepted. For the
+	// same number of poll intervals, the protocol lets a failed call count as a watch (wire page, contract.ask-within).
 	versionResetPolls = 4
 
-	// VersionResetTimeoutAfterReload replaces that time after a reload, which may have moved discovery to another address with a
-	// numbering of its own. It satisfies
+	// VersionResetTimeoutAfterReload replaces versionResetPolls poll intervals after a reload. The reload may have changed
+	// the address of discovery, and the service there has its own version numbers. The timeout satisfies
 	//
-	//	VersionResetTimeoutAfterReload < NotificationDeadline, so that the moved list is in use by the time that changes in it count.
+	//	VersionResetTimeoutAfterReload < NotificationDeadline,
+	//
+	// so that the list of the new service is in use when the sidecar must be notified of changes in it.
 	VersionResetTimeoutAfterReload = 3 * time.Second
 )
 
-// Time limits where lists are pushed to an agent on the machine. The agent's list counts as delivered, so that
-// requests to a draining endpoint must stop within the drain grace whether or not a call succeeded. A call and the
-// pause after its failure (up to 1.5 times its mean, by Jitter) leave time in it for another:
+// Time limits if lists are pushed to an agent on the machine. The protocol regards a list as delivered when the agent
+// has it, so requests to a draining endpoint must stop within the drain grace even if a call to the agent fails. A
+// failed call and the pause after it, which Jitter makes up to 1.5 times as long as its mean, leave time for another
+// call within the drain grace:
 //
-//	pushedCallTimeout + 1.5 pushedRetryDelay <= 11/16 DrainGrace, for a DrainGrace of 400 ms or more.
+//	pushedCallTimeout + 1.5 pushedRetryDelay <= 11/16 DrainGrace, if DrainGrace >= 400 ms.
 const (
-	pushedCallTimeoutDivisor = 2 // of the drain grace, as a divisor
+	pushedCallTimeoutDivisor = 2 // call timeout = drain grace / divisor, within the limits below
 	minPushedCallTimeout     = 200 * time.Millisecond
 	maxPushedCallTimeout     = time.Second
 
-	pushedRetryDelayDivisor = 8 // of the drain grace, as a divisor
+	pushedRetryDelayDivisor = 8 // mean retry delay = drain grace / divisor, within the limits below
 	minPushedRetryDelay     = 50 * time.Millisecond
 	maxPushedRetryDelay     = time.Second
 )
 
-// pushedCallTimeout returns the timeout of a call that does not wait for a change, where lists are pushed.
+// pushedCallTimeout returns the timeout of a call that does not wait for a change, if lists are pushed.
 func pushedCallTimeout(drainGrace time.Duration) time.Duration {
 	return max(minPushedCallTimeout, min(drainGrace/pushedCallTimeoutDivisor, maxPushedCallTimeout))
 }
 
-// pushedRetryDelay returns the mean pause after a call that failed, where lists are pushed.
+// pushedRetryDelay returns the mean pause after a failed call, if lists are pushed.
 func pushedRetryDelay(drainGrace time.Duration) time.Duration {
 	return max(minPushedRetryDelay, min(drainGrace/pushedRetryDelayDivisor, maxPushedRetryDelay))
 }
@@ -95,5 +100,5 @@
 	return max(minWatchWait, min(maxWatchWait, pollInterval-notificationDelay))
 }
 
-// Jitter returns a random duration between half of d and one and a half d, so that sidecars do not act in step.
+// Jitter returns a random duration between 0.5 d and 1.5 d, so that sidecars do not act at the same time.
 func Jitter(d time.Duration) time.Duration { return d/2 + rand.N(max(1, d)) }
--- a/internal/discovery/timing_test.go
+++ b/internal/discovery/timing_test.go
@@ -7,8 +7,8 @@
 	"oakproxy/balancer"
 )
 
-// The time limits keep the inequalities that are stated at them.
-func TestTimeLimitsKeepTheirInequalities(t *testing.T) {
+// The time limits satisfy the inequalities in their comments.
+func TestTimeLimitsSatisfyInequalities(t *testing.T) {
 	deadline := time.Duration(balancer.NotificationDeadline) * time.Microsecond
 	for name, limits := range map[string]struct{ used, allowed time.Duration }{
 		"a silent watch and a call":     {maxWatchWait + WatchGrace + callTimeout, deadline},
@@ -18,17 +18,18 @@
 		"two calls that were malformed": {2*callTimeout + malformedRetryDelay*3/2 + watchPause, deadline},
 	} {
 		if limits.used >= limits.allowed {
-			t.Errorf("%s: %v is not under %v", name, limits.used, limits.allowed)
+			t.Errorf("%s: got %v, want less than %v", name, limits.used, limits.allowed)
 		}
 	}
 	for interval := minWatchWait + notificationDelay; interval < time.Minute; interval += 100 * time.Millisecond {
 		if wait := watchWait(interval); wait < minWatchWait || wait > maxWatchWait || wait+notificationDelay > interval {
-			t.Errorf("a wait of %v at a poll interval of %v", wait, interval)
+			t.Errorf("poll interval %v: got a wait of %v, want one from %v to %v that ends %v before the interval or earlier",
+				interval, wait, minWatchWait, maxWatchWait, notificationDelay)
 		}
 	}
 	for grace := 400 * time.Millisecond; grace < time.Minute; grace += 100 * time.Millisecond {
 		if used := pushedCallTimeout(grace) + pushedRetryDelay(grace)*3/2; used > grace*11/16 {
-			t.Errorf("%v of a drain grace of %v are used by a call and a pause", used, grace)
+			t.Errorf("drain grace %v: a call and a pause use %v, want at most %v", grace, used, grace*11/16)
 		}
 	}
 }
--- a/internal/discovery/watch.go
+++ b/internal/discovery/watch.go
@@ -10,31 +10,33 @@
 	"oakproxy/internal/system"
 )
 
-// Position is where a watch continues: the version in use, and until when only newer ones are accepted.
+// Position is the state from which a watch continues: the version in use, and the time until which older versions are
+// rejected.
 type Position struct {
-	After          *uint64   // the version to ask for changes since; nil: for the complete list
-	Newest         uint64    // the version of the list in use
-	VersionResetAt time.Time // from then on an older complete list is taken for a new numbering
+	After          *uint64   // version since which to request changes; nil to request the complete list
+	CurrentVersion uint64    // version of the list in use
+	VersionResetAt time.Time // time from which an older complete list is accepted as a restart of the version numbers
 }
 
-// check returns an error that wraps ErrOutdated if a list is older than the one in use and is not to be taken for a
-// new numbering. After an older list it continues with the complete one: changes since a version of another numbering
-// have no meaning.
+// check returns an error that wraps ErrOutdated if a list is older than the list in use and is not accepted as a
+// restart of the version numbers. After any older list, check clears After, so that the next call requests the complete
+// list: if the version numbers have restarted, changes since an earlier version are meaningless.
 func (p *Position) check(list *List) error {
-	if list.Version >= p.Newest {
+	if list.Version >= p.CurrentVersion {
 		return nil
 	}
 	p.After = nil
 	if list.Complete && !time.Now().Before(p.VersionResetAt) {
 		return nil
 	}
-	return &MalformedError{fmt.Errorf("discovery's answer: version %d is %w, %d", list.Version, ErrOutdated, p.Newest)}
+	return &MalformedError{fmt.Errorf("discovery's answer: version %d is %w, %d",
+		list.Version, ErrOutdated, p.CurrentVersion)}
 }
 
-// Watch calls discovery again and again, and passes each list to onList, until a call fails or ctx ends. It returns the
-// error of that call, which is never nil. The first call does not wait for a change: its answer tells the balancer that
-// the watch has begun. A malformed answer is passed to onMalformed and asked for once more; a second one in a row is a
-// failure.
+// Watch calls discovery repeatedly, and passes each list to onList, until a call fails or ctx is cancelled. It returns
+// the error of the last call, which is never nil. The first call does not wait for a change: its answer tells the
+// balancer that the watch has begun. After a malformed answer, Watch passes the error to onMalformed and repeats the
+// call. A second malformed answer in a row is a failure.
 func (c *Client) Watch(ctx context.Context, from Position, onList func(List), onMalformed func(error)) error {
 	retried := false
 	for wait := time.Duration(0); ; system.Sleep(ctx, watchPause) {
@@ -53,7 +55,8 @@
 			return err
 		}
 		onList(list)
-		from = Position{After: &list.Version, Newest: list.Version, VersionResetAt: time.Now().Add(c.VersionResetTimeout)}
+		from = Position{After: &list.Version, CurrentVersion: list.Version,
+			VersionResetAt: time.Now().Add(c.VersionResetTimeout)}
 		retried, wait = false, c.watchWait-rand.N(c.watchWait/watchWaitJitterDivisor)
 	}
 }
--- a/internal/sidecar/discovery_test.go
+++ b/internal/sidecar/discovery_test.go
@@ -134,7 +134,7 @@
 				var version uint64
 				w.await("the list", func() bool {
 					w.runInLoop(func() {
-						targets, version = nil, w.loop.watcher.position.Newest
+						targets, version = nil, w.loop.watcher.position.CurrentVersion
 						for name, id := range w.loop.endpoints.ids {
 							if w.loop.endpoints.byID[id].target != nil {
 								targets = append(targets, name)
--- a/internal/sidecar/loop.go
+++ b/internal/sidecar/loop.go
@@ -145,7 +145,7 @@
 	if l.closeCounts != nil {
 		c.closes = l.closeCounts()
 	}
-	l.stats.record(&c, gauges{listAgeMS: l.watcher.listAgeMS(now), listVersion: l.watcher.position.Newest,
+	l.stats.record(&c, gauges{listAgeMS: l.watcher.listAgeMS(now), listVersion: l.watcher.position.CurrentVersion,
 		maxEventWait: l.events.takeMaxWait(), inForce: l.current.Load(), rejectedReloads: l.rejectedReloads})
 }
 
--- a/internal/sidecar/watcher.go
+++ b/internal/sidecar/watcher.go
@@ -123,9 +123,9 @@
 
 // advance moves the position past a list, and reports whether the list may be older than one that came before.
 func (w *discoveryWatcher) advance(at time.Time, list *discovery.List) (older bool) {
-	older = list.Version < w.position.Newest
+	older = list.Version < w.position.CurrentVersion
 	version := list.Version
-	w.position = discovery.Position{After: &version, Newest: version,
+	w.position = discovery.Position{After: &version, CurrentVersion: version,
 		VersionResetAt: at.Add(w.client.VersionResetTimeout)}
 	if list.Unusable > 0 {
 		w.log.Warn("unusable entries in the endpoint list",
