--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -10,18 +10,18 @@
 	"oakproxy/internal/sidecartest"
 )
 
-// A configuration that is not valid is rejected by an error of one line that names the key at fault.
+// An invalid configuration is rejected with an error of one line that names the invalid key.
 func TestInvalidConfigurationNamesTheKey(t *testing.T) {
-	good := `{"name":"n3","listen":"127.0.0.1:1","discovery":"127.0.0.1:2","seed":"8c1f30d27a5be964",` +
+	valid := `{"name":"n3","listen":"127.0.0.1:1","discovery":"127.0.0.1:2","seed":"8c1f30d27a5be964",` +
 		`"limits":{"cores":1.0,"memory_mb":192,"sockets":1024},` +
 		`"known":{"seq":4,"whole":true,"hosts":[{"host":"s-1","dial":"127.0.0.1:3","health":"Ready"}]},` +
 		`"settings":` + sidecartest.SettingsText + `}`
-	if cfg, err := Parse([]byte(good)); err != nil {
+	if cfg, err := Parse([]byte(valid)); err != nil {
 		t.Fatal(err)
 	} else if cfg.Settings.Limits.MaxRetryAfter != 1_500_000 || len(cfg.Settings.Classes) != 4 ||
 		cfg.Settings.Classes[1].Idempotency != balancer.IdempotentWithKey || len(cfg.Settings.ReportFields) != 2 ||
 		!cfg.Settings.SubscribeToDiscovery {
-		t.Errorf("settings %+v", cfg.Settings)
+		t.Errorf("got settings %+v, want those of sidecartest.SettingsText", cfg.Settings)
 	}
 	for _, test := range []struct{ old, new, key string }{
 		{`"listen":"127.0.0.1:1"`, `"listen":"here"`, "listen"},
@@ -45,27 +45,27 @@
 		{`"name":"read","repeat":"pure"`, `"name":"read"`, "classes.0.repeat"},
 		{`"discovery":"subscribe"`, `"discovery":"gossip"`, "discovery"},
 	} {
-		bad := strings.Replace(good, test.old, test.new, 1)
-		if bad == good {
+		invalid := strings.Replace(valid, test.old, test.new, 1)
+		if invalid == valid {
 			t.Fatalf("%q is not in the configuration", test.old)
 		}
-		_, err := Parse([]byte(bad))
+		_, err := Parse([]byte(invalid))
 		if err == nil || !strings.Contains(err.Error(), test.key) || strings.Contains(err.Error(), "\n") {
-			t.Errorf("%s: error %v, want one line with %q", test.new, err, test.key)
+			t.Errorf("%s: got error %v, want one line with %q", test.new, err, test.key)
 		}
 	}
 	path := filepath.Join(t.TempDir(), "config.json")
 	if _, err := Load(path); err == nil {
-		t.Error("a missing file is no error")
+		t.Error("missing file: got no error, want one")
 	}
-	os.WriteFile(path, []byte(good[:100]), 0o600)
+	os.WriteFile(path, []byte(valid[:100]), 0o600)
 	if _, err := Load(path); err == nil {
-		t.Error("a truncated file is no error")
+		t.Error("truncated file: got no error, want one")
 	}
 }
 
-// A settings object is written in the form of the simulator's first message.
-func TestFlattenWritesTheSimulatorsForm(t *testing.T) {
+// flatten writes a settings object as settings text, the format of the simulator's first message.
+func TestFlattenWritesSettingsText(t *testing.T) {
 	var out strings.Builder
 	flatten(&out, "", map[string]any{"a": map[string]any{"b": []any{
 		map[string]any{"name": "x, y\nz=1"}, map[string]any{"on": true}}}})
--- a/internal/config/settings_text.go
+++ b/internal/config/settings_text.go
@@ -6,21 +6,23 @@
 	"strings"
 )
 
-// flatten writes a JSON value in the form of the settings in the simulator's first message, which wire.ParseSettings
-// reads: a path=value line for each value, with a count and an index for lists of objects, and commas in other lists.
+// flatten writes a JSON value as settings text, the format that the simulator sends in its first message and that
+// wire.ParseSettings reads. Each value becomes a line path=value. A list of objects becomes a line path.count=N and the
+// lines of each object, whose paths contain the index of the object. Any other list becomes one line with commas
+// between the items.
 func flatten(out *strings.Builder, path string, value any) {
 	switch v := value.(type) {
-	case nil: // the same as no such key
+	case nil: // null is equivalent to an absent key
 	case map[string]any:
 		for key, item := range v {
-			flatten(out, join(path, key), item)
+			flatten(out, joinPath(path, key), item)
 		}
 	case []any:
 		if len(v) > 0 {
 			if _, objects := v[0].(map[string]any); objects {
-				fmt.Fprintf(out, "%s=%d\n", join(path, "count"), len(v))
+				fmt.Fprintf(out, "%s=%d\n", joinPath(path, "count"), len(v))
 				for i, item := range v {
-					flatten(out, join(path, strconv.Itoa(i)), item)
+					flatten(out, joinPath(path, strconv.Itoa(i)), item)
 				}
 				return
 			}
@@ -35,16 +37,16 @@
 	}
 }
 
-// join returns the path of a key below path.
-func join(path, key string) string {
+// joinPath returns the path of a key in the object at path, which is empty for the top-level object.
+func joinPath(path, key string) string {
 	if path == "" {
 		return key
 	}
 	return path + "." + key
 }
 
-// separators replaces what would end a value of the settings text.
-var separators = strings.NewReplacer(" ", "_", ",", "_", "\n", "_", "\r", "_")
+// separatorReplacer replaces spaces and the characters that would end a value in the settings text.
+var separatorReplacer = strings.NewReplacer(" ", "_", ",", "_", "\n", "_", "\r", "_")
 
-// scalar returns a value that is no list or object in the form of the settings text.
-func scalar(v any) string { return separators.Replace(fmt.Sprint(v)) }
+// scalar returns the settings text of a value that is neither a list nor an object.
+func scalar(v any) string { return separatorReplacer.Replace(fmt.Sprint(v)) }
