--- a/balancer/actions.go
+++ b/balancer/actions.go
@@ -1,23 +1,24 @@
 package balancer
 
-// Actions is what a balancer asks of its host. Calls come from within event methods, in the order in which they are to
-// take effect.
+// Actions are the operations that a balancer requests from its host. The balancer calls them only during its
+// event methods, in the order in which they must take effect.
 type Actions interface {
-	// Send starts an attempt, unless latest passes before its first byte can be sent: until then it may wait for a
-	// connection. A latest of 0 means until the client's deadline.
+	// Send starts an attempt. The attempt may wait for a connection until latest; if its first byte can't be
+	// sent by then, it must not be sent at all. A latest of 0 means the client's deadline.
 	Send(id uint64, endpoint uint32, latest Micros)
-	// Reject gives the final answer that promises that a retry is harmless. A retryAfter of 0 gives no Retry-After.
+	// Reject gives the final answer "rejected", which tells the client that a retry is harmless. If retryAfter
+	// is 0, the answer has no Retry-After.
 	Reject(id uint64, retryAfter Micros)
-	// Fail gives the final answer that promises nothing about a retry.
+	// Fail gives the final answer "failed", which does not tell the client whether a retry is harmless.
 	Fail(id uint64)
-	// Cancel stops waiting for an attempt; its outcome still comes.
+	// Cancel stops waiting for an attempt. The host still reports its outcome.
 	Cancel(id uint64, attempt int)
-	// StartTimer asks for a HandleTimer event with this token after delay.
+	// StartTimer requests a call of HandleTimer with this token after delay.
 	StartTimer(delay Micros, token uint32)
-	// Probe asks an endpoint for its load; HandleProbe brings the answer.
+	// Probe asks an endpoint for its load. The host reports the result by HandleProbe.
 	Probe(endpoint uint32)
-	// Watch subscribes to changes of the endpoint list, or ends that.
+	// Watch subscribes to changes of the endpoint list, or ends the subscription if on is false.
 	Watch(on bool)
-	// Log records a line for on-call staff.
+	// Log writes a line for operators.
 	Log(line string)
 }
--- a/balancer/admission.go
+++ b/balancer/admission.go
@@ -63,7 +63,7 @@
 	if !a.ledger.send(now, r, e) {
 		return false
 	}
-	a.retries.watch(now, r)
+	a.retries.startOverdueTimer(now, r)
 	return true
 }
 
@@ -86,7 +86,7 @@
 	trialDue := len(r.attempts) == 0 && c.tooLateSinceTrial >= a.trialInterval
 	if trialDue && now-c.lastTrialAt >= forcedTrialInterval {
 		c.lastTrialAt, c.tooLateSinceTrial = now, 0
-		r.trial = true
+		r.isTrial = true
 		return false
 	}
 	a.stats.TooLate++
@@ -101,7 +101,7 @@
 func (a *admission) recordTrial(r *request, inTime bool) {
 	if inTime {
 		a.trialInterval = minTrialInterval
-	} else if r.trial {
+	} else if r.isTrial {
 		// The endpoints are still overloaded, and trials add to that.
 		a.trialInterval = min(2*a.trialInterval, maxTrialInterval)
 	}
--- a/balancer/balancer.go
+++ b/balancer/balancer.go
@@ -1,55 +1,60 @@
-// Package balancer makes the decisions of a client-side load-balancing sidecar: which endpoint gets a request, when a
-// request is rejected, retried or hedged, and when endpoints are probed.
+// Package balancer makes the decisions of a client-side load-balancing sidecar: which endpoint gets a
+// request, when a request is rejected, retried or hedged, and when endpoints are probed.
 //
-// A Balancer is a deterministic state machine. The host passes each event with its instant, and the balancer calls
-// Actions. Its invariants:
+// A Balancer is a deterministic state machine. Its host, the program that embeds it, reports each event by
+// calling a method with the current time. During that call, the balancer requests actions through the Actions
+// interface. A Balancer has these invariants:
 //
-//   - The same settings, seed and events give the same actions, in the same order. There is no I/O, no clock and no
-//     goroutine; the order of random draws and of floating-point operations is part of the decisions.
-//   - It serves one caller at a time; the host serializes events.
-//   - Each request gets exactly one final answer, except one whose client has gone.
-//   - The rules (attempt limits, idempotency, deduplication, slow start) are kept by the ledger alone: every attempt,
-//     rejection and failure leaves through it, so that no policy can break them.
+//   - The same settings, seed and events result in the same actions, in the same order. The balancer does no
+//     I/O, reads no clock and starts no goroutine. The order of random draws and of floating-point operations
+//     affects the decisions.
+//   - It is not safe for concurrent use: the host serializes the events.
+//   - Each request gets exactly one final answer, unless its client disconnects first.
+//   - Only the ledger enforces the rules (attempt limits, idempotency, deduplication, slow start). Every
+//     attempt, rejection and failure goes through it, so no policy can break a rule.
 //
-// It moves no bytes, opens no connections and stores nothing: that is the host's work.
+// The balancer transfers no data, opens no connections and stores nothing. The host does all of that.
 //
-// The decisions stand in ledger.go, rules.go, demand.go, membership.go, discovery.go, endpoint.go, slowstart.go,
-// probing.go, loadreport.go, prediction.go, pick.go, breaker.go, admission.go, waitlist.go and retries.go. The
-// interface stands in settings.go, events.go and actions.go, and the counts in stats.go.
+// The decision logic is in ledger.go, rules.go, demand.go, membership.go, discovery.go, endpoint.go,
+// slowstart.go, probing.go, loadreport.go, prediction.go, pick.go, breaker.go, admission.go, waitlist.go and
+// retries.go. The interface to the host is in settings.go, events.go and actions.go. The statistics are in
+// stats.go.
 package balancer
 
-// Balancer decides for one sidecar. Make one with New; it must not be copied. Each part owns its state and calls
-// methods of others; the event methods below route to the parts.
+// Balancer makes the decisions for one sidecar. Create one with New; a Balancer must not be copied. Each of
+// its components owns its state and calls methods of the others. The event methods below delegate to the
+// components.
 //
-// Two cycles of pointers are inherent in the decisions. The parts are therefore allocated together here, and New
-// connects them:
+// The decisions require two cycles of references between components. Balancer therefore holds all components
+// by value, and New connects them by pointers:
 //
-//   - prober -> slowStart -> estimator -> prober: a probe is charged to the slow start budget, that budget depends on
-//     measured latencies, and the estimates depend on how fresh the probing keeps load reports.
-//   - admission <-> retrier: an admitted attempt starts the timer for its hedging, and a retry or hedged request is
-//     admitted like a first attempt.
+//   - prober -> slowStart -> estimator -> prober: a probe is charged to the slow start budget, that budget
+//     depends on measured latencies, and the estimates depend on how recent the probes keep the load reports.
+//   - admission <-> retrier: an admitted attempt starts the timer that may hedge it, and a retry or hedged
+//     request is admitted like a first attempt.
 //
-// Neither recurses: each call goes one step along the cycle.
+// Neither cycle leads to recursion: each call goes one step along the cycle.
 type Balancer struct {
 	environment
 	ledger     ledger          // requests, and the rules for their attempts
-	demand     demand          // classes, tenants, and the rate of their requests
-	membership membership      // endpoints
-	discovery  discoveryPoller // calls of discovery
-	probes     prober          // probes, and the pool of fresh load reports
-	slowStart  slowStart       // work for endpoints that are warming up
-	estimates  estimator       // expected load and latency
+	demand     demand          // classes, tenants, and their request rates
+	membership membership      // known endpoints
+	discovery  discoveryPoller // calls to discovery
+	probes     prober          // probes, and the pool of endpoints with a recent load report
+	slowStart  slowStart       // limit on the work sent to endpoints that are warming up
+	estimates  estimator       // expected load and latency of endpoints
 	breakers   breakers        // circuit breakers, error throttle and outlier ejection
 	picker     picker          // selection of an endpoint
-	waiting    waitlist        // requests that wait for probes
+	waiting    waitlist        // requests that wait for the results of probes
 	admission  admission       // load shedding
 	retries    retrier         // retries and hedged requests
 }
 
 const second Micros = 1_000_000
 
-// Timer tokens below firstRequestToken belong to the balancer. The others name a request: the low slotBits hold its
-// slot in the ledger plus firstRequestToken, the high bits count the uses of that slot.
+// Timer tokens. A token below firstRequestToken identifies a timer of the balancer itself. Any other token
+// identifies a request: its low slotBits bits are the request's slot in the ledger plus firstRequestToken,
+// and its high bits count how often the slot has been used.
 const (
 	probeTimerToken = iota
 	pollTimerToken
@@ -57,8 +62,8 @@
 	slotBits          = 20
 )
 
-// New returns a balancer, or a *SettingError. The seed and the events determine all that it does. Call Start before
-// any other event.
+// New returns a balancer, or a *SettingError if a setting is invalid. The settings, the seed and the events
+// determine all decisions of the balancer. The host must call Start before it reports any event.
 func New(s Settings, seed uint64, actions Actions) (*Balancer, error) {
 	if err := s.Validate(); err != nil {
 		return nil, err
@@ -94,23 +99,24 @@
 	return b, nil
 }
 
-// Start begins the probe rounds and the calls of discovery.
+// Start starts the probe rounds and the calls to discovery.
 func (b *Balancer) Start(now Micros) {
 	b.discovery.start(now)
 	b.probes.start()
 }
 
-// Reconfigure puts new settings in force in one step, or returns a *SettingError and changes nothing. Estimates of
-// classes and tenants stay with their names; endpoints and what is known of them stay. An open request keeps the class
-// that it arrived under, except where the new settings permit less: the host must withdraw the attempts returned,
-// unless their first byte has been sent.
+// Reconfigure applies new settings atomically, or returns a *SettingError and changes nothing. A class or
+// tenant keeps its estimates if the new settings have one of the same name. All endpoints and their state are
+// kept. An open request keeps the class under which it arrived, unless the new settings are stricter about
+// repeated execution. The host must then cancel the returned attempts, except those whose first byte has
+// already been sent.
 func (b *Balancer) Reconfigure(s Settings) ([]AttemptID, error) {
 	if err := s.Validate(); err != nil {
 		return nil, err
 	}
 	b.applySettings(s)
 	b.probes.start()
-	return b.ledger.restrictAll(), nil
+	return b.ledger.restrictOpenRequests(), nil
 }
 
 func (b *Balancer) applySettings(s Settings) {
@@ -119,7 +125,7 @@
 	b.settings = s
 }
 
-// HandleTimer handles a token given to Actions.StartTimer.
+// HandleTimer handles the expiry of a timer, identified by the token that was passed to Actions.StartTimer.
 func (b *Balancer) HandleTimer(now Micros, token uint32) {
 	switch token {
 	case probeTimerToken:
@@ -133,7 +139,8 @@
 	}
 }
 
-// handleRequestTimer handles a request whose deadline has passed, whose probes are slow or whose attempt is overdue.
+// handleRequestTimer handles the expiry of a timer of r: its deadline has passed, it has waited long enough
+// for probes, or its latest attempt may be overdue.
 func (b *Balancer) handleRequestTimer(now Micros, r *request) {
 	switch {
 	case now >= r.Deadline:
@@ -144,7 +151,8 @@
 		}
 		b.ledger.reject(r)
 	case r.awaitingProbes:
-		// Only idle endpoints answer in time: counting their answers alone would show an overloaded fleet as idle.
+		// The time since each unanswered probe also counts as a probe delay. Only idle endpoints answer in
+		// time: with their answers alone, an overloaded fleet would look idle.
 		for _, e := range r.awaitedEndpoints {
 			b.estimates.learnProbeDelay(float64(now - e.lastProbeAt))
 		}
@@ -154,14 +162,14 @@
 	}
 }
 
-// HandleRequest handles a client's request.
+// HandleRequest handles the arrival of a client's request. A request with the ID of a known one is ignored.
 func (b *Balancer) HandleRequest(now Micros, in Request) {
 	if b.ledger.lookup(in.ID) != nil {
 		return
 	}
 	r := b.ledger.newRequest(now, in)
 	if r == nil {
-		b.actions.Reject(in.ID, 0) // its class is unknown, but an answer is owed
+		b.actions.Reject(in.ID, 0) // a request of an unknown class needs a final answer, too
 		return
 	}
 	b.stats.Requests++
@@ -177,37 +185,38 @@
 	}
 }
 
-// HandleHeaders handles the start of a streamed answer: from here on, the request has no deadline and gets no other
-// attempt.
+// HandleHeaders handles the start of a streamed response. From then on, the request has no deadline and gets
+// no other attempt.
 func (b *Balancer) HandleHeaders(_ Micros, id uint64, attempt int, _ Micros) {
 	if r := b.ledger.lookup(id); r != nil && !r.answered && attempt >= 0 && attempt < len(r.attempts) {
 		r.streaming = true
 	}
 }
 
-// HandleBodyWritten handles the last byte of a streamed request body: the request's time counts from here.
+// HandleBodyWritten handles the sending of the last byte of a streamed request body. The latency of the
+// request and of its attempt counts from then on, and the deadline is replaced by the given one.
 func (b *Balancer) HandleBodyWritten(now Micros, id uint64, deadline Micros) {
 	if r := b.ledger.lookup(id); r != nil && !r.answered && len(r.attempts) > 0 {
-		b.ledger.bodyWritten(now, r, deadline)
+		b.ledger.recordBodyWritten(now, r, deadline)
 	}
 }
 
-// HandleClientGone handles a client that has gone before its final answer.
+// HandleClientGone handles a client that disconnected before the final answer.
 func (b *Balancer) HandleClientGone(_ Micros, id uint64) {
 	if r := b.ledger.lookup(id); r != nil {
 		b.ledger.finish(r)
 	}
 }
 
-// HandleOutcome handles the end of an attempt.
+// HandleOutcome handles the end of an attempt. An outcome of an attempt that is not in flight is ignored.
 func (b *Balancer) HandleOutcome(now Micros, o Outcome) {
 	r, a := b.ledger.endAttempt(now, &o)
 	if r == nil {
 		return
 	}
-	b.membership.dropIfRemoved(a.endpoint) // the next list may come much later
+	b.membership.dropIfRemoved(a.endpoint) // not left to the next endpoint list, which may come much later
 	b.retries.recordLoss(a, o.Status)
-	b.stats.outcome(a, o.Status, o.Latency)
+	b.stats.countOutcome(a, o.Status, o.Latency)
 	b.breakers.recordOutcome(now, a, o.Status, o.Latency)
 	if o.Status == OK || o.Status == Timeout {
 		b.estimates.learnServiceTime(now, r, a, latencySample{float64(o.Latency), o.Status == Timeout})
@@ -225,7 +234,8 @@
 	b.retries.retry(now, r, a)
 }
 
-// HandleProbe handles the end of a probe. load is valid during the call only.
+// HandleProbe handles the end of a probe of the endpoint with this ID. load holds the figures of the load
+// report in the order of Settings.ReportFields; it is valid only during the call.
 func (b *Balancer) HandleProbe(now Micros, id uint32, status Status, latency Micros, load []float32) {
 	e := b.membership.lookup(id)
 	if e == nil {
@@ -237,7 +247,7 @@
 		e.lastResponseAt = now
 	}
 	if status != OK {
-		e.reportedAt = 0 // this removes it from the pool: it rejects probes or answers late
+		e.reportedAt = 0 // removes e from the pool, since it fails probes or answers them late
 		if status == Timeout {
 			b.estimates.learnProbeTimeout(float64(latency))
 		}
@@ -254,7 +264,8 @@
 	b.estimates.checkReportDelay(now, e, &report)
 }
 
-// HandleEndpoints handles a message of discovery. entries is valid during the call only.
+// HandleEndpoints handles an endpoint list, a change to it, or a failed call to discovery. entries is valid
+// only during the call.
 func (b *Balancer) HandleEndpoints(now Micros, kind ListUpdate, entries []Endpoint) {
 	if kind == ListFailed {
 		b.log(now, "discovery", "discovery call failed or watch broken; keeping the endpoint list and retrying")
@@ -264,15 +275,18 @@
 	if kind != ListCached {
 		b.discovery.succeeded()
 	}
-	probe := b.probes.mayProbeNew(len(entries))
+	probeNew := b.probes.mayProbeNew(len(entries))
 	b.membership.beginUpdate()
 	for i := range entries {
-		b.updateEndpoint(now, &entries[i], probe)
+		b.updateEndpoint(now, &entries[i], probeNew)
 	}
 	b.membership.endUpdate(now, kind)
 }
 
-func (b *Balancer) updateEndpoint(now Micros, in *Endpoint, probe bool) {
+// updateEndpoint stores an entry of an endpoint list. If the entry is a new endpoint or a new process of a
+// known one, it is put into slow start unless it started at least SlowStartDuration ago, and is probed if
+// probeNew is set. A start time of 0 means long ago.
+func (b *Balancer) updateEndpoint(now Micros, in *Endpoint, probeNew bool) {
 	e, startTime, newProcess := b.membership.update(now, in)
 	if !newProcess {
 		return
@@ -280,13 +294,14 @@
 	if startTime != 0 && now-startTime < b.settings.Contract.SlowStartDuration {
 		b.slowStart.begin(now, e, startTime)
 	}
-	if probe {
+	if probeNew {
 		b.probes.probe(now, e)
 	}
 }
 
-// Cordon excludes every endpoint of this name from service, whatever its state in discovery, or ends that. An endpoint
-// that returns was likely restarted: it counts as a new process, warming up since the instant given.
+// Cordon removes every endpoint with this name from service, whatever its state in discovery, or returns it
+// to service if cordoned is false. An endpoint that returns to service was probably restarted. It is
+// therefore treated as a new process that has been warming up since the given instant.
 func (b *Balancer) Cordon(now Micros, name uint64, cordoned bool, since Micros) {
 	b.membership.setCordoned(name, cordoned)
 	for _, e := range b.membership.list() {
--- a/balancer/estimates.go
+++ b/balancer/estimates.go
@@ -122,7 +122,7 @@
 		if e.serviceTimeRatio.initialized {
 			out.Endpoints = append(out.Endpoints, EndpointEstimate{
 				Name: e.Name, StartTime: e.StartTime, MeasuredAt: e.serviceTimeRatioAt,
-				ServiceTimeRatio: e.serviceTimeRatio.value, MeanLoad: e.meanLoad.value,
+				ServiceTimeRatio: e.serviceTimeRatio.value, MeanLoad: e.meanReportedLoad.value,
 			})
 		}
 	}
--- a/balancer/events.go
+++ b/balancer/events.go
@@ -1,9 +1,9 @@
 package balancer
 
-// EndpointState is what discovery says of an endpoint.
+// EndpointState is the state of an endpoint according to discovery.
 type EndpointState uint8
 
-// The states of an endpoint. Only a ready one is sent to.
+// The states of an endpoint. Attempts are sent only to endpoints in state Ready.
 const (
 	Ready EndpointState = iota
 	Draining
@@ -13,72 +13,72 @@
 // Endpoint is one entry of discovery's endpoint list.
 type Endpoint struct {
 	ID          uint32
-	Name        uint64 // a hash of its name, the same at every balancer
+	Name        uint64 // hash of the endpoint's name, equal at every balancer
 	Zone        uint8
 	MachineKind uint8
 	Cell        uint16
 	State       EndpointState
-	Weight      float32 // its capacity relative to others
-	StartTime   Micros  // of its present process; 0 for long ago
+	Weight      float32 // capacity relative to other endpoints
+	StartTime   Micros  // start of the endpoint's current process; 0 means long ago
 }
 
-// ListUpdate says how the entries of an endpoint list are to be read.
+// ListUpdate is the kind of an update of the endpoint list. It determines the meaning of the entries.
 type ListUpdate uint8
 
-// The kinds of endpoint list.
+// The kinds of update of the endpoint list.
 const (
 	ListDelta  ListUpdate = iota // the entries that changed
 	ListFull                     // the complete list
-	ListCached                   // the complete list as cached by the host; it may be old
-	ListFailed                   // a call of discovery failed; there are no entries
+	ListCached                   // the complete list from the host's cache, which may be out of date
+	ListFailed                   // no entries: a call to discovery failed, or a watch broke
 )
 
-// Request is a client's request. One final answer is owed for it: an outcome that ends it, a rejection or a failure.
-// No decision reads ClientRetry and IsWrite.
+// Request is a client's request. It must get one final answer: an outcome that ends it, a rejection or a
+// failure. No decision depends on ClientRetry or IsWrite.
 type Request struct {
 	ID            uint64
-	Key           uint64 // its affinity key, hashed; 0 for none
-	Deadline      Micros // the instant at which the client gives up this attempt of its own
-	WorkHint      Micros // expected work; used if HasWorkHint
+	Key           uint64 // hash of the affinity key; 0 means none
+	Deadline      Micros // instant at which the client stops waiting for an answer to this request
+	WorkHint      Micros // expected work; valid if HasWorkHint is set
 	HasWorkHint   bool
-	ClientRetry   bool // the client marked it as a retry
+	ClientRetry   bool // the client marked the request as a retry
 	IsWrite       bool
-	StreamingBody bool      // its body is forwarded while it arrives: HandleBodyWritten announces its last byte
-	Tenant        uint16    // its position in the settings
-	Class         uint8     // its position in the settings
-	ReceivedUnder *Settings // the settings that it was read under; nil for those in force
+	StreamingBody bool      // the body is forwarded while it arrives; see HandleBodyWritten
+	Tenant        uint16    // index in Settings.Tenants; there is no tenant if it is out of range
+	Class         uint8     // index in Settings.Classes
+	ReceivedUnder *Settings // settings to which Tenant and Class refer; nil means those in force
 }
 
-// AttemptID names an attempt of a request.
+// AttemptID identifies an attempt of a request.
 type AttemptID struct {
 	Request uint64
-	Attempt int // counted from 0 in the order of sending
+	Attempt int // index of the attempt in the order of sending, from 0
 }
 
-// Status says how an attempt or a probe ended.
+// Status is the result of an attempt or a probe.
 type Status uint8
 
-// The ways an attempt may end. Rejected, ConnectFailed and NotSent prove that it did not execute; all others but OK
-// leave that open.
+// The values of Status. Rejected, ConnectFailed and NotSent prove that the attempt did not execute. After any
+// other status except OK, it may have executed or not.
 const (
 	OK            Status = iota
-	EndpointError        // an error returned by the endpoint
-	Rejected             // rejected by the endpoint before it executed
-	Timeout              // no answer in time
-	ConnectFailed        // no connection in time
+	EndpointError        // the endpoint returned an error
+	Rejected             // the endpoint rejected the attempt without executing it
+	Timeout              // no answer arrived in time
+	ConnectFailed        // no connection was established in time
 	Reset                // the connection broke
-	Cancelled            // cancelled by the balancer
-	NotSent              // never sent
+	Cancelled            // the balancer cancelled the attempt
+	NotSent              // the attempt was never sent
 )
 
-// Outcome says how an attempt ended. LoadReport is valid during the call only; no decision reads it.
+// Outcome is the result of an attempt. LoadReport is valid only during the call; no decision depends on it.
 type Outcome struct {
-	ID           uint64
-	Attempt      int // counted from 0 in the order of sending
+	ID           uint64 // ID of the request
+	Attempt      int    // index of the attempt in the order of sending, from 0
 	Endpoint     uint32
 	Status       Status
 	Latency      Micros
 	Answered     bool // the request has its final answer
-	BodyConsumed bool // the body is no longer complete at the host, so it can't be sent again
+	BodyConsumed bool // the host no longer has the complete body, so the request can't be sent again
 	LoadReport   []float32
 }
--- a/balancer/ledger.go
+++ b/balancer/ledger.go
@@ -1,13 +1,17 @@
 package balancer
 
-// The request ledger. Every attempt, rejection and failure leaves through send, reject and fail: they alone
-// keep the rules, and no policy can bypass them.
+// The request ledger. Every attempt, rejection and failure goes through send, reject and fail. Only these
+// enforce the rules, so no policy can bypass the rules.
 
-// servedInTimeWeight is the weight of the latest request in its class's share served in time.
+// servedInTimeWeight is the weight of the latest request in class.servedInTime, the moving average of the
+// share of requests served in time.
 const servedInTimeWeight = 0.02
 
-// A Retry-After is drawn uniformly from a range in shares of the latency objective: the retries are spread,
-// and come while an answer is still useful.
+// A Retry-After is drawn uniformly from the range
+//
+//	minRetryAfterShare to minRetryAfterShare + retryAfterSpread, as shares of the latency objective
+//
+// so that retries are spread over time, but arrive while an answer is still useful.
 const (
 	minRetryAfterShare = 0.1
 	retryAfterSpread   = 0.2
@@ -21,16 +25,17 @@
 	estimates *estimator
 	waiting   *waitlist
 
-	requests map[uint64]*request // by ID
-	slots    []*request          // every record, by timer slot
-	free     []*request          // records to use again
-	open     int                 // requests without final answer
+	requests    map[uint64]*request // requests in the ledger by ID
+	slots       []*request          // all records, used or free; the index is part of the record's timerToken
+	freeRecords []*request          // records of finished requests, to be used for new requests
+	open        int                 // requests without a final answer
 }
 
-// lookup returns the request of this ID, or nil.
+// lookup returns the request with this ID, or nil.
 func (l *ledger) lookup(id uint64) *request { return l.requests[id] }
 
-// byToken returns the request whose timers have this token, or nil.
+// byToken returns the request whose timers have this token, or nil. It also returns a finished request whose
+// record has not been used again.
 func (l *ledger) byToken(token uint32) *request {
 	slot := int(token&(1<<slotBits-1)) - firstRequestToken
 	if token < firstRequestToken || slot < 0 || slot >= len(l.slots) || l.slots[slot].timerToken != token {
@@ -39,29 +44,29 @@
 	return l.slots[slot]
 }
 
-// openRequests counts the requests without final answer.
+// openRequests returns the number of requests without a final answer.
 func (l *ledger) openRequests() int { return l.open }
 
 // full reports whether more requests are open than permitted.
 func (l *ledger) full() bool { return l.open > l.settings.Limits.MaxOpenRequests }
 
-// newRequest returns the record of a request, or nil if its class is unknown.
+// newRequest adds a request to the ledger and returns its record, or returns nil if its class is unknown.
 func (l *ledger) newRequest(now Micros, in Request) *request {
 	c, t := l.demand.resolveClass(&in)
 	if c == nil {
 		return nil
 	}
 	var r *request
-	if n := len(l.free); n > 0 {
-		r, l.free = l.free[n-1], l.free[:n-1]
+	if n := len(l.freeRecords); n > 0 {
+		r, l.freeRecords = l.freeRecords[n-1], l.freeRecords[:n-1]
 	} else {
 		r = &request{timerToken: uint32(len(l.slots) + firstRequestToken)}
 		l.slots = append(l.slots, r)
 	}
-	// The high bits count the uses of the slot, so that a timer of an earlier use is ignored.
+	// The high bits of the token count the uses of the slot, so that timers of earlier uses are ignored.
 	r.timerToken += 1 << slotBits
 	underEarlierSettings := in.ReceivedUnder != nil
-	in.ReceivedUnder = nil // a free record must not keep old settings alive
+	in.ReceivedUnder = nil // otherwise, the record would keep old settings from being garbage collected
 	*r = request{
 		Request: in, class: c, idempotency: c.Idempotency, tenant: t, timerToken: r.timerToken, arrivedAt: now,
 		attempts: r.attempts[:0], awaitedEndpoints: r.awaitedEndpoints[:0],
@@ -74,7 +79,8 @@
 	return r
 }
 
-// finish marks that the final answer is given; the record stays for outcomes still to come.
+// finish marks r as answered and cancels its attempts in flight, if attempts may be cancelled. The record
+// remains in the ledger until the last of these attempts has an outcome.
 func (l *ledger) finish(r *request) {
 	if !r.answered {
 		r.class.servedInTime.add(r.servedInTime, servedInTimeWeight)
@@ -89,11 +95,11 @@
 	}
 	if r.inFlight == 0 && l.requests[r.ID] == r {
 		delete(l.requests, r.ID)
-		l.free = append(l.free, r)
+		l.freeRecords = append(l.freeRecords, r)
 	}
 }
 
-// send starts an attempt if the rules allow it.
+// send starts an attempt at e if the rules permit it, and reports whether it did.
 func (l *ledger) send(now Micros, r *request, e *endpoint) bool {
 	if !l.maySend(now, r, e) {
 		return false
@@ -129,8 +135,9 @@
 	return true
 }
 
-// bodyWritten records the last byte of a streamed request body. The body can't be sent again.
-func (l *ledger) bodyWritten(now Micros, r *request, deadline Micros) {
+// recordBodyWritten records that the last byte of a streamed request body was sent. After that, the body
+// can't be sent again. The latency of the request and its latest attempt counts from now.
+func (l *ledger) recordBodyWritten(now Micros, r *request, deadline Micros) {
 	r.arrivedAt, r.Deadline, r.bodyConsumed = now, deadline, true
 	a := &r.attempts[len(r.attempts)-1]
 	if a.inFlight && !a.bodyWritten {
@@ -142,7 +149,8 @@
 	l.actions.StartTimer(max(1, deadline-now), r.timerToken)
 }
 
-// endAttempt records that an attempt has ended. It returns nil if no such attempt is in flight.
+// endAttempt records the end of an attempt and returns its request and the attempt, or nil and nil if this
+// attempt is not in flight.
 func (l *ledger) endAttempt(now Micros, o *Outcome) (*request, *attempt) {
 	r := l.lookup(o.ID)
 	if r == nil || o.Attempt < 0 || o.Attempt >= len(r.attempts) || !r.attempts[o.Attempt].inFlight {
@@ -167,7 +175,7 @@
 	return r, a
 }
 
-// reject gives the final answer "rejected" where the rules allow it, otherwise "failed".
+// reject gives the final answer "rejected" if the rules permit it, otherwise "failed".
 func (l *ledger) reject(r *request) {
 	if r.answered || !l.mayReject(r) {
 		l.fail(r)
--- a/balancer/loadreport.go
+++ b/balancer/loadreport.go
@@ -72,7 +72,7 @@
 	} else {
 		est.typicalLoad.add(e.reportedLoad, weight)
 	}
-	e.meanLoad.add(e.reportedLoad, meanLoadWeight)
+	e.meanReportedLoad.add(e.reportedLoad, meanLoadWeight)
 	if est.queuedProbeShare.value > queuedProbeThreshold && !report.queued() &&
 		est.typicalLoad.value < assumedCores {
 		// Probes queue behind requests, but this one did not: a core was idle, even if a late report differs.
--- a/balancer/membership.go
+++ b/balancer/membership.go
@@ -132,7 +132,7 @@
 	if known, ok := m.restored[e.Name]; ok && known.StartTime == e.StartTime {
 		e.serviceTimeRatio, e.serviceTimeRatioAt = newEWMA(known.ServiceTimeRatio), known.MeasuredAt
 		if isPositiveFinite(known.MeanLoad) {
-			e.meanLoad = newEWMA(known.MeanLoad)
+			e.meanReportedLoad = newEWMA(known.MeanLoad)
 		}
 	}
 	delete(m.restored, e.Name)
--- a/balancer/prediction.go
+++ b/balancer/prediction.go
@@ -73,7 +73,7 @@
 		typical = est.typicalWarmingLoad.value
 	}
 	if est.reportsLate || !e.hasReport {
-		return e.meanLoad.or(typical) + float64(e.inFlight)
+		return e.meanReportedLoad.or(typical) + float64(e.inFlight)
 	}
 	others := e.reportedLoad
 	if est.probes.reportsSparse(now) {
--- a/balancer/request.go
+++ b/balancer/request.go
@@ -5,53 +5,53 @@
 // request is the ledger's record of a request and its attempts.
 type request struct {
 	Request
-	class            *class      // that it arrived under, whatever has become of it since
-	idempotency      Idempotency // of its class, or NonIdempotent if that was restricted since
-	tenant           *tenant     // nil where there is none
+	class            *class      // class under which the request arrived, even if changed or removed since
+	idempotency      Idempotency // idempotency of class, or NonIdempotent if the class became stricter since
+	tenant           *tenant     // nil if the request has no known tenant
 	timerToken       uint32
 	arrivedAt        Micros
 	work             float64 // expected service time in microseconds at an endpoint without load
-	logWorkHint      float64 // natural logarithm of its work hint over the mean of its class; 0 without hint
-	priority         float64 // of its class and tenant, 0 to 1, at the latest decision
+	logWorkHint      float64 // ln(work hint / mean work of the class); 0 without a work hint
+	priority         float64 // priority of class and tenant at the latest decision, 0 to 1
 	attempts         []attempt
-	inFlight         int     // attempts without outcome
-	servedInTime     float64 // 1 once answered within its latency objective
-	answered         bool    // the final answer is given
-	streaming        bool    // a streamed answer has begun: no other attempt may follow
-	trial            bool    // it was sent although it seemed too late
-	bodyConsumed     bool    // its body can't be sent again
+	inFlight         int     // attempts without an outcome
+	servedInTime     float64 // 1 once an answer came within the latency objective, else 0
+	answered         bool    // the final answer was given, or the client disconnected
+	streaming        bool    // a streamed response has begun, so no other attempt may follow
+	isTrial          bool    // the request was sent although its answer was expected too late
+	bodyConsumed     bool    // the body can't be sent again
 	awaitingProbes   bool
-	awaitedEndpoints []*endpoint // whose probes it waits for
+	awaitedEndpoints []*endpoint // endpoints whose probes the request waits for
 }
 
 // attempt is one send of a request.
 type attempt struct {
 	endpoint              *endpoint
-	zone                  uint8 // of the endpoint when sent: its list entry may change
-	cell                  uint16
+	zone                  uint8  // zone of the endpoint at sending time; its list entry may change later
+	cell                  uint16 // cell of the endpoint at sending time
 	sentAt                Micros
 	predictedLatency      float64 // microseconds
-	predictedWithoutTrend float64 // microseconds, from the endpoint's service time and load alone
-	queueingFactor        float64 // when sent
-	overdueAt             Micros  // when to check whether it is lost
-	suspected             bool    // it was overdue once, and its endpoint was probed
-	declaredLost          bool    // no answer is expected: it permits a hedged request, but may still be answered
-	warming               bool    // the endpoint was warming up when sent to
-	inFlight              bool    // no outcome yet
-	mayHaveExecuted       bool    // it may have had its effect, or may yet
-	bodyWritten           bool    // the last byte of the request is sent
+	predictedWithoutTrend float64 // microseconds; predictedLatency without the fleet-wide slowdown
+	queueingFactor        float64 // queueing factor of the endpoint at sending time
+	overdueAt             Micros  // instant of the next check whether the attempt is lost
+	suspectedLost         bool    // the attempt was found overdue, and its endpoint was probed
+	declaredLost          bool    // no answer is expected, so a hedged request is permitted; one may still come
+	warming               bool    // the endpoint was warming up at sending time
+	inFlight              bool    // the attempt has no outcome yet
+	mayHaveExecuted       bool    // the endpoint may have executed the attempt, or may yet execute it
+	bodyWritten           bool    // the last byte of the request body was sent
 }
 
-// firstExecuted returns the first attempt that may have executed, or nil.
-func (r *request) firstExecuted() *attempt {
+// firstPossiblyExecuted returns the first attempt that may have executed, or nil.
+func (r *request) firstPossiblyExecuted() *attempt {
 	if i := slices.IndexFunc(r.attempts, func(a attempt) bool { return a.mayHaveExecuted }); i >= 0 {
 		return &r.attempts[i]
 	}
 	return nil
 }
 
-// executedAttempts counts the attempts that may have executed, or may yet.
-func (r *request) executedAttempts() (n int) {
+// countPossiblyExecuted returns the number of attempts that may have executed, or may yet execute.
+func (r *request) countPossiblyExecuted() (n int) {
 	for i := range r.attempts {
 		if r.attempts[i].mayHaveExecuted {
 			n++
@@ -60,18 +60,18 @@
 	return n
 }
 
-// hasPendingAttempt reports whether an attempt in flight forbids another. If the request may be hedged, one that
-// is declared lost does not.
+// hasPendingAttempt reports whether an attempt in flight forbids another attempt. If mayHedge is set, an
+// attempt that was declared lost does not forbid it.
 func (r *request) hasPendingAttempt(mayHedge bool) bool {
 	return slices.ContainsFunc(r.attempts, func(a attempt) bool {
 		return a.inFlight && (!mayHedge || !a.declaredLost)
 	})
 }
 
-// triedAt reports whether an attempt went to e.
+// triedAt reports whether an attempt of r was sent to e.
 func (r *request) triedAt(e *endpoint) bool {
 	return slices.ContainsFunc(r.attempts, func(a attempt) bool { return a.endpoint == e })
 }
 
-// responded reports whether an end with this status came from the endpoint itself.
+// responded reports whether the status means that the endpoint itself responded.
 func responded(s Status) bool { return s == OK || s == EndpointError || s == Rejected }
--- a/balancer/retries.go
+++ b/balancer/retries.go
@@ -3,25 +3,29 @@
 // Retries and hedged requests.
 
 const (
-	maxBudget  = 10.0 // attempts that a budget holds
-	retryShare = 0.2  // of an attempt, deposited by each request for retries
-	hedgeShare = 0.2  // of an attempt, deposited by each request for hedged requests
+	maxBudget    = 10.0 // limit of a budget, in attempts
+	retryDeposit = 0.2  // attempts that each request adds to the budget for retries
+	hedgeDeposit = 0.2  // attempts that each request adds to the budget for hedged requests
 
-	lossRateWeight     = 0.02 // of the latest outcome in the loss rate
-	minHedgingLossRate = 0.01 // from which overdue attempts are hedged
+	lossRateWeight     = 0.02 // weight of the latest outcome in the loss rate
+	minHedgingLossRate = 0.01 // loss rate from which overdue attempts are hedged
 
-	// An attempt is overdue after this multiple of its predicted latency, and after no less than this share of
-	// the latency objective. If it can't be declared lost then, it is checked again after the time waited so far
-	// divided by overdueExtension.
-	overdueFactor    = 2.5
-	minOverdueShare  = 0.25
-	overdueExtension = 2
+	// An attempt is overdue after
+	//
+	//	max(overdueFactor * predicted latency, minOverdueShare * latency objective)
+	//
+	// since it was sent. If it can't be declared lost then, it is checked again after the time since it was
+	// sent divided by overdueRecheckDivisor.
+	overdueFactor         = 2.5
+	minOverdueShare       = 0.25
+	overdueRecheckDivisor = 2
 )
 
-// budget is a token bucket of attempts: each request deposits a share of one, as in Finagle's retry budget.
+// budget is a token bucket that limits attempts in proportion to requests, as in Finagle's retry budget. Its
+// value is the number of attempts that may be sent now.
 type budget float64
 
-// deposit adds a share of an attempt, up to maxBudget.
+// deposit adds a share of an attempt to the budget, which is limited to maxBudget.
 func (b *budget) deposit(share float64) { *b = budget(min(maxBudget, float64(*b)+share)) }
 
 // retrier decides on retries and hedged requests.
@@ -34,7 +38,7 @@
 
 	retryBudget budget
 	hedgeBudget budget
-	lossRate    ewma // share of attempts that were lost in the network or at the endpoint
+	lossRate    ewma // share of attempts that were lost in the network or at an endpoint
 }
 
 func newRetrier(env *environment, p *prober, est *estimator, a *admission, l *ledger) retrier {
@@ -44,21 +48,22 @@
 	}
 }
 
-// deposit fills the budgets by one request.
+// deposit adds the share of one request to both budgets.
 func (t *retrier) deposit() {
-	t.retryBudget.deposit(retryShare)
-	t.hedgeBudget.deposit(hedgeShare)
+	t.retryBudget.deposit(retryDeposit)
+	t.hedgeBudget.deposit(hedgeDeposit)
 }
 
-// watch starts a timer for the instant at which r's latest attempt is overdue, if attempts get lost at all.
-func (t *retrier) watch(now Micros, r *request) {
+// startOverdueTimer starts a timer for the instant at which r's latest attempt becomes overdue. It does so
+// only if the loss rate permits hedging and a hedged request is expected to be answered by the deadline.
+func (t *retrier) startOverdueTimer(now Micros, r *request) {
 	a := &r.attempts[len(r.attempts)-1]
 	if t.lossRate.value >= minHedgingLossRate && a.overdueAt+Micros(a.predictedLatency) < r.Deadline {
 		t.actions.StartTimer(a.overdueAt-now, r.timerToken)
 	}
 }
 
-// checkOverdue handles r's timer: its latest attempt may be overdue.
+// checkOverdue handles the expiry of r's timer if r's latest attempt is overdue.
 func (t *retrier) checkOverdue(now Micros, r *request) {
 	n := len(r.attempts)
 	if n == 0 || r.StreamingBody {
@@ -69,21 +74,22 @@
 	}
 }
 
-// handleOverdue hedges an overdue attempt if it can be declared lost: if its endpoint answered a later
-// attempt before it, or has not answered even the probe sent once it was overdue.
+// handleOverdue hedges an overdue attempt if it can be declared lost. That is the case if the endpoint
+// answered a later attempt first, or if it has not responded to anything since the attempt was sent, not
+// even to the probe that was sent when the attempt was first found overdue.
 //
-// An attempt that merely queues is waited for, since a hedged request would double the work of an overloaded
-// endpoint. Hence hedging also requires a loss rate: without losses, overdue attempts are slow.
+// An attempt that is merely queued is not hedged, since that would double the work of an overloaded endpoint.
+// For the same reason, hedging requires a minimum loss rate: without losses, overdue attempts are just slow.
 func (t *retrier) handleOverdue(now Micros, r *request, a *attempt) {
 	e := a.endpoint
 	if t.lossRate.value < minHedgingLossRate {
 		return
 	}
-	overtaken, silent := e.lastAnsweredSentAt > a.sentAt, a.suspected && e.lastResponseAt < a.sentAt
+	overtaken, silent := e.lastAnsweredSentAt > a.sentAt, a.suspectedLost && e.lastResponseAt < a.sentAt
 	if !overtaken && !silent {
-		a.suspected = true
+		a.suspectedLost = true
 		t.probes.probe(now, e)
-		a.overdueAt = now + (now-a.sentAt)/overdueExtension
+		a.overdueAt = now + (now-a.sentAt)/overdueRecheckDivisor
 		if a.overdueAt < r.Deadline {
 			t.actions.StartTimer(a.overdueAt-now, r.timerToken)
 		}
@@ -95,7 +101,7 @@
 	}
 }
 
-// recordLoss updates the loss rate by an attempt that has ended.
+// recordLoss updates the loss rate with an attempt that has ended.
 func (t *retrier) recordLoss(a *attempt, status Status) {
 	e := a.endpoint
 	lost := a.declaredLost && status == Cancelled ||
@@ -103,15 +109,16 @@
 	t.lossRate.add(indicator(lost), lossRateWeight)
 }
 
-// retry sends r again after an attempt that failed, or rejects it. Only an attempt that may have executed is
-// charged to the budget: others have cost no work.
+// retry sends r again after a failed attempt. If it can't, it rejects r, unless another attempt is in flight.
+// The retry is charged to the budget only if the failed attempt may have executed; otherwise that attempt has
+// cost no work.
 func (t *retrier) retry(now Micros, r *request, failed *attempt) {
-	charge := budget(indicator(failed.mayHaveExecuted))
-	if t.retryBudget >= charge && t.admission.startAttempt(now, r) {
-		t.retryBudget -= charge
+	cost := budget(indicator(failed.mayHaveExecuted))
+	if t.retryBudget >= cost && t.admission.startAttempt(now, r) {
+		t.retryBudget -= cost
 		return
 	}
-	if r.inFlight == 0 { // else another attempt may still be answered
+	if r.inFlight == 0 { // otherwise another attempt may still be answered
 		t.ledger.reject(r)
 	}
 }
--- a/balancer/retries_test.go
+++ b/balancer/retries_test.go
@@ -109,7 +109,7 @@
 	for _, c := range []struct {
 		status                 Status
 		minRetries, maxRetries int
-	}{{Reset, 10, maxBudget + requests*retryShare + 1}, {ConnectFailed, requests, 2 * requests}} {
+	}{{Reset, 10, maxBudget + requests*retryDeposit + 1}, {ConnectFailed, requests, 2 * requests}} {
 		s := testSettings()
 		s.Limits.MaxAttempts = 2
 		b, r := start(t, s, ready(8))
--- a/balancer/rules.go
+++ b/balancer/rules.go
@@ -2,7 +2,7 @@
 
 // The rules for attempts and final answers: limits, idempotency, deduplication and slow start.
 
-// maySend reports whether the rules allow an attempt at e now.
+// maySend reports whether the rules permit an attempt of r at e now.
 func (l *ledger) maySend(now Micros, r *request, e *endpoint) bool {
 	mayHedge := l.settings.Limits.HedgedRequests && !r.StreamingBody
 	if r.answered || r.streaming || r.bodyConsumed || r.hasPendingAttempt(mayHedge) || now >= r.Deadline ||
@@ -12,43 +12,45 @@
 	if e.isWarming(now, &l.settings.Contract) && !l.slowStart.maySend(now, e, r.work) {
 		return false
 	}
-	first := r.firstExecuted()
+	first := r.firstPossiblyExecuted()
 	return first == nil || r.idempotency == Idempotent ||
 		r.idempotency == IdempotentWithKey && now < l.latestStart(r, e) &&
 			r.class.DeduplicationScope.covers(first, e)
 }
 
-// covers reports whether e drops a duplicate of the request that the first attempt may have executed.
+// covers reports whether e is in the scope that belongs to the endpoint of the first possibly executed
+// attempt, so that e drops a duplicate of that attempt.
 func (scope DeduplicationScope) covers(first *attempt, e *endpoint) bool {
 	return scope == ScopeAll || scope == ScopeZone && e.Zone == first.zone ||
 		scope == ScopeCell && e.Cell == first.cell
 }
 
-// latestStart returns the instant up to which an attempt at e may begin, or 0 where only the deadline counts.
-// A retry with an idempotency key may wait for a connection, and must arrive within the deduplication
-// window.
+// latestStart returns the latest instant at which an attempt of r at e may start, or 0 if only the deadline
+// limits it. A retry with an idempotency key may wait for a connection, but must reach e within the
+// deduplication window, which starts when the first possibly executed attempt is sent.
 func (l *ledger) latestStart(r *request, e *endpoint) Micros {
-	first := r.firstExecuted()
+	first := r.firstPossiblyExecuted()
 	if first == nil || r.idempotency != IdempotentWithKey {
 		return 0
 	}
 	return first.sentAt + r.class.DeduplicationWindow - Micros(l.estimates.roundTrip(e))
 }
 
-// mayReject reports whether r may be answered as rejected, which promises that a client's retry is harmless.
+// mayReject reports whether r may get the answer "rejected", which tells the client that a retry is harmless.
 func (l *ledger) mayReject(r *request) bool {
-	return r.idempotency == Idempotent || r.firstExecuted() == nil ||
+	return r.idempotency == Idempotent || r.firstPossiblyExecuted() == nil ||
 		r.idempotency == IdempotentWithKey && r.class.DeduplicationScope == ScopeAll
 }
 
-// restrictIdempotency makes r non-idempotent if its class, as now in force, permits less than the one that r
-// arrived under: r may lack the key by which endpoints drop duplicates. It returns the attempts to withdraw:
-// if several may have executed, those in flight.
+// restrictIdempotency makes r non-idempotent if the class in force with the name of r's class is stricter
+// than r's idempotency: r may lack the key by which endpoints drop duplicates. It returns the attempts that
+// the host must withdraw: those in flight if r is non-idempotent and several of its attempts may have
+// executed.
 func (l *ledger) restrictIdempotency(r *request) (withdrawn []AttemptID) {
 	if c := l.demand.classNamed(r.class.Name); c != nil && c.Idempotency > r.idempotency {
 		r.idempotency = NonIdempotent
 	}
-	if r.idempotency != NonIdempotent || r.executedAttempts() < 2 {
+	if r.idempotency != NonIdempotent || r.countPossiblyExecuted() < 2 {
 		return nil
 	}
 	for i := range r.attempts {
@@ -59,8 +61,9 @@
 	return withdrawn
 }
 
-// restrictAll restricts every open request, and returns the attempts to withdraw.
-func (l *ledger) restrictAll() (withdrawn []AttemptID) {
+// restrictOpenRequests calls restrictIdempotency for every open request, and returns the attempts that the
+// host must withdraw.
+func (l *ledger) restrictOpenRequests() (withdrawn []AttemptID) {
 	for _, r := range l.slots {
 		if l.requests[r.ID] == r && !r.answered {
 			withdrawn = append(withdrawn, l.restrictIdempotency(r)...)
--- a/balancer/rules_test.go
+++ b/balancer/rules_test.go
@@ -22,7 +22,7 @@
 type checkedRequest struct {
 	request  Request
 	answered int  // final answers by the balancer
-	closed   bool // the balancer was notified of its end
+	ended    bool // the balancer was notified of its end
 	attempts []checkedAttempt
 }
 
@@ -43,8 +43,8 @@
 	c.faults = append(c.faults, fmt.Sprintf("at %d: ", c.now)+fmt.Sprintf(format, args...))
 }
 
-// firstExecuted returns the first attempt that may have executed, or nil.
-func (r *checkedRequest) firstExecuted() *checkedAttempt {
+// firstPossiblyExecuted returns the first attempt that may have executed, or nil.
+func (r *checkedRequest) firstPossiblyExecuted() *checkedAttempt {
 	for i := range r.attempts {
 		if r.attempts[i].mayHaveExecuted {
 			return &r.attempts[i]
@@ -61,7 +61,7 @@
 	}
 	e, known := c.endpoints[endpoint]
 	class := c.settings.Classes[r.request.Class]
-	if r.answered > 0 || r.closed {
+	if r.answered > 0 || r.ended {
 		c.fault("send after the end of %d", id)
 	}
 	if !known || e.State != Ready {
@@ -75,7 +75,7 @@
 			c.fault("hedged attempt of %d", id)
 		}
 	}
-	if first := r.firstExecuted(); first != nil && class.Idempotency != Idempotent {
+	if first := r.firstPossiblyExecuted(); first != nil && class.Idempotency != Idempotent {
 		scope := class.DeduplicationScope
 		deduplicated := scope == ScopeAll || scope == ScopeZone && first.endpoint.Zone == e.Zone ||
 			scope == ScopeCell && first.endpoint.Cell == e.Cell
@@ -87,10 +87,10 @@
 	r.attempts = append(r.attempts, checkedAttempt{endpoint: e, sentAt: c.now, inFlight: true, mayHaveExecuted: true})
 }
 
-// final records a final answer. It returns the request, or nil if it is not open.
-func (c *checker) final(id uint64) *checkedRequest {
+// recordFinalAnswer records a recordFinalAnswer answer. It returns the request, or nil if it is not open.
+func (c *checker) recordFinalAnswer(id uint64) *checkedRequest {
 	r := c.requests[id]
-	if r == nil || r.answered > 0 || r.closed {
+	if r == nil || r.answered > 0 || r.ended {
 		c.fault("final answer for %d, which is not open", id)
 		return nil
 	}
@@ -99,7 +99,7 @@
 }
 
 func (c *checker) Reject(id uint64, _ Micros) {
-	if r := c.final(id); r != nil && r.firstExecuted() != nil {
+	if r := c.recordFinalAnswer(id); r != nil && r.firstPossiblyExecuted() != nil {
 		class := c.settings.Classes[r.request.Class]
 		scoped := class.Idempotency == IdempotentWithKey && class.DeduplicationScope != ScopeAll
 		if class.Idempotency == NonIdempotent || scoped {
@@ -108,7 +108,7 @@
 	}
 }
 
-func (c *checker) Fail(id uint64) { c.final(id) }
+func (c *checker) Fail(id uint64) { c.recordFinalAnswer(id) }
 
 func (c *checker) Cancel(id uint64, attempt int) {
 	if r := c.requests[id]; r == nil || attempt >= len(r.attempts) {
@@ -142,14 +142,14 @@
 // of each seed's meaning.
 type randomPlay struct {
 	*checker
-	balancer     *Balancer
-	random       *rand.Rand
-	maxInterval  int        // between two events, in microseconds
-	list         []Endpoint // what discovery lists
-	massRestarts int        // restarts of all endpoints at once that are still to come
-	open         []uint64   // requests sent to the balancer, ended ones included
-	nextID       uint64
-	maxWaiting   int // largest number of requests that waited for probes
+	balancer         *Balancer
+	random           *rand.Rand
+	maxInterval      int        // between two events, in microseconds
+	listed           []Endpoint // what discovery lists
+	massRestartsLeft int        // restarts of all endpoints at once that are still to come
+	open             []uint64   // requests sent to the balancer, ended ones included
+	nextID           uint64
+	maxWaiting       int // largest number of requests that waited for probes
 }
 
 // outcomeStatuses are the statuses of random outcomes, with OK as the most frequent one.
@@ -173,7 +173,7 @@
 		p.fireTimers(firstRequestToken)
 	}
 	for id, r := range p.requests {
-		if r.answered == 0 && !r.closed {
+		if r.answered == 0 && !r.ended {
 			p.fault("request %d never got a final answer", id)
 		}
 	}
@@ -200,12 +200,12 @@
 		t.Fatal(err)
 	}
 	p.balancer.Start(p.now)
-	p.maxInterval, p.list = 20_000, ready(1+p.random.Intn(6))
+	p.maxInterval, p.listed = 20_000, ready(1+p.random.Intn(6))
 	if s.Balancers > 2 { // one balancer of a large fleet
-		p.maxInterval, p.list = 400_000, ready(20+p.random.Intn(60))
+		p.maxInterval, p.listed = 400_000, ready(20+p.random.Intn(60))
 	}
-	p.massRestarts = p.random.Intn(3)
-	p.updateList(ListCached, slices.Clone(p.list))
+	p.massRestartsLeft = p.random.Intn(3)
+	p.updateList(ListCached, slices.Clone(p.listed))
 	return p
 }
 
@@ -263,12 +263,12 @@
 	if status == Rejected || status == ConnectFailed || status == NotSent {
 		a.mayHaveExecuted = false
 	}
-	if status == OK && r.answered == 0 && !r.closed {
-		r.closed = true
+	if status == OK && r.answered == 0 && !r.ended {
+		r.ended = true
 	}
 	p.balancer.HandleOutcome(p.now, Outcome{
 		ID: id, Attempt: i, Endpoint: a.endpoint.ID, Status: status,
-		Latency: p.now - a.sentAt, Answered: r.answered > 0 || r.closed,
+		Latency: p.now - a.sentAt, Answered: r.answered > 0 || r.ended,
 	})
 }
 
@@ -276,7 +276,7 @@
 func (p *randomPlay) abandonRequest(id uint64) {
 	r := p.requests[id]
 	if r.answered == 0 {
-		r.closed = true
+		r.ended = true
 	}
 	p.balancer.HandleClientGone(p.now, id)
 }
@@ -293,7 +293,7 @@
 
 // changeList changes a random endpoint, or restarts all, and sends the list in one of its forms.
 func (p *randomPlay) changeList() {
-	e := &p.list[p.random.Intn(len(p.list))]
+	e := &p.listed[p.random.Intn(len(p.listed))]
 	e.State = EndpointState(p.random.Intn(3))
 	if p.random.Intn(4) == 0 {
 		e.State, e.StartTime = Ready, p.now-Micros(p.random.Intn(1_000_000))
@@ -301,17 +301,17 @@
 	if e.State == Ready && p.random.Intn(4) == 0 {
 		e.Zone = uint8(p.random.Intn(3))
 	}
-	if p.massRestarts > 0 && p.random.Intn(50) == 0 {
-		p.massRestarts--
-		for i := range p.list {
-			p.list[i].State, p.list[i].StartTime = Ready, p.now-Micros(p.random.Intn(1000))
+	if p.massRestartsLeft > 0 && p.random.Intn(50) == 0 {
+		p.massRestartsLeft--
+		for i := range p.listed {
+			p.listed[i].State, p.listed[i].StartTime = Ready, p.now-Micros(p.random.Intn(1000))
 		}
-		p.updateList(ListFull, slices.Clone(p.list))
+		p.updateList(ListFull, slices.Clone(p.listed))
 		return
 	}
 	switch p.random.Intn(6) {
 	case 0:
-		p.updateList(ListFull, slices.Clone(p.list[:p.random.Intn(len(p.list)+1)]))
+		p.updateList(ListFull, slices.Clone(p.listed[:p.random.Intn(len(p.listed)+1)]))
 	case 1:
 		p.updateList(ListFailed, nil)
 	default:
--- a/balancer/settings.go
+++ b/balancer/settings.go
@@ -2,39 +2,45 @@
 
 import "fmt"
 
-// Micros is an instant or a duration in microseconds. Instants share one arbitrary origin chosen by the host; the
-// host's clock never runs backwards.
+// Micros is an instant or a duration in microseconds. All instants count from the same origin, which the host
+// may choose freely. The host's clock never runs backwards.
 type Micros = int64
 
-// Time limits for a notification of a change of the endpoint list. By the protocol, a sidecar counts as notified of a
-// change NotificationDeadline after discovery has it and is reachable, whatever the state of earlier calls. Within that
-// time there may be a call that hangs or a silent watch, then the backoff, then a call that queues at discovery. The
-// backoff therefore takes no more than the other two leave:
+// Time limits for the calls to discovery that deliver changes of the endpoint list. The protocol requires a
+// sidecar to be notified of a change within NotificationDeadline from when discovery has the change and is
+// reachable, whatever the state of the sidecar's earlier calls. That time may include a call that hangs or a
+// watch that went silent, then the backoff, then a call that queues at discovery. The backoff is therefore
+// limited to the time that the two calls leave:
 //
-//	after a call that timed out:   NotificationDeadline - 2 DiscoveryCallTimeout = 0.6 s at most
-//	after a watch went silent:     NotificationDeadline - WatchDuration - WatchGrace
-//	                               - DiscoveryCallTimeout = 0.8 s at most
-//	after a call failed at once:   NotificationDeadline - DiscoveryCallTimeout = 3.3 s at most
+//	after a call that timed out:       at most NotificationDeadline - 2 DiscoveryCallTimeout = 0.6 s
+//	after a watch that went silent:    at most NotificationDeadline - WatchDuration - WatchGrace
+//	                                   - DiscoveryCallTimeout = 0.8 s
+//	after a call that failed at once:  at most NotificationDeadline - DiscoveryCallTimeout = 3.3 s
 //
-// Without changes, each watch of a fleet makes one call in 1.5 to 2 s.
+// While nothing changes, each watch of a fleet makes one call every 1.5 to 2 s.
 const (
 	NotificationDeadline Micros = 6_000_000
-	DiscoveryCallTimeout        = NotificationDeadline * 9 / 20 // of a call that is to be answered at once
-	WatchDuration               = NotificationDeadline / 3      // for which a call may wait for a change,
-	WatchGrace                  = NotificationDeadline / 12     // and by which an answer that there is none may be late
+	DiscoveryCallTimeout        = NotificationDeadline * 9 / 20 // for a call that does not wait for a change
+	WatchDuration               = NotificationDeadline / 3      // longest time that a call may wait for a change
+	WatchGrace                  = NotificationDeadline / 12     // permitted delay of the answer "no change"
 )
 
-// Idempotency tells what a second execution of a request would do. Later values permit less.
+// Idempotency states the effect of executing a request twice. A larger value is stricter.
 type Idempotency uint8
 
-// The kinds of class.
+// The values of Idempotency.
 const (
-	Idempotent        Idempotency = iota // a second execution is harmless
-	IdempotentWithKey                    // the endpoints of a scope drop duplicates by their key for DeduplicationWindow
-	NonIdempotent                        // a second execution would have a second effect
+	// Idempotent means that a second execution is harmless.
+	Idempotent Idempotency = iota
+	// IdempotentWithKey means that the request carries an idempotency key, by which the endpoints within the
+	// class's DeduplicationScope drop duplicates for DeduplicationWindow.
+	IdempotentWithKey
+	// NonIdempotent means that a second execution would have a second effect.
+	NonIdempotent
 )
 
-// DeduplicationScope is the set of endpoints that drop duplicates of a request with an idempotency key.
+// DeduplicationScope is the set of endpoints that drop duplicates of a request with an idempotency key. It is
+// relative to the endpoint that received the request first.
 type DeduplicationScope uint8
 
 // The deduplication scopes.
@@ -44,41 +50,44 @@
 	ScopeCell                           // the endpoints of one cell
 )
 
-// ReportField names one figure of a load report.
+// ReportField identifies one figure of a load report.
 type ReportField uint8
 
-// The figures that a load report may carry. FieldUnknown is one that this version does not know; it is skipped.
+// The figures that a load report may contain. FieldUnknown is a figure that this version does not know and
+// ignores.
 const (
 	FieldUnknown     ReportField = iota
-	FieldInFlight                // requests at the endpoint
-	FieldQueue                   // requests queued there
-	FieldUtilization             // share of its cores in use
+	FieldInFlight                // requests queued or being served at the endpoint
+	FieldQueue                   // requests queued at the endpoint
+	FieldUtilization             // share of the endpoint's cores in use, 0 to 1
 	FieldLatency                 // recent service time in milliseconds
-	FieldServedRate              // requests served a second
-	FieldErrorRate               // errors a second
+	FieldServedRate              // requests served per second
+	FieldErrorRate               // errors per second
 )
 
-// Class describes one class of requests. No decision reads LateWeight and Streaming.
+// Class describes one class of requests. DeduplicationScope and DeduplicationWindow are used only with
+// IdempotentWithKey. No decision depends on LateWeight or Streaming.
 type Class struct {
 	Name                string
 	Idempotency         Idempotency        `json:"Repeat"`
-	DeduplicationScope  DeduplicationScope `json:"Group"`     // for IdempotentWithKey only
-	DeduplicationWindow Micros             `json:"Window"`    // for IdempotentWithKey only: duplicates are dropped so long
+	DeduplicationScope  DeduplicationScope `json:"Group"`
+	DeduplicationWindow Micros             `json:"Window"`    // how long endpoints drop duplicates
 	LatencyObjective    Micros             `json:"Aim"`       // an answer within this time earns the full weight
-	ClientTimeout       Micros             `json:"GiveUp"`    // of the client, over all its attempts
-	PriorityWeight      float64            `json:"Worth"`     // of one request
-	LateWeight          float64            `json:"LateWorth"` // share of the weight earned after LatencyObjective
-	Streaming           bool               `json:"Stream"`    // answers are streamed: HandleHeaders announces them
+	ClientTimeout       Micros             `json:"GiveUp"`    // the client's timeout over all its attempts
+	PriorityWeight      float64            `json:"Worth"`     // weight of one request; see Settings.WeightByWork
+	LateWeight          float64            `json:"LateWorth"` // share of the weight that a late answer earns
+	Streaming           bool               `json:"Stream"`    // responses are streamed; see HandleHeaders
 }
 
-// Tenant describes one tenant and its quota. No decision reads CapacityShare.
+// Tenant describes one tenant and its quota. No decision depends on CapacityShare.
 type Tenant struct {
 	Name          string
-	QuotaRate     float64 `json:"Allowance"` // requests a second over all balancers
+	QuotaRate     float64 `json:"Allowance"` // requests per second through all balancers together
 	CapacityShare float64 `json:"Share"`
 }
 
-// Limits holds what the deployment permits. No decision reads PeerMessages and DialTimeout.
+// Limits holds what the deployment permits a balancer to do. No decision depends on PeerMessages or
+// DialTimeout.
 type Limits struct {
 	CancelAttempts bool `json:"Cancel"`
 	Probes         bool
@@ -86,25 +95,35 @@
 	RetryAfter     bool
 	PeerMessages   bool `json:"Tell"`
 
-	MaxAttempts     int    // attempts a request
-	MaxOpenRequests int    `json:"MaxOpen"` // open requests a balancer
-	MaxRetryAfter   Micros // the longest Retry-After that clients honour
+	MaxAttempts     int    // limit per request, including the first attempt
+	MaxOpenRequests int    `json:"MaxOpen"` // limit per balancer
+	MaxRetryAfter   Micros // longest Retry-After that clients respect
 	DialTimeout     Micros
 }
 
-// Contract holds the figures of the rules. No decision reads AnswerGrace: answers leave by the deadline.
+// Contract holds the parameters of the rules for endpoints, discovery and answers. No decision depends on
+// AnswerGrace, since the balancer gives each final answer by the deadline.
 type Contract struct {
-	DrainGrace               Micros  // for which a draining endpoint still serves
-	SlowStartInitialFraction float64 `json:"ColdFrom"`     // share of its capacity, at least, that an endpoint starts with
-	SlowStartDuration        Micros  `json:"RampTime"`     // after which it is warm, at the latest
-	OverloadFactor           float64 `json:"FallMultiple"` // times its present capacity overload a warming endpoint
-	OverloadWindow           Micros  `json:"OverloadFor"`  // if sent for this time
-	PollInterval             Micros  `json:"AskWithin"`    // between polls of a balancer without subscription, at most
-	AnswerGrace              Micros  `json:"AnswerSlack"`
+	// DrainGrace is how long a draining endpoint still serves requests.
+	DrainGrace Micros
+
+	// A warming endpoint has at least SlowStartInitialFraction of its capacity when it starts. It is fully warm
+	// after SlowStartDuration at the latest.
+	SlowStartInitialFraction float64 `json:"ColdFrom"`
+	SlowStartDuration        Micros  `json:"RampTime"`
+
+	// A warming endpoint becomes overloaded if it receives OverloadFactor times its present capacity for
+	// OverloadWindow.
+	OverloadFactor float64 `json:"FallMultiple"`
+	OverloadWindow Micros  `json:"OverloadFor"`
+
+	// PollInterval is the longest time between calls to discovery by a balancer without a subscription.
+	PollInterval Micros `json:"AskWithin"`
+	AnswerGrace  Micros `json:"AnswerSlack"`
 }
 
-// Prices holds what is taken off the result, each for its rate per request. No decision reads WastedAttempt and
-// LateFailure.
+// Prices holds the deductions from the result that Goal weighs. Each price is multiplied by the number of its
+// events per request. No decision depends on WastedAttempt or LateFailure.
 type Prices struct {
 	CrossZone     float64
 	Probe         float64
@@ -112,7 +131,8 @@
 	LateFailure   float64 `json:"LateFail"`
 }
 
-// Goal holds the weights of what users judge. No decision reads WorstTenant.
+// Goal holds the weights of the criteria by which users judge the service: as a whole, in its worst time
+// window, for the worst class and for the worst tenant. No decision depends on WorstTenant.
 type Goal struct {
 	Overall     float64 `json:"Whole"`
 	WorstWindow float64
@@ -120,39 +140,43 @@
 	WorstTenant float64
 }
 
-// Settings configures a balancer, at its start and by Reconfigure. Neither the balancer nor its host may change them
-// afterwards. No decision reads Index, Zones, MachineKinds and Tick.
+// Settings configures a balancer, in New and in Reconfigure. After it has been passed to either, neither the
+// balancer nor the host may modify it. No decision depends on Index, Zones, MachineKinds or Tick.
+//
+// Balancers is the number of balancers in the tier, including this one. Index is the position of this
+// balancer among them, and Zone is its zone.
 type Settings struct {
-	Balancers            int // in this tier, this one included
-	Index                int `json:"Position"` // of this one among them
-	Zone                 int // of this one
+	Balancers            int
+	Index                int `json:"Position"`
+	Zone                 int
 	Zones                int
 	MachineKinds         int  `json:"Kinds"`
-	SubscribeToDiscovery bool `json:"Subscribe"` // discovery answers only when called
+	SubscribeToDiscovery bool `json:"Subscribe"` // discovery sends lists only in response to calls
 
 	Classes      []Class
 	Tenants      []Tenant
-	ReportFields []ReportField `json:"Fields"` // of a load report, in order
+	ReportFields []ReportField `json:"Fields"` // figures of a load report, in their order there
 
 	Limits          Limits
 	Contract        Contract
 	Prices          Prices
 	Goal            Goal
-	Tick            Micros  // the least time between two rounds of events
-	OverQuotaWeight float64 `json:"OverShareWorth"` // of a request beyond its tenant's quota, as a share
-	WeightByWork    bool    `json:"WorthByWork"`    // PriorityWeight counts per unit of work, not per request
-	KeyAffinity     bool    `json:"WarmKeys"`       // an endpoint that served a key recently does less work for it
+	Tick            Micros  // shortest time between two rounds of events
+	OverQuotaWeight float64 `json:"OverShareWorth"` // relative weight of a request above its tenant's quota
+	WeightByWork    bool    `json:"WorthByWork"`    // PriorityWeight is per unit of work, not per request
+	KeyAffinity     bool    `json:"WarmKeys"`       // a request takes less work where its key was served lately
 }
 
-// SettingError names a setting that is invalid. Key is its path in Settings.
+// SettingError reports an invalid setting. In an error from this package, Key is the path of the setting in
+// Settings, such as "Contract.DrainGrace".
 type SettingError struct{ Key, Value, Reason string }
 
-// Error says which setting is invalid, and how.
+// Error returns a message with the key, the value and the reason why it is invalid.
 func (e *SettingError) Error() string {
 	return fmt.Sprintf("setting %s=%s: %s", e.Key, e.Value, e.Reason)
 }
 
-// Validate returns a *SettingError for the first setting that is invalid.
+// Validate returns a *SettingError for the first invalid setting, or nil if all settings are valid.
 func (s *Settings) Validate() error {
 	var v validator
 	atLeastOne(&v, "Balancers", s.Balancers)
@@ -212,7 +236,7 @@
 	notNegative(v, "Prices.LateFailure", p.LateFailure)
 }
 
-// validator keeps the first error.
+// validator collects the result of checks. err is the first error, or nil.
 type validator struct{ err error }
 
 func (v *validator) check(ok bool, key string, value any, reason string) {
@@ -221,7 +245,8 @@
 	}
 }
 
-// number is any type of the settings that is checked against a bound. No comparison holds for NaN.
+// number is the set of types of settings that are checked against a bound. NaN fails every check, since every
+// comparison with it is false.
 type number interface{ int | int64 | float64 }
 
 func notNegative[T number](v *validator, key string, value T) {
--- a/balancer/stats.go
+++ b/balancer/stats.go
@@ -2,40 +2,42 @@
 
 import "fmt"
 
-// Stats counts what a balancer did since its start, and shows the state that it assumes now. The counts only grow:
-// on-call staff read them as differences between two lines.
+// Stats holds counts of what a balancer has done since its start, and estimates of the current state. The
+// counts never decrease; Since formats the difference between two Stats for operators.
 type Stats struct {
 	Requests, Attempts, Rejected, Failed uint64
 
-	// Why an attempt was not sent: there was no endpoint that it might go to, it would have come too late, the circuit
-	// breakers of two endpoints dropped it, or the error throttle did.
+	// Attempts not sent, by reason: no endpoint was permitted, the answer would have come too late, the circuit
+	// breakers of two endpoints dropped the attempt, or the error throttle dropped it.
 	NoEndpoint, TooLate, BreakerRejected, Throttled uint64
 
-	Outcomes [NotSent + 1]uint64 // of attempts, by status
-	Probes   [NotSent + 1]uint64 // by status
+	Outcomes [NotSent + 1]uint64 // ended attempts by status
+	Probes   [NotSent + 1]uint64 // ended probes by status
 
 	PredictedLatency, Latency Micros // sums over the attempts with status OK
 	ProbeLatency              Micros // sum over the probes with status OK
 
-	// Of the attempts and outcomes, those at endpoints that were warming up when sent to, and sums of their latencies.
+	// Attempts sent to endpoints that were warming up at that time, those of them that ended with status OK or
+	// Timeout, and the sums of latencies over those with status OK.
 	WarmingAttempts, WarmingOK, WarmingTimeouts uint64
 	WarmingPredictedLatency, WarmingLatency     Micros
 
-	ReportedLoad float64 // sum of the requests that load reports counted
+	ReportedLoad float64 // sum over the load reports of the requests at the endpoint
 	QueuedProbes uint64  // probes that queued behind requests
 
-	// Requests that are open; attempts in flight, and those whose body is still being sent; endpoints by state.
+	// Open requests; attempts in flight whose body has been sent, and whose body is still being sent; all known
+	// endpoints, and those in each state. Pooled endpoints are those with a recent load report.
 	Open, InFlight, Uploading, Listed, Cordoned, WarmingUp, Ejected, Pooled int
 
-	TypicalLoad      float64 // requests of others at an endpoint
-	ServiceTimeRatio float64 // measured over predicted service time, over the fleet
-	Slowdown         float64 // measured over predicted latency, over all endpoints
-	RejectedShare    float64 // share of requests rejected at arrival, recently
-	ReportsLate      bool    // load reports come late: their means are used instead
+	TypicalLoad      float64 // typical number of requests of other balancers at an endpoint
+	ServiceTimeRatio float64 // measured / predicted service time, averaged over the fleet
+	Slowdown         float64 // measured / predicted latency over all endpoints; 1 if that may be noise
+	RejectedShare    float64 // share of recent requests that were rejected at arrival
+	ReportsLate      bool    // load reports arrive late, so their means are used instead
 }
 
-// outcome counts how an attempt ended.
-func (s *Stats) outcome(a *attempt, status Status, latency Micros) {
+// countOutcome counts the end of an attempt.
+func (s *Stats) countOutcome(a *attempt, status Status, latency Micros) {
 	s.Outcomes[min(status, NotSent)]++
 	if status == OK {
 		s.PredictedLatency += Micros(a.predictedLatency)
@@ -52,17 +54,18 @@
 	}
 }
 
-// Stats returns the counts so far and the state at this instant.
+// Stats returns the counts so far and the estimates of the state at now.
 func (b *Balancer) Stats(now Micros) Stats {
 	s := b.stats
 	s.Open = b.ledger.openRequests()
-	b.membership.describe(now, &s)
-	b.estimates.describe(now, &s)
+	b.membership.fillStats(now, &s)
+	b.estimates.fillStats(now, &s)
 	s.RejectedShare = b.demand.rejected()
 	return s
 }
 
-func (m *membership) describe(now Micros, s *Stats) {
+// fillStats sets the figures of s that describe endpoints.
+func (m *membership) fillStats(now Micros, s *Stats) {
 	s.Listed = len(m.endpoints)
 	for _, e := range m.endpoints {
 		s.InFlight += e.inFlight
@@ -74,17 +77,19 @@
 	}
 }
 
-func (est *estimator) describe(now Micros, s *Stats) {
+// fillStats sets the figures of s that the estimator has learned.
+func (est *estimator) fillStats(now Micros, s *Stats) {
 	s.TypicalLoad, s.ServiceTimeRatio = est.typicalLoad.value, est.fleetServiceTimeRatio.or(1)
 	s.Slowdown, s.ReportsLate = est.slowdown(now), est.reportsLate
 }
 
-// Since writes the counts of s beyond those of an earlier one, and the state of s, as name=value pairs.
+// Since formats the increase of the counts from old to s, and the state in s, as name=value pairs. Latencies
+// are means in milliseconds.
 func (s *Stats) Since(old *Stats) string {
-	mean := func(sum Micros, n uint64) float64 { return float64(sum) / 1000 / float64(max(1, n)) }
-	statuses := func(now, was *[NotSent + 1]uint64) (text string) {
+	meanMillis := func(sum Micros, n uint64) float64 { return float64(sum) / 1000 / float64(max(1, n)) }
+	formatStatuses := func(current, previous *[NotSent + 1]uint64) (text string) {
 		for i, name := range [...]string{"ok", "error", "rejected", "timeout", "connect", "reset", "cancelled", "not_sent"} {
-			if n := now[i] - was[i]; n > 0 {
+			if n := current[i] - previous[i]; n > 0 {
 				text += fmt.Sprintf(" %s:%d", name, n)
 			}
 		}
@@ -96,15 +101,15 @@
 		"no_endpoint=%d too_late=%d breaker_rejected=%d throttled=%d outcomes=%s ",
 		s.Requests-old.Requests, s.Attempts-old.Attempts, s.Rejected-old.Rejected, s.Failed-old.Failed,
 		s.NoEndpoint-old.NoEndpoint, s.TooLate-old.TooLate, s.BreakerRejected-old.BreakerRejected,
-		s.Throttled-old.Throttled, statuses(&s.Outcomes, &old.Outcomes))
+		s.Throttled-old.Throttled, formatStatuses(&s.Outcomes, &old.Outcomes))
 	latencies := fmt.Sprintf("predicted_ms=%.1f latency_ms=%.1f warming_attempts=%d warming_ok=%d "+
 		"warming_timeouts=%d warming_predicted_ms=%.1f warming_latency_ms=%.1f ",
-		mean(s.PredictedLatency-old.PredictedLatency, ok), mean(s.Latency-old.Latency, ok),
+		meanMillis(s.PredictedLatency-old.PredictedLatency, ok), meanMillis(s.Latency-old.Latency, ok),
 		s.WarmingAttempts-old.WarmingAttempts, warmingOK, s.WarmingTimeouts-old.WarmingTimeouts,
-		mean(s.WarmingPredictedLatency-old.WarmingPredictedLatency, warmingOK),
-		mean(s.WarmingLatency-old.WarmingLatency, warmingOK))
+		meanMillis(s.WarmingPredictedLatency-old.WarmingPredictedLatency, warmingOK),
+		meanMillis(s.WarmingLatency-old.WarmingLatency, warmingOK))
 	probes := fmt.Sprintf("probes=%s probe_ms=%.2f reported_load=%.2f queued_probes=%d ",
-		statuses(&s.Probes, &old.Probes), mean(s.ProbeLatency-old.ProbeLatency, probed),
+		formatStatuses(&s.Probes, &old.Probes), meanMillis(s.ProbeLatency-old.ProbeLatency, probed),
 		(s.ReportedLoad-old.ReportedLoad)/float64(max(1, probed)), s.QueuedProbes-old.QueuedProbes)
 	state := fmt.Sprintf("open=%d in_flight=%d uploading=%d listed=%d cordoned=%d warming_up=%d ejected=%d pooled=%d "+
 		"typical_load=%.2f service_time_ratio=%.2f slowdown=%.2f rejected_share=%.2f reports_late=%v",
