--- a/balancer/admission_test.go
+++ b/balancer/admission_test.go
@@ -12,7 +12,7 @@
 		interval           Micros // between requests
 		minSends, maxSends int
 	}{{second / 100, 3, 6}, {second, 28, 33}} {
-		b, r := start(t, testSettings(), ready(1))
+		b, r := startBalancer(t, testSettings(), readyEndpoints(1))
 		b.demand.classes[0].work.value = float64(100 * second)
 		for i := range uint64(300) {
 			now := 10*second + Micros(i)*c.interval
@@ -33,7 +33,7 @@
 	startWaiting := func() (*Balancer, *recorder) { // request 1 waits for its probes
 		s := testSettings()
 		s.Balancers = 1000
-		b, r := start(t, s, ready(40))
+		b, r := startBalancer(t, s, readyEndpoints(40))
 		if len(r.probes) != 0 {
 			t.Errorf("%d probes at the start", len(r.probes))
 		}
@@ -83,7 +83,7 @@
 // If the sidecar itself is slow, all latencies grow: rejecting requests where none queues relieves no endpoint, and
 // makes clients retry.
 func TestSlowdownAloneRejectsNothing(t *testing.T) {
-	b, r := start(t, testSettings(), ready(1))
+	b, r := startBalancer(t, testSettings(), readyEndpoints(1))
 	b.estimates.trend, b.estimates.trendAt = maxTrendRatio, 1000
 	b.estimates.fleetServiceTimeRatio = newEWMA(20)
 	b.HandleProbe(1000, 1, OK, 500, []float32{0})
@@ -100,7 +100,7 @@
 
 // A few long latencies must not get requests rejected at an endpoint where none queues.
 func TestIdleEndpointIsNeverTooLate(t *testing.T) {
-	b, r := start(t, testSettings(), ready(1))
+	b, r := startBalancer(t, testSettings(), readyEndpoints(1))
 	e := b.membership.endpoints[0]
 	e.serviceTimeRatio, e.serviceTimeRatioAt = newEWMA(9), 1000
 	b.HandleProbe(1000, 1, OK, 500, []float32{0})
@@ -112,7 +112,7 @@
 
 // Trials keep an overloaded endpoint overloaded: each that is not served in time makes the next rarer.
 func TestFailedTrialsLengthenTheInterval(t *testing.T) {
-	b, r := start(t, testSettings(), ready(1))
+	b, r := startBalancer(t, testSettings(), readyEndpoints(1))
 	b.demand.classes[0].work.value = float64(100 * second)
 	trials := [2]int{} // in the first and the second half
 	for i := range uint64(400) {
@@ -143,11 +143,11 @@
 func TestRequestProbesStayWithinRoundTrip(t *testing.T) {
 	s := testSettings()
 	s.Balancers = 1000
-	list := ready(40)
+	list := readyEndpoints(40)
 	for i := range list {
 		list[i].Zone = uint8(i % 2)
 	}
-	b, r := start(t, s, list)
+	b, r := startBalancer(t, s, list)
 	b.estimates.zoneLatencies[0] = zoneLatency{median: 500, count: 1}
 	b.estimates.zoneLatencies[1] = zoneLatency{median: 30_000, count: 1}
 	b.HandleTimer(second, probeTimerToken)
@@ -166,7 +166,7 @@
 
 // On-call staff must learn why requests are rejected, in one line a second and not in thousands.
 func TestRejectionsAreLoggedOnceASecond(t *testing.T) {
-	b, r := start(t, testSettings(), ready(1))
+	b, r := startBalancer(t, testSettings(), readyEndpoints(1))
 	b.HandleProbe(1000, 1, OK, 500, []float32{50})
 	for id := range uint64(200) {
 		now := second + 5000*Micros(id)
--- a/balancer/breaker_test.go
+++ b/balancer/breaker_test.go
@@ -102,13 +102,13 @@
 }
 
 func TestBreakerLetsTrialsThrough(t *testing.T) {
-	b, _ := start(t, testSettings(), ready(1))
+	b, _ := startBalancer(t, testSettings(), readyEndpoints(1))
 	e := b.membership.endpoints[0]
 	now := 20 * second
 	for range 1000 {
 		e.breaker.count(now, failed)
 	}
-	r := recordOf(b, Request{})
+	r := newRecord(b, Request{})
 	if !b.breakers.allow(now, r, e) {
 		t.Fatal("the first request is not let through as a trial")
 	}
@@ -128,7 +128,7 @@
 
 // If all endpoints fail at once, ejection must not send all requests to the few that are not ejected yet.
 func TestLoadStaysSpreadWhenAllFail(t *testing.T) {
-	b, r := start(t, testSettings(), ready(8))
+	b, r := startBalancer(t, testSettings(), readyEndpoints(8))
 	sends := map[uint32]int{}
 	for id := range uint64(400) {
 		now := 1000 + 100*Micros(id)
@@ -152,7 +152,7 @@
 }
 
 func TestFailingEndpointIsAvoidedAndTriedAgain(t *testing.T) {
-	b, r := start(t, testSettings(), ready(3))
+	b, r := startBalancer(t, testSettings(), readyEndpoints(3))
 	now := second
 	sends := map[uint32]int{}
 	id := uint64(0)
--- a/balancer/cordon_test.go
+++ b/balancer/cordon_test.go
@@ -13,8 +13,8 @@
 // A cordoned endpoint gets neither requests nor probes, whatever discovery says of it. Cordoning is idempotent, as is
 // uncordoning.
 func TestCordonedEndpointGetsNothing(t *testing.T) {
-	list := withNames(ready(2))
-	b, r := start(t, testSettings(), list)
+	list := withNames(readyEndpoints(2))
+	b, r := startBalancer(t, testSettings(), list)
 	now := Micros(0)
 	id := uint64(0)
 	// play sends 200 requests. It returns the probes of endpoint 1 and the attempts by endpoint.
@@ -78,9 +78,9 @@
 
 // An endpoint that is cordoned before it is first listed stays cordoned.
 func TestCordonBeforeListing(t *testing.T) {
-	b, r := start(t, testSettings(), nil)
+	b, r := startBalancer(t, testSettings(), nil)
 	b.Cordon(0, 101, true, 0)
-	b.HandleEndpoints(0, ListFull, withNames(ready(1)))
+	b.HandleEndpoints(0, ListFull, withNames(readyEndpoints(1)))
 	b.HandleRequest(1, testRequest(1, 0, 1))
 	if len(r.sends) != 0 || len(r.rejected) != 1 {
 		t.Errorf("sent %v, rejected %v", r.sends, r.rejected)
@@ -100,7 +100,7 @@
 			t.Fatal(err)
 		}
 		b.Start(0)
-		b.HandleEndpoints(0, ListCached, withNames(ready(10)))
+		b.HandleEndpoints(0, ListCached, withNames(readyEndpoints(10)))
 		now := 30 * second
 		b.Cordon(now, 101, true, now)
 		b.Cordon(now, 101, false, now)
--- a/balancer/demand_test.go
+++ b/balancer/demand_test.go
@@ -6,21 +6,21 @@
 	s := testSettings()
 	s.OverQuotaWeight = 0.05
 	s.Tenants = []Tenant{{Name: "a", QuotaRate: 50}, {Name: "b", QuotaRate: 50}}
-	b, _ := start(t, s, ready(2))
+	b, _ := startBalancer(t, s, readyEndpoints(2))
 	for i := range Micros(100) {
 		b.demand.tenants[0].add(i*1000, 1)
 		if i%4 == 0 {
 			b.demand.tenants[1].add(i*1000, 1)
 		}
 	}
-	over, within := recordOf(b, Request{Tenant: 0}), recordOf(b, Request{Tenant: 1})
+	over, within := newRecord(b, Request{Tenant: 0}), newRecord(b, Request{Tenant: 1})
 	b.demand.rejectedShare.value = 0.5
 	overPriority := b.demand.tenantPriority(100_000, over)
 	withinPriority := b.demand.tenantPriority(100_000, within)
 	if withinPriority != 1 || overPriority > 0.6 {
 		t.Errorf("priority %v over the quota, %v within it", overPriority, withinPriority)
 	}
-	if got := b.demand.tenantPriority(100_000, recordOf(b, Request{Tenant: 9})); got != 1 {
+	if got := b.demand.tenantPriority(100_000, newRecord(b, Request{Tenant: 9})); got != 1 {
 		t.Errorf("unknown tenant: %v", got)
 	}
 }
@@ -30,12 +30,12 @@
 	s := testSettings()
 	s.OverQuotaWeight = 0.05
 	s.Tenants = []Tenant{{Name: "a", QuotaRate: 60}, {Name: "b", QuotaRate: 40}}
-	b, _ := start(t, s, ready(2))
+	b, _ := startBalancer(t, s, readyEndpoints(2))
 	b.demand.tenants[0].add(0, 60)
 	b.demand.tenants[1].add(0, 40)
 	b.demand.rejectedShare.value = 0.8
 	for tenant := range uint16(2) {
-		if got := b.demand.tenantPriority(0, recordOf(b, Request{Tenant: tenant})); got < 0.99 {
+		if got := b.demand.tenantPriority(0, newRecord(b, Request{Tenant: tenant})); got < 0.99 {
 			t.Errorf("tenant %d, within its share of the traffic, has priority %.2f while 80%% are rejected", tenant, got)
 		}
 	}
--- a/balancer/determinism_test.go
+++ b/balancer/determinism_test.go
@@ -7,7 +7,7 @@
 
 func TestSameEventsGiveSameActions(t *testing.T) {
 	run := func() *recorder {
-		b, r := start(t, testSettings(), ready(5))
+		b, r := startBalancer(t, testSettings(), readyEndpoints(5))
 		for i := range uint64(200) {
 			now := Micros(i) * 7000
 			b.HandleRequest(now, testRequest(i, uint8(i%5), now))
@@ -26,7 +26,7 @@
 }
 
 func TestSteadyStateDoesNotAllocate(t *testing.T) {
-	b, r := start(t, testSettings(), ready(5))
+	b, r := startBalancer(t, testSettings(), readyEndpoints(5))
 	id := uint64(0)
 	once := func() {
 		id++
--- a/balancer/discovery_test.go
+++ b/balancer/discovery_test.go
@@ -28,7 +28,7 @@
 				return r.delays[i]
 			}
 			b.Start(0)
-			b.HandleEndpoints(0, ListCached, ready(2))
+			b.HandleEndpoints(0, ListCached, readyEndpoints(2))
 			if delay := failCall(); delay < s.Contract.PollInterval/40 {
 				t.Errorf("grace %d: after a failed first call polled again after %d", grace, delay)
 			}
@@ -49,7 +49,7 @@
 func TestFailedSubscriptionIsRetried(t *testing.T) {
 	s := testSettings()
 	s.SubscribeToDiscovery = true
-	b, r := start(t, s, ready(2))
+	b, r := startBalancer(t, s, readyEndpoints(2))
 	now := Micros(0)
 	fireTimer := func() {
 		for i, token := range r.timers {
--- a/balancer/estimates_test.go
+++ b/balancer/estimates_test.go
@@ -9,9 +9,9 @@
 // The next process continues from the estimates of the one before, from its first request on; a new process of an
 // endpoint shares nothing with the old.
 func TestRestoreContinuesFromEstimates(t *testing.T) {
-	list := withNames(ready(4))
+	list := withNames(readyEndpoints(4))
 	list[3].StartTime = 5
-	old, r := start(t, testSettings(), list)
+	old, r := startBalancer(t, testSettings(), list)
 	for id := range uint64(400) {
 		now := Micros(id) * 50_000
 		old.HandleRequest(now, testRequest(id+1, 0, now))
@@ -80,7 +80,7 @@
 		"infinite service time ratio": {ServiceTimeRatio: math.Inf(1), ClassWork: noWork},
 		"no work":                     {ServiceTimeRatio: 1, ClassWork: noWork, WarmingSlowness: 9},
 	} {
-		b, _ := start(t, testSettings(), ready(2))
+		b, _ := startBalancer(t, testSettings(), readyEndpoints(2))
 		before := b.demand.classes[0].work.value
 		b.Restore(&invalid)
 		work, slowness := b.demand.classes[0].work.value, b.estimates.warmingSlowness.value
@@ -93,7 +93,7 @@
 
 // The next process may have the classes in another order, and new ones.
 func TestClassWorkIsRestoredByName(t *testing.T) {
-	b, _ := start(t, testSettings(), ready(2))
+	b, _ := startBalancer(t, testSettings(), readyEndpoints(2))
 	for i, c := range b.demand.classes {
 		c.work.value = float64(i + 1)
 	}
@@ -101,7 +101,7 @@
 	estimates := b.Estimates()
 	s := testSettings()
 	s.Classes = []Class{{Name: "new", LatencyObjective: 500, ClientTimeout: second}, s.Classes[4], s.Classes[0]}
-	next, _ := start(t, s, ready(2))
+	next, _ := startBalancer(t, s, readyEndpoints(2))
 	next.Restore(&estimates)
 	var got [3]float64
 	for i, c := range next.demand.classes {
--- a/balancer/example_test.go
+++ b/balancer/example_test.go
@@ -6,7 +6,7 @@
 	"oakproxy/balancer"
 )
 
-// host prints the actions of a balancer. A sidecar would perform them.
+// host implements balancer.Actions. It prints the actions that a sidecar would perform.
 type host struct{}
 
 func (h *host) Send(id uint64, endpoint uint32, _ balancer.Micros) {
@@ -40,8 +40,8 @@
 	}
 	b.Start(0)
 	b.HandleEndpoints(0, balancer.ListCached, []balancer.Endpoint{{ID: 7}, {ID: 8}})
-	b.HandleProbe(1_000, 7, balancer.OK, 500, []float32{2}) // endpoint 7 serves two requests,
-	b.HandleProbe(1_000, 8, balancer.OK, 500, []float32{0}) // endpoint 8 none
+	b.HandleProbe(1_000, 7, balancer.OK, 500, []float32{2}) // endpoint 7 has two requests in flight
+	b.HandleProbe(1_000, 8, balancer.OK, 500, []float32{0}) // endpoint 8 has no requests in flight
 
 	b.HandleRequest(2_000, balancer.Request{ID: 1, Deadline: 802_000})
 	b.HandleOutcome(3_000, balancer.Outcome{ID: 1, Endpoint: 8, Status: balancer.EndpointError, Latency: 1_000})
--- a/balancer/helpers_test.go
+++ b/balancer/helpers_test.go
@@ -4,7 +4,7 @@
 	"testing"
 )
 
-// testSettings returns plain settings that tests change as they need.
+// testSettings returns valid default settings, which tests modify as needed.
 func testSettings() Settings {
 	return Settings{
 		Balancers: 2, Zones: 1, MachineKinds: 1, Tick: 5000,
@@ -22,7 +22,7 @@
 	}
 }
 
-// keyedClass returns a class of requests with an idempotency key.
+// keyedClass returns a class of requests with an idempotency key and this deduplication scope.
 func keyedClass(name string, scope DeduplicationScope) Class {
 	return Class{
 		Name: name, Idempotency: IdempotentWithKey, DeduplicationScope: scope, DeduplicationWindow: 500_000,
@@ -30,7 +30,7 @@
 	}
 }
 
-// readClass returns a single class of idempotent requests.
+// readClass returns a list that contains a single class of idempotent requests.
 func readClass(latencyObjective, clientTimeout Micros) []Class {
 	return []Class{{
 		Name: "read", Idempotency: Idempotent,
@@ -38,28 +38,28 @@
 	}}
 }
 
-// sent is an attempt that a balancer sent.
-type sent struct {
+// sentAttempt is an attempt that a balancer started by Actions.Send.
+type sentAttempt struct {
 	id       uint64
 	endpoint uint32
 }
 
 // recorder records the actions of a balancer.
 type recorder struct {
-	sends    []sent
-	latest   []Micros // of the sends
-	rejected []uint64
-	failed   []uint64
-	cancels  []uint64
-	probes   []uint32
-	timers   []uint32
-	delays   []Micros
-	watches  int
-	logs     []string
+	sends        []sentAttempt
+	latestStarts []Micros // argument latest of each call of Send, in the order of sends
+	rejected     []uint64
+	failed       []uint64
+	cancels      []uint64 // IDs of requests, one for each cancelled attempt
+	probes       []uint32 // IDs of the probed endpoints
+	timers       []uint32 // tokens of the timers
+	delays       []Micros // delay of each timer, in the order of timers
+	watches      int      // calls of Watch
+	logs         []string
 }
 
 func (r *recorder) Send(id uint64, e uint32, latest Micros) {
-	r.sends, r.latest = append(r.sends, sent{id, e}), append(r.latest, latest)
+	r.sends, r.latestStarts = append(r.sends, sentAttempt{id, e}), append(r.latestStarts, latest)
 }
 func (r *recorder) Reject(id uint64, _ Micros) { r.rejected = append(r.rejected, id) }
 func (r *recorder) Fail(id uint64)             { r.failed = append(r.failed, id) }
@@ -71,8 +71,9 @@
 func (r *recorder) Watch(bool)      { r.watches++ }
 func (r *recorder) Log(line string) { r.logs = append(r.logs, line) }
 
-// ready returns n ready endpoints with IDs from 1; pairs share a cell and a zone.
-func ready(n int) []Endpoint {
+// readyEndpoints returns n endpoints in state Ready with IDs from 1. Endpoints 1 and 2 share a zone and a cell, as do 3
+// and 4, and so on.
+func readyEndpoints(n int) []Endpoint {
 	list := make([]Endpoint, n)
 	for i := range list {
 		list[i] = Endpoint{ID: uint32(i + 1), Zone: uint8(i / 2), Cell: uint16(i / 2), Weight: 1}
@@ -80,8 +81,8 @@
 	return list
 }
 
-// start returns a started balancer with this endpoint list, and the recorder of its actions.
-func start(t *testing.T, s Settings, list []Endpoint) (*Balancer, *recorder) {
+// startBalancer returns a started balancer with this endpoint list, and the recorder of its actions.
+func startBalancer(t *testing.T, s Settings, list []Endpoint) (*Balancer, *recorder) {
 	t.Helper()
 	r := &recorder{}
 	b, err := New(s, 7, r)
@@ -93,13 +94,13 @@
 	return b, r
 }
 
-// testRequest returns a request whose deadline is a second from now.
+// testRequest returns a request with a deadline one second after now.
 func testRequest(id uint64, class uint8, now Micros) Request {
 	return Request{ID: id, Class: class, Deadline: now + second}
 }
 
-// recordOf returns the record of a request that the balancer has not received.
-func recordOf(b *Balancer, in Request) *request {
+// newRecord returns a ledger record of a request without adding it to the balancer's ledger.
+func newRecord(b *Balancer, in Request) *request {
 	class, tenant := b.demand.resolveClass(&in)
 	return &request{Request: in, class: class, idempotency: class.Idempotency, tenant: tenant}
 }
--- a/balancer/loadreport_test.go
+++ b/balancer/loadreport_test.go
@@ -7,7 +7,7 @@
 )
 
 func TestInvalidLoadReportsAreIgnored(t *testing.T) {
-	b, _ := start(t, testSettings(), ready(1))
+	b, _ := startBalancer(t, testSettings(), readyEndpoints(1))
 	nan := float32(math.NaN())
 	for _, load := range [][]float32{nil, {}, {nan}, {-3}, {float32(math.Inf(1))}} {
 		b.HandleProbe(1000, 1, OK, 500, load)
@@ -24,7 +24,7 @@
 
 // Reports that count fewer requests than this balancer has in flight there are late; they must not decide picks.
 func TestDelayedReportsAreDetected(t *testing.T) {
-	b, r := start(t, testSettings(), ready(2))
+	b, r := startBalancer(t, testSettings(), readyEndpoints(2))
 	for id := range uint64(3) {
 		b.HandleRequest(1000, testRequest(id, 0, 1000))
 	}
@@ -53,9 +53,9 @@
 // While reports are late, their mean at each endpoint counts: endpoints under heavy load from other balancers must
 // differ from the others, and the fleet's mean must not raise the latency limit of any.
 func TestDelayedReportsAreAveragedByEndpoint(t *testing.T) {
-	b, _ := start(t, testSettings(), ready(2))
+	b, _ := startBalancer(t, testSettings(), readyEndpoints(2))
 	b.demand.classes[0].requestRate.add(0, 1)
-	r := recordOf(b, testRequest(1, 0, 0))
+	r := newRecord(b, testRequest(1, 0, 0))
 	r.work = 50_000
 	before := b.estimates.latencyLimit(0, r, b.membership.endpoints[0])
 	b.estimates.reportsLate = true
@@ -78,7 +78,7 @@
 func TestQueuedProbeShowsLoad(t *testing.T) {
 	s := testSettings()
 	s.ReportFields = []ReportField{FieldServedRate, FieldUtilization}
-	b, _ := start(t, s, ready(2))
+	b, _ := startBalancer(t, s, readyEndpoints(2))
 	e := b.membership.byID[1]
 	for range len(b.estimates.zoneLatencies[0].samples) {
 		b.HandleProbe(900, 1, OK, 500, []float32{90, 0.2})
@@ -106,7 +106,7 @@
 	}{{"latencies vary", 0}, {"quick answers at the start", 3}} {
 		s := testSettings()
 		s.Classes[0].LatencyObjective = 50_000
-		b, _ := start(t, s, ready(2))
+		b, _ := startBalancer(t, s, readyEndpoints(2))
 		var noise splitMix64 = 5
 		now := Micros(1000)
 		probe := func(latency Micros) { // whose report counts no request
@@ -143,7 +143,7 @@
 func TestProbeTimeoutsCountAsLoad(t *testing.T) {
 	s := testSettings()
 	s.Balancers = 1000
-	b, r := start(t, s, ready(40))
+	b, r := startBalancer(t, s, readyEndpoints(40))
 	b.HandleTimer(second, probeTimerToken)
 	for id := range uint64(40) {
 		now := 2*second + 100_000*Micros(id)
@@ -161,7 +161,7 @@
 
 // Where probes do not queue behind requests, a probe without answer must not count as load.
 func TestLostProbeIsNotLoad(t *testing.T) {
-	b, _ := start(t, testSettings(), ready(2))
+	b, _ := startBalancer(t, testSettings(), readyEndpoints(2))
 	for i := range Micros(20) {
 		b.HandleProbe(1000*i, 1, OK, 500, []float32{1})
 	}
@@ -194,7 +194,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			s := testSettings()
 			s.Balancers, s.Prices.Probe = 80, 0.08
-			b, _ := start(t, s, ready(c.endpoints))
+			b, _ := startBalancer(t, s, readyEndpoints(c.endpoints))
 			for i, load := range c.loads {
 				b.HandleProbe(Micros(i)*second, uint32(i%c.endpoints+1), OK, 500, []float32{load})
 			}
--- a/balancer/membership_test.go
+++ b/balancer/membership_test.go
@@ -4,9 +4,9 @@
 
 // An endpoint that restarts while its report is pooled is in the pool once.
 func TestRestartedEndpointIsPooledOnce(t *testing.T) {
-	b, _ := start(t, testSettings(), ready(2))
+	b, _ := startBalancer(t, testSettings(), readyEndpoints(2))
 	b.HandleProbe(1000, 1, OK, 500, []float32{0})
-	restarted := ready(1)[0]
+	restarted := readyEndpoints(1)[0]
 	restarted.StartTime = 1500
 	b.HandleEndpoints(2000, ListDelta, []Endpoint{restarted})
 	b.HandleProbe(3000, 1, OK, 500, []float32{0})
@@ -59,7 +59,7 @@
 }
 
 func TestDrainingEndpointGetsNoRequests(t *testing.T) {
-	b, r := start(t, testSettings(), ready(2))
+	b, r := startBalancer(t, testSettings(), readyEndpoints(2))
 	b.HandleEndpoints(1000, ListDelta, []Endpoint{{ID: 1, State: Draining}})
 	b.HandleEndpoints(1000, ListFull, []Endpoint{{ID: 1, State: Draining}, {ID: 3, State: Ready}})
 	for id := range uint64(20) {
--- a/balancer/overload_test.go
+++ b/balancer/overload_test.go
@@ -383,7 +383,7 @@
 	}{{"timed out", Timeout}, {"answered beyond the latency objective", OK}} {
 		t.Run(late.name, func(t *testing.T) {
 			s := testSettings()
-			b, r := start(t, s, ready(200))
+			b, r := startBalancer(t, s, readyEndpoints(200))
 			id, now := uint64(0), Micros(0)
 			var outcomes []event // still to come
 			// play sends n requests, one each 50 ms, whose attempts end with this status after this latency.
--- a/balancer/pick_test.go
+++ b/balancer/pick_test.go
@@ -7,7 +7,7 @@
 func TestPickPrefersLeastLoadWithOwnRequests(t *testing.T) {
 	s := testSettings()
 	s.Balancers = 1
-	b, r := start(t, s, ready(3))
+	b, r := startBalancer(t, s, readyEndpoints(3))
 	for i, load := range []float32{4, 0, 9} {
 		b.HandleProbe(1000, uint32(i+1), OK, 500, []float32{load})
 	}
@@ -34,7 +34,7 @@
 	for _, c := range []struct{ balancers, maxSends int }{{1, 5}, {3, 3}, {15, 2}} {
 		s := testSettings()
 		s.Balancers = c.balancers
-		b, r := start(t, s, ready(4))
+		b, r := startBalancer(t, s, readyEndpoints(4))
 		for id := range uint32(4) {
 			b.HandleProbe(1000, id+1, OK, 500, []float32{3 * float32(min(1, id))})
 		}
@@ -56,7 +56,7 @@
 
 // At the start only few endpoints have reported; they must not get all requests.
 func TestSmallPoolDoesNotGetAllRequests(t *testing.T) {
-	b, r := start(t, testSettings(), ready(8))
+	b, r := startBalancer(t, testSettings(), readyEndpoints(8))
 	b.HandleProbe(1000, 3, OK, 500, []float32{0})
 	for id := range uint64(24) {
 		b.HandleRequest(2000, testRequest(id, 0, 2000))
@@ -73,13 +73,13 @@
 // Random draws must not miss the endpoints of a short list, nor of a list without weights.
 func TestRandomEndpointFindsAnyUsableOne(t *testing.T) {
 	for n := range 12 {
-		list := ready(n)
+		list := readyEndpoints(n)
 		for i := range list {
 			list[i].Weight = float32(i % 2)
 		}
-		b, _ := start(t, testSettings(), list)
+		b, _ := startBalancer(t, testSettings(), list)
 		for range 50 {
-			request := recordOf(b, testRequest(1, 0, 1000))
+			request := newRecord(b, testRequest(1, 0, 1000))
 			if e := b.picker.randomEndpoint(1000, request, nil, 0); (e == nil) != (n == 0) {
 				t.Fatalf("%d endpoints: drew %v", n, e)
 			}
@@ -96,7 +96,7 @@
 	}{{Rejected, 1}, {EndpointError, 2}} {
 		s := testSettings()
 		s.Balancers = 1
-		b, r := start(t, s, ready(2))
+		b, r := startBalancer(t, s, readyEndpoints(2))
 		now := second
 		b.HandleProbe(now, 1, OK, 500, []float32{0})
 		request := b.ledger.newRequest(now, testRequest(1000, 1, now))
@@ -136,7 +136,7 @@
 
 // affinityList returns forty endpoints in two zones.
 func affinityList() []Endpoint {
-	list := ready(40)
+	list := readyEndpoints(40)
 	for i := range list {
 		list[i].Zone, list[i].Name = uint8(i%2), uint64(i+1)
 	}
@@ -218,11 +218,11 @@
 func TestKeyAffinityWithoutProbesUsesOtherEndpoints(t *testing.T) {
 	s := testSettings()
 	s.KeyAffinity, s.Balancers, s.Limits.Probes, s.Prices.Probe = true, 40, false, 0.08
-	list := ready(40)
+	list := readyEndpoints(40)
 	for i := range list {
 		list[i].Zone, list[i].Name = 0, uint64(i+1)
 	}
-	b, r := start(t, s, list)
+	b, r := startBalancer(t, s, list)
 	used := map[uint32]bool{}
 	for id := range uint64(60) {
 		request := testRequest(id, 0, 1000)
--- a/balancer/prediction_test.go
+++ b/balancer/prediction_test.go
@@ -33,11 +33,11 @@
 		s := testSettings()
 		s.Balancers, s.ReportFields = 350, nil
 		s.Classes = readClass(5*second, 10*second)
-		list := ready(8)
+		list := readyEndpoints(8)
 		for i := range list {
 			list[i].Zone = 0
 		}
-		b, r := start(t, s, list)
+		b, r := startBalancer(t, s, list)
 		now := second
 		for range 9 {
 			b.HandleProbe(now, 1, OK, 2*fast, nil)
@@ -65,7 +65,7 @@
 // One slow answer to a request with hardly any work is due to the network. It must not change the service times
 // expected of others.
 func TestSlowAnswerToTinyRequestDoesNotAffectServiceTime(t *testing.T) {
-	b, r := start(t, testSettings(), ready(1))
+	b, r := startBalancer(t, testSettings(), readyEndpoints(1))
 	b.estimates.workHintExponent = 1
 	now := second
 	for range 100 {
@@ -84,7 +84,7 @@
 
 // Latencies of zero must leave positive, finite estimates.
 func TestZeroLatencyKeepsEstimatesFinite(t *testing.T) {
-	b, r := start(t, testSettings(), ready(1))
+	b, r := startBalancer(t, testSettings(), readyEndpoints(1))
 	for i := range Micros(100_000) {
 		serveTogether(b, r, 1000*i, 1, 0, 0)
 	}
@@ -99,7 +99,7 @@
 // The capacity of a warming endpoint grows with its warm-up fraction, and so must the expectation, also once its
 // service time ratio has been learned.
 func TestWarmingEndpointIsExpectedToBeSlow(t *testing.T) {
-	b, _ := start(t, testSettings(), ready(2))
+	b, _ := startBalancer(t, testSettings(), readyEndpoints(2))
 	b.HandleEndpoints(1000, ListDelta, []Endpoint{{ID: 9, State: Ready, StartTime: 1000}})
 	e := b.membership.byID[9]
 	// The warm-up fraction is 0.2.
@@ -122,7 +122,7 @@
 // If the entire fleet slows down, an endpoint measured as fast must be expected to be slow, too, and to be fast again
 // soon after the recovery.
 func TestFleetWideSlowdownIsLearnedAtOnce(t *testing.T) {
-	b, r := start(t, testSettings(), ready(4))
+	b, r := startBalancer(t, testSettings(), readyEndpoints(4))
 	// serve sends n requests, whose attempts take this factor of the predicted latency.
 	serve := func(from Micros, n int, factor float64) {
 		for i := range n {
@@ -160,7 +160,7 @@
 // Attempts sent before a slowdown was detected must not raise it a second time: many are in flight by then, and all of
 // their outcomes come later.
 func TestSlowdownIsNotOverestimated(t *testing.T) {
-	b, r := start(t, testSettings(), ready(4))
+	b, r := startBalancer(t, testSettings(), readyEndpoints(4))
 	now := second
 	for id := range uint64(60) {
 		b.HandleRequest(now, Request{ID: id, Deadline: now + second, WorkHint: 10_000, HasWorkHint: true})
@@ -181,7 +181,7 @@
 
 // A slowdown that rejects all requests must not last for lack of outcomes.
 func TestSlowdownDecaysWithoutOutcomes(t *testing.T) {
-	b, _ := start(t, testSettings(), ready(4))
+	b, _ := startBalancer(t, testSettings(), readyEndpoints(4))
 	b.estimates.trend, b.estimates.trendAt = maxTrendRatio, second
 	if initial, later := b.estimates.slowdown(second), b.estimates.slowdown(4*second); initial < 2 || later != 1 {
 		t.Errorf("slowdown %.2f at the last outcome, %.2f three seconds after it", initial, later)
@@ -202,7 +202,7 @@
 		{"hints without relation", func(Micros) Micros { return 20_000 }, 0, 0.15},
 		{"exact hints", func(hint Micros) Micros { return hint }, 0.85, 1},
 	} {
-		b, r := start(t, testSettings(), ready(4))
+		b, r := startBalancer(t, testSettings(), readyEndpoints(4))
 		hints := splitMix64(3)
 		for i := range 4000 {
 			now := 10_000 * Micros(i)
@@ -223,7 +223,7 @@
 // entire fleet would count as slow.
 func TestOvertakenAttemptsDoNotAffectTrend(t *testing.T) {
 	for name, overtaken := range map[string]bool{"overtaken": true, "not overtaken": false} {
-		b, r := start(t, testSettings(), ready(1))
+		b, r := startBalancer(t, testSettings(), readyEndpoints(1))
 		for id := range uint64(5) {
 			b.HandleRequest(1000, testRequest(id, 0, 1000))
 		}
--- a/balancer/probing_test.go
+++ b/balancer/probing_test.go
@@ -7,7 +7,7 @@
 
 func TestPoolDropsOldReports(t *testing.T) {
 	s := testSettings()
-	b, r := start(t, s, ready(2))
+	b, r := startBalancer(t, s, readyEndpoints(2))
 	b.HandleProbe(1000, 1, OK, 500, []float32{0})
 	now := 1000 + b.probes.maxReportAge(1000, second) + 30*second
 	used := map[uint32]bool{}
@@ -26,7 +26,7 @@
 func TestProbesContinueWhileAllRequestsAreRejected(t *testing.T) {
 	s := testSettings()
 	s.Prices.Probe = maxProbeSpend // one probe a request
-	b, _ := start(t, s, ready(4))
+	b, _ := startBalancer(t, s, readyEndpoints(4))
 	for i := range 1000 {
 		b.demand.requestRate.add(5000*Micros(i), 1)
 	}
--- a/balancer/retries_test.go
+++ b/balancer/retries_test.go
@@ -2,45 +2,49 @@
 
 import "testing"
 
-// A hedged request doubles the work of an endpoint that is slow because it is overloaded.
+// While no attempts get lost, an overdue attempt must not be hedged: a hedged request would double the work of an
+// endpoint that is slow because it is overloaded.
 func TestOverdueAttemptsAreNotHedged(t *testing.T) {
-	b, r := start(t, testSettings(), ready(3))
+	b, r := startBalancer(t, testSettings(), readyEndpoints(3))
 	b.HandleRequest(1000, testRequest(1, 0, 1000))
 	for i, token := range r.timers {
 		b.HandleTimer(1000+r.delays[i]-1, token)
 	}
 	b.HandleTimer(900_000, r.timers[len(r.timers)-1])
 	if len(r.sends) != 1 {
-		t.Errorf("%d sends while the first is in flight", len(r.sends))
+		t.Errorf("got %d attempts while the first is in flight, want 1", len(r.sends))
 	}
 }
 
-// Where endpoints lose requests and answer the others in time, an attempt that a later one overtook is lost. It is
-// hedged as far as its class permits. The first attempt that is answered ends the request and cancels the other.
+// If endpoints lose some requests and answer the others in time, an overdue attempt is lost if the endpoint has
+// answered a later attempt. It is hedged if its class permits that. The first answer ends the request and cancels its
+// other attempts.
 func TestLostAttemptsAreHedged(t *testing.T) {
-	for class, hedges := range []int{1, 1, 1, 1, 0} {
-		b, r := start(t, testSettings(), ready(4))
+	for class, wantHedges := range []int{1, 1, 1, 1, 0} {
+		b, r := startBalancer(t, testSettings(), readyEndpoints(4))
 		b.retries.lossRate.value = minHedgingLossRate
 		b.HandleRequest(1000, testRequest(1, uint8(class), 1000))
 		first := r.sends[0]
 		b.membership.byID[first.endpoint].lastAnsweredSentAt = 2000
 		b.HandleTimer(500_000, r.timers[len(r.timers)-1])
-		if n := len(r.sends) - 1; n != hedges {
-			t.Errorf("class %d: %d hedged requests, want %d", class, n, hedges)
+		if n := len(r.sends) - 1; n != wantHedges {
+			t.Errorf("class %d: got %d hedged requests, want %d", class, n, wantHedges)
 			continue
 		}
-		if hedges == 0 {
+		if wantHedges == 0 {
 			continue
 		}
 		hedge := r.sends[1]
 		sameCell := b.membership.byID[hedge.endpoint].Cell == b.membership.byID[first.endpoint].Cell
 		if hedge.endpoint == first.endpoint || class == 3 && !sameCell {
-			t.Errorf("class %d: the hedged request went to %d after %d", class, hedge.endpoint, first.endpoint)
+			t.Errorf("class %d: got the hedged request at endpoint %d after the first attempt at %d; want another endpoint, "+
+				"for class 3 of the same cell", class, hedge.endpoint, first.endpoint)
 		}
-		// The hedged request fails. The first may still be answered, so there is no final answer yet.
+		// The hedged request fails. The first attempt may still be answered, so there is no final answer yet.
 		b.HandleOutcome(510_000, Outcome{ID: 1, Attempt: 1, Endpoint: hedge.endpoint, Status: EndpointError, Latency: 1000})
 		if len(r.rejected)+len(r.failed) != 0 {
-			t.Errorf("class %d: a final answer while an attempt is in flight", class)
+			t.Errorf("class %d: got rejected %v, failed %v while an attempt is in flight, want no final answer",
+				class, r.rejected, r.failed)
 		}
 		cancels := len(r.cancels)
 		b.HandleOutcome(520_000, Outcome{
@@ -50,14 +54,15 @@
 			cancels++ // a third attempt is cancelled, too
 		}
 		if len(r.cancels) != cancels || b.ledger.open != 0 {
-			t.Errorf("class %d: %d attempts cancelled, want %d; %d requests open",
-				class, len(r.cancels), cancels, b.ledger.open)
+			t.Errorf("class %d: got %d cancelled attempts and %d open requests, want %d and 0",
+				class, len(r.cancels), b.ledger.open, cancels)
 		}
 	}
 }
 
-// A retry of a request with an idempotency key carries the latest instant at which it may begin, less the round trip; a
-// first attempt and a retry of an idempotent request carry none, nor does one after an attempt that never executed.
+// A retry of a request with an idempotency key has a latest start: the end of the deduplication window less the
+// round-trip time. First attempts, retries of idempotent requests, and retries after an attempt that never executed
+// have none.
 func TestRetryWithKeyCarriesLatestStart(t *testing.T) {
 	const roundTrip = 20_000
 	for name, c := range map[string]struct {
@@ -71,39 +76,43 @@
 		"idempotent, reset": {0, Reset, 0},
 	} {
 		t.Run(name, func(t *testing.T) {
-			b, r := start(t, testSettings(), ready(4))
+			b, r := startBalancer(t, testSettings(), readyEndpoints(4))
 			for _, e := range b.membership.endpoints {
 				b.estimates.zoneLatencies[e.Zone].add(roundTrip)
 			}
 			b.HandleRequest(10_000, testRequest(1, c.class, 10_000))
 			b.HandleTimer(20_000, r.timers[len(r.timers)-1]) // in case it waits for probes
-			if len(r.sends) != 1 || r.latest[0] != 0 {
-				t.Fatalf("first attempts %v, latest %v", r.sends, r.latest)
+			if len(r.sends) != 1 || r.latestStarts[0] != 0 {
+				t.Fatalf("got attempts %v with latest starts %v, want one attempt without a latest start",
+					r.sends, r.latestStarts)
 			}
-			at := b.ledger.requests[1].attempts[0].sentAt
+			sentAt := b.ledger.requests[1].attempts[0].sentAt
 			b.HandleOutcome(200_000, Outcome{ID: 1, Endpoint: r.sends[0].endpoint, Status: c.status})
 			want := c.want
 			if want > 0 {
-				want += at - 10_000
+				want += sentAt - 10_000
 			}
-			if len(r.sends) != 2 || r.latest[1] != want {
-				t.Errorf("sends %v, latest %v, want %d", r.sends, r.latest, want)
+			if len(r.sends) != 2 || r.latestStarts[1] != want {
+				t.Errorf("got attempts %v with latest starts %v, want two attempts, the second with %d",
+					r.sends, r.latestStarts, want)
 			}
 		})
 	}
-	b, r := start(t, testSettings(), ready(4))
+	b, r := startBalancer(t, testSettings(), readyEndpoints(4))
 	b.estimates.zoneLatencies[0].add(roundTrip)
 	b.estimates.zoneLatencies[1].add(roundTrip)
 	b.HandleRequest(0, testRequest(1, 1, 0))
 	b.HandleTimer(10_000, r.timers[len(r.timers)-1])
-	at := b.ledger.requests[1].attempts[0].sentAt
-	b.HandleOutcome(at+500_000-roundTrip, Outcome{ID: 1, Endpoint: r.sends[0].endpoint, Status: Reset})
+	sentAt := b.ledger.requests[1].attempts[0].sentAt
+	b.HandleOutcome(sentAt+500_000-roundTrip, Outcome{ID: 1, Endpoint: r.sends[0].endpoint, Status: Reset})
 	if len(r.sends) != 1 || len(r.rejected) != 1 {
-		t.Errorf("sends %v, rejected %v: want no retry that could not arrive in time", r.sends, r.rejected)
+		t.Errorf("got attempts %v, rejected %v; want a rejection, since a retry could not arrive within the window",
+			r.sends, r.rejected)
 	}
 }
 
-// Retries after attempts that may have executed are limited to a share of the requests. Other retries are not.
+// The retry budget limits retries after attempts that may have executed to a share of the requests. It does not limit
+// other retries.
 func TestRetryBudgetLimitsRetries(t *testing.T) {
 	const requests = 300
 	for _, c := range []struct {
@@ -112,10 +121,10 @@
 	}{{Reset, 10, maxBudget + requests*retryDeposit + 1}, {ConnectFailed, requests, 2 * requests}} {
 		s := testSettings()
 		s.Limits.MaxAttempts = 2
-		b, r := start(t, s, ready(8))
+		b, r := startBalancer(t, s, readyEndpoints(8))
 		retries := 0
 		for id := range uint64(requests) {
-			now := Micros(id) * second // the error throttle lets one a second through
+			now := Micros(id) * second // the error throttle lets at least one request per second pass
 			sends := len(r.sends)
 			b.HandleRequest(now, testRequest(id, 0, now))
 			for attempt := 0; sends+attempt < len(r.sends); attempt++ {
@@ -127,11 +136,12 @@
 			}
 		}
 		if retries < c.minRetries || retries > c.maxRetries {
-			t.Errorf("status %d: %d retries of %d requests, want %d to %d",
+			t.Errorf("status %d: got %d retries of %d requests, want %d to %d",
 				c.status, retries, requests, c.minRetries, c.maxRetries)
 		}
 		if c.status == ConnectFailed && b.retries.retryBudget != maxBudget {
-			t.Errorf("retries after attempts that never executed charged %v", maxBudget-b.retries.retryBudget)
+			t.Errorf("retries after attempts that never executed: got %v taken from the retry budget, want 0",
+				maxBudget-b.retries.retryBudget)
 		}
 	}
 }
--- a/balancer/rules_test.go
+++ b/balancer/rules_test.go
@@ -7,25 +7,26 @@
 	"testing"
 )
 
-// checker hosts a balancer and asserts the rules on every action.
+// checker is the host of a balancer and checks that every action follows the rules.
 type checker struct {
-	settings  Settings
-	now       Micros
-	endpoints map[uint32]Endpoint        // as listed
-	requests  map[uint64]*checkedRequest // open and ended
-	faults    []string
-	timers    []pendingTimer
-	probes    []uint32 // without answer
+	settings   Settings
+	now        Micros
+	endpoints  map[uint32]Endpoint        // entries of the latest endpoint list by ID
+	requests   map[uint64]*checkedRequest // all requests by ID, including ended ones
+	violations []string
+	timers     []pendingTimer
+	probes     []uint32 // endpoints of probes without a result
 }
 
-// checkedRequest is a request as its client and the endpoints see it.
+// checkedRequest is the state of a request as its client and the endpoints know it.
 type checkedRequest struct {
-	request  Request
-	answered int  // final answers by the balancer
-	ended    bool // the balancer was notified of its end
-	attempts []checkedAttempt
+	request      Request
+	finalAnswers int  // number of final answers that the balancer gave
+	ended        bool // the balancer was notified that the request ended
+	attempts     []checkedAttempt
 }
 
+// checkedAttempt is an attempt that the balancer sent.
 type checkedAttempt struct {
 	endpoint        Endpoint
 	sentAt          Micros
@@ -33,14 +34,15 @@
 	mayHaveExecuted bool
 }
 
+// pendingTimer is a timer that has not fired.
 type pendingTimer struct {
-	at    Micros
+	at    Micros // instant at which the timer fires
 	token uint32
 }
 
-// fault records a broken rule.
-func (c *checker) fault(format string, args ...any) {
-	c.faults = append(c.faults, fmt.Sprintf("at %d: ", c.now)+fmt.Sprintf(format, args...))
+// recordViolation records that the balancer broke a rule, with the current time.
+func (c *checker) recordViolation(format string, args ...any) {
+	c.violations = append(c.violations, fmt.Sprintf("at %d: ", c.now)+fmt.Sprintf(format, args...))
 }
 
 // firstPossiblyExecuted returns the first attempt that may have executed, or nil.
@@ -56,23 +58,23 @@
 func (c *checker) Send(id uint64, endpoint uint32, _ Micros) {
 	r := c.requests[id]
 	if r == nil {
-		c.fault("send for unknown request %d", id)
+		c.recordViolation("request %d is unknown, but an attempt was sent", id)
 		return
 	}
 	e, known := c.endpoints[endpoint]
 	class := c.settings.Classes[r.request.Class]
-	if r.answered > 0 || r.ended {
-		c.fault("send after the end of %d", id)
+	if r.finalAnswers > 0 || r.ended {
+		c.recordViolation("request %d has ended, but an attempt was sent", id)
 	}
 	if !known || e.State != Ready {
-		c.fault("send to endpoint %d in state %d", endpoint, e.State)
+		c.recordViolation("attempt sent to endpoint %d in state %d, want a listed endpoint in state 0", endpoint, e.State)
 	}
 	if len(r.attempts) >= c.settings.Limits.MaxAttempts {
-		c.fault("attempt %d of %d", len(r.attempts), id)
+		c.recordViolation("attempt with index %d of request %d exceeds MaxAttempts", len(r.attempts), id)
 	}
 	for _, a := range r.attempts {
 		if a.inFlight && !c.settings.Limits.HedgedRequests {
-			c.fault("hedged attempt of %d", id)
+			c.recordViolation("request %d was hedged, though hedging is not permitted", id)
 		}
 	}
 	if first := r.firstPossiblyExecuted(); first != nil && class.Idempotency != Idempotent {
@@ -81,20 +83,20 @@
 			scope == ScopeCell && first.endpoint.Cell == e.Cell
 		late := c.now > first.sentAt+class.DeduplicationWindow
 		if class.Idempotency == NonIdempotent || !deduplicated || late {
-			c.fault("retry of %d (%s) may have a second effect", id, class.Name)
+			c.recordViolation("retry of request %d of class %s may have a second effect", id, class.Name)
 		}
 	}
 	r.attempts = append(r.attempts, checkedAttempt{endpoint: e, sentAt: c.now, inFlight: true, mayHaveExecuted: true})
 }
 
-// recordFinalAnswer records a recordFinalAnswer answer. It returns the request, or nil if it is not open.
+// recordFinalAnswer records a final answer. It returns the request, or nil if the request is not open.
 func (c *checker) recordFinalAnswer(id uint64) *checkedRequest {
 	r := c.requests[id]
-	if r == nil || r.answered > 0 || r.ended {
-		c.fault("final answer for %d, which is not open", id)
+	if r == nil || r.finalAnswers > 0 || r.ended {
+		c.recordViolation("final answer for request %d, which is not open", id)
 		return nil
 	}
-	r.answered++
+	r.finalAnswers++
 	return r
 }
 
@@ -103,7 +105,7 @@
 		class := c.settings.Classes[r.request.Class]
 		scoped := class.Idempotency == IdempotentWithKey && class.DeduplicationScope != ScopeAll
 		if class.Idempotency == NonIdempotent || scoped {
-			c.fault("rejection of %d (%s), which may have executed", id, class.Name)
+			c.recordViolation("request %d of class %s was rejected, but may have executed", id, class.Name)
 		}
 	}
 }
@@ -112,52 +114,52 @@
 
 func (c *checker) Cancel(id uint64, attempt int) {
 	if r := c.requests[id]; r == nil || attempt >= len(r.attempts) {
-		c.fault("cancel of attempt %d of %d, never made", attempt, id)
+		c.recordViolation("attempt %d of request %d was cancelled, but never sent", attempt, id)
 	}
 }
 
 func (c *checker) StartTimer(delay Micros, token uint32) {
 	if delay <= 0 {
-		c.fault("timer delay %d", delay)
+		c.recordViolation("timer delay %d, want more than 0", delay)
 	}
 	c.timers = append(c.timers, pendingTimer{c.now + delay, token})
 }
 
 func (c *checker) Probe(e uint32) {
 	if _, known := c.endpoints[e]; !known {
-		c.fault("probe of unknown endpoint %d", e)
+		c.recordViolation("unknown endpoint %d was probed", e)
 	}
 	c.probes = append(c.probes, e)
 }
 
 func (c *checker) Watch(bool) {
 	if !c.settings.SubscribeToDiscovery {
-		c.fault("subscription where changes come without one")
+		c.recordViolation("the balancer subscribed, though discovery sends changes without a subscription")
 	}
 }
 
 func (c *checker) Log(string) {}
 
-// randomPlay plays legal random events to a balancer whose actions are checked. The order of its random draws is part
-// of each seed's meaning.
+// randomPlay sends valid random events to a balancer and checks its actions. The order of the random draws must not
+// change, since it determines the events that belong to each seed.
 type randomPlay struct {
 	*checker
 	balancer         *Balancer
 	random           *rand.Rand
-	maxInterval      int        // between two events, in microseconds
-	listed           []Endpoint // what discovery lists
-	massRestartsLeft int        // restarts of all endpoints at once that are still to come
-	open             []uint64   // requests sent to the balancer, ended ones included
+	maxInterval      int        // upper bound of the time between two events, in microseconds
+	listed           []Endpoint // endpoints that discovery lists
+	massRestartsLeft int        // how many more times all endpoints restart at once
+	open             []uint64   // IDs of all requests sent to the balancer, including ended ones
 	nextID           uint64
-	maxWaiting       int // largest number of requests that waited for probes
+	maxWaiting       int // largest number of requests that waited for probes at the same time
 }
 
-// outcomeStatuses are the statuses of random outcomes, with OK as the most frequent one.
+// outcomeStatuses are the statuses from which random outcomes and probe results are drawn. OK is the most frequent one.
 var outcomeStatuses = [...]Status{
 	OK, OK, OK, EndpointError, Rejected, Timeout, ConnectFailed, Reset, Cancelled, NotSent,
 }
 
-// playRandomEvents plays legal random events from a seed and returns the faults found.
+// playRandomEvents plays valid random events from a seed and returns the violations of rules that it found.
 func playRandomEvents(t *testing.T, s Settings, seed int64) []string {
 	t.Helper()
 	p := newRandomPlay(t, s, seed)
@@ -173,18 +175,18 @@
 		p.fireTimers(firstRequestToken)
 	}
 	for id, r := range p.requests {
-		if r.answered == 0 && !r.ended {
-			p.fault("request %d never got a final answer", id)
+		if r.finalAnswers == 0 && !r.ended {
+			p.recordViolation("request %d got no final answer by its deadline", id)
 		}
 	}
 	requestsMayWait := s.Balancers > 2 && s.Limits.Probes && s.Prices.Probe < maxRequestProbeSpend
 	if requestsMayWait && p.maxWaiting == 0 {
-		p.fault("no request ever waited for probes: the run does not cover those that do")
+		p.recordViolation("no request waited for probes, so the run does not cover requests that wait")
 	}
-	return p.faults
+	return p.violations
 }
 
-// newRandomPlay returns a play whose balancer has its first endpoint list.
+// newRandomPlay returns a randomPlay whose balancer is started and has its first endpoint list.
 func newRandomPlay(t *testing.T, s Settings, seed int64) *randomPlay {
 	t.Helper()
 	p := &randomPlay{
@@ -200,16 +202,16 @@
 		t.Fatal(err)
 	}
 	p.balancer.Start(p.now)
-	p.maxInterval, p.listed = 20_000, ready(1+p.random.Intn(6))
-	if s.Balancers > 2 { // one balancer of a large fleet
-		p.maxInterval, p.listed = 400_000, ready(20+p.random.Intn(60))
+	p.maxInterval, p.listed = 20_000, readyEndpoints(1+p.random.Intn(6))
+	if s.Balancers > 2 { // one balancer of a large fleet gets few requests and knows many endpoints
+		p.maxInterval, p.listed = 400_000, readyEndpoints(20+p.random.Intn(60))
 	}
 	p.massRestartsLeft = p.random.Intn(3)
 	p.updateList(ListCached, slices.Clone(p.listed))
 	return p
 }
 
-// fireTimers fires every timer that is due, of the tokens from the first one on.
+// fireTimers fires every timer that is due and whose token is firstToken or larger.
 func (p *randomPlay) fireTimers(firstToken uint32) {
 	for i := 0; i < len(p.timers); {
 		timer := p.timers[i]
@@ -238,7 +240,7 @@
 	}
 }
 
-// sendRequest sends a request of a random class; the deadline of some has passed.
+// sendRequest sends a request with a random class and deadline. Some deadlines have already passed.
 func (p *randomPlay) sendRequest() {
 	in := Request{
 		ID: p.nextID, Class: uint8(p.random.Intn(len(p.settings.Classes))),
@@ -250,7 +252,7 @@
 	p.balancer.HandleRequest(p.now, in)
 }
 
-// endAttempt ends the first attempt of a request that is in flight, if any, with a random status.
+// endAttempt ends the first attempt of the request that is in flight, if there is one, with a random status.
 func (p *randomPlay) endAttempt(id uint64) {
 	r := p.requests[id]
 	i := slices.IndexFunc(r.attempts, func(a checkedAttempt) bool { return a.inFlight })
@@ -263,25 +265,25 @@
 	if status == Rejected || status == ConnectFailed || status == NotSent {
 		a.mayHaveExecuted = false
 	}
-	if status == OK && r.answered == 0 && !r.ended {
+	if status == OK && r.finalAnswers == 0 && !r.ended {
 		r.ended = true
 	}
 	p.balancer.HandleOutcome(p.now, Outcome{
 		ID: id, Attempt: i, Endpoint: a.endpoint.ID, Status: status,
-		Latency: p.now - a.sentAt, Answered: r.answered > 0 || r.ended,
+		Latency: p.now - a.sentAt, Answered: r.finalAnswers > 0 || r.ended,
 	})
 }
 
-// abandonRequest has the client of a request go.
+// abandonRequest lets the client of a request disconnect.
 func (p *randomPlay) abandonRequest(id uint64) {
 	r := p.requests[id]
-	if r.answered == 0 {
+	if r.finalAnswers == 0 {
 		r.ended = true
 	}
 	p.balancer.HandleClientGone(p.now, id)
 }
 
-// answerProbes ends all probes, with load reports that may be incomplete.
+// answerProbes ends all probes with random statuses and load reports, which may be incomplete.
 func (p *randomPlay) answerProbes() {
 	for _, e := range p.probes {
 		load := []float32{float32(p.random.Intn(8)), p.random.Float32() * 2}[:p.random.Intn(3)]
@@ -291,7 +293,8 @@
 	p.probes = p.probes[:0]
 }
 
-// changeList changes a random endpoint, or restarts all, and sends the list in one of its forms.
+// changeList changes a random endpoint or restarts all endpoints. It then sends the full list, a part of the list as
+// if it were complete, the changed entry, or a failed call to discovery.
 func (p *randomPlay) changeList() {
 	e := &p.listed[p.random.Intn(len(p.listed))]
 	e.State = EndpointState(p.random.Intn(3))
@@ -319,7 +322,7 @@
 	}
 }
 
-// updateList sends an endpoint list to the balancer, and to the checker.
+// updateList sends an endpoint list to the balancer and updates the endpoints that the checker knows.
 func (p *randomPlay) updateList(kind ListUpdate, entries []Endpoint) {
 	if kind != ListDelta && kind != ListFailed {
 		clear(p.endpoints)
@@ -330,6 +333,8 @@
 	p.balancer.HandleEndpoints(p.now, kind, entries)
 }
 
+// The balancer follows the rules under random events, in a small fleet (seeds below 40) and in a large one with various
+// settings.
 func TestRulesHoldUnderRandomEvents(t *testing.T) {
 	for seed := range int64(100) {
 		s := testSettings()
@@ -346,21 +351,21 @@
 			s.Tenants = []Tenant{{Name: "one", QuotaRate: 50}, {Name: "two"}}[:seed%3]
 			s.Limits.CancelAttempts, s.Limits.RetryAfter = seed%3 != 0, seed%4 != 0
 		}
-		for i, fault := range playRandomEvents(t, s, seed) {
+		for i, violation := range playRandomEvents(t, s, seed) {
 			if i < 5 {
-				t.Errorf("seed %d: %s", seed, fault)
+				t.Errorf("seed %d: %s", seed, violation)
 			}
 		}
 	}
 }
 
-// The checker itself must detect each broken rule.
+// The checker must detect each broken rule.
 func TestCheckerDetectsBrokenRules(t *testing.T) {
 	newChecker := func() *checker {
 		c := &checker{
 			settings: testSettings(), endpoints: map[uint32]Endpoint{}, requests: map[uint64]*checkedRequest{},
 		}
-		for _, e := range ready(4) {
+		for _, e := range readyEndpoints(4) {
 			c.endpoints[e.ID] = e
 		}
 		for class := range uint8(5) {
@@ -380,8 +385,8 @@
 		"too many attempts":         func(c *checker) { c.Send(0, 1, 0); c.Send(0, 2, 0); c.Send(0, 3, 0); c.Send(0, 4, 0) },
 	} {
 		c := newChecker()
-		if breakRule(c); len(c.faults) == 0 {
-			t.Errorf("%s: not detected", name)
+		if breakRule(c); len(c.violations) == 0 {
+			t.Errorf("%s: got no violation, want at least one", name)
 		}
 	}
 }
--- a/balancer/settings_test.go
+++ b/balancer/settings_test.go
@@ -23,7 +23,7 @@
 		_, err := New(s, 1, &recorder{})
 		var invalid *SettingError
 		if !errors.As(err, &invalid) || invalid.Key != c.key {
-			t.Errorf("got %v, want a *SettingError for %s", err, c.key)
+			t.Errorf("got error %v, want a *SettingError for %s", err, c.key)
 		}
 	}
 }
--- a/balancer/slowstart_test.go
+++ b/balancer/slowstart_test.go
@@ -130,7 +130,7 @@
 			t.Fatal(err)
 		}
 		b.Start(0)
-		b.HandleEndpoints(0, ListCached, ready(10))
+		b.HandleEndpoints(0, ListCached, readyEndpoints(10))
 		for i := range Micros(10) {
 			b.slowStart.sentWorkRate.add(i*second, 80_000) // one request a second
 		}
@@ -188,7 +188,7 @@
 		t.Fatal(err)
 	}
 	b.Start(0)
-	b.HandleEndpoints(0, ListCached, ready(warm))
+	b.HandleEndpoints(0, ListCached, readyEndpoints(warm))
 	id := uint64(0)
 	run := func(from, to Micros) {
 		for now := from; now < to; now += second / 10 {
@@ -227,7 +227,7 @@
 	tokensAfter := func(answers int, latency Micros) float64 {
 		s := testSettings()
 		s.Balancers = 1
-		b, _ := start(t, s, ready(10))
+		b, _ := startBalancer(t, s, readyEndpoints(10))
 		now := Micros(0)
 		serve := func(e *endpoint, latency Micros) {
 			r := b.ledger.newRequest(now, testRequest(uint64(now)+1, 0, now))
@@ -266,7 +266,7 @@
 func TestBusyWarmingEndpointDoesNotBlockOthers(t *testing.T) {
 	s := testSettings()
 	s.Balancers = 1
-	b, r := start(t, s, ready(1))
+	b, r := startBalancer(t, s, readyEndpoints(1))
 	now := Micros(0)
 	b.slowStart.sentWorkRate = decayingRate{10_000_000, now}
 	b.HandleEndpoints(now, ListDelta, []Endpoint{{ID: 2, Weight: 1, StartTime: 1}, {ID: 3, Weight: 1, StartTime: 1}})
@@ -298,8 +298,8 @@
 func warmingSends(t *testing.T, rate, warmingEndpoints int) (warming []int, warm float64) {
 	t.Helper()
 	s := testSettings()
-	list := ready(10)
-	b, r := start(t, s, list)
+	list := readyEndpoints(10)
+	b, r := startBalancer(t, s, list)
 	id, seen := uint64(0), 0
 	counts := map[uint32]int{}
 	run := func(from, to Micros) {
@@ -345,7 +345,7 @@
 }
 
 func TestSingleEndpointRestarts(t *testing.T) {
-	b, r := start(t, testSettings(), ready(1)[:1])
+	b, r := startBalancer(t, testSettings(), readyEndpoints(1)[:1])
 	b.HandleEndpoints(second, ListDelta, []Endpoint{{ID: 1, State: Ready, StartTime: second}})
 	for i := range uint64(400) {
 		now := second + Micros(i)*10_000
--- a/balancer/source_test.go
+++ b/balancer/source_test.go
@@ -10,7 +10,7 @@
 	"testing"
 )
 
-// policyFiles returns the files that deploy/balancer.toml names as the decision logic.
+// policyFiles returns the names of the files that deploy/balancer.toml lists as the decision logic.
 func policyFiles(t *testing.T) []string {
 	t.Helper()
 	deploy, err := os.ReadFile("../deploy/balancer.toml")
@@ -24,15 +24,15 @@
 		files = append(files, match[1])
 	}
 	if len(files) == 0 {
-		t.Fatal("the deploy file names no policy files")
+		t.Fatal("no policy files found in deploy/balancer.toml")
 	}
 	return files
 }
 
-// maxPolicyLines limits the non-blank lines of one policy file: each has one job.
+// maxPolicyLines limits the number of non-blank lines of a policy file, so that each file has only one purpose.
 const maxPolicyLines = 220
 
-// Each file of the decision module keeps the limits on its size.
+// Each policy file observes the limits on its number of lines and their length.
 func TestModuleSize(t *testing.T) {
 	for _, name := range policyFiles(t) {
 		lines := 0
@@ -45,16 +45,16 @@
 				lines++
 			}
 			if len(line) > 110 {
-				t.Errorf("%s: line %d has %d characters, want 110 at most", name, i+1, len(line))
+				t.Errorf("%s: line %d has %d bytes, want at most 110", name, i+1, len(line))
 			}
 		}
 		if lines > maxPolicyLines {
-			t.Errorf("%s: %d non-blank lines, want %d at most", name, lines, maxPolicyLines)
+			t.Errorf("%s: got %d non-blank lines, want at most %d", name, lines, maxPolicyLines)
 		}
 	}
 }
 
-// The package's documentation names every policy file and the files of its interface.
+// The package comment names every policy file and the files of the interface to the host.
 func TestModuleDocumentation(t *testing.T) {
 	text, err := os.ReadFile("balancer.go")
 	if err != nil {
@@ -63,11 +63,12 @@
 	documentation, _, _ := strings.Cut(string(text), "\npackage ")
 	for _, name := range append(policyFiles(t), "settings.go", "events.go", "actions.go") {
 		if !strings.Contains(documentation, name) {
-			t.Errorf("the package comment does not name %s", name)
+			t.Errorf("the package comment in balancer.go does not name %s", name)
 		}
 	}
 }
 
+// The package imports only these standard packages, since it does no I/O and reads no clock.
 func TestModuleImports(t *testing.T) {
 	allowed := map[string]bool{`"fmt"`: true, `"math"`: true, `"slices"`: true, `"strconv"`: true}
 	files, err := filepath.Glob("*.go")
@@ -84,7 +85,7 @@
 		}
 		for _, i := range f.Imports {
 			if !allowed[i.Path.Value] {
-				t.Errorf("%s imports %s", name, i.Path.Value)
+				t.Errorf("%s imports %s, which is not permitted in this package", name, i.Path.Value)
 			}
 		}
 	}
