--- a/balancer/balancer.go
+++ b/balancer/balancer.go
@@ -108,8 +108,8 @@
 // Reconfigure applies new settings atomically, or returns a *SettingError and changes nothing. A class or
 // tenant keeps its estimates if the new settings have one of the same name. All endpoints and their state are
 // kept. An open request keeps the class under which it arrived, unless the new settings are stricter about
-// repeated execution. The host must then cancel the returned attempts, except those whose first byte has
-// already been sent.
+// repeated execution. Reconfigure returns attempts that could then execute a request twice. The host must
+// withdraw each of them whose first byte has not been sent yet.
 func (b *Balancer) Reconfigure(s Settings) ([]AttemptID, error) {
 	if err := s.Validate(); err != nil {
 		return nil, err
--- a/balancer/ledger.go
+++ b/balancer/ledger.go
@@ -7,11 +7,8 @@
 // share of requests served in time.
 const servedInTimeWeight = 0.02
 
-// A Retry-After is drawn uniformly from the range
-//
-//	minRetryAfterShare to minRetryAfterShare + retryAfterSpread, as shares of the latency objective
-//
-// so that retries are spread over time, but arrive while an answer is still useful.
+// A Retry-After is drawn uniformly between minRetryAfterShare and minRetryAfterShare + retryAfterSpread times
+// the latency objective. This spreads the retries over time, and they arrive while an answer is still useful.
 const (
 	minRetryAfterShare = 0.1
 	retryAfterSpread   = 0.2
--- a/balancer/retries.go
+++ b/balancer/retries.go
@@ -14,8 +14,9 @@
 	//
 	//	max(overdueFactor * predicted latency, minOverdueShare * latency objective)
 	//
-	// since it was sent. If it can't be declared lost then, it is checked again after the time since it was
-	// sent divided by overdueRecheckDivisor.
+	// since it was sent. If it can't be declared lost at the time of a check, it is checked again after
+	//
+	//	time since it was sent / overdueRecheckDivisor
 	overdueFactor         = 2.5
 	minOverdueShare       = 0.25
 	overdueRecheckDivisor = 2
--- a/balancer/source_test.go
+++ b/balancer/source_test.go
@@ -29,7 +29,7 @@
 	return files
 }
 
-// maxPolicyLines limits the number of non-blank lines of a policy file, so that each file has only one purpose.
+// maxPolicyLines limits the number of non-blank lines of a policy file, to keep each file to one purpose.
 const maxPolicyLines = 220
 
 // Each policy file observes the limits on its number of lines and their length.
