--- a/balancer/admission.go
+++ b/balancer/admission.go
@@ -2,16 +2,15 @@
 
 import "slices"
 
-// Admission: whether a request is worth an attempt now, and whether endpoints are probed for it first.
+// Admission: whether a request is sent or rejected, and whether endpoints are probed for it first.
 
-// One of so many requests that seem too late is sent as a trial. The interval starts at the minimum and
-// doubles with each trial that is not served in time.
+// Bounds of requestsPerTrial, which starts at the minimum and doubles with each trial not served in time.
 const (
-	minTrialInterval = 10
-	maxTrialInterval = 640
+	minRequestsPerTrial = 10
+	maxRequestsPerTrial = 640
 )
 
-// admission decides whether requests are sent.
+// admission decides whether requests are sent, rejected or wait for probes.
 type admission struct {
 	*environment
 	demand    *demand
@@ -23,10 +22,10 @@
 	waiting   *waitlist
 	retries   *retrier
 
-	trialInterval int // one of so many requests that seem too late is sent as a trial
+	requestsPerTrial int // of this number of requests predicted too late, one is sent as a trial
 }
 
-// dispatch sends a request, or rejects it.
+// dispatch ends r's wait for probes, if any, and sends r or rejects it.
 func (a *admission) dispatch(now Micros, r *request) {
 	a.waiting.remove(r)
 	first := len(r.attempts) == 0
@@ -39,7 +38,8 @@
 	}
 }
 
-// startAttempt picks an endpoint and sends to it. If its breaker drops the request, one other is tried.
+// startAttempt picks an endpoint and sends r to it. If the endpoint's circuit breaker drops r, one other
+// endpoint is tried. It returns false if r was not sent.
 func (a *admission) startAttempt(now Micros, r *request) bool {
 	if a.breakers.throttle(now) {
 		a.stats.Throttled++
@@ -67,14 +67,15 @@
 	return true
 }
 
-// tooLate reports whether e, the best endpoint, would serve r too late for the work to be worth it.
+// tooLate reports whether r is rejected because e, the best endpoint, is predicted to answer it too late.
 //
-// Where no request queues, none is too late. There, a few samples of a long-tailed latency can make a healthy
-// endpoint look slow, and a slow sidecar makes all endpoints look so; rejecting requests relieves neither.
+// At an endpoint where no request queues, no request counts as too late. A few samples of a long-tailed
+// latency can make a healthy endpoint look slow there, and a slow sidecar makes all endpoints look slow.
+// Rejecting requests helps in neither case.
 //
-// As with a half-open circuit breaker, some requests pass as trials, so that a wrong estimate is corrected.
-// Their number is a share of the requests, since one a second at each of a thousand balancers would be more
-// than an overloaded fleet can serve.
+// As with a half-open circuit breaker, some requests that are predicted too late are sent as trials, so that
+// a wrong estimate is corrected. Their number is a share of the requests: one trial per second at each of a
+// thousand balancers would be more than an overloaded fleet can serve.
 func (a *admission) tooLate(now Micros, r *request, e *endpoint) bool {
 	expected, limit := a.estimates.latency(now, e, r.work), a.estimates.latencyLimit(now, r, e)
 	late := expected > limit && a.estimates.queueingFactor(now, e) > 1
@@ -83,7 +84,7 @@
 	}
 	c := r.class
 	c.tooLateSinceTrial++
-	trialDue := len(r.attempts) == 0 && c.tooLateSinceTrial >= a.trialInterval
+	trialDue := len(r.attempts) == 0 && c.tooLateSinceTrial >= a.requestsPerTrial
 	if trialDue && now-c.lastTrialAt >= forcedTrialInterval {
 		c.lastTrialAt, c.tooLateSinceTrial = now, 0
 		r.trial = true
@@ -92,38 +93,39 @@
 	a.stats.TooLate++
 	a.log(now, "refuse", "requests rejected, %.0f%% recently: the best endpoint, %d, would take %.0f ms, "+
 		"limit %.0f ms; work %.0f ms, service time ratio %.2f, load %.1f, ours %d, value %.2f",
-		100*a.demand.rejected(), e.ID, expected/1000, limit/1000, r.work/1000,
+		100*a.demand.recentRejectedShare(), e.ID, expected/1000, limit/1000, r.work/1000,
 		a.estimates.serviceTimeRatio(now, e), a.estimates.load(now, e), e.inFlight, r.priority)
 	return true
 }
 
-// recordTrial adapts the trial interval to an outcome of r.
+// recordTrial updates requestsPerTrial by an outcome of r. inTime says whether r was served in time.
 func (a *admission) recordTrial(r *request, inTime bool) {
 	if inTime {
-		a.trialInterval = minTrialInterval
+		a.requestsPerTrial = minRequestsPerTrial
 	} else if r.trial {
-		// The endpoints are still overloaded, and trials add to that.
-		a.trialInterval = min(2*a.trialInterval, maxTrialInterval)
+		// The endpoints are still overloaded, and trials add to the overload.
+		a.requestsPerTrial = min(2*a.requestsPerTrial, maxRequestsPerTrial)
 	}
 }
 
-// waitForProbes probes a few random endpoints for r, and puts r on the waitlist for their answers. It returns
+// waitForProbes probes a few random endpoints for r, and puts r on the waitlist until they answer. It returns
 // false if r should be dispatched at once.
 func (a *admission) waitForProbes(now Micros, r *request) bool {
-	// Beyond half of the requests rejected, fewer and fewer get probes: clients retry, and the probes for all
-	// their requests could overload the fleet by themselves.
+	// With s the recent share of requests rejected, a request gets probes with probability
+	// max(minProbedRequestShare, 2 - 2 s). Above s = 1/2, this share thus falls: clients retry, and the probes
+	// for all their requests could overload the fleet by themselves.
 	probing := a.probes.probesWithRequests() && a.settings.Limits.Probes && len(a.settings.ReportFields) > 0
-	if !probing || a.random.uniform() > max(minFirstAttemptShare, 2-2*a.demand.rejected()) {
+	if !probing || a.random.uniform() > max(minProbedRequestShare, 2-2*a.demand.recentRejectedShare()) {
 		return false
 	}
 	wait := min(maxProbeWaitShare*float64(r.class.LatencyObjective), float64(r.Deadline-now)/4)
-	for i := range a.probes.countPerRequest() {
-		// The first probe goes to the balancer's own zone. The others go where an answer comes within half the
-		// wait; within all of it with a probability of the share of requests rejected.
+	for probeIndex := range a.probes.countPerRequest() {
+		// The first probe prefers the balancer's own zone. The others prefer endpoints with a round-trip time
+		// within half the wait or, with a probability equal to the share of requests rejected, the full wait.
 		maxRoundTrip := wait / 2
-		if i == 0 {
+		if probeIndex == 0 {
 			maxRoundTrip = 0
-		} else if a.random.uniform() < a.demand.rejected() {
+		} else if a.random.uniform() < a.demand.recentRejectedShare() {
 			maxRoundTrip = wait
 		}
 		e := a.picker.randomEndpoint(now, r, nil, maxRoundTrip)
@@ -140,9 +142,10 @@
 	return true
 }
 
-// resumeAwaiting dispatches the requests that no longer need to wait once a probe of e has ended.
-func (a *admission) resumeAwaiting(now Micros, e *endpoint) {
-	for r, i := a.waiting.resumable(now, e, fromEnd); r != nil; r, i = a.waiting.resumable(now, e, i) {
+// resumeWaitingRequests dispatches the requests that no longer have to wait. It is called when a probe of e
+// has ended.
+func (a *admission) resumeWaitingRequests(now Micros, e *endpoint) {
+	for r, i := a.waiting.nextResumable(now, e, fromEnd); r != nil; r, i = a.waiting.nextResumable(now, e, i) {
 		a.dispatch(now, r)
 	}
 }
--- a/balancer/admission_test.go
+++ b/balancer/admission_test.go
@@ -111,36 +111,36 @@
 }
 
 // Trials keep an overloaded endpoint overloaded: each that is not served in time makes the next rarer.
-func TestFailedTrialsLengthenTheInterval(t *testing.T) {
+func TestFailedTrialsMakeTrialsRarer(t *testing.T) {
 	b, r := start(t, testSettings(), ready(1))
 	b.demand.classes[0].work.value = float64(100 * second)
-	trials := [2]int{} // in the first and the second half
+	trialsByHalf := [2]int{} // in the first and the second half
 	for i := range uint64(400) {
 		now := 10*second + Micros(i)*second
 		b.HandleProbe(now, 1, OK, 500, []float32{50})
 		b.HandleRequest(now, testRequest(i, 0, now))
 		if n := len(r.sends); n > 0 && r.sends[n-1].id == i {
-			trials[i/200]++
+			trialsByHalf[i/200]++
 			b.HandleOutcome(now+second, Outcome{ID: i, Endpoint: 1, Status: Timeout, Latency: second})
 		}
 	}
-	if trials[0] < 3 || trials[0] > 8 || trials[1] > 2 {
-		t.Errorf("%d of the first 200 were trials, want 3 to 8; %d of the next, want 2 at most", trials[0], trials[1])
+	if trialsByHalf[0] < 3 || trialsByHalf[0] > 8 || trialsByHalf[1] > 2 {
+		t.Errorf("%d of the first 200 were trials, want 3 to 8; %d of the next, want 2 at most", trialsByHalf[0], trialsByHalf[1])
 	}
-	b.admission.trialInterval = maxTrialInterval
+	b.admission.requestsPerTrial = maxRequestsPerTrial
 	r.sends = nil
 	b.demand.classes[0].work.value = 1000
 	b.HandleRequest(500*second, testRequest(1000, 0, 500*second))
 	b.HandleOutcome(501*second, Outcome{ID: 1000, Endpoint: 1, Status: OK, Latency: 1000, Answered: true})
 	b.HandleRequest(502*second, testRequest(1001, 0, 502*second))
 	b.HandleOutcome(502*second+1000, Outcome{ID: 1001, Endpoint: 1, Status: OK, Latency: 1000, Answered: true})
-	if b.admission.trialInterval != minTrialInterval {
-		t.Errorf("trial interval %d after an answer in time, want %d", b.admission.trialInterval, minTrialInterval)
+	if b.admission.requestsPerTrial != minRequestsPerTrial {
+		t.Errorf("trial interval %d after an answer in time, want %d", b.admission.requestsPerTrial, minRequestsPerTrial)
 	}
 }
 
 // Answers from a far zone come too late for a short wait: such probes stay in the balancer's own zone.
-func TestRequestProbesStayWithinRoundTrip(t *testing.T) {
+func TestRequestProbesAvoidDistantZones(t *testing.T) {
 	s := testSettings()
 	s.Balancers = 1000
 	list := ready(40)
--- a/balancer/balancer.go
+++ b/balancer/balancer.go
@@ -87,7 +87,7 @@
 	b.admission = admission{
 		environment: env, demand: &b.demand, probes: &b.probes, estimates: &b.estimates, breakers: &b.breakers,
 		picker: &b.picker, ledger: &b.ledger, waiting: &b.waiting, retries: &b.retries,
-		trialInterval: minTrialInterval,
+		requestsPerTrial: minRequestsPerTrial,
 	}
 	b.retries = newRetrier(env, &b.probes, &b.estimates, &b.admission, &b.ledger)
 	b.applySettings(s)
@@ -123,7 +123,7 @@
 func (b *Balancer) HandleTimer(now Micros, token uint32) {
 	switch token {
 	case probeTimerToken:
-		b.probes.round(now)
+		b.probes.runRound(now)
 	case pollTimerToken:
 		b.discovery.poll(now)
 	default:
@@ -241,7 +241,7 @@
 		if status == Timeout {
 			b.estimates.learnProbeTimeout(float64(latency))
 		}
-		b.admission.resumeAwaiting(now, e)
+		b.admission.resumeWaitingRequests(now, e)
 		return
 	}
 	b.stats.ProbeLatency += latency
@@ -250,7 +250,7 @@
 		b.probes.add(e)
 		b.estimates.learnReport(now, e, &report)
 	}
-	b.admission.resumeAwaiting(now, e)
+	b.admission.resumeWaitingRequests(now, e)
 	b.estimates.checkReportDelay(now, e, &report)
 }
 
@@ -264,7 +264,7 @@
 	if kind != ListCached {
 		b.discovery.succeeded()
 	}
-	probe := b.probes.mayProbeNew(len(entries))
+	probe := b.probes.mayProbeNewEndpoints(len(entries))
 	b.membership.beginUpdate()
 	for i := range entries {
 		b.updateEndpoint(now, &entries[i], probe)
--- a/balancer/cordon_test.go
+++ b/balancer/cordon_test.go
@@ -17,8 +17,8 @@
 	b, r := start(t, testSettings(), list)
 	now := Micros(0)
 	id := uint64(0)
-	// play sends 200 requests. It returns the probes of endpoint 1 and the attempts by endpoint.
-	play := func() (probes int, sends [3]int) {
+	// sendRequests sends 200 requests. It returns the probes of endpoint 1 and the attempts by endpoint.
+	sendRequests := func() (probes int, sends [3]int) {
 		r.sends = r.sends[:0]
 		for range 200 {
 			now += 20_000
@@ -40,7 +40,7 @@
 		}
 		return probes, sends
 	}
-	if probes, sends := play(); sends[1] == 0 || probes == 0 {
+	if probes, sends := sendRequests(); sends[1] == 0 || probes == 0 {
 		t.Fatalf("before the cordon: %d probes, sends %v", probes, sends)
 	}
 	b.Cordon(now, 101, true, now)
@@ -55,7 +55,7 @@
 		for i := range updates {
 			b.HandleEndpoints(now, ListDelta, updates[i:i+1])
 		}
-		if probes, sends := play(); sends[1] != 0 || probes != 0 || sends[2] != 200 {
+		if probes, sends := sendRequests(); sends[1] != 0 || probes != 0 || sends[2] != 200 {
 			t.Errorf("after %s: %d probes, sends %v", name, probes, sends)
 		}
 	}
@@ -67,7 +67,7 @@
 	if !e.isWarming(now, &b.settings.Contract) {
 		t.Error("an endpoint that is no longer cordoned is not warming up")
 	}
-	if probes, sends := play(); sends[1] == 0 {
+	if probes, sends := sendRequests(); sends[1] == 0 {
 		t.Errorf("after the end of the cordon: %d probes, sends %v", probes, sends)
 	}
 	warmingSince := e.warmingSince
--- a/balancer/demand.go
+++ b/balancer/demand.go
@@ -2,59 +2,65 @@
 
 import "math"
 
-// Demand: classes and tenants, what is known of each, and the priority of a request.
+// Demand: classes and tenants with the statistics of each, and the priority of a request.
 
 const (
-	// quotaTolerance is the factor by which a tenant may exceed its quota, measured by this balancer's traffic
-	// alone, before it counts as over it: with it, a share of up to 1 - 1/1.25 rejected lowers no priority.
+	// quotaTolerance multiplies each tenant's quota, as estimated from this balancer's traffic alone, before the
+	// tenant's rate is compared with it. A rejected share of up to 1 - 1/1.25 therefore lowers no priority.
 	quotaTolerance = 1.25
 
-	// worstWindowGain is by how much more a priority weight counts in the goal's worst windows than overall:
-	// requests are rejected in just those.
-	worstWindowGain = 4.0
+	// worstWindowMultiplier multiplies Goal.WorstWindow where it is added to Goal.Overall: requests are rejected
+	// only in the worst windows, so priorities matter more there than overall.
+	worstWindowMultiplier = 4.0
 
-	initialWorkDivisor = 5 // of its latency objective: a class's work until the first sample
+	latencyObjectiveDivisor = 5 // a class's work until its first sample = its latency objective / this
 
-	minWorkShare      = 0.05 // of all work: lower bound of a class's share, by which its gain is divided
-	servedInTimeScale = 0.1  // lead in the share served in time that lowers a class's gain by a factor of e
+	// Goal.WorstClass adds to the gain of class i
+	//
+	//	WorstClass / max(minWorkShareDivisor, w_i) x exp(-(s_i - min s) / servedInTimeLeadDivisor)
+	//
+	// where w_i is its share of all work, s_i its share of requests served in time, and min s the least s_i of
+	// any class. A lead s_i - min s of servedInTimeLeadDivisor lowers this term by a factor of e.
+	minWorkShareDivisor     = 0.05 // lower bound of the divisor w_i
+	servedInTimeLeadDivisor = 0.1  // divides the lead
 )
 
-// demand is what clients ask for: the classes and tenants in force, and the rate of requests.
+// demand holds the classes and tenants of the current settings, and the rate of requests.
 type demand struct {
 	*environment
 	classes       []*class // in the order of the settings
 	tenants       []*tenant
 	requestRate   decayingRate
-	rejectedShare ewma // share of requests rejected at arrival
+	rejectedShare ewma // share of requests that were rejected at arrival
 }
 
-// class is a class with what is known of it. A changed definition makes another class, which shares the
-// statistics of the earlier one of the same name.
+// class is the definition of a class with its statistics. If the settings change the definition, a new class
+// value is created. It shares the statistics of the earlier class of the same name.
 type class struct {
 	Class
 	*classStats
 }
 
-// tenant is a tenant with the rate of its requests.
+// tenant is the definition of a tenant with the rate of its requests.
 type tenant struct {
 	Tenant
 	*decayingRate
 }
 
-// classStats is what a balancer knows of a class.
+// classStats holds the statistics of a class at this balancer.
 type classStats struct {
 	work              ewma // mean service time in microseconds of a request at an endpoint without load
 	requestRate       decayingRate
-	servedInTime      ewma   // share answered within the latency objective
-	lastTrialAt       Micros // latest request sent as a trial although it seemed too late
-	tooLateSinceTrial int    // requests that seemed too late since then
+	servedInTime      ewma   // share of requests answered within the latency objective
+	lastTrialAt       Micros // instant of the latest trial: a request sent although it was predicted too late
+	tooLateSinceTrial int    // requests predicted too late since the latest trial
 }
 
 func newDemand(env *environment) demand {
 	return demand{environment: env, rejectedShare: newEWMA(0)}
 }
 
-// configure takes up new classes and tenants. What is known of those of the same names stays.
+// configure replaces the classes and tenants. A new one takes the statistics of the earlier one of its name.
 func (d *demand) configure(s *Settings) {
 	classes := make([]*class, len(s.Classes))
 	for i, definition := range s.Classes {
@@ -76,16 +82,16 @@
 	d.classes, d.tenants = classes, tenants
 }
 
-// rate is the rate of requests a second.
+// rate returns the number of requests per second.
 func (d *demand) rate(now Micros) float64 { return d.requestRate.rate(now) }
 
-// rejected is the recent share of requests rejected at arrival.
-func (d *demand) rejected() float64 { return d.rejectedShare.value }
+// recentRejectedShare returns the recent share of requests rejected at arrival, 0 to 1.
+func (d *demand) recentRejectedShare() float64 { return d.rejectedShare.value }
 
-// referenceWork is the mean work of the first class in microseconds, the unit where no request is at hand.
+// referenceWork returns the mean work in microseconds of the first class: the unit where no request is given.
 func (d *demand) referenceWork() float64 { return d.classes[0].work.value }
 
-// recordArrival counts a request.
+// recordArrival adds a request to the total rate and to the rates of its class and its tenant.
 func (d *demand) recordArrival(now Micros, r *request) {
 	d.requestRate.add(now, 1)
 	r.class.requestRate.add(now, 1)
@@ -94,10 +100,10 @@
 	}
 }
 
-// recordDecision counts whether a request was sent or rejected at arrival.
+// recordDecision updates the rejected share by a request that was sent or rejected at arrival.
 func (d *demand) recordDecision(sent bool) { d.rejectedShare.add(indicator(!sent), shareWeight) }
 
-// classNamed returns the class in force of this name, or nil.
+// classNamed returns the class of this name in the current settings, or nil.
 func (d *demand) classNamed(name string) *class {
 	for _, c := range d.classes {
 		if c.Name == name {
@@ -107,21 +113,22 @@
 	return nil
 }
 
-// classFor returns a class as defined, with what is known of the one of its name.
+// classFor returns a class with this definition and the statistics of the current class of its name, if any.
 func (d *demand) classFor(definition Class) *class {
-	inForce := d.classNamed(definition.Name)
+	current := d.classNamed(definition.Name)
 	switch {
-	case inForce == nil:
-		work := newEWMA(float64(definition.LatencyObjective) / initialWorkDivisor)
+	case current == nil:
+		work := newEWMA(float64(definition.LatencyObjective) / latencyObjectiveDivisor)
 		return &class{definition, &classStats{work: work}}
-	case inForce.Class == definition:
-		return inForce
+	case current.Class == definition:
+		return current
 	}
-	return &class{definition, inForce.classStats}
+	return &class{definition, current.classStats}
 }
 
-// resolveClass returns the class and the tenant that a request names by position. The class is nil if there
-// is none at its position, the tenant likewise.
+// resolveClass returns the class and the tenant of a request, which names both by their positions in the
+// settings that it was read under. Either is nil if its position is out of range; the tenant also if the
+// current settings have none of its name.
 func (d *demand) resolveClass(in *Request) (*class, *tenant) {
 	s := in.ReceivedUnder
 	if s == nil {
@@ -133,14 +140,14 @@
 	if in.ReceivedUnder == nil {
 		return d.classes[in.Class], d.tenantAt(int(in.Tenant))
 	}
-	var owner *tenant
+	var requestTenant *tenant
 	if int(in.Tenant) < len(s.Tenants) {
-		owner = d.tenantNamed(s.Tenants[in.Tenant].Name)
+		requestTenant = d.tenantNamed(s.Tenants[in.Tenant].Name)
 	}
-	return d.classFor(s.Classes[in.Class]), owner
+	return d.classFor(s.Classes[in.Class]), requestTenant
 }
 
-// tenantAt returns the tenant in force at a position of the settings, or nil.
+// tenantAt returns the tenant at a position of the current settings, or nil if there is none.
 func (d *demand) tenantAt(position int) *tenant {
 	if position >= len(d.tenants) {
 		return nil
@@ -148,7 +155,7 @@
 	return d.tenants[position]
 }
 
-// tenantNamed returns the tenant in force of this name, or nil.
+// tenantNamed returns the tenant of this name in the current settings, or nil.
 func (d *demand) tenantNamed(name string) *tenant {
 	for _, t := range d.tenants {
 		if t.Name == name {
@@ -158,71 +165,80 @@
 	return nil
 }
 
-// priority ranks r's class and tenant from 0 to 1 by what the goal gains from a unit of their work: by the
-// priority weight of the class, and higher the closer it is to being the class that is served worst.
+// priority returns the priority of a request of r's class and tenant, from 0 to 1. It is
+//
+//	gain of r's class / largest gain of any class x tenantPriority
+//
+// where the gain of a class is what one unit of its work adds to the goal. It grows with the priority weight
+// of the class, and the closer the class is to having the least share served in time.
 func (d *demand) priority(now Micros, r *request) float64 {
-	var work, weight float64
-	worst := 1.0
+	var totalWork, totalWeight float64
+	minServedInTime := 1.0
 	for _, c := range d.classes {
 		rate := c.requestRate.rate(now)
-		work += rate * c.work.value
-		weight += rate * d.requestWeight(c)
-		worst = min(worst, c.servedInTime.or(1))
+		totalWork += rate * c.work.value
+		totalWeight += rate * d.requestWeight(c)
+		minServedInTime = min(minServedInTime, c.servedInTime.or(1))
 	}
-	top, own := 0.0, -1.0 // own stays negative for a class that is no longer in force
+	maxGain, ownGain := 0.0, -1.0 // ownGain stays negative if the current settings lack r's class
 	for _, c := range d.classes {
-		workShare := c.requestRate.rate(now) * c.work.value / work
-		goal := d.settings.Goal.Overall + worstWindowGain*d.settings.Goal.WorstWindow
-		gain := goal * d.requestWeight(c) / c.work.value * work / weight
-		gain += d.settings.Goal.WorstClass / max(minWorkShare, workShare) *
-			math.Exp((worst-c.servedInTime.or(1))/servedInTimeScale)
-		top = max(top, gain)
+		workShare := c.requestRate.rate(now) * c.work.value / totalWork
+		goalWeight := d.settings.Goal.Overall + worstWindowMultiplier*d.settings.Goal.WorstWindow
+		gain := goalWeight * d.requestWeight(c) / c.work.value * totalWork / totalWeight
+		gain += d.settings.Goal.WorstClass / max(minWorkShareDivisor, workShare) *
+			math.Exp((minServedInTime-c.servedInTime.or(1))/servedInTimeLeadDivisor)
+		maxGain = max(maxGain, gain)
 		if c.classStats == r.class.classStats {
-			own = gain
+			ownGain = gain
 		}
 	}
-	if !(top > 0) || own < 0 { // !(top > 0) holds for NaN, too
-		return 1 // no weight is set, or the class is no longer in force
+	if !(maxGain > 0) || ownGain < 0 { // !(maxGain > 0) holds for NaN, too
+		return 1 // no weight is set, or the current settings lack r's class
 	}
-	return own / top * d.tenantPriority(now, r)
+	return ownGain / maxGain * d.tenantPriority(now, r)
 }
 
-// tenantPriority ranks r's tenant from 0 to 1: the mean weight of its requests, of which those over its quota
-// weigh OverQuotaWeight, over that of the tenant with the largest.
+// tenantPriority returns the priority of r's tenant, from 0 to 1. With
+//
+//	q = share of the tenant's requests within its quota, 0 to 1
+//	w = q + (1 - q) x OverQuotaWeight, the mean weight of one of its requests
+//
+// the priority is w divided by the largest w of any tenant.
 //
-// Only this balancer's traffic and rejections are known. The total demand is taken to exceed the sum of the
-// quotas by the factor by which it exceeds what is admitted here. The rank is relative because a factor
-// common to all tenants would reject more requests, and so lower all of them again.
+// Only this balancer's traffic and rejections are known. The ratio of total demand to the sum of all quotas
+// is assumed to equal the ratio of requests to admitted requests here. The priority is relative because a
+// factor common to all tenants would cause more rejections, and these would lower all priorities again.
 func (d *demand) tenantPriority(now Micros, r *request) float64 {
 	if r.tenant == nil {
 		return 1
 	}
-	var requested, quota, top float64
-	own := d.settings.OverQuotaWeight // a tenant that is no longer in force has no quota
+	var totalRate, totalQuota, maxWeight float64
+	ownWeight := d.settings.OverQuotaWeight // a tenant that the current settings lack has no quota
 	for _, t := range d.tenants {
-		requested += t.rate(now)
-		quota += t.QuotaRate
+		totalRate += t.rate(now)
+		totalQuota += t.QuotaRate
 	}
-	if quota <= 0 {
+	if totalQuota <= 0 {
 		return 1
 	}
 	for _, t := range d.tenants {
-		within := 1.0
+		withinQuotaShare := 1.0
 		if rate := t.rate(now); rate > 0 {
-			within = min(1, t.QuotaRate/quota*requested/rate*(1-d.rejectedShare.value)*quotaTolerance)
-			top = max(top, within+(1-within)*d.settings.OverQuotaWeight)
+			withinQuotaShare = min(1, t.QuotaRate/totalQuota*totalRate/rate*(1-d.rejectedShare.value)*quotaTolerance)
+			maxWeight = max(maxWeight, withinQuotaShare+(1-withinQuotaShare)*d.settings.OverQuotaWeight)
 		}
 		if t.decayingRate == r.tenant.decayingRate {
-			own = within + (1-within)*d.settings.OverQuotaWeight
+			ownWeight = withinQuotaShare + (1-withinQuotaShare)*d.settings.OverQuotaWeight
 		}
 	}
-	if !(top > 0) {
+	if !(maxWeight > 0) {
 		return 1
 	}
-	return own / top
+	return ownWeight / maxWeight
 }
 
-// requestWeight is the weight of a request of a class in the goal; with WeightByWork, times its work.
+// requestWeight returns the weight in the goal of one request of class c: its priority weight, multiplied by
+// the mean work of the class if WeightByWork is set.
 func (d *demand) requestWeight(c *class) float64 {
 	return c.PriorityWeight * (1 + (c.work.value-1)*indicator(d.settings.WeightByWork))
 }
--- a/balancer/determinism_test.go
+++ b/balancer/determinism_test.go
@@ -28,16 +28,16 @@
 func TestSteadyStateDoesNotAllocate(t *testing.T) {
 	b, r := start(t, testSettings(), ready(5))
 	id := uint64(0)
-	once := func() {
+	serveRequest := func() {
 		id++
 		r.sends, r.timers, r.delays = r.sends[:0], r.timers[:0], r.delays[:0]
 		b.HandleRequest(1000, testRequest(id, 0, 1000))
 		b.HandleOutcome(2000, Outcome{ID: id, Endpoint: r.sends[0].endpoint, Status: OK, Latency: 1000, Answered: true})
 	}
 	for range 100 {
-		once()
+		serveRequest()
 	}
-	if n := testing.AllocsPerRun(200, once); n > 0.1 {
+	if n := testing.AllocsPerRun(200, serveRequest); n > 0.1 {
 		t.Errorf("%v allocations a request", n)
 	}
 }
--- a/balancer/discovery.go
+++ b/balancer/discovery.go
@@ -1,67 +1,72 @@
 package balancer
 
-// Discovery: when the balancer subscribes to the endpoint list.
+// Discovery: when the balancer calls discovery to subscribe to the endpoint list.
 
-// minPollDelay is about the shortest delay of the first call after a watch that broke.
-const minPollDelay = second / 20
+// minInitialBackoff bounds the first backoff after a watch that broke:
+//
+//	min(PollInterval/20, max(DrainGrace/4, minInitialBackoff))
+//
+// The delay before a call is drawn from 0.5 to 1.5 times the backoff.
+const minInitialBackoff = second / 20
 
-// discoveryPoller subscribes to discovery and retries calls that fail.
+// discoveryPoller subscribes to changes of the endpoint list and retries failed calls of discovery.
 type discoveryPoller struct {
 	*environment
 	subscribed bool
-	nextPollAt Micros // instant of the next call, unless subscribed by then
-	lastPollAt Micros
-	backoff    Micros // before the next call; 0 after a success
+	nextPollAt Micros // instant of the next call, which is skipped if subscribed by then
+	lastPollAt Micros // instant of the latest call
+	backoff    Micros // mean delay before the next call; 0 after a success
 }
 
-// start spreads the first calls: all balancers may start at once.
+// start schedules the first call after a random delay, since all balancers may start at the same time.
 func (d *discoveryPoller) start(now Micros) {
 	if d.settings.SubscribeToDiscovery {
 		d.schedule(now, 1+d.random.duration(min(d.settings.Contract.PollInterval/10, NotificationDeadline/6)))
 	}
 }
 
+// schedule starts the timer for the next call.
 func (d *discoveryPoller) schedule(now, delay Micros) {
 	d.nextPollAt = now + delay
 	d.actions.StartTimer(delay, pollTimerToken)
 }
 
-// poll calls discovery when its time has come, unless subscribed.
+// poll calls discovery if the next call is due and the balancer is not subscribed.
 func (d *discoveryPoller) poll(now Micros) {
 	if d.settings.SubscribeToDiscovery && !d.subscribed && now >= d.nextPollAt {
 		d.lastPollAt = now
 		d.actions.Watch(true)
-		// The answer may be lost: without another call, the endpoint list would never change again.
+		// The answer may be lost. Without a further call, the endpoint list would then never change again.
 		d.schedule(now, 1+NotificationDeadline/2+d.random.duration(NotificationDeadline/10))
 	}
 }
 
-// succeeded records an answer of discovery.
+// succeeded records that discovery answered: the balancer is subscribed and the backoff ends.
 func (d *discoveryPoller) succeeded() {
 	if d.settings.SubscribeToDiscovery {
 		d.subscribed, d.backoff = true, 0
 	}
 }
 
-// failed schedules the next call after one that failed, or after a watch that broke: with exponential backoff
-// and jitter, but early enough to be notified of a change by NotificationDeadline.
+// failed schedules the next call after a call that failed or a watch that broke. The delay grows
+// exponentially and has jitter, but leaves the next call time to return a change by NotificationDeadline.
 func (d *discoveryPoller) failed(now Micros) {
 	wasSubscribed := d.subscribed
 	d.subscribed = false
 	if !d.settings.SubscribeToDiscovery {
 		return
 	}
-	first := d.settings.Contract.PollInterval / 20
+	initialBackoff := d.settings.Contract.PollInterval / 20
 	if wasSubscribed {
-		first = min(first, max(d.settings.Contract.DrainGrace/4, minPollDelay))
+		initialBackoff = min(initialBackoff, max(d.settings.Contract.DrainGrace/4, minInitialBackoff))
 	}
 	if d.backoff = min(2*d.backoff, d.settings.Contract.PollInterval/4); d.backoff == 0 {
-		d.backoff = first
+		d.backoff = initialBackoff
 	}
-	used := min(now-d.lastPollAt, DiscoveryCallTimeout)
+	elapsed := min(now-d.lastPollAt, DiscoveryCallTimeout)
 	if wasSubscribed {
-		used = WatchDuration + WatchGrace
+		elapsed = WatchDuration + WatchGrace
 	}
-	wait := min(d.backoff, (NotificationDeadline-DiscoveryCallTimeout-used)*2/3)
-	d.schedule(now, 1+wait/2+d.random.duration(wait))
+	meanDelay := min(d.backoff, (NotificationDeadline-DiscoveryCallTimeout-elapsed)*2/3)
+	d.schedule(now, 1+meanDelay/2+d.random.duration(meanDelay))
 }
--- a/balancer/discovery_test.go
+++ b/balancer/discovery_test.go
@@ -35,10 +35,10 @@
 			b.HandleEndpoints(0, ListDelta, nil)
 			for n := range 8 {
 				delay := failCall()
-				if limit := max(grace/2, minPollDelay*3/2+1); n == 0 && delay > limit {
+				if limit := max(grace/2, minInitialBackoff*3/2+1); n == 0 && delay > limit {
 					t.Errorf("grace %d: polled again after %d, want %d at most", grace, delay, limit)
 				}
-				if limit := min(s.Contract.PollInterval/8, minPollDelay/2<<n); delay < limit {
+				if limit := min(s.Contract.PollInterval/8, minInitialBackoff/2<<n); delay < limit {
 					t.Errorf("grace %d: call %d after %d, want %d at least", grace, n, delay, limit)
 				}
 			}
--- a/balancer/estimates.go
+++ b/balancer/estimates.go
@@ -129,10 +129,10 @@
 }
 
 func (m *membership) restore(in *Estimates) {
-	m.restored = map[uint64]EndpointEstimate{}
+	m.restoredEstimates = map[uint64]EndpointEstimate{}
 	for _, e := range in.Endpoints {
 		if isPositiveFinite(e.ServiceTimeRatio) {
-			m.restored[e.Name] = e
+			m.restoredEstimates[e.Name] = e
 		}
 	}
 }
--- a/balancer/membership.go
+++ b/balancer/membership.go
@@ -2,22 +2,22 @@
 
 import "slices"
 
-// Membership: the endpoints that discovery lists, and those that operators cordoned.
+// Membership: the endpoints that discovery lists, and the names that operators cordoned.
 
-// membership is the set of known endpoints.
+// membership holds the known endpoints.
 type membership struct {
 	*environment
-	endpoints         []*endpoint // in the order first listed
+	endpoints         []*endpoint // in the order in which they were first listed
 	byID              map[uint32]*endpoint
-	cordoned          map[uint64]bool             // by name
-	restored          map[uint64]EndpointEstimate // estimates of an earlier process by name, until listed
+	cordoned          map[uint64]bool             // whether endpoints are cordoned, by their name
+	restoredEstimates map[uint64]EndpointEstimate // of an earlier process, by name, until the endpoint is listed
 	removedStartTimes map[uint64]Micros           // start times of removed endpoints, by name
-	listReceived      bool                        // discovery has answered since the start
-	listReceivedAt    Micros                      // when it last did; 0 before
-	maxWeight         float64                     // largest weight ever listed, by which random draws are scaled
+	listReceived      bool                        // a list arrived; a cached one counts if not subscribing
+	listReceivedAt    Micros                      // instant of the latest list that is not cached; 0 for none
+	maxWeight         float64                     // largest weight ever listed; random draws are scaled by it
 }
 
-// maxRemovedEndpoints bounds removedStartTimes.
+// maxRemovedEndpoints is the maximum number of entries of removedStartTimes, which is cleared when full.
 const maxRemovedEndpoints = 4096
 
 func newMembership(env *environment) membership {
@@ -27,7 +27,7 @@
 	}
 }
 
-// list returns the known endpoints. The caller must not change the slice.
+// list returns the known endpoints. The caller must not modify the slice.
 func (m *membership) list() []*endpoint { return m.endpoints }
 
 // largestWeight returns the largest weight ever listed.
@@ -36,18 +36,19 @@
 // lookup returns the endpoint of this ID, or nil.
 func (m *membership) lookup(id uint32) *endpoint { return m.byID[id] }
 
-// setCordoned records whether endpoints of this name are cordoned. It concerns entries listed from now on.
+// setCordoned records whether endpoints of this name are cordoned. This applies to entries listed from now
+// on; known endpoints are not changed.
 func (m *membership) setCordoned(name uint64, cordoned bool) { m.cordoned[name] = cordoned }
 
-// beginUpdate prepares for the entries of a list.
+// beginUpdate marks all endpoints as not listed. It is called before the entries of a list are stored.
 func (m *membership) beginUpdate() {
 	for _, e := range m.endpoints {
 		e.listed = false
 	}
 }
 
-// update stores an entry of a list. newProcess reports whether it names an endpoint, or a process of one,
-// that was not known. That process started at startTime, or long ago if startTime is 0.
+// update stores an entry of a list and returns its endpoint. newProcess is true if the endpoint was unknown
+// or was restarted. startTime is the instant at which its process started; 0 means long ago.
 func (m *membership) update(now Micros, in *Endpoint) (e *endpoint, startTime Micros, newProcess bool) {
 	e = m.byID[in.ID]
 	added := e == nil
@@ -63,7 +64,7 @@
 	e.cordoned = m.cordoned[in.Name]
 	startTime = in.StartTime
 	if startTime == 0 && added && m.listReceived {
-		startTime = now // it appeared while subscribed
+		startTime = now // the endpoint appeared after the first list
 	} else if startTime != 0 && (added || restarted) {
 		startTime = m.effectiveStartTime(now, in)
 	}
@@ -74,14 +75,15 @@
 	return e, startTime, added || restarted
 }
 
-// endUpdate removes endpoints that are gone, after the entries of a list.
+// endUpdate deletes the endpoints that were removed. It is called after the entries of a list were stored. A
+// complete list removes every endpoint that it does not name.
 func (m *membership) endUpdate(now Micros, kind ListUpdate) {
 	complete := kind != ListDelta
 	m.endpoints = slices.DeleteFunc(m.endpoints, func(e *endpoint) bool {
 		if complete && !e.listed {
 			e.State = Removed
 		}
-		return m.forgetIfRemoved(e)
+		return m.unindexIfRemoved(e)
 	})
 	m.listReceived = m.listReceived || kind != ListCached || !m.settings.SubscribeToDiscovery
 	if kind != ListCached {
@@ -89,24 +91,26 @@
 	}
 }
 
-// dropIfRemoved drops a removed endpoint whose last attempt has ended.
+// dropIfRemoved deletes an endpoint from the list if it was removed and has no attempt in flight. It is
+// called after an attempt at that endpoint has ended.
 func (m *membership) dropIfRemoved(removed *endpoint) {
-	if m.forgetIfRemoved(removed) {
+	if m.unindexIfRemoved(removed) {
 		m.endpoints = slices.DeleteFunc(m.endpoints, func(e *endpoint) bool { return e == removed })
 	}
 }
 
-// forgetIfRemoved forgets a removed endpoint that has no attempt in flight, and reports whether it did.
-func (m *membership) forgetIfRemoved(e *endpoint) bool {
-	forget := e.State == Removed && e.inFlight+e.uploading == 0
-	if forget && m.byID[e.ID] == e {
+// unindexIfRemoved reports whether e was removed and has no attempt in flight. If so, it deletes e from the
+// index by ID; the caller deletes e from the list.
+func (m *membership) unindexIfRemoved(e *endpoint) bool {
+	deletable := e.State == Removed && e.inFlight+e.uploading == 0
+	if deletable && m.byID[e.ID] == e {
 		delete(m.byID, e.ID)
 		m.rememberStartTime(e)
 	}
-	return forget
+	return deletable
 }
 
-// rememberStartTime keeps the start time of a removed endpoint: it may return as the same process.
+// rememberStartTime stores the start time of a removed endpoint: it may be listed again as the same process.
 func (m *membership) rememberStartTime(e *endpoint) {
 	if len(m.removedStartTimes) >= maxRemovedEndpoints {
 		clear(m.removedStartTimes)
@@ -114,12 +118,14 @@
 	m.removedStartTimes[e.Name] = e.StartTime
 }
 
-// effectiveStartTime returns the instant at which an endpoint that is new here, or was restarted, started.
-// The listed time is by another clock, which may have been stepped. A process that the latest list did not
-// name can't be warm already, unless it is one that was removed and returns.
+// effectiveStartTime returns the instant at which the process of an added or restarted endpoint started.
+//
+// The listed start time is by another clock, which may have been stepped. A process that the latest list did
+// not name cannot be warm yet, unless it was removed and is listed again. If its listed start time says that
+// it was warm at the latest list, it is taken to start now.
 func (m *membership) effectiveStartTime(now Micros, in *Endpoint) Micros {
-	removed, known := m.removedStartTimes[in.Name]
-	returned := known && removed == in.StartTime
+	removedStartTime, wasRemoved := m.removedStartTimes[in.Name]
+	returned := wasRemoved && removedStartTime == in.StartTime
 	latestWarmStart := m.listReceivedAt - m.settings.Contract.SlowStartDuration
 	if m.listReceivedAt > 0 && !returned && in.StartTime < latestWarmStart {
 		return now
@@ -127,13 +133,14 @@
 	return in.StartTime
 }
 
-// restoreEndpoint takes up the estimates of an earlier balancer process for the same endpoint process.
+// restoreEndpoint sets e's estimates to those of an earlier balancer process, if they are of the same
+// endpoint process.
 func (m *membership) restoreEndpoint(e *endpoint) {
-	if known, ok := m.restored[e.Name]; ok && known.StartTime == e.StartTime {
-		e.serviceTimeRatio, e.serviceTimeRatioAt = newEWMA(known.ServiceTimeRatio), known.MeasuredAt
-		if isPositiveFinite(known.MeanLoad) {
-			e.meanLoad = newEWMA(known.MeanLoad)
+	if estimate, ok := m.restoredEstimates[e.Name]; ok && estimate.StartTime == e.StartTime {
+		e.serviceTimeRatio, e.serviceTimeRatioAt = newEWMA(estimate.ServiceTimeRatio), estimate.MeasuredAt
+		if isPositiveFinite(estimate.MeanLoad) {
+			e.meanLoad = newEWMA(estimate.MeanLoad)
 		}
 	}
-	delete(m.restored, e.Name)
+	delete(m.restoredEstimates, e.Name)
 }
--- a/balancer/pick.go
+++ b/balancer/pick.go
@@ -121,7 +121,7 @@
 		var best candidate
 		p.consider(now, r, excluded, top[rank].endpoint, &best)
 		p.consider(now, r, excluded, top[affinityChoices+rank].endpoint, &best)
-		p.consider(now, r, excluded, p.slowStart.candidate(), &best)
+		p.consider(now, r, excluded, p.slowStart.nextEndpoint(), &best)
 		if e := best.endpoint; e != nil && (p.estimates.queueingFactor(now, e) <= 1 ||
 			p.estimates.latency(now, e, r.work) <= p.estimates.latencyLimit(now, r, e)) {
 			return e
@@ -150,7 +150,7 @@
 func (p *picker) pick(now Micros, r *request, excluded *endpoint) *endpoint {
 	p.slowStart.refill(now, r.work)
 	pool := p.probes.freshPool(now, r.class.LatencyObjective)
-	warming := p.slowStart.candidate()
+	warming := p.slowStart.nextEndpoint()
 	if warming != nil && warming.awaitsTrial && warming.lastResponseAt > 0 && warming != excluded &&
 		p.ledger.maySend(now, r, warming) {
 		return warming
@@ -164,7 +164,7 @@
 		p.consider(now, r, excluded, pool[(start+i)%len(pool)], &best)
 	}
 	// Random draws hit the next warming endpoint too seldom to warm it up.
-	p.consider(now, r, excluded, p.slowStart.candidate(), &best)
+	p.consider(now, r, excluded, p.slowStart.nextEndpoint(), &best)
 	// Random draws compete with a pool of less than half of the endpoints, which must not get all requests.
 	small := !p.probes.probesWithRequests() && 2*len(pool) < len(p.membership.list())
 	if best.endpoint == nil || small {
--- a/balancer/prediction.go
+++ b/balancer/prediction.go
@@ -113,7 +113,7 @@
 // likelyWarmupFraction is the expected share of its capacity that e has by now: as latencies show, but
 // limited to a multiple of the least.
 func (est *estimator) likelyWarmupFraction(now Micros, e *endpoint) float64 {
-	limit := 1 + maxExtraFraction*min(1, float64(est.warmingSamples)/fullExtraSamples)
+	limit := 1 + maxExtraFraction*min(1, float64(est.warmingSamples)/samplesForMaxExtraFraction)
 	least := e.warmupFraction(now, &est.settings.Contract)
 	return min(limit*least, max(least, 1/est.warmingSlowdown(now, e)))
 }
--- a/balancer/probing.go
+++ b/balancer/probing.go
@@ -1,67 +1,73 @@
 package balancer
 
-// Probing: when endpoints are probed, and the pool of those whose reports are fresh, after Prequal.
+// Probing: when endpoints are probed, and the pool of endpoints with a fresh load report, as in Prequal.
 
 const (
-	maxProbeGap      = second / 10 // longest delay between probe rounds
-	probeBatch       = 3           // endpoints probed a round
-	lostProbeTimeout = 5 * second  // after which a probe without answer no longer prevents another
-
-	// Shares of the result that may be spent on probes: in rounds, and with requests, where a fresh report is
-	// worth more.
-	maxProbeSpend        = 0.005
-	maxRequestProbeSpend = 0.02
-
-	maxProbesPerRequest  = 4.0
-	minFirstAttemptShare = 0.3  // share of requests probed for, at least, while many are rejected
-	maxProbeWaitShare    = 0.1  // of its latency objective: how long a request waits for its probes
-	requestProbeTTLShare = 0.25 // of the latency objective: age limit of a report if probes go with requests
-
-	minReportTTL    = second // for which a report is fresh, at least, if probes go in rounds,
-	reportTTLRounds = 3      // or for so many rounds of the complete list
-
-	// minInFlightPerEndpoint is the mean of own requests in flight at an endpoint from which they show its
-	// load well enough.
+	maxRoundGap       = second / 10 // longest mean delay between rounds, if that permits one probe a round
+	maxProbesPerRound = 3           // endpoints probed in one round, at most
+	lostProbeTimeout  = 5 * second  // an unanswered probe prevents another of the same endpoint for this time
+
+	// Probes have a price, Prices.Probe, each. These are the shares of the result that may be spent on probes,
+	// per request: in rounds, and with requests, where a fresh report is worth more. Divided by the price, they
+	// give the number of probes per request.
+	maxRoundProbeCost   = 0.005
+	maxRequestProbeCost = 0.02
+
+	maxProbesPerRequest     = 4.0
+	minProbedRequestShare   = 0.3  // share of requests that probes are sent for, at least, despite rejections
+	maxProbeWaitShare       = 0.1  // share of its latency objective that a request waits for its probes, at most
+	reportTTLObjectiveShare = 0.25 // age limit of a report, as a share of the latency objective, if withRequests
+
+	// If endpoints are probed in rounds, a report is fresh for the longer of minReportTTL and the time in which
+	// as many probes are sent as reportTTLRounds times the complete list has endpoints.
+	minReportTTL    = second
+	reportTTLRounds = 3
+
+	// minInFlightPerEndpoint is the mean number of this balancer's requests in flight per endpoint from which
+	// these requests show the load of endpoints well enough.
 	minInFlightPerEndpoint = 0.1
 )
 
-// prober decides when endpoints are probed, and holds the pool of those with a fresh report.
+// prober decides when endpoints are probed, and holds the pool of endpoints with a fresh load report.
 type prober struct {
 	*environment
 	demand     *demand
 	membership *membership
 	slowStart  *slowStart
 
-	pool             []*endpoint // endpoints with a fresh report
-	probesPerRequest float64     // that the price permits
-	perRequest       bool        // probes go with single requests, not in rounds
-	roundsActive     bool
+	pool             []*endpoint // endpoints with a fresh load report
+	probesPerRequest float64     // probes that the price permits for each request, if withRequests
+	withRequests     bool        // probes are sent when a request arrives, not in rounds
+	roundsActive     bool        // the timer of the next round runs
 }
 
-// start begins the probe rounds, unless they run.
+// start sets probesPerRequest from the price. It starts the probe rounds if probes are permitted and the
+// rounds do not run yet.
 func (p *prober) start() {
-	// A price of 0 permits the maximum.
-	p.probesPerRequest = min(maxProbesPerRequest, maxRequestProbeSpend/p.settings.Prices.Probe)
+	// A price of 0 gives an infinite quotient, and so the maximum.
+	p.probesPerRequest = min(maxProbesPerRequest, maxRequestProbeCost/p.settings.Prices.Probe)
 	if p.settings.Limits.Probes && !p.roundsActive {
 		p.roundsActive = true
-		p.actions.StartTimer(1+p.random.duration(maxProbeGap), probeTimerToken)
+		p.actions.StartTimer(1+p.random.duration(maxRoundGap), probeTimerToken)
 	}
 }
 
-// probesWithRequests reports whether probes go with single requests, not in rounds.
-func (p *prober) probesWithRequests() bool { return p.perRequest }
+// probesWithRequests reports whether probes are sent when a request arrives, not in rounds.
+func (p *prober) probesWithRequests() bool { return p.withRequests }
 
-// countPerRequest is the number of probes that go with a request.
+// countPerRequest returns the number of probes sent when a request arrives, if probesWithRequests.
 func (p *prober) countPerRequest() int { return int(p.probesPerRequest) }
 
-// rate is the rate of probes a second that the price permits.
+// rate returns the number of probes per second that the price permits in rounds, at least 1.
 func (p *prober) rate(now Micros) float64 {
-	perRequest := min(maxProbesPerRequest, maxProbeSpend/p.settings.Prices.Probe)
-	// The price is paid for requests that are sent. While all are rejected, reports must still show a recovery.
-	return max(1, perRequest*p.demand.rate(now)*max(minFirstAttemptShare, 1-p.demand.rejected()))
+	probesPerRequest := min(maxProbesPerRequest, maxRoundProbeCost/p.settings.Prices.Probe)
+	// The price counts for requests that are sent. While all requests are rejected, load reports must still
+	// show a recovery.
+	return max(1, probesPerRequest*p.demand.rate(now)*
+		max(minProbedRequestShare, 1-p.demand.recentRejectedShare()))
 }
 
-// add puts an endpoint with a fresh report into the pool.
+// add puts an endpoint with a fresh load report into the pool, if it is not there yet.
 func (p *prober) add(e *endpoint) {
 	if !e.pooled {
 		e.pooled = true
@@ -69,8 +75,8 @@
 	}
 }
 
-// freshPool returns the pool for a request of this latency objective, after dropping endpoints whose report
-// is too old. The caller must not change the slice.
+// freshPool returns the pool for a request of this latency objective. It first drops the endpoints that may
+// not be sent to and those whose report is too old. The caller must not modify the slice.
 func (p *prober) freshPool(now, objective Micros) []*endpoint {
 	maxAge := p.maxReportAge(now, objective)
 	kept := p.pool[:0]
@@ -84,23 +90,25 @@
 	return p.pool
 }
 
-// maxReportAge is how long a report may be used for a request of this latency objective.
+// maxReportAge returns the age up to which a report may be used for a request of this latency objective.
 func (p *prober) maxReportAge(now, objective Micros) Micros {
-	if p.perRequest {
-		return Micros(requestProbeTTLShare * float64(objective))
+	if p.withRequests {
+		return Micros(reportTTLObjectiveShare * float64(objective))
 	}
 	endpoints := float64(len(p.membership.list()))
 	return max(minReportTTL, Micros(reportTTLRounds*endpoints/p.rate(now)*float64(second)))
 }
 
-// reportsSparse reports whether a round of the complete list takes longer than reports are fresh. The typical
-// load then decides on nearly all requests, and a few outliers must not move it.
+// reportsSparse reports whether probing the complete list once takes longer than reportTTLRounds times
+// minReportTTL. The typical load of the fleet then decides on nearly all requests, and a few outliers must
+// not change it.
 func (p *prober) reportsSparse(now Micros) bool {
 	return p.settings.Limits.Probes && len(p.settings.ReportFields) > 0 &&
 		float64(len(p.membership.list()))/p.rate(now) > reportTTLRounds*float64(minReportTTL)/float64(second)
 }
 
-// probe probes e, unless a probe of it is in flight.
+// probe sends a probe to e if probes are permitted, e is usable and no probe of it is in flight. A probe
+// without answer counts as lost after lostProbeTimeout.
 func (p *prober) probe(now Micros, e *endpoint) {
 	lost := now-e.lastProbeAt > lostProbeTimeout
 	if p.settings.Limits.Probes && e.usable() && (lost || !e.probeInFlight) {
@@ -110,41 +118,42 @@
 	}
 }
 
-// mayProbeNew reports whether each new endpoint of a list of so many entries is probed at once. In a fleet
-// with more balancers than endpoints, these probes alone could overload an endpoint.
-func (p *prober) mayProbeNew(entries int) bool {
+// mayProbeNewEndpoints reports whether the new endpoints of a list with this number of entries are probed at
+// once. If there are more balancers than endpoints, these probes alone could overload an endpoint.
+func (p *prober) mayProbeNewEndpoints(entries int) bool {
 	return p.settings.Balancers <= max(len(p.membership.list()), entries)
 }
 
-// round probes a few random endpoints and schedules the next round.
-func (p *prober) round(now Micros) {
+// runRound probes a few random endpoints and starts the timer of the next round.
+func (p *prober) runRound(now Micros) {
 	if p.roundsActive = p.settings.Limits.Probes; !p.roundsActive {
-		p.perRequest = false
+		p.withRequests = false
 		return
 	}
 	rate, endpoints := p.rate(now), p.membership.list()
-	p.choosePerRequest(now, rate)
-	if p.perRequest {
+	p.chooseMode(now, rate)
+	if p.withRequests {
 		p.actions.StartTimer(minReportTTL/2+p.random.duration(minReportTTL), probeTimerToken)
 		return
 	}
-	n := max(1, min(probeBatch, int(rate*float64(maxProbeGap)/float64(second))))
-	gap := float64(n) / rate * float64(second)
-	for draw := 0; n > 0 && draw < 4*probeBatch && len(endpoints) > 0; draw++ {
+	remaining := max(1, min(maxProbesPerRound, int(rate*float64(maxRoundGap)/float64(second))))
+	gap := float64(remaining) / rate * float64(second)
+	for draw := 0; remaining > 0 && draw < 4*maxProbesPerRound && len(endpoints) > 0; draw++ {
 		e := endpoints[int(p.random.uniform()*float64(len(endpoints)))]
 		if e.usable() && !e.probeInFlight {
 			p.probe(now, e)
-			n--
+			remaining--
 		}
 	}
 	p.actions.StartTimer(1+Micros(gap*(0.5+p.random.uniform())), probeTimerToken)
 }
 
-// choosePerRequest decides that probes go with requests if a round of the list takes too long for a fresh
-// pool, and the own requests in flight show little of the load.
-func (p *prober) choosePerRequest(now Micros, rate float64) {
-	size := float64(len(p.membership.list()))
-	own := p.demand.rate(now) * p.demand.referenceWork() / float64(second)
-	p.perRequest = p.probesPerRequest >= 1 && size*float64(second) > rate*float64(minReportTTL) &&
-		own < minInFlightPerEndpoint*size
+// chooseMode decides whether probes are sent when requests arrive, or in rounds of rate probes per second.
+// They are sent with requests if the price permits at least one per request, probing the complete list in
+// rounds would take longer than minReportTTL, and this balancer's requests in flight show little of the load.
+func (p *prober) chooseMode(now Micros, rate float64) {
+	endpoints := float64(len(p.membership.list()))
+	ownInFlight := p.demand.rate(now) * p.demand.referenceWork() / float64(second)
+	p.withRequests = p.probesPerRequest >= 1 && endpoints*float64(second) > rate*float64(minReportTTL) &&
+		ownInFlight < minInFlightPerEndpoint*endpoints
 }
--- a/balancer/probing_test.go
+++ b/balancer/probing_test.go
@@ -25,7 +25,7 @@
 // A balancer that rejects all requests must still detect the recovery.
 func TestProbesContinueWhileAllRequestsAreRejected(t *testing.T) {
 	s := testSettings()
-	s.Prices.Probe = maxProbeSpend // one probe a request
+	s.Prices.Probe = maxRoundProbeCost // one probe a request
 	b, _ := start(t, s, ready(4))
 	for i := range 1000 {
 		b.demand.requestRate.add(5000*Micros(i), 1)
@@ -34,7 +34,7 @@
 	b.demand.rejectedShare.value = 0
 	full := b.probes.rate(now)
 	for _, c := range []struct{ rejected, want float64 }{
-		{0.5, 0.5}, {0.9, minFirstAttemptShare}, {1, minFirstAttemptShare},
+		{0.5, 0.5}, {0.9, minProbedRequestShare}, {1, minProbedRequestShare},
 	} {
 		b.demand.rejectedShare.value = c.rejected
 		if got := b.probes.rate(now) / full; math.Abs(got-c.want) > 0.001 {
--- a/balancer/rules_test.go
+++ b/balancer/rules_test.go
@@ -177,7 +177,7 @@
 			p.fault("request %d never got a final answer", id)
 		}
 	}
-	requestsMayWait := s.Balancers > 2 && s.Limits.Probes && s.Prices.Probe < maxRequestProbeSpend
+	requestsMayWait := s.Balancers > 2 && s.Limits.Probes && s.Prices.Probe < maxRequestProbeCost
 	if requestsMayWait && p.maxWaiting == 0 {
 		p.fault("no request ever waited for probes: the run does not cover those that do")
 	}
--- a/balancer/simclock_test.go
+++ b/balancer/simclock_test.go
@@ -28,8 +28,8 @@
 }
 
 // after has an event happen after a delay of a microsecond at least.
-func (c *simClock) after(delay Micros, do func(now Micros)) {
-	heap.Push(&c.events, event{c.now + max(1, delay), do})
+func (c *simClock) after(delay Micros, handle func(now Micros)) {
+	heap.Push(&c.events, event{c.now + max(1, delay), handle})
 }
 
 // run plays the events up to an instant.
--- a/balancer/simulation_test.go
+++ b/balancer/simulation_test.go
@@ -12,7 +12,7 @@
 type fleet struct {
 	settings Settings
 	simClock
-	members  []*member
+	hosts    []*simulatedHost
 	list     []Endpoint
 	inFlight map[uint32]int      // requests there
 	received map[uint32][]Micros // instants of the requests sent there
@@ -20,8 +20,8 @@
 	work     float64 // of each request, in microseconds
 }
 
-// member is the host of one balancer.
-type member struct {
+// simulatedHost is the host of one balancer.
+type simulatedHost struct {
 	fleet    *fleet
 	balancer *Balancer
 	attempts map[uint64]int // number of attempts by request
@@ -32,12 +32,12 @@
 	f := &fleet{settings: s, list: list, work: work, inFlight: map[uint32]int{}, received: map[uint32][]Micros{}, rng: 5}
 	f.settings.Balancers = balancers
 	for i := range balancers {
-		m := &member{fleet: f, attempts: map[uint64]int{}}
+		m := &simulatedHost{fleet: f, attempts: map[uint64]int{}}
 		var err error
 		if m.balancer, err = New(f.settings, uint64(i)+1, m); err != nil {
 			t.Fatal(err)
 		}
-		f.members = append(f.members, m)
+		f.hosts = append(f.hosts, m)
 		m.balancer.Start(0)
 		m.balancer.HandleEndpoints(0, ListCached, list)
 		m.balancer.HandleEndpoints(0, ListFull, list)
@@ -53,7 +53,7 @@
 	next = func(now Micros) {
 		id++
 		draw := f.rng.uniform()
-		m := f.members[int(draw*draw*float64(len(f.members)))]
+		m := f.hosts[int(draw*draw*float64(len(f.hosts)))]
 		m.balancer.HandleRequest(now, Request{ID: id, Deadline: now + second})
 		if now < until {
 			f.after(Micros(-math.Log(1-f.rng.uniform())/rate*float64(second)), next)
@@ -73,7 +73,7 @@
 	return 1
 }
 
-func (m *member) Send(id uint64, endpoint uint32, _ Micros) {
+func (m *simulatedHost) Send(id uint64, endpoint uint32, _ Micros) {
 	f, attempt, sentAt := m.fleet, m.attempts[id], m.fleet.now
 	m.attempts[id]++
 	f.received[endpoint] = append(f.received[endpoint], sentAt)
@@ -87,25 +87,25 @@
 	})
 }
 
-func (m *member) Probe(endpoint uint32) {
+func (m *simulatedHost) Probe(endpoint uint32) {
 	m.fleet.after(500, func(now Micros) {
 		m.balancer.HandleProbe(now, endpoint, OK, 500, []float32{float32(m.fleet.inFlight[endpoint])})
 	})
 }
 
-func (m *member) StartTimer(delay Micros, token uint32) {
+func (m *simulatedHost) StartTimer(delay Micros, token uint32) {
 	m.fleet.after(delay, func(now Micros) { m.balancer.HandleTimer(now, token) })
 }
 
-func (m *member) Reject(uint64, Micros) {}
-func (m *member) Fail(uint64)           {}
-func (m *member) Cancel(uint64, int)    {}
-func (m *member) Watch(bool)            {}
-func (m *member) Log(string)            {}
+func (m *simulatedHost) Reject(uint64, Micros) {}
+func (m *simulatedHost) Fail(uint64)           {}
+func (m *simulatedHost) Cancel(uint64, int)    {}
+func (m *simulatedHost) Watch(bool)            {}
+func (m *simulatedHost) Log(string)            {}
 
-// overloadedEndpoint returns the largest share of its budget that a warming endpoint got in any window, and an error if
+// checkWarmingBudget returns the largest share of its budget that a warming endpoint got in any window, and an error if
 // that exceeds 1. The budget is N requests by the settings, with a margin for random variation.
-func (f *fleet) overloadedEndpoint() (worst float64, err error) {
+func (f *fleet) checkWarmingBudget() (worst float64, err error) {
 	worst, where := f.worstWindow(func(n float64) float64 { return n + 2*math.Sqrt(n) + 2 })
 	if worst > 1 {
 		err = errors.New(where)
@@ -115,7 +115,7 @@
 
 // Whatever the number of balancers, what all of them send to a warming endpoint stays within its budget: if one starts
 // alone, if many start one after the other, and if one returns that was cordoned.
-func TestWarmingEndpointsBearTheSumOfAllBalancers(t *testing.T) {
+func TestAllBalancersTogetherKeepTheSlowStartBudget(t *testing.T) {
 	warmingRequests := 0
 	for _, balancers := range []int{4, 30, 300} {
 		for _, work := range []float64{25_000, 150_000} { // N is large at first, or small
@@ -132,12 +132,12 @@
 					f.startEndpoints(4, 4*second)
 				},
 				"one is uncordoned": func(f *fleet) {
-					for _, m := range f.members {
+					for _, m := range f.hosts {
 						m.balancer.Cordon(f.now, 1, true, f.now)
 					}
 					f.after(2*second, func(now Micros) {
 						f.list[0].StartTime = now
-						for _, m := range f.members {
+						for _, m := range f.hosts {
 							m.balancer.Cordon(now, 1, false, now)
 						}
 					})
@@ -151,7 +151,7 @@
 					f.run(4 * second)
 					start(f)
 					f.run(14 * second)
-					worst, err := f.overloadedEndpoint()
+					worst, err := f.checkWarmingBudget()
 					if err != nil {
 						t.Error(err)
 					}
@@ -176,7 +176,7 @@
 		f.after(Micros(i)*interval, func(now Micros) {
 			id := uint32(len(f.list) + 1)
 			f.list = append(f.list, Endpoint{ID: id, Name: uint64(id), Weight: 1, StartTime: now})
-			for _, m := range f.members {
+			for _, m := range f.hosts {
 				m.balancer.HandleEndpoints(now, ListDelta, f.list[len(f.list)-1:])
 			}
 		})
--- a/balancer/slowstart.go
+++ b/balancer/slowstart.go
@@ -2,145 +2,169 @@
 
 // Slow start: how much work goes to endpoints that are warming up.
 //
-// A token bucket limits the work of all warming endpoints together to a share of the mean work per warm
-// endpoint, in proportion to their warm-up fractions. They take turns: next is the one that got the least
-// work for its fraction. If N is the number of requests that a warming endpoint may get in OverloadWindow,
-// and warm endpoints are loaded to a share r of their capacity, all balancers together send it up to
+// One token bucket limits the work of all warming endpoints together to a share of the mean work per warm
+// endpoint, in proportion to their warm-up fractions. The warming endpoints take turns: the next request goes
+// to the one with the least work divided by its warm-up fraction.
 //
-//	warmingLoadShare x (1 + maxExtraFraction) / warmingCharge x N r = 0.49 N r
+// Bound on the requests that all balancers together send to one warming endpoint in OverloadWindow, with
 //
-// requests in that time. No balancer starts with the tokens of a complete request. An endpoint is overloaded
-// by N + 2 sqrt(N) + 2 requests. One that was cordoned gets up to 2 more from each of min(10, 1 + 0.4 N)
-// balancers: 2 + 1.29 N in all up to N = 22, then 20 + 0.49 N.
+//	N = requests that the endpoint may get in OverloadWindow
+//	r = load of the warm endpoints, as a share of their capacity
+//	k = overloadFactorShare x (1 + maxExtraFraction) / workChargeFactor = 0.28 x 2 / 1.15 = 0.49
+//	b = min(maxTrialBalancers, 1 + trialBalancersPerRequest x N) = min(10, 1 + 0.4 N)
+//
+//	not cordoned before:   k N r = 0.49 N r
+//	no longer cordoned:    k N + 2 b = 2 + 1.29 N    up to N = 22
+//	                                 = 20 + 0.49 N   above
+//	overload:              from N + 2 sqrt(N) + 2
+//
+// The first line holds for four reasons: the bucket fills at overloadFactorShare of the permitted rate, the
+// warm-up fraction exceeds the least one by up to the factor 1 + maxExtraFraction, each request is charged
+// workChargeFactor times its work, and no balancer starts with the tokens of a complete request. The second
+// line is for r = 1, warm endpoints at full load: each of b balancers may send trialRequestsPerBalancer = 2
+// requests more.
 const (
-	warmingLoadShare = 0.28 // of OverloadFactor: share of the load of a warm endpoint, per warm-up fraction
-	warmingCharge    = 1.15 // multiple of its work that a request is charged
-	probeWorkShare   = 0.01 // work of a probe, as a share of a request's
+	// overloadFactorShare multiplies Contract.OverloadFactor. The product, at most 1, is the load that a warming
+	// endpoint may get, as a share of a warm endpoint's load and per unit of warm-up fraction.
+	overloadFactorShare = 0.28
+
+	workChargeFactor = 1.15 // multiplies the work of a request: the tokens that it is charged
+	probeWorkShare   = 0.01 // work of a probe as a share of referenceWork, the mean work of a request
 
-	// maxExtraFraction limits the excess of the measured over the least warm-up fraction, as a share of the
-	// latter. It is reached after fullExtraSamples latencies. With warmingLoadShare, that stays far below an
-	// overload.
-	maxExtraFraction = 1.0
-	fullExtraSamples = 20
+	// The warm-up fraction that measured latencies show may exceed the least one, f, which the contract sets, by
+	// up to f x maxExtraFraction x min(1, n / samplesForMaxExtraFraction), with n the number of latencies
+	// measured. With overloadFactorShare, that stays far below an overload.
+	maxExtraFraction           = 1.0
+	samplesForMaxExtraFraction = 20
 
-	initialWarmingSlowness = 0.2  // share of the slowness that the least warm-up fraction implies
-	warmingSlownessWeight  = 0.05 // of the latest sample in it
+	// The warming slowness is the measured slowness of warming endpoints as a share of the slowness that their
+	// least warm-up fraction implies.
+	initialWarmingSlowness = 0.2  // warming slowness before the first sample
+	warmingSlownessWeight  = 0.05 // weight of the latest sample in the average
 
-	// An endpoint that is no longer cordoned gets trial requests from 1 + trialShare N balancers, but not
-	// from more than maxTrialBalancers, where N is the requests that it may get at first. Each may send
-	// trialRequests, its probes included.
-	maxTrialBalancers = 10
-	trialShare        = 0.4
-	trialRequests     = 2
+	// An endpoint that is no longer cordoned gets trial requests from
+	//
+	//	min(maxTrialBalancers, 1 + trialBalancersPerRequest x N)
+	//
+	// balancers, where N is the number of requests that it may get in OverloadWindow at its initial warm-up
+	// fraction. Each of them may send trialRequestsPerBalancer requests, the work of its probes included.
+	maxTrialBalancers        = 10
+	trialBalancersPerRequest = 0.4
+	trialRequestsPerBalancer = 2
 )
 
-// slowStart is the token bucket of the endpoints that are warming up.
+// slowStart holds the token bucket that all warming endpoints share, and whose turn it is.
 type slowStart struct {
 	*environment
 	demand     *demand
 	membership *membership
 	estimates  *estimator
 
-	next         *endpoint    // the warming endpoint that may be sent to next
-	tokens       float64      // microseconds of work that all warming endpoints together may still get
-	tokensAt     Micros       // instant of the latest refill
-	servedLevel  float64      // least work of a warming endpoint over its warm-up fraction; 0 if none is warming
-	sentWorkRate decayingRate // work sent to all endpoints
+	next                 *endpoint    // warming endpoint whose turn it is; nil if not chosen yet
+	tokens               float64      // microseconds of work that all warming endpoints together may still get
+	tokensAt             Micros       // instant of the latest refill
+	leastWorkPerFraction float64      // least of (warmingWork + work) / warm-up fraction; 0 if none is warming
+	sentWorkRate         decayingRate // work sent to all endpoints
 }
 
-// begin marks e as warming up since an instant.
+// begin marks e as warming up since the given instant, or since now if that is earlier.
 //
-// A balancer with little traffic takes long to fill the bucket up to one request. Each therefore starts with
-// a random level below that and, by the random start of warmingWork, with a random endpoint. A new endpoint
-// starts at the served level of the others, or it would get all requests until it has caught up.
+// A balancer with little traffic takes a long time to fill the bucket with the tokens of one request. Each
+// balancer therefore starts with a random number of tokens below that. The initial warmingWork is random,
+// too, so that each starts with a random endpoint. A new endpoint starts at the leastWorkPerFraction of the
+// others; otherwise, it would get all requests until it has caught up.
 func (s *slowStart) begin(now Micros, e *endpoint, since Micros) {
-	unit := warmingCharge * s.demand.referenceWork()
+	requestCharge := workChargeFactor * s.demand.referenceWork()
 	e.warming, e.warmingSince = true, min(since, now)
-	e.warmingWork = s.servedLevel*e.warmupFraction(now, &s.settings.Contract) - s.random.uniform()*unit
-	if start := s.random.uniform() * unit; s.servedLevel == 0 || start < s.tokens {
-		s.tokens = start
+	e.warmingWork = s.leastWorkPerFraction*e.warmupFraction(now, &s.settings.Contract) -
+		s.random.uniform()*requestCharge
+	if initialTokens := s.random.uniform() * requestCharge; s.leastWorkPerFraction == 0 ||
+		initialTokens < s.tokens {
+		s.tokens = initialTokens
 	}
 }
 
-// offerTrial permits a few balancers, drawn at random, to send to e at once: operators wait for an endpoint
-// that they put back into service to serve a request. One request from each balancer could overload it.
+// offerTrial draws at random whether this balancer is one of the few that may send to e, which is no longer
+// cordoned, at once. Operators wait until an endpoint that they uncordoned serves a request. A request from
+// every balancer could overload it.
 func (s *slowStart) offerTrial(e *endpoint) {
 	c, work := &s.settings.Contract, s.demand.referenceWork()
-	n := c.OverloadFactor * c.SlowStartInitialFraction * float64(c.OverloadWindow) / work
-	balancers := min(maxTrialBalancers, 1+trialShare*n)
+	permittedRequests := c.OverloadFactor * c.SlowStartInitialFraction * float64(c.OverloadWindow) / work
+	balancers := min(maxTrialBalancers, 1+trialBalancersPerRequest*permittedRequests)
 	e.awaitsTrial = s.random.uniform()*float64(s.settings.Balancers) < balancers
 	if e.awaitsTrial {
-		s.tokens = max(s.tokens, trialRequests*warmingCharge*work)
+		s.tokens = max(s.tokens, trialRequestsPerBalancer*workChargeFactor*work)
 	}
 }
 
-// candidate returns the warming endpoint that may be sent to next, or nil.
-func (s *slowStart) candidate() *endpoint { return s.next }
+// nextEndpoint returns the warming endpoint whose turn it is, or nil if none is chosen.
+func (s *slowStart) nextEndpoint() *endpoint { return s.next }
 
-// maySend reports whether e is the next warming endpoint, and there are tokens for a request of this work.
+// maySend reports whether it is e's turn and the bucket holds the tokens for a request of this work.
 func (s *slowStart) maySend(now Micros, e *endpoint, work float64) bool {
 	if s.tokensAt != now || s.next == nil {
 		s.refill(now, work)
 	}
-	return e == s.next && s.tokens >= work*warmingCharge
+	return e == s.next && s.tokens >= work*workChargeFactor
 }
 
-// charge takes the tokens for a request sent to e, and ends its turn.
+// charge takes the tokens for a request of this work sent to e, and ends e's turn.
 func (s *slowStart) charge(e *endpoint, work float64) {
-	s.tokens -= work * warmingCharge
-	e.warmingWork += work * warmingCharge
+	s.tokens -= work * workChargeFactor
+	e.warmingWork += work * workChargeFactor
 	e.awaitsTrial = false
 	s.next = nil
 }
 
-// chargeProbe takes the tokens for a probe of e, if it is warming up.
+// chargeProbe takes the tokens for a probe of e if e is warming up.
 func (s *slowStart) chargeProbe(now Micros, e *endpoint) {
 	s.tokens -= probeWorkShare * s.demand.referenceWork() * indicator(e.isWarming(now, &s.settings.Contract))
 }
 
-// recordSend counts the work of a request sent to any endpoint.
+// recordSend adds the work of a request sent to any endpoint to sentWorkRate.
 func (s *slowStart) recordSend(now Micros, work float64) { s.sentWorkRate.add(now, work) }
 
-// refill fills the token bucket by the time since the latest refill, and finds the next warming endpoint: the
-// one that got the least work for its warm-up fraction. work is that of the request at hand.
+// refill adds the tokens for the time since the latest refill, and chooses the next warming endpoint: the one
+// with the least (warmingWork + work) / warm-up fraction, where work is that of the current request.
 func (s *slowStart) refill(now Micros, work float64) {
-	var warm, ready float64        // endpoints
-	var fractions float64          // sum of the warm-up fractions of warming endpoints
-	var leastServed, level float64 // work per warm-up fraction: of s.next, and the least of all
+	var warmEndpoints, usableEndpoints float64          // numbers of endpoints
+	var fractionSum float64                             // sum of the warm-up fractions of warming endpoints
+	var nextWorkPerFraction, minWorkPerFraction float64 // work per warm-up fraction: of s.next; least
 	s.next = nil
 	contract := &s.settings.Contract
 	for _, e := range s.membership.list() {
 		if !e.usable() {
 			continue
 		}
-		ready++
+		usableEndpoints++
 		if !e.isWarming(now, contract) {
-			warm++
+			warmEndpoints++
 			continue
 		}
 		fraction := s.estimates.likelyWarmupFraction(now, e)
-		fractions += fraction
-		served := (e.warmingWork + work) / fraction
-		if level == 0 || served < level {
-			level = served
+		fractionSum += fraction
+		workPerFraction := (e.warmingWork + work) / fraction
+		if minWorkPerFraction == 0 || workPerFraction < minWorkPerFraction {
+			minWorkPerFraction = workPerFraction
 		}
-		// One that awaits its trial goes first, once it responds.
-		if served *= indicator(!e.awaitsTrial || e.lastResponseAt == 0); s.next == nil || served < leastServed {
-			s.next, leastServed = e, served
+		// An endpoint that awaits its trial request goes first once it has responded, for instance to a probe.
+		if workPerFraction *= indicator(!e.awaitsTrial || e.lastResponseAt == 0); s.next == nil ||
+			workPerFraction < nextWorkPerFraction {
+			s.next, nextWorkPerFraction = e, workPerFraction
 		}
 	}
-	s.servedLevel = level
+	s.leastWorkPerFraction = minWorkPerFraction
 	rate := s.sentWorkRate.rate(now)
-	if warm == 0 { // nothing to compare with: an even share of the demand
-		warm, rate = ready, s.demand.rate(now)*work
+	if warmEndpoints == 0 { // no warm endpoint to compare with: use an even share of the demand
+		warmEndpoints, rate = usableEndpoints, s.demand.rate(now)*work
 	}
-	fill := min(1, warmingLoadShare*contract.OverloadFactor) * fractions * rate / max(1, warm)
-	limit := max(fill*float64(contract.OverloadWindow)/float64(second)/2, work*warmingCharge)
-	s.tokens += fill * float64(now-s.tokensAt) / float64(second)
-	if s.next != nil && s.tokens > limit {
-		// An endpoint that does not use the tokens is busy or far away, and would block all others: what overflows
-		// is charged to it, so that another becomes next.
-		s.next.warmingWork += s.tokens - limit
+	fillRate := min(1, overloadFactorShare*contract.OverloadFactor) * fractionSum * rate / max(1, warmEndpoints)
+	capacity := max(fillRate*float64(contract.OverloadWindow)/float64(second)/2, work*workChargeFactor)
+	s.tokens += fillRate * float64(now-s.tokensAt) / float64(second)
+	if s.next != nil && s.tokens > capacity {
+		// An endpoint that does not use the tokens is busy or far away, and would block all others. The tokens
+		// above the capacity are charged to it, so that another endpoint becomes the next.
+		s.next.warmingWork += s.tokens - capacity
 	}
-	s.tokens, s.tokensAt = min(limit, s.tokens), now
+	s.tokens, s.tokensAt = min(capacity, s.tokens), now
 }
--- a/balancer/slowstart_test.go
+++ b/balancer/slowstart_test.go
@@ -6,9 +6,9 @@
 	"testing"
 )
 
-// slowStartBudget is how many requests of mean work may reach a warming endpoint that is permitted n: n and a margin
+// slowStartBudgetWithMargin is how many requests of mean work may reach a warming endpoint that is permitted n: n and a margin
 // for random variation.
-func slowStartBudget(n float64) float64 {
+func slowStartBudgetWithMargin(n float64) float64 {
 	if n < 30 {
 		return n + 3*math.Sqrt(n) + 3
 	}
@@ -45,7 +45,7 @@
 	for i := range n {
 		f.list[i].StartTime = f.now
 	}
-	for _, m := range f.members {
+	for _, m := range f.hosts {
 		m.balancer.HandleEndpoints(f.now, ListDelta, f.list[:n])
 	}
 }
@@ -53,8 +53,8 @@
 // restartBalancers replaces every balancer by a new one that knows nothing but the endpoint list.
 func (f *fleet) restartBalancers(t *testing.T, seed uint64) {
 	t.Helper()
-	for i := range f.members {
-		m := &member{fleet: f, attempts: map[uint64]int{}}
+	for i := range f.hosts {
+		m := &simulatedHost{fleet: f, attempts: map[uint64]int{}}
 		var err error
 		if m.balancer, err = New(f.settings, seed+uint64(i), m); err != nil {
 			t.Fatal(err)
@@ -62,7 +62,7 @@
 		m.balancer.Start(f.now)
 		m.balancer.HandleEndpoints(f.now, ListCached, f.list)
 		m.balancer.HandleEndpoints(f.now, ListFull, f.list)
-		f.members[i] = m
+		f.hosts[i] = m
 	}
 }
 
@@ -110,7 +110,7 @@
 				f.restartBalancers(t, 100)
 			}
 			f.run(end)
-			worst, where := f.worstWindow(slowStartBudget)
+			worst, where := f.worstWindow(slowStartBudgetWithMargin)
 			if worst > 1 {
 				t.Errorf("%.2f of the budget: %s", worst, where)
 			}
--- a/balancer/stats.go
+++ b/balancer/stats.go
@@ -58,7 +58,7 @@
 	s.Open = b.ledger.openRequests()
 	b.membership.describe(now, &s)
 	b.estimates.describe(now, &s)
-	s.RejectedShare = b.demand.rejected()
+	s.RejectedShare = b.demand.recentRejectedShare()
 	return s
 }
 
--- a/balancer/waitlist_test.go
+++ b/balancer/waitlist_test.go
@@ -22,7 +22,7 @@
 		add(&w, busy)
 		add(&w, idle)
 		var resumed []*request
-		for r, i := w.resumable(1000, c.answered, fromEnd); r != nil; r, i = w.resumable(1000, c.answered, i) {
+		for r, i := w.nextResumable(1000, c.answered, fromEnd); r != nil; r, i = w.nextResumable(1000, c.answered, i) {
 			w.remove(r)
 			resumed = append(resumed, r)
 		}
