--- a/balancer/admission_test.go
+++ b/balancer/admission_test.go
@@ -5,11 +5,11 @@
 	"testing"
 )
 
-// A wrong estimate of a class's work must not reject that class for good, but one trial a second at each of a thousand
-// quiet balancers would keep an overloaded fleet overloaded.
+// If a class's work is estimated too high, its requests must not be rejected forever: some are sent as trials. But one
+// trial per second at each of a thousand balancers with little traffic would keep an overloaded fleet overloaded.
 func TestTooLateRejectionLetsTrialsThrough(t *testing.T) {
 	for _, c := range []struct {
-		interval           Micros // between requests
+		interval           Micros // time between two requests
 		minSends, maxSends int
 	}{{second / 100, 3, 6}, {second, 28, 33}} {
 		b, r := start(t, testSettings(), ready(1))
@@ -22,26 +22,26 @@
 			t.Errorf("a request every %d us: %d of 300 sent, want %d to %d", c.interval, n, c.minSends, c.maxSends)
 		}
 		if len(r.rejected) != 300-len(r.sends) {
-			t.Errorf("%d rejected, %d sent", len(r.rejected), len(r.sends))
+			t.Errorf("%d rejected and %d sent, want 300 together", len(r.rejected), len(r.sends))
 		}
 	}
 }
 
-// A balancer with few requests in a large fleet cannot keep a fresh pool: it must probe when a request arrives, and
-// send to the best endpoint, without losing requests that wait.
+// A balancer with few requests in a large fleet cannot keep its pool of load reports fresh. It must probe endpoints
+// when a request arrives and send the request to the best of them. No request may be lost while it waits for probes.
 func TestQuietBalancerProbesBeforeItSends(t *testing.T) {
-	startWaiting := func() (*Balancer, *recorder) { // request 1 waits for its probes
+	startWaiting := func() (*Balancer, *recorder) { // request 1 waits for its probes when this returns
 		s := testSettings()
 		s.Balancers = 1000
 		b, r := start(t, s, ready(40))
 		if len(r.probes) != 0 {
-			t.Errorf("%d probes at the start", len(r.probes))
+			t.Errorf("%d probes at the start, want none", len(r.probes))
 		}
 		b.HandleTimer(second, probeTimerToken)
 		r.probes, r.timers = nil, nil
 		b.HandleRequest(2*second, testRequest(1, 0, 2*second))
 		if len(r.sends) != 0 || len(r.probes) < 2 {
-			t.Fatalf("%d sends and %d probes before any answer", len(r.sends), len(r.probes))
+			t.Fatalf("%d sends and %d probes before any answer, want no send and 2 probes at least", len(r.sends), len(r.probes))
 		}
 		return b, r
 	}
@@ -54,7 +54,7 @@
 		answer(b, r, i, float32(4-i))
 	}
 	if last := r.probes[len(r.probes)-1]; len(r.sends) != 1 || r.sends[0].endpoint != last {
-		t.Errorf("sends %v, want one to %d, the least loaded of %v", r.sends, last, r.probes)
+		t.Errorf("sends %v, want one to endpoint %d, the least loaded of %v", r.sends, last, r.probes)
 	}
 
 	b, r = startWaiting()
@@ -63,10 +63,10 @@
 		t.Errorf("sends %v, want one to the idle endpoint %d at once", r.sends, r.probes[0])
 	}
 
-	b, r = startWaiting() // no answer at all
+	b, r = startWaiting() // no probe is answered
 	b.HandleTimer(2*second+50_000, r.timers[len(r.timers)-1])
 	if len(r.sends) != 1 {
-		t.Errorf("%d sends after the wait for probes", len(r.sends))
+		t.Errorf("%d sends after the wait for probes, want 1", len(r.sends))
 	}
 
 	b, r = startWaiting()
@@ -76,12 +76,13 @@
 	}
 	b.HandleTimer(2*second+50_000, r.timers[len(r.timers)-1])
 	if len(r.sends)+len(r.rejected)+len(r.failed) != 0 || len(b.waiting.requests) != 0 {
-		t.Error("a request whose client has gone is still acted on")
+		t.Errorf("after the client left: %d sends, %d rejections, %d failures and %d requests waiting, want none",
+			len(r.sends), len(r.rejected), len(r.failed), len(b.waiting.requests))
 	}
 }
 
-// If the sidecar itself is slow, all latencies grow: rejecting requests where none queues relieves no endpoint, and
-// makes clients retry.
+// If the sidecar itself is slow, all measured latencies grow. Rejecting requests for endpoints where none queues would
+// not relieve any endpoint, and would make clients retry.
 func TestSlowdownAloneRejectsNothing(t *testing.T) {
 	b, r := start(t, testSettings(), ready(1))
 	b.estimates.trend, b.estimates.trendAt = maxTrendRatio, 1000
@@ -89,16 +90,16 @@
 	b.HandleProbe(1000, 1, OK, 500, []float32{0})
 	b.HandleRequest(2000, testRequest(1, 0, 2000))
 	if len(r.sends) != 1 {
-		t.Errorf("%d sends to an idle endpoint while all seem slow, want 1", len(r.sends))
+		t.Errorf("%d sends to an idle endpoint while all endpoints seem slow, want 1", len(r.sends))
 	}
 	b.HandleProbe(3000, 1, OK, 500, []float32{5})
 	b.HandleRequest(3000, testRequest(2, 0, 3000))
 	if len(r.sends) != 1 {
-		t.Errorf("%d sends, though the second would wait behind five at a slow endpoint", len(r.sends))
+		t.Errorf("%d sends, want 1: the second request would wait behind five at a slow endpoint", len(r.sends))
 	}
 }
 
-// A few long latencies must not get requests rejected at an endpoint where none queues.
+// A few long latencies must not cause rejections at an endpoint where no request queues.
 func TestIdleEndpointIsNeverTooLate(t *testing.T) {
 	b, r := start(t, testSettings(), ready(1))
 	e := b.membership.endpoints[0]
@@ -110,11 +111,11 @@
 	}
 }
 
-// Trials keep an overloaded endpoint overloaded: each that is not served in time makes the next rarer.
+// Trials add to the load of an overloaded endpoint: each trial that is not served in time must make later trials rarer.
 func TestFailedTrialsMakeTrialsRarer(t *testing.T) {
 	b, r := start(t, testSettings(), ready(1))
 	b.demand.classes[0].work.value = float64(100 * second)
-	trialsByHalf := [2]int{} // in the first and the second half
+	trialsByHalf := [2]int{} // trials among the first and the second 200 requests
 	for i := range uint64(400) {
 		now := 10*second + Micros(i)*second
 		b.HandleProbe(now, 1, OK, 500, []float32{50})
@@ -125,7 +126,8 @@
 		}
 	}
 	if trialsByHalf[0] < 3 || trialsByHalf[0] > 8 || trialsByHalf[1] > 2 {
-		t.Errorf("%d of the first 200 were trials, want 3 to 8; %d of the next, want 2 at most", trialsByHalf[0], trialsByHalf[1])
+		t.Errorf("%d of the first 200 requests were trials, want 3 to 8; %d of the next 200, want 2 at most",
+			trialsByHalf[0], trialsByHalf[1])
 	}
 	b.admission.requestsPerTrial = maxRequestsPerTrial
 	r.sends = nil
@@ -135,11 +137,13 @@
 	b.HandleRequest(502*second, testRequest(1001, 0, 502*second))
 	b.HandleOutcome(502*second+1000, Outcome{ID: 1001, Endpoint: 1, Status: OK, Latency: 1000, Answered: true})
 	if b.admission.requestsPerTrial != minRequestsPerTrial {
-		t.Errorf("trial interval %d after an answer in time, want %d", b.admission.requestsPerTrial, minRequestsPerTrial)
+		t.Errorf("%d requests per trial after an answer in time, want %d",
+			b.admission.requestsPerTrial, minRequestsPerTrial)
 	}
 }
 
-// Answers from a far zone come too late for a short wait: such probes stay in the balancer's own zone.
+// Answers to probes of a distant zone come too late if the wait for probes is short: probes must then stay in the
+// balancer's own zone.
 func TestRequestProbesAvoidDistantZones(t *testing.T) {
 	s := testSettings()
 	s.Balancers = 1000
@@ -156,15 +160,15 @@
 	}
 	for _, e := range r.probes {
 		if b.membership.byID[e].Zone != 0 {
-			t.Fatalf("probe of endpoint %d, 30 ms away, for a wait of 40 ms", e)
+			t.Fatalf("endpoint %d, 30 ms away, is probed for a wait of 40 ms; want probes of zone 0 only", e)
 		}
 	}
 	if len(r.probes) < 10 {
-		t.Errorf("%d probes", len(r.probes))
+		t.Errorf("%d probes, want 10 at least", len(r.probes))
 	}
 }
 
-// On-call staff must learn why requests are rejected, in one line a second and not in thousands.
+// On-call staff must see why requests are rejected: in one log line per second, not in thousands.
 func TestRejectionsAreLoggedOnceASecond(t *testing.T) {
 	b, r := start(t, testSettings(), ready(1))
 	b.HandleProbe(1000, 1, OK, 500, []float32{50})
@@ -174,9 +178,9 @@
 		b.HandleRequest(now, testRequest(id, 0, now))
 	}
 	if len(r.rejected) < 150 {
-		t.Fatalf("only %d rejected", len(r.rejected))
+		t.Fatalf("%d requests rejected, want 150 at least", len(r.rejected))
 	}
 	if len(r.logs) != 1 || !strings.Contains(r.logs[0], "endpoint, 1, would take") {
-		t.Errorf("log: %q", r.logs)
+		t.Errorf("log lines %q, want one that names endpoint 1", r.logs)
 	}
 }
--- a/balancer/cordon_test.go
+++ b/balancer/cordon_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-// withNames gives the endpoints of a list names.
+// withNames sets the names of the endpoints of a list, in place: 100 plus the ID.
 func withNames(list []Endpoint) []Endpoint {
 	for i := range list {
 		list[i].Name = uint64(100 + list[i].ID)
@@ -10,14 +10,15 @@
 	return list
 }
 
-// A cordoned endpoint gets neither requests nor probes, whatever discovery says of it. Cordoning is idempotent, as is
-// uncordoning.
+// A cordoned endpoint gets neither requests nor probes, whatever its state in discovery. Cordoning and uncordoning are
+// idempotent.
 func TestCordonedEndpointGetsNothing(t *testing.T) {
 	list := withNames(ready(2))
 	b, r := start(t, testSettings(), list)
 	now := Micros(0)
 	id := uint64(0)
-	// sendRequests sends 200 requests. It returns the probes of endpoint 1 and the attempts by endpoint.
+	// sendRequests sends 200 requests. It returns the number of probes of endpoint 1 and, by endpoint ID, the number of
+	// attempts.
 	sendRequests := func() (probes int, sends [3]int) {
 		r.sends = r.sends[:0]
 		for range 200 {
@@ -41,7 +42,7 @@
 		return probes, sends
 	}
 	if probes, sends := sendRequests(); sends[1] == 0 || probes == 0 {
-		t.Fatalf("before the cordon: %d probes, sends %v", probes, sends)
+		t.Fatalf("before the cordon: %d probes of endpoint 1, sends by endpoint %v, want some of both", probes, sends)
 	}
 	b.Cordon(now, 101, true, now)
 	b.Cordon(now, 101, true, now)
@@ -56,23 +57,24 @@
 			b.HandleEndpoints(now, ListDelta, updates[i:i+1])
 		}
 		if probes, sends := sendRequests(); sends[1] != 0 || probes != 0 || sends[2] != 200 {
-			t.Errorf("after %s: %d probes, sends %v", name, probes, sends)
+			t.Errorf("cordoned, after %s: %d probes of endpoint 1, sends by endpoint %v, want all 200 at 2", name, probes, sends)
 		}
 	}
 	if s := b.Stats(now); s.Cordoned != 1 {
-		t.Errorf("%d counted as cordoned, want 1", s.Cordoned)
+		t.Errorf("%d endpoints counted as cordoned, want 1", s.Cordoned)
 	}
 	b.Cordon(now, 101, false, now)
 	e := b.membership.byID[1]
 	if !e.isWarming(now, &b.settings.Contract) {
-		t.Error("an endpoint that is no longer cordoned is not warming up")
+		t.Error("endpoint 1 is not warming up after uncordoning, want it to")
 	}
 	if probes, sends := sendRequests(); sends[1] == 0 {
-		t.Errorf("after the end of the cordon: %d probes, sends %v", probes, sends)
+		t.Errorf("after uncordoning: %d probes of endpoint 1, sends by endpoint %v, want some at 1", probes, sends)
 	}
 	warmingSince := e.warmingSince
 	if b.Cordon(now, 101, false, now); b.membership.byID[1].warmingSince != warmingSince {
-		t.Error("uncordoning a second time restarts the slow start")
+		t.Errorf("warming since %d after uncordoning twice, want %d as before",
+			b.membership.byID[1].warmingSince, warmingSince)
 	}
 }
 
@@ -83,12 +85,12 @@
 	b.HandleEndpoints(0, ListFull, withNames(ready(1)))
 	b.HandleRequest(1, testRequest(1, 0, 1))
 	if len(r.sends) != 0 || len(r.rejected) != 1 {
-		t.Errorf("sent %v, rejected %v", r.sends, r.rejected)
+		t.Errorf("sent %v, rejected %v, want none sent and request 1 rejected", r.sends, r.rejected)
 	}
 }
 
-// An endpoint that is no longer cordoned is sent to at once, though warm ones would be quicker; of a thousand balancers
-// only a few do so.
+// An endpoint that is no longer cordoned gets a request at once, although warm endpoints would answer sooner. Of a
+// thousand balancers, only a few may send one.
 func TestUncordonedEndpointIsUsedSoon(t *testing.T) {
 	used := 0
 	for seed := range uint64(1000) {
@@ -111,6 +113,6 @@
 		}
 	}
 	if used < 1 || used > 4*maxTrialBalancers {
-		t.Errorf("%d of 1000 balancers sent to it at once, want about %d", used, maxTrialBalancers)
+		t.Errorf("%d of 1000 balancers sent to the uncordoned endpoint at once, want 1 to %d", used, 4*maxTrialBalancers)
 	}
 }
--- a/balancer/demand_test.go
+++ b/balancer/demand_test.go
@@ -18,14 +18,15 @@
 	overPriority := b.demand.tenantPriority(100_000, over)
 	withinPriority := b.demand.tenantPriority(100_000, within)
 	if withinPriority != 1 || overPriority > 0.6 {
-		t.Errorf("priority %v over the quota, %v within it", overPriority, withinPriority)
+		t.Errorf("priority %v over the quota, want 0.6 at most; %v within it, want 1", overPriority, withinPriority)
 	}
 	if got := b.demand.tenantPriority(100_000, recordOf(b, Request{Tenant: 9})); got != 1 {
-		t.Errorf("unknown tenant: %v", got)
+		t.Errorf("priority %v of an unknown tenant, want 1", got)
 	}
 }
 
-// Rejections must not lower the priority of all tenants alike: that would reject more requests, and lower it again.
+// Rejections must not lower the priority of all tenants: lower priorities cause more rejections, and these would lower
+// the priorities again.
 func TestRejectionsAloneLowerNoTenantPriority(t *testing.T) {
 	s := testSettings()
 	s.OverQuotaWeight = 0.05
@@ -36,7 +37,7 @@
 	b.demand.rejectedShare.value = 0.8
 	for tenant := range uint16(2) {
 		if got := b.demand.tenantPriority(0, recordOf(b, Request{Tenant: tenant})); got < 0.99 {
-			t.Errorf("tenant %d, within its share of the traffic, has priority %.2f while 80%% are rejected", tenant, got)
+			t.Errorf("tenant %d within its quota: priority %.2f while 80%% are rejected, want 0.99 at least", tenant, got)
 		}
 	}
 }
--- a/balancer/determinism_test.go
+++ b/balancer/determinism_test.go
@@ -21,7 +21,7 @@
 		return r
 	}
 	if a, b := fmt.Sprint(run()), fmt.Sprint(run()); a != b {
-		t.Error("two runs differ")
+		t.Error("two runs with the same settings, seed and events gave different actions")
 	}
 }
 
@@ -38,6 +38,6 @@
 		serveRequest()
 	}
 	if n := testing.AllocsPerRun(200, serveRequest); n > 0.1 {
-		t.Errorf("%v allocations a request", n)
+		t.Errorf("%v allocations per request, want 0.1 at most", n)
 	}
 }
--- a/balancer/discovery_test.go
+++ b/balancer/discovery_test.go
@@ -5,9 +5,9 @@
 	"testing"
 )
 
-// A change that a broken subscription missed may count as notified: the first call after that must leave time for its
-// answer within the drain grace, whatever that is, and later ones back off. Without an earlier subscription, the first
-// call backs off, too.
+// By the protocol, the balancer may count as notified of a change that it missed because its subscription broke. The
+// first call after the break must therefore come early enough for its answer to arrive within the drain grace, whatever
+// that grace is. Later calls back off. Without an earlier subscription, the first call backs off, too.
 func TestBrokenSubscriptionIsRenewedWithinDrainGrace(t *testing.T) {
 	for _, grace := range []Micros{0, second / 5, second / 2, 2 * second, 30 * second} {
 		s := testSettings()
@@ -18,28 +18,29 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			failCall := func() Micros { // returns the delay of the next call
+			failCall := func() Micros { // fails the pending call and returns the delay of the next call
 				r.timers, r.delays = nil, nil
 				b.HandleEndpoints(0, ListFailed, nil)
 				i := slices.Index(r.timers, uint32(pollTimerToken))
 				if i < 0 {
-					t.Fatal("no timer for discovery")
+					t.Fatal("no timer was started for the next call of discovery")
 				}
 				return r.delays[i]
 			}
 			b.Start(0)
 			b.HandleEndpoints(0, ListCached, ready(2))
 			if delay := failCall(); delay < s.Contract.PollInterval/40 {
-				t.Errorf("grace %d: after a failed first call polled again after %d", grace, delay)
+				t.Errorf("drain grace %d us: next call %d us after a failed first call, want %d us at least",
+					grace, delay, s.Contract.PollInterval/40)
 			}
 			b.HandleEndpoints(0, ListDelta, nil)
 			for n := range 8 {
 				delay := failCall()
 				if limit := max(grace/2, minInitialBackoff*3/2+1); n == 0 && delay > limit {
-					t.Errorf("grace %d: polled again after %d, want %d at most", grace, delay, limit)
+					t.Errorf("drain grace %d us: first call %d us after the break, want %d us at most", grace, delay, limit)
 				}
 				if limit := min(s.Contract.PollInterval/8, minInitialBackoff/2<<n); delay < limit {
-					t.Errorf("grace %d: call %d after %d, want %d at least", grace, n, delay, limit)
+					t.Errorf("drain grace %d us: call %d has a delay of %d us, want %d us at least", grace, n, delay, limit)
 				}
 			}
 		}
@@ -60,29 +61,29 @@
 				return
 			}
 		}
-		t.Fatal("no timer for discovery")
+		t.Fatal("no timer was started for the next call of discovery")
 	}
 	fireTimer()
 	for n := 1; n < 8; n++ {
 		if r.watches != n {
-			t.Fatalf("%d calls, want %d", r.watches, n)
+			t.Fatalf("%d calls of discovery, want %d", r.watches, n)
 		}
 		before := now
 		if n%2 == 0 {
 			b.HandleEndpoints(now, ListFailed, nil)
-		} // else the answer is lost
+		} // otherwise, the answer is lost
 		fireTimer()
 		if now-before > s.Contract.PollInterval {
-			t.Fatalf("polled after %d, want %d at most", now-before, s.Contract.PollInterval)
+			t.Fatalf("call %d came %d us after the one before, want %d us at most", n+1, now-before, s.Contract.PollInterval)
 		}
 	}
 	if len(b.membership.endpoints) != 2 {
-		t.Error("a failed call changed the list")
+		t.Errorf("%d endpoints after failed calls, want 2 as before", len(b.membership.endpoints))
 	}
 	b.HandleEndpoints(now, ListDelta, nil)
 	n := r.watches
 	b.HandleTimer(now+100*second, pollTimerToken)
 	if r.watches != n {
-		t.Error("polled again while subscribed")
+		t.Errorf("%d calls of discovery after subscribing, want none", r.watches-n)
 	}
 }
--- a/balancer/membership_test.go
+++ b/balancer/membership_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-// An endpoint that restarts while its report is pooled is in the pool once.
+// An endpoint that restarts while its load report is in the pool must not be added to the pool a second time.
 func TestRestartedEndpointIsPooledOnce(t *testing.T) {
 	b, _ := start(t, testSettings(), ready(2))
 	b.HandleProbe(1000, 1, OK, 500, []float32{0})
@@ -17,15 +17,16 @@
 		}
 	}
 	if pooled != 1 {
-		t.Errorf("it is in the pool %d times, want once", pooled)
+		t.Errorf("endpoint 1 is in the pool %d times, want once", pooled)
 	}
 }
 
-// An endpoint counts as warming up if the list before proves that it is new, since clocks may be stepped either way. An
-// endpoint that returns as the same process stays warm, and so does one that the first list names as old.
+// A listed start time may be wrong, since clocks may be stepped forwards or backwards. An endpoint process that the
+// previous list did not name is new, and counts as warming up whatever its start time. An endpoint that returns as the
+// same process stays warm, and so does one whose start time is long ago in the first list.
 func TestStartTimeOfASteppedClock(t *testing.T) {
 	const hour = 3600 * second
-	const startedAt = 10 * hour // of this balancer, by its own clock
+	const startedAt = 10 * hour // start of this balancer, by its own clock
 	old := Endpoint{ID: 1, Name: 1, Weight: 1, StartTime: startedAt - hour}
 	for name, c := range map[string]struct {
 		entry   Endpoint
@@ -67,7 +68,7 @@
 	}
 	for _, s := range r.sends {
 		if s.endpoint == 1 || s.endpoint == 2 {
-			t.Fatalf("sent to %d", s.endpoint)
+			t.Fatalf("request %d was sent to endpoint %d, which is draining or removed", s.id, s.endpoint)
 		}
 	}
 }
--- a/balancer/probing_test.go
+++ b/balancer/probing_test.go
@@ -18,14 +18,14 @@
 		used[target] = true
 	}
 	if len(used) != 2 {
-		t.Errorf("%d endpoints used, want 2 by random draws: a report beyond its age limit still counts", len(used))
+		t.Errorf("%d endpoints used, want 2: reports beyond their age limit must not count", len(used))
 	}
 }
 
-// A balancer that rejects all requests must still detect the recovery.
+// A balancer that rejects all requests must still detect that endpoints have recovered, so it must keep probing.
 func TestProbesContinueWhileAllRequestsAreRejected(t *testing.T) {
 	s := testSettings()
-	s.Prices.Probe = maxRoundProbeCost // one probe a request
+	s.Prices.Probe = maxRoundProbeCost // permits one probe per request
 	b, _ := start(t, s, ready(4))
 	for i := range 1000 {
 		b.demand.requestRate.add(5000*Micros(i), 1)
@@ -38,7 +38,7 @@
 	} {
 		b.demand.rejectedShare.value = c.rejected
 		if got := b.probes.rate(now) / full; math.Abs(got-c.want) > 0.001 {
-			t.Errorf("rejected %v: %v of the rate, want %v", c.rejected, got, c.want)
+			t.Errorf("rejected share %v: probe rate %v of the rate without rejections, want %v", c.rejected, got, c.want)
 		}
 	}
 }
--- a/balancer/simclock_test.go
+++ b/balancer/simclock_test.go
@@ -2,12 +2,13 @@
 
 import "container/heap"
 
-// event is something that happens in a simulation.
+// event is a function that a simulation calls at an instant.
 type event struct {
 	at     Micros
 	handle func(now Micros)
 }
 
+// events is a heap of events, ordered by their instants.
 type events []event
 
 func (e events) Len() int           { return len(e) }
@@ -21,18 +22,18 @@
 	return last
 }
 
-// simClock is the clock of a simulation, with the events still to come.
+// simClock is the clock of a simulation, with the events that have not happened yet.
 type simClock struct {
 	now    Micros
 	events events
 }
 
-// after has an event happen after a delay of a microsecond at least.
+// after schedules a call of handle after a delay, which is raised to one microsecond if it is less.
 func (c *simClock) after(delay Micros, handle func(now Micros)) {
 	heap.Push(&c.events, event{c.now + max(1, delay), handle})
 }
 
-// run plays the events up to an instant.
+// run handles the events up to and including the given instant, and sets the clock to it.
 func (c *simClock) run(until Micros) {
 	for len(c.events) > 0 && c.events[0].at <= until {
 		e := heap.Pop(&c.events).(event)
--- a/balancer/simulation_test.go
+++ b/balancer/simulation_test.go
@@ -7,24 +7,24 @@
 	"testing"
 )
 
-// fleet simulates many balancers on one clock, and endpoints that answer all of them after a time that depends on their
-// load.
+// fleet simulates many balancers on one clock, and the endpoints that they share. The latency of an endpoint grows with
+// its load.
 type fleet struct {
 	settings Settings
 	simClock
 	hosts    []*simulatedHost
 	list     []Endpoint
-	inFlight map[uint32]int      // requests there
-	received map[uint32][]Micros // instants of the requests sent there
+	inFlight map[uint32]int      // requests in flight by endpoint ID
+	received map[uint32][]Micros // sending instants of the requests by endpoint ID
 	rng      splitMix64
-	work     float64 // of each request, in microseconds
+	work     float64 // work of each request in microseconds
 }
 
 // simulatedHost is the host of one balancer.
 type simulatedHost struct {
 	fleet    *fleet
 	balancer *Balancer
-	attempts map[uint64]int // number of attempts by request
+	attempts map[uint64]int // number of attempts by request ID
 }
 
 func newFleet(t *testing.T, s Settings, balancers int, work float64, list []Endpoint) *fleet {
@@ -45,8 +45,8 @@
 	return f
 }
 
-// startTraffic has requests arrive at this rate over all balancers, some of which get several times the mean of the
-// others.
+// startTraffic starts the arrival of requests at a total rate per second, up to the given instant. The load is uneven:
+// some balancers get several times as many requests as the others do on average.
 func (f *fleet) startTraffic(rate float64, until Micros) {
 	id := uint64(0)
 	var next func(now Micros)
@@ -62,7 +62,7 @@
 	f.after(1, next)
 }
 
-// warmupFraction is the least share of its capacity that an endpoint has.
+// warmupFraction returns the share of its capacity that an endpoint has: the least that the contract permits.
 func (f *fleet) warmupFraction(id uint32, now Micros) float64 {
 	from := f.settings.Contract.SlowStartInitialFraction
 	for _, e := range f.list {
@@ -103,8 +103,9 @@
 func (m *simulatedHost) Watch(bool)            {}
 func (m *simulatedHost) Log(string)            {}
 
-// checkWarmingBudget returns the largest share of its budget that a warming endpoint got in any window, and an error if
-// that exceeds 1. The budget is N requests by the settings, with a margin for random variation.
+// checkWarmingBudget returns the largest share of its budget that any warming endpoint got in any overload window, and
+// an error if that exceeds 1. The budget is n + 2 sqrt(n) + 2 requests, where the settings permit n and the rest is a
+// margin for random variation.
 func (f *fleet) checkWarmingBudget() (worst float64, err error) {
 	worst, where := f.worstWindow(func(n float64) float64 { return n + 2*math.Sqrt(n) + 2 })
 	if worst > 1 {
@@ -113,12 +114,12 @@
 	return worst, err
 }
 
-// Whatever the number of balancers, what all of them send to a warming endpoint stays within its budget: if one starts
-// alone, if many start one after the other, and if one returns that was cordoned.
+// Whatever the number of balancers, the requests that all of them together send to a warming endpoint must stay within
+// its budget: if one endpoint starts alone, if many start one after the other, and if one is no longer cordoned.
 func TestAllBalancersTogetherKeepTheSlowStartBudget(t *testing.T) {
 	warmingRequests := 0
 	for _, balancers := range []int{4, 30, 300} {
-		for _, work := range []float64{25_000, 150_000} { // N is large at first, or small
+		for _, work := range []float64{25_000, 150_000} { // the number of requests permitted at first is large, or small
 			for name, start := range map[string]func(f *fleet){
 				"one starts": func(f *fleet) { f.startEndpoints(1, 0) },
 				"many start one after the other": func(f *fleet) {
@@ -155,7 +156,7 @@
 					if err != nil {
 						t.Error(err)
 					}
-					t.Logf("worst %.2f", worst)
+					t.Logf("largest share of a budget in any window: %.2f", worst)
 					for _, e := range f.list {
 						if e.StartTime != 0 {
 							warmingRequests += len(f.received[e.ID])
@@ -170,7 +171,7 @@
 	}
 }
 
-// startEndpoints has n endpoints start, at this interval.
+// startEndpoints schedules the start of n new endpoints, the first now and each of the others an interval later.
 func (f *fleet) startEndpoints(n int, interval Micros) {
 	for i := range n {
 		f.after(Micros(i)*interval, func(now Micros) {
@@ -193,7 +194,7 @@
 	return s
 }
 
-// uniformList returns n warm endpoints of one zone and size.
+// uniformList returns n warm endpoints of the same zone and weight.
 func uniformList(n int) []Endpoint {
 	list := make([]Endpoint, n)
 	for i := range list {
--- a/balancer/slowstart_test.go
+++ b/balancer/slowstart_test.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-// slowStartBudgetWithMargin is how many requests of mean work may reach a warming endpoint that is permitted n: n and a margin
-// for random variation.
+// slowStartBudgetWithMargin returns the number of requests of mean work that may reach a warming endpoint which is
+// permitted n of them: n and a margin for random variation.
 func slowStartBudgetWithMargin(n float64) float64 {
 	if n < 30 {
 		return n + 3*math.Sqrt(n) + 3
@@ -15,8 +15,9 @@
 	return n + 2*math.Sqrt(n) + 2
 }
 
-// worstWindow returns the largest share of its budget that a warming endpoint got, over all windows, and where that
-// was.
+// worstWindow returns the largest share of its budget that any warming endpoint got in any overload window, and a
+// description of that endpoint and window. budget returns the number of requests that may reach an endpoint which is
+// permitted n of them.
 func (f *fleet) worstWindow(budget func(n float64) float64) (worst float64, where string) {
 	c := f.settings.Contract
 	for id, at := range f.received {
@@ -40,7 +41,7 @@
 	return worst, where
 }
 
-// restartEndpoints restarts the first n endpoints, all at once.
+// restartEndpoints restarts the first n endpoints of the list, all at once.
 func (f *fleet) restartEndpoints(n int) {
 	for i := range n {
 		f.list[i].StartTime = f.now
@@ -50,7 +51,8 @@
 	}
 }
 
-// restartBalancers replaces every balancer by a new one that knows nothing but the endpoint list.
+// restartBalancers replaces every balancer by a new one that has received the endpoint list and nothing else. The seeds
+// of the new balancers count up from seed.
 func (f *fleet) restartBalancers(t *testing.T, seed uint64) {
 	t.Helper()
 	for i := range f.hosts {
@@ -71,8 +73,8 @@
 	work               float64 // mean work of a request in microseconds
 	balancers          int
 	endpoints, warming int
-	load               float64 // share of the endpoints' capacity
-	restartBalancers   bool    // with the endpoints
+	load               float64 // rate of the work, as a share of the endpoints' capacity
+	restartBalancers   bool    // the balancers restart together with the endpoints
 }
 
 // smallFleets returns every combination of sizes, loads and restarts.
@@ -93,8 +95,9 @@
 	return cases
 }
 
-// The budget of a warming endpoint holds in the smallest fleets, too: if one balancer sends all requests, if nearly all
-// or all endpoints are warming up, under a burst, and if the balancers restart with the endpoints and know nothing.
+// No warming endpoint may get more than its budget in a small fleet either: if one balancer sends all requests, if
+// nearly all or all endpoints are warming up, under a burst, and if the balancers restart with the endpoints and have
+// no estimates.
 func TestSmallFleetsKeepTheSlowStartBudget(t *testing.T) {
 	const restartAt, end = 4 * second, 12 * second
 	for _, c := range smallFleets() {
@@ -112,15 +115,15 @@
 			f.run(end)
 			worst, where := f.worstWindow(slowStartBudgetWithMargin)
 			if worst > 1 {
-				t.Errorf("%.2f of the budget: %s", worst, where)
+				t.Errorf("a warming endpoint got %.2f of its budget, want 1 at most: %s", worst, where)
 			}
-			t.Logf("at most %.2f of the budget: %s", worst, where)
+			t.Logf("largest share of a budget in any window: %.2f: %s", worst, where)
 		})
 	}
 }
 
-// A quiet balancer takes minutes to earn the tokens of one request to a warming endpoint, so not all may start with an
-// empty bucket.
+// The bucket of a balancer with little traffic takes minutes to fill with the tokens of one request to a warming
+// endpoint. Therefore, not all balancers may start with an empty bucket.
 func TestQuietBalancersTogetherServeWarmingEndpoints(t *testing.T) {
 	const balancers = 200
 	allowed := 0
@@ -143,17 +146,19 @@
 			allowed++
 		}
 	}
-	// In 5 s a warm endpoint gets half a request of each balancer; this one gets 0.2 to 0.6 of 0.7 times that.
+	// In 5 s, a warm endpoint gets half a request from each balancer. The warming endpoint gets 0.7 times its warm-up
+	// fraction, here 0.2 to 0.6, of that.
 	if allowed < 5 || allowed > 60 {
-		t.Errorf("%d of %d quiet balancers may send to a warming endpoint within 5 s, want 5 to 60", allowed, balancers)
+		t.Errorf("%d of %d balancers with little traffic may send to a warming endpoint within 5 s, want 5 to 60",
+			allowed, balancers)
 	}
 }
 
-// Of many balancers with few requests each, none earns a request to each warming endpoint. Together they must still
-// send these what they can serve, and to none of them too much.
+// Of many balancers with few requests each, none collects the tokens for a request to each warming endpoint. Together,
+// they must still send the warming endpoints as much as these can serve, and too much to none of them.
 func TestManyQuietBalancersUseWarmingEndpoints(t *testing.T) {
 	const warm, warming, balancers = 20, 20, 80
-	counts := map[uint32]int{} // requests by endpoint since the warming ones were listed
+	counts := map[uint32]int{} // requests by endpoint ID since the warming endpoints were listed
 	for seed := range uint64(balancers) {
 		countSendsOfQuietBalancer(t, seed, balancers, warm, warming, counts)
 	}
@@ -164,20 +169,20 @@
 			largest = max(largest, n)
 		}
 	}
-	// 800 requests a second are 40 at a warm endpoint. The warm-up fraction rises from 0.2 to 0.44 in these 3 s, with a
-	// mean of 0.32.
+	// 800 requests per second are 40 per second at a warm endpoint. The warm-up fraction rises from 0.2 to 0.44 in these
+	// 3 s, with a mean of 0.32.
 	fair := 0.32 * 40 * 3
 	if got := float64(total) / warming; got < 0.3*fair || got > fair {
-		t.Errorf("a warming endpoint got %.1f on average, its warm-up fraction makes %.1f", got, fair)
+		t.Errorf("%.1f requests per warming endpoint on average, want %.1f to %.1f", got, 0.3*fair, fair)
 	}
 	if float64(largest) > 2*fair {
-		t.Errorf("one warming endpoint got %d, its warm-up fraction makes %.1f", largest, fair)
+		t.Errorf("one warming endpoint got %d requests, want %.1f at most, twice its warm-up fraction", largest, 2*fair)
 	}
 }
 
-// countSendsOfQuietBalancer has one balancer get ten requests a second, for 5 s with the warm endpoints alone and for 3
-// s with the warming ones, and counts the requests of the latter time by endpoint. The warm endpoints report a load of
-// 3.
+// countSendsOfQuietBalancer sends ten requests per second to one balancer: for 5 s with only the warm endpoints in its
+// list, then for 3 s with the warming ones, too. It adds the requests of those 3 s to counts, by endpoint ID. The warm
+// endpoints report a load of 3.
 func countSendsOfQuietBalancer(t *testing.T, seed uint64, balancers, warm, warming int, counts map[uint32]int) {
 	t.Helper()
 	s := testSettings()
@@ -220,10 +225,11 @@
 	run(5*second, 8*second)
 }
 
-// Warming endpoints that answer as quickly as warm ones get more than their least warm-up fraction allows, once enough
-// of them did; slow ones get little more.
+// After enough answers by warming endpoints that are as quick as those of warm ones, warming endpoints get more than
+// their least warm-up fraction permits. If they answer slowly, they get little more.
 func TestWarmingShareFollowsMeasuredLatency(t *testing.T) {
-	// tokensAfter returns the tokens that 0.1 s brings after so many answers of this latency by a warming endpoint.
+	// tokensAfter returns the tokens that the bucket gains in 0.1 s, after a warming endpoint has given this number of
+	// answers with this latency.
 	tokensAfter := func(answers int, latency Micros) float64 {
 		s := testSettings()
 		s.Balancers = 1
@@ -252,17 +258,18 @@
 	}
 	initial := tokensAfter(0, 0)
 	if few := tokensAfter(2, 80_000); few < initial || few > 1.3*initial {
-		t.Errorf("tokens after two quick answers %v, at first %v", few, initial)
+		t.Errorf("%v tokens after two quick answers, want %v to %v", few, initial, 1.3*initial)
 	}
 	if quick := tokensAfter(60, 80_000); quick < 1.5*initial || quick > 2.1*initial {
-		t.Errorf("tokens after many quick answers %v, at first %v", quick, initial)
+		t.Errorf("%v tokens after 60 quick answers, want %v to %v", quick, 1.5*initial, 2.1*initial)
 	}
 	if slow := tokensAfter(60, 400_000); slow > 1.4*initial {
-		t.Errorf("tokens after many slow answers %v, at first %v", slow, initial)
+		t.Errorf("%v tokens after 60 slow answers, want %v at most", slow, 1.4*initial)
 	}
 }
 
-// A warming endpoint that is too busy or too far away to be sent to must not block the other warming ones.
+// A warming endpoint that gets no requests because it is too busy or too far away must not block other warming
+// endpoints.
 func TestBusyWarmingEndpointDoesNotBlockOthers(t *testing.T) {
 	s := testSettings()
 	s.Balancers = 1
@@ -273,7 +280,7 @@
 	received := map[uint32]int{}
 	for id := range uint64(200) {
 		now += 20_000
-		b.slowStart.sentWorkRate = decayingRate{10_000_000, now} // constant, also if requests are rejected
+		b.slowStart.sentWorkRate = decayingRate{10_000_000, now} // constant, even if requests are rejected
 		for e, load := range []float32{40, 40, 0} {
 			b.HandleProbe(now, uint32(e+1), OK, 1000, []float32{load})
 		}
@@ -289,12 +296,12 @@
 		}
 	}
 	if received[3] < 20 {
-		t.Errorf("sends by endpoint %v, want 20 at least at the third, which is idle", received)
+		t.Errorf("sends by endpoint %v, want 20 at least at endpoint 3, which is idle", received)
 	}
 }
 
-// warmingSends counts the requests to each warming endpoint over the overload window just after their start, and the
-// mean of those to ten warm ones, under a constant rate.
+// warmingSends returns the number of requests to each warming endpoint in the overload window that begins with their
+// start, and the mean number to each of ten warm endpoints, at a constant rate of requests per second.
 func warmingSends(t *testing.T, rate, warmingEndpoints int) (warming []int, warm float64) {
 	t.Helper()
 	s := testSettings()
@@ -336,9 +343,10 @@
 	for _, c := range []struct{ rate, warmingEndpoints int }{{100, 1}, {500, 1}, {500, 2}, {2000, 2}} {
 		warming, warm := warmingSends(t, c.rate, c.warmingEndpoints)
 		for _, n := range warming {
-			// The warm-up fraction rises from 0.2 to 0.28 in this second; one request is for rounding.
+			// The warm-up fraction rises from 0.2 to 0.28 in this second. One request more allows for rounding.
 			if float64(n) > 0.28*warm+1 {
-				t.Errorf("rate %d: a warming endpoint got %d, a warm one %.1f", c.rate, n, warm)
+				t.Errorf("rate %d/s: a warming endpoint got %d requests, want %.1f at most; a warm one got %.1f",
+					c.rate, n, 0.28*warm+1, warm)
 			}
 		}
 	}
@@ -355,6 +363,6 @@
 		}
 	}
 	if n := len(r.sends); n < 20 || n > 250 {
-		t.Errorf("%d of 400 sent to the only endpoint, which is warming up; want 20 to 250", n)
+		t.Errorf("%d of 400 requests sent to the only endpoint, which is warming up; want 20 to 250", n)
 	}
 }
--- a/balancer/waitlist_test.go
+++ b/balancer/waitlist_test.go
@@ -2,8 +2,8 @@
 
 import "testing"
 
-// A request resumes with the last of its probes, or with the first that finds an idle endpoint; the latest request
-// comes first.
+// A request resumes when the last of its probes has ended, or the first that finds an idle endpoint. The latest request
+// resumes first.
 func TestWaitlistResumesRequests(t *testing.T) {
 	busy, idle, other := &endpoint{}, &endpoint{}, &endpoint{}
 	busy.reportedAt, busy.reportedLoad = 1000, 9
@@ -11,7 +11,7 @@
 	add := func(w *waitlist, awaited ...*endpoint) { w.add(&request{awaitedEndpoints: awaited}) }
 	for name, c := range map[string]struct {
 		answered *endpoint
-		want     int // requests resumed
+		want     int // number of requests that resume
 	}{
 		"busy endpoint": {busy, 1},
 		"idle endpoint": {idle, 2},
@@ -27,11 +27,13 @@
 			resumed = append(resumed, r)
 		}
 		if len(resumed) != c.want || len(w.requests) != 3-c.want {
-			t.Errorf("%s: %d resumed and %d still waiting, want %d resumed", name, len(resumed), len(w.requests), c.want)
+			t.Errorf("%s: %d requests resumed and %d wait, want %d and %d",
+				name, len(resumed), len(w.requests), c.want, 3-c.want)
 		}
 		for _, r := range resumed {
 			if r.awaitingProbes || len(r.awaitedEndpoints) > 0 {
-				t.Errorf("%s: a resumed request still waits", name)
+				t.Errorf("%s: a resumed request still awaits %d probes (awaiting %v), want none",
+					name, len(r.awaitedEndpoints), r.awaitingProbes)
 			}
 		}
 	}
@@ -46,6 +48,6 @@
 	w.remove(first)
 	w.remove(first)
 	if len(w.requests) != 1 || w.requests[0] != second {
-		t.Errorf("%d requests wait, want the second alone", len(w.requests))
+		t.Errorf("%d requests wait, want only the second", len(w.requests))
 	}
 }
