--- a/balancer/simulation_test.go
+++ b/balancer/simulation_test.go
@@ -32,15 +32,15 @@
 	f := &fleet{settings: s, list: list, work: work, inFlight: map[uint32]int{}, received: map[uint32][]Micros{}, rng: 5}
 	f.settings.Balancers = balancers
 	for i := range balancers {
-		m := &simulatedHost{fleet: f, attempts: map[uint64]int{}}
+		host := &simulatedHost{fleet: f, attempts: map[uint64]int{}}
 		var err error
-		if m.balancer, err = New(f.settings, uint64(i)+1, m); err != nil {
+		if host.balancer, err = New(f.settings, uint64(i)+1, host); err != nil {
 			t.Fatal(err)
 		}
-		f.hosts = append(f.hosts, m)
-		m.balancer.Start(0)
-		m.balancer.HandleEndpoints(0, ListCached, list)
-		m.balancer.HandleEndpoints(0, ListFull, list)
+		f.hosts = append(f.hosts, host)
+		host.balancer.Start(0)
+		host.balancer.HandleEndpoints(0, ListCached, list)
+		host.balancer.HandleEndpoints(0, ListFull, list)
 	}
 	return f
 }
@@ -53,8 +53,8 @@
 	next = func(now Micros) {
 		id++
 		draw := f.rng.uniform()
-		m := f.hosts[int(draw*draw*float64(len(f.hosts)))]
-		m.balancer.HandleRequest(now, Request{ID: id, Deadline: now + second})
+		host := f.hosts[int(draw*draw*float64(len(f.hosts)))]
+		host.balancer.HandleRequest(now, Request{ID: id, Deadline: now + second})
 		if now < until {
 			f.after(Micros(-math.Log(1-f.rng.uniform())/rate*float64(second)), next)
 		}
@@ -73,35 +73,35 @@
 	return 1
 }
 
-func (m *simulatedHost) Send(id uint64, endpoint uint32, _ Micros) {
-	f, attempt, sentAt := m.fleet, m.attempts[id], m.fleet.now
-	m.attempts[id]++
+func (host *simulatedHost) Send(id uint64, endpoint uint32, _ Micros) {
+	f, attempt, sentAt := host.fleet, host.attempts[id], host.fleet.now
+	host.attempts[id]++
 	f.received[endpoint] = append(f.received[endpoint], sentAt)
 	f.inFlight[endpoint]++
 	latency := Micros(f.work * float64(f.inFlight[endpoint]) / f.warmupFraction(endpoint, sentAt))
 	f.after(latency, func(now Micros) {
 		f.inFlight[endpoint]--
-		m.balancer.HandleOutcome(now, Outcome{
+		host.balancer.HandleOutcome(now, Outcome{
 			ID: id, Attempt: attempt, Endpoint: endpoint, Status: OK, Latency: latency, Answered: true,
 		})
 	})
 }
 
-func (m *simulatedHost) Probe(endpoint uint32) {
-	m.fleet.after(500, func(now Micros) {
-		m.balancer.HandleProbe(now, endpoint, OK, 500, []float32{float32(m.fleet.inFlight[endpoint])})
+func (host *simulatedHost) Probe(endpoint uint32) {
+	host.fleet.after(500, func(now Micros) {
+		host.balancer.HandleProbe(now, endpoint, OK, 500, []float32{float32(host.fleet.inFlight[endpoint])})
 	})
 }
 
-func (m *simulatedHost) StartTimer(delay Micros, token uint32) {
-	m.fleet.after(delay, func(now Micros) { m.balancer.HandleTimer(now, token) })
+func (host *simulatedHost) StartTimer(delay Micros, token uint32) {
+	host.fleet.after(delay, func(now Micros) { host.balancer.HandleTimer(now, token) })
 }
 
-func (m *simulatedHost) Reject(uint64, Micros) {}
-func (m *simulatedHost) Fail(uint64)           {}
-func (m *simulatedHost) Cancel(uint64, int)    {}
-func (m *simulatedHost) Watch(bool)            {}
-func (m *simulatedHost) Log(string)            {}
+func (host *simulatedHost) Reject(uint64, Micros) {}
+func (host *simulatedHost) Fail(uint64)           {}
+func (host *simulatedHost) Cancel(uint64, int)    {}
+func (host *simulatedHost) Watch(bool)            {}
+func (host *simulatedHost) Log(string)            {}
 
 // checkWarmingBudget returns the largest share of its budget that any warming endpoint got in any overload window, and
 // an error if that exceeds 1. The budget is n + 2 sqrt(n) + 2 requests, where the settings permit n and the rest is a
@@ -133,13 +133,13 @@
 					f.startEndpoints(4, 4*second)
 				},
 				"one is uncordoned": func(f *fleet) {
-					for _, m := range f.hosts {
-						m.balancer.Cordon(f.now, 1, true, f.now)
+					for _, host := range f.hosts {
+						host.balancer.Cordon(f.now, 1, true, f.now)
 					}
 					f.after(2*second, func(now Micros) {
 						f.list[0].StartTime = now
-						for _, m := range f.hosts {
-							m.balancer.Cordon(now, 1, false, now)
+						for _, host := range f.hosts {
+							host.balancer.Cordon(now, 1, false, now)
 						}
 					})
 				},
@@ -152,11 +152,11 @@
 					f.run(4 * second)
 					start(f)
 					f.run(14 * second)
-					worst, err := f.checkWarmingBudget()
+					worstShare, err := f.checkWarmingBudget()
 					if err != nil {
 						t.Error(err)
 					}
-					t.Logf("largest share of a budget in any window: %.2f", worst)
+					t.Logf("largest share of a budget in any window: %.2f", worstShare)
 					for _, e := range f.list {
 						if e.StartTime != 0 {
 							warmingRequests += len(f.received[e.ID])
@@ -177,8 +177,8 @@
 		f.after(Micros(i)*interval, func(now Micros) {
 			id := uint32(len(f.list) + 1)
 			f.list = append(f.list, Endpoint{ID: id, Name: uint64(id), Weight: 1, StartTime: now})
-			for _, m := range f.hosts {
-				m.balancer.HandleEndpoints(now, ListDelta, f.list[len(f.list)-1:])
+			for _, host := range f.hosts {
+				host.balancer.HandleEndpoints(now, ListDelta, f.list[len(f.list)-1:])
 			}
 		})
 	}
--- a/balancer/slowstart_test.go
+++ b/balancer/slowstart_test.go
@@ -46,8 +46,8 @@
 	for i := range n {
 		f.list[i].StartTime = f.now
 	}
-	for _, m := range f.hosts {
-		m.balancer.HandleEndpoints(f.now, ListDelta, f.list[:n])
+	for _, host := range f.hosts {
+		host.balancer.HandleEndpoints(f.now, ListDelta, f.list[:n])
 	}
 }
 
@@ -56,15 +56,15 @@
 func (f *fleet) restartBalancers(t *testing.T, seed uint64) {
 	t.Helper()
 	for i := range f.hosts {
-		m := &simulatedHost{fleet: f, attempts: map[uint64]int{}}
+		host := &simulatedHost{fleet: f, attempts: map[uint64]int{}}
 		var err error
-		if m.balancer, err = New(f.settings, seed+uint64(i), m); err != nil {
+		if host.balancer, err = New(f.settings, seed+uint64(i), host); err != nil {
 			t.Fatal(err)
 		}
-		m.balancer.Start(f.now)
-		m.balancer.HandleEndpoints(f.now, ListCached, f.list)
-		m.balancer.HandleEndpoints(f.now, ListFull, f.list)
-		f.hosts[i] = m
+		host.balancer.Start(f.now)
+		host.balancer.HandleEndpoints(f.now, ListCached, f.list)
+		host.balancer.HandleEndpoints(f.now, ListFull, f.list)
+		f.hosts[i] = host
 	}
 }
 
