--- a/balancer/simulation_test.go
+++ b/balancer/simulation_test.go
@@ -116,7 +116,7 @@
 
 // Whatever the number of balancers, the requests that all of them together send to a warming endpoint must stay within
 // its budget: if one endpoint starts alone, if many start one after the other, and if one is no longer cordoned.
-func TestAllBalancersTogetherKeepTheSlowStartBudget(t *testing.T) {
+func TestAllBalancersTogetherKeepTheWarmingBudget(t *testing.T) {
 	warmingRequests := 0
 	for _, balancers := range []int{4, 30, 300} {
 		for _, work := range []float64{25_000, 150_000} { // the number of requests permitted at first is large, or small
