--- a/balancer/rules_test.go
+++ b/balancer/rules_test.go
@@ -179,7 +179,7 @@
 			p.recordViolation("request %d got no final answer by its deadline", id)
 		}
 	}
-	requestsMayWait := s.Balancers > 2 && s.Limits.Probes && s.Prices.Probe < maxRequestProbeSpend
+	requestsMayWait := s.Balancers > 2 && s.Limits.Probes && s.Prices.Probe < maxRequestProbeCost
 	if requestsMayWait && p.maxWaiting == 0 {
 		p.recordViolation("no request waited for probes, so the run does not cover requests that wait")
 	}
--- a/balancer/simulation_test.go
+++ b/balancer/simulation_test.go
@@ -7,24 +7,24 @@
 	"testing"
 )
 
-// fleet simulates many balancers on one clock, and endpoints that answer all of them after a time that depends on their
-// load.
+// fleet simulates many balancers on one clock, and the endpoints that they share. The latency of an endpoint grows with
+// its load.
 type fleet struct {
 	settings Settings
 	simClock
-	members  []*member
+	hosts    []*simulatedHost
 	list     []Endpoint
-	inFlight map[uint32]int      // requests there
-	received map[uint32][]Micros // instants of the requests sent there
+	inFlight map[uint32]int      // requests in flight by endpoint ID
+	received map[uint32][]Micros // sending instants of the requests by endpoint ID
 	rng      splitMix64
-	work     float64 // of each request, in microseconds
+	work     float64 // work of each request in microseconds
 }
 
-// member is the host of one balancer.
-type member struct {
+// simulatedHost is the host of one balancer.
+type simulatedHost struct {
 	fleet    *fleet
 	balancer *Balancer
-	attempts map[uint64]int // number of attempts by request
+	attempts map[uint64]int // number of attempts by request ID
 }
 
 func newFleet(t *testing.T, s Settings, balancers int, work float64, list []Endpoint) *fleet {
@@ -32,29 +32,29 @@
 	f := &fleet{settings: s, list: list, work: work, inFlight: map[uint32]int{}, received: map[uint32][]Micros{}, rng: 5}
 	f.settings.Balancers = balancers
 	for i := range balancers {
-		m := &member{fleet: f, attempts: map[uint64]int{}}
+		host := &simulatedHost{fleet: f, attempts: map[uint64]int{}}
 		var err error
-		if m.balancer, err = New(f.settings, uint64(i)+1, m); err != nil {
+		if host.balancer, err = New(f.settings, uint64(i)+1, host); err != nil {
 			t.Fatal(err)
 		}
-		f.members = append(f.members, m)
-		m.balancer.Start(0)
-		m.balancer.HandleEndpoints(0, ListCached, list)
-		m.balancer.HandleEndpoints(0, ListFull, list)
+		f.hosts = append(f.hosts, host)
+		host.balancer.Start(0)
+		host.balancer.HandleEndpoints(0, ListCached, list)
+		host.balancer.HandleEndpoints(0, ListFull, list)
 	}
 	return f
 }
 
-// startTraffic has requests arrive at this rate over all balancers, some of which get several times the mean of the
-// others.
+// startTraffic starts the arrival of requests at a total rate per second, up to the given instant. The load is uneven:
+// some balancers get several times as many requests as the others do on average.
 func (f *fleet) startTraffic(rate float64, until Micros) {
 	id := uint64(0)
 	var next func(now Micros)
 	next = func(now Micros) {
 		id++
 		draw := f.rng.uniform()
-		m := f.members[int(draw*draw*float64(len(f.members)))]
-		m.balancer.HandleRequest(now, Request{ID: id, Deadline: now + second})
+		host := f.hosts[int(draw*draw*float64(len(f.hosts)))]
+		host.balancer.HandleRequest(now, Request{ID: id, Deadline: now + second})
 		if now < until {
 			f.after(Micros(-math.Log(1-f.rng.uniform())/rate*float64(second)), next)
 		}
@@ -62,7 +62,7 @@
 	f.after(1, next)
 }
 
-// warmupFraction is the least share of its capacity that an endpoint has.
+// warmupFraction returns the share of its capacity that an endpoint has: the least that the contract permits.
 func (f *fleet) warmupFraction(id uint32, now Micros) float64 {
 	from := f.settings.Contract.SlowStartInitialFraction
 	for _, e := range f.list {
@@ -73,39 +73,40 @@
 	return 1
 }
 
-func (m *member) Send(id uint64, endpoint uint32, _ Micros) {
-	f, attempt, sentAt := m.fleet, m.attempts[id], m.fleet.now
-	m.attempts[id]++
+func (host *simulatedHost) Send(id uint64, endpoint uint32, _ Micros) {
+	f, attempt, sentAt := host.fleet, host.attempts[id], host.fleet.now
+	host.attempts[id]++
 	f.received[endpoint] = append(f.received[endpoint], sentAt)
 	f.inFlight[endpoint]++
 	latency := Micros(f.work * float64(f.inFlight[endpoint]) / f.warmupFraction(endpoint, sentAt))
 	f.after(latency, func(now Micros) {
 		f.inFlight[endpoint]--
-		m.balancer.HandleOutcome(now, Outcome{
+		host.balancer.HandleOutcome(now, Outcome{
 			ID: id, Attempt: attempt, Endpoint: endpoint, Status: OK, Latency: latency, Answered: true,
 		})
 	})
 }
 
-func (m *member) Probe(endpoint uint32) {
-	m.fleet.after(500, func(now Micros) {
-		m.balancer.HandleProbe(now, endpoint, OK, 500, []float32{float32(m.fleet.inFlight[endpoint])})
+func (host *simulatedHost) Probe(endpoint uint32) {
+	host.fleet.after(500, func(now Micros) {
+		host.balancer.HandleProbe(now, endpoint, OK, 500, []float32{float32(host.fleet.inFlight[endpoint])})
 	})
 }
 
-func (m *member) StartTimer(delay Micros, token uint32) {
-	m.fleet.after(delay, func(now Micros) { m.balancer.HandleTimer(now, token) })
+func (host *simulatedHost) StartTimer(delay Micros, token uint32) {
+	host.fleet.after(delay, func(now Micros) { host.balancer.HandleTimer(now, token) })
 }
 
-func (m *member) Reject(uint64, Micros) {}
-func (m *member) Fail(uint64)           {}
-func (m *member) Cancel(uint64, int)    {}
-func (m *member) Watch(bool)            {}
-func (m *member) Log(string)            {}
+func (host *simulatedHost) Reject(uint64, Micros) {}
+func (host *simulatedHost) Fail(uint64)           {}
+func (host *simulatedHost) Cancel(uint64, int)    {}
+func (host *simulatedHost) Watch(bool)            {}
+func (host *simulatedHost) Log(string)            {}
 
-// overloadedEndpoint returns the largest share of its budget that a warming endpoint got in any window, and an error if
-// that exceeds 1. The budget is N requests by the settings, with a margin for random variation.
-func (f *fleet) overloadedEndpoint() (worst float64, err error) {
+// checkWarmingBudget returns the largest share of its budget that any warming endpoint got in any overload window, and
+// an error if that exceeds 1. The budget is n + 2 sqrt(n) + 2 requests, where the settings permit n and the rest is a
+// margin for random variation.
+func (f *fleet) checkWarmingBudget() (worst float64, err error) {
 	worst, where := f.worstWindow(func(n float64) float64 { return n + 2*math.Sqrt(n) + 2 })
 	if worst > 1 {
 		err = errors.New(where)
@@ -113,12 +114,12 @@
 	return worst, err
 }
 
-// Whatever the number of balancers, what all of them send to a warming endpoint stays within its budget: if one starts
-// alone, if many start one after the other, and if one returns that was cordoned.
-func TestWarmingEndpointsBearTheSumOfAllBalancers(t *testing.T) {
+// Whatever the number of balancers, the requests that all of them together send to a warming endpoint must stay within
+// its budget: if one endpoint starts alone, if many start one after the other, and if one is no longer cordoned.
+func TestAllBalancersTogetherKeepTheWarmingBudget(t *testing.T) {
 	warmingRequests := 0
 	for _, balancers := range []int{4, 30, 300} {
-		for _, work := range []float64{25_000, 150_000} { // N is large at first, or small
+		for _, work := range []float64{25_000, 150_000} { // the number of requests permitted at first is large, or small
 			for name, start := range map[string]func(f *fleet){
 				"one starts": func(f *fleet) { f.startEndpoints(1, 0) },
 				"many start one after the other": func(f *fleet) {
@@ -132,13 +133,13 @@
 					f.startEndpoints(4, 4*second)
 				},
 				"one is uncordoned": func(f *fleet) {
-					for _, m := range f.members {
-						m.balancer.Cordon(f.now, 1, true, f.now)
+					for _, host := range f.hosts {
+						host.balancer.Cordon(f.now, 1, true, f.now)
 					}
 					f.after(2*second, func(now Micros) {
 						f.list[0].StartTime = now
-						for _, m := range f.members {
-							m.balancer.Cordon(now, 1, false, now)
+						for _, host := range f.hosts {
+							host.balancer.Cordon(now, 1, false, now)
 						}
 					})
 				},
@@ -151,11 +152,11 @@
 					f.run(4 * second)
 					start(f)
 					f.run(14 * second)
-					worst, err := f.overloadedEndpoint()
+					worstShare, err := f.checkWarmingBudget()
 					if err != nil {
 						t.Error(err)
 					}
-					t.Logf("worst %.2f", worst)
+					t.Logf("largest share of a budget in any window: %.2f", worstShare)
 					for _, e := range f.list {
 						if e.StartTime != 0 {
 							warmingRequests += len(f.received[e.ID])
@@ -170,14 +171,14 @@
 	}
 }
 
-// startEndpoints has n endpoints start, at this interval.
+// startEndpoints schedules the start of n new endpoints, the first now and each of the others an interval later.
 func (f *fleet) startEndpoints(n int, interval Micros) {
 	for i := range n {
 		f.after(Micros(i)*interval, func(now Micros) {
 			id := uint32(len(f.list) + 1)
 			f.list = append(f.list, Endpoint{ID: id, Name: uint64(id), Weight: 1, StartTime: now})
-			for _, m := range f.members {
-				m.balancer.HandleEndpoints(now, ListDelta, f.list[len(f.list)-1:])
+			for _, host := range f.hosts {
+				host.balancer.HandleEndpoints(now, ListDelta, f.list[len(f.list)-1:])
 			}
 		})
 	}
@@ -193,7 +194,7 @@
 	return s
 }
 
-// uniformList returns n warm endpoints of one zone and size.
+// uniformList returns n warm endpoints of the same zone and weight.
 func uniformList(n int) []Endpoint {
 	list := make([]Endpoint, n)
 	for i := range list {
--- a/balancer/stats.go
+++ b/balancer/stats.go
@@ -60,7 +60,7 @@
 	s.Open = b.ledger.openRequests()
 	b.membership.fillStats(now, &s)
 	b.estimates.fillStats(now, &s)
-	s.RejectedShare = b.demand.rejected()
+	s.RejectedShare = b.demand.recentRejectedShare()
 	return s
 }
 
