--- a/balancer/averages.go
+++ b/balancer/averages.go
@@ -23,8 +23,8 @@
 	a.value += (x - a.value) * weight
 }
 
-// or returns the average, or the fallback if there is no sample.
-func (a *ewma) or(fallback float64) float64 {
+// valueOr returns the average, valueOr the fallback if there is no sample.
+func (a *ewma) valueOr(fallback float64) float64 {
 	if a.initialized {
 		return a.value
 	}
@@ -58,7 +58,7 @@
 
 const (
 	initialDeviationShare = 0.3 // of the median: the deviation that the first sample starts from
-	deviationWeight       = 0.1 // of the latest sample
+	deviationSampleWeight = 0.1 // of the latest sample
 	maxDeviations         = 4.0 // mean deviations from the median up to which a latency shows no queueing
 )
 
@@ -73,7 +73,7 @@
 	if !z.deviation.initialized {
 		z.deviation = newEWMA(initialDeviationShare * z.median)
 	}
-	z.deviation.add(math.Abs(x-z.median), deviationWeight)
+	z.deviation.add(math.Abs(x-z.median), deviationSampleWeight)
 }
 
 // queueingDelay is the part of a probe's latency beyond the median, if the deviation does not explain it. It is 0 until
@@ -95,10 +95,10 @@
 const rateTimeConstant = 2 * second
 
 // add adds events, or an amount such as work.
-func (m *decayingRate) add(now Micros, x float64) { m.sum, m.updatedAt = m.decayed(now)+x, now }
+func (m *decayingRate) add(now Micros, x float64) { m.sum, m.updatedAt = m.sumAt(now)+x, now }
 
-// decayed is the sum as decayed by now.
-func (m *decayingRate) decayed(now Micros) float64 {
+// sumAt is the sum as sumAt by now.
+func (m *decayingRate) sumAt(now Micros) float64 {
 	if m.sum == 0 {
 		return 0
 	}
@@ -107,11 +107,11 @@
 
 // rate is the rate per second: a steady rate makes a sum of rateTimeConstant times itself.
 func (m *decayingRate) rate(now Micros) float64 {
-	return m.decayed(now) * float64(second) / float64(rateTimeConstant)
+	return m.sumAt(now) * float64(second) / float64(rateTimeConstant)
 }
 
-// decayingAcceptance counts requests, and those accepted of them. Both counts decay exponentially.
-type decayingAcceptance struct {
+// decayingRequestCounts counts requests, and those accepted of them. Both counts decay exponentially.
+type decayingRequestCounts struct {
 	requests, accepts float64 // at updatedAt
 	updatedAt         Micros
 	timeConstant      Micros // in which the counts fall to 1/e
@@ -119,13 +119,13 @@
 }
 
 // decay brings the counts up to this instant.
-func (t *decayingAcceptance) decay(now Micros) {
+func (t *decayingRequestCounts) decay(now Micros) {
 	factor := math.Exp(-float64(now-t.updatedAt) / float64(t.timeConstant))
 	t.requests, t.accepts, t.updatedAt = t.requests*factor, t.accepts*factor, now
 }
 
 // add counts a request.
-func (t *decayingAcceptance) add(now Micros, accepted bool) {
+func (t *decayingRequestCounts) add(now Micros, accepted bool) {
 	t.decay(now)
 	t.requests++
 	t.accepts += indicator(accepted)
--- a/balancer/averages_test.go
+++ b/balancer/averages_test.go
@@ -4,12 +4,12 @@
 
 func TestEWMATakesItsFirstSampleInFull(t *testing.T) {
 	var a ewma
-	if got := a.or(7); got != 7 {
+	if got := a.valueOr(7); got != 7 {
 		t.Errorf("without samples %v, want the fallback", got)
 	}
 	a.add(10, 0.1)
 	a.add(20, 0.1)
-	if !almostEqual(a.value, 11) || a.or(7) != a.value {
+	if !almostEqual(a.value, 11) || a.valueOr(7) != a.value {
 		t.Errorf("average %v, want 11", a.value)
 	}
 }
--- a/balancer/breaker.go
+++ b/balancer/breaker.go
@@ -28,7 +28,7 @@
 // circuitBreaker holds an endpoint's window of outcomes and its two latency averages.
 type circuitBreaker struct {
 	buckets        [breakerBuckets]breakerBucket
-	newest         int64   // number of the newest bucket, counted from instant 0
+	newestBucket   int64   // number of the newest bucket, counted from instant 0
 	requests       int     // over the window
 	accepts        int     // over the window
 	baseLatency    float64 // microseconds; falls fast and rises slowly
@@ -42,15 +42,15 @@
 // advance returns the bucket of this instant, after dropping those that are older than the window.
 func (k *circuitBreaker) advance(now Micros) *breakerBucket {
 	n := now / (breakerWindow / breakerBuckets)
-	if n-k.newest >= breakerBuckets {
-		k.buckets, k.requests, k.accepts, k.newest = [breakerBuckets]breakerBucket{}, 0, 0, n
+	if n-k.newestBucket >= breakerBuckets {
+		k.buckets, k.requests, k.accepts, k.newestBucket = [breakerBuckets]breakerBucket{}, 0, 0, n
 	}
-	for k.newest < n {
-		k.newest++
-		old := &k.buckets[k.newest%breakerBuckets]
-		k.requests -= old.requests
-		k.accepts -= old.accepts
-		*old = breakerBucket{}
+	for k.newestBucket < n {
+		k.newestBucket++
+		expired := &k.buckets[k.newestBucket%breakerBuckets]
+		k.requests -= expired.requests
+		k.accepts -= expired.accepts
+		*expired = breakerBucket{}
 	}
 	return &k.buckets[n%breakerBuckets]
 }
@@ -59,9 +59,9 @@
 type breakerResult uint8
 
 const (
-	accepted breakerResult = iota
-	failed
-	dropped // by the breaker
+	requestAccepted breakerResult = iota
+	requestFailed
+	requestDropped // by the breaker
 )
 
 // count adds a request to the newest bucket.
@@ -70,12 +70,12 @@
 	bucket.requests++
 	k.requests++
 	switch result {
-	case accepted:
+	case requestAccepted:
 		bucket.accepts++
 		k.accepts++
-	case failed:
+	case requestFailed:
 		bucket.failures++
-	case dropped:
+	case requestDropped:
 	}
 }
 
@@ -96,17 +96,17 @@
 // errorDropProbability grows with the failures in the window.
 func (k *circuitBreaker) errorDropProbability(now Micros) float64 {
 	k.advance(now)
-	failing := 0 // buckets with failures alone, since the latest bucket with a success
-	for i := k.newest + 1; i <= k.newest+breakerBuckets; i++ {
+	failingBuckets := 0 // buckets with failures alone, since the latest bucket with a success
+	for i := k.newestBucket + 1; i <= k.newestBucket+breakerBuckets; i++ {
 		if bucket := &k.buckets[i%breakerBuckets]; bucket.accepts > 0 {
-			failing = 0
+			failingBuckets = 0
 		} else if bucket.failures > 0 {
-			failing++
+			failingBuckets++
 		}
 	}
-	factor := max(minAcceptFactor,
-		maxAcceptFactor-(maxAcceptFactor-minAcceptFactor)*float64(failing)/breakerBuckets)
-	return dropProbability(float64(k.requests), factor*float64(k.accepts))
+	acceptFactor := max(minAcceptFactor,
+		maxAcceptFactor-(maxAcceptFactor-minAcceptFactor)*float64(failingBuckets)/breakerBuckets)
+	return dropProbability(float64(k.requests), acceptFactor*float64(k.accepts))
 }
 
 // latencyDropProbability grows with the current latency between a multiple of the base and the client's
@@ -117,8 +117,8 @@
 	if k.baseLatency <= 0 || ceiling <= threshold {
 		return 0
 	}
-	excess := (k.currentLatency - threshold) / (ceiling - threshold)
-	return min(maxLatencyDropProbability, max(0, excess*maxLatencyDropProbability))
+	excessShare := (k.currentLatency - threshold) / (ceiling - threshold)
+	return min(maxLatencyDropProbability, max(0, excessShare*maxLatencyDropProbability))
 }
 
 // dropProbability is that of client-side throttling in the SRE book, where allowed is K times the accepted
@@ -130,7 +130,7 @@
 // breakers draws for the circuit breakers of endpoints and for the error throttle over all of them.
 type breakers struct {
 	*environment
-	recentAttempts decayingAcceptance // attempts that ended, and those throttled
+	recentAttempts decayingRequestCounts // attempts that ended, and those throttled
 }
 
 // configure sets the time constant of the throttle to the longest client timeout: within that, every attempt
@@ -142,9 +142,9 @@
 	}
 }
 
-// drops draws whether to drop a request with this probability. One request in each forcedTrialInterval
+// drawDrop draws whether to drop a request with this probability. One request in each forcedTrialInterval
 // passes.
-func (k *breakers) drops(now Micros, probability float64, lastTrialAt *Micros) bool {
+func (k *breakers) drawDrop(now Micros, probability float64, lastTrialAt *Micros) bool {
 	if probability > 0 && now-*lastTrialAt > forcedTrialInterval {
 		*lastTrialAt = now
 		return false
@@ -158,7 +158,7 @@
 func (k *breakers) throttle(now Micros) bool {
 	k.recentAttempts.decay(now)
 	probability := dropProbability(k.recentAttempts.requests, maxAcceptFactor*k.recentAttempts.accepts)
-	throttled := k.drops(now, probability, &k.recentAttempts.lastTrialAt)
+	throttled := k.drawDrop(now, probability, &k.recentAttempts.lastTrialAt)
 	k.recentAttempts.requests += indicator(throttled)
 	return throttled
 }
@@ -167,8 +167,8 @@
 func (k *breakers) allow(now Micros, r *request, e *endpoint) bool {
 	timeout := float64(r.class.ClientTimeout)
 	probability := max(e.breaker.errorDropProbability(now), e.breaker.latencyDropProbability(timeout))
-	if k.drops(now, probability, &e.breaker.lastTrialAt) {
-		e.breaker.count(now, dropped)
+	if k.drawDrop(now, probability, &e.breaker.lastTrialAt) {
+		e.breaker.count(now, requestDropped)
 		return false
 	}
 	return true
@@ -186,12 +186,12 @@
 	e := a.endpoint
 	switch status {
 	case OK:
-		e.breaker.count(now, accepted)
+		e.breaker.count(now, requestAccepted)
 		e.breaker.addLatency(float64(latency))
 		e.recordOutcome(now, false, failureWeight)
 	case Cancelled, NotSent:
 	default:
-		e.breaker.count(now, failed)
+		e.breaker.count(now, requestFailed)
 		e.rejectedShare.add(indicator(status == Rejected), rejectedFailureWeight)
 		// A timeout at a short remaining deadline is no evidence of a fault there.
 		shortDeadline := status == Timeout && float64(latency) < overdueFactor*a.predictedLatency
--- a/balancer/breaker_test.go
+++ b/balancer/breaker_test.go
@@ -28,16 +28,16 @@
 		var k circuitBreaker
 		now := 100 * second
 		for range c.accepts {
-			k.count(now, accepted)
+			k.count(now, requestAccepted)
 		}
 		for i := range c.failures {
 			if c.failingBuckets > 1 && i%(c.failures/c.failingBuckets) == 0 {
 				now += breakerWindow / breakerBuckets
 			}
-			k.count(now, failed)
+			k.count(now, requestFailed)
 		}
 		for range c.drops {
-			k.count(now, dropped)
+			k.count(now, requestDropped)
 		}
 		if got := k.errorDropProbability(now); !almostEqual(got, c.want) {
 			t.Errorf("%s: got %v, want %v", c.name, got, c.want)
@@ -48,7 +48,7 @@
 func TestBreakerWindowDropsOldBuckets(t *testing.T) {
 	var k circuitBreaker
 	for range 100 {
-		k.count(100*second, failed)
+		k.count(100*second, requestFailed)
 	}
 	if k.errorDropProbability(109*second) == 0 {
 		t.Error("failures of nine seconds ago are forgotten")
@@ -57,7 +57,7 @@
 		t.Errorf("after the window: drop probability %v, %d requests", got, k.requests)
 	}
 	for range 100 {
-		k.count(200*second, failed)
+		k.count(200*second, requestFailed)
 	}
 	k.errorDropProbability(500 * second)
 	if k.requests != 0 {
@@ -106,7 +106,7 @@
 	e := b.membership.endpoints[0]
 	now := 20 * second
 	for range 1000 {
-		e.breaker.count(now, failed)
+		e.breaker.count(now, requestFailed)
 	}
 	r := recordOf(b, Request{})
 	if !b.breakers.allow(now, r, e) {
@@ -156,7 +156,7 @@
 	now := second
 	sends := map[uint32]int{}
 	id := uint64(0)
-	step := func() {
+	serveRequest := func() {
 		now += 20_000
 		for e := range uint32(3) {
 			b.HandleProbe(now, e+1, OK, 500, []float32{0})
@@ -177,7 +177,7 @@
 		}
 	}
 	for range 3000 {
-		step()
+		serveRequest()
 	}
 	if sends[1] > 300 {
 		t.Errorf("an endpoint that fails fast got %d of 3000, want 300 at most", sends[1])
--- a/balancer/demand.go
+++ b/balancer/demand.go
@@ -95,7 +95,7 @@
 }
 
 // recordDecision counts whether a request was sent or rejected at arrival.
-func (d *demand) recordDecision(sent bool) { d.rejectedShare.add(indicator(!sent), shareWeight) }
+func (d *demand) recordDecision(sent bool) { d.rejectedShare.add(indicator(!sent), shareSampleWeight) }
 
 // classNamed returns the class in force of this name, or nil.
 func (d *demand) classNamed(name string) *class {
@@ -167,7 +167,7 @@
 		rate := c.requestRate.rate(now)
 		work += rate * c.work.value
 		weight += rate * d.requestWeight(c)
-		worst = min(worst, c.servedInTime.or(1))
+		worst = min(worst, c.servedInTime.valueOr(1))
 	}
 	top, own := 0.0, -1.0 // own stays negative for a class that is no longer in force
 	for _, c := range d.classes {
@@ -175,7 +175,7 @@
 		goal := d.settings.Goal.Overall + worstWindowGain*d.settings.Goal.WorstWindow
 		gain := goal * d.requestWeight(c) / c.work.value * work / weight
 		gain += d.settings.Goal.WorstClass / max(minWorkShare, workShare) *
-			math.Exp((worst-c.servedInTime.or(1))/servedInTimeScale)
+			math.Exp((worst-c.servedInTime.valueOr(1))/servedInTimeScale)
 		top = max(top, gain)
 		if c.classStats == r.class.classStats {
 			own = gain
--- a/balancer/estimates.go
+++ b/balancer/estimates.go
@@ -56,8 +56,8 @@
 // Restore continues from the estimates of an earlier process of this sidecar. Call it after Start and before any
 // endpoint list. Estimates that are invalid, or of a balancer with no class in common, change nothing.
 func (b *Balancer) Restore(in *Estimates) {
-	known := func(w ClassWorkEstimate) bool { return b.demand.classNamed(w.Class) != nil }
-	if !isPositiveFinite(in.ServiceTimeRatio) || !slices.ContainsFunc(in.ClassWork, known) {
+	inForce := func(w ClassWorkEstimate) bool { return b.demand.classNamed(w.Class) != nil }
+	if !isPositiveFinite(in.ServiceTimeRatio) || !slices.ContainsFunc(in.ClassWork, inForce) {
 		return
 	}
 	b.estimates.restore(in)
@@ -73,8 +73,8 @@
 	out.WarmingSlowness, out.WarmingSamples = est.warmingSlowness.value, est.warmingSamples
 	for zone := range est.zoneLatencies {
 		if z := &est.zoneLatencies[zone]; z.count > 0 {
-			known := ZoneLatencyEstimate{Zone: uint8(zone), Latency: z.median, Deviation: z.deviation.value}
-			out.ZoneLatencies = append(out.ZoneLatencies, known)
+			estimate := ZoneLatencyEstimate{Zone: uint8(zone), Latency: z.median, Deviation: z.deviation.value}
+			out.ZoneLatencies = append(out.ZoneLatencies, estimate)
 		}
 	}
 }
@@ -91,15 +91,15 @@
 	if isPositiveFinite(in.TypicalWarmingLoad) {
 		est.typicalWarmingLoad = cumulativeMean{in.TypicalWarmingLoad, initialTypicalLoadSamples}
 	}
-	for _, known := range in.ZoneLatencies {
-		z := &est.zoneLatencies[known.Zone]
-		if !isPositiveFinite(known.Latency) || !isPositiveFinite(known.Deviation) {
+	for _, estimate := range in.ZoneLatencies {
+		z := &est.zoneLatencies[estimate.Zone]
+		if !isPositiveFinite(estimate.Latency) || !isPositiveFinite(estimate.Deviation) {
 			continue
 		}
 		for range z.samples {
-			z.add(known.Latency)
+			z.add(estimate.Latency)
 		}
-		z.deviation.value = known.Deviation
+		z.deviation.value = estimate.Deviation
 	}
 }
 
--- a/balancer/estimates_test.go
+++ b/balancer/estimates_test.go
@@ -85,7 +85,7 @@
 		b.Restore(&invalid)
 		work, slowness := b.demand.classes[0].work.value, b.estimates.warmingSlowness.value
 		ratio := b.estimates.fleetServiceTimeRatio
-		if work != before || slowness > 1 || !isPositiveFinite(ratio.or(1)) {
+		if work != before || slowness > 1 || !isPositiveFinite(ratio.valueOr(1)) {
 			t.Errorf("%s: work %v, warming slowness %v, service time ratio %v", name, work, slowness, ratio.value)
 		}
 	}
--- a/balancer/loadreport.go
+++ b/balancer/loadreport.go
@@ -12,10 +12,10 @@
 	initialTypicalLoadSamples = 10  // that initialTypicalLoad counts as
 
 	// Weights of the latest sample in an average.
-	typicalLoadWeight       = 0.1
-	sparseTypicalLoadWeight = 0.03 // of the typical load where reports are sparse: single ones must not move it
-	meanLoadWeight          = 0.1  // of an endpoint's mean load
-	shareWeight             = 0.02 // of the shares of queued probes, late reports and rejected requests
+	typicalLoadSampleWeight       = 0.1
+	sparseTypicalLoadSampleWeight = 0.03 // of the typical load where reports are sparse: single ones must not move it
+	meanLoadSampleWeight          = 0.1  // of an endpoint's mean load
+	shareSampleWeight             = 0.02 // of the shares of queued probes, late reports and rejected requests
 
 	maxLateReportShare  = 0.1 // share of late reports above which the means of reports are used instead
 	lateReportTolerance = 0.5 // requests by which a report may fall short of the own ones without being late
@@ -24,14 +24,14 @@
 
 // loadReport is the load at an endpoint by the answer to a probe.
 type loadReport struct {
-	inFlight float64 // requests there, or negative if unknown
-	counted  bool    // inFlight was reported, not derived
-	ahead    float64 // requests that the probe waited for
+	inFlight     float64 // requests there, or negative if unknown
+	counted      bool    // inFlight was reported, not derived
+	aheadOfProbe float64 // requests that the probe waited for
 }
 
 func (l *loadReport) known() bool { return l.inFlight >= 0 }
 
-func (l *loadReport) queued() bool { return l.ahead >= minRequestsAhead }
+func (l *loadReport) queued() bool { return l.aheadOfProbe >= minRequestsAhead }
 
 // readReport reads a load report, and learns from the probe's latency in microseconds. load holds the figures
 // in the order of Settings.ReportFields.
@@ -50,11 +50,11 @@
 		zone.add(latency)
 	}
 	report := loadReport{inFlight, counted, est.requestsAhead(zone.queueingDelay(latency))}
-	est.queuedProbeShare.add(indicator(report.queued()), shareWeight)
+	est.queuedProbeShare.add(indicator(report.queued()), shareSampleWeight)
 	est.stats.ReportedLoad += max(0, report.inFlight)
 	if report.known() && report.queued() {
 		est.stats.QueuedProbes++
-		report.inFlight = max(report.inFlight, assumedCores+report.ahead)
+		report.inFlight = max(report.inFlight, assumedCores+report.aheadOfProbe)
 	}
 	return report
 }
@@ -63,16 +63,16 @@
 func (est *estimator) learnReport(now Micros, e *endpoint, report *loadReport) {
 	e.hasReport, e.reportedAt = true, now
 	e.reportedLoad, e.inFlightAtReport = max(0, report.inFlight-float64(e.inFlight)), e.inFlight
-	weight := typicalLoadWeight
+	weight := typicalLoadSampleWeight
 	if est.probes.reportsSparse(now) {
-		weight = sparseTypicalLoadWeight
+		weight = sparseTypicalLoadSampleWeight
 	}
 	if e.isWarming(now, &est.settings.Contract) {
 		est.typicalWarmingLoad.add(e.reportedLoad, weight)
 	} else {
 		est.typicalLoad.add(e.reportedLoad, weight)
 	}
-	e.meanLoad.add(e.reportedLoad, meanLoadWeight)
+	e.meanLoad.add(e.reportedLoad, meanLoadSampleWeight)
 	if est.queuedProbeShare.value > queuedProbeThreshold && !report.queued() &&
 		est.typicalLoad.value < assumedCores {
 		// Probes queue behind requests, but this one did not: a core was idle, even if a late report differs.
@@ -83,12 +83,12 @@
 // checkReportDelay detects whether load reports come late. A report of fewer requests than this balancer
 // has at e is late, unless some are still in transit. If many are, their means are used instead.
 func (est *estimator) checkReportDelay(now Micros, e *endpoint, report *loadReport) {
-	settled := float64(now-e.lastSentAt) > arrivalRoundTrips*est.roundTrip(e)
-	if !report.counted || e.inFlight <= 0 || !settled {
+	sentRequestsArrived := float64(now-e.lastSentAt) > arrivalRoundTrips*est.roundTrip(e)
+	if !report.counted || e.inFlight <= 0 || !sentRequestsArrived {
 		return
 	}
 	share := &est.lateReportShare
-	share.add(indicator(report.inFlight+lateReportTolerance < float64(e.inFlight)), shareWeight)
+	share.add(indicator(report.inFlight+lateReportTolerance < float64(e.inFlight)), shareSampleWeight)
 	if share.value > maxLateReportShare && !est.reportsLate ||
 		share.value < maxLateReportShare/3 && est.reportsLate {
 		est.reportsLate = !est.reportsLate
@@ -108,7 +108,7 @@
 // learnProbeDelay counts a probe that has waited so long, in microseconds, as a report of the load that
 // explains the delay.
 func (est *estimator) learnProbeDelay(waited float64) {
-	est.typicalLoad.add(assumedCores+est.requestsAhead(waited), typicalLoadWeight)
+	est.typicalLoad.add(assumedCores+est.requestsAhead(waited), typicalLoadSampleWeight)
 }
 
 // requestsAhead is how many requests are ahead of a probe that waits so long, in microseconds.
--- a/balancer/loadreport_test.go
+++ b/balancer/loadreport_test.go
@@ -101,8 +101,8 @@
 // quick answers make all later probes seem to have queued.
 func TestVaryingZoneLatencyIsNoQueue(t *testing.T) {
 	for _, c := range []struct {
-		name  string
-		quick int
+		name         string
+		quickAnswers int
 	}{{"latencies vary", 0}, {"quick answers at the start", 3}} {
 		s := testSettings()
 		s.Classes[0].LatencyObjective = 50_000
@@ -113,7 +113,7 @@
 			now += 100_000
 			b.HandleProbe(now, 1, OK, latency, []float32{0})
 		}
-		for range c.quick {
+		for range c.quickAnswers {
 			probe(200)
 		}
 		for range 5 {
--- a/balancer/overload_test.go
+++ b/balancer/overload_test.go
@@ -38,7 +38,7 @@
 	request  *clientRequest
 	id       uint64
 	deadline Micros
-	attempts []*job
+	jobs     []*job
 }
 
 // job is one attempt at work at a server.
@@ -108,14 +108,14 @@
 	settings.Limits.HedgedRequests = false
 	settings.Prices.Probe = 0.03
 	for i := range balancers {
-		m := &clientHost{service: s, open: map[uint64]*clientAttempt{}, idleConnections: map[uint32]int{}}
+		host := &clientHost{service: s, open: map[uint64]*clientAttempt{}, idleConnections: map[uint32]int{}}
 		var err error
-		if m.balancer, err = New(settings, uint64(i)+1, m); err != nil {
+		if host.balancer, err = New(settings, uint64(i)+1, host); err != nil {
 			t.Fatal(err)
 		}
-		s.hosts = append(s.hosts, m)
-		m.balancer.Start(0)
-		m.balancer.HandleEndpoints(0, ListFull, list)
+		s.hosts = append(s.hosts, host)
+		host.balancer.Start(0)
+		host.balancer.HandleEndpoints(0, ListFull, list)
 	}
 	return s
 }
@@ -125,9 +125,9 @@
 	var next func(now Micros)
 	next = func(now Micros) {
 		draw := s.rng.uniform()
-		m := s.hosts[int(draw*draw*draw*float64(len(s.hosts)))]
+		host := s.hosts[int(draw*draw*draw*float64(len(s.hosts)))]
 		s.offered[now/second]++
-		m.startAttempt(now, &clientRequest{arrivedAt: now})
+		host.startAttempt(now, &clientRequest{arrivedAt: now})
 		if now < until {
 			s.after(Micros(-math.Log(1-s.rng.uniform())/rate(now)*float64(second)), next)
 		}
@@ -136,89 +136,89 @@
 }
 
 // startAttempt has a client send its request again, within its timeout and limit of attempts.
-func (m *clientHost) startAttempt(now Micros, u *clientRequest) {
-	if u.attempts == simMaxAttempts || now >= u.arrivedAt+simClientTimeout {
+func (h *clientHost) startAttempt(now Micros, r *clientRequest) {
+	if r.attempts == simMaxAttempts || now >= r.arrivedAt+simClientTimeout {
 		return
 	}
-	u.attempts++
-	m.service.clientAttempts++
-	t := &clientAttempt{
-		request: u, id: m.service.clientAttempts,
-		deadline: min(now+simAttemptTimeout, u.arrivedAt+simClientTimeout),
+	r.attempts++
+	h.service.clientAttempts++
+	attempt := &clientAttempt{
+		request: r, id: h.service.clientAttempts,
+		deadline: min(now+simAttemptTimeout, r.arrivedAt+simClientTimeout),
 	}
-	m.open[t.id] = t
-	m.service.after(t.deadline-now, func(now Micros) { m.timeOut(now, t) })
-	m.balancer.HandleRequest(now, Request{ID: t.id, Deadline: t.deadline})
+	h.open[attempt.id] = attempt
+	h.service.after(attempt.deadline-now, func(now Micros) { h.timeOut(now, attempt) })
+	h.balancer.HandleRequest(now, Request{ID: attempt.id, Deadline: attempt.deadline})
 }
 
 // scheduleRetry ends an attempt of a client, which retries after a random backoff.
-func (m *clientHost) scheduleRetry(t *clientAttempt) {
-	if m.open[t.id] == nil {
+func (h *clientHost) scheduleRetry(attempt *clientAttempt) {
+	if h.open[attempt.id] == nil {
 		return
 	}
-	delete(m.open, t.id)
-	backoff := Micros((25 + 175*m.service.rng.uniform()) * 1000)
-	m.service.after(backoff, func(now Micros) { m.startAttempt(now, t.request) })
+	delete(h.open, attempt.id)
+	backoff := Micros((25 + 175*h.service.rng.uniform()) * 1000)
+	h.service.after(backoff, func(now Micros) { h.startAttempt(now, attempt.request) })
 }
 
 // timeOut ends an attempt of a client at its deadline.
-func (m *clientHost) timeOut(now Micros, t *clientAttempt) {
-	for i, j := range t.attempts {
+func (h *clientHost) timeOut(now Micros, attempt *clientAttempt) {
+	for i, j := range attempt.jobs {
 		if !j.ended {
 			j.server.remove(now, j)
-			m.balancer.HandleOutcome(now, Outcome{ID: t.id, Attempt: i, Status: Timeout, Latency: simAttemptTimeout})
+			h.balancer.HandleOutcome(now, Outcome{ID: attempt.id, Attempt: i, Status: Timeout, Latency: simAttemptTimeout})
 		}
 	}
-	m.scheduleRetry(t)
+	h.scheduleRetry(attempt)
 }
 
-func (m *clientHost) Send(id uint64, endpoint uint32, _ Micros) {
-	t, sentAt, target := m.open[id], m.service.now, m.service.endpoints[endpoint-1]
-	work := (0.4 + 1.2*m.service.rng.uniform()) * meanWork
-	if m.idleConnections[endpoint] > 0 {
-		m.idleConnections[endpoint]--
+func (h *clientHost) Send(id uint64, endpoint uint32, _ Micros) {
+	attempt, sentAt, target := h.open[id], h.service.now, h.service.endpoints[endpoint-1]
+	work := (0.4 + 1.2*h.service.rng.uniform()) * meanWork
+	if h.idleConnections[endpoint] > 0 {
+		h.idleConnections[endpoint]--
 	} else {
 		work += handshakeWork
 	}
-	j, attempt := &job{remainingWork: work, server: target}, len(t.attempts)
+	j, index := &job{remainingWork: work, server: target}, len(attempt.jobs)
 	j.onDone = func(now Micros) {
-		m.idleConnections[endpoint]++
-		if m.open[id] != nil {
-			delete(m.open, id)
-			if now-t.request.arrivedAt <= simLatencyObjective {
-				m.service.inTime[t.request.arrivedAt/second]++
+		h.idleConnections[endpoint]++
+		if h.open[id] != nil {
+			delete(h.open, id)
+			if now-attempt.request.arrivedAt <= simLatencyObjective {
+				h.service.inTime[attempt.request.arrivedAt/second]++
 			}
 		}
-		m.balancer.HandleOutcome(now, Outcome{
-			ID: id, Attempt: attempt, Status: OK, Latency: now - sentAt, Answered: true,
+		h.balancer.HandleOutcome(now, Outcome{
+			ID: id, Attempt: index, Status: OK, Latency: now - sentAt, Answered: true,
 		})
 	}
-	t.attempts = append(t.attempts, j)
+	attempt.jobs = append(attempt.jobs, j)
 	target.accept(sentAt, j)
 }
 
-func (m *clientHost) Reject(id uint64, _ Micros) {
-	if t := m.open[id]; t != nil {
-		m.scheduleRetry(t)
+func (h *clientHost) Reject(id uint64, _ Micros) {
+	if attempt := h.open[id]; attempt != nil {
+		h.scheduleRetry(attempt)
 	}
 }
 
-func (m *clientHost) Fail(id uint64) { m.Reject(id, 0) }
+func (h *clientHost) Fail(id uint64) { h.Reject(id, 0) }
 
-func (m *clientHost) Cancel(uint64, int) {}
+func (h *clientHost) Cancel(uint64, int) {}
 
-func (m *clientHost) Probe(endpoint uint32) {
-	m.service.after(2000, func(now Micros) {
-		m.balancer.HandleProbe(now, endpoint, OK, 2000, m.service.endpoints[endpoint-1].lastReport)
+func (h *clientHost) Probe(endpoint uint32) {
+	h.service.after(2000, func(now Micros) {
+		h.balancer.HandleProbe(now, endpoint, OK, 2000, h.service.endpoints[endpoint-1].lastReport)
 	})
 }
 
-func (m *clientHost) StartTimer(delay Micros, token uint32) {
-	m.service.after(delay, func(now Micros) { m.balancer.HandleTimer(now, token) })
+func (h *clientHost) StartTimer(delay Micros, token uint32) {
+	h.service.after(delay, func(now Micros) { h.balancer.HandleTimer(now, token) })
 }
 
-func (m *clientHost) Watch(bool) {}
-func (m *clientHost) Log(string) {}
+func (h *clientHost) Watch(bool) {}
+func (h *clientHost) Log(string) {}
 
 // report takes the server's next load report, which probes bring until the one after it.
 func (v *server) report(now Micros) {
@@ -386,8 +386,8 @@
 			b, r := start(t, s, ready(200))
 			id, now := uint64(0), Micros(0)
 			var outcomes []event // still to come
-			// play sends n requests, one each 50 ms, whose attempts end with this status after this latency.
-			play := func(n int, status Status, latency Micros) (sent int) {
+			// sendRequests sends n requests, one each 50 ms, whose attempts end with this status after this latency.
+			sendRequests := func(n int, status Status, latency Micros) (sent int) {
 				for range n {
 					now += 50_000
 					for ; len(outcomes) > 0 && outcomes[0].at <= now; outcomes = outcomes[1:] {
@@ -403,11 +403,11 @@
 				}
 				return sent
 			}
-			if sent := play(200, OK, 20_000); sent != 200 {
+			if sent := sendRequests(200, OK, 20_000); sent != 200 {
 				t.Errorf("%d of 200 sent while all are answered in time", sent)
 			}
-			play(60, late.status, s.Classes[0].LatencyObjective+1000)
-			sent := play(200, late.status, s.Classes[0].LatencyObjective+1000)
+			sendRequests(60, late.status, s.Classes[0].LatencyObjective+1000)
+			sent := sendRequests(200, late.status, s.Classes[0].LatencyObjective+1000)
 			t.Logf("%d of 200 sent while none is answered in time", sent)
 			if sent < 9 || sent > 100 {
 				t.Errorf("%d of 200 sent while none is answered in time", sent)
@@ -415,8 +415,8 @@
 			if b.stats.BreakerRejected > 0 {
 				t.Errorf("%d rejected by breakers of single endpoints, want none", b.stats.BreakerRejected)
 			}
-			play(100, OK, 20_000)
-			if sent = play(100, OK, 20_000); sent != 100 {
+			sendRequests(100, OK, 20_000)
+			if sent = sendRequests(100, OK, 20_000); sent != 100 {
 				t.Errorf("%d of 100 sent 5 s after all are answered in time again", sent)
 			}
 		})
--- a/balancer/pick.go
+++ b/balancer/pick.go
@@ -7,12 +7,12 @@
 // Endpoint selection.
 
 const (
-	maxRandomDraws    = 8    // weighted random draws, before the list is scanned from a random start
-	externalityWeight = 0.05 // of the delay caused to others in the cost: among equals, less load is preferred
-	crossZoneWeight   = 2.0  // latency objectives that a price of 1 for crossing zones counts as
-	affinityChoices   = 2    // endpoints of the own zone, and as many of others, that a key maps to
-	minAffinityWeight = 0.01 // lower bound of the weight in rendezvous hashing, which divides by it
-	maxRejectedShare  = 0.5  // of its failures, from which an ejected endpoint ranks before a late one
+	maxRandomDraws       = 8    // weighted random draws, before the list is scanned from a random start
+	othersDelayWeight    = 0.05 // of the delay caused to others in the cost: among equals, less load is preferred
+	crossZonePriceWeight = 2.0  // latency objectives that a price of 1 for crossing zones counts as
+	affinityChoices      = 2    // endpoints of the own zone, and as many of others, that a key maps to
+	minEndpointWeight    = 0.01 // lower bound of the weight in rendezvous hashing, which divides by it
+	maxRejectedShare     = 0.5  // of its failures, from which an ejected endpoint ranks before a late one
 )
 
 // picker selects the endpoint of an attempt: that of least cost among the pool, the endpoints that the
@@ -40,9 +40,9 @@
 	// An endpoint that only rejects some requests ranks before a late one: what it rejects has not executed.
 	ejected := e.isEjected(now) && e.rejectedShare.value < maxRejectedShare
 	late := expected > p.estimates.latencyLimit(now, r, e)
-	c := expected + (e.currentFailureShare(now)+indicator(ejected)+indicator(late))*objective
-	c += externalityWeight * r.class.work.value * p.estimates.serviceTimeRatio(now, e) * p.estimates.load(now, e)
-	return c + crossZoneWeight*p.settings.Prices.CrossZone*objective*indicator(!p.isLocal(e))
+	total := expected + (e.currentFailureShare(now)+indicator(ejected)+indicator(late))*objective
+	total += othersDelayWeight * r.class.work.value * p.estimates.serviceTimeRatio(now, e) * p.estimates.load(now, e)
+	return total + crossZonePriceWeight*p.settings.Prices.CrossZone*objective*indicator(!p.isLocal(e))
 }
 
 // isLocal reports whether e is in the balancer's own zone.
@@ -60,15 +60,15 @@
 	endpoints := p.membership.list()
 	n := len(endpoints)
 	var ejected *endpoint
-	at := int(p.random.uniform() * float64(n))
+	start := int(p.random.uniform() * float64(n))
 	for i := 0; n > 0 && i < maxRandomDraws+n; i++ {
 		if i < maxRandomDraws {
-			at = int(p.random.uniform() * float64(n))
+			start = int(p.random.uniform() * float64(n))
 		}
-		e := endpoints[(at+i)%n]
+		e := endpoints[(start+i)%n]
 		// Endpoints are drawn in proportion to their weight.
-		far := !p.isLocal(e) && (maxRoundTrip == 0 || p.estimates.roundTrip(e) > maxRoundTrip)
-		if i < maxRandomDraws && (far || p.random.uniform()*p.membership.largestWeight() > float64(e.Weight)) {
+		tooFar := !p.isLocal(e) && (maxRoundTrip == 0 || p.estimates.roundTrip(e) > maxRoundTrip)
+		if i < maxRandomDraws && (tooFar || p.random.uniform()*p.membership.largestWeight() > float64(e.Weight)) {
 			continue
 		}
 		if !p.mayConsider(now, r, excluded, e) {
@@ -86,25 +86,25 @@
 // score: first those of the own zone, then those of others. The score -ln(u)/weight, with u a uniform hash of
 // key and endpoint, gives each endpoint a share of the keys in proportion to its weight, and is the same at
 // every balancer.
-func (p *picker) affinityRanking(now Micros, key uint64) (top [2 * affinityChoices]candidate) {
+func (p *picker) affinityRanking(now Micros, key uint64) (ranking [2 * affinityChoices]candidate) {
 	contract := &p.settings.Contract
 	for _, e := range p.membership.list() {
 		if !e.usable() || e.isEjected(now) || e.isWarming(now, contract) {
 			continue // a warming endpoint has cached nothing for any key
 		}
-		score := -math.Log(uniformHash(key, e.Name)) / max(minAffinityWeight, float64(e.Weight))
+		score := -math.Log(uniformHash(key, e.Name)) / max(minEndpointWeight, float64(e.Weight))
 		inserted := candidate{e, score}
-		side := top[:affinityChoices]
+		group := ranking[:affinityChoices]
 		if !p.isLocal(e) {
-			side = top[affinityChoices:]
+			group = ranking[affinityChoices:]
 		}
-		for rank := range side {
-			if inserted.endpoint != nil && (side[rank].endpoint == nil || inserted.cost < side[rank].cost) {
-				side[rank], inserted = inserted, side[rank]
+		for rank := range group {
+			if inserted.endpoint != nil && (group[rank].endpoint == nil || inserted.cost < group[rank].cost) {
+				group[rank], inserted = inserted, group[rank]
 			}
 		}
 	}
-	return top
+	return ranking
 }
 
 // affinityPick returns an endpoint that the request's key maps to, or nil: of least cost among the first of
@@ -115,12 +115,12 @@
 	if !p.settings.KeyAffinity || r.Key == 0 {
 		return nil
 	}
-	top := p.affinityRanking(now, r.Key)
+	ranking := p.affinityRanking(now, r.Key)
 	var first *endpoint
 	for rank := range affinityChoices {
 		var best candidate
-		p.consider(now, r, excluded, top[rank].endpoint, &best)
-		p.consider(now, r, excluded, top[affinityChoices+rank].endpoint, &best)
+		p.consider(now, r, excluded, ranking[rank].endpoint, &best)
+		p.consider(now, r, excluded, ranking[affinityChoices+rank].endpoint, &best)
 		p.consider(now, r, excluded, p.slowStart.candidate(), &best)
 		if e := best.endpoint; e != nil && (p.estimates.queueingFactor(now, e) <= 1 ||
 			p.estimates.latency(now, e, r.work) <= p.estimates.latencyLimit(now, r, e)) {
@@ -166,8 +166,8 @@
 	// Random draws hit the next warming endpoint too seldom to warm it up.
 	p.consider(now, r, excluded, p.slowStart.candidate(), &best)
 	// Random draws compete with a pool of less than half of the endpoints, which must not get all requests.
-	small := !p.probes.probesWithRequests() && 2*len(pool) < len(p.membership.list())
-	if best.endpoint == nil || small {
+	smallPool := !p.probes.probesWithRequests() && 2*len(pool) < len(p.membership.list())
+	if best.endpoint == nil || smallPool {
 		for range 2 {
 			e := p.randomEndpoint(now, r, excluded, float64(r.Deadline))
 			p.consider(now, r, excluded, e, &best)
--- a/balancer/pick_test.go
+++ b/balancer/pick_test.go
@@ -30,7 +30,7 @@
 
 // In a large fleet, all balancers learn of the same idle endpoint: the more there are, the fewer requests may each
 // send.
-func TestIdleReportDoesNotAttractAHerd(t *testing.T) {
+func TestIdleReportDoesNotAttractTooManyRequests(t *testing.T) {
 	for _, c := range []struct{ balancers, maxSends int }{{1, 5}, {3, 3}, {15, 2}} {
 		s := testSettings()
 		s.Balancers = c.balancers
@@ -41,15 +41,15 @@
 		for id := range uint64(8) {
 			b.HandleRequest(2000, Request{ID: id, Deadline: second, WorkHint: 10_000, HasWorkHint: true})
 		}
-		n := 0
+		sendsToIdle := 0
 		for _, s := range r.sends {
 			if s.endpoint == 1 {
-				n++
+				sendsToIdle++
 			}
 		}
-		if len(r.sends) != 8 || n == 0 || n > c.maxSends {
+		if len(r.sends) != 8 || sendsToIdle == 0 || sendsToIdle > c.maxSends {
 			t.Errorf("%d balancers: %d of %d sends to the idle endpoint, want 1 to %d",
-				c.balancers, n, len(r.sends), c.maxSends)
+				c.balancers, sendsToIdle, len(r.sends), c.maxSends)
 		}
 	}
 }
--- a/balancer/prediction.go
+++ b/balancer/prediction.go
@@ -13,16 +13,16 @@
 	trendTimeConstant      = second      // of the exponential decay of the trend without outcomes
 
 	// Weights of the latest sample in an average.
-	serviceTimeRatioWeight      = 0.03 // of an endpoint
-	fleetServiceTimeRatioWeight = 0.02
-	workWeight                  = 0.01 // of a class's work
-	trendWeight                 = 0.1
+	serviceTimeRatioSampleWeight      = 0.03 // of an endpoint
+	fleetServiceTimeRatioSampleWeight = 0.02
+	workSampleWeight                  = 0.01 // of a class's work
+	trendSampleWeight                 = 0.1
 
 	minClassWorkShare   = 0.001 // of its latency objective: lower bound of a class's work
 	minRequestWorkShare = 0.1   // of its class's work: lower bound of the work that a latency is divided by
 
-	maxTrendRatio = 5.0 // upper bound of a sample: one outlier must not make the fleet look slow
-	trendNoise    = 1.5 // trend up to which there is no slowdown
+	maxTrendRatio    = 5.0 // upper bound of a sample: one outlier must not make the fleet look slow
+	minSlowdownTrend = 1.5 // trend up to which there is no slowdown
 
 	initialWorkHintExponent = 0.5
 	workHintLearningRate    = 0.005 // step of the exponent for an error of factor e at a hint of factor e
@@ -73,7 +73,7 @@
 		typical = est.typicalWarmingLoad.value
 	}
 	if est.reportsLate || !e.hasReport {
-		return e.meanLoad.or(typical) + float64(e.inFlight)
+		return e.meanLoad.valueOr(typical) + float64(e.inFlight)
 	}
 	others := e.reportedLoad
 	if est.probes.reportsSparse(now) {
@@ -83,8 +83,8 @@
 		others = typical + (others-typical)*math.Exp(-age/float64(minReportTTL))
 	}
 	sentSince := float64(max(0, e.inFlight-e.inFlightAtReport))
-	herd := float64(est.settings.Balancers-1) / 2 * sentSince * indicator(!est.probes.probesWithRequests())
-	return others + float64(e.inFlight) + herd
+	othersSentSince := float64(est.settings.Balancers-1) / 2 * sentSince * indicator(!est.probes.probesWithRequests())
+	return others + float64(e.inFlight) + othersSentSince
 }
 
 // queueingFactor is how many times longer than without load a request takes at e.
@@ -98,9 +98,9 @@
 // serviceTimeRatio is e's measured over its predicted service time, higher while it is warming up. Without
 // recent samples it returns to the fleet's, so that an endpoint once found slow is tried again.
 func (est *estimator) serviceTimeRatio(now Micros, e *endpoint) float64 {
-	typical := est.fleetServiceTimeRatio.or(1)
-	age := float64(now-e.serviceTimeRatioAt) / float64(maxServiceTimeRatioAge)
-	weight := max(0, 1-age) * indicator(e.serviceTimeRatio.initialized)
+	typical := est.fleetServiceTimeRatio.valueOr(1)
+	relativeAge := float64(now-e.serviceTimeRatioAt) / float64(maxServiceTimeRatioAge)
+	weight := max(0, 1-relativeAge) * indicator(e.serviceTimeRatio.initialized)
 	return (typical + (e.serviceTimeRatio.value-typical)*weight) * est.warmingSlowdown(now, e)
 }
 
@@ -113,9 +113,9 @@
 // likelyWarmupFraction is the expected share of its capacity that e has by now: as latencies show, but
 // limited to a multiple of the least.
 func (est *estimator) likelyWarmupFraction(now Micros, e *endpoint) float64 {
-	limit := 1 + maxExtraFraction*min(1, float64(est.warmingSamples)/fullExtraSamples)
-	least := e.warmupFraction(now, &est.settings.Contract)
-	return min(limit*least, max(least, 1/est.warmingSlowdown(now, e)))
+	maxMultiple := 1 + maxExtraFraction*min(1, float64(est.warmingSamples)/fullExtraSamples)
+	minFraction := e.warmupFraction(now, &est.settings.Contract)
+	return min(maxMultiple*minFraction, max(minFraction, 1/est.warmingSlowdown(now, e)))
 }
 
 // latency is the latency expected of a request of this work sent to e now, in microseconds.
@@ -134,13 +134,13 @@
 // priority get the larger share, so that those of low priority are shed first.
 func (est *estimator) latencyLimit(now Micros, r *request, e *endpoint) float64 {
 	unloaded := est.roundTrip(e) + r.work*est.slowdown(now)*est.serviceTimeRatio(now, e)
-	share := max(minQueueingShare, maxQueueingShare*r.priority)
+	queueingShare := max(minQueueingShare, maxQueueingShare*r.priority)
 	if n := len(r.attempts); n > 0 && r.attempts[n-1].declaredLost {
 		// The lost attempt has used up the time for queueing.
-		share = 1
+		queueingShare = 1
 	}
 	headroom := float64(r.class.LatencyObjective) - float64(now-r.arrivedAt) - unloaded
-	return min(unloaded+share*headroom, float64(r.Deadline-now))
+	return min(unloaded+queueingShare*headroom, float64(r.Deadline-now))
 }
 
 // estimateWork sets the work of a request from its class and its hint, and learns from the hint.
@@ -148,7 +148,7 @@
 	c := r.class
 	r.work = c.work.value
 	if r.HasWorkHint && r.WorkHint > 0 {
-		c.work.add(float64(r.WorkHint), workWeight)
+		c.work.add(float64(r.WorkHint), workSampleWeight)
 		r.logWorkHint = math.Log(float64(r.WorkHint) / c.work.value)
 		r.work = c.work.value * math.Exp(est.workHintExponent*r.logWorkHint)
 	}
@@ -165,24 +165,24 @@
 	e, c := a.endpoint, r.class
 	unloaded := max(0, sample.latency-est.roundTrip(e)) / a.queueingFactor
 	// A request with hardly any work spends what it takes beyond the prediction elsewhere.
-	predicted, slowdown := est.serviceTimeRatio(now, e), est.warmingSlowdown(now, e)
-	measured := predicted + (unloaded-predicted*r.work)/max(r.work, minRequestWorkShare*c.work.value)
+	predictedRatio, warmingFactor := est.serviceTimeRatio(now, e), est.warmingSlowdown(now, e)
+	measuredRatio := predictedRatio + (unloaded-predictedRatio*r.work)/max(r.work, minRequestWorkShare*c.work.value)
 	// An attempt that was overtaken may be lost, and then says nothing of service times.
-	if sample.lowerBound && (measured <= predicted || e.lastAnsweredSentAt > a.sentAt) {
+	if sample.lowerBound && (measuredRatio <= predictedRatio || e.lastAnsweredSentAt > a.sentAt) {
 		return
 	}
 	est.updateTrend(now, sample.latency/a.predictedWithoutTrend)
-	if !sample.lowerBound && r.logWorkHint != 0 && measured > 0 {
+	if !sample.lowerBound && r.logWorkHint != 0 && measuredRatio > 0 {
 		// Inaccurate hints overstate large work and understate small: a gradient step in logarithms.
-		step := workHintLearningRate * r.logWorkHint * math.Log(measured/predicted)
+		step := workHintLearningRate * r.logWorkHint * math.Log(measuredRatio/predictedRatio)
 		est.workHintExponent = min(1, max(0, est.workHintExponent+step))
 	}
-	warm := predicted / slowdown // the stored ratio is that of the endpoint once warm
-	e.serviceTimeRatio = newEWMA(warm)
-	e.serviceTimeRatio.add(measured/slowdown, serviceTimeRatioWeight)
-	if least := e.warmupFraction(now, &est.settings.Contract); least < 1 && warm > 0 {
+	warmRatio := predictedRatio / warmingFactor // the stored ratio is that of the endpoint once warm
+	e.serviceTimeRatio = newEWMA(warmRatio)
+	e.serviceTimeRatio.add(measuredRatio/warmingFactor, serviceTimeRatioSampleWeight)
+	if minFraction := e.warmupFraction(now, &est.settings.Contract); minFraction < 1 && warmRatio > 0 {
 		est.warmingSamples++
-		est.warmingSlowness.add(min(1, max(0, (measured/warm-1)/(1/least-1))), warmingSlownessWeight)
+		est.warmingSlowness.add(min(1, max(0, (measuredRatio/warmRatio-1)/(1/minFraction-1))), warmingSlownessWeight)
 	}
 	e.serviceTimeRatioAt = now
 	if sample.lowerBound {
@@ -191,11 +191,11 @@
 	if !r.HasWorkHint {
 		// Without hints a class's work is its mean latency without load. One answer raises ratio and work, and the
 		// prediction by their product: its effect on the work is bounded.
-		least, limit := minClassWorkShare*float64(c.LatencyObjective), maxTrendRatio*c.work.value
-		c.work.add(min(max(least, unloaded), limit), workWeight)
+		minWork, maxWork := minClassWorkShare*float64(c.LatencyObjective), maxTrendRatio*c.work.value
+		c.work.add(min(max(minWork, unloaded), maxWork), workSampleWeight)
 	}
 	if !e.warming {
-		est.fleetServiceTimeRatio.add(measured, fleetServiceTimeRatioWeight)
+		est.fleetServiceTimeRatio.add(measuredRatio, fleetServiceTimeRatioSampleWeight)
 	}
 }
 
@@ -204,7 +204,7 @@
 // without the trend; with it, requests sent before the trend rose would raise it a second time.
 func (est *estimator) updateTrend(now Micros, ratio float64) {
 	trend := est.currentTrend(now)
-	est.trend, est.trendAt = trend+(min(ratio, maxTrendRatio)-trend)*trendWeight, now
+	est.trend, est.trendAt = trend+(min(ratio, maxTrendRatio)-trend)*trendSampleWeight, now
 }
 
 // currentTrend decays to 1 without outcomes, so that a trend which rejects all requests ends.
@@ -214,5 +214,5 @@
 
 // slowdown is the factor by which all endpoints are slower than predicted; 1 while that may be noise.
 func (est *estimator) slowdown(now Micros) float64 {
-	return max(1, est.currentTrend(now)/trendNoise)
+	return max(1, est.currentTrend(now)/minSlowdownTrend)
 }
--- a/balancer/prediction_test.go
+++ b/balancer/prediction_test.go
@@ -5,9 +5,9 @@
 	"testing"
 )
 
-// serveTogether sends count requests at once and answers each that was sent after latency. It returns how many were
+// serveBatch sends count requests at once and answers each that was sent after latency. It returns how many were
 // rejected.
-func serveTogether(b *Balancer, r *recorder, now Micros, count int, hint, latency Micros) int {
+func serveBatch(b *Balancer, r *recorder, now Micros, count int, hint, latency Micros) int {
 	r.sends, r.rejected = nil, nil
 	for i := range count {
 		id := uint64(now) + uint64(i)
@@ -25,9 +25,9 @@
 // own process delays all answers due at that moment, and must not make idle endpoints seem too late.
 func TestStallAfterFastAnswersRejectsNothing(t *testing.T) {
 	const (
-		together = 16
-		fast     = 1_000
-		interval = second / 100
+		batchSize   = 16
+		fastLatency = 1_000
+		interval    = second / 100
 	)
 	for _, stall := range []Micros{30_000, 300_000, second} {
 		s := testSettings()
@@ -40,22 +40,22 @@
 		b, r := start(t, s, list)
 		now := second
 		for range 9 {
-			b.HandleProbe(now, 1, OK, 2*fast, nil)
+			b.HandleProbe(now, 1, OK, 2*fastLatency, nil)
 		}
 		for range 200 {
 			now += interval
-			if rejected := serveTogether(b, r, now, together, 0, fast); rejected > 0 {
+			if rejected := serveBatch(b, r, now, batchSize, 0, fastLatency); rejected > 0 {
 				t.Fatalf("%d rejected before the stall", rejected)
 			}
 		}
 		now += interval
-		serveTogether(b, r, now, together, 0, stall)
+		serveBatch(b, r, now, batchSize, 0, stall)
 		now += stall
 		for round := range 100 {
 			now += interval
-			if rejected := serveTogether(b, r, now, together, 0, fast); rejected > 0 {
+			if rejected := serveBatch(b, r, now, batchSize, 0, fastLatency); rejected > 0 {
 				t.Errorf("%d of %d rejected in round %d after a stall of %d us: %v",
-					rejected, together, round, stall, r.logs)
+					rejected, batchSize, round, stall, r.logs)
 				break
 			}
 		}
@@ -70,11 +70,11 @@
 	now := second
 	for range 100 {
 		now += second / 10
-		serveTogether(b, r, now, 1, 20_000, 20_000)
+		serveBatch(b, r, now, 1, 20_000, 20_000)
 	}
 	before := b.estimates.latency(now, b.membership.endpoints[0], 20_000)
 	now += second / 10
-	serveTogether(b, r, now, 1, 2, 30_000)
+	serveBatch(b, r, now, 1, 2, 30_000)
 	now += 10 * second // the trend has decayed
 	b.membership.endpoints[0].serviceTimeRatioAt = now
 	if after := b.estimates.latency(now, b.membership.endpoints[0], 20_000); after > 2*before {
@@ -86,9 +86,9 @@
 func TestZeroLatencyKeepsEstimatesFinite(t *testing.T) {
 	b, r := start(t, testSettings(), ready(1))
 	for i := range Micros(100_000) {
-		serveTogether(b, r, 1000*i, 1, 0, 0)
+		serveBatch(b, r, 1000*i, 1, 0, 0)
 	}
-	serveTogether(b, r, 100*second, 1, 0, second/10)
+	serveBatch(b, r, 100*second, 1, 0, second/10)
 	work := b.demand.classes[0].work.value
 	ratio := b.estimates.serviceTimeRatio(100*second, b.membership.endpoints[0])
 	if !(work > 0) || math.IsNaN(ratio) || math.IsInf(ratio, 0) {
--- a/balancer/stats.go
+++ b/balancer/stats.go
@@ -75,7 +75,7 @@
 }
 
 func (est *estimator) describe(now Micros, s *Stats) {
-	s.TypicalLoad, s.ServiceTimeRatio = est.typicalLoad.value, est.fleetServiceTimeRatio.or(1)
+	s.TypicalLoad, s.ServiceTimeRatio = est.typicalLoad.value, est.fleetServiceTimeRatio.valueOr(1)
 	s.Slowdown, s.ReportsLate = est.slowdown(now), est.reportsLate
 }
 
