--- a/balancer/averages.go
+++ b/balancer/averages.go
@@ -5,16 +5,17 @@
 	"slices"
 )
 
-// ewma is an exponentially weighted moving average. Its first sample counts in full, unless newEWMA made it.
+// ewma is an exponentially weighted moving average. The first sample becomes its value, unless newEWMA gave
+// it an initial value.
 type ewma struct {
 	value       float64
-	initialized bool
+	initialized bool // value holds a sample or the initial value
 }
 
-// newEWMA returns an average that starts from an initial value.
+// newEWMA returns an average that starts from an initial value, so that its first sample is weighted, too.
 func newEWMA(initial float64) ewma { return ewma{value: initial, initialized: true} }
 
-// add adds a sample of this weight, 0 to 1.
+// add adds the sample x with the given weight w, 0 to 1: value becomes value + w (x - value).
 func (a *ewma) add(x, weight float64) {
 	if !a.initialized {
 		a.value, a.initialized = x, true
@@ -23,7 +24,7 @@
 	a.value += (x - a.value) * weight
 }
 
-// valueOr returns the average, valueOr the fallback if there is no sample.
+// valueOr returns the average, or the fallback if there is neither a sample nor an initial value.
 func (a *ewma) valueOr(fallback float64) float64 {
 	if a.initialized {
 		return a.value
@@ -31,38 +32,40 @@
 	return fallback
 }
 
-// cumulativeMean is a moving average that begins as the arithmetic mean of its samples. Where samples are few, an
-// ewma would be dominated by its first one for many seconds.
+// cumulativeMean is a moving average that begins as the arithmetic mean of its samples. Where samples are
+// rare, the first sample of an ewma would dominate it for many seconds.
 type cumulativeMean struct {
 	value   float64
-	samples int
+	samples int // number of samples, at most maxMeanSamples
 }
 
-// maxMeanSamples bounds the count of samples. Every weight in use exceeds 1/maxMeanSamples by far.
+// maxMeanSamples bounds the count of samples. The bound has no effect on the mean: every sample weight in use
+// exceeds 1/maxMeanSamples by far.
 const maxMeanSamples = 1 << 20
 
-// add adds a sample of this weight, or of 1/n for the nth sample if that is more.
+// add adds the sample x, the n-th, with weight w' = max(w, 1/n), where w is the given weight: value becomes
+// value + w' (x - value).
 func (m *cumulativeMean) add(x, weight float64) {
 	m.samples = min(m.samples+1, maxMeanSamples)
 	m.value += (x - m.value) * max(weight, 1/float64(m.samples))
 }
 
-// zoneLatency is the latency in microseconds of a probe to an idle endpoint of a zone: the median of the latest few,
-// since a single quick answer, as before any traffic, is not typical.
+// zoneLatency is the latency in microseconds of a probe of an idle endpoint in a zone. It is the median of
+// the latest few samples: a single quick answer, such as one before there is any traffic, is not typical.
 type zoneLatency struct {
-	samples   [9]float64 // a ring of the latest
-	count     int        // of all samples
-	median    float64
-	deviation ewma // mean distance of samples from the median
+	samples   [9]float64 // ring of the latest samples
+	count     int        // number of samples ever added
+	median    float64    // 0 without samples
+	deviation ewma       // mean distance of samples from the median
 }
 
 const (
-	initialDeviationShare = 0.3 // of the median: the deviation that the first sample starts from
-	deviationSampleWeight = 0.1 // of the latest sample
-	maxDeviations         = 4.0 // mean deviations from the median up to which a latency shows no queueing
+	initialDeviationShare = 0.3 // initial deviation at the first sample, as a share of the median
+	deviationSampleWeight = 0.1 // weight of the latest sample in the mean deviation
+	maxDeviations         = 4.0 // a latency at most this many mean deviations above the median shows no queueing
 )
 
-// add adds the latency of a probe that did not queue.
+// add adds the latency x of a probe that did not queue.
 func (z *zoneLatency) add(x float64) {
 	z.samples[z.count%len(z.samples)] = x
 	z.count++
@@ -76,8 +79,8 @@
 	z.deviation.add(math.Abs(x-z.median), deviationSampleWeight)
 }
 
-// queueingDelay is the part of a probe's latency beyond the median, if the deviation does not explain it. It is 0 until
-// the ring of samples is full.
+// queueingDelay returns latency - median if that exceeds maxDeviations mean deviations, and otherwise 0. It
+// is 0 until the ring of samples is full.
 func (z *zoneLatency) queueingDelay(latency float64) float64 {
 	if waited := latency - z.median; z.count >= len(z.samples) && waited > maxDeviations*z.deviation.value {
 		return waited
@@ -85,19 +88,19 @@
 	return 0
 }
 
-// decayingRate is a rate per second. It sums events, and the sum decays exponentially.
+// decayingRate measures a rate of events per second by a sum of events that decays exponentially.
 type decayingRate struct {
-	sum       float64 // at updatedAt
-	updatedAt Micros
+	sum       float64 // the sum as of updatedAt
+	updatedAt Micros  // instant of the latest event
 }
 
-// rateTimeConstant is that of the decay: the time in which a sum falls to 1/e.
+// rateTimeConstant is the time in which the sum of a decayingRate decays to 1/e.
 const rateTimeConstant = 2 * second
 
-// add adds events, or an amount such as work.
+// add adds x to the sum: a number of events, or an amount such as work.
 func (m *decayingRate) add(now Micros, x float64) { m.sum, m.updatedAt = m.sumAt(now)+x, now }
 
-// sumAt is the sum as sumAt by now.
+// sumAt returns the sum decayed to the instant now.
 func (m *decayingRate) sumAt(now Micros) float64 {
 	if m.sum == 0 {
 		return 0
@@ -105,33 +108,34 @@
 	return m.sum * math.Exp(-float64(now-m.updatedAt)/float64(rateTimeConstant))
 }
 
-// rate is the rate per second: a steady rate makes a sum of rateTimeConstant times itself.
+// rate returns the rate per second. At a steady rate r the sum is r T, where T is rateTimeConstant; the rate
+// is therefore sum / T.
 func (m *decayingRate) rate(now Micros) float64 {
 	return m.sumAt(now) * float64(second) / float64(rateTimeConstant)
 }
 
-// decayingRequestCounts counts requests, and those accepted of them. Both counts decay exponentially.
+// decayingRequestCounts counts requests and how many of them were accepted. Both counts decay exponentially.
 type decayingRequestCounts struct {
-	requests, accepts float64 // at updatedAt
+	requests, accepts float64 // counts as of updatedAt
 	updatedAt         Micros
-	timeConstant      Micros // in which the counts fall to 1/e
-	lastTrialAt       Micros // latest request let through in spite of the draw
+	timeConstant      Micros // time in which the counts decay to 1/e
+	lastTrialAt       Micros // instant at which a request was last let through as a trial, without a draw
 }
 
-// decay brings the counts up to this instant.
+// decay decays the counts to the instant now.
 func (t *decayingRequestCounts) decay(now Micros) {
 	factor := math.Exp(-float64(now-t.updatedAt) / float64(t.timeConstant))
 	t.requests, t.accepts, t.updatedAt = t.requests*factor, t.accepts*factor, now
 }
 
-// add counts a request.
+// add counts a request at the instant now.
 func (t *decayingRequestCounts) add(now Micros, accepted bool) {
 	t.decay(now)
 	t.requests++
 	t.accepts += indicator(accepted)
 }
 
-// indicator is 1 for true and 0 for false.
+// indicator returns 1 if the condition is true and 0 otherwise.
 func indicator(condition bool) float64 {
 	if condition {
 		return 1
@@ -139,5 +143,6 @@
 	return 0
 }
 
-// isPositiveFinite reports whether a stored figure may be used. It is false for NaN.
+// isPositiveFinite reports whether v, such as a stored figure, is usable: positive and finite. It is false
+// for NaN.
 func isPositiveFinite(v float64) bool { return v > 0 && !math.IsInf(v, 0) }
--- a/balancer/breaker.go
+++ b/balancer/breaker.go
@@ -1,45 +1,50 @@
 package balancer
 
-// Circuit breakers of single endpoints, the error throttle over all of them, and outlier ejection.
+// This file holds the circuit breakers of single endpoints, the error throttle over all endpoints, and
+// outlier ejection.
 
-// The constants of go-zero's adaptive breaker (its pull request 5366). It follows client-side throttling in
-// the SRE book (chapter "Handling Overload"), with a K that falls as more buckets in a row fail.
+// The constants are those of go-zero's adaptive breaker (its pull request 5366). That breaker follows
+// client-side throttling in the SRE book (chapter "Handling Overload"): K is the number of requests allowed
+// for each accepted one. Here, K falls as more buckets in a row fail.
 const (
-	breakerWindow     = 10 * second // of the outcomes that a breaker judges by
-	breakerBuckets    = 40          // in the window
-	maxAcceptFactor   = 1.5         // requests allowed for each accepted one: K of the SRE book
+	breakerWindow     = 10 * second // time span of the outcomes that a breaker judges by
+	breakerBuckets    = 40          // number of buckets in the window
+	maxAcceptFactor   = 1.5         // K if the latest bucket with outcomes has a success
 	minAcceptFactor   = 1.1         // K if every bucket of the window has failures alone
-	protectedRequests = 5           // requests of a window that no failure drops: too few to judge by
+	protectedRequests = 5           // a window with no more requests than this drops none: too few to judge by
 
-	// forcedTrialInterval is the time after which a request is let through in spite of the draw, so that a
-	// recovery is noticed.
+	// forcedTrialInterval is the time after which a request is let through without a draw, so that a recovery
+	// is noticed.
 	forcedTrialInterval = second
 
-	latencyThresholdFactor    = 3    // multiple of the base latency from which requests are dropped
-	latencyCeilingShare       = 0.95 // of the client's timeout, at which the drop probability is largest
-	maxLatencyDropProbability = 0.3
+	latencyThresholdFactor    = 3    // multiple of the base latency above which requests are dropped
+	latencyCeilingShare       = 0.95 // share of the client's timeout at which the drop probability is largest
+	maxLatencyDropProbability = 0.3  // upper bound of the drop probability by latency
 
-	// A divisor of n gives the latest latency a weight of 1/n in its average.
-	baseLatencyFallDivisor = 4   // if it is below the average
-	baseLatencyRiseDivisor = 100 // if it is above: the base latency is not to follow an overload
-	currentLatencyDivisor  = 4
+	// Divisors of the latency averages: with divisor n, an average a becomes (x + (n-1) a) / n by the latest
+	// latency x, which so has a weight of 1/n.
+	baseLatencyFallDivisor = 4   // divisor for the base latency if x is below it
+	baseLatencyRiseDivisor = 100 // divisor if x is above it: the base latency must not follow an overload
+	currentLatencyDivisor  = 4   // divisor for the current latency
 )
 
-// circuitBreaker holds an endpoint's window of outcomes and its two latency averages.
+// circuitBreaker holds the recent outcomes of one endpoint and two averages of its latency.
 type circuitBreaker struct {
-	buckets        [breakerBuckets]breakerBucket
-	newestBucket   int64   // number of the newest bucket, counted from instant 0
-	requests       int     // over the window
-	accepts        int     // over the window
-	baseLatency    float64 // microseconds; falls fast and rises slowly
-	currentLatency float64 // microseconds; an average over the latest few
-	lastTrialAt    Micros  // latest request let through in spite of the draw
+	buckets        [breakerBuckets]breakerBucket // ring of the buckets in the window
+	newestBucket   int64                         // number of the newest bucket, counted from instant 0
+	requests       int                           // sum over the window
+	accepts        int                           // sum over the window
+	baseLatency    float64                       // microseconds; falls fast, rises slowly; 0 without samples
+	currentLatency float64                       // microseconds; average of the latest few
+	lastTrialAt    Micros                        // instant at which a request was last let through as a trial
 }
 
-// breakerBucket counts the requests of one bucket of the window.
+// breakerBucket counts the requests in one part of the window, breakerWindow/breakerBuckets long. Requests
+// that the breaker dropped are neither accepts nor failures.
 type breakerBucket struct{ requests, accepts, failures int }
 
-// advance returns the bucket of this instant, after dropping those that are older than the window.
+// advance removes the buckets that are older than the window at the instant now, and returns the bucket of
+// now.
 func (k *circuitBreaker) advance(now Micros) *breakerBucket {
 	n := now / (breakerWindow / breakerBuckets)
 	if n-k.newestBucket >= breakerBuckets {
@@ -55,16 +60,16 @@
 	return &k.buckets[n%breakerBuckets]
 }
 
-// breakerResult is what became of a request.
+// breakerResult is the result of a request, as a breaker counts it.
 type breakerResult uint8
 
 const (
-	requestAccepted breakerResult = iota
-	requestFailed
-	requestDropped // by the breaker
+	requestAccepted breakerResult = iota // served by the endpoint
+	requestFailed                        // not served: error, rejection, timeout or lost connection
+	requestDropped                       // dropped by the breaker
 )
 
-// count adds a request to the newest bucket.
+// count counts a request that had this result in the bucket of now.
 func (k *circuitBreaker) count(now Micros, result breakerResult) {
 	bucket := k.advance(now)
 	bucket.requests++
@@ -79,7 +84,7 @@
 	}
 }
 
-// addLatency adds a latency in microseconds to both averages.
+// addLatency adds the latency x in microseconds to both averages.
 func (k *circuitBreaker) addLatency(x float64) {
 	if k.baseLatency <= 0 {
 		k.baseLatency, k.currentLatency = x, x
@@ -93,10 +98,12 @@
 	k.currentLatency = (x + (currentLatencyDivisor-1)*k.currentLatency) / currentLatencyDivisor
 }
 
-// errorDropProbability grows with the failures in the window.
+// errorDropProbability returns the probability to drop a request because of failures in the window. It is
+// dropProbability with K = max(b, a - (a-b) n / breakerBuckets), where a is maxAcceptFactor, b is
+// minAcceptFactor and n is the number of buckets with failures since the latest bucket with a success.
 func (k *circuitBreaker) errorDropProbability(now Micros) float64 {
 	k.advance(now)
-	failingBuckets := 0 // buckets with failures alone, since the latest bucket with a success
+	failingBuckets := 0 // number of buckets with failures since the latest one with a success
 	for i := k.newestBucket + 1; i <= k.newestBucket+breakerBuckets; i++ {
 		if bucket := &k.buckets[i%breakerBuckets]; bucket.accepts > 0 {
 			failingBuckets = 0
@@ -109,8 +116,13 @@
 	return dropProbability(float64(k.requests), acceptFactor*float64(k.accepts))
 }
 
-// latencyDropProbability grows with the current latency between a multiple of the base and the client's
-// timeout, which is in microseconds.
+// latencyDropProbability returns the probability to drop a request because of the current latency C:
+//
+//	maxLatencyDropProbability * (C - threshold) / (ceiling - threshold)
+//
+// limited to 0..maxLatencyDropProbability, where threshold = latencyThresholdFactor * base latency and
+// ceiling = latencyCeilingShare * timeout. It is 0 without samples, and if ceiling <= threshold. timeout is
+// the client's in microseconds.
 func (k *circuitBreaker) latencyDropProbability(timeout float64) float64 {
 	threshold := latencyThresholdFactor * k.baseLatency
 	ceiling := latencyCeilingShare * timeout
@@ -121,20 +133,21 @@
 	return min(maxLatencyDropProbability, max(0, excessShare*maxLatencyDropProbability))
 }
 
-// dropProbability is that of client-side throttling in the SRE book, where allowed is K times the accepted
-// requests. Unlike there, some requests are protected.
+// dropProbability returns max(0, (requests - protectedRequests - allowed) / (requests + 1)), where allowed is
+// K times the accepted requests. Client-side throttling in the SRE book has no protected requests.
 func dropProbability(requests, allowed float64) float64 {
 	return max(0, (requests-protectedRequests-allowed)/(requests+1))
 }
 
-// breakers draws for the circuit breakers of endpoints and for the error throttle over all of them.
+// breakers decides by random draws what the circuit breakers of endpoints and the error throttle over all
+// endpoints drop.
 type breakers struct {
 	*environment
-	recentAttempts decayingRequestCounts // attempts that ended, and those throttled
+	recentAttempts decayingRequestCounts // attempts that ended, and requests throttled
 }
 
-// configure sets the time constant of the throttle to the longest client timeout: within that, every attempt
-// has its outcome.
+// configure sets the time constant of the throttle to the longest client timeout of a class: every attempt
+// ends within that time.
 func (k *breakers) configure(s *Settings) {
 	k.recentAttempts.timeConstant = 0
 	for i := range s.Classes {
@@ -142,8 +155,8 @@
 	}
 }
 
-// drawDrop draws whether to drop a request with this probability. One request in each forcedTrialInterval
-// passes.
+// drawDrop draws whether to drop a request, with this probability. One request in each forcedTrialInterval
+// passes without a draw, and its instant is stored in lastTrialAt.
 func (k *breakers) drawDrop(now Micros, probability float64, lastTrialAt *Micros) bool {
 	if probability > 0 && now-*lastTrialAt > forcedTrialInterval {
 		*lastTrialAt = now
@@ -152,9 +165,9 @@
 	return k.random.uniform() < probability
 }
 
-// throttle draws for the error throttle over all endpoints: where each endpoint gets few requests, no breaker
-// of one gets past its protected requests. An answer later than its objective is not accepted: it shows
-// overload.
+// throttle draws whether the error throttle over all endpoints rejects a request. The throttle is needed
+// where each endpoint gets few requests: no breaker of a single endpoint then counts more than its protected
+// requests. An answer later than its latency objective does not count as accepted, because it shows overload.
 func (k *breakers) throttle(now Micros) bool {
 	k.recentAttempts.decay(now)
 	probability := dropProbability(k.recentAttempts.requests, maxAcceptFactor*k.recentAttempts.accepts)
@@ -163,7 +176,7 @@
 	return throttled
 }
 
-// allow draws for e's circuit breaker; a request that it drops counts as one.
+// allow draws whether e's circuit breaker lets r through. A request that it drops is counted in its window.
 func (k *breakers) allow(now Micros, r *request, e *endpoint) bool {
 	timeout := float64(r.class.ClientTimeout)
 	probability := max(e.breaker.errorDropProbability(now), e.breaker.latencyDropProbability(timeout))
@@ -174,14 +187,16 @@
 	return true
 }
 
-// recordResult counts an attempt for the throttle.
+// recordResult counts the end of an attempt for the throttle. inTime tells that it was answered within its
+// latency objective.
 func (k *breakers) recordResult(now Micros, status Status, inTime bool) {
 	if status != Cancelled && status != NotSent {
 		k.recentAttempts.add(now, inTime)
 	}
 }
 
-// recordOutcome counts an attempt for its endpoint's breaker and failure share.
+// recordOutcome counts the outcome of a for the breaker, the failure share and the rejected share of its
+// endpoint.
 func (k *breakers) recordOutcome(now Micros, a *attempt, status Status, latency Micros) {
 	e := a.endpoint
 	switch status {
@@ -193,7 +208,7 @@
 	default:
 		e.breaker.count(now, requestFailed)
 		e.rejectedShare.add(indicator(status == Rejected), rejectedFailureWeight)
-		// A timeout at a short remaining deadline is no evidence of a fault there.
+		// A timeout does not show a fault of the endpoint if the deadline left too little time for an answer.
 		shortDeadline := status == Timeout && float64(latency) < overdueFactor*a.predictedLatency
 		if !a.declaredLost && !shortDeadline {
 			k.recordFailure(now, e, status)
@@ -201,7 +216,7 @@
 	}
 }
 
-// recordFailure counts a failure against e, and logs if that ejects it.
+// recordFailure counts a failure in e's failure share, and logs if e is ejected by it.
 func (k *breakers) recordFailure(now Micros, e *endpoint, status Status) {
 	weight := failureWeight
 	if status == Reset || status == ConnectFailed || status == Timeout {
--- a/balancer/estimates.go
+++ b/balancer/estimates.go
@@ -2,49 +2,49 @@
 
 import "slices"
 
-// Estimates is what a balancer has learned of the fleet. The next process of the same sidecar continues from it:
-// learning it again takes seconds, in which the first slow answers would count as typical of all endpoints. The JSON
-// keys are those that processes of earlier versions read.
+// Estimates is what a balancer has learned about the fleet. The next process of the same sidecar continues
+// from it: learning it again takes seconds, in which the first slow answers would count as typical of all
+// endpoints. The JSON keys are those that processes of earlier versions read.
 type Estimates struct {
-	ServiceTimeRatio float64 `json:"Pace"`  // measured over predicted service time, over the fleet
+	ServiceTimeRatio float64 `json:"Pace"`  // mean of measured / predicted service time over the fleet
 	QueuedProbeShare float64 `json:"Waits"` // share of probes that queued behind requests
 	LateReportShare  float64 `json:"Lag"`   // share of load reports that came late
-	ReportsLate      bool
+	ReportsLate      bool    // each endpoint's mean load replaces its reports, as too many came late
 
-	TypicalLoad        float64 `json:"Usual"`     // requests of other balancers at a warm endpoint
+	TypicalLoad        float64 `json:"Usual"`     // mean of the requests of other balancers at a warm endpoint
 	TypicalWarmingLoad float64 `json:"UsualCold"` // the same at an endpoint that is warming up
 
-	WarmingSlowness float64 `json:"Chill"`  // measured share of the slowness that the warm-up fraction implies
-	WarmingSamples  int     `json:"Chills"` // latencies measured for WarmingSlowness
+	WarmingSlowness float64 `json:"Chill"`  // measured part of the slowdown that the warm-up fraction implies
+	WarmingSamples  int     `json:"Chills"` // number of samples in WarmingSlowness
 
-	ClassWork     []ClassWorkEstimate   `json:"Works"`
-	ZoneLatencies []ZoneLatencyEstimate `json:"Ways"`
-	Endpoints     []EndpointEstimate
+	ClassWork     []ClassWorkEstimate   `json:"Works"` // one entry per class
+	ZoneLatencies []ZoneLatencyEstimate `json:"Ways"`  // only zones with a probe latency
+	Endpoints     []EndpointEstimate    // only endpoints with a service time ratio
 }
 
 // ClassWorkEstimate is the mean work of a request of a class, in microseconds of service time.
 type ClassWorkEstimate struct {
-	Class string
+	Class string // name of the class
 	Work  float64
 }
 
-// ZoneLatencyEstimate is the round-trip time to a zone, in microseconds.
+// ZoneLatencyEstimate is the round-trip time of probes to a zone, in microseconds.
 type ZoneLatencyEstimate struct {
 	Zone      uint8
-	Latency   float64 `json:"V"`    // median
+	Latency   float64 `json:"V"`    // median of the samples
 	Deviation float64 `json:"Sway"` // mean distance of samples from the median
 }
 
-// EndpointEstimate is what is known of one process of an endpoint.
+// EndpointEstimate is what is known about one process of an endpoint.
 type EndpointEstimate struct {
-	Name             uint64
-	StartTime        Micros  // of the process
+	Name             uint64  // name of the endpoint
+	StartTime        Micros  // start of the process
 	MeasuredAt       Micros  `json:"PaceAt"` // instant of the latest sample of ServiceTimeRatio
-	ServiceTimeRatio float64 `json:"Pace"`   // measured over predicted service time
-	MeanLoad         float64 `json:"Mean"`   // requests of other balancers there
+	ServiceTimeRatio float64 `json:"Pace"`   // mean of measured / predicted service time
+	MeanLoad         float64 `json:"Mean"`   // mean number of requests of other balancers at the endpoint
 }
 
-// Estimates returns what is known by now.
+// Estimates returns a copy of what the balancer has learned so far.
 func (b *Balancer) Estimates() Estimates {
 	var out Estimates
 	b.estimates.export(&out)
@@ -53,8 +53,9 @@
 	return out
 }
 
-// Restore continues from the estimates of an earlier process of this sidecar. Call it after Start and before any
-// endpoint list. Estimates that are invalid, or of a balancer with no class in common, change nothing.
+// Restore replaces the estimates by those of an earlier process of this sidecar. Call it after Start and
+// before any endpoint list. If the service time ratio is invalid, or none of the classes is in force, it
+// changes nothing. It skips or limits other figures that are invalid.
 func (b *Balancer) Restore(in *Estimates) {
 	inForce := func(w ClassWorkEstimate) bool { return b.demand.classNamed(w.Class) != nil }
 	if !isPositiveFinite(in.ServiceTimeRatio) || !slices.ContainsFunc(in.ClassWork, inForce) {
@@ -65,6 +66,7 @@
 	b.membership.restore(in)
 }
 
+// export sets the fields of out that the estimator has learned.
 func (est *estimator) export(out *Estimates) {
 	out.ServiceTimeRatio = est.fleetServiceTimeRatio.value
 	out.QueuedProbeShare = est.queuedProbeShare.value
@@ -79,6 +81,7 @@
 	}
 }
 
+// restore takes over the estimator's fields of in.
 func (est *estimator) restore(in *Estimates) {
 	est.fleetServiceTimeRatio = newEWMA(in.ServiceTimeRatio)
 	est.warmingSlowness.value = clampShare(in.WarmingSlowness)
@@ -103,12 +106,14 @@
 	}
 }
 
+// export adds the work of each class to out.
 func (d *demand) export(out *Estimates) {
 	for _, c := range d.classes {
 		out.ClassWork = append(out.ClassWork, ClassWorkEstimate{c.Name, c.work.value})
 	}
 }
 
+// restore takes over the work of the classes in force that in names.
 func (d *demand) restore(in *Estimates) {
 	for _, w := range in.ClassWork {
 		if c := d.classNamed(w.Class); c != nil && isPositiveFinite(w.Work) {
@@ -117,6 +122,7 @@
 	}
 }
 
+// export adds the endpoints with a service time ratio to out.
 func (m *membership) export(out *Estimates) {
 	for _, e := range m.endpoints {
 		if e.serviceTimeRatio.initialized {
@@ -128,6 +134,7 @@
 	}
 }
 
+// restore keeps the endpoints of in until the endpoint list names them.
 func (m *membership) restore(in *Estimates) {
 	m.restored = map[uint64]EndpointEstimate{}
 	for _, e := range in.Endpoints {
@@ -137,5 +144,5 @@
 	}
 }
 
-// clampShare limits a stored share to 0..1.
+// clampShare limits the stored share v to 0..1.
 func clampShare(v float64) float64 { return min(1, max(0, v)) }
--- a/balancer/loadreport.go
+++ b/balancer/loadreport.go
@@ -2,44 +2,48 @@
 
 import "math"
 
-// Load reports: the load at endpoints, as the answers to probes report it.
+// This file reads load reports: the figures about an endpoint's load that its answers to probes carry.
 
 const (
-	queuedProbeThreshold = 0.05 // share of queued probes above which probes are known to queue behind requests
-	minRequestsAhead     = 0.5  // requests that a probe waited for, from which it counts as queued
+	queuedProbeThreshold = 0.05 // share of queued probes above which probes count as queueing behind requests
+	minRequestsAhead     = 0.5  // a probe counts as queued if it waited for at least this many requests
 
-	initialTypicalLoad        = 0.5 // requests, until reports arrive
-	initialTypicalLoadSamples = 10  // that initialTypicalLoad counts as
+	initialTypicalLoad        = 0.5 // typical load, in requests, before any report has arrived
+	initialTypicalLoadSamples = 10  // number of samples that initialTypicalLoad stands for in the mean
 
-	// Weights of the latest sample in an average.
-	typicalLoadSampleWeight       = 0.1
-	sparseTypicalLoadSampleWeight = 0.03 // of the typical load where reports are sparse: single ones must not move it
-	meanLoadSampleWeight          = 0.1  // of an endpoint's mean load
-	shareSampleWeight             = 0.02 // of the shares of queued probes, late reports and rejected requests
+	// Sample weights: an average a with weight w becomes a + w (x - a) by its latest sample x.
 
-	maxLateReportShare  = 0.1 // share of late reports above which the means of reports are used instead
-	lateReportTolerance = 0.5 // requests by which a report may fall short of the own ones without being late
-	arrivalRoundTrips   = 5.0 // round trips after which a request is sure to have arrived
+	typicalLoadSampleWeight       = 0.1  // weight in the typical load
+	sparseTypicalLoadSampleWeight = 0.03 // the same where reports are sparse: a single report must not move it
+	meanLoadSampleWeight          = 0.1  // weight in the mean load of an endpoint
+	shareSampleWeight             = 0.02 // weight in the shares of queued probes, late reports and rejections
+
+	maxLateReportShare  = 0.1 // share of late reports above which each endpoint's mean load replaces its reports
+	lateReportTolerance = 0.5 // requests by which a report on time may fall short of the own requests in flight
+	arrivalRoundTrips   = 5.0 // round-trip times after which a request is taken to have arrived
 )
 
-// loadReport is the load at an endpoint by the answer to a probe.
+// loadReport is the load at an endpoint, as derived from the answer to one probe.
 type loadReport struct {
-	inFlight     float64 // requests there, or negative if unknown
-	counted      bool    // inFlight was reported, not derived
-	aheadOfProbe float64 // requests that the probe waited for
+	inFlight     float64 // requests at the endpoint; negative if unknown
+	counted      bool    // the endpoint reported a count; if false, inFlight is derived from other figures
+	aheadOfProbe float64 // requests that the probe waited for, from its latency
 }
 
+// known reports whether the load is known.
 func (l *loadReport) known() bool { return l.inFlight >= 0 }
 
+// queued reports whether the probe waited behind requests.
 func (l *loadReport) queued() bool { return l.aheadOfProbe >= minRequestsAhead }
 
-// readReport reads a load report, and learns from the probe's latency in microseconds. load holds the figures
-// in the order of Settings.ReportFields.
+// readReport derives a load report from the answer to a probe of e. load holds the reported figures in the
+// order of Settings.ReportFields. latency is the probe's in microseconds. It updates the latency of e's zone
+// and the share of queued probes.
 func (est *estimator) readReport(e *endpoint, latency float64, load []float32) loadReport {
 	fields := est.settings.ReportFields
 	inFlight, queue := reportValue(fields, load, FieldInFlight), reportValue(fields, load, FieldQueue)
 	counted, utilization := inFlight >= 0, reportValue(fields, load, FieldUtilization)
-	// Without a count, the other figures give a lower bound of it.
+	// Without a count of requests, derive a lower bound of it from the queue or from the utilization.
 	if !counted && queue >= 0 {
 		inFlight = queue + assumedCores*indicator(queue >= 1)
 	} else if !counted && utilization >= 0 {
@@ -59,7 +63,8 @@
 	return report
 }
 
-// learnReport stores the load at e, and adds it to the averages.
+// learnReport stores the reported load of other balancers at e, and adds it to the typical load and to e's
+// mean load.
 func (est *estimator) learnReport(now Micros, e *endpoint, report *loadReport) {
 	e.hasReport, e.reportedAt = true, now
 	e.reportedLoad, e.inFlightAtReport = max(0, report.inFlight-float64(e.inFlight)), e.inFlight
@@ -75,13 +80,15 @@
 	e.meanLoad.add(e.reportedLoad, meanLoadSampleWeight)
 	if est.queuedProbeShare.value > queuedProbeThreshold && !report.queued() &&
 		est.typicalLoad.value < assumedCores {
-		// Probes queue behind requests, but this one did not: a core was idle, even if a late report differs.
+		// In this fleet probes queue behind requests, but this probe did not. A core was therefore idle, even if
+		// the report, which may be late, counts more requests.
 		e.reportedLoad = min(e.reportedLoad, assumedCores-1)
 	}
 }
 
-// checkReportDelay detects whether load reports come late. A report of fewer requests than this balancer
-// has at e is late, unless some are still in transit. If many are, their means are used instead.
+// checkReportDelay detects whether load reports show an earlier load. A report is late if it counts fewer
+// requests than this balancer has in flight at e, unless some of those have not arrived yet. If the share of
+// late reports is high, the load estimates use the mean of each endpoint's reports instead of the latest one.
 func (est *estimator) checkReportDelay(now Micros, e *endpoint, report *loadReport) {
 	sentRequestsArrived := float64(now-e.lastSentAt) > arrivalRoundTrips*est.roundTrip(e)
 	if !report.counted || e.inFlight <= 0 || !sentRequestsArrived {
@@ -97,29 +104,31 @@
 	}
 }
 
-// learnProbeTimeout learns from a probe that was not answered within waited, in microseconds. It indicates
-// load only where probes queue behind requests; elsewhere the probe was lost.
+// learnProbeTimeout updates the typical load by a probe that was not answered within waited microseconds.
+// A timeout indicates load only where probes queue behind requests; elsewhere it means a lost probe.
 func (est *estimator) learnProbeTimeout(waited float64) {
 	if est.queuedProbeShare.value > queuedProbeThreshold {
 		est.learnProbeDelay(waited)
 	}
 }
 
-// learnProbeDelay counts a probe that has waited so long, in microseconds, as a report of the load that
-// explains the delay.
+// learnProbeDelay updates the typical load by a probe that has waited for waited microseconds, as if a report
+// had given the load that explains this delay.
 func (est *estimator) learnProbeDelay(waited float64) {
 	est.typicalLoad.add(assumedCores+est.requestsAhead(waited), typicalLoadSampleWeight)
 }
 
-// requestsAhead is how many requests are ahead of a probe that waits so long, in microseconds.
+// requestsAhead returns the number n of requests that a probe waits for if it waits for waited microseconds:
+// n = waited / W * assumedCores, where W is the reference work of a request.
 func (est *estimator) requestsAhead(waited float64) float64 {
 	return waited / est.demand.referenceWork() * assumedCores
 }
 
-// reportValue returns a figure of a load report, or -1 if it is missing or invalid.
+// reportValue returns the figure of a load report that belongs to the field want, or -1 if it is missing or
+// invalid. fields gives the field of each figure in load.
 func reportValue(fields []ReportField, load []float32, want ReportField) float64 {
 	for i, f := range fields[:min(len(fields), len(load))] {
-		if v := float64(load[i]); f == want && v >= 0 && !math.IsInf(v, 0) { // false for NaN, too
+		if v := float64(load[i]); f == want && v >= 0 && !math.IsInf(v, 0) { // v >= 0 is false for NaN
 			return v
 		}
 	}
--- a/balancer/pick.go
+++ b/balancer/pick.go
@@ -4,19 +4,20 @@
 	"math"
 )
 
-// Endpoint selection.
+// This file selects the endpoint of an attempt.
 
 const (
-	maxRandomDraws       = 8    // weighted random draws, before the list is scanned from a random start
-	othersDelayWeight    = 0.05 // of the delay caused to others in the cost: among equals, less load is preferred
-	crossZonePriceWeight = 2.0  // latency objectives that a price of 1 for crossing zones counts as
-	affinityChoices      = 2    // endpoints of the own zone, and as many of others, that a key maps to
-	minEndpointWeight    = 0.01 // lower bound of the weight in rendezvous hashing, which divides by it
-	maxRejectedShare     = 0.5  // of its failures, from which an ejected endpoint ranks before a late one
+	maxRandomDraws       = 8    // number of weighted random draws before the list is scanned from a random start
+	othersDelayWeight    = 0.05 // weight of the delay caused to others: among equals, less load is preferred
+	crossZonePriceWeight = 2.0  // weight of Prices.CrossZone: a price of 1 costs this many latency objectives
+	affinityChoices      = 2    // a key maps to this many endpoints of the own zone and this many of others
+	minEndpointWeight    = 0.01 // lower bound of Endpoint.Weight where it divides a rendezvous score
+	maxRejectedShare     = 0.5  // share of rejections in its failures from which ejection adds no cost
 )
 
-// picker selects the endpoint of an attempt: that of least cost among the pool, the endpoints that the
-// request's key maps to, the next warming endpoint, and random draws.
+// picker selects the endpoint of an attempt: the one of least cost among the candidates. Candidates are the
+// pool of fresh load reports, the endpoints that the request's key maps to, the next warming endpoint, and
+// random draws.
 type picker struct {
 	*environment
 	membership *membership
@@ -26,36 +27,46 @@
 	ledger     *ledger
 }
 
-// candidate is an endpoint with its cost.
+// candidate is an endpoint with its cost or score; the lower is preferred. endpoint is nil if there is none.
 type candidate struct {
 	endpoint *endpoint
-	cost     float64 // microseconds, or the score of affinityRanking
+	cost     float64 // cost in microseconds, or score by affinityRanking
 }
 
-// cost ranks endpoints for r by the predicted latency in microseconds, to which the expected failures, the
-// delay caused to others and the price of crossing zones are added as time.
+// cost returns the cost of sending r to e, in microseconds:
+//
+//	cost = L + (f + j + t) * objective + othersDelayWeight * w * s * n + crossZonePriceWeight * p * objective
+//
+// where L is the predicted latency, objective the latency objective of r's class, f the failure share of e, j
+// 1 if e is ejected and less than maxRejectedShare of its failures are rejections, t 1 if L exceeds the
+// latency limit, w the mean work of r's class, s the service time ratio of e, n the load at e, and p the
+// price of crossing zones if e is in another zone; j, t and p are otherwise 0. w * s * n stands for the delay
+// that r causes to the n requests at e.
 func (p *picker) cost(now Micros, r *request, e *endpoint) float64 {
 	objective := float64(r.class.LatencyObjective)
 	expected := p.estimates.latency(now, e, r.work)
-	// An endpoint that only rejects some requests ranks before a late one: what it rejects has not executed.
+	// An ejected endpoint whose failures are mostly rejections ranks before a late one: a rejected request has
+	// not executed.
 	ejected := e.isEjected(now) && e.rejectedShare.value < maxRejectedShare
 	late := expected > p.estimates.latencyLimit(now, r, e)
 	total := expected + (e.currentFailureShare(now)+indicator(ejected)+indicator(late))*objective
-	total += othersDelayWeight * r.class.work.value * p.estimates.serviceTimeRatio(now, e) * p.estimates.load(now, e)
+	total += othersDelayWeight * r.class.work.value *
+		p.estimates.serviceTimeRatio(now, e) * p.estimates.load(now, e)
 	return total + crossZonePriceWeight*p.settings.Prices.CrossZone*objective*indicator(!p.isLocal(e))
 }
 
 // isLocal reports whether e is in the balancer's own zone.
 func (p *picker) isLocal(e *endpoint) bool { return int(e.Zone) == p.settings.Zone }
 
-// mayConsider reports whether r may go to e, and e is neither excluded nor was tried before.
+// mayConsider reports whether the ledger permits to send r to e, e is not excluded, and no attempt of r went
+// to e before. excluded may be nil.
 func (p *picker) mayConsider(now Micros, r *request, excluded, e *endpoint) bool {
 	return e != excluded && !r.triedAt(e) && p.ledger.maySend(now, r, e)
 }
 
-// randomEndpoint returns a random endpoint that r may go to, or nil if there is none. It prefers endpoints of
-// the own zone or, if maxRoundTrip is not 0, within that many microseconds. It returns an ejected one only if
-// there is no other.
+// randomEndpoint returns a random endpoint that r may go to, or nil if there is none. It prefers endpoints in
+// the own zone and, if maxRoundTrip is not 0, also those in other zones with a round-trip time of at most
+// maxRoundTrip microseconds. It returns an ejected endpoint only if there is no other. excluded may be nil.
 func (p *picker) randomEndpoint(now Micros, r *request, excluded *endpoint, maxRoundTrip float64) *endpoint {
 	endpoints := p.membership.list()
 	n := len(endpoints)
@@ -66,7 +77,7 @@
 			start = int(p.random.uniform() * float64(n))
 		}
 		e := endpoints[(start+i)%n]
-		// Endpoints are drawn in proportion to their weight.
+		// In the random draws, endpoints are accepted in proportion to their weight.
 		tooFar := !p.isLocal(e) && (maxRoundTrip == 0 || p.estimates.roundTrip(e) > maxRoundTrip)
 		if i < maxRandomDraws && (tooFar || p.random.uniform()*p.membership.largestWeight() > float64(e.Weight)) {
 			continue
@@ -82,15 +93,16 @@
 	return ejected
 }
 
-// affinityRanking returns the endpoints that a key maps to by weighted rendezvous hashing, by ascending
-// score: first those of the own zone, then those of others. The score -ln(u)/weight, with u a uniform hash of
-// key and endpoint, gives each endpoint a share of the keys in proportion to its weight, and is the same at
-// every balancer.
+// affinityRanking returns the endpoints that a key maps to by weighted rendezvous hashing. The first
+// affinityChoices are endpoints of the own zone, the others of other zones, both by ascending score; places
+// without endpoint come last. The score of an endpoint is -ln(u) / max(minEndpointWeight, weight), where u is
+// a uniform hash of the key and the endpoint's name. It gives each endpoint a share of the keys in proportion
+// to its weight, and is the same at every balancer.
 func (p *picker) affinityRanking(now Micros, key uint64) (ranking [2 * affinityChoices]candidate) {
 	contract := &p.settings.Contract
 	for _, e := range p.membership.list() {
 		if !e.usable() || e.isEjected(now) || e.isWarming(now, contract) {
-			continue // a warming endpoint has cached nothing for any key
+			continue // a warming endpoint has cached nothing for any key yet
 		}
 		score := -math.Log(uniformHash(key, e.Name)) / max(minEndpointWeight, float64(e.Weight))
 		inserted := candidate{e, score}
@@ -107,10 +119,12 @@
 	return ranking
 }
 
-// affinityPick returns an endpoint that the request's key maps to, or nil: of least cost among the first of
-// the own zone and the first of the others or, if that would be too late, among the second ones. Where
-// reports are sparse, the pool is too old to do better: the former is returned even if too late, and the
-// request is rejected.
+// affinityPick returns an endpoint for a request with a key, or nil. The candidates are the first endpoint of
+// affinityRanking in the own zone, the first one in other zones and the next warming endpoint. If the one of
+// least cost would answer too late (requests queue there, and the predicted latency exceeds the limit), the
+// second endpoints of the ranking take the place of the first ones. If that one would be too late as well,
+// affinityPick returns nil, and the pool decides. Only where reports are sparse is the pool too old to do
+// better: the first choice is then returned although it is too late, and the request is rejected.
 func (p *picker) affinityPick(now Micros, r *request, excluded *endpoint) *endpoint {
 	if !p.settings.KeyAffinity || r.Key == 0 {
 		return nil
@@ -136,7 +150,7 @@
 	return nil
 }
 
-// consider makes e the best candidate if r may go to it and it costs less.
+// consider replaces best by e if r may go to e and e costs less, or if best is empty. A nil e is ignored.
 func (p *picker) consider(now Micros, r *request, excluded, e *endpoint, best *candidate) {
 	if e == nil || !p.mayConsider(now, r, excluded, e) {
 		return
@@ -146,7 +160,8 @@
 	}
 }
 
-// pick returns the endpoint for an attempt of r, or nil if there is none.
+// pick returns the endpoint for an attempt of r, or nil if there is none. It is never the excluded endpoint,
+// which may be nil.
 func (p *picker) pick(now Micros, r *request, excluded *endpoint) *endpoint {
 	p.slowStart.refill(now, r.work)
 	pool := p.probes.freshPool(now, r.class.LatencyObjective)
@@ -159,13 +174,13 @@
 		return e
 	}
 	var best candidate
-	// The random start decides between equals: all balancers may hold the same list.
+	// The random start decides between endpoints of equal cost: all balancers may hold the same list.
 	for i, start := 0, int(p.random.uniform()*float64(len(pool))); i < len(pool); i++ {
 		p.consider(now, r, excluded, pool[(start+i)%len(pool)], &best)
 	}
-	// Random draws hit the next warming endpoint too seldom to warm it up.
+	// The next warming endpoint is considered explicitly: random draws select it too rarely to warm it up.
 	p.consider(now, r, excluded, p.slowStart.candidate(), &best)
-	// Random draws compete with a pool of less than half of the endpoints, which must not get all requests.
+	// A pool of less than half of the endpoints must not get all requests: random draws compete with it.
 	smallPool := !p.probes.probesWithRequests() && 2*len(pool) < len(p.membership.list())
 	if best.endpoint == nil || smallPool {
 		for range 2 {
