--- a/balancer/averages_test.go
+++ b/balancer/averages_test.go
@@ -5,12 +5,12 @@
 func TestEWMATakesItsFirstSampleInFull(t *testing.T) {
 	var a ewma
 	if got := a.valueOr(7); got != 7 {
-		t.Errorf("without samples %v, want the fallback", got)
+		t.Errorf("average %v without samples, want the fallback 7", got)
 	}
 	a.add(10, 0.1)
 	a.add(20, 0.1)
 	if !almostEqual(a.value, 11) || a.valueOr(7) != a.value {
-		t.Errorf("average %v, want 11", a.value)
+		t.Errorf("average %v after the samples 10 and 20 (weight 0.1), want 11", a.value)
 	}
 }
 
@@ -20,12 +20,12 @@
 		m.add(x, 0.1)
 	}
 	if !almostEqual(m.value, 4) {
-		t.Errorf("mean of three samples %v, want 4", m.value)
+		t.Errorf("mean %v of the samples 9, 1 and 2, want 4", m.value)
 	}
 	m.samples = 100
 	m.add(14, 0.1)
 	if !almostEqual(m.value, 5) {
-		t.Errorf("%v after many samples, want 5 by the weight", m.value)
+		t.Errorf("mean %v after a sample of 14 with weight 0.1 at a mean of 4, want 5", m.value)
 	}
 }
 
@@ -35,10 +35,10 @@
 		m.add(now, 1)
 	}
 	if got := m.rate(20 * second); got < 99 || got > 101 {
-		t.Errorf("rate %v of 100 events a second", got)
+		t.Errorf("rate %v at 100 events per second, want 99 to 101", got)
 	}
 	if got := m.rate(40 * second); got > 0.01 {
-		t.Errorf("rate %v twenty seconds after the last event", got)
+		t.Errorf("rate %v twenty seconds after the last event, want at most 0.01", got)
 	}
 }
 
@@ -46,17 +46,17 @@
 	var z zoneLatency
 	for i, x := range []float64{100, 110, 90, 5000, 100, 95, 105, 100, 100} {
 		if got := z.queueingDelay(1_000_000); got != 0 {
-			t.Errorf("queueing delay %v after %d samples, want none until the latency is known", got, i)
+			t.Errorf("queueing delay %v after %d samples, want 0 until there are 9", got, i)
 		}
 		z.add(x)
 	}
 	if z.median != 100 {
-		t.Errorf("median %v, want 100 in spite of an outlier", z.median)
+		t.Errorf("median %v, want 100 despite an outlier of 5000", z.median)
 	}
 	if got := z.queueingDelay(101); got != 0 {
-		t.Errorf("queueing delay %v of a latency within the deviation", got)
+		t.Errorf("queueing delay %v of a latency within the deviation, want 0", got)
 	}
 	if got := z.queueingDelay(100_100); got != 100_000 {
-		t.Errorf("queueing delay %v, want what exceeds the median", got)
+		t.Errorf("queueing delay %v of a latency of 100100, want 100000, the excess over the median", got)
 	}
 }
--- a/balancer/breaker_test.go
+++ b/balancer/breaker_test.go
@@ -11,18 +11,18 @@
 	for _, c := range []struct {
 		name              string
 		accepts, failures int
-		drops             int
-		failingBuckets    int // that the failures are spread over
+		drops             int // requests dropped by the breaker
+		failingBuckets    int // number of buckets that the failures are spread over
 		want              float64
 	}{
 		{"empty", 0, 0, 0, 1, 0},
 		{"within protected requests", 0, 5, 0, 1, 0},
 		{"one beyond protected requests", 0, 6, 0, 1, 1.0 / 7},
-		// 30 requests, 10 accepts in the newest bucket: K stays 1.5.
+		// 30 requests, 10 of them accepted, all in the newest bucket: K stays 1.5.
 		{"two thirds fail", 10, 20, 0, 1, (30.0 - 5 - 15) / 31},
 		{"dropped requests count", 10, 0, 20, 1, (30.0 - 5 - 15) / 31},
 		{"all accepted", 40, 0, 0, 1, 0},
-		// 20 failing buckets after the accepts: K = 1.5 - 0.4*20/40 = 1.3.
+		// 20 buckets with failures alone after the accepted requests: K = 1.5 - 0.4*20/40 = 1.3.
 		{"K falls", 10, 20, 0, 20, (30.0 - 5 - 13) / 31},
 	} {
 		var k circuitBreaker
@@ -40,7 +40,7 @@
 			k.count(now, requestDropped)
 		}
 		if got := k.errorDropProbability(now); !almostEqual(got, c.want) {
-			t.Errorf("%s: got %v, want %v", c.name, got, c.want)
+			t.Errorf("%s: drop probability %v, want %v", c.name, got, c.want)
 		}
 	}
 }
@@ -51,17 +51,17 @@
 		k.count(100*second, requestFailed)
 	}
 	if k.errorDropProbability(109*second) == 0 {
-		t.Error("failures of nine seconds ago are forgotten")
+		t.Error("drop probability 0 nine seconds after 100 failures, want more: the window is ten seconds")
 	}
 	if got := k.errorDropProbability(110*second + 1); got != 0 || k.requests != 0 {
-		t.Errorf("after the window: drop probability %v, %d requests", got, k.requests)
+		t.Errorf("drop probability %v and %d requests after the window, want 0 and 0", got, k.requests)
 	}
 	for range 100 {
 		k.count(200*second, requestFailed)
 	}
 	k.errorDropProbability(500 * second)
 	if k.requests != 0 {
-		t.Errorf("after a long idle time: %d requests", k.requests)
+		t.Errorf("%d requests in the window after 300 s without any, want 0", k.requests)
 	}
 }
 
@@ -69,15 +69,18 @@
 	var k circuitBreaker
 	k.addLatency(100)
 	if k.baseLatency != 100 || k.currentLatency != 100 {
-		t.Fatalf("first: base %v current %v", k.baseLatency, k.currentLatency)
+		t.Fatalf("first sample of 100: base latency %v, current latency %v, want 100 and 100",
+			k.baseLatency, k.currentLatency)
 	}
-	k.addLatency(60) // base falls to (60+3*100)/4, as does current
+	k.addLatency(60) // the base latency falls to (60+3*100)/4, and so does the current latency
 	if !almostEqual(k.baseLatency, 90) || !almostEqual(k.currentLatency, 90) {
-		t.Fatalf("fall: base %v current %v", k.baseLatency, k.currentLatency)
+		t.Fatalf("sample of 60 after 100: base latency %v, current latency %v, want 90 and 90",
+			k.baseLatency, k.currentLatency)
 	}
-	k.addLatency(190) // base rises to (190+99*90)/100, current to (190+3*90)/4
+	k.addLatency(190) // base latency (190+99*90)/100, current latency (190+3*90)/4
 	if !almostEqual(k.baseLatency, 91) || !almostEqual(k.currentLatency, 115) {
-		t.Fatalf("rise: base %v current %v", k.baseLatency, k.currentLatency)
+		t.Fatalf("sample of 190 after 90: base latency %v, current latency %v, want 91 and 115",
+			k.baseLatency, k.currentLatency)
 	}
 }
 
@@ -88,7 +91,7 @@
 		want                   float64
 	}{
 		{"no sample", 0, 0, 1000, 0},
-		{"under three times the baseline", 100, 299, 1000, 0},
+		{"below three times the base latency", 100, 299, 1000, 0},
 		{"half of the range", 100, 625, 1000, 0.15}, // (625-300)/(950-300)*0.3
 		{"at the ceiling", 100, 950, 1000, 0.3},
 		{"capped", 100, 5000, 1000, 0.3},
@@ -96,7 +99,7 @@
 	} {
 		k := circuitBreaker{baseLatency: c.base, currentLatency: c.current}
 		if got := k.latencyDropProbability(c.timeout); !almostEqual(got, c.want) {
-			t.Errorf("%s: got %v, want %v", c.name, got, c.want)
+			t.Errorf("%s: drop probability %v, want %v", c.name, got, c.want)
 		}
 	}
 }
@@ -110,7 +113,7 @@
 	}
 	r := recordOf(b, Request{})
 	if !b.breakers.allow(now, r, e) {
-		t.Fatal("the first request is not let through as a trial")
+		t.Fatal("the first request is dropped, want it let through as a trial")
 	}
 	passed := 0
 	for range 200 {
@@ -119,14 +122,14 @@
 		}
 	}
 	if passed > 20 {
-		t.Errorf("%d of 200 let through to an endpoint that fails all, want 20 at most", passed)
+		t.Errorf("%d of 200 requests let through to an endpoint that fails all, want at most 20", passed)
 	}
 	if !b.breakers.allow(now+forcedTrialInterval+1001, r, e) {
-		t.Error("none is let through after the trial interval")
+		t.Error("the request after the trial interval is dropped, want it let through")
 	}
 }
 
-// If all endpoints fail at once, ejection must not send all requests to the few that are not ejected yet.
+// If all endpoints fail at once, ejection must not direct all requests to the few that are not ejected yet.
 func TestLoadStaysSpreadWhenAllFail(t *testing.T) {
 	b, r := start(t, testSettings(), ready(8))
 	sends := map[uint32]int{}
@@ -139,15 +142,15 @@
 		}
 	}
 	if !b.membership.endpoints[0].isEjected(41_000) {
-		t.Fatal("an endpoint that fails all is not ejected")
+		t.Fatal("endpoint 1 fails all requests, but is not ejected")
 	}
 	for e, n := range sends {
 		if n > 3*len(r.sends)/8 {
-			t.Errorf("endpoint %d got %d of %d sends", e, n, len(r.sends))
+			t.Errorf("endpoint %d got %d of %d sends, want at most three eighths", e, n, len(r.sends))
 		}
 	}
 	if b.membership.endpoints[0].isEjected(60 * second) {
-		t.Error("an ejection never ends")
+		t.Error("endpoint 1 is still ejected at 60 s, want the ejection to end")
 	}
 }
 
@@ -180,9 +183,9 @@
 		serveRequest()
 	}
 	if sends[1] > 300 {
-		t.Errorf("an endpoint that fails fast got %d of 3000, want 300 at most", sends[1])
+		t.Errorf("an endpoint that fails fast got %d sends of 3000 requests, want at most 300", sends[1])
 	}
 	if sends[1] < 2 {
-		t.Errorf("a failing endpoint is never tried again: %d sends", sends[1])
+		t.Errorf("a failing endpoint got %d sends, want at least 2, as it must be tried again", sends[1])
 	}
 }
--- a/balancer/estimates_test.go
+++ b/balancer/estimates_test.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-// The next process continues from the estimates of the one before, from its first request on; a new process of an
-// endpoint shares nothing with the old.
+// A new process of a sidecar continues from the estimates of the previous one, from its first request on. Only the
+// estimates of an endpoint that has been restarted since are not taken over.
 func TestRestoreContinuesFromEstimates(t *testing.T) {
 	list := withNames(ready(4))
 	list[3].StartTime = 5
@@ -48,7 +48,7 @@
 		}
 	}
 	if got, want := learnedBy(next), learnedBy(old); got != want {
-		t.Errorf("restored %+v, want %+v", got, want)
+		t.Errorf("restored estimates %+v, want %+v", got, want)
 	}
 	measured := 0
 	for id := uint32(1); id <= 3; id++ {
@@ -62,14 +62,14 @@
 		}
 	}
 	if measured < 2 {
-		t.Errorf("%d endpoints have a service time ratio, want 2 at least", measured)
+		t.Errorf("%d of endpoints 1 to 3 have a measured service time ratio, want at least 2", measured)
 	}
 	if next.membership.byID[4].serviceTimeRatio.initialized {
-		t.Error("a new process of an endpoint has the service time ratio of the old one")
+		t.Error("endpoint 4, a new process, has a service time ratio, want none from the old process")
 	}
 }
 
-// Estimates that are invalid, or from other settings, change nothing.
+// Estimates that are invalid, or that name only other classes, must not change the work or make an estimate invalid.
 func TestInvalidEstimatesAreIgnored(t *testing.T) {
 	noWork := []ClassWorkEstimate{{"read", 0}}
 	otherClass := []ClassWorkEstimate{{"elsewhere", 1}}
@@ -86,12 +86,13 @@
 		work, slowness := b.demand.classes[0].work.value, b.estimates.warmingSlowness.value
 		ratio := b.estimates.fleetServiceTimeRatio
 		if work != before || slowness > 1 || !isPositiveFinite(ratio.valueOr(1)) {
-			t.Errorf("%s: work %v, warming slowness %v, service time ratio %v", name, work, slowness, ratio.value)
+			t.Errorf("%s: work %v, warming slowness %v, service time ratio %v; want work %v, slowness up to 1, a finite ratio",
+				name, work, slowness, ratio.value, before)
 		}
 	}
 }
 
-// The next process may have the classes in another order, and new ones.
+// The next process may have the classes in another order, and new classes: the work of a class is restored by its name.
 func TestClassWorkIsRestoredByName(t *testing.T) {
 	b, _ := start(t, testSettings(), ready(2))
 	for i, c := range b.demand.classes {
@@ -108,6 +109,6 @@
 		got[i] = c.work.value
 	}
 	if got != [...]float64{100, 5, 1} {
-		t.Errorf("work of new, write and read: %v, want 100, 5 and 1", got)
+		t.Errorf("work of the classes new, write and read: %v, want 100, 5 and 1", got)
 	}
 }
--- a/balancer/loadreport_test.go
+++ b/balancer/loadreport_test.go
@@ -12,17 +12,18 @@
 	for _, load := range [][]float32{nil, {}, {nan}, {-3}, {float32(math.Inf(1))}} {
 		b.HandleProbe(1000, 1, OK, 500, load)
 		if b.membership.endpoints[0].hasReport {
-			t.Errorf("report %v counts as a load", load)
+			t.Errorf("report %v was taken as a load, want it ignored", load)
 		}
 	}
-	b.HandleProbe(1000, 99, OK, 500, []float32{1}) // unknown endpoint
+	b.HandleProbe(1000, 99, OK, 500, []float32{1}) // no endpoint has ID 99
 	b.HandleProbe(1000, 1, OK, 500, []float32{2, 7, 9})
 	if b.estimates.load(1000, b.membership.endpoints[0]) != 2 {
-		t.Errorf("load %v, want 2", b.estimates.load(1000, b.membership.endpoints[0]))
+		t.Errorf("load %v of endpoint 1 after a report of 2, want 2", b.estimates.load(1000, b.membership.endpoints[0]))
 	}
 }
 
-// Reports that count fewer requests than this balancer has in flight there are late; they must not decide picks.
+// A report is late if it counts fewer requests than this balancer has in flight at the endpoint. Late reports must be
+// detected, and must not be used to pick an endpoint.
 func TestDelayedReportsAreDetected(t *testing.T) {
 	b, r := start(t, testSettings(), ready(2))
 	for id := range uint64(3) {
@@ -35,10 +36,10 @@
 		b.HandleProbe(13_000+i, busy.ID, OK, 500, []float32{0})
 	}
 	if !b.estimates.reportsLate {
-		t.Fatal("late reports are not detected")
+		t.Fatal("reports of 0 requests at an endpoint with requests in flight are not detected as late")
 	}
 	if got := b.estimates.load(14_000, busy); got < float64(busy.inFlight) {
-		t.Errorf("load %v, want the %d own attempts in flight at least", got, busy.inFlight)
+		t.Errorf("load %v while reports are late, want at least the %d own attempts in flight", got, busy.inFlight)
 	}
 	for i := range Micros(400) {
 		busy.probeInFlight = false
@@ -46,12 +47,12 @@
 		b.HandleProbe(15_000+i, busy.ID, OK, 500, []float32{5})
 	}
 	if b.estimates.reportsLate {
-		t.Error("reports count as late though they are not any longer")
+		t.Error("reports still count as late after 400 reports on time, want them in use again")
 	}
 }
 
-// While reports are late, their mean at each endpoint counts: endpoints under heavy load from other balancers must
-// differ from the others, and the fleet's mean must not raise the latency limit of any.
+// While reports are late, the mean of each endpoint's reports is its load: an endpoint under heavy load from other
+// balancers must still be told from an idle one, and the mean over the fleet must not raise any latency limit.
 func TestDelayedReportsAreAveragedByEndpoint(t *testing.T) {
 	b, _ := start(t, testSettings(), ready(2))
 	b.demand.classes[0].requestRate.add(0, 1)
@@ -66,15 +67,16 @@
 	busy := b.estimates.load(1000, b.membership.byID[1])
 	idle := b.estimates.load(1000, b.membership.byID[2])
 	if busy < 4 || idle > 1 {
-		t.Errorf("load %.1f where reports say 4 to 6, %.1f where they say 0 to 1", busy, idle)
+		t.Errorf("load %.1f where reports are 4 and 6, %.1f where they are 0 and 1, want at least 4 and at most 1",
+			busy, idle)
 	}
-	const roundTrip = 500 // known since the first probe
+	const roundTrip = 500 // microseconds; the balancer knows it from the first probe on
 	if after := b.estimates.latencyLimit(0, r, b.membership.endpoints[0]); after > before+roundTrip {
-		t.Errorf("limit %v before, %v while late", before, after)
+		t.Errorf("latency limit %v us while reports are late, want at most %v us", after, before+roundTrip)
 	}
 }
 
-// If reports are old or hold no count, a probe that queued still indicates a queue.
+// Where reports are old or hold no count of requests, a slow answer to a probe must still show that requests queue.
 func TestQueuedProbeShowsLoad(t *testing.T) {
 	s := testSettings()
 	s.ReportFields = []ReportField{FieldServedRate, FieldUtilization}
@@ -89,27 +91,27 @@
 	}
 	b.HandleProbe(2000, 1, OK, 160_500, []float32{90, 0.5})
 	if got := b.estimates.load(2000, e); got < 2*assumedCores {
-		t.Errorf("load %v, though the probe waited for two requests' work", got)
+		t.Errorf("load %v after a probe that waited for two requests' work, want at least %v", got, 2*assumedCores)
 	}
 	b.HandleProbe(3000, 1, Rejected, 500, nil)
 	if e.reportedAt != 0 {
-		t.Error("an endpoint that rejects probes stays in the pool")
+		t.Errorf("an endpoint that rejects probes stays in the pool: report of instant %d, want 0 for none", e.reportedAt)
 	}
 }
 
-// The latency to a far zone varies by as much as a request's work takes: that must not count as a queue. Nor may a few
-// quick answers make all later probes seem to have queued.
+// The latency of probes to a distant zone varies by as much as the work of a request. This variation must not be taken
+// for queueing, and a few quick answers at the start must not make all later probes seem to have queued.
 func TestVaryingZoneLatencyIsNoQueue(t *testing.T) {
 	for _, c := range []struct {
 		name         string
-		quickAnswers int
+		quickAnswers int // number of answers in 200 us at the start
 	}{{"latencies vary", 0}, {"quick answers at the start", 3}} {
 		s := testSettings()
 		s.Classes[0].LatencyObjective = 50_000
 		b, _ := start(t, s, ready(2))
 		var noise splitMix64 = 5
 		now := Micros(1000)
-		probe := func(latency Micros) { // whose report counts no request
+		probe := func(latency Micros) { // handles a probe whose report counts no request
 			now += 100_000
 			b.HandleProbe(now, 1, OK, latency, []float32{0})
 		}
@@ -118,11 +120,12 @@
 		}
 		for range 5 {
 			if probe(11_000 + noise.duration(4000)); b.estimates.load(now, b.membership.byID[1]) > 0 {
-				t.Errorf("%s: an idle endpoint shows a load while its zone latency is being learned", c.name)
+				t.Errorf("%s: load %v at an idle endpoint while its zone latency is being learned, want 0", c.name,
+					b.estimates.load(now, b.membership.byID[1]))
 			}
 		}
 		if latency := b.estimates.zoneLatencies[0].median; latency < 11_000 || latency > 15_000 {
-			t.Errorf("%s: a zone latency of %.0f us, want 11 to 15 ms", c.name, latency)
+			t.Errorf("%s: zone latency %.0f us, want 11,000 to 15,000 us", c.name, latency)
 		}
 		queued := 0
 		for range 100 {
@@ -130,16 +133,17 @@
 			queued += int(indicator(b.estimates.load(now, b.membership.byID[1]) > 0))
 		}
 		if queued > 5 {
-			t.Errorf("%s: %d of 100 probes of an idle endpoint show a load", c.name, queued)
+			t.Errorf("%s: %d of 100 probes of an idle endpoint show a load, want at most 5", c.name, queued)
 		}
 		probe(60_000)
 		if got := b.estimates.load(now, b.membership.byID[1]); got < assumedCores {
-			t.Errorf("%s: load %v after a probe that waited 47 ms", c.name, got)
+			t.Errorf("%s: load %v after a probe that waited 47 ms, want at least %v", c.name, got, assumedCores)
 		}
 	}
 }
 
-// Only idle endpoints answer a probe in time. In an overload, the timeouts must count, or the fleet seems idle.
+// Only idle endpoints answer a probe in time. In an overload, probe timeouts must count as load: otherwise the fleet
+// would seem idle, and no request would be rejected.
 func TestProbeTimeoutsCountAsLoad(t *testing.T) {
 	s := testSettings()
 	s.Balancers = 1000
@@ -152,14 +156,15 @@
 		b.HandleTimer(now+40_000, r.timers[len(r.timers)-1])
 	}
 	if b.estimates.typicalLoad.value < assumedCores {
-		t.Errorf("typical load %v though no probe is answered", b.estimates.typicalLoad.value)
+		t.Errorf("typical load %v while no probe is answered, want at least %v",
+			b.estimates.typicalLoad.value, assumedCores)
 	}
 	if len(r.rejected) == 0 {
-		t.Error("nothing rejected though no probe is answered")
+		t.Error("no request was rejected while no probe is answered, want at least 1")
 	}
 }
 
-// Where probes do not queue behind requests, a probe without answer must not count as load.
+// A probe timeout must count as load only where probes queue behind requests. Elsewhere the probe was lost.
 func TestLostProbeIsNotLoad(t *testing.T) {
 	b, _ := start(t, testSettings(), ready(2))
 	for i := range Micros(20) {
@@ -168,23 +173,25 @@
 	before := b.estimates.typicalLoad.value
 	b.HandleProbe(30_000, 2, Timeout, 400_000, nil)
 	if b.estimates.typicalLoad.value > before {
-		t.Errorf("typical load %.1f before a lost probe, %.1f after it", before, b.estimates.typicalLoad.value)
+		t.Errorf("typical load %.1f after a lost probe, want at most %.1f as before", b.estimates.typicalLoad.value, before)
 	}
 	b.estimates.queuedProbeShare.value = 0.5
 	b.HandleProbe(40_000, 2, Timeout, 400_000, nil)
 	if b.estimates.typicalLoad.value <= before {
-		t.Errorf("typical load %.1f after a timeout where probes queue", b.estimates.typicalLoad.value)
+		t.Errorf("typical load %.1f after a timeout where probes queue, want more than %.1f",
+			b.estimates.typicalLoad.value, before)
 	}
 }
 
-// A balancer that probes one endpoint of sixty a second must not reject requests by its latest few reports, which may
-// be outliers; one that probes many follows them.
+// A balancer that probes one of sixty endpoints per second must not reject requests because of its latest few reports,
+// which may be outliers: they must not move its typical load much. A balancer that probes many endpoints follows its
+// latest reports.
 func TestFewReportsDoNotMoveTypicalLoad(t *testing.T) {
 	for _, c := range []struct {
 		name             string
 		endpoints        int
-		loads            []float32
-		minLoad, maxLoad float64 // of the typical load
+		loads            []float32 // reported loads, one per second
+		minLoad, maxLoad float64   // limits of the typical load afterwards
 	}{
 		{"the first is an outlier", 60, []float32{9, 1, 1, 1, 1, 1, 1, 1, 1, 1}, 1, 2},
 		{"all so far are outliers", 60, []float32{9, 9}, 1, 3},
@@ -199,7 +206,7 @@
 				b.HandleProbe(Micros(i)*second, uint32(i%c.endpoints+1), OK, 500, []float32{load})
 			}
 			if got := b.estimates.typicalLoad.value; got < c.minLoad || got > c.maxLoad {
-				t.Errorf("the typical load is %.2f, want %.1f to %.1f", got, c.minLoad, c.maxLoad)
+				t.Errorf("typical load %.2f, want %.1f to %.1f", got, c.minLoad, c.maxLoad)
 			}
 		})
 	}
--- a/balancer/overload_test.go
+++ b/balancer/overload_test.go
@@ -6,90 +6,91 @@
 	"testing"
 )
 
-// service simulates a fleet of balancers and endpoints of finite capacity, on one clock. An attempt that its client
-// abandons closes its connection and ends its work; what was done by then is lost. Clients retry, within their timeout,
-// when they are rejected or an attempt times out.
+// service simulates a fleet of balancers and endpoints of finite capacity on one clock. When a client abandons an
+// attempt, its connection is closed and its work at the endpoint ends; the work done by then is lost. A client that is
+// rejected, or whose attempt times out, sends its request again as long as its timeout has not passed.
 type service struct {
 	simClock
 	hosts          []*clientHost
-	endpoints      []*server
+	endpoints      []*server // the endpoint with ID i is endpoints[i-1]
 	rng            splitMix64
-	clientAttempts uint64
-	offered        []int // client requests, by the second of their arrival
-	inTime         []int // those of them served within the latency objective
+	clientAttempts uint64 // number of client attempts so far, and ID of the latest
+	offered        []int  // number of client requests by the second of their arrival
+	inTime         []int  // number of these requests that were served within the latency objective
 }
 
-// clientHost is the host of one balancer.
+// clientHost is the host of one balancer, with the attempts that clients made there.
 type clientHost struct {
 	service         *service
 	balancer        *Balancer
-	open            map[uint64]*clientAttempt
-	idleConnections map[uint32]int // connections, by endpoint
+	open            map[uint64]*clientAttempt // attempts without a final answer, by ID
+	idleConnections map[uint32]int            // number of idle connections, by endpoint ID
 }
 
-// clientRequest is one request as its client sees it: up to simMaxAttempts attempts.
+// clientRequest is one request of a client, which makes up to simMaxAttempts attempts.
 type clientRequest struct {
 	arrivedAt Micros
 	attempts  int
 }
 
-// clientAttempt is one attempt of a client, as one balancer gets it.
+// clientAttempt is one attempt of a client: one request for the balancer that gets it.
 type clientAttempt struct {
 	request  *clientRequest
 	id       uint64
 	deadline Micros
-	jobs     []*job
+	jobs     []*job // one for each attempt of the balancer
 }
 
-// job is one attempt at work at a server.
+// job is one attempt of a balancer at a server, queued or being served.
 type job struct {
-	remainingWork float64 // microseconds
+	remainingWork float64 // microseconds at speed 1
 	server        *server
-	startedAt     Micros // when it got a slot
-	onDone        func(now Micros)
-	ended         bool
+	startedAt     Micros           // instant at which it got a slot; 0 while it is queued
+	onDone        func(now Micros) // called when the work is done
+	ended         bool             // done or abandoned
 }
 
-// server shares its cores among its jobs. While overloaded it takes longer for the same work.
+// server is an endpoint that shares its cores among its jobs. While it is overloaded, the same work takes longer.
 type server struct {
 	service         *service
 	cores           float64
-	speed           float64 // microseconds of work that a core does in a microsecond
-	jobs            []*job
-	advancedTo      Micros    // instant up to which work is done
-	timerGeneration int       // of its latest timer; earlier ones are void
-	meanLoad        float64   // requests a core, averaged over loadTimeConstant
-	lastReport      []float32 // queue, and recent service time in milliseconds
-	serviceTime     ewma      // microseconds from the start in a slot to the end
-	overloadedAt    Micros    // start of the time with too many jobs; 0 if it has not too many
-	idleAt          Micros    // start of the time with few jobs; 0 if it has more
+	speed           float64   // microseconds of work that one core does per microsecond
+	jobs            []*job    // in the order of arrival
+	advancedTo      Micros    // instant up to which the work of the jobs is computed
+	timerGeneration int       // generation of the latest timer; earlier timers have no effect
+	meanLoad        float64   // requests per core, averaged with loadTimeConstant
+	lastReport      []float32 // queued requests, and recent service time in milliseconds
+	serviceTime     ewma      // average time in microseconds from getting a slot to the end
+	overloadedAt    Micros    // instant from which meanLoad has exceeded overloadFrom; 0 if it does not
+	idleAt          Micros    // instant from which meanLoad has been below idleBelow; 0 if it is not
 	overloaded      bool
 }
 
-// The simulated clients and requests; times and work in microseconds.
+// Figures of the simulated clients, requests and servers. Times and work are in microseconds.
 const (
-	simLatencyObjective = 200 * 1000 // of a client's request, over all its attempts
-	simClientTimeout    = 500 * 1000 // of the client, over all its attempts
-	simAttemptTimeout   = 275 * 1000 // of the client, for one attempt
-	simMaxAttempts      = 3
-	meanWork            = 27_000.0 // of a request
-	handshakeWork       = 1100     // of a new connection
-	reportPeriod        = second   // of a server's load reports
-	slotsPerCore        = 4        // requests served concurrently by a core; the others queue
+	simLatencyObjective = 200 * 1000 // latency objective of a client's request, over all its attempts
+	simClientTimeout    = 500 * 1000 // timeout of a client's request, over all its attempts
+	simAttemptTimeout   = 275 * 1000 // timeout of one attempt of a client
+	simMaxAttempts      = 3          // attempts of a client per request
+	meanWork            = 27_000.0   // mean work of a request
+	handshakeWork       = 1100       // work of setting up a connection
+	reportPeriod        = second     // interval between the load reports of a server
+	slotsPerCore        = 4          // requests that a core serves concurrently; the others queue
 )
 
-// A server becomes overloaded once its mean load has exceeded overloadFrom requests a core for overloadAfter. Its work
-// then takes overloadSlowdown times as long, until its mean load has been below idleBelow for idleAfter. The mean
-// decays with loadTimeConstant.
+// A server becomes overloaded once its mean load has exceeded overloadFrom for overloadAfter. Its work then takes
+// overloadSlowdown times as long, until its mean load has been below idleBelow for idleAfter.
 const (
-	overloadFrom     = 4.0
-	overloadAfter    = 2 * second
-	overloadSlowdown = 2.7
-	idleBelow        = 0.4
-	idleAfter        = 3 * second
-	loadTimeConstant = 500_000.0
+	overloadFrom     = 4.0        // requests per core
+	overloadAfter    = 2 * second // time above overloadFrom until the server is overloaded
+	overloadSlowdown = 2.7        // divides the speed of an overloaded server
+	idleBelow        = 0.4        // requests per core
+	idleAfter        = 3 * second // time below idleBelow until the server is no longer overloaded
+	loadTimeConstant = 500_000.0  // time constant of the mean load's exponential decay, in microseconds
 )
 
+// newService returns a service with started balancers. The endpoints are of three kinds in turn, which differ in cores
+// and speed.
 func newService(t *testing.T, balancers, endpoints int) *service {
 	t.Helper()
 	s := &service{rng: 11, offered: make([]int, 64), inTime: make([]int, 64)}
@@ -120,7 +121,8 @@
 	return s
 }
 
-// startTraffic has requests arrive at a rate that may change with time; some balancers get several times the mean.
+// startTraffic starts client requests at the given rate per second, which may change with time, until an instant. Some
+// balancers get several times the mean rate.
 func (s *service) startTraffic(rate func(now Micros) float64, until Micros) {
 	var next func(now Micros)
 	next = func(now Micros) {
@@ -135,7 +137,8 @@
 	s.after(1, next)
 }
 
-// startAttempt has a client send its request again, within its timeout and limit of attempts.
+// startAttempt has a client send the next attempt of its request, unless its timeout has passed or it has made
+// simMaxAttempts attempts.
 func (h *clientHost) startAttempt(now Micros, r *clientRequest) {
 	if r.attempts == simMaxAttempts || now >= r.arrivedAt+simClientTimeout {
 		return
@@ -151,7 +154,7 @@
 	h.balancer.HandleRequest(now, Request{ID: attempt.id, Deadline: attempt.deadline})
 }
 
-// scheduleRetry ends an attempt of a client, which retries after a random backoff.
+// scheduleRetry ends an attempt of a client, if it is open, and has the client retry after a random backoff.
 func (h *clientHost) scheduleRetry(attempt *clientAttempt) {
 	if h.open[attempt.id] == nil {
 		return
@@ -161,7 +164,7 @@
 	h.service.after(backoff, func(now Micros) { h.startAttempt(now, attempt.request) })
 }
 
-// timeOut ends an attempt of a client at its deadline.
+// timeOut ends an attempt of a client at its deadline: its jobs end, and the client may retry.
 func (h *clientHost) timeOut(now Micros, attempt *clientAttempt) {
 	for i, j := range attempt.jobs {
 		if !j.ended {
@@ -220,19 +223,19 @@
 func (h *clientHost) Watch(bool) {}
 func (h *clientHost) Log(string) {}
 
-// report takes the server's next load report, which probes bring until the one after it.
+// report updates the load report that the server gives to probes, and schedules the next update.
 func (v *server) report(now Micros) {
 	queued := max(0, float64(len(v.jobs))-v.cores)
 	v.lastReport = []float32{float32(queued), float32(v.serviceTime.value / 1000)}
 	v.service.after(reportPeriod, v.report)
 }
 
-// serving returns the jobs at work; the others wait for a slot.
+// serving returns the jobs that have a slot; the others wait for one.
 func (v *server) serving() []*job {
 	return v.jobs[:min(len(v.jobs), slotsPerCore*int(v.cores))]
 }
 
-// rate is the work done a microsecond for each job at work.
+// rate returns the work that is done per microsecond for each job with a slot.
 func (v *server) rate() float64 {
 	rate := v.speed * min(1, v.cores/float64(max(1, len(v.serving()))))
 	if v.overloaded {
@@ -241,7 +244,7 @@
 	return rate
 }
 
-// advance does the work up to now, and updates whether the server is overloaded.
+// advance computes the work done up to now, and updates whether the server is overloaded.
 func (v *server) advance(now Micros) {
 	done := v.rate() * float64(now-v.advancedTo)
 	for _, j := range v.serving() {
@@ -260,7 +263,8 @@
 	}
 }
 
-// trackStart keeps the instant from which a condition has held, or 0 while it does not hold.
+// trackStart sets *at to the instant from which the condition has held without interruption, or to 0 if it does not
+// hold.
 func trackStart(at *Micros, holds bool, now Micros) {
 	if !holds {
 		*at = 0
@@ -269,14 +273,14 @@
 	}
 }
 
-// accept adds a job.
+// accept adds the job j to the server.
 func (v *server) accept(now Micros, j *job) {
 	v.advance(now)
 	v.jobs = append(v.jobs, j)
 	v.scheduleNext()
 }
 
-// remove ends a job, whether it is done or not.
+// remove ends the job j, whether it is done or not.
 func (v *server) remove(now Micros, j *job) {
 	v.advance(now)
 	j.ended = true
@@ -284,7 +288,7 @@
 	v.scheduleNext()
 }
 
-// scheduleNext sets the timer for the first job that will be done, and voids any earlier timer.
+// scheduleNext starts the timer for the job that will be done first. Earlier timers no longer have an effect.
 func (v *server) scheduleNext() {
 	v.timerGeneration++
 	if len(v.jobs) == 0 {
@@ -308,8 +312,9 @@
 	})
 }
 
-// A burst of some seconds beyond the endpoints' capacity leaves them overloaded and the clients retrying. A few seconds
-// after it, when the demand is within the capacity, all requests must be served in time again.
+// A burst of a few seconds beyond the endpoints' capacity leaves the endpoints overloaded and the clients retrying.
+// From five seconds after the burst on, with demand within the capacity again, nearly as many requests must be served
+// in time as before it.
 func TestFleetRecoversFromABurst(t *testing.T) {
 	const (
 		burstFrom = 6 * second
@@ -331,19 +336,21 @@
 			s.run(end + simClientTimeout)
 			before, burst := s.inTimeShare(second, burstFrom), s.inTimeShare(burstFrom, burstTo)
 			after := s.inTimeShare(burstTo+recovery, end)
-			t.Logf("in time: %.2f before the burst, %.2f in it, %.2f later than %d s after it; by the second %v of %v",
+			t.Logf("in time: %.2f before the burst, %.2f during it, %.2f from %d s after it on; by second %v of %v",
 				before, burst, after, recovery/second, s.inTime[:end/second], s.offered[:end/second])
 			if before < 0.9 || burst > 0.8 {
-				t.Errorf("%.2f in time before the burst and %.2f in it: the burst is no overload", before, burst)
+				t.Errorf("share served in time: %.2f before the burst, %.2f during it, want at least 0.90, and at most 0.80 in an overload",
+					before, burst)
 			}
 			if after < 0.9*before {
-				t.Errorf("%.2f in time from %d s after the burst on, %.2f before it", after, recovery/second, before)
+				t.Errorf("share served in time: %.2f from %d s after the burst on, want at least 0.9 of the %.2f before it",
+					after, recovery/second, before)
 			}
 		})
 	}
 }
 
-// capacity is what all endpoints can serve, in requests a second.
+// capacity returns the number of requests per second that all endpoints together can serve.
 func (s *service) capacity() float64 {
 	var sum float64
 	for _, v := range s.endpoints {
@@ -363,7 +370,8 @@
 	}
 }
 
-// inTimeShare is the share served in time of the requests that arrived between two instants.
+// inTimeShare returns the share of requests served within the latency objective, of those that arrived from one instant
+// to another.
 func (s *service) inTimeShare(from, to Micros) float64 {
 	var offered, inTime int
 	for at := from / second; at < to/second; at++ {
@@ -373,9 +381,9 @@
 	return float64(inTime) / float64(max(1, offered))
 }
 
-// If a balancer sends few requests to each of many endpoints, no breaker gets past its protected requests. While hardly
-// any request is served in time, the throttle over all endpoints must reject at least half of them and let at least one
-// a second through. Soon after all are served in time again, it must reject none.
+// If a balancer sends few requests to each of many endpoints, no circuit breaker counts more than its protected
+// requests. While hardly any request is served in time, the throttle over all endpoints must reject at least half of
+// the requests, and let at least one per second through. Soon after all are served in time again, it must reject none.
 func TestErrorThrottleCoversAllEndpoints(t *testing.T) {
 	for _, late := range []struct {
 		name   string
@@ -385,8 +393,9 @@
 			s := testSettings()
 			b, r := start(t, s, ready(200))
 			id, now := uint64(0), Micros(0)
-			var outcomes []event // still to come
-			// sendRequests sends n requests, one each 50 ms, whose attempts end with this status after this latency.
+			var outcomes []event // outcomes of attempts in flight, by time
+			// sendRequests passes n requests to the balancer, one every 50 ms. Each attempt ends with the given status
+			// after the given latency. It returns the number of requests that the balancer sent.
 			sendRequests := func(n int, status Status, latency Micros) (sent int) {
 				for range n {
 					now += 50_000
@@ -404,20 +413,20 @@
 				return sent
 			}
 			if sent := sendRequests(200, OK, 20_000); sent != 200 {
-				t.Errorf("%d of 200 sent while all are answered in time", sent)
+				t.Errorf("%d of 200 sent while all are answered in time, want all", sent)
 			}
 			sendRequests(60, late.status, s.Classes[0].LatencyObjective+1000)
 			sent := sendRequests(200, late.status, s.Classes[0].LatencyObjective+1000)
 			t.Logf("%d of 200 sent while none is answered in time", sent)
 			if sent < 9 || sent > 100 {
-				t.Errorf("%d of 200 sent while none is answered in time", sent)
+				t.Errorf("%d of 200 sent while none is answered in time, want 9 to 100", sent)
 			}
 			if b.stats.BreakerRejected > 0 {
-				t.Errorf("%d rejected by breakers of single endpoints, want none", b.stats.BreakerRejected)
+				t.Errorf("%d rejected by circuit breakers of single endpoints, want none", b.stats.BreakerRejected)
 			}
 			sendRequests(100, OK, 20_000)
 			if sent = sendRequests(100, OK, 20_000); sent != 100 {
-				t.Errorf("%d of 100 sent 5 s after all are answered in time again", sent)
+				t.Errorf("%d of 100 sent from 5 s after all are answered in time again, want all", sent)
 			}
 		})
 	}
--- a/balancer/pick_test.go
+++ b/balancer/pick_test.go
@@ -14,22 +14,22 @@
 	for id := range uint64(4) {
 		b.HandleRequest(2000, testRequest(id, 0, 2000))
 	}
-	// Endpoint 2 has the least load until it serves as many requests as endpoint 1 reported.
+	// Endpoint 2 has the least load until it serves 4 requests, as many as endpoint 1 reported.
 	for i, s := range r.sends {
 		if s.endpoint != 2 {
-			t.Errorf("send %d went to %d", i, s.endpoint)
+			t.Errorf("send %d went to endpoint %d, want 2", i, s.endpoint)
 		}
 	}
 	if len(r.sends) != 4 {
-		t.Fatalf("%d sends", len(r.sends))
+		t.Fatalf("%d sends, want 4", len(r.sends))
 	}
 	if got := b.estimates.load(2000, b.membership.byID[2]); got != 4 {
-		t.Errorf("load %v with 4 own requests, want 4", got)
+		t.Errorf("load %v of endpoint 2 with 4 own requests, want 4", got)
 	}
 }
 
-// In a large fleet, all balancers learn of the same idle endpoint: the more there are, the fewer requests may each
-// send.
+// All balancers learn about the same idle endpoint, and together they could overload it: the more balancers there are,
+// the fewer requests may each of them send to it.
 func TestIdleReportDoesNotAttractTooManyRequests(t *testing.T) {
 	for _, c := range []struct{ balancers, maxSends int }{{1, 5}, {3, 3}, {15, 2}} {
 		s := testSettings()
@@ -54,7 +54,7 @@
 	}
 }
 
-// At the start only few endpoints have reported; they must not get all requests.
+// At the start only a few endpoints have reported their load. These must not get all requests.
 func TestSmallPoolDoesNotGetAllRequests(t *testing.T) {
 	b, r := start(t, testSettings(), ready(8))
 	b.HandleProbe(1000, 3, OK, 500, []float32{0})
@@ -66,11 +66,11 @@
 		sends[s.endpoint]++
 	}
 	if len(r.sends) != 24 || len(sends) < 4 || sends[3] > 12 {
-		t.Errorf("%d sends, by endpoint %v", len(r.sends), sends)
+		t.Errorf("%d sends, by endpoint %v; want 24 to at least 4 endpoints, at most 12 to endpoint 3", len(r.sends), sends)
 	}
 }
 
-// Random draws must not miss the endpoints of a short list, nor of a list without weights.
+// A random endpoint must be found in every list that has one, also if the list is short or has endpoints of weight 0.
 func TestRandomEndpointFindsAnyUsableOne(t *testing.T) {
 	for n := range 12 {
 		list := ready(n)
@@ -81,14 +81,15 @@
 		for range 50 {
 			request := recordOf(b, testRequest(1, 0, 1000))
 			if e := b.picker.randomEndpoint(1000, request, nil, 0); (e == nil) != (n == 0) {
-				t.Fatalf("%d endpoints: drew %v", n, e)
+				t.Fatalf("%d endpoints: got %v, want nil only if there are none", n, e)
 			}
 		}
 	}
 }
 
-// An endpoint that rejects some requests before they execute and serves the others at once ranks before one that would
-// be too late, even if it is ejected. One whose failures may have executed does not.
+// An endpoint that rejects some requests before they execute, and serves the others at once, ranks before one that
+// would answer too late, even if the former is ejected. An ejected endpoint whose failures may have executed ranks
+// after the late one.
 func TestRejectingEndpointRanksBeforeALateOne(t *testing.T) {
 	for _, c := range []struct {
 		status Status
@@ -109,17 +110,17 @@
 		}
 		for id := uint64(1); !b.membership.byID[1].isEjected(now); id++ {
 			if id > 100 {
-				t.Fatalf("%v: never ejected", c.status)
+				t.Fatalf("status %v: endpoint 1 is not ejected after 100 requests", c.status)
 			}
 			b.HandleRequest(now, testRequest(id, 1, now))
 			first := r.sends[len(r.sends)-1]
 			if first.endpoint != 1 {
-				t.Fatalf("%v: sent to %d, want the idle endpoint", c.status, first.endpoint)
+				t.Fatalf("status %v: sent to endpoint %d, want 1, which is idle", c.status, first.endpoint)
 			}
 			b.HandleOutcome(now, Outcome{ID: id, Endpoint: 1, Status: c.status, Latency: 500, Answered: true})
 		}
 		if got := b.picker.pick(now, request, nil).ID; got != c.want {
-			t.Errorf("%v: endpoint 2 late with a load of %v: picked %d, want %d", c.status, load, got, c.want)
+			t.Errorf("status %v, endpoint 2 too late at a load of %v: picked endpoint %d, want %d", c.status, load, got, c.want)
 		}
 	}
 }
@@ -129,12 +130,12 @@
 	name                       string
 	affinity                   bool
 	key                        uint64
-	overloaded                 bool // the endpoints that the key maps to
-	manyProbes                 bool
-	minEndpoints, maxEndpoints int // that are used
+	overloaded                 bool // the endpoints that the key maps to are overloaded
+	manyProbes                 bool // the probe rate suffices for a fresh pool
+	minEndpoints, maxEndpoints int  // limits of the number of endpoints that get requests
 }
 
-// affinityList returns forty endpoints in two zones.
+// affinityList returns forty endpoints, alternately in two zones.
 func affinityList() []Endpoint {
 	list := ready(40)
 	for i := range list {
@@ -143,8 +144,8 @@
 	return list
 }
 
-// send has a new balancer get one request with the key, and returns the endpoint that it goes to, or 0 if it is
-// rejected.
+// send passes one request with the case's key to a new balancer of this seed, which knows the load of every endpoint.
+// It returns the ID of the endpoint that gets the request, or 0 if the request is rejected.
 func (c *affinityCase) send(t *testing.T, load func(id uint32) float32, seed uint64) uint32 {
 	t.Helper()
 	s, list := testSettings(), affinityList()
@@ -161,13 +162,13 @@
 		b.HandleProbe(1000, id, OK, 500, []float32{load(id)})
 	}
 	if c.manyProbes {
-		b.demand.requestRate.add(1000, 200) // the rate of probes follows that of requests
+		b.demand.requestRate.add(1000, 200) // the probe rate is proportional to the request rate
 	}
 	request := testRequest(1, 0, 2000)
 	request.Key = c.key
 	b.HandleRequest(2000, request)
 	if len(r.sends)+len(r.rejected) != 1 {
-		t.Fatalf("%d sends and %d rejections of one request", len(r.sends), len(r.rejected))
+		t.Fatalf("%d sends and %d rejections of one request, want one of either", len(r.sends), len(r.rejected))
 	}
 	if len(r.rejected) == 1 {
 		return 0
@@ -175,8 +176,9 @@
 	return r.sends[0].endpoint
 }
 
-// With key affinity, all balancers send a key to the same two endpoints, by load. Only if it would be too late there
-// may it go elsewhere, and only if enough own reports tell where.
+// With key affinity, all balancers send the requests of a key to the same two endpoints, and choose between them by
+// load. A request may go elsewhere only if it would be too late at both, and only if this balancer has enough fresh
+// reports to choose another endpoint. Otherwise it is rejected.
 func TestKeyAffinityPicksRendezvousEndpoints(t *testing.T) {
 	for _, c := range []affinityCase{
 		{"affinity", true, 5, false, false, 1, 2},
@@ -186,7 +188,7 @@
 		{"too late there, and no fresh reports", true, 5, true, false, 0, 0},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			mapped := map[uint32]bool{} // endpoints that the key maps to
+			mapped := map[uint32]bool{} // IDs of the endpoints that the key maps to
 			for seed := range uint64(100) {
 				load := func(id uint32) float32 { return float32((uint64(id)*13 + seed*7) % 17) }
 				mapped[c.send(t, load, seed)] = true
@@ -201,20 +203,21 @@
 				}
 				used[c.send(t, load, seed)] = true
 			}
-			delete(used, 0) // rejected
+			delete(used, 0) // 0 stands for a rejection
 			if len(used) < c.minEndpoints || len(used) > c.maxEndpoints {
-				t.Errorf("%d endpoints were used, want %d to %d", len(used), c.minEndpoints, c.maxEndpoints)
+				t.Errorf("%d endpoints got requests, want %d to %d", len(used), c.minEndpoints, c.maxEndpoints)
 			}
 			for id := range mapped {
 				if c.overloaded && used[id] {
-					t.Errorf("endpoint %d was used though overloaded", id)
+					t.Errorf("endpoint %d got requests although it is overloaded", id)
 				}
 			}
 		})
 	}
 }
 
-// Without probes, random draws add other endpoints to those that a key maps to, as for requests without key.
+// Without probes there are no reports. Random draws must then add other endpoints to those that a key maps to, as they
+// do for requests without a key.
 func TestKeyAffinityWithoutProbesUsesOtherEndpoints(t *testing.T) {
 	s := testSettings()
 	s.KeyAffinity, s.Balancers, s.Limits.Probes, s.Prices.Probe = true, 40, false, 0.08
@@ -233,6 +236,6 @@
 		used[s.endpoint] = true
 	}
 	if len(r.rejected) > 0 || len(used) < 10 {
-		t.Errorf("%d of 60 rejected, %d endpoints used", len(r.rejected), len(used))
+		t.Errorf("%d of 60 rejected, %d endpoints got requests, want 0 and at least 10", len(r.rejected), len(used))
 	}
 }
--- a/balancer/prediction_test.go
+++ b/balancer/prediction_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// serveBatch sends count requests at once and answers each that was sent after latency. It returns how many were
-// rejected.
+// serveBatch has the balancer handle count requests at the instant now, each with the work hint hint if that is above
+// 0. Each attempt that it sends is answered after latency. serveBatch returns the number of rejected requests.
 func serveBatch(b *Balancer, r *recorder, now Micros, count int, hint, latency Micros) int {
 	r.sends, r.rejected = nil, nil
 	for i := range count {
@@ -21,8 +21,9 @@
 	return len(r.rejected)
 }
 
-// Requests that are answered within the round trip of a probe have hardly any measurable work. A stall of the sidecar's
-// own process delays all answers due at that moment, and must not make idle endpoints seem too late.
+// Requests that are answered within the round-trip time of a probe have hardly any measurable work. A stall of the
+// sidecar's own process delays all answers that are due at that moment. It must not make idle endpoints seem so slow
+// that requests are rejected.
 func TestStallAfterFastAnswersRejectsNothing(t *testing.T) {
 	const (
 		batchSize   = 16
@@ -45,7 +46,7 @@
 		for range 200 {
 			now += interval
 			if rejected := serveBatch(b, r, now, batchSize, 0, fastLatency); rejected > 0 {
-				t.Fatalf("%d rejected before the stall", rejected)
+				t.Fatalf("%d of %d rejected before the stall, want none", rejected, batchSize)
 			}
 		}
 		now += interval
@@ -54,7 +55,7 @@
 		for round := range 100 {
 			now += interval
 			if rejected := serveBatch(b, r, now, batchSize, 0, fastLatency); rejected > 0 {
-				t.Errorf("%d of %d rejected in round %d after a stall of %d us: %v",
+				t.Errorf("%d of %d rejected in round %d after a stall of %d us, want none; log: %v",
 					rejected, batchSize, round, stall, r.logs)
 				break
 			}
@@ -62,8 +63,8 @@
 	}
 }
 
-// One slow answer to a request with hardly any work is due to the network. It must not change the service times
-// expected of others.
+// A slow answer to a request with hardly any work is due to the network. It must not change the latency that is
+// expected of other requests.
 func TestSlowAnswerToTinyRequestDoesNotAffectServiceTime(t *testing.T) {
 	b, r := start(t, testSettings(), ready(1))
 	b.estimates.workHintExponent = 1
@@ -75,14 +76,15 @@
 	before := b.estimates.latency(now, b.membership.endpoints[0], 20_000)
 	now += second / 10
 	serveBatch(b, r, now, 1, 2, 30_000)
-	now += 10 * second // the trend has decayed
+	now += 10 * second // by then the trend has decayed
 	b.membership.endpoints[0].serviceTimeRatioAt = now
 	if after := b.estimates.latency(now, b.membership.endpoints[0], 20_000); after > 2*before {
-		t.Errorf("%.0f us expected before, %.0f us after an answer in 30,000 us", before, after)
+		t.Errorf("expected latency %.0f us after an answer in 30,000 us, want at most twice the %.0f us before",
+			after, before)
 	}
 }
 
-// Latencies of zero must leave positive, finite estimates.
+// Latencies of 0 must leave the work positive and the service time ratio finite.
 func TestZeroLatencyKeepsEstimatesFinite(t *testing.T) {
 	b, r := start(t, testSettings(), ready(1))
 	for i := range Micros(100_000) {
@@ -92,43 +94,43 @@
 	work := b.demand.classes[0].work.value
 	ratio := b.estimates.serviceTimeRatio(100*second, b.membership.endpoints[0])
 	if !(work > 0) || math.IsNaN(ratio) || math.IsInf(ratio, 0) {
-		t.Errorf("work %v, service time ratio %v", work, ratio)
+		t.Errorf("work %v, service time ratio %v after latencies of 0, want a positive and a finite value", work, ratio)
 	}
 }
 
-// The capacity of a warming endpoint grows with its warm-up fraction, and so must the expectation, also once its
-// service time ratio has been learned.
+// The capacity of a warming endpoint grows with its warm-up fraction. Its expected service time ratio must fall
+// accordingly, also once a ratio has been measured there.
 func TestWarmingEndpointIsExpectedToBeSlow(t *testing.T) {
 	b, _ := start(t, testSettings(), ready(2))
 	b.HandleEndpoints(1000, ListDelta, []Endpoint{{ID: 9, State: Ready, StartTime: 1000}})
 	e := b.membership.byID[9]
-	// The warm-up fraction is 0.2.
+	// The warm-up fraction f is 0.2, which implies a slowdown of 1/f = 5.
 	if got := b.estimates.serviceTimeRatio(1000, e); !almostEqual(got, 1+4*initialWarmingSlowness) {
-		t.Errorf("service time ratio %v just started, before any was measured", got)
+		t.Errorf("service time ratio %v at the start, before any sample, want %v", got, 1+4*initialWarmingSlowness)
 	}
-	b.estimates.warmingSlowness = newEWMA(1) // as slow as the least warm-up fraction implies
+	b.estimates.warmingSlowness = newEWMA(1) // as slow as the warm-up fraction implies
 	if got := b.estimates.serviceTimeRatio(1000, e); !almostEqual(got, 5) {
-		t.Errorf("service time ratio %v just started", got)
+		t.Errorf("service time ratio %v at the start, want 5", got)
 	}
 	e.serviceTimeRatio, e.serviceTimeRatioAt = newEWMA(2), 6*second
-	if got := b.estimates.serviceTimeRatio(6*second, e); got < 2.9 || got > 3 { // warm-up fraction 0.68
-		t.Errorf("service time ratio %v halfway", got)
+	if got := b.estimates.serviceTimeRatio(6*second, e); got < 2.9 || got > 3 { // the warm-up fraction is 0.68
+		t.Errorf("service time ratio %v at 0.6 of the slow start, want 2.9 to 3", got)
 	}
 	if got := b.estimates.serviceTimeRatio(12*second, e); got > 2 {
-		t.Errorf("service time ratio %v once warm", got)
+		t.Errorf("service time ratio %v once warm, want at most 2", got)
 	}
 }
 
-// If the entire fleet slows down, an endpoint measured as fast must be expected to be slow, too, and to be fast again
-// soon after the recovery.
+// If the entire fleet slows down, a higher latency must be expected at once also of an endpoint that was measured as
+// fast. Soon after the recovery, the expected latency must be as before.
 func TestFleetWideSlowdownIsLearnedAtOnce(t *testing.T) {
 	b, r := start(t, testSettings(), ready(4))
-	// serve sends n requests, whose attempts take this factor of the predicted latency.
+	// serve sends n requests, 1 ms apart, whose attempts take factor times the predicted latency.
 	serve := func(from Micros, n int, factor float64) {
 		for i := range n {
 			now := from + 1000*Micros(i)
 			id := uint64(now)
-			b.HandleProbe(now, 1, OK, 500, []float32{9}) // the others serve
+			b.HandleProbe(now, 1, OK, 500, []float32{9}) // so that the other endpoints serve
 			b.HandleRequest(now, Request{ID: id, Deadline: now + second, WorkHint: 10_000, HasWorkHint: true})
 			if len(r.sends) == 0 || r.sends[len(r.sends)-1].id != id {
 				continue // rejected
@@ -138,7 +140,7 @@
 				Latency: latency, Answered: true})
 		}
 	}
-	// expected is the latency expected of a request at endpoint 1 while it is idle and measured as fast.
+	// expected returns the expected latency of a request at endpoint 1, which is idle and measured as fast.
 	expected := func(now Micros) float64 {
 		b.HandleProbe(now, 1, OK, 500, []float32{0})
 		e := b.membership.byID[1]
@@ -149,16 +151,17 @@
 	before := expected(60_000)
 	serve(100_000, 15, 4)
 	if slow := expected(120_000); slow < 2*before {
-		t.Errorf("expected %v before, %v after 15 outcomes of four times the prediction", before, slow)
+		t.Errorf("expected latency %v us after 15 outcomes of 4 times the prediction, want at least twice the %v us before",
+			slow, before)
 	}
 	serve(200_000, 48, 0.5)
 	if after := expected(250_000); after > 1.2*before {
-		t.Errorf("expected %v before, %v after the recovery", before, after)
+		t.Errorf("expected latency %v us after the recovery, want at most 1.2 times the %v us before", after, before)
 	}
 }
 
-// Attempts sent before a slowdown was detected must not raise it a second time: many are in flight by then, and all of
-// their outcomes come later.
+// Attempts that were sent before a slowdown was detected must not raise it a second time: many are in flight by then,
+// and their outcomes come after the detection.
 func TestSlowdownIsNotOverestimated(t *testing.T) {
 	b, r := start(t, testSettings(), ready(4))
 	now := second
@@ -166,7 +169,7 @@
 		b.HandleRequest(now, Request{ID: id, Deadline: now + second, WorkHint: 10_000, HasWorkHint: true})
 	}
 	if len(r.sends) != 60 {
-		t.Fatalf("%d of 60 sent", len(r.sends))
+		t.Fatalf("%d of 60 requests sent, want all", len(r.sends))
 	}
 	for _, s := range r.sends {
 		latency := Micros(2 * b.ledger.requests[s.id].attempts[0].predictedLatency)
@@ -175,31 +178,32 @@
 		})
 	}
 	if got := b.estimates.slowdown(now + 100_000); got < 1.1 || got > 2 {
-		t.Errorf("slowdown %.2f after 60 outcomes of twice the prediction", got)
+		t.Errorf("slowdown %.2f after 60 outcomes of twice the prediction, want 1.1 to 2", got)
 	}
 }
 
-// A slowdown that rejects all requests must not last for lack of outcomes.
+// A slowdown at which all requests are rejected yields no further outcomes. It must decay without them.
 func TestSlowdownDecaysWithoutOutcomes(t *testing.T) {
 	b, _ := start(t, testSettings(), ready(4))
 	b.estimates.trend, b.estimates.trendAt = maxTrendRatio, second
 	if initial, later := b.estimates.slowdown(second), b.estimates.slowdown(4*second); initial < 2 || later != 1 {
-		t.Errorf("slowdown %.2f at the last outcome, %.2f three seconds after it", initial, later)
+		t.Errorf("slowdown %.2f at the last outcome, %.2f three seconds later, want at least 2, then 1", initial, later)
 	}
 	b.estimates.updateTrend(4*second, 1)
 	if got := b.estimates.slowdown(4 * second); got != 1 {
-		t.Errorf("slowdown %.2f after an outcome as predicted, want 1: the earlier one has decayed", got)
+		t.Errorf("slowdown %.2f after an outcome as predicted, want 1, as the earlier trend has decayed", got)
 	}
 }
 
-// A work hint must count for as much as it predicts, or requests with wrong hints are rejected at idle endpoints.
+// A work hint must count only as far as it predicts the latency. Otherwise requests with wrong hints are rejected
+// although endpoints are idle.
 func TestWorkHintExponentIsLearned(t *testing.T) {
 	for _, c := range []struct {
 		name                     string
 		latency                  func(hint Micros) Micros
 		minExponent, maxExponent float64
 	}{
-		{"hints without relation", func(Micros) Micros { return 20_000 }, 0, 0.15},
+		{"hints unrelated to latency", func(Micros) Micros { return 20_000 }, 0, 0.15},
 		{"exact hints", func(hint Micros) Micros { return hint }, 0.85, 1},
 	} {
 		b, r := start(t, testSettings(), ready(4))
@@ -214,13 +218,13 @@
 			}
 		}
 		if got := b.estimates.workHintExponent; got < c.minExponent || got > c.maxExponent {
-			t.Errorf("%s: exponent %.2f, want %.2f to %.2f", c.name, got, c.minExponent, c.maxExponent)
+			t.Errorf("%s: work hint exponent %.2f, want %.2f to %.2f", c.name, got, c.minExponent, c.maxExponent)
 		}
 	}
 }
 
-// The timeout of an attempt that a later one overtook must not raise the trend: the endpoint was not slow, and the
-// entire fleet would count as slow.
+// If an endpoint has answered a later attempt, the timeout of an earlier one must not raise the trend: the earlier one
+// was lost, and the endpoint is not slow. Otherwise the entire fleet would count as slow.
 func TestOvertakenAttemptsDoNotAffectTrend(t *testing.T) {
 	for name, overtaken := range map[string]bool{"overtaken": true, "not overtaken": false} {
 		b, r := start(t, testSettings(), ready(1))
@@ -234,7 +238,7 @@
 			b.HandleOutcome(990_000, Outcome{ID: s.id, Endpoint: 1, Status: Timeout, Latency: 989_000})
 		}
 		if raised := b.estimates.trend > 1; raised == overtaken {
-			t.Errorf("%s: trend %v", name, b.estimates.trend)
+			t.Errorf("%s: trend %v, want it above 1 only if not overtaken", name, b.estimates.trend)
 		}
 	}
 }
