--- a/balancer/loadreport_test.go
+++ b/balancer/loadreport_test.go
@@ -95,7 +95,7 @@
 	}
 	b.HandleProbe(3000, 1, Rejected, 500, nil)
 	if e.reportedAt != 0 {
-		t.Errorf("an endpoint that rejects probes stays in the pool: report of instant %d, want 0 for none", e.reportedAt)
+		t.Errorf("an endpoint that rejects a probe stays in the pool: reportedAt is %d, want 0", e.reportedAt)
 	}
 }
 
--- a/balancer/overload_test.go
+++ b/balancer/overload_test.go
@@ -14,7 +14,7 @@
 	hosts          []*clientHost
 	endpoints      []*server // the endpoint with ID i is endpoints[i-1]
 	rng            splitMix64
-	clientAttempts uint64 // number of client attempts so far, and ID of the latest
+	clientAttempts uint64 // number of client attempts so far; also the ID of the latest one
 	offered        []int  // number of client requests by the second of their arrival
 	inTime         []int  // number of these requests that were served within the latency objective
 }
@@ -339,11 +339,11 @@
 			t.Logf("in time: %.2f before the burst, %.2f during it, %.2f from %d s after it on; by second %v of %v",
 				before, burst, after, recovery/second, s.inTime[:end/second], s.offered[:end/second])
 			if before < 0.9 || burst > 0.8 {
-				t.Errorf("share served in time: %.2f before the burst, %.2f during it, want at least 0.90, and at most 0.80 in an overload",
+				t.Errorf("in time: %.2f before the burst, %.2f during it, want at least 0.90, and at most 0.80 in an overload",
 					before, burst)
 			}
 			if after < 0.9*before {
-				t.Errorf("share served in time: %.2f from %d s after the burst on, want at least 0.9 of the %.2f before it",
+				t.Errorf("in time: %.2f from %d s after the burst on, want at least 0.9 of the %.2f before it",
 					after, recovery/second, before)
 			}
 		})
--- a/balancer/prediction_test.go
+++ b/balancer/prediction_test.go
@@ -238,7 +238,7 @@
 			b.HandleOutcome(990_000, Outcome{ID: s.id, Endpoint: 1, Status: Timeout, Latency: 989_000})
 		}
 		if raised := b.estimates.trend > 1; raised == overtaken {
-			t.Errorf("%s: trend %v, want it above 1 only if not overtaken", name, b.estimates.trend)
+			t.Errorf("%s: trend %v, want above 1 if not overtaken, else at most 1", name, b.estimates.trend)
 		}
 	}
 }
