--- a/balancer/demand.go
+++ b/balancer/demand.go
@@ -101,7 +101,7 @@
 }
 
 // recordDecision updates the rejected share by a request that was sent or rejected at arrival.
-func (d *demand) recordDecision(sent bool) { d.rejectedShare.add(indicator(!sent), shareWeight) }
+func (d *demand) recordDecision(sent bool) { d.rejectedShare.add(indicator(!sent), shareSampleWeight) }
 
 // classNamed returns the class of this name in the current settings, or nil.
 func (d *demand) classNamed(name string) *class {
@@ -178,7 +178,7 @@
 		rate := c.requestRate.rate(now)
 		totalWork += rate * c.work.value
 		totalWeight += rate * d.requestWeight(c)
-		minServedInTime = min(minServedInTime, c.servedInTime.or(1))
+		minServedInTime = min(minServedInTime, c.servedInTime.valueOr(1))
 	}
 	maxGain, ownGain := 0.0, -1.0 // ownGain stays negative if the current settings lack r's class
 	for _, c := range d.classes {
@@ -186,7 +186,7 @@
 		goalWeight := d.settings.Goal.Overall + worstWindowMultiplier*d.settings.Goal.WorstWindow
 		gain := goalWeight * d.requestWeight(c) / c.work.value * totalWork / totalWeight
 		gain += d.settings.Goal.WorstClass / max(minWorkShareDivisor, workShare) *
-			math.Exp((minServedInTime-c.servedInTime.or(1))/servedInTimeLeadDivisor)
+			math.Exp((minServedInTime-c.servedInTime.valueOr(1))/servedInTimeLeadDivisor)
 		maxGain = max(maxGain, gain)
 		if c.classStats == r.class.classStats {
 			ownGain = gain
--- a/balancer/stats.go
+++ b/balancer/stats.go
@@ -79,7 +79,7 @@
 
 // fillStats sets the figures of s that the estimator has learned.
 func (est *estimator) fillStats(now Micros, s *Stats) {
-	s.TypicalLoad, s.ServiceTimeRatio = est.typicalLoad.value, est.fleetServiceTimeRatio.or(1)
+	s.TypicalLoad, s.ServiceTimeRatio = est.typicalLoad.value, est.fleetServiceTimeRatio.valueOr(1)
 	s.Slowdown, s.ReportsLate = est.slowdown(now), est.reportsLate
 }
 
