--- a/internal/admin/admin_test.go
+++ b/internal/admin/admin_test.go
@@ -31,7 +31,7 @@
 		Sidecar:   "n0",
 		Log:       log,
 		Files:     files,
-		Time:      system.Clock{}.OrSystem(),
+		Time:      system.Clock{}.WithDefaults(),
 		Retention: func() time.Duration { return time.Minute },
 		Apply:     func(state operatorstate.State) { states <- state },
 	}
--- a/internal/downstream/conn.go
+++ b/internal/downstream/conn.go
@@ -171,7 +171,7 @@
 func (c *Conn) HasAmbiguousLength() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.head.ContentLengths > 1 || c.head.ContentLengths > 0 && c.head.TransferEncoding
+	return c.head.ContentLengthCount > 1 || c.head.ContentLengthCount > 0 && c.head.HasTransferEncoding
 }
 
 // ClientClosed reports whether the client has ended its side of the connection or the connection is broken, also behind
--- a/internal/faults/inject.go
+++ b/internal/faults/inject.go
@@ -59,7 +59,7 @@
 
 // Inject replaces the file operations and the wall clock of a host by ones that obey the injection stored at path.
 func Inject(host *config.Host, path string) {
-	files := &faultyFiles{injection: path, native: system.FileOps{}.OrSystem()}
+	files := &faultyFiles{injection: path, native: system.FileOps{}.WithDefaults()}
 	host.Files = system.FileOps{Read: files.read, Write: files.write, Sync: files.sync, Rename: files.rename}
 	host.Time.Wall = func() time.Time { return time.Now().Add(loadInjection(path).WallClockStep) }
 }
--- a/internal/httpmsg/budget_test.go
+++ b/internal/httpmsg/budget_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-// A reservation that does not fit changes nothing, also after the limit was lowered below what is reserved.
+// A reservation that exceeds the limit changes nothing, even after the limit was lowered below what is reserved.
 func TestMemoryBudgetAdmitsUpToItsLimit(t *testing.T) {
 	b := NewMemoryBudget(10)
 	for _, step := range []struct {
@@ -18,12 +18,12 @@
 	} {
 		b.Limit.Store(step.limit)
 		if got := b.Reserve(step.reserve); got != step.want || b.Used.Load() != step.used {
-			t.Errorf("%d bytes of %d: admitted %v with %d reserved, want %v with %d",
+			t.Errorf("Reserve(%d) with a limit of %d bytes: got %v and %d bytes reserved, want %v and %d",
 				step.reserve, step.limit, got, b.Used.Load(), step.want, step.used)
 		}
 	}
 	b.Release(11)
 	if used := b.Used.Load(); used != 0 {
-		t.Errorf("%d bytes are reserved after all were released", used)
+		t.Errorf("%d bytes are reserved after all were released, want 0", used)
 	}
 }
--- a/internal/httpmsg/doc.go
+++ b/internal/httpmsg/doc.go
@@ -1,6 +1,7 @@
-// Package httpmsg holds what both sides of the sidecar, upstream and downstream, share of HTTP/1.1 messages: limits on
-// their size, buffers, the memory budget for bodies, the selection of end-to-end headers, and a scanner for what
-// net/http hides of a message head.
+// Package httpmsg contains the handling of HTTP/1.1 messages that the upstream and the downstream side of the sidecar
+// share: limits on message sizes, buffers, the memory budget for bodies, the selection of end-to-end headers, and a
+// scanner for the parts of a message head that net/http hides.
 //
-// It neither reads from nor writes to connections, and it knows nothing of requests, attempts or policies.
+// The package neither reads from connections nor writes to them. It does not depend on the sidecar's requests, attempts
+// or policies.
 package httpmsg
--- a/internal/httpmsg/headers_test.go
+++ b/internal/httpmsg/headers_test.go
@@ -6,6 +6,7 @@
 	"testing"
 )
 
+// Hop-by-hop headers are not copied. All other headers are copied with all their values.
 func TestCopyEndToEndOmitsHopByHopHeaders(t *testing.T) {
 	from := http.Header{"X-A": {"1", "2"}, "Content-Type": {"text/plain"}}
 	want := from.Clone()
--- a/internal/httpmsg/headscan.go
+++ b/internal/httpmsg/headscan.go
@@ -2,27 +2,29 @@
 
 import "bytes"
 
-// HeadScanner scans the bytes of a message for what net/http hides. Where a head has both Content-Length and
-// Transfer-Encoding, net/http drops the former without an error, and what one reader takes for the body another may
-// take for a request.
+// HeadScanner scans the bytes of a message for information that net/http hides. If a head has both Content-Length and
+// Transfer-Encoding, net/http drops the former without an error. Two programs may then disagree about where the body
+// ends, and one may take for a request what the other takes for the body.
 //
-// The zero value is ready for the first byte of a message. It is not safe for concurrent use.
+// The zero value is ready for the first byte of a message. A HeadScanner is not safe for concurrent use.
 type HeadScanner struct {
-	// ContentLengths is the number of Content-Length lines in the head.
-	ContentLengths int
-	// TransferEncoding reports whether the head has a Transfer-Encoding line.
-	TransferEncoding bool
-	// ConnectionClose reports whether the head has a line Connection: close.
+	// ContentLengthCount is the number of Content-Length lines in the head.
+	ContentLengthCount int
+	// HasTransferEncoding is true if the head has a Transfer-Encoding line.
+	HasTransferEncoding bool
+	// ConnectionClose is true if the head has a line Connection: close.
 	ConnectionClose bool
-	// Size is the number of bytes scanned, those after the head included.
+	// Size is the number of bytes scanned, including those after the head.
 	Size int64
-	// HeadSize is the size of the head in bytes, with its empty line and any ahead of it; 0 until its end was scanned.
+	// HeadSize is the size of the head in bytes. It includes the empty line that ends the head and any empty lines
+	// before the head. It is 0 until the end of the head has been scanned.
 	HeadSize int64
 
-	line    []byte // the first bytes of the current line
-	started bool   // a line that is not empty was scanned
+	line    []byte // the first bytes of the current line, at most maxLinePrefix
+	started bool   // whether a line that is not empty was scanned
 }
 
+// What scanLine looks for in a line, in lower case.
 var (
 	contentLengthName    = []byte("content-length:")
 	transferEncodingName = []byte("transfer-encoding:")
@@ -30,10 +32,10 @@
 	closeOption          = []byte("close")
 )
 
-// maxLinePrefix is the number of bytes of a line that are looked at.
+// maxLinePrefix is the number of bytes at the beginning of a line that are examined.
 const maxLinePrefix = 64
 
-// Scan scans the next bytes of the message. They may end anywhere, also within a line or after the head.
+// Scan scans the next bytes of the message. The bytes may end anywhere, such as within a line or after the head.
 func (h *HeadScanner) Scan(p []byte) {
 	start := h.Size
 	h.Size += int64(len(p))
@@ -47,7 +49,8 @@
 		}
 		lower := bytes.ToLower(bytes.TrimSuffix(h.line, []byte("\r")))
 		h.scanLine(lower)
-		// net/http skips empty lines ahead of a request.
+		// An empty line ends the head, but only after a line that is not empty: net/http skips empty lines before a
+		// request.
 		if len(lower) > 0 {
 			h.started = true
 		} else if h.started {
@@ -57,12 +60,13 @@
 	}
 }
 
-// scanLine records what a line in lower case says of the message's length.
+// scanLine records what a line of the head says about how the end of the body is determined. The line must be in lower
+// case.
 func (h *HeadScanner) scanLine(lower []byte) {
 	if bytes.HasPrefix(lower, contentLengthName) {
-		h.ContentLengths++
+		h.ContentLengthCount++
 	}
-	h.TransferEncoding = h.TransferEncoding || bytes.HasPrefix(lower, transferEncodingName)
+	h.HasTransferEncoding = h.HasTransferEncoding || bytes.HasPrefix(lower, transferEncodingName)
 	if value, ok := bytes.CutPrefix(lower, connectionName); ok {
 		h.ConnectionClose = h.ConnectionClose || bytes.Contains(value, closeOption)
 	}
--- a/internal/operatorstate/file.go
+++ b/internal/operatorstate/file.go
@@ -58,7 +58,7 @@
 // readFile returns the stored state and the file that it is from. The error is one of reading (system.IsReadError),
 // of a file that does not exist, or of contents that are not valid; info is set in the last case, too.
 func (s *Store) readFile() (stored State, info os.FileInfo, err error) {
-	text, info, err := s.Files.OrSystem().ReadFile(s.path(), maxStateBytes)
+	text, info, err := s.Files.WithDefaults().ReadFile(s.path(), maxStateBytes)
 	if err != nil {
 		return State{}, info, err
 	}
@@ -75,7 +75,7 @@
 	if err != nil {
 		return fmt.Errorf("state: %w", err)
 	}
-	if err := s.Files.OrSystem().ReplaceFile(s.path(), s.path()+temporarySuffix, text, true); err != nil {
+	if err := s.Files.WithDefaults().ReplaceFile(s.path(), s.path()+temporarySuffix, text, true); err != nil {
 		return fmt.Errorf("state: %w", err)
 	}
 	s.file, err = os.Stat(s.path())
--- a/internal/operatorstate/store.go
+++ b/internal/operatorstate/store.go
@@ -23,7 +23,7 @@
 	Sidecar   string               // the name of the sidecar; a file of another is ignored
 	Log       *slog.Logger         // must not be nil
 	Files     system.FileOps       // the zero value uses the system's
-	Time      system.Clock         // must have its clocks set (Clock.OrSystem)
+	Time      system.Clock         // must have its clocks set (Clock.WithDefaults)
 	Retention func() time.Duration // for how long an endpoint that was put back into service is remembered
 	Apply     func(State)          // puts a state into force before it returns; called under the lock
 
--- a/internal/operatorstate/store_test.go
+++ b/internal/operatorstate/store_test.go
@@ -21,7 +21,7 @@
 func newStore(dir string, files system.FileOps, times system.Clock) (s *Store, inForce func() State) {
 	var mu sync.Mutex
 	var applied State
-	s = &Store{Directory: dir, Sidecar: "n0", Log: slog.New(slog.DiscardHandler), Files: files, Time: times.OrSystem(),
+	s = &Store{Directory: dir, Sidecar: "n0", Log: slog.New(slog.DiscardHandler), Files: files, Time: times.WithDefaults(),
 		Retention: func() time.Duration { return time.Minute }, Apply: func(st State) {
 			mu.Lock()
 			defer mu.Unlock()
--- a/internal/sidecar/actions.go
+++ b/internal/sidecar/actions.go
@@ -23,7 +23,7 @@
 	o := balancer.Outcome{ID: id, Attempt: len(r.attempts), Endpoint: endpoint}
 	l.trace(r, "attempt started", "number", o.Attempt, "endpoint", endpoint, "known", target != nil)
 	if len(r.attempts) == 0 {
-		r.times.Sent = time.Now()
+		r.times.FirstAttemptStarted = time.Now()
 	}
 	r.attempts = append(r.attempts, attempt{cancel, gate})
 	r.inFlight++
--- a/internal/sidecar/forward.go
+++ b/internal/sidecar/forward.go
@@ -17,7 +17,7 @@
 	var admissionClosed <-chan struct{}
 	upload := x.message.Upload
 	if upload != nil {
-		uploadFailed, admissionClosed = upload.Failed, s.admission.closed
+		uploadFailed, admissionClosed = upload.ClientFailure, s.admission.closed
 		open.upload, open.timeLeft = true, upload.TimeLeft
 	}
 	if !s.inFlight.add(open) {
--- a/internal/sidecar/loop.go
+++ b/internal/sidecar/loop.go
@@ -73,7 +73,7 @@
 
 // newLoop returns a loop that ends with ctx. It does nothing until run is called.
 func newLoop(ctx context.Context, cfg *config.Config, log *slog.Logger) (*loop, error) {
-	times := cfg.Host.Time.OrSystem()
+	times := cfg.Host.Time.WithDefaults()
 	client := upstream.NewClient(cfg, maxConnections(cfg), httpmsg.NewMemoryBudget(bodyMemoryLimit(cfg)))
 	l := &loop{
 		log: log, clock: newClock(times.Wall), operatorClock: times, ctx: ctx,
--- a/internal/sidecar/read.go
+++ b/internal/sidecar/read.go
@@ -68,7 +68,7 @@
 	}
 	timeLeft := time.Duration(x.request.Deadline-arrived) * time.Microsecond
 	x.message.Upload = &upstream.Upload{Length: in.ContentLength, TimeLeft: timeLeft, Body: stream,
-		Failed: make(chan error, 1)}
+		ClientFailure: make(chan error, 1)}
 	x.request.StreamingBody, x.request.Deadline = true, arrived+upstream.MaxUploadTime.Microseconds()
 	s.forward(&x)
 }
--- a/internal/sidecar/reload.go
+++ b/internal/sidecar/reload.go
@@ -83,7 +83,7 @@
 
 // currentLoadReport returns the load report of a result, nil if it was read by an earlier configuration's rules.
 func (l *loop) currentLoadReport(result upstream.Result) []float32 {
-	if result.ReportFormat != l.upstream.Format.Load() {
+	if result.ReportFormat != l.upstream.CurrentFormat.Load() {
 		return nil
 	}
 	return result.Load
--- a/internal/sidecar/reload_test.go
+++ b/internal/sidecar/reload_test.go
@@ -401,7 +401,7 @@
 	}
 	want := upstream.ConnectionLimits{
 		DialTimeout:    7 * time.Millisecond,
-		MaxIdle:        3 * time.Millisecond,
+		MaxIdleTime:    3 * time.Millisecond,
 		MaxConnections: maxConnections(&next),
 	}
 	if got := w.loop.upstream.Limits(); got != want {
--- a/internal/sidecartest/disk.go
+++ b/internal/sidecartest/disk.go
@@ -47,7 +47,7 @@
 
 // FileOps returns the operations of this disk. A failing write writes the first half of its text.
 func (d *FaultyDisk) FileOps() system.FileOps {
-	native := system.FileOps{}.OrSystem()
+	native := system.FileOps{}.WithDefaults()
 	return system.FileOps{
 		Read: func(file *os.File, maxBytes int64) ([]byte, error) {
 			if err := d.fault(DiskRead); err != nil {
--- a/internal/stages/histogram.go
+++ b/internal/stages/histogram.go
@@ -5,31 +5,31 @@
 	"time"
 )
 
-// Buckets of a histogram. Each power of two is divided evenly, so that a bucket is at most an eighth of its lower
-// bound wide, and a quantile is that much above the exact one at most. The last bucket begins at about a minute,
-// which is longer than clients wait.
+// Buckets of a histogram of durations in microseconds. Each range from a power of two to the next is divided evenly
+// into subBuckets buckets. The width of a bucket is thus at most 1/8 of its lower bound, and a quantile exceeds the
+// exact value by at most that width. The last bucket begins at about a minute, which is longer than clients wait.
 const (
 	subBucketBits = 3
-	subBuckets    = 1 << subBucketBits // by power of two
-	maxBuckets    = 24 * subBuckets
+	subBuckets    = 1 << subBucketBits // buckets per power of two
+	bucketCount   = 24 * subBuckets
 )
 
-// histogram counts durations by bucket.
+// histogram counts durations by bucket. The zero value is empty and ready to use.
 type histogram struct {
-	counts [maxBuckets]uint32
+	counts [bucketCount]uint32
 	total  uint64
 }
 
-// bucketOf returns the bucket of a duration in microseconds.
-func bucketOf(micros uint64) int {
+// bucketIndex returns the index of the bucket that contains a duration in microseconds.
+func bucketIndex(micros uint64) int {
 	if micros < subBuckets {
 		return int(micros)
 	}
 	shift := bits.Len64(micros) - subBucketBits - 1
-	return min(maxBuckets-1, (shift+1)*subBuckets+int(micros>>shift)-subBuckets)
+	return min(bucketCount-1, (shift+1)*subBuckets+int(micros>>shift)-subBuckets)
 }
 
-// upperBound returns the least duration above a bucket, in microseconds.
+// upperBound returns the exclusive upper bound of a bucket, in microseconds.
 func upperBound(bucket int) uint64 {
 	if bucket < subBuckets {
 		return uint64(bucket) + 1
@@ -38,17 +38,18 @@
 	return uint64(bucket%subBuckets+subBuckets+1) << shift
 }
 
+// add counts a duration. A negative duration counts as 0.
 func (h *histogram) add(d time.Duration) {
-	h.counts[bucketOf(uint64(max(0, d.Microseconds())))]++
+	h.counts[bucketIndex(uint64(max(0, d.Microseconds())))]++
 	h.total++
 }
 
-// quantile returns the upper bound, in microseconds, of the bucket with the given quantile, from 0 to 1, of all
-// durations. It returns 0 if there are none.
+// quantile returns the upper bound, in microseconds, of the bucket that contains the q-quantile of all durations, where
+// 0 <= q < 1. It returns 0 if the histogram is empty.
 func (h *histogram) quantile(q float64) uint64 {
-	rank, cumulated := uint64(q*float64(h.total)), uint64(0)
+	rank, cumulative := uint64(q*float64(h.total)), uint64(0)
 	for i, n := range h.counts {
-		if cumulated += uint64(n); cumulated > rank {
+		if cumulative += uint64(n); cumulative > rank {
 			return upperBound(i)
 		}
 	}
--- a/internal/stages/recorder.go
+++ b/internal/stages/recorder.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// Recorder collects the durations of the stages of requests since the start. The zero value is ready to use. Its
-// methods may be called by several goroutines.
+// Recorder collects the durations of the stages of requests since the start of the process. The zero value is ready to
+// use. The methods may be called concurrently.
 type Recorder struct {
 	mu         sync.Mutex
 	requests   uint64
@@ -16,7 +16,7 @@
 	histograms [stageCount]histogram
 }
 
-// Record adds a request, all of whose times are set.
+// Record adds the durations of a request's stages. All fields of t must be set.
 func (r *Recorder) Record(t *RequestTimes) {
 	durations := t.durations()
 	r.mu.Lock()
@@ -28,7 +28,7 @@
 	}
 }
 
-// Totals are the sums of a Recorder at an instant. Two of them give the means between their instants.
+// Totals are the sums of a Recorder at one instant. Two Totals give the means over the interval between their instants.
 type Totals struct {
 	requests uint64
 	sums     [stageCount]time.Duration
@@ -41,8 +41,8 @@
 	return Totals{requests: r.requests, sums: r.sums}
 }
 
-// MeansSince returns the mean of each stage, in microseconds, over the requests recorded since earlier. It is a text
-// for logs: [read:12 queue:3 ...]. The means are 0 if there were no requests.
+// MeansSince returns the mean duration of each stage, in microseconds, over the requests that were recorded between
+// earlier and t. The result is a text for logs, such as [read:12 queue:3 ...]. All means are 0 if there was no request.
 func (t Totals) MeansSince(earlier Totals) string {
 	requests := max(1, int64(t.requests-earlier.requests))
 	means := make([]string, stageCount)
@@ -52,8 +52,8 @@
 	return "[" + strings.Join(means, " ") + "]"
 }
 
-// Summary returns the number of requests since the start, and the median and the 99th percentile of each stage, in
-// microseconds. The text is for logs: [read:10/55 queue:2/17 ...].
+// Summary returns the number of requests since the start of the process, and a text for logs with the median and the
+// 99th percentile of each stage in microseconds, such as [read:10/55 queue:2/17 ...].
 func (r *Recorder) Summary() (requests uint64, text string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/system/clock.go
+++ b/internal/system/clock.go
@@ -6,15 +6,15 @@
 	"unsafe"
 )
 
-// Clock is a source of instants that outlive a process. A zero field stands for the system's clock; OrSystem fills it
-// in.
+// Clock is a source of instants that remain meaningful after the process has ended. A nil field stands for the clock of
+// the operating system; WithDefaults sets it.
 type Clock struct {
-	Wall   func() time.Time     // may be stepped in either direction
-	Uptime func() time.Duration // since the machine's start; never stepped, and the same for all processes
+	Wall   func() time.Time     // wall clock, which may be stepped in either direction
+	Uptime func() time.Duration // time since the machine's start; never stepped, and the same for all processes
 }
 
-// OrSystem returns the clock with the system's in place of the fields that are not set.
-func (c Clock) OrSystem() Clock {
+// WithDefaults returns a copy of the clock in which the system's functions replace the fields that are nil.
+func (c Clock) WithDefaults() Clock {
 	if c.Wall == nil {
 		c.Wall = time.Now
 	}
@@ -27,31 +27,32 @@
 // Timestamp is an instant in a form that another process on the machine can read.
 type Timestamp struct {
 	UnixMS   int64 // wall clock time in milliseconds since 1970
-	UptimeMS int64 // machine uptime in milliseconds; 0 if a version wrote it that did not record it
+	UptimeMS int64 // machine uptime in milliseconds; 0 if written by a version that did not record it
 }
 
-// Now returns the present instant. Both functions of the clock must be set.
+// Now returns the current time as a Timestamp. Both functions of the clock must be set.
 func (c Clock) Now() Timestamp { return Timestamp{c.Wall().UnixMilli(), c.Uptime().Milliseconds()} }
 
-// timestampError is how far a timestamp may be ahead of the clock that it is from: it has whole milliseconds.
-const timestampError = time.Millisecond
+// timestampResolution is the resolution of a Timestamp, which has whole milliseconds. Rounding may place a timestamp
+// ahead of the clock that it comes from by at most this much.
+const timestampResolution = time.Millisecond
 
-// Age returns how long ago an instant was, by uptime if the timestamp has it, and else by the wall clock. The age is
-// not known if the instant is ahead of the clock: it is then of an earlier start of the machine. Both functions of
-// the clock must be set.
-func (c Clock) Age(at Timestamp) (age time.Duration, known bool) {
-	if at.UptimeMS > 0 {
-		age = c.Uptime() - time.Duration(at.UptimeMS)*time.Millisecond
+// Age returns how long ago a timestamp was taken. It uses the uptime if the timestamp has one, and otherwise the wall
+// clock. The age is not known if the timestamp is ahead of the clock; an uptime that is ahead comes from before the
+// latest start of the machine. Both functions of the clock must be set.
+func (c Clock) Age(timestamp Timestamp) (age time.Duration, known bool) {
+	if timestamp.UptimeMS > 0 {
+		age = c.Uptime() - time.Duration(timestamp.UptimeMS)*time.Millisecond
 	} else {
-		age = c.Wall().Sub(time.UnixMilli(at.UnixMS))
+		age = c.Wall().Sub(time.UnixMilli(timestamp.UnixMS))
 	}
-	return age, age >= -timestampError
+	return age, age >= -timestampResolution
 }
 
 // clockMonotonic is Linux's CLOCK_MONOTONIC.
 const clockMonotonic = 1
 
-// uptime returns the time of the machine's monotonic clock, or 0 if it cannot be read.
+// uptime returns the time of the machine's monotonic clock, or 0 if the clock cannot be read.
 func uptime() time.Duration {
 	var now syscall.Timespec
 	_, _, errno := syscall.Syscall(syscall.SYS_CLOCK_GETTIME, clockMonotonic, uintptr(unsafe.Pointer(&now)), 0)
--- a/internal/system/files.go
+++ b/internal/system/files.go
@@ -6,23 +6,24 @@
 	"os"
 )
 
-// FileOps are the file operations that may fail for a while, such as on a disk that is full or has errors. A nil field
-// stands for the system's operation; OrSystem fills it in. Tests inject faults here.
+// FileOps are the file operations that may fail temporarily, for example on a disk that is full or has errors. A nil
+// field stands for the operation of the operating system; WithDefaults sets it. Tests replace operations to inject
+// faults.
 type FileOps struct {
-	Read   func(file *os.File, maxBytes int64) ([]byte, error) // reads to the end, or maxBytes
-	Write  func(file *os.File, text []byte) error              // writes all of text
-	Sync   func(file *os.File) error                           // puts what was written on disk
-	Rename func(from, to string) error                         // replaces to in one step
+	Read   func(file *os.File, maxBytes int64) ([]byte, error) // reads to the end of the file, but at most maxBytes
+	Write  func(file *os.File, data []byte) error              // writes all of data
+	Sync   func(file *os.File) error                           // flushes the written data to disk
+	Rename func(from, to string) error                         // atomically replaces the file named to
 }
 
-// OrSystem returns the operations with the system's in place of those that are not set.
-func (o FileOps) OrSystem() FileOps {
+// WithDefaults returns a copy of the operations in which the system's operations replace the fields that are nil.
+func (o FileOps) WithDefaults() FileOps {
 	if o.Read == nil {
 		o.Read = func(file *os.File, maxBytes int64) ([]byte, error) { return io.ReadAll(io.LimitReader(file, maxBytes)) }
 	}
 	if o.Write == nil {
-		o.Write = func(file *os.File, text []byte) error {
-			_, err := file.Write(text)
+		o.Write = func(file *os.File, data []byte) error {
+			_, err := file.Write(data)
 			return err
 		}
 	}
@@ -35,8 +36,8 @@
 	return o
 }
 
-// ReadFile returns up to maxBytes of a file, and which file they are from. All operations must be set. The error is an
-// fs.PathError, or that of Read.
+// ReadFile returns at most the first maxBytes bytes of a file, and the os.FileInfo of the file that they come from. All
+// operations must be set. An error is either an *fs.PathError or the error of Read.
 func (o FileOps) ReadFile(path string, maxBytes int64) ([]byte, os.FileInfo, error) {
 	file, err := os.Open(path)
 	if err != nil {
@@ -47,28 +48,28 @@
 	if err != nil {
 		return nil, nil, err
 	}
-	text, err := o.Read(file, maxBytes)
-	return text, info, err
+	data, err := o.Read(file, maxBytes)
+	return data, info, err
 }
 
-// ReplaceFile replaces the contents of a file in one step: a reader sees all of the old or all of the new ones,
-// whenever this process is killed. If durable, the new ones are on disk when it returns. It writes to the temporary
-// name first, which only one process at a time may use; a file that a killed process left there is overwritten. All
-// operations must be set.
-func (o FileOps) ReplaceFile(path, temporary string, text []byte, durable bool) error {
-	file, err := os.OpenFile(temporary, os.O_CREATE|os.O_WRONLY|os.O_TRUNC, 0o600)
+// ReplaceFile replaces the contents of a file atomically: a reader sees either all of the old contents or all of the
+// new ones, even if this process is killed at any moment. If durable is true, the new contents are on disk before
+// ReplaceFile renames the file. ReplaceFile first writes to temporaryPath, which only one process may use at a time,
+// and overwrites a file that a killed process has left there. All operations must be set.
+func (o FileOps) ReplaceFile(path, temporaryPath string, data []byte, durable bool) error {
+	file, err := os.OpenFile(temporaryPath, os.O_CREATE|os.O_WRONLY|os.O_TRUNC, 0o600)
 	if err != nil {
 		return err
 	}
-	err = o.Write(file, text)
+	err = o.Write(file, data)
 	if err == nil && durable {
 		err = o.Sync(file)
 	}
 	if err = errors.Join(err, file.Close()); err == nil {
-		err = o.Rename(temporary, path)
+		err = o.Rename(temporaryPath, path)
 	}
 	if err != nil {
-		os.Remove(temporary)
+		os.Remove(temporaryPath)
 	}
 	return err
 }
--- a/internal/system/lock.go
+++ b/internal/system/lock.go
@@ -6,11 +6,12 @@
 	"syscall"
 )
 
-// LockFile locks a file with flock(2), shared or exclusive (syscall.LOCK_SH, syscall.LOCK_EX), until it is closed. It
-// does not wait: the error is syscall.EWOULDBLOCK if another open file holds a lock that excludes this one.
-func LockFile(file *os.File, how int) error {
+// LockFile locks a file with flock(2) until the file is closed. The operation is syscall.LOCK_SH for a shared lock or
+// syscall.LOCK_EX for an exclusive one. LockFile does not wait: if another open file description holds a conflicting
+// lock, the error is syscall.EWOULDBLOCK.
+func LockFile(file *os.File, operation int) error {
 	for {
-		err := syscall.Flock(int(file.Fd()), how|syscall.LOCK_NB)
+		err := syscall.Flock(int(file.Fd()), operation|syscall.LOCK_NB)
 		if !errors.Is(err, syscall.EINTR) {
 			return err
 		}
--- a/internal/system/sockets.go
+++ b/internal/system/sockets.go
@@ -7,25 +7,25 @@
 	"time"
 )
 
-// PeekResult is what can be read from a connection without waiting.
+// PeekResult describes what a read from a connection would return without waiting.
 type PeekResult uint8
 
 // The results of Peek.
 const (
-	PeekNothing PeekResult = iota // the connection is open, and no byte has arrived
-	PeekData                      // at least one byte has arrived
-	PeekClosed                    // the peer has ended its side and all bytes are read, or the connection is broken
+	PeekNothing PeekResult = iota // the connection is open, and there is no byte to read
+	PeekData                      // there is at least one byte to read
+	PeekClosed                    // the peer has closed its side and all bytes were read, or the connection is broken
 )
 
-// Readable reports whether a read from a connection would return at once, with bytes, the end or an error.
+// Readable reports whether a read from a connection would return immediately, with bytes, io.EOF or an error.
 func Readable(c net.Conn) bool { return Peek(c) != PeekNothing }
 
-// Peek returns what can be read from a connection, and reads none of it.
+// Peek returns what can be read from a connection, without consuming any byte.
 func Peek(c net.Conn) PeekResult {
 	result := PeekClosed
 	err := control(c, func(fd int) {
 		result = peekWith(func() (int, error) {
-			var b [1]byte // here, where it does not escape
+			var b [1]byte // declared in this closure, where it does not escape to the heap
 			n, _, err := syscall.Recvfrom(fd, b[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
 			return n, err
 		})
@@ -36,8 +36,8 @@
 	return result
 }
 
-// peekWith returns what receive finds, which peeks at one byte without waiting. A shortage of the machine says
-// nothing of the connection.
+// peekWith converts the result of receive, which must peek at one byte without waiting, to a PeekResult. After a
+// resource shortage of this machine it returns PeekNothing, because the shortage says nothing about the connection.
 func peekWith(receive func() (int, error)) PeekResult {
 	for {
 		n, err := receive()
@@ -53,15 +53,16 @@
 	}
 }
 
-// PeerClosed reports whether the peer has ended its side or the connection is broken, even if bytes are left to read.
+// PeerClosed reports whether the peer has closed its side or the connection is broken, even if bytes are left to read.
+// It also reports true if the connection is closed or has no descriptor.
 func PeerClosed(c net.Conn) bool {
 	closed := false
 	err := control(c, func(fd int) { closed = pollPeerClosed(fd) })
 	return closed || err != nil
 }
 
-// AwaitPeerClosed waits until the peer has ended its side, the connection is broken or closed, or its read deadline has
-// passed. It reads nothing. It returns at once if c has no descriptor.
+// AwaitPeerClosed waits until the peer has closed its side, the connection is broken or closed, or its read deadline
+// has passed. It consumes no bytes. It returns immediately if c has no descriptor.
 func AwaitPeerClosed(c net.Conn) {
 	source, ok := c.(syscall.Conn)
 	if !ok {
@@ -71,16 +72,17 @@
 	if err != nil {
 		return
 	}
-	// An error means that the connection is closed or the deadline has passed, and either ends the wait.
+	// An error means that the connection is closed or the deadline has passed. Either ends the wait.
 	_ = raw.Read(func(fd uintptr) (done bool) { return pollPeerClosed(int(fd)) })
 }
 
-// maxDataAge is the longest plausible age of a connection's latest bytes. Clients do not wait that long, so a greater
-// value is not that of a request.
+// maxDataAge is the longest plausible age of the latest bytes of a connection. Clients do not wait that long, so a
+// greater age is not that of a request.
 const maxDataAge = time.Minute
 
-// LastDataAge returns how long ago the latest bytes of a connection arrived at this machine, even if nobody has read
-// them: the process may have been descheduled, or the connection not accepted yet. It returns 0 if that is not known.
+// LastDataAge returns how long ago the latest bytes of a connection arrived at this machine. It counts from the arrival
+// even if the bytes were read later or not at all, for example because the process was descheduled or had not accepted
+// the connection. It returns 0 if the age is not known.
 func LastDataAge(c net.Conn) time.Duration {
 	var age time.Duration
 	err := control(c, func(fd int) {
@@ -96,14 +98,14 @@
 	return age
 }
 
-// The states of a TCP connection that may still carry a request, by Linux's numbers.
+// The states of a TCP connection that may still carry a request, with Linux's numbers.
 const (
 	tcpEstablished = 1
 	tcpCloseWait   = 8
 )
 
-// control calls f with a connection's descriptor. It returns an error, and does not call f, if the connection is
-// closed or has no descriptor.
+// control calls f with the descriptor of a connection. If the connection is closed or has no descriptor, it does not
+// call f and returns an error.
 func control(c net.Conn, f func(fd int)) error {
 	source, ok := c.(syscall.Conn)
 	if !ok {
--- a/internal/system/sockets_test.go
+++ b/internal/system/sockets_test.go
@@ -5,7 +5,8 @@
 	"testing"
 )
 
-// A peek that a signal interrupts is made again, and a shortage of the machine says nothing of the connection.
+// A peek that a signal interrupts is repeated. A resource shortage of this machine does not make the connection count
+// as closed.
 func TestPeekIgnoresSignalsAndShortages(t *testing.T) {
 	calls := 0
 	result := peekWith(func() (int, error) {
@@ -15,18 +16,18 @@
 		return -1, syscall.EAGAIN
 	})
 	if result != PeekNothing || calls != 4 {
-		t.Errorf("peek %d after %d calls, want nothing after 4", result, calls)
+		t.Errorf("result %d after %d calls, want %d after 4", result, calls, PeekNothing)
 	}
 	for errno, want := range map[syscall.Errno]PeekResult{syscall.ENOMEM: PeekNothing, syscall.ENOBUFS: PeekNothing,
 		syscall.ECONNRESET: PeekClosed, syscall.ETIMEDOUT: PeekClosed} {
 		if got := peekWith(func() (int, error) { return -1, errno }); got != want {
-			t.Errorf("%v: %d, want %d", errno, got, want)
+			t.Errorf("result after error %v: %d, want %d", errno, got, want)
 		}
 	}
 	if got := peekWith(func() (int, error) { return 0, nil }); got != PeekClosed {
-		t.Errorf("an end: %d", got)
+		t.Errorf("result at the end of the data: %d, want %d", got, PeekClosed)
 	}
 	if got := peekWith(func() (int, error) { return 1, nil }); got != PeekData {
-		t.Errorf("a byte: %d", got)
+		t.Errorf("result with a byte to read: %d, want %d", got, PeekData)
 	}
 }
--- a/internal/system/syscalls.go
+++ b/internal/system/syscalls.go
@@ -5,23 +5,23 @@
 	"unsafe"
 )
 
-// This file has the system calls that the standard library does not wrap. The sidecar depends on no other module.
+// This file contains the system calls that the standard library does not wrap. The sidecar depends on no other module.
 
-// pollFD is Linux's struct pollfd.
+// pollFD has the layout of Linux's struct pollfd.
 type pollFD struct {
 	fd              int32
 	events, revents int16
 }
 
-// Linux's poll events.
+// Poll events, with Linux's numbers.
 const (
 	pollErr   = 0x8
 	pollHup   = 0x10
 	pollRdHup = 0x2000
 )
 
-// pollPeerClosed reports whether, by a ppoll(2) that does not wait, the peer of a socket has ended its side or the
-// connection is broken. It returns false if the call fails, since nothing is known then.
+// pollPeerClosed reports whether the peer of a socket has closed its side or the connection is broken. It calls
+// ppoll(2) without waiting. If the call fails, nothing is known about the peer, and it returns false.
 func pollPeerClosed(fd int) bool {
 	poll := pollFD{fd: int32(fd), events: pollRdHup}
 	var noWait syscall.Timespec
@@ -35,7 +35,7 @@
 	}
 }
 
-// tcpInfo returns the TCP_INFO of a socket.
+// tcpInfo returns the state that the kernel reports for a TCP socket (socket option TCP_INFO).
 func tcpInfo(fd int) (info syscall.TCPInfo, err error) {
 	size := uint32(unsafe.Sizeof(info))
 	_, _, errno := syscall.Syscall6(syscall.SYS_GETSOCKOPT, uintptr(fd), syscall.IPPROTO_TCP, syscall.TCP_INFO,
--- a/internal/upstream/bodystream.go
+++ b/internal/upstream/bodystream.go
@@ -7,27 +7,28 @@
 	"oakproxy/internal/httpmsg"
 )
 
-// streamStallTimeout bounds the time without a byte of a response that is streamed.
+// streamStallTimeout limits how long a read of a streamed response body waits for a byte.
 const streamStallTimeout = 5 * time.Second
 
-// BodyStream is the remainder of a response body, which is forwarded while it comes. It owns the connection until it is
-// closed. Whoever reads it closes it, once.
+// BodyStream is the remainder of a response body that is forwarded as it arrives. It owns the connection until it is
+// closed. Its reader must close it exactly once.
 type BodyStream struct {
 	pool      *pool
 	conn      *conn
 	body      io.Reader
-	remaining int64 // bytes until the limit on a body
-	reusable  bool  // the connection may carry another request once the body is complete
-	complete  bool  // the end of the body was read
+	remaining int64 // bytes that may still be read before the body exceeds httpmsg.MaxBodyBytes
+	reusable  bool  // whether the connection may carry another request once the body was read completely
+	complete  bool  // whether the end of the body was read
 }
 
-// newBodyStream returns the stream of what follows the buffered beginning of a body.
+// newBodyStream returns a stream of the part of a body that follows the buffered beginning, result.body.
 func newBodyStream(p *pool, c *conn, result *exchangeResult) *BodyStream {
 	remaining := httpmsg.MaxBodyBytes - int64(len(result.body))
 	return &BodyStream{pool: p, conn: c, body: result.response.Body, remaining: remaining}
 }
 
-// Read reads from the body. It fails where the body exceeds httpmsg.MaxBodyBytes or the endpoint stalls.
+// Read reads from the body. It fails if the body exceeds httpmsg.MaxBodyBytes, or if no byte arrives within
+// streamStallTimeout.
 func (s *BodyStream) Read(p []byte) (int, error) {
 	n, err := s.body.Read(p)
 	if s.remaining -= int64(n); s.remaining < 0 {
@@ -37,7 +38,8 @@
 	return n, err
 }
 
-// Close releases the connection, or closes it if part of the body was not read.
+// Close returns the connection to the pool. The connection is closed instead if part of the body was not read, if bytes
+// follow the body, or if the connection is not reusable for another reason.
 func (s *BodyStream) Close() {
 	s.conn.stallTimeout = 0
 	s.conn.SetReadDeadline(time.Time{})
--- a/internal/upstream/client.go
+++ b/internal/upstream/client.go
@@ -15,19 +15,20 @@
 	"oakproxy/internal/stages"
 )
 
-// probeTimeout bounds a probe, the time to connect included.
+// probeTimeout limits the duration of a probe, including the time to connect.
 const probeTimeout = 400 * time.Millisecond
 
-// Client sends requests to endpoints. It does not use http.Transport, which by itself repeats an idempotent request
-// on a dead idle connection: each such repetition would be an attempt that the balancer never decided.
+// Client sends requests to endpoints. It does not use http.Transport, which repeats an idempotent request by itself
+// when the idle connection that it was sent on turns out to be dead: each repetition would be an attempt that the
+// balancer did not decide.
 //
-// Its methods may be called concurrently.
+// The methods of a Client may be called concurrently.
 type Client struct {
-	// The pool has the connections, and the exported fields Dialer and ReuseDelay.
+	// pool manages the connections. Its exported fields, Dialer and ReuseDelay, are also fields of the Client.
 	*pool
 
-	// Format is the format of load reports in force.
-	Format atomic.Pointer[ReportFormat]
+	// CurrentFormat is the format of load reports in the current configuration.
+	CurrentFormat atomic.Pointer[ReportFormat]
 	// BodyMemory is the memory budget for the bodies of responses.
 	BodyMemory *httpmsg.MemoryBudget
 }
@@ -35,27 +36,29 @@
 // Result is the outcome of an attempt or a probe.
 type Result struct {
 	Status balancer.Status
-	// Err is why Status is not OK. It is nil where a complete response decided the status.
+	// Err is the reason why the attempt failed without a valid response. It is nil if a response determines Status.
 	Err error
-	// Header and Body are those of a 200 response. Body is complete if Rest is nil, and else its buffered beginning.
+	// Header and Body are the header and the body of a 200 response. If Stream is nil, Body is the complete body;
+	// otherwise it is the buffered beginning.
 	Header http.Header
 	Body   []byte
-	// Stream is the remainder of the body, or nil. Whoever has the result closes it.
+	// Stream is the remainder of the body; nil if Body is complete. The receiver of the Result must close it.
 	Stream *BodyStream
-	// ContentLength is the length of the complete body in bytes, -1 if unknown.
+	// ContentLength is the length of the complete body of a 200 response in bytes; -1 if the length is unknown.
 	ContentLength int64
-	// ReleaseBody returns the memory that was reserved for Body. It is nil where none was.
+	// ReleaseBody releases the memory that was reserved for Body. It is nil if no memory was reserved.
 	ReleaseBody func()
-	// Load is the load report of the response, in the format Report; nil if there is none.
+	// Load holds the values of the response's load report in the order of ReportFormat. It is nil if the response has
+	// no load report. ReportFormat is nil if the exchange failed.
 	Load         []float32
 	ReportFormat *ReportFormat
-	// Elapsed is the time from the first write to the end of the exchange, without the time to connect.
+	// Elapsed is the time from the first write to the end of the exchange. It excludes the time to connect.
 	Elapsed time.Duration
-	// Times are the instants of the stages of the attempt.
+	// Times are the instants at which the stages of the attempt ended.
 	Times stages.AttemptTimes
 }
 
-// close releases what a result holds, where its body is not used.
+// close closes Stream and releases the memory of Body. It is called for a result whose body is not used.
 func (r *Result) close() {
 	if r.Stream != nil {
 		r.Stream.Close()
@@ -65,29 +68,29 @@
 	}
 }
 
-// NewClient returns a client that opens at most maxConnections connections and reserves the memory for response
-// bodies from bodies.
+// NewClient returns a client that has at most maxConnections open connections. It reserves the memory for response
+// bodies from the budget bodies.
 func NewClient(cfg *config.Config, maxConnections int, bodies *httpmsg.MemoryBudget) *Client {
 	u := &Client{pool: newPool(maxConnections), BodyMemory: bodies}
 	u.Configure(cfg)
 	return u
 }
 
-// Configure applies a configuration. Open connections stay as they are.
+// Configure applies a configuration. Connections that are already open are not affected.
 func (u *Client) Configure(cfg *config.Config) {
 	u.setTimeouts(time.Duration(cfg.Settings.Limits.DialTimeout)*time.Microsecond, cfg.IdleTimeout)
-	if old := u.Format.Load(); old == nil || !slices.Equal(old.fields, cfg.ReportFields) {
-		u.Format.Store(&ReportFormat{cfg.ReportFields})
+	if old := u.CurrentFormat.Load(); old == nil || !slices.Equal(old.fields, cfg.ReportFields) {
+		u.CurrentFormat.Store(&ReportFormat{cfg.ReportFields})
 	}
 }
 
-// Attempt sends a request once and returns the outcome. The outcome claims that the request never ran only where the
-// last byte was not written or the endpoint says so; in doubt the request may have run.
+// Attempt sends a request once and returns the outcome. The outcome states that the request never ran only if the last
+// byte was not written or the endpoint's response says so. In any other case the request may have run.
 func (u *Client) Attempt(ctx context.Context, endpoint *Endpoint, request *Request, gate *Gate) Result {
 	var exchanged *exchangeResult
 	var start time.Time
 	err := errStaleConnection
-	for errors.Is(err, errStaleConnection) { // nothing has been sent on that connection
+	for errors.Is(err, errStaleConnection) { // nothing of the request was sent on the stale connection
 		c, connectErr := u.connect(ctx, endpoint, request.isProbe)
 		if connectErr != nil {
 			return Result{Status: unsentStatus(ctx, connectErr), Err: connectErr}
@@ -115,12 +118,12 @@
 	return r
 }
 
-// Probe requests an endpoint's load report, or its health where the configuration has no load reports.
+// Probe requests an endpoint's load report, or its health if the configuration has no load report fields.
 func (u *Client) Probe(ctx context.Context, endpoint *Endpoint) Result {
 	ctx, cancel := context.WithTimeout(ctx, probeTimeout)
 	defer cancel()
 	request := &Request{Method: http.MethodGet, URL: &url.URL{Path: "/health/live"}, Host: endpoint.Address, isProbe: true}
-	if len(u.Format.Load().fields) > 0 {
+	if len(u.CurrentFormat.Load().fields) > 0 {
 		request.URL.Path = "/stats"
 	}
 	r := u.Attempt(ctx, endpoint, request, &Gate{})
--- a/internal/upstream/client_test.go
+++ b/internal/upstream/client_test.go
@@ -26,43 +26,43 @@
 		t.Fatal(err)
 	}
 	u := NewClient(cfg, maxOpen, httpmsg.NewMemoryBudget(24<<20))
-	u.ReuseDelay = 0 // most tests use a connection again at once
+	u.ReuseDelay = 0 // most tests reuse a connection immediately
 	return u
 }
 
-// newGetRequest returns an idempotent request.
+// newGetRequest returns a GET request with an Idempotency-Key.
 func newGetRequest(path string) *Request {
 	return &Request{Method: http.MethodGet, URL: &url.URL{Path: path}, Host: "api", Header: http.Header{
 		"X-Correlation-Id": {"1"}, "Idempotency-Key": {"k"}}}
 }
 
-// getOnce attempts a GET request.
+// getOnce makes one attempt of a GET request.
 func getOnce(ctx context.Context, u *Client, endpoint *Endpoint, path string) Result {
 	return u.Attempt(ctx, endpoint, newGetRequest(path), &Gate{})
 }
 
-// A connection is reused, and a request on one that breaks is not repeated: http.Transport would do so, for a GET or
-// with an Idempotency-Key, on a connection that had been idle.
+// A connection is reused. If the reused connection breaks, the Client does not repeat the request. http.Transport would
+// repeat a GET request, or one with an Idempotency-Key, on a connection that had been idle.
 func TestAttemptIsNeverRepeated(t *testing.T) {
 	e := sidecartest.NewEndpoint(t, func(e *sidecartest.Endpoint, conn net.Conn, in *bufio.Reader) {
 		if e.Next(in) != nil {
 			io.WriteString(conn, sidecartest.Served)
-			e.Next(in) // and close without a response
+			e.Next(in) // the connection is then closed without a response
 		}
 	})
-	u, at := newTestClient(t, 4), &Endpoint{Address: e.Address}
-	if r := getOnce(context.Background(), u, at, "/1"); r.Status != balancer.OK {
-		t.Fatalf("first: status %v", r.Status)
+	u, endpoint := newTestClient(t, 4), &Endpoint{Address: e.Address}
+	if r := getOnce(context.Background(), u, endpoint, "/1"); r.Status != balancer.OK {
+		t.Fatalf("first request: status %v, want OK", r.Status)
 	}
-	if r := getOnce(context.Background(), u, at, "/2"); r.Status != balancer.Reset {
-		t.Errorf("second: status %v, want Reset", r.Status)
+	if r := getOnce(context.Background(), u, endpoint, "/2"); r.Status != balancer.Reset {
+		t.Errorf("second request: status %v, want Reset", r.Status)
 	}
 	if requests, conns := e.Seen(); requests != 2 || conns != 1 {
-		t.Errorf("%d requests on %d connections, want 2 on 1", requests, conns)
+		t.Errorf("the endpoint received %d requests on %d connections, want 2 on 1", requests, conns)
 	}
 }
 
-// A probe returns the figures of a load report in the order of the settings, and NaN for each that is unusable.
+// A probe returns the values of a load report in the order of the configured fields, and NaN for each unusable value.
 func TestProbeParsesLoadReport(t *testing.T) {
 	report := func(text string) string {
 		return fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(text), text)
@@ -70,14 +70,14 @@
 	for _, c := range []struct {
 		name, response string
 		status         balancer.Status
-		load           []float32 // -1: not a number
+		load           []float32 // -1 stands for NaN
 	}{
-		{"both figures, in any order", report("pending=7,failed_ps=0.5\n"), balancer.OK, []float32{0.5, 7}},
-		{"one figure and others", report("util=0.3,pending=2"), balancer.OK, []float32{-1, 2}},
-		{"a malformed figure", report("pending=many,failed_ps=1,,=,x"), balancer.OK, []float32{1, -1}},
-		{"a repeated figure", report("pending=1,failed_ps=2,pending=3"), balancer.OK, []float32{2, -1}},
-		{"figures out of range", report("pending=1e30,failed_ps=-1"), balancer.OK, []float32{-1, -1}},
-		{"figures that are no numbers", report("pending=NaN,failed_ps=+Inf"), balancer.OK, []float32{-1, -1}},
+		{"both values, in any order", report("pending=7,failed_ps=0.5\n"), balancer.OK, []float32{0.5, 7}},
+		{"one value and an unknown field", report("util=0.3,pending=2"), balancer.OK, []float32{-1, 2}},
+		{"a malformed value", report("pending=many,failed_ps=1,,=,x"), balancer.OK, []float32{1, -1}},
+		{"a repeated value", report("pending=1,failed_ps=2,pending=3"), balancer.OK, []float32{2, -1}},
+		{"values out of range", report("pending=1e30,failed_ps=-1"), balancer.OK, []float32{-1, -1}},
+		{"values that are not finite numbers", report("pending=NaN,failed_ps=+Inf"), balancer.OK, []float32{-1, -1}},
 		{"no report yet", report(""), balancer.OK, nil},
 		{"rejected", "HTTP/1.1 503 x\r\nContent-Length: 0\r\n\r\n", balancer.EndpointError, nil},
 	} {
@@ -90,10 +90,10 @@
 				}
 			}
 			if r.Status != c.status || !slices.Equal(r.Load, c.load) {
-				t.Errorf("status %v, load %v; want %v, %v", r.Status, r.Load, c.status, c.load)
+				t.Errorf("status %v, load %v; want status %v, load %v", r.Status, r.Load, c.status, c.load)
 			}
 			if path := e.Request(0).RequestURI; path != "/stats" {
-				t.Errorf("requested %s", path)
+				t.Errorf("requested %s, want /stats", path)
 			}
 		})
 	}
--- a/internal/upstream/conn.go
+++ b/internal/upstream/conn.go
@@ -11,40 +11,44 @@
 )
 
 const (
-	// maxBufferedWrite is the size in bytes that a connection's send buffer takes for sure: a write of no more does
-	// not wait for the endpoint.
+	// maxBufferedWrite is the number of bytes that a connection's send buffer always accepts: a write of at most this
+	// size does not wait for the endpoint.
 	maxBufferedWrite = 4 << 10
 
-	// maxWriteLag bounds the time that the last bytes of a request may wait for its endpoint to take what is ahead
-	// of them. X-Time-Left-Ms may exceed the client's remaining time by 0.15 s.
-	maxWriteLag = 100 * time.Millisecond
+	// maxWriteDelay limits how long the last bytes of a request may wait until the endpoint has accepted the bytes
+	// before them. X-Time-Left-Ms may exceed the client's remaining time by at most 0.15 s.
+	maxWriteDelay = 100 * time.Millisecond
 )
 
-// conn is a connection that carries one request at a time. Only its owner may use it: see the package comment.
+// conn is a connection to an endpoint that carries one request at a time. Only its owner may use it; see the package
+// comment.
 type conn struct {
 	net.Conn
 	endpoint *Endpoint
 	reader   *bufio.Reader
-	limit    io.LimitedReader // between the connection and reader: bounds a response's head and interim responses
+	// readLimit is between the connection and reader. It limits the size of a response's head and interim responses, but
+	// not that of the body of a 200 response.
+	readLimit io.LimitedReader
 
-	// ctx is the context of the exchange under way. It is kept here because Read and Write have no parameter for
-	// it, and they must notice a cancellation whose deadline they have just overwritten.
+	// ctx is the context of the current exchange. It is a field because Read and uploadWriter.Write have no context
+	// parameter, and they must notice a cancellation after they have overwritten the deadline that interrupt set.
 	ctx context.Context
-	// stallTimeout bounds the time that a read waits for a byte; 0: no limit.
+	// stallTimeout limits how long a read waits for a byte. Zero means no limit.
 	stallTimeout time.Duration
 
-	idleSince time.Time
-	used      bool // it has carried a request before
+	idleSince time.Time // when the connection was last returned to the pool
+	used      bool      // whether the connection has carried a request before
 }
 
+// newConn returns a conn for an established connection to an endpoint.
 func newConn(raw net.Conn, endpoint *Endpoint) *conn {
 	c := &conn{Conn: raw, endpoint: endpoint}
-	c.limit.R = c
-	c.reader = bufio.NewReaderSize(&c.limit, maxResponseHeadBytes)
+	c.readLimit.R = c
+	c.reader = bufio.NewReaderSize(&c.readLimit, maxResponseHeadBytes)
 	return c
 }
 
-// Read reads within the stall timeout, if there is one.
+// Read reads from the connection. If stallTimeout is set, Read fails when no byte arrives within that time.
 func (c *conn) Read(p []byte) (int, error) {
 	if c.stallTimeout > 0 {
 		c.SetReadDeadline(time.Now().Add(c.stallTimeout))
@@ -55,15 +59,18 @@
 	return c.Conn.Read(p)
 }
 
-// interrupt ends a read or write that is under way, and those that follow until a deadline is set.
+// interrupt makes any read or write in progress fail, and all later ones until a new deadline is set.
 func (c *conn) interrupt() { c.SetDeadline(time.Unix(1, 0)) }
 
-// alive reports whether an idle connection is open and has nothing to read. An endpoint may close it at any time, and
-// a request written after that is lost as a reset that may have run.
+// alive reports whether an idle connection is open and has nothing to read. An endpoint may close an idle connection at
+// any time. A request that is written after that is lost: its outcome is a reset, after which it may have run.
 func (c *conn) alive() bool { return !system.Readable(c.Conn) }
 
-// writeRequest writes an encoded request, or fails before its last byte. X-Time-Left-Ms counts from the time when the
-// write began: an endpoint that takes the remainder too late for that must not run the request.
+// writeRequest writes an encoded request. If it returns an error, the last byte was not written.
+//
+// X-Time-Left-Ms counts from the start of the write, and the endpoint must not run a request whose X-Time-Left-Ms is
+// wrong. A request of more than maxBufferedWrite bytes is therefore written up to its last byte first. If that takes
+// longer than maxWriteDelay, the last byte is not written.
 func (c *conn) writeRequest(data []byte) error {
 	last := len(data) - 1
 	if len(data) <= maxBufferedWrite {
@@ -73,7 +80,7 @@
 	if _, err := c.Write(data[:last]); err != nil {
 		return err
 	}
-	if time.Since(start) > maxWriteLag {
+	if time.Since(start) > maxWriteDelay {
 		return errTooLate
 	}
 	if n, err := c.Write(data[last:]); n < len(data)-last {
--- a/internal/upstream/exchange.go
+++ b/internal/upstream/exchange.go
@@ -8,23 +8,23 @@
 	"oakproxy/internal/httpmsg"
 )
 
-// exchangeResult is a response that is complete or, if stream is not nil, has begun.
+// exchangeResult is a response that was read completely or, if stream is not nil, up to a point within its body.
 type exchangeResult struct {
 	response  *http.Response
-	body      []byte      // the complete body, or its buffered beginning
+	body      []byte      // the complete body or, if stream is not nil, its buffered beginning
 	stream    *BodyStream // the remainder of the body; nil if body is complete
-	release   func()      // returns the memory reserved for body; nil if there is none
-	writtenAt time.Time   // when the request's last byte was written, or the last one ahead of an upload
-	reusable  bool        // the connection may carry another request after the response
+	release   func()      // releases the memory reserved for body; nil if none was reserved
+	writtenAt time.Time   // when the request's last byte was written; with an upload, the last byte before it
+	reusable  bool        // whether the connection may carry another request after the response
 }
 
-// exchange writes one request on a connection and reads the response, or its beginning. It owns the connection, and
-// releases it unless the result has a stream, which owns it from then on.
+// exchange writes one request on a connection and reads the response or, if the response is streamed, its beginning.
+// It owns the connection and releases it at the end, unless the result has a stream: then the stream owns it.
 func (u *Client) exchange(ctx context.Context, c *conn, request *Request, gate *Gate) (
 	result *exchangeResult, err error) {
-	c.ctx, c.limit.N = ctx, maxResponseHeadBytes+httpmsg.MaxBufferedBytes
-	stop := context.AfterFunc(ctx, c.interrupt)
-	defer func() { err = u.finishExchange(ctx, c, result, err, stop) }()
+	c.ctx, c.readLimit.N = ctx, maxResponseHeadBytes+httpmsg.MaxBufferedBytes
+	stopInterrupt := context.AfterFunc(ctx, c.interrupt)
+	defer func() { err = u.finishExchange(ctx, c, result, err, stopInterrupt) }()
 
 	if err := u.sendRequest(ctx, c, request, gate); err != nil {
 		return nil, err
@@ -42,14 +42,14 @@
 	return result, nil
 }
 
-// sendRequest passes the gate and writes a request, up to its upload if it has one. Each error but errStaleConnection
-// is an unsentError.
+// sendRequest passes the gate and writes a request. If the request has an upload, sendRequest writes only the part
+// before the upload. Every error except errStaleConnection is an unsentError.
 func (u *Client) sendRequest(ctx context.Context, c *conn, request *Request, gate *Gate) error {
 	data, err := request.encode(ctx)
 	if err != nil {
 		return &unsentError{err}
 	}
-	// What has come by now is no response to this request, and must not be taken for one.
+	// Bytes that arrived before the request is sent are not its response and must not be read as such.
 	if c.used && !c.alive() {
 		return errStaleConnection
 	}
@@ -62,8 +62,8 @@
 	return nil
 }
 
-// exchangeUpload sends the upload of a request and reads the response. From the upload's last byte on, the exchange is
-// bounded by the client's remaining time.
+// exchangeUpload sends the upload of a request and reads the response. After the upload's last byte is written, the
+// client's remaining time limits the exchange.
 func (u *Client) exchangeUpload(ctx context.Context, c *conn, request *Request) (result *exchangeResult, err error) {
 	if err := u.sendUpload(ctx, c, request); err != nil {
 		return nil, err
@@ -71,34 +71,35 @@
 	upload := request.Upload
 	upload.WrittenAt = time.Now()
 	upload.OnWritten()
-	timed, cancel := context.WithDeadline(ctx, upload.Deadline())
+	responseCtx, cancel := context.WithDeadline(ctx, upload.Deadline())
 	defer cancel()
-	c.ctx = timed
-	stop := context.AfterFunc(timed, c.interrupt)
+	c.ctx = responseCtx
+	stopInterrupt := context.AfterFunc(responseCtx, c.interrupt)
 	defer func() {
-		if stop() {
+		if stopInterrupt() {
 			return
 		}
 		if result != nil {
 			result.reusable = false
 		}
-		if err != nil && deadlinePassed(timed) {
+		if err != nil && deadlinePassed(responseCtx) {
 			err = errResponseTimeout
 		}
 	}()
 	return u.readResponse(c, request.Method)
 }
 
-// finishExchange ends an exchange and returns its error. It hands the connection to the result's stream, or releases
-// it. stop is that of the context's interrupt: once the interrupt has begun, its deadline may be set at any later
-// time, and the connection must not be used again.
+// finishExchange ends an exchange and returns its error. It hands the connection to the result's stream or releases it.
+// stopInterrupt prevents the call of conn.interrupt that is registered for the end of ctx, and reports whether it did.
+// If that call has already begun, it may set the connection's deadline at any later time, so the connection must not be
+// used again.
 func (u *Client) finishExchange(ctx context.Context, c *conn, result *exchangeResult, err error,
-	stop func() bool) error {
+	stopInterrupt func() bool) error {
 	c.stallTimeout = 0
-	stopped := stop()
-	reusable := stopped && err == nil && result.reusable
+	interruptStopped := stopInterrupt()
+	reusable := interruptStopped && err == nil && result.reusable
 	if err == nil && result.stream != nil {
-		if stopped {
+		if interruptStopped {
 			result.stream.reusable = reusable
 			c.ctx, c.stallTimeout = context.Background(), streamStallTimeout
 			return nil
--- a/internal/upstream/gate.go
+++ b/internal/upstream/gate.go
@@ -6,37 +6,43 @@
 	"time"
 )
 
-// Gate is what each attempt and probe passes right before its first byte, whether it is a first attempt or a retry, on
-// an idle connection or a new one, however long it waited for that. What the balancer decided may no longer hold then.
+// Gate is the check that each attempt and probe passes immediately before it writes its first byte: the first attempt
+// and each retry, on an idle connection or a new one, however long the wait for the connection was. By then the
+// balancer's decision to start the attempt or probe may be out of date.
 //
-// The zero value is open. A gate serves one attempt.
+// The zero value is an open gate without conditions. A Gate serves one attempt or probe.
 type Gate struct {
-	// NotAfter is the time after which a retry could run the request twice; zero where that does not matter.
+	// NotAfter is the time from which on a retry could run the request twice; the gate cannot be passed then. Zero means
+	// that there is no such time.
 	NotAfter time.Time
-	// ClientGone reports whether the client has left, by a look at its connection; nil: there is no client.
+	// ClientGone inspects the client's connection and reports whether the client has disconnected. It is nil if there
+	// is no client.
 	ClientGone func() bool
 
 	phase atomic.Int32 // a gatePhase
 }
 
-// gatePhase says what became of a gate. It is passed or closed once, and for good.
+// gatePhase is the state of a gate. It changes at most once, from gateOpen to one of the other two.
 type gatePhase int32
 
 const (
-	gateOpen gatePhase = iota
-	gatePassed
-	gateClosed
+	gateOpen   gatePhase = iota
+	gatePassed           // the attempt may write its first byte
+	gateClosed           // the attempt never begins
 )
 
-// leaveOpen moves the gate to its final phase, and reports whether it was the first to do so.
-func (g *Gate) leaveOpen(final gatePhase) bool {
+// enterFinalPhase moves an open gate to its final phase. It reports false, and changes nothing, if the gate was no
+// longer open.
+func (g *Gate) enterFinalPhase(final gatePhase) bool {
 	return g.phase.CompareAndSwap(int32(gateOpen), int32(final))
 }
 
-// Close prevents the attempt from beginning and reports whether that came in time.
-func (g *Gate) Close() bool { return g.leaveOpen(gateClosed) }
+// Close prevents the attempt from beginning. It reports whether the gate was still open; if not, the attempt may have
+// begun.
+func (g *Gate) Close() bool { return g.enterFinalPhase(gateClosed) }
 
-// passGate returns nil if the first byte may be written on a connection to an endpoint, and else why not.
+// passGate passes the gate and returns nil if the first byte may be written on a connection to the endpoint. Otherwise
+// it returns the reason why not.
 func (p *pool) passGate(ctx context.Context, gate *Gate, endpoint *Endpoint) error {
 	switch {
 	case p.Retired(endpoint):
@@ -49,7 +55,7 @@
 		return errTooLate
 	case gate.ClientGone != nil && gate.ClientGone():
 		return errClientGone
-	case !gate.leaveOpen(gatePassed):
+	case !gate.enterFinalPhase(gatePassed):
 		return errClientGone
 	}
 	return nil
--- a/internal/upstream/gate_test.go
+++ b/internal/upstream/gate_test.go
@@ -10,11 +10,11 @@
 	"oakproxy/internal/sidecartest"
 )
 
-// The time that an attempt waits for its connection may invalidate its decision: then the attempt never begins, which
-// proves that it never ran.
+// While an attempt waits for its connection, the reason to send it may cease to hold. Then the attempt must not begin,
+// and its outcome must prove that it never ran.
 func TestGateClosedDuringDialPreventsAttempt(t *testing.T) {
-	for name, closeGate := range map[string]func(u *Client, at *Endpoint, g *Gate, cancel func()){
-		"endpoint retired":  func(u *Client, at *Endpoint, _ *Gate, _ func()) { u.Retire(at) },
+	for name, closeGate := range map[string]func(u *Client, endpoint *Endpoint, g *Gate, cancel func()){
+		"endpoint retired":  func(u *Client, endpoint *Endpoint, _ *Gate, _ func()) { u.Retire(endpoint) },
 		"client left":       func(_ *Client, _ *Endpoint, g *Gate, _ func()) { g.ClientGone = func() bool { return true } },
 		"retry too late":    func(_ *Client, _ *Endpoint, g *Gate, _ func()) { g.NotAfter = time.Now() },
 		"gate closed":       func(_ *Client, _ *Endpoint, g *Gate, _ func()) { g.Close() },
@@ -22,14 +22,14 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			e := sidecartest.NewEndpoint(t, sidecartest.Always(sidecartest.Served))
-			u, at, g := newTestClient(t, 1), &Endpoint{Address: e.Address}, &Gate{}
+			u, endpoint, g := newTestClient(t, 1), &Endpoint{Address: e.Address}, &Gate{}
 			dial := sidecartest.BlockDials(&u.Dialer, e.Address)
 			ctx, cancel := context.WithCancel(context.Background())
 			defer cancel()
 			done := make(chan Result)
-			go func() { done <- u.Attempt(ctx, at, newGetRequest("/"), g) }()
+			go func() { done <- u.Attempt(ctx, endpoint, newGetRequest("/"), g) }()
 			<-dial.Started
-			closeGate(u, at, g, cancel)
+			closeGate(u, endpoint, g, cancel)
 			close(dial.Unblock)
 			if r := <-done; r.Status != balancer.NotSent {
 				t.Errorf("status %v, want NotSent", r.Status)
@@ -41,10 +41,11 @@
 	}
 }
 
-// An attempt that waited for its connection must not begin once its endpoint is draining. No later one begins either.
+// An attempt that is waiting for its connection must not begin if its endpoint is retired meanwhile. No later attempt
+// may begin either.
 func TestRetireDuringDialPreventsAttempt(t *testing.T) {
 	e := sidecartest.NewEndpoint(t, sidecartest.Always(sidecartest.Served))
-	u, at := newTestClient(t, 1), &Endpoint{Address: e.Address}
+	u, endpoint := newTestClient(t, 1), &Endpoint{Address: e.Address}
 	dialling, unblock := make(chan struct{}), make(chan struct{})
 	u.Dialer.Control = func(_, _ string, _ syscall.RawConn) error {
 		close(dialling)
@@ -52,17 +53,17 @@
 		return nil
 	}
 	done := make(chan Result)
-	go func() { done <- getOnce(context.Background(), u, at, "/") }()
+	go func() { done <- getOnce(context.Background(), u, endpoint, "/") }()
 	<-dialling
-	u.Retire(at)
+	u.Retire(endpoint)
 	close(unblock)
 	if r := <-done; r.Status != balancer.NotSent {
 		t.Errorf("status %v, want NotSent", r.Status)
 	}
 	if n, _ := e.Seen(); n != 0 {
-		t.Errorf("the draining endpoint received %d requests, want none", n)
+		t.Errorf("the retired endpoint received %d requests, want none", n)
 	}
-	if r := getOnce(context.Background(), u, at, "/"); r.Status != balancer.NotSent || u.open != 0 {
-		t.Errorf("later: status %v, want NotSent; %d connections open", r.Status, u.open)
+	if r := getOnce(context.Background(), u, endpoint, "/"); r.Status != balancer.NotSent || u.open != 0 {
+		t.Errorf("later attempt: status %v, want NotSent; %d connections open, want 0", r.Status, u.open)
 	}
 }
--- a/internal/upstream/loadreport.go
+++ b/internal/upstream/loadreport.go
@@ -7,18 +7,19 @@
 	"strings"
 )
 
-// maxReportFigure bounds a figure in a load report: a larger one counts as malformed.
-const maxReportFigure = 1e6
+// maxReportValue is the largest valid value in a load report. A larger value counts as malformed.
+const maxReportValue = 1e6
 
-// ReportFormat names the figures of a load report, in the order of config.Config.ReportFields. Reports in the same
-// format have the same pointer.
+// ReportFormat lists the fields of a load report in the order of config.Config.ReportFields. Formats are compared by
+// pointer: reports that were parsed in the same format have the same pointer.
 type ReportFormat struct{ fields []string }
 
-// ParseLoadReport parses a load report, a list name=value,name=value, into the order of the format in force, which it
-// returns too. A figure that is missing, repeated, malformed or out of range is NaN, which the balancer skips in favour
-// of what it knew. The load of an empty report is nil.
+// ParseLoadReport parses a load report, which is a list of the form name=value,name=value. It returns the values in the
+// order of the current format, and that format. A value that is missing, repeated, malformed or out of range is NaN;
+// the balancer ignores a NaN and keeps the value that it had. If the report is empty or the format has no fields, the
+// returned slice is nil.
 func (u *Client) ParseLoadReport(text string) ([]float32, *ReportFormat) {
-	format := u.Format.Load()
+	format := u.CurrentFormat.Load()
 	if text == "" || len(format.fields) == 0 {
 		return nil, format
 	}
@@ -32,11 +33,11 @@
 		if i < 0 {
 			continue
 		}
-		figure, err := strconv.ParseFloat(value, 32)
-		if seen[i] || err != nil || !(figure >= 0 && figure <= maxReportFigure) {
-			figure = math.NaN()
+		number, err := strconv.ParseFloat(value, 32)
+		if seen[i] || err != nil || !(number >= 0 && number <= maxReportValue) {
+			number = math.NaN()
 		}
-		load[i], seen[i] = float32(figure), true
+		load[i], seen[i] = float32(number), true
 	}
 	return load, format
 }
--- a/internal/upstream/outcome.go
+++ b/internal/upstream/outcome.go
@@ -10,38 +10,39 @@
 	"oakproxy/internal/system"
 )
 
-// errStaleConnection says that an idle connection was unusable before anything of the request was sent on it.
+// errStaleConnection reports that an idle connection was unusable before anything of the request was sent on it.
 var errStaleConnection = errors.New("the idle connection is stale")
 
-// Reasons for which the sidecar itself does not send a request. None is the endpoint's fault.
+// Reasons why the sidecar itself does not send a request. None of them is the endpoint's fault.
 var (
-	errEndpointClosed  = errors.New("the endpoint is draining or removed")
+	errEndpointClosed  = errors.New("the endpoint is draining, removed or restarted")
 	errConnectionLimit = errors.New("the limit on open connections is reached")
-	errUploadStopped   = errors.New("the upload was stopped")
-	errClientGone      = errors.New("the client has left, or its request has ended")
-	errTooLate         = errors.New("the request may no longer be sent")
+	errUploadStopped   = errors.New("the upload was stopped before its last bytes were written")
+	errClientGone      = errors.New("the client has disconnected, or its request has ended")
+	errTooLate         = errors.New("it is too late to send the request")
 )
 
-// Reasons for which an exchange fails once the request's first byte was written.
+// Reasons why an exchange fails after the request's first byte was written.
 var (
-	errEarlyResponse   = errors.New("a response came before the request was written")
-	errResponseTimeout = errors.New("no response came in the time left after the upload")
+	errEarlyResponse   = errors.New("the endpoint responded before the request was completely written")
+	errResponseTimeout = errors.New("no response arrived within the client's remaining time after the upload")
 )
 
-// localReasons are the errors that say nothing of the endpoint.
-var localReasons = []error{errEndpointClosed, errConnectionLimit, errUploadStopped, errClientGone, errTooLate}
+// localErrors are the errors that say nothing about the endpoint.
+var localErrors = []error{errEndpointClosed, errConnectionLimit, errUploadStopped, errClientGone, errTooLate}
 
-// unsentError says that the last byte of a request was never written, which proves that the request never ran.
+// unsentError wraps the reason why the last byte of a request was never written, which proves that the request never
+// ran.
 type unsentError struct{ error }
 
 func (e *unsentError) Unwrap() error { return e.error }
 
-// clientError is a failure of the client's side while its body is forwarded.
+// clientError wraps a failure on the client's side while the body of its request is forwarded.
 type clientError struct{ error }
 
 func (e *clientError) Unwrap() error { return e.error }
 
-// failureStatus returns the outcome of an exchange that ended with an error.
+// failureStatus returns the status of an attempt whose exchange failed with err.
 func failureStatus(ctx context.Context, err error) balancer.Status {
 	var notSent *unsentError
 	switch {
@@ -52,23 +53,24 @@
 	case ctx.Err() != nil:
 		return balancer.Cancelled
 	}
-	return balancer.Reset // a broken, truncated or malformed response: the connection is closed
+	return balancer.Reset // the response is broken, truncated or malformed, and the connection is closed
 }
 
-// unsentStatus returns the outcome of a request that was not written. It is the endpoint's fault unless this machine
-// lacked a resource, the sidecar no longer wanted to send the request, or the client failed to write it.
+// unsentStatus returns the status of an attempt whose request was not completely written because of err. The status is
+// ConnectFailed, which is the endpoint's fault, unless this machine lacked a resource, the sidecar no longer wanted to
+// send the request, or the client failed to write it.
 func unsentStatus(ctx context.Context, err error) balancer.Status {
-	var client *clientError
-	local := slices.ContainsFunc(localReasons, func(reason error) bool { return errors.Is(err, reason) })
-	if local || system.IsShortage(err) || ctx.Err() != nil || deadlinePassed(ctx) || errors.As(err, &client) {
+	var clientErr *clientError
+	local := slices.ContainsFunc(localErrors, func(reason error) bool { return errors.Is(err, reason) })
+	if local || system.IsShortage(err) || ctx.Err() != nil || deadlinePassed(ctx) || errors.As(err, &clientErr) {
 		return balancer.NotSent
 	}
 	return balancer.ConnectFailed
 }
 
-// deadlinePassed reports whether an attempt's deadline has passed, by the clock. The balancer's own timer for that
-// instant may have cancelled the attempt already. To report a cancellation in place of a timeout would hide the
-// endpoint's silence from the balancer.
+// deadlinePassed reports whether an attempt's deadline has passed according to the clock. ctx.Err is not enough: the
+// balancer has its own timer for the same instant, which may already have cancelled the attempt. If a cancellation were
+// reported instead of a timeout, the balancer would not learn that the endpoint did not respond.
 func deadlinePassed(ctx context.Context) bool {
 	deadline, ok := ctx.Deadline()
 	return ok && !time.Now().Before(deadline)
--- a/internal/upstream/outcome_test.go
+++ b/internal/upstream/outcome_test.go
@@ -19,7 +19,7 @@
 	"oakproxy/internal/sidecartest"
 )
 
-// Each kind of response has its outcome, on a new connection.
+// Each kind of response on a new connection results in the expected status.
 func TestAttemptReportsOutcomeOfEachResponse(t *testing.T) {
 	const ok = "HTTP/1.1 200 OK\r\n"
 	always := sidecartest.Always
@@ -93,7 +93,7 @@
 				t.Errorf("status %v, want %v", r.Status, c.want)
 			}
 			if r.Status == balancer.OK && string(r.Body) != "done" {
-				t.Errorf("body %q", r.Body)
+				t.Errorf("body %q, want %q", r.Body, "done")
 			}
 		})
 	}
@@ -102,7 +102,7 @@
 // A refused connection proves that the request never ran.
 func TestAttemptOnRefusedConnectionIsConnectFailed(t *testing.T) {
 	u := newTestClient(t, 1)
-	for range 2 { // a failed dial does not count as open
+	for range 2 { // the limit is 1: a failed dial must not count as an open connection
 		r := getOnce(context.Background(), u, &Endpoint{Address: sidecartest.ClosedAddress(t)}, "/")
 		if r.Status != balancer.ConnectFailed {
 			t.Errorf("status %v, want ConnectFailed", r.Status)
@@ -110,7 +110,7 @@
 	}
 }
 
-// A machine that is gone does not respond: the dial times out.
+// A machine that no longer exists does not respond, so the dial times out. This proves that the request never ran.
 func TestAttemptOnDialTimeoutIsConnectFailed(t *testing.T) {
 	u := newTestClient(t, 1)
 	u.Dialer.Timeout = 20 * time.Millisecond
@@ -124,15 +124,15 @@
 	}
 }
 
-// A connection that breaks before the last byte is written proves that the
-// request never ran. Small buffers on both sides leave part of it unwritten.
+// If a connection breaks before the request's last byte is written, the request never ran.
+// Small socket buffers on both sides ensure that part of the request is unwritten.
 func TestAttemptOnBreakBeforeLastByteIsConnectFailed(t *testing.T) {
-	small := func(option int) func(string, string, syscall.RawConn) error {
+	setSmallBuffer := func(option int) func(string, string, syscall.RawConn) error {
 		return func(_, _ string, raw syscall.RawConn) error {
 			return raw.Control(func(fd uintptr) { syscall.SetsockoptInt(int(fd), syscall.SOL_SOCKET, option, 2048) })
 		}
 	}
-	config := net.ListenConfig{Control: small(syscall.SO_RCVBUF)}
+	config := net.ListenConfig{Control: setSmallBuffer(syscall.SO_RCVBUF)}
 	listener, err := config.Listen(context.Background(), "tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -148,16 +148,17 @@
 		conn.Close()
 	}()
 	u := newTestClient(t, 1)
-	u.Dialer.Control = small(syscall.SO_SNDBUF)
-	m := newGetRequest("/")
-	m.Method, m.Body = http.MethodPost, make([]byte, httpmsg.MaxBodyBytes)
-	r := u.Attempt(context.Background(), &Endpoint{Address: listener.Addr().String()}, m, &Gate{})
+	u.Dialer.Control = setSmallBuffer(syscall.SO_SNDBUF)
+	request := newGetRequest("/")
+	request.Method, request.Body = http.MethodPost, make([]byte, httpmsg.MaxBodyBytes)
+	r := u.Attempt(context.Background(), &Endpoint{Address: listener.Addr().String()}, request, &Gate{})
 	if r.Status != balancer.ConnectFailed {
 		t.Errorf("status %v, want ConnectFailed", r.Status)
 	}
 }
 
-// A dial that fails for a shortage on this machine is retried for a while, and is never counted against the endpoint.
+// A dial that fails because of a resource shortage on this machine is retried for a limited time. The failure never
+// counts as the endpoint's.
 func TestDialRetriesLocalResourceShortage(t *testing.T) {
 	e := sidecartest.NewEndpoint(t, sidecartest.Always(sidecartest.Served))
 	for name, c := range map[string]struct {
@@ -181,15 +182,15 @@
 		r := getOnce(ctx, u, &Endpoint{Address: e.Address}, "/")
 		cancel()
 		if r.Status != c.want {
-			t.Errorf("%s: %v (%v), want %v", name, r.Status, r.Err, c.want)
+			t.Errorf("%s: status %v (error %v), want %v", name, r.Status, r.Err, c.want)
 		}
 		if open := u.Counts().Open; c.want != balancer.OK && open != 0 {
-			t.Errorf("%s: %d connections are counted open", name, open)
+			t.Errorf("%s: %d connections are counted as open, want 0", name, open)
 		}
 	}
 }
 
-// failingConn is a connection to an endpoint that reads a request and then breaks.
+// failingConn is a connection that accepts all writes and whose reads fail with err.
 type failingConn struct {
 	net.Conn
 	err error
@@ -207,19 +208,21 @@
 
 func (c *failingConn) Close() error { return nil }
 
-// A connection that breaks after the request's last byte is a reset, whatever the error: before the deadline,
-// ETIMEDOUT is not a timeout of the attempt.
+// If a connection breaks after the request's last byte was written, the status is Reset, whatever the error. In
+// particular, ETIMEDOUT before the attempt's deadline is not a timeout of the attempt.
 func TestAttemptOnBrokenConnectionIsReset(t *testing.T) {
 	for _, errno := range []syscall.Errno{
 		syscall.ETIMEDOUT, syscall.EHOSTUNREACH, syscall.ENETUNREACH, syscall.ECONNRESET, syscall.EPIPE,
 	} {
-		u, at := newTestClient(t, 1), &Endpoint{Address: "127.0.0.1:1"}
+		u, endpoint := newTestClient(t, 1), &Endpoint{Address: "127.0.0.1:1"}
 		err := &net.OpError{Op: "read", Net: "tcp", Err: os.NewSyscallError("read", errno)}
 		u.open = 1
 		ctx, cancel := context.WithTimeout(t.Context(), sidecartest.WaitTimeout)
-		_, got := u.exchange(ctx, newConn(&failingConn{err: err}, at), newGetRequest("/"), &Gate{})
-		if status := failureStatus(ctx, got); status != balancer.Reset || !errors.Is(got, errno) || u.Counts().Open != 0 {
-			t.Errorf("%v: %v (%v), %d connections open; want a reset", errno, status, got, u.Counts().Open)
+		_, gotErr := u.exchange(ctx, newConn(&failingConn{err: err}, endpoint), newGetRequest("/"), &Gate{})
+		if status := failureStatus(ctx, gotErr); status != balancer.Reset || !errors.Is(gotErr, errno) ||
+			u.Counts().Open != 0 {
+			t.Errorf("%v: status %v (error %v), %d connections open; want Reset, the same error and no open connection",
+				errno, status, gotErr, u.Counts().Open)
 		}
 		cancel()
 	}
--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -11,86 +11,89 @@
 )
 
 const (
-	// defaultReuseDelay keeps a connection out of use after a response: a duplicate of the response, if the endpoint
-	// sends one, comes some milliseconds later.
+	// defaultReuseDelay is how long a connection stays unused after a response. If the endpoint sends a duplicate of
+	// the response, the duplicate arrives some milliseconds later.
 	defaultReuseDelay = 20 * time.Millisecond
 
-	// probeReserveDivisor sets the part of the connections that probes leave to requests: one in so many.
+	// probeReserveDivisor sets how many connections probes leave to requests: maxOpen / probeReserveDivisor.
 	probeReserveDivisor = 4
 )
 
-// Endpoint is one incarnation of an endpoint at one address. It is closed for good by [Client.Retire], once the
-// endpoint is draining, removed or restarted.
+// Endpoint is one incarnation of an endpoint at one address. [Client.Retire] closes it permanently when the endpoint is
+// draining, removed or restarted.
 type Endpoint struct {
 	Address       string // host:port
 	StartedUnixMS int64  // when the incarnation started, in Unix milliseconds
-	closed        bool   // guarded by pool.mu
+	closed        bool   // whether Client.Retire has closed the endpoint; guarded by pool.mu
 }
 
-// pool owns the idle connections to endpoints and bounds the number of open ones, those in use included. Its exported
-// methods are those of [Client], and may be called concurrently.
+// pool owns the idle connections to endpoints and limits the number of open connections, including those in use. Its
+// exported methods are also methods of [Client] and may be called concurrently.
 type pool struct {
-	// Dialer opens connections. Its Timeout changes with the configuration.
+	// Dialer opens connections. The configuration sets its Timeout.
 	Dialer net.Dialer
-	// ReuseDelay is how long a connection stays unused after a response. It is set before the first attempt.
+	// ReuseDelay is how long a connection stays unused after a response. It must be set before the first attempt.
 	ReuseDelay time.Duration
 
-	mu      sync.Mutex            // guards Dialer.Timeout, Endpoint.closed and what follows
-	maxIdle time.Duration         // idle connections are not used for longer
-	maxOpen int                   // limit on open
-	open    int                   // connections that are not closed, including those being dialled
-	idle    map[*Endpoint][]*conn // by endpoint, the most recently used last
+	mu          sync.Mutex            // guards Dialer.Timeout, Endpoint.closed and the fields below
+	maxIdleTime time.Duration         // a connection that has been idle for this long is not used again
+	maxOpen     int                   // limit on the field open
+	open        int                   // number of connections that are not closed, including those being dialled
+	idle        map[*Endpoint][]*conn // idle connections by endpoint, the most recently used last
 
-	// Totals since the start.
+	// Totals since the start of the process; see Counts.
 	dialTime                         time.Duration
 	dials, failedDials, limitReached uint64
 }
 
+// newPool returns a pool with at most maxOpen open connections. Its timeouts have yet to be set.
 func newPool(maxOpen int) *pool {
 	return &pool{ReuseDelay: defaultReuseDelay, maxOpen: maxOpen, idle: map[*Endpoint][]*conn{}}
 }
 
-// setTimeouts sets the time limit of a dial, and that after which endpoints close an idle connection.
+// setTimeouts sets the dial timeout, and the maximum idle time of a connection from idle, which is the idle timeout of
+// endpoints.
 func (p *pool) setTimeouts(dial, idle time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.Dialer.Timeout = dial
-	// An endpoint closes an idle connection after its idle timeout at the latest,
-	// and what is written to it from then on is lost.
-	p.maxIdle = idle * 3 / 4
+	// An endpoint closes an idle connection when its own idle timeout has passed, at the latest. A request that is
+	// written after that is lost, so a connection is reused only within 3/4 of that time.
+	p.maxIdleTime = idle * 3 / 4
 }
 
-// Counts are the numbers of connections to endpoints. Except for Open they are totals since the start.
+// Counts are the numbers of connections to endpoints. All fields except Open are totals since the start of the process.
 type Counts struct {
 	Open         int           // connections that are open now, including those being dialled
-	DialTime     time.Duration // time spent on dialling
-	Dials        uint64        // connections dialled
+	DialTime     time.Duration // time spent dialling
+	Dials        uint64        // dials that were begun
 	FailedDials  uint64        // dials that failed
-	LimitReached uint64        // attempts and probes that found the limit on open connections reached
+	LimitReached uint64        // attempts and probes that failed because the limit on open connections was reached
 }
 
-// Counts returns the numbers of connections.
+// Counts returns the current numbers of connections.
 func (p *pool) Counts() Counts {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return Counts{p.open, p.dialTime, p.dials, p.failedDials, p.limitReached}
 }
 
-// ConnectionLimits are the bounds on connections to endpoints.
+// ConnectionLimits are the limits on connections to endpoints.
 type ConnectionLimits struct {
 	DialTimeout    time.Duration
-	MaxIdle        time.Duration // a connection is used again at most so long after its last response
+	MaxIdleTime    time.Duration // a connection is reused only within this time after its latest response
 	MaxConnections int
 }
 
-// Limits returns the bounds in force.
+// Limits returns the current limits.
 func (p *pool) Limits() ConnectionLimits {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return ConnectionLimits{p.Dialer.Timeout, p.maxIdle, p.maxOpen}
+	return ConnectionLimits{p.Dialer.Timeout, p.maxIdleTime, p.maxOpen}
 }
 
-// SetMaxConnections sets the limit on open connections, and closes idle ones beyond it.
+// SetMaxConnections sets the limit on open connections. If more are open, it closes idle connections until the limit is
+// met or no idle connection is left.
 func (p *pool) SetMaxConnections(maxOpen int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -110,7 +113,7 @@
 	return n
 }
 
-// Retire closes an endpoint for good, and its idle connections. Exchanges that have begun go on.
+// Retire closes an endpoint permanently, and its idle connections. Exchanges that have begun are not interrupted.
 func (p *pool) Retire(endpoint *Endpoint) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -128,22 +131,22 @@
 	return endpoint.closed
 }
 
-// Prune closes connections that have been idle for too long.
+// Prune closes the connections that have been idle for the maximum idle time or longer.
 func (p *pool) Prune() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for endpoint, list := range p.idle {
-		expired := 0 // the longest idle come first
-		for expired < len(list) && time.Since(list[expired].idleSince) >= p.maxIdle {
-			expired++
+		expiredCount := 0 // the connections that have been idle longest come first
+		for expiredCount < len(list) && time.Since(list[expiredCount].idleSince) >= p.maxIdleTime {
+			expiredCount++
 		}
-		p.closeOldest(endpoint, expired)
+		p.closeOldest(endpoint, expiredCount)
 	}
 }
 
-// connect returns the most recently used idle connection to an endpoint, or opens one.
+// connect returns the most recently used idle connection to an endpoint, or dials a new one if there is none.
 func (p *pool) connect(ctx context.Context, endpoint *Endpoint, isProbe bool) (*conn, error) {
-	c, err := p.reserve(endpoint, isProbe)
+	c, err := p.popIdleOrReserve(endpoint, isProbe)
 	if c != nil || err != nil {
 		return c, err
 	}
@@ -167,16 +170,17 @@
 	return newConn(raw, endpoint), nil
 }
 
-// currentDialer returns the dialer with the timeout in force.
+// currentDialer returns a copy of the dialer, with the current timeout.
 func (p *pool) currentDialer() net.Dialer {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.Dialer
 }
 
-// reserve returns an idle connection, or nil with the right to open one. Where endpoint lists are long, probes alone
-// could hold all connections that may be open: they leave some to requests.
-func (p *pool) reserve(endpoint *Endpoint, isProbe bool) (*conn, error) {
+// popIdleOrReserve returns an idle connection to an endpoint. If there is none, it counts a new connection as open and
+// returns nil: the caller must then dial the connection. Probes leave some connections to requests, because with long
+// endpoint lists probes alone could hold all connections that may be open.
+func (p *pool) popIdleOrReserve(endpoint *Endpoint, isProbe bool) (*conn, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if endpoint.closed {
@@ -201,7 +205,8 @@
 	return nil, nil
 }
 
-// release returns a connection from its owner to the pool, or closes it.
+// release returns a connection from its owner to the pool. It closes the connection instead if the connection is not
+// reusable or its endpoint is closed.
 func (p *pool) release(c *conn, reusable bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -213,9 +218,10 @@
 	p.idle[c.endpoint] = append(p.idle[c.endpoint], c)
 }
 
-// popIdle returns the most recently used idle connection to an endpoint of those whose reuse delay is over, or nil. It
-// closes those that it finds unusable. The reuse delay is there because a duplicate of the last response may follow
-// it, which would be taken for the response to the next request. The caller holds p.mu.
+// popIdle removes an idle connection to an endpoint from the pool and returns it, or returns nil if there is none. It
+// chooses the most recently used connection among those whose reuse delay has passed, and closes those that it finds
+// unusable. The reuse delay exists because a duplicate of the last response may follow it, and would be read as the
+// response to the next request. The caller must hold p.mu.
 func (p *pool) popIdle(endpoint *Endpoint) *conn {
 	for {
 		list := p.idle[endpoint]
@@ -228,14 +234,15 @@
 		}
 		c := list[latest]
 		p.setIdle(endpoint, slices.Delete(list, latest, latest+1))
-		if time.Since(c.idleSince) < p.maxIdle && c.alive() {
+		if time.Since(c.idleSince) < p.maxIdleTime && c.alive() {
 			return c
 		}
 		p.closeConn(c)
 	}
 }
 
-// setIdle replaces the list of idle connections to an endpoint. An empty list is removed. The caller holds p.mu.
+// setIdle replaces the list of idle connections to an endpoint. If the new list is empty, it removes the endpoint from
+// p.idle. The caller must hold p.mu.
 func (p *pool) setIdle(endpoint *Endpoint, list []*conn) {
 	if len(list) == 0 {
 		delete(p.idle, endpoint)
@@ -244,7 +251,8 @@
 	p.idle[endpoint] = list
 }
 
-// closeAnyIdle closes one idle connection, if there is one, so that another can be opened. The caller holds p.mu.
+// closeAnyIdle closes one idle connection, if there is one, so that another connection can be opened. It takes an
+// arbitrary endpoint and closes its longest idle connection. The caller must hold p.mu.
 func (p *pool) closeAnyIdle() {
 	for endpoint := range p.idle {
 		p.closeOldest(endpoint, 1)
@@ -252,17 +260,19 @@
 	}
 }
 
-// closeOldest closes the count longest idle connections to an endpoint. The caller holds p.mu.
+// closeOldest closes count connections to an endpoint, those that have been idle longest. The endpoint must have at
+// least count idle connections. The caller must hold p.mu.
 func (p *pool) closeOldest(endpoint *Endpoint, count int) {
 	list := p.idle[endpoint]
 	for _, c := range list[:count] {
 		p.closeConn(c)
 	}
-	// Not list[count:]: the array would keep the closed connections and their buffers.
+	// slices.Delete clears the vacated elements. With list[count:] instead, the array would keep the closed connections
+	// and their buffers reachable.
 	p.setIdle(endpoint, slices.Delete(list, 0, count))
 }
 
-// closeConn closes a connection. It is the only place that does. The caller holds p.mu.
+// closeConn closes a connection. No other function closes an established connection. The caller must hold p.mu.
 func (p *pool) closeConn(c *conn) {
 	c.Close()
 	p.open--
--- a/internal/upstream/pool_test.go
+++ b/internal/upstream/pool_test.go
@@ -15,8 +15,8 @@
 	"oakproxy/internal/sidecartest"
 )
 
-// An idle connection that its endpoint has closed must not be written to: the
-// request would end as a reset that may have run.
+// No request may be written on an idle connection that its endpoint has closed: the
+// outcome would be a reset, after which the request may have run.
 func TestStaleIdleConnectionIsReplaced(t *testing.T) {
 	closed := make(chan struct{}, 2)
 	e := sidecartest.NewEndpoint(t, func(e *sidecartest.Endpoint, conn net.Conn, in *bufio.Reader) {
@@ -25,102 +25,104 @@
 		conn.Close()
 		closed <- struct{}{}
 	})
-	u, at := newTestClient(t, 1), &Endpoint{Address: e.Address}
+	u, endpoint := newTestClient(t, 1), &Endpoint{Address: e.Address}
 	for i := range 2 {
-		if r := getOnce(context.Background(), u, at, "/"); r.Status != balancer.OK {
+		if r := getOnce(context.Background(), u, endpoint, "/"); r.Status != balancer.OK {
 			t.Fatalf("attempt %d: status %v, want OK", i, r.Status)
 		}
 		<-closed
 		sidecartest.Await(t, "the end of the connection to arrive", func() bool {
 			u.mu.Lock()
 			defer u.mu.Unlock()
-			return len(u.idle[at]) == 0 || !u.idle[at][0].alive()
+			return len(u.idle[endpoint]) == 0 || !u.idle[endpoint][0].alive()
 		})
 	}
 }
 
-// Idle connections are closed before the endpoint's own idle timeout, both when one is
-// requested and by Prune.
+// Idle connections are closed before the endpoint's own idle timeout, both by an attempt
+// that would use one and by Prune.
 func TestIdleConnectionsExpireBeforeEndpointClosesThem(t *testing.T) {
 	e := sidecartest.NewEndpoint(t, sidecartest.Always(sidecartest.Served))
-	u, at := newTestClient(t, 4), &Endpoint{Address: e.Address}
-	if limit := 5 * time.Second; u.maxIdle > limit*4/5 {
-		t.Errorf("idle connections are used for %v of %v", u.maxIdle, limit)
+	u, endpoint := newTestClient(t, 4), &Endpoint{Address: e.Address}
+	if limit := 5 * time.Second; u.maxIdleTime > limit*4/5 {
+		t.Errorf("the maximum idle time is %v, want at most 4/5 of the endpoint's %v", u.maxIdleTime, limit)
 	}
 	mustSucceed := func() {
 		t.Helper()
-		if r := getOnce(context.Background(), u, at, "/"); r.Status != balancer.OK {
-			t.Fatalf("status %v", r.Status)
+		if r := getOnce(context.Background(), u, endpoint, "/"); r.Status != balancer.OK {
+			t.Fatalf("status %v, want OK", r.Status)
 		}
 	}
 	mustSucceed()
-	u.idle[at][0].idleSince = time.Now().Add(-u.maxIdle)
+	u.idle[endpoint][0].idleSince = time.Now().Add(-u.maxIdleTime)
 	mustSucceed()
 	if _, conns := e.Seen(); conns != 2 {
-		t.Errorf("%d connections, want a second one after the idle timeout", conns)
+		t.Errorf("%d connections, want 2: a second one after the maximum idle time", conns)
 	}
 	u.Prune()
 	if u.open != 1 {
-		t.Errorf("Prune left %d connections open, want the recently used one", u.open)
+		t.Errorf("Prune left %d connections open, want 1: the recently used one", u.open)
 	}
-	u.idle[at][0].idleSince = time.Now().Add(-u.maxIdle)
+	u.idle[endpoint][0].idleSince = time.Now().Add(-u.maxIdleTime)
 	u.Prune()
-	if u.open != 0 || len(u.idle[at]) != 0 {
-		t.Errorf("Prune left %d connections open, want none", u.open)
+	if u.open != 0 || len(u.idle[endpoint]) != 0 {
+		t.Errorf("Prune left %d connections open, %d of them idle; want none", u.open, len(u.idle[endpoint]))
 	}
 	mustSucceed()
-	if u.Retire(at); u.open != 0 {
-		t.Errorf("a retired endpoint keeps %d connections", u.open)
+	if u.Retire(endpoint); u.open != 0 {
+		t.Errorf("a retired endpoint has %d open connections, want none", u.open)
 	}
 }
 
-// The number of connections is limited: an idle one is closed for another endpoint, one in use is not.
+// The number of open connections is limited. To open one to another endpoint, the pool closes an idle connection, but
+// not a connection that is in use.
 func TestOpenConnectionsAreLimited(t *testing.T) {
 	quick := sidecartest.NewEndpoint(t, sidecartest.Always(sidecartest.Served))
 	slow := sidecartest.NewEndpoint(t, sidecartest.Silent)
 	u := newTestClient(t, 1)
 	if r := getOnce(context.Background(), u, &Endpoint{Address: quick.Address}, "/"); r.Status != balancer.OK {
-		t.Fatalf("status %v", r.Status)
+		t.Fatalf("first request: status %v, want OK", r.Status)
 	}
 	ctx, cancel := context.WithCancel(context.Background())
-	busy := make(chan Result)
-	go func() { busy <- getOnce(ctx, u, &Endpoint{Address: slow.Address}, "/") }()
+	slowResult := make(chan Result)
+	go func() { slowResult <- getOnce(ctx, u, &Endpoint{Address: slow.Address}, "/") }()
 	sidecartest.Await(t, "the slow endpoint's request", func() bool { n, _ := slow.Seen(); return n == 1 })
 	if r := getOnce(context.Background(), u, &Endpoint{Address: quick.Address}, "/"); r.Status != balancer.NotSent {
-		t.Errorf("beyond the limit: status %v, want NotSent", r.Status)
+		t.Errorf("request beyond the limit: status %v, want NotSent", r.Status)
 	}
 	cancel()
-	if r := <-busy; r.Status != balancer.Cancelled {
-		t.Errorf("cancelled: status %v, want Cancelled", r.Status)
+	if r := <-slowResult; r.Status != balancer.Cancelled {
+		t.Errorf("cancelled request: status %v, want Cancelled", r.Status)
 	}
 	if r := getOnce(context.Background(), u, &Endpoint{Address: quick.Address}, "/"); r.Status != balancer.OK {
-		t.Errorf("below the limit again: status %v, want OK", r.Status)
+		t.Errorf("request below the limit again: status %v, want OK", r.Status)
 	}
 }
 
-// Where endpoint lists are long, probes alone could hold every connection that may be open:
-// some are reserved for requests.
+// With a long endpoint list, probes alone could hold every connection that may be open.
+// Therefore some connections are reserved for requests.
 func TestProbesLeaveConnectionsForRequests(t *testing.T) {
-	u, at := newTestClient(t, 8), &Endpoint{Address: sidecartest.ClosedAddress(t)}
+	u, endpoint := newTestClient(t, 8), &Endpoint{Address: sidecartest.ClosedAddress(t)}
 	for i, c := range []struct {
 		isProbe bool
 		maxOpen int
 	}{{true, 6}, {false, 8}} {
 		for u.open < c.maxOpen {
-			if _, err := u.reserve(at, c.isProbe); err != nil {
-				t.Fatalf("%d connections are open, no other one can be: %v", u.open, err)
+			if _, err := u.popIdleOrReserve(endpoint, c.isProbe); err != nil {
+				t.Fatalf("case %d: no further connection after %d of %d: %v", i, u.open, c.maxOpen, err)
 			}
 		}
-		if _, err := u.reserve(at, c.isProbe); !errors.Is(err, errConnectionLimit) {
-			t.Errorf("case %d: %d of 8 connections are open, and one more: %v", i, u.open, err)
+		if _, err := u.popIdleOrReserve(endpoint, c.isProbe); !errors.Is(err, errConnectionLimit) {
+			t.Errorf("case %d: a further connection with %d of 8 open: got %v, want %v", i, u.open, err, errConnectionLimit)
 		}
-		if r := u.Probe(t.Context(), at); r.Status != balancer.NotSent {
-			t.Errorf("case %d: a probe without a connection: %v", i, r.Status)
+		if r := u.Probe(t.Context(), endpoint); r.Status != balancer.NotSent {
+			t.Errorf("case %d: probe at the limit: status %v, want NotSent", i, r.Status)
 		}
 	}
 }
 
-// The memory of a closed connection is collected: among many endpoints most have had one.
+// The memory of a closed connection is garbage-collected. This matters because, among many endpoints, most have had a
+// connection at some time.
 func TestClosedConnectionsAreCollected(t *testing.T) {
 	const endpoints, maxOpen = 20, 4
 	for _, c := range []struct {
@@ -130,20 +132,20 @@
 	}{
 		{"limit reached", func(*Client) {}, maxOpen},
 		{"limit lowered", func(u *Client) { u.SetMaxConnections(1) }, 1},
-		{"idle timeout", func(u *Client) { u.maxIdle = 0; u.Prune() }, 0},
+		{"idle timeout", func(u *Client) { u.maxIdleTime = 0; u.Prune() }, 0},
 	} {
 		u := newTestClient(t, maxOpen)
 		var all []weak.Pointer[conn]
 		for range endpoints {
 			e := sidecartest.NewEndpoint(t, sidecartest.Always(sidecartest.Served))
-			to := &Endpoint{Address: e.Address}
-			if r := getOnce(t.Context(), u, to, "/"); r.Status != balancer.OK {
-				t.Fatalf("%s: status %v", c.name, r.Status)
+			endpoint := &Endpoint{Address: e.Address}
+			if r := getOnce(t.Context(), u, endpoint, "/"); r.Status != balancer.OK {
+				t.Fatalf("%s: status %v, want OK", c.name, r.Status)
 			}
-			all = append(all, weak.Make(u.idle[to][0]))
+			all = append(all, weak.Make(u.idle[endpoint][0]))
 		}
 		c.shrink(u)
-		// Contexts and the network poller drop their references a moment later.
+		// Contexts and the network poller drop their references to a connection a moment after it was closed.
 		sidecartest.Await(t, "closed connections to be collected, "+c.name, func() bool {
 			runtime.GC()
 			reachable := 0
--- a/internal/upstream/request.go
+++ b/internal/upstream/request.go
@@ -12,49 +12,50 @@
 	"oakproxy/internal/httpmsg"
 )
 
-// timeLeftHeader tells an endpoint the client's remaining time in milliseconds.
+// timeLeftHeader is the header that tells an endpoint the client's remaining time in milliseconds.
 const timeLeftHeader = "X-Time-Left-Ms"
 
-// Request is a request as it is sent to endpoints, by any number of attempts. Only one attempt may have the upload.
+// Request is a request that is sent to endpoints by any number of attempts. Only one attempt may send the upload.
 type Request struct {
 	Method string
 	URL    *url.URL
 	Host   string
-	// Header is the client's. X-Time-Left-Ms and the headers of the connection are written for each attempt.
+	// Header is the header that the client sent. Its hop-by-hop headers are not forwarded. X-Time-Left-Ms and the length
+	// of the body are written anew for each attempt.
 	Header http.Header
-	// Body is the complete body, or its buffered beginning where there is an upload.
+	// Body is the complete body or, if Upload is not nil, its buffered beginning.
 	Body []byte
 	// Upload is the remainder of the body; nil if Body is complete.
 	Upload *Upload
 
-	isProbe bool // the sidecar's own, which leaves connections to requests
+	isProbe bool // whether the request is a probe of the sidecar itself; probes leave some connections to requests
 }
 
-// encode returns the request with the remaining time of this attempt. It ends with the buffered body or, where there
-// is an upload, with the head.
-func (m *Request) encode(ctx context.Context) ([]byte, error) {
+// encode returns the bytes of the request for an attempt whose remaining time is that of ctx. They include the body; if
+// the request has an upload, they end with the head.
+func (r *Request) encode(ctx context.Context) ([]byte, error) {
 	header := http.Header{}
-	httpmsg.CopyEndToEnd(header, m.Header)
-	length := int64(len(m.Body))
-	if m.Upload != nil { // the time counts from its last byte
-		length = m.Upload.Length
-		header.Set(timeLeftHeader, strconv.FormatInt(m.Upload.TimeLeft.Milliseconds(), 10))
+	httpmsg.CopyEndToEnd(header, r.Header)
+	length := int64(len(r.Body))
+	if r.Upload != nil { // the client's remaining time counts from the upload's last byte
+		length = r.Upload.Length
+		header.Set(timeLeftHeader, strconv.FormatInt(r.Upload.TimeLeft.Milliseconds(), 10))
 	} else if deadline, ok := ctx.Deadline(); ok {
 		header.Set(timeLeftHeader, strconv.FormatInt(max(0, time.Until(deadline).Milliseconds()), 10))
 	}
 	if length < 0 {
 		header.Set("Transfer-Encoding", "chunked")
-	} else if length > 0 || m.Method != http.MethodGet {
+	} else if length > 0 || r.Method != http.MethodGet {
 		header.Set("Content-Length", strconv.FormatInt(length, 10))
 	}
 	var data bytes.Buffer
-	fmt.Fprintf(&data, "%s %s HTTP/1.1\r\nHost: %s\r\n", m.Method, m.URL.RequestURI(), m.Host)
+	fmt.Fprintf(&data, "%s %s HTTP/1.1\r\nHost: %s\r\n", r.Method, r.URL.RequestURI(), r.Host)
 	if err := header.Write(&data); err != nil {
 		return nil, err
 	}
 	data.WriteString("\r\n")
-	if m.Upload == nil {
-		data.Write(m.Body)
+	if r.Upload == nil {
+		data.Write(r.Body)
 	}
 	return data.Bytes(), nil
 }
--- a/internal/upstream/request_test.go
+++ b/internal/upstream/request_test.go
@@ -16,17 +16,18 @@
 	"oakproxy/internal/sidecartest"
 )
 
-// An endpoint receives the client's end-to-end headers and body unchanged, with the remaining time of the attempt.
+// An endpoint receives the client's end-to-end headers and body unchanged, and the remaining time of the attempt in
+// X-Time-Left-Ms.
 func TestRequestIsForwardedWithTimeLeft(t *testing.T) {
 	e := sidecartest.NewEndpoint(t, sidecartest.Always(sidecartest.Served))
-	at, _ := url.Parse("/pay/x%2Fy?q=1&r=%20")
-	m := &Request{Method: http.MethodPost, URL: at, Host: "api.internal", Body: []byte("body"),
+	requestURL, _ := url.Parse("/pay/x%2Fy?q=1&r=%20")
+	request := &Request{Method: http.MethodPost, URL: requestURL, Host: "api.internal", Body: []byte("body"),
 		Header: http.Header{"X-Correlation-Id": {"9b"}, "Idempotency-Key": {"5c"}, "X-Time-Left-Ms": {"99999"},
 			"Connection": {"close"}, "Expect": {"100-continue"}, "Content-Length": {"7"}}}
 	ctx, cancel := context.WithTimeout(context.Background(), sidecartest.WaitTimeout)
 	defer cancel()
-	if r := newTestClient(t, 1).Attempt(ctx, &Endpoint{Address: e.Address}, m, &Gate{}); r.Status != balancer.OK {
-		t.Fatalf("status %v", r.Status)
+	if r := newTestClient(t, 1).Attempt(ctx, &Endpoint{Address: e.Address}, request, &Gate{}); r.Status != balancer.OK {
+		t.Fatalf("status %v, want OK", r.Status)
 	}
 	got := e.Request(0)
 	body, _ := io.ReadAll(got.Body)
@@ -40,11 +41,13 @@
 	var timeLeftMS int64
 	fmt.Sscan(got.Header.Get("X-Time-Left-Ms"), &timeLeftMS)
 	if timeLeftMS <= 0 || timeLeftMS > sidecartest.WaitTimeout.Milliseconds() {
-		t.Errorf("X-Time-Left-Ms %q", got.Header.Get("X-Time-Left-Ms"))
+		t.Errorf("X-Time-Left-Ms is %q, want more than 0 and at most %d", got.Header.Get("X-Time-Left-Ms"),
+			sidecartest.WaitTimeout.Milliseconds())
 	}
 }
 
-// A request that its endpoint reads slowly is not completed: its X-Time-Left-Ms would be wrong.
+// If an endpoint reads a request too slowly, the request's last byte is not written, because the X-Time-Left-Ms that
+// was sent would be wrong.
 func TestSlowlyReadRequestIsNotCompleted(t *testing.T) {
 	client, server := net.Pipe()
 	defer server.Close()
@@ -53,16 +56,16 @@
 	go func() {
 		in := make([]byte, 2*maxBufferedWrite)
 		n, _ := server.Read(in[:maxBufferedWrite])
-		time.Sleep(2 * maxWriteLag)
+		time.Sleep(2 * maxWriteDelay)
 		remainder, _ := io.ReadAll(server)
 		got <- append(in[:n], remainder...)
 	}()
 	data := bytes.Repeat([]byte("x"), 2*maxBufferedWrite)
 	if err := c.writeRequest(data); !errors.Is(err, errTooLate) {
-		t.Errorf("the write ended with %v", err)
+		t.Errorf("the write returned error %v, want %v", err, errTooLate)
 	}
 	client.Close()
 	if n := len(<-got); n >= len(data) {
-		t.Errorf("all %d bytes were written", n)
+		t.Errorf("%d bytes were written, want fewer than %d", n, len(data))
 	}
 }
--- a/internal/upstream/response.go
+++ b/internal/upstream/response.go
@@ -12,29 +12,30 @@
 )
 
 const (
-	// maxResponseHeadBytes is the maximum size of a response's head: each connection has a buffer of this size.
+	// maxResponseHeadBytes is the maximum size of a response's head. Each connection has a read buffer of this size.
 	maxResponseHeadBytes = 8 << 10
 
-	// responseStallTimeout bounds the time without a byte of a response that has begun: four round trips between
-	// sites.
+	// responseStallTimeout limits how long a read of a response that has begun waits for a byte. It equals four round
+	// trips between sites.
 	responseStallTimeout = 100 * time.Millisecond
 
-	// maxInterimResponses bounds the 1xx responses, together with the final one.
+	// maxInterimResponses is the maximum number of responses to one request: interim (1xx) responses and the final one.
 	maxInterimResponses = 10
 
 	// maxBufferingTime is how long a response of unknown length is buffered before it is streamed.
 	maxBufferingTime = 20 * time.Millisecond
 )
 
-// Responses that are malformed or exceed a limit. The outcome is a reset.
+// Errors of responses that are malformed or exceed a limit. The status of the attempt is then balancer.Reset.
 var (
-	errBodyTooLarge    = fmt.Errorf("the response body is over %d bytes", httpmsg.MaxBodyBytes)
-	errFraming         = errors.New("the response does not state its length in exactly one way")
-	errInterimOverflow = fmt.Errorf("no final response among the first %d", maxInterimResponses)
+	errBodyTooLarge = fmt.Errorf("the response body is too large; the limit of a forwarded body is %d bytes",
+		httpmsg.MaxBodyBytes)
+	errAmbiguousFraming = errors.New("the response does not define the end of its body in exactly one way")
+	errTooManyInterim   = fmt.Errorf("no final response among the first %d responses", maxInterimResponses)
 )
 
-// readResponse reads one response. The body of a 200 response is buffered if it is small and there is memory for it;
-// else the result has a stream for the remainder.
+// readResponse reads one response. The body of a 200 response is buffered if it is small and the memory budget allows
+// it. Otherwise the result has a stream for the remainder.
 func (u *Client) readResponse(c *conn, method string) (*exchangeResult, error) {
 	response, head, err := c.readHead(method)
 	if err != nil {
@@ -46,30 +47,31 @@
 	result := &exchangeResult{response: response}
 	if response.StatusCode != http.StatusOK {
 		err = discardBody(response)
-	} else if !isFramedOnce(response, head) {
-		err = errFraming
+	} else if !hasUnambiguousFraming(response, head) {
+		err = errAmbiguousFraming
 	} else {
-		c.limit.N = math.MaxInt64
+		c.readLimit.N = math.MaxInt64
 		err = u.readBody(c, result)
 	}
 	if err != nil {
 		return nil, err
 	}
-	// Endpoints may send a duplicate of the response, or noise: what follows a response makes its connection unusable.
+	// Endpoints may send a duplicate of the response, or other excess bytes. A connection on which bytes follow the
+	// response is not used again.
 	result.reusable = !response.Close && response.StatusCode != http.StatusSwitchingProtocols &&
 		(result.stream != nil || c.reader.Buffered() == 0)
 	return result, nil
 }
 
-// readHead reads the head of the next final response, after any interim ones.
+// readHead reads the head of the next final response. It skips interim responses before it.
 func (c *conn) readHead(method string) (response *http.Response, head httpmsg.HeadScanner, err error) {
 	for range maxInterimResponses {
 		c.stallTimeout = 0
 		if _, err = c.reader.Peek(1); err != nil {
 			return nil, head, err
 		}
-		// A response that has begun and stalls would hold its request until the
-		// client's time is up.
+		// Without a timeout, a response that stalls after its first byte would delay
+		// its request until the client's time is up.
 		c.stallTimeout = responseStallTimeout
 		if head, err = c.peekHead(); err != nil {
 			return nil, head, err
@@ -82,10 +84,10 @@
 		}
 		c.SetReadDeadline(time.Time{})
 	}
-	return nil, head, errInterimOverflow
+	return nil, head, errTooManyInterim
 }
 
-// peekHead waits for the complete head of the next response and scans it. Its bytes stay to be read.
+// peekHead waits for the complete head of the next response and scans it. The bytes of the head remain in c.reader.
 func (c *conn) peekHead() (httpmsg.HeadScanner, error) {
 	var head httpmsg.HeadScanner
 	for head.HeadSize == 0 {
@@ -101,19 +103,21 @@
 	return head, nil
 }
 
-// isFramedOnce reports whether the end of a response's body can be told in exactly one way: by one stated length, by
-// complete chunks, or by an end of the connection that it has announced. Of two of them, http.ReadResponse hides one.
-func isFramedOnce(response *http.Response, head httpmsg.HeadScanner) bool {
+// hasUnambiguousFraming reports whether a response defines the end of its body in exactly one way: by one
+// Content-Length, by Transfer-Encoding, or by closing the connection, which HTTP/1.0 or a line Connection: close
+// announces. The scanned head is needed because http.ReadResponse hides one definition if there are two.
+func hasUnambiguousFraming(response *http.Response, head httpmsg.HeadScanner) bool {
 	switch {
-	case head.ContentLengths > 1:
+	case head.ContentLengthCount > 1:
 		return false
-	case head.ContentLengths == 1:
-		return !head.TransferEncoding
+	case head.ContentLengthCount == 1:
+		return !head.HasTransferEncoding
 	}
-	return head.TransferEncoding || response.ProtoMinor == 0 || head.ConnectionClose
+	return head.HasTransferEncoding || response.ProtoMinor == 0 || head.ConnectionClose
 }
 
-// discardBody reads the body of a response that is not forwarded.
+// discardBody reads and discards the body of a response that is not forwarded. It fails if the body is larger than
+// httpmsg.MaxBufferedBytes.
 func discardBody(response *http.Response) error {
 	n, err := io.Copy(io.Discard, io.LimitReader(response.Body, httpmsg.MaxBufferedBytes+1))
 	if err == nil && n > httpmsg.MaxBufferedBytes {
@@ -122,8 +126,8 @@
 	return err
 }
 
-// readBody buffers a response's body if it is small and there is memory for it. Else, or where a body of unknown
-// length turns out to be large or slow, it leaves the remainder to a stream.
+// readBody buffers a response's body if it is small and the memory budget allows it. Otherwise it leaves the whole body
+// to a stream. If a body of unknown length turns out to be large or slow, it leaves the remainder to a stream.
 func (u *Client) readBody(c *conn, result *exchangeResult) error {
 	length := result.response.ContentLength
 	size := length
@@ -131,7 +135,7 @@
 		size = httpmsg.MaxBufferedBytes
 	}
 	if size > httpmsg.MaxBufferedBytes || !u.BodyMemory.Reserve(size) {
-		// Its first byte is awaited: after an endpoint that fails before it, the request may still be retried.
+		// Wait for the body's first byte: if the endpoint fails before it, the request may still be retried.
 		if _, err := c.reader.Peek(1); err != nil {
 			return err
 		}
--- a/internal/upstream/response_test.go
+++ b/internal/upstream/response_test.go
@@ -14,7 +14,7 @@
 	"oakproxy/internal/sidecartest"
 )
 
-// A response that comes in pieces is read completely, though that takes longer
+// A response that arrives in pieces is read completely, even if that takes longer
 // than the stall timeout.
 func TestResponseInPiecesIsReadCompletely(t *testing.T) {
 	e := sidecartest.NewEndpoint(t, func(e *sidecartest.Endpoint, conn net.Conn, in *bufio.Reader) {
@@ -29,13 +29,13 @@
 	for range 2 {
 		r := getOnce(t.Context(), u, &Endpoint{Address: e.Address}, "/")
 		if r.Status != balancer.OK || string(r.Body) != "done" {
-			t.Errorf("status %v, body %q", r.Status, r.Body)
+			t.Errorf("status %v, body %q; want OK, %q", r.Status, r.Body, "done")
 		}
 	}
 }
 
-// The stall timeout applies only to a response that has begun, not to the time until it begins, also after an
-// interim response.
+// The stall timeout applies only to a response that has begun. It does not limit the time until a response begins, not
+// even after an interim response.
 func TestResponseMayBeginLate(t *testing.T) {
 	for name, first := range map[string]string{
 		"plain":                     "",
@@ -48,45 +48,47 @@
 				io.WriteString(conn, sidecartest.Served)
 			}
 		})
-		u, at := newTestClient(t, 1), &Endpoint{Address: e.Address}
+		u, endpoint := newTestClient(t, 1), &Endpoint{Address: e.Address}
 		for range 2 { // on a new connection and on a used one
-			if r := getOnce(context.Background(), u, at, "/"); r.Status != balancer.OK {
+			if r := getOnce(context.Background(), u, endpoint, "/"); r.Status != balancer.OK {
 				t.Errorf("%s: status %v, want OK", name, r.Status)
 			}
 		}
 		if _, conns := e.Seen(); conns != 1 {
-			t.Errorf("%s: %d connections, want 1", name, conns)
+			t.Errorf("%s: the endpoint received %d connections, want 1", name, conns)
 		}
 	}
 }
 
-// A response that the memory budget does not admit is streamed.
+// A response whose body exceeds what is left of the memory budget is streamed.
 func TestResponseBeyondMemoryBudgetIsStreamed(t *testing.T) {
 	e := sidecartest.NewEndpoint(t, sidecartest.Always(sidecartest.Served))
 	u := newTestClient(t, 4)
 	u.BodyMemory.Used.Store(u.BodyMemory.Limit.Load())
 	r := getOnce(t.Context(), u, &Endpoint{Address: e.Address}, "/")
 	if r.Status != balancer.OK || len(r.Body) != 0 || r.Stream == nil {
-		t.Fatalf("status %v, %d bytes buffered", r.Status, len(r.Body))
+		t.Fatalf("status %v, %d bytes buffered, has a stream: %v; want OK, 0 bytes, true", r.Status, len(r.Body),
+			r.Stream != nil)
 	}
 	if got, err := io.ReadAll(r.Stream); err != nil || string(got) != "done" {
-		t.Errorf("%q, %v", got, err)
+		t.Errorf("the stream returned %q, error %v; want %q, no error", got, err, "done")
 	}
 	r.close()
 	if u.BodyMemory.Used.Load() != u.BodyMemory.Limit.Load() || u.open != 1 || len(u.idle) != 1 {
-		t.Errorf("%d of %d bytes reserved, %d connections open", u.BodyMemory.Used.Load(), u.BodyMemory.Limit.Load(), u.open)
+		t.Errorf("%d of %d bytes reserved, want all; %d connections open, want 1; %d endpoints with idle connections, want 1",
+			u.BodyMemory.Used.Load(), u.BodyMemory.Limit.Load(), u.open, len(u.idle))
 	}
 }
 
-// A connection on which more bytes came than the response is not used again, whether the
-// excess comes with the response or after the connection was released: the next request
-// would get a response to another one.
+// A connection on which bytes follow the response is not used again, whether these excess
+// bytes arrive with the response or after the connection was released. Otherwise the next
+// request would receive the response to another request.
 func TestExcessBytesAreNotReadAsNextResponse(t *testing.T) {
 	t.Run("excess after the next request", func(t *testing.T) {
-		var begun atomic.Bool
+		var duplicateSent atomic.Bool
 		e := sidecartest.NewEndpoint(t, func(e *sidecartest.Endpoint, conn net.Conn, in *bufio.Reader) {
 			for r := e.Next(in); r != nil; r = e.Next(in) {
-				if begun.CompareAndSwap(false, true) { // a duplicate, behind whatever request comes next
+				if duplicateSent.CompareAndSwap(false, true) { // send a duplicate of the response after the next request
 					io.WriteString(conn, strings.Replace(sidecartest.Served, "done", "one.", 1))
 					e.Next(in)
 					io.WriteString(conn, strings.Replace(sidecartest.Served, "done", "one.", 1))
@@ -94,17 +96,17 @@
 				io.WriteString(conn, strings.Replace(sidecartest.Served, "done", r.URL.Path[1:5], 1))
 			}
 		})
-		u, at := newTestClient(t, 4), &Endpoint{Address: e.Address}
-		u.ReuseDelay = time.Hour // so that the next request comes within it, however slow the machine is
-		if r := getOnce(context.Background(), u, at, "/one."); r.Status != balancer.OK || string(r.Body) != "one." {
-			t.Fatalf("first: status %v, body %q", r.Status, r.Body)
+		u, endpoint := newTestClient(t, 4), &Endpoint{Address: e.Address}
+		u.ReuseDelay = time.Hour // the next request comes within the delay, however slow the machine is
+		if r := getOnce(context.Background(), u, endpoint, "/one."); r.Status != balancer.OK || string(r.Body) != "one." {
+			t.Fatalf("first request: status %v, body %q; want OK, %q", r.Status, r.Body, "one.")
 		}
-		if r := getOnce(context.Background(), u, at, "/two."); r.Status != balancer.OK || string(r.Body) != "two." {
-			t.Errorf("second: status %v, body %q", r.Status, r.Body)
+		if r := getOnce(context.Background(), u, endpoint, "/two."); r.Status != balancer.OK || string(r.Body) != "two." {
+			t.Errorf("second request: status %v, body %q; want OK, %q", r.Status, r.Body, "two.")
 		}
-		u.ReuseDelay = 0 // the reuse delay is over
-		if r := getOnce(context.Background(), u, at, "/thr."); r.Status != balancer.OK || string(r.Body) != "thr." {
-			t.Errorf("third: status %v, body %q", r.Status, r.Body)
+		u.ReuseDelay = 0 // from now on, the reuse delay of the connection has passed
+		if r := getOnce(context.Background(), u, endpoint, "/thr."); r.Status != balancer.OK || string(r.Body) != "thr." {
+			t.Errorf("third request: status %v, body %q; want OK, %q", r.Status, r.Body, "thr.")
 		}
 	})
 	for name, late := range map[string]bool{"excess at once": false, "excess later": true} {
@@ -123,19 +125,19 @@
 					}
 				}
 			})
-			u, at := newTestClient(t, 4), &Endpoint{Address: e.Address}
-			if r := getOnce(context.Background(), u, at, "/one."); r.Status != balancer.OK || string(r.Body) != "one." {
-				t.Fatalf("first: status %v, body %q", r.Status, r.Body)
+			u, endpoint := newTestClient(t, 4), &Endpoint{Address: e.Address}
+			if r := getOnce(context.Background(), u, endpoint, "/one."); r.Status != balancer.OK || string(r.Body) != "one." {
+				t.Fatalf("first request: status %v, body %q; want OK, %q", r.Status, r.Body, "one.")
 			}
 			close(sendExcess)
 			if late {
-				sidecartest.Await(t, "the excess to arrive", func() bool { return !u.idle[at][0].alive() })
+				sidecartest.Await(t, "the excess to arrive", func() bool { return !u.idle[endpoint][0].alive() })
 			}
-			if r := getOnce(context.Background(), u, at, "/two."); r.Status != balancer.OK || string(r.Body) != "two." {
-				t.Errorf("second: status %v, body %q", r.Status, r.Body)
+			if r := getOnce(context.Background(), u, endpoint, "/two."); r.Status != balancer.OK || string(r.Body) != "two." {
+				t.Errorf("second request: status %v, body %q; want OK, %q", r.Status, r.Body, "two.")
 			}
 			if _, conns := e.Seen(); conns != 2 {
-				t.Errorf("%d connections, want 2", conns)
+				t.Errorf("the endpoint received %d connections, want 2", conns)
 			}
 		})
 	}
--- a/internal/upstream/upload.go
+++ b/internal/upstream/upload.go
@@ -12,68 +12,70 @@
 	"oakproxy/internal/httpmsg"
 )
 
-// MaxUploadTime bounds the time for a request body to come while it is forwarded.
+// MaxUploadTime limits how long a client may take to send a request body that is forwarded as it arrives.
 const MaxUploadTime = 10 * time.Minute
 
 // clientBody is the part of a request's body that its client has yet to send.
 type clientBody interface {
 	io.Reader
-	// LastDataAge returns how long ago the latest bytes came to this machine.
+	// LastDataAge returns how long ago the latest bytes from the client arrived at this machine.
 	LastDataAge() time.Duration
 	// ClientClosed reports whether the client has ended its side of the connection.
 	ClientClosed() bool
-	// Discard discards what the client still sends, for at most maxDuration.
+	// Discard reads and discards the data that the client still sends, for at most maxDuration.
 	Discard(maxDuration time.Duration)
 }
 
-// Upload is the part of a request's body beyond the one that is buffered. It is forwarded while it comes, to one
-// attempt. The handler owns it again once Finish has returned.
+// Upload is the part of a request's body that follows the buffered beginning. It is forwarded as it arrives, by one
+// attempt only. The client's handler owns it again once Finish has returned.
 type Upload struct {
-	// Length is the length of the complete body in bytes, -1 if unknown.
+	// Length is the length of the complete body in bytes; -1 if the length is unknown.
 	Length int64
-	// TimeLeft is the client's remaining time, counted from the last byte on.
+	// TimeLeft is the client's remaining time, counted from the arrival of the body's last byte.
 	TimeLeft time.Duration
-	// OnWritten is called once, when the last byte was forwarded.
+	// OnWritten is called once, when the last byte of the body has been forwarded.
 	OnWritten func()
-	// Failed receives the first failure of the client's side. It has room for one error.
-	Failed chan error
+	// ClientFailure receives the first error of the client's side. Its capacity must be one error.
+	ClientFailure chan error
 
-	// ReachedEOF is set once the end of the body was read.
+	// ReachedEOF is set once the end of the body has been read.
 	ReachedEOF atomic.Bool
 
 	phase    atomic.Int32 // an uploadPhase
-	consumed atomic.Bool  // part of the body was read
+	consumed atomic.Bool  // whether a read of the body was begun
 
-	mu sync.Mutex // held during a read
-	// Body is the client's side. Between the start of the attempt and Finish only the attempt reads it.
+	mu sync.Mutex // held during a read of Body
+	// Body reads from the client. Between the start of the attempt and Finish, only the attempt reads from it.
 	Body clientBody
-	// WrittenAt is when the last byte was forwarded; zero before.
+	// WrittenAt is when the last byte of the body was forwarded. It is zero until then.
 	WrittenAt  time.Time
-	lastDataAt time.Time // when the bytes read last came to this machine
+	lastDataAt time.Time // when the bytes that were read last arrived at this machine
 }
 
-// uploadPhase says how far an upload has come. It leaves uploadStreaming once, for good: once the last bytes may be
-// out, the request may run, and an upload that was stopped before that never runs.
+// uploadPhase is the state of an upload. It changes at most once, from uploadStreaming to one of the other two. Once
+// the last bytes may have been sent, the request may run. A request whose upload was stopped before that never runs.
 type uploadPhase int32
 
 const (
-	uploadStreaming uploadPhase = iota // all but the last bytes may be out
-	uploadFinishing                    // the last bytes may be out
-	uploadStopped                      // the last bytes are never written
+	uploadStreaming uploadPhase = iota // all bytes except the last ones may have been sent
+	uploadFinishing                    // the last bytes may have been sent
+	uploadStopped                      // the last bytes are never sent
 )
 
-// leaveStreaming moves the upload to its final phase, and reports whether it was the first to do so.
-func (u *Upload) leaveStreaming(final uploadPhase) bool {
+// enterFinalPhase moves a streaming upload to its final phase. It reports false, and changes nothing, if the upload was
+// already in a final phase.
+func (u *Upload) enterFinalPhase(final uploadPhase) bool {
 	return u.phase.CompareAndSwap(int32(uploadStreaming), int32(final))
 }
 
-// BodyConsumed reports whether the body can no longer be sent again completely: part of it was read, or the upload was
-// finished or stopped.
+// BodyConsumed reports whether another attempt can no longer send the complete body, because part of the upload was
+// read, or because the upload was finished or stopped.
 func (u *Upload) BodyConsumed() bool {
 	return u.consumed.Load() || uploadPhase(u.phase.Load()) != uploadStreaming
 }
 
-// Read reads for the attempt.
+// Read reads from the client's body on behalf of the attempt. It fails once the upload is stopped. An error of the
+// client's side is a clientError and is also sent to ClientFailure.
 func (u *Upload) Read(p []byte) (int, error) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -88,76 +90,78 @@
 	} else if err != nil {
 		err = &clientError{err}
 		select {
-		case u.Failed <- err:
+		case u.ClientFailure <- err:
 		default:
 		}
 	}
 	return n, err
 }
 
-// Stop prevents the last bytes from being written, so that the request never runs, and reports whether that came in
-// time.
-func (u *Upload) Stop() bool { return u.leaveStreaming(uploadStopped) }
+// Stop prevents the last bytes from being written, so that the request never runs. It reports whether the upload was
+// still streaming; if not, it has already been stopped or its last bytes may have been sent.
+func (u *Upload) Stop() bool { return u.enterFinalPhase(uploadStopped) }
 
-// Deadline returns when the client's time is up, once the last byte is written.
+// Deadline returns when the client's time is up. It is valid once the last byte of the body has been written.
 func (u *Upload) Deadline() time.Time { return u.lastDataAt.Add(u.TimeLeft) }
 
-// Finish ends the attempt's use of the body: nothing may read it once the handler is done. It waits for a read that
-// is under way, which the limit on the client's pace bounds.
+// Finish ends the attempt's use of the body, because nothing may read the body once the client's handler has returned.
+// It waits for a read that is in progress; the minimum rate at which the client must send limits that wait.
 func (u *Upload) Finish() {
 	u.Stop()
 	u.mu.Lock()
 	defer u.mu.Unlock()
 }
 
-// beginLastWrite is the gate ahead of the last bytes. X-Time-Left-Ms was sent as if it counted from then: where the
-// last bytes have waited for too long, or the client has left, the request must not run.
+// beginLastWrite is the check before the last bytes are written. It returns errUploadStopped if they must not be
+// written. X-Time-Left-Ms was sent as if it counted from the last bytes, so the request must not run if they have
+// waited for longer than maxWriteDelay, or if the client has disconnected.
 func (u *Upload) beginLastWrite() error {
-	if time.Since(u.lastDataAt) > maxWriteLag || u.Body.ClientClosed() {
+	if time.Since(u.lastDataAt) > maxWriteDelay || u.Body.ClientClosed() {
 		u.Stop()
 	}
-	if !u.leaveStreaming(uploadFinishing) {
+	if !u.enterFinalPhase(uploadFinishing) {
 		return errUploadStopped
 	}
 	return nil
 }
 
-// sendUpload forwards a request's body while it comes. Until its last byte is written the request never ran. An
-// endpoint that responds before that, or ends the connection, wants no more of it.
+// sendUpload forwards a request's body as it arrives. Until the last byte is written, the request has not run. An
+// endpoint that responds or closes the connection before that does not want the remainder of the body.
 func (u *Client) sendUpload(ctx context.Context, c *conn, request *Request) error {
-	sent := make(chan error, 1)
+	writeDone := make(chan error, 1)
 	go func() {
 		err := request.writeUpload(c)
 		c.SetReadDeadline(time.Unix(1, 0)) // ends the Peek below
-		sent <- err
+		writeDone <- err
 	}()
-	_, early := c.reader.Peek(1)
+	_, earlyErr := c.reader.Peek(1)
 	if request.Upload.Stop() {
 		select {
-		case err := <-sent:
+		case err := <-writeDone:
 			return &unsentError{err}
 		default:
 		}
-		if early == nil {
-			early = errEarlyResponse
+		if earlyErr == nil {
+			earlyErr = errEarlyResponse
 		}
-		return &unsentError{early}
+		return &unsentError{earlyErr}
 	}
-	if err := <-sent; err != nil {
+	if err := <-writeDone; err != nil {
 		return &unsentError{err}
 	}
 	c.SetDeadline(time.Time{})
 	return ctx.Err() // the deadline that interrupt has set may have been overwritten
 }
 
-// uploadWriter writes an upload to an endpoint, which must take each piece within httpmsg.ChunkTimeout.
+// uploadWriter writes an upload to an endpoint. The endpoint must accept each piece within httpmsg.ChunkTimeout.
 type uploadWriter struct {
 	*conn
 	upload    *Upload
-	remaining int64 // bytes until the end of the body; below 0 if unknown
+	remaining int64 // bytes until the end of the body; negative if the length is unknown
 }
 
-// Write writes one piece. It passes the gate of the last bytes ahead of the last piece of a body of known length.
+// Write writes one piece of the body. If the length of the body is known, Write calls beginLastWrite before the last
+// piece.
 func (w *uploadWriter) Write(p []byte) (int, error) {
 	if w.remaining -= int64(len(p)); w.remaining == 0 {
 		if err := w.upload.beginLastWrite(); err != nil {
@@ -171,23 +175,23 @@
 	return w.conn.Conn.Write(p)
 }
 
-// writeUpload writes the body to the endpoint: first what is buffered, then what comes.
-func (m *Request) writeUpload(c *conn) error {
+// writeUpload writes the body to the endpoint: first the buffered beginning, then the upload as it arrives.
+func (r *Request) writeUpload(c *conn) error {
 	chunk := httpmsg.ChunkBuffers.Get().(*[httpmsg.ChunkBytes]byte)
 	defer httpmsg.ChunkBuffers.Put(chunk)
-	to := &uploadWriter{conn: c, upload: m.Upload, remaining: m.Upload.Length}
-	if m.Upload.Length >= 0 {
-		err := m.copyBody(to, chunk[:])
+	to := &uploadWriter{conn: c, upload: r.Upload, remaining: r.Upload.Length}
+	if r.Upload.Length >= 0 {
+		err := r.copyBody(to, chunk[:])
 		if err == nil && to.remaining > 0 {
 			err = &clientError{io.ErrUnexpectedEOF}
 		}
 		return err
 	}
 	chunks := httputil.NewChunkedWriter(to)
-	if err := m.copyBody(chunks, chunk[:]); err != nil {
+	if err := r.copyBody(chunks, chunk[:]); err != nil {
 		return err
 	}
-	if err := m.Upload.beginLastWrite(); err != nil {
+	if err := r.Upload.beginLastWrite(); err != nil {
 		return err
 	}
 	if err := chunks.Close(); err != nil {
@@ -197,12 +201,12 @@
 	return err
 }
 
-// copyBody copies the buffered part of the body and the upload through a buffer.
-func (m *Request) copyBody(to io.Writer, buffer []byte) error {
-	if _, err := to.Write(m.Body); err != nil {
+// copyBody writes the buffered beginning of the body to a writer, and then copies the upload through a buffer.
+func (r *Request) copyBody(to io.Writer, buffer []byte) error {
+	if _, err := to.Write(r.Body); err != nil {
 		return err
 	}
-	// io.CopyBuffer would bypass the buffer for a writer that is an io.ReaderFrom.
-	_, err := io.CopyBuffer(struct{ io.Writer }{to}, m.Upload, buffer)
+	// The struct hides any ReadFrom method of the writer, for which io.CopyBuffer would bypass the buffer.
+	_, err := io.CopyBuffer(struct{ io.Writer }{to}, r.Upload, buffer)
 	return err
 }
--- a/internal/warmstart/store.go
+++ b/internal/warmstart/store.go
@@ -33,8 +33,8 @@
 		path:      path,
 		temporary: fmt.Sprintf("%s.%d", path, os.Getpid()),
 		sidecar:   sidecar,
-		files:     host.Files.OrSystem(),
-		clock:     host.Time.OrSystem(),
+		files:     host.Files.WithDefaults(),
+		clock:     host.Time.WithDefaults(),
 		log:       log,
 		pending:   make(chan contents, 1),
 	}
