--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -1,9 +1,9 @@
-// Package admin serves the operators' calls at the sidecar's second address: health, cordon and uncordon of endpoints,
-// quiesce and resume of the sidecar.
+// Package admin serves the calls of operators at the sidecar's second address, admin_addr: the health check, cordon and
+// uncordon of an endpoint, and quiesce and resume of the sidecar.
 //
-// It shares no connections, limits or memory budget with the clients' side, so that operators get through when the
-// sidecar is overloaded. What they set goes into an operatorstate.Store, which puts it in force and keeps it for the
-// next process; this package holds no state of its own. It does not authenticate its callers: the address must be
+// The package shares no connections, limits or memory budget with the listener for clients, so that operators can reach
+// the sidecar when it is overloaded. It passes what operators set to an operatorstate.Store, which applies it and keeps
+// it for the next process; the package itself holds no state. It does not authenticate callers: the address must be
 // reachable for operators only.
 package admin
 
@@ -23,28 +23,28 @@
 	"oakproxy/internal/operatorstate"
 )
 
-// MaxConnections is how many connections are open at once. Their descriptors are part of those that the sidecar
-// reserves.
+// MaxConnections is the limit on open connections for admin calls. Their file descriptors are part of the sidecar's
+// reserve.
 const MaxConnections = 12
 
-// CallTimeout limits the reading of a call, and the writing of its response.
+// CallTimeout is the read timeout and the write timeout of a call's connection, as in http.Server.
 const CallTimeout = 2 * time.Second
 
 const (
 	maxHeadBytes = 4 << 10
-	maxBodyBytes = 4 << 10 // of a body that is read and not used
+	maxBodyBytes = 4 << 10 // limits the body of a call, which is read and discarded
 )
 
-// Sidecar is what the calls ask of the sidecar. Its methods are called by many goroutines.
+// Sidecar is the part of the sidecar that admin calls query. Its methods must be safe for concurrent use.
 type Sidecar interface {
-	// Ready reports whether the process can serve. A drain by operators does not count: a process that takes over
-	// during one must be found ready, too.
+	// Ready reports whether the process can serve requests. A drain by operators does not make the process unready: a
+	// process that takes over during a drain must be reported as ready, too.
 	Ready() bool
-	// KnowsEndpoint reports whether there is an endpoint of this name to cordon or uncordon.
+	// KnowsEndpoint reports whether there is an endpoint with this name that can be cordoned or uncordoned.
 	KnowsEndpoint(name string) bool
 }
 
-// Server answers calls. Make one with NewServer.
+// Server serves admin calls. Create one with NewServer.
 type Server struct {
 	sidecar Sidecar
 	store   *operatorstate.Store
@@ -53,13 +53,14 @@
 	calls   map[string]call
 }
 
-// call is what one path does.
+// call is the method and handler of the admin call at one path.
 type call struct {
 	method string
-	do     func(in *http.Request) error
+	handle func(request *http.Request) error
 }
 
-// callError is the failure of a call, with the status to answer. Other errors are answered with status 500.
+// callError is the failure of a call with the status code and text of the response. The response to any other error
+// has status 500.
 type callError struct {
 	statusCode int
 	reason     string
@@ -67,10 +68,10 @@
 
 func (e *callError) Error() string { return e.reason }
 
-// connContextKey finds the connection of a call in its context.
+// connContextKey is the key of the connection, a net.Conn, in the context of a call.
 type connContextKey struct{}
 
-// Listen opens the address of the admin calls.
+// Listen opens a listener at the address for admin calls.
 func Listen(ctx context.Context, address string) (net.Listener, error) {
 	listener, err := handover.ListenAt(ctx, address)
 	if err != nil {
@@ -79,13 +80,13 @@
 	return listener, nil
 }
 
-// NewServer returns a server of calls that change what is in the store.
+// NewServer returns a Server whose calls query sidecar and update store. It logs to log.
 func NewServer(sidecar Sidecar, store *operatorstate.Store, log *slog.Logger) *Server {
 	s := &Server{sidecar: sidecar, store: store, log: log}
 	s.calls = map[string]call{
 		"/admin/health":   {http.MethodGet, s.health},
-		"/admin/cordon":   {http.MethodPost, func(in *http.Request) error { return s.setCordon(in, true) }},
-		"/admin/uncordon": {http.MethodPost, func(in *http.Request) error { return s.setCordon(in, false) }},
+		"/admin/cordon":   {http.MethodPost, func(request *http.Request) error { return s.setCordon(request, true) }},
+		"/admin/uncordon": {http.MethodPost, func(request *http.Request) error { return s.setCordon(request, false) }},
 		"/admin/quiesce":  {http.MethodPost, func(*http.Request) error { return s.setDrained(true) }},
 		"/admin/resume":   {http.MethodPost, func(*http.Request) error { return s.setDrained(false) }},
 	}
@@ -94,13 +95,14 @@
 		ConnContext: func(ctx context.Context, c net.Conn) context.Context {
 			return context.WithValue(ctx, connContextKey{}, c)
 		}}
-	s.http.SetKeepAlivesEnabled(false) // one call to a connection
+	s.http.SetKeepAlivesEnabled(false) // one call per connection
 	return s
 }
 
-// Serve answers calls until ctx ends, and follows what the other process of the sidecar is told. Beyond
-// MaxConnections, the connection that has waited longest for its call is closed in favour of a new one. The error
-// says why the listener ended, never nil.
+// Serve serves calls until ctx ends. It also refreshes the store regularly, to apply what operators set in another
+// process of the same sidecar. If MaxConnections connections are open, one without an open call is closed to make room
+// for a new one: one that is being closed already or, if there is none, the one that has been silent for longest. The
+// error says why the listener ended and is never nil; it is http.ErrServerClosed after the end of ctx.
 func (s *Server) Serve(ctx context.Context, listener net.Listener) error {
 	s.store.Refresh()
 	go s.followStore(ctx)
@@ -108,7 +110,8 @@
 		MaxConnections: MaxConnections, MaxUsed: MaxConnections})
 }
 
-// followStore takes up what the other process of the sidecar stores, until ctx ends; then it ends the server.
+// followStore refreshes the store every operatorstate.PollInterval, to apply what another process of the sidecar has
+// stored. When ctx ends, it closes the server and returns.
 func (s *Server) followStore(ctx context.Context) {
 	poll := time.NewTicker(operatorstate.PollInterval)
 	defer poll.Stop()
@@ -123,32 +126,33 @@
 	}
 }
 
-func (s *Server) serveCall(w http.ResponseWriter, in *http.Request) {
-	if ok := in.Context().Value(connContextKey{}).(*downstream.Conn).BeginRequest(); !ok {
-		panic(http.ErrAbortHandler) // the connection was just closed in favour of a new one
+// serveCall is the HTTP handler of all calls.
+func (s *Server) serveCall(w http.ResponseWriter, request *http.Request) {
+	if ok := request.Context().Value(connContextKey{}).(*downstream.Conn).BeginRequest(); !ok {
+		panic(http.ErrAbortHandler) // the connection was just closed to make room for a new one
 	}
 	w.Header().Set("Content-Type", "text/plain; charset=utf-8")
-	c, ok := s.calls[in.URL.Path]
+	c, ok := s.calls[request.URL.Path]
 	if !ok {
 		http.Error(w, "no such call", http.StatusNotFound)
 		return
 	}
-	if in.Method != c.method {
+	if request.Method != c.method {
 		w.Header().Set("Allow", c.method)
 		http.Error(w, "this call is "+c.method, http.StatusMethodNotAllowed)
 		return
 	}
-	if _, err := io.Copy(io.Discard, http.MaxBytesReader(w, in.Body, maxBodyBytes)); err != nil {
+	if _, err := io.Copy(io.Discard, http.MaxBytesReader(w, request.Body, maxBodyBytes)); err != nil {
 		http.Error(w, "the call's body could not be read, or is too large", http.StatusBadRequest)
 		return
 	}
-	if err := c.do(in); err != nil {
-		code := http.StatusInternalServerError
-		var failed *callError
-		if errors.As(err, &failed) {
-			code = failed.statusCode
+	if err := c.handle(request); err != nil {
+		responseCode := http.StatusInternalServerError
+		var callErr *callError
+		if errors.As(err, &callErr) {
+			responseCode = callErr.statusCode
 		}
-		http.Error(w, err.Error(), code)
+		http.Error(w, err.Error(), responseCode)
 		return
 	}
 	io.WriteString(w, "ok\n")
@@ -161,9 +165,9 @@
 	return nil
 }
 
-// setCordon cordons or uncordons the endpoint that the query names.
-func (s *Server) setCordon(in *http.Request, cordoned bool) error {
-	query, err := url.ParseQuery(in.URL.RawQuery)
+// setCordon cordons or uncordons the endpoint that the query parameter name specifies.
+func (s *Server) setCordon(request *http.Request, cordoned bool) error {
+	query, err := url.ParseQuery(request.URL.RawQuery)
 	if err != nil {
 		return &callError{http.StatusBadRequest, "the query could not be read"}
 	}
@@ -178,7 +182,7 @@
 	return s.store.Update(func(state *operatorstate.State) { state.SetCordon(name, cordoned, s.store.Time.Now()) })
 }
 
-// setDrained has clients leave the sidecar, or lets them come again.
+// setDrained starts or ends the drain of the sidecar, during which clients are made to leave it.
 func (s *Server) setDrained(drained bool) error {
 	return s.store.Update(func(state *operatorstate.State) { state.Drained = drained })
 }
--- a/internal/admin/admin_test.go
+++ b/internal/admin/admin_test.go
@@ -14,15 +14,15 @@
 	"oakproxy/internal/system"
 )
 
-// fakeSidecar is a sidecar that knows the endpoint s-1.
+// fakeSidecar is a Sidecar that knows only the endpoint s-1.
 type fakeSidecar struct{ ready bool }
 
 func (f fakeSidecar) Ready() bool                    { return f.ready }
 func (f fakeSidecar) KnowsEndpoint(name string) bool { return name == "s-1" }
 
-// serve runs a server on a new store until the test ends. It returns the server's URL and the states that the store
-// applies.
-func serve(t *testing.T, sidecar Sidecar, files system.FileOps) (url string, applied <-chan operatorstate.State) {
+// startServer runs a Server with a new store until the test ends. It returns the server's URL and a channel of the
+// states that the store applies.
+func startServer(t *testing.T, sidecar Sidecar, files system.FileOps) (url string, applied <-chan operatorstate.State) {
 	t.Helper()
 	states := make(chan operatorstate.State, 16)
 	log := slog.New(slog.DiscardHandler)
@@ -39,35 +39,35 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	ended := make(chan error, 1)
+	serveErr := make(chan error, 1)
 	s := NewServer(sidecar, store, log)
-	go func() { ended <- s.Serve(t.Context(), listener) }()
-	t.Cleanup(func() { // the context of the test has ended
-		if err := <-ended; !errors.Is(err, http.ErrServerClosed) {
+	go func() { serveErr <- s.Serve(t.Context(), listener) }()
+	t.Cleanup(func() { // t.Context() is cancelled before this runs
+		if err := <-serveErr; !errors.Is(err, http.ErrServerClosed) {
 			t.Errorf("the server ended with %v, want %v", err, http.ErrServerClosed)
 		}
 	})
 	return "http://" + listener.Addr().String(), states
 }
 
-// makeCall makes one call and returns its status and the text of its response.
+// makeCall makes one call and returns the status code and body of its response.
 func makeCall(t *testing.T, method, url, body string) (status int, text string) {
 	t.Helper()
-	in, err := http.NewRequest(method, url, strings.NewReader(body))
+	request, err := http.NewRequest(method, url, strings.NewReader(body))
 	if err != nil {
 		t.Fatal(err)
 	}
 	client := http.Client{Timeout: sidecartest.WaitTimeout, Transport: &http.Transport{DisableKeepAlives: true}}
-	response, err := client.Do(in)
+	response, err := client.Do(request)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer response.Body.Close()
-	read, err := io.ReadAll(response.Body)
+	responseBody, err := io.ReadAll(response.Body)
 	if err != nil {
 		t.Fatal(err)
 	}
-	return response.StatusCode, string(read)
+	return response.StatusCode, string(responseBody)
 }
 
 func TestCallsReturnTheirStatus(t *testing.T) {
@@ -91,7 +91,7 @@
 			"the call's body could not be read, or is too large\n"},
 	} {
 		t.Run(name, func(t *testing.T) {
-			url, _ := serve(t, fakeSidecar{test.ready}, system.FileOps{})
+			url, _ := startServer(t, fakeSidecar{test.ready}, system.FileOps{})
 			status, text := makeCall(t, test.method, url+test.path, test.body)
 			if status != test.status || text != test.text {
 				t.Errorf("got %d %q, want %d %q", status, text, test.status, test.text)
@@ -101,7 +101,7 @@
 }
 
 func TestCallsApplyTheirState(t *testing.T) {
-	url, applied := serve(t, fakeSidecar{true}, system.FileOps{})
+	url, applied := startServer(t, fakeSidecar{true}, system.FileOps{})
 	for _, test := range []struct {
 		path              string
 		cordoned, drained bool
@@ -114,7 +114,7 @@
 		if status, text := makeCall(t, "POST", url+test.path, ""); status != http.StatusOK {
 			t.Fatalf("%s: got %d %q, want 200", test.path, status, text)
 		}
-		sidecartest.Await(t, test.path+" to apply", func() bool { // the store may repeat the previous state
+		sidecartest.Await(t, test.path+" to apply", func() bool { // the store may apply the previous state again
 			var state operatorstate.State
 			select {
 			case state = <-applied:
@@ -129,12 +129,12 @@
 
 func TestCallThatCannotBeStoredFails(t *testing.T) {
 	disk := &sidecartest.FaultyDisk{}
-	url, applied := serve(t, fakeSidecar{true}, disk.FileOps())
+	url, applied := startServer(t, fakeSidecar{true}, disk.FileOps())
 	disk.Fail(sidecartest.DiskSync, io.ErrShortWrite)
 	if status, text := makeCall(t, "POST", url+"/admin/quiesce", ""); status != http.StatusInternalServerError {
 		t.Errorf("got %d %q, want %d", status, text, http.StatusInternalServerError)
 	}
-	for len(applied) > 0 { // only the previous state may be applied
+	for len(applied) > 0 { // the state that failed to be stored must not be applied
 		if state := <-applied; state.Drained {
 			t.Errorf("got %+v applied, want no drain", state)
 		}
--- a/internal/asynclog/writer.go
+++ b/internal/asynclog/writer.go
@@ -1,8 +1,9 @@
-// Package asynclog decouples a program from the reader of its log. A Writer queues lines and writes them from a
-// goroutine of its own, so that a reader that stalls or is gone never blocks the program.
+// Package asynclog decouples a program from the reader of its log. A Writer queues lines and writes them from its own
+// goroutine, so that a log reader that stalls or has exited never blocks the program.
 //
-// Lines are written in the order in which they came. The queue is bounded: a line that finds it full is dropped and
-// counted, and the count is logged with the next line that is written. The package doesn't retry and reports no errors.
+// Lines are written in the order in which Write was called. The queue has a fixed capacity: a line that does not fit is
+// dropped and counted, and the count is logged after the next line that is written to the destination.
+// The package doesn't retry failed writes and reports no errors.
 package asynclog
 
 import (
@@ -12,23 +13,23 @@
 	"time"
 )
 
-// maxQueuedLines limits the lines that wait to be written.
+// maxQueuedLines is the capacity of the queue, in lines.
 const maxQueuedLines = 1024
 
-// Writer is an io.Writer that passes lines on to a destination without waiting for it. New returns one that is ready
-// for use; Close ends it. Its methods may be called by several goroutines at once.
+// Writer is an io.Writer that passes lines on to a destination without waiting for it. New creates a Writer, and Close
+// stops it. Its methods are safe for concurrent use.
 type Writer struct {
 	destination io.Writer
 	queue       chan []byte   // closed by Close
-	finished    chan struct{} // closed once the queue is written out
+	finished    chan struct{} // closed after Close, once all queued lines are written
 
 	mu      sync.Mutex
 	closed  bool
-	dropped int // since the last line that was written
+	dropped int // lines dropped since the last call of takeDropped
 }
 
-// New returns a Writer to a destination and starts its goroutine, which runs until Close. Errors of the destination
-// are ignored: the log is where they would be reported.
+// New returns a Writer to destination and starts its goroutine, which ends after Close, once the queue is empty. Errors
+// of the destination are ignored, since the place to report them would be this log.
 func New(destination io.Writer) *Writer {
 	w := &Writer{
 		destination: destination,
@@ -39,18 +40,18 @@
 	return w
 }
 
-// run writes the queued lines until the queue is closed.
+// run writes the queued lines until the queue is closed and empty.
 func (w *Writer) run() {
 	defer close(w.finished)
 	for line := range w.queue {
-		_, _ = w.destination.Write(line) // there is nowhere to report an error of the log itself
+		_, _ = w.destination.Write(line) // an error of the log itself cannot be logged
 		if n := w.takeDropped(); n > 0 {
 			fmt.Fprintf(w.destination, "level=WARN msg=\"log lines dropped\" count=%d\n", n)
 		}
 	}
 }
 
-// takeDropped returns how many lines were dropped since its last call.
+// takeDropped returns the number of lines dropped since its last call.
 func (w *Writer) takeDropped() int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -59,24 +60,24 @@
 	return n
 }
 
-// Write queues a copy of one line. It never blocks and never fails: a line that finds the queue full is dropped and
-// counted, and one that comes after Close is ignored.
+// Write queues a copy of one line. It never waits for the destination and never returns an error: it drops and counts
+// the line if the queue is full, and ignores the line after Close.
 func (w *Writer) Write(line []byte) (int, error) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if w.closed {
 		return len(line), nil
 	}
-	own := append([]byte(nil), line...)
+	lineCopy := append([]byte(nil), line...)
 	select {
-	case w.queue <- own:
+	case w.queue <- lineCopy:
 	default:
 		w.dropped++
 	}
 	return len(line), nil
 }
 
-// Close ends the writer and waits until the queued lines are written, but no longer than timeout. It may be called
+// Close stops the Writer and waits until the queued lines are written, but no longer than timeout. It may be called
 // more than once.
 func (w *Writer) Close(timeout time.Duration) {
 	w.mu.Lock()
--- a/internal/asynclog/writer_test.go
+++ b/internal/asynclog/writer_test.go
@@ -19,51 +19,52 @@
 	}
 	w.Close(time.Minute)
 	if out.String() != want.String() {
-		t.Errorf("%d bytes, want %d", out.Len(), want.Len())
+		t.Errorf("got %d bytes of log, or other contents than written, want %d bytes", out.Len(), want.Len())
 	}
 	if n, err := w.Write([]byte("late\n")); n != 5 || err != nil {
-		t.Errorf("Write after Close: %d, %v", n, err)
+		t.Errorf("Write after Close returned %d and error %v, want 5 and no error", n, err)
 	}
 }
 
-// A reader that stalls blocks no writer; the lines dropped meanwhile are counted in the log once it reads on.
+// A reader that stalls does not block Write. Once it reads again, the log contains the number of lines that were
+// dropped meanwhile.
 func TestStalledReaderDropsAndCountsLines(t *testing.T) {
-	in, out := io.Pipe()
-	w := New(out)
+	reader, pipeWriter := io.Pipe()
+	w := New(pipeWriter)
 	const excess = 100
-	const total = maxQueuedLines + 1 + excess // one is with the reader
+	const total = maxQueuedLines + 1 + excess // run holds one line, which it is writing
 	for i := range total {
 		fmt.Fprintf(w, "line %d\n", i)
 	}
 	w.Close(0)
 	go func() {
 		<-w.finished
-		out.Close()
+		pipeWriter.Close()
 	}()
 	var text bytes.Buffer
-	if _, err := io.Copy(&text, in); err != nil {
+	if _, err := io.Copy(&text, reader); err != nil {
 		t.Fatal(err)
 	}
 	written := strings.Count(text.String(), "\nline ") + 1
 	var dropped int
-	at := strings.Index(text.String(), "count=")
-	if at < 0 {
-		t.Fatal("the log does not count the dropped lines")
+	countIndex := strings.Index(text.String(), "count=")
+	if countIndex < 0 {
+		t.Fatal("the log contains no \"count=\", want the number of dropped lines")
 	}
-	if _, err := fmt.Sscanf(text.String()[at:], "count=%d", &dropped); err != nil {
+	if _, err := fmt.Sscanf(text.String()[countIndex:], "count=%d", &dropped); err != nil {
 		t.Fatal(err)
 	}
 	if written+dropped != total {
-		t.Errorf("%d lines written and %d dropped, want %d together", written, dropped, total)
+		t.Errorf("%d lines written and %d dropped, want %d in total", written, dropped, total)
 	}
 }
 
-func TestErrorsOfTheReaderAreIgnored(t *testing.T) {
-	in, out := io.Pipe()
-	in.Close()
-	w := New(out)
+func TestReaderErrorsAreIgnored(t *testing.T) {
+	reader, pipeWriter := io.Pipe()
+	reader.Close()
+	w := New(pipeWriter)
 	if n, err := w.Write([]byte("line\n")); n != 5 || err != nil {
-		t.Errorf("%d, %v", n, err)
+		t.Errorf("Write returned %d and error %v, want 5 and no error", n, err)
 	}
 	w.Close(time.Minute)
 }
--- a/internal/downstream/body.go
+++ b/internal/downstream/body.go
@@ -9,28 +9,29 @@
 )
 
 const (
-	// smallRequestTimeout is the time for a request to come complete, however slowly it comes, if it is small enough.
+	// smallRequestTimeout is the time, from the start of a request, within which its body may arrive at any rate.
+	// minBodyRate applies only to bodies that take longer.
 	smallRequestTimeout = 2600 * time.Millisecond
-	// maxBodyLag is how far the client of a larger body may fall behind minBodyRate.
+	// maxBodyLag is how far, in time, a body that takes longer than smallRequestTimeout may fall behind minBodyRate.
 	maxBodyLag = 900 * time.Millisecond
-	// minBodyRate is in bytes a second. A slow client writes at twice this rate.
+	// minBodyRate is the lowest rate of a large body, in bytes per second. Slow clients write at twice this rate.
 	minBodyRate = 32 << 10
-	// MaxLinger is how long a client may go on writing after its request was rejected unread.
+	// MaxLinger is how long a client may go on writing a request that was rejected before it was read completely.
 	MaxLinger = 2 * time.Second
 )
 
-// Body reads the body of a client's request within limits on its size and its time. A body has until
-// smallRequestTimeout after its request began. Beyond that it may fall maxBodyLag behind minBodyRate; only the time
-// spent waiting for the client counts. Body is for one goroutine at a time.
+// Body reads the body of a client's request and limits its size and duration. The body may arrive at any rate until
+// smallRequestTimeout after the start of the request. After that it may fall at most maxBodyLag behind minBodyRate,
+// where only the time that Read waits for the client counts. A Body must not be used by several goroutines at once.
 type Body struct {
 	conn           *Conn
 	body           io.Reader
-	smallDeadline  time.Time     // smallRequestTimeout after the request began
-	allowance      time.Duration // how much further the body may fall behind minBodyRate
-	remainingBytes int64         // of httpmsg.MaxBodyBytes
+	smallDeadline  time.Time     // smallRequestTimeout after the start of the request
+	remainingLag   time.Duration // how much further, in time, the body may fall behind minBodyRate
+	remainingBytes int64         // httpmsg.MaxBodyBytes less the bytes read so far
 }
 
-// NewBody returns a reader of body, the body of the request that is being read of c.
+// NewBody returns a Body that reads from body, which is the body of the request that is being read from c.
 func NewBody(c *Conn, body io.Reader) *Body {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -38,32 +39,32 @@
 		conn:           c,
 		body:           body,
 		smallDeadline:  c.requestStart.Add(smallRequestTimeout),
-		allowance:      maxBodyLag,
+		remainingLag:   maxBodyLag,
 		remainingBytes: httpmsg.MaxBodyBytes,
 	}
 }
 
-// Read reads what has come of the body. Its error is ErrBodyTooLarge for a body that exceeds httpmsg.MaxBodyBytes, and
-// matches os.ErrDeadlineExceeded for one that comes too slowly.
+// Read reads the part of the body that has arrived, and waits if there is none. The error is ErrBodyTooLarge if the
+// body exceeds httpmsg.MaxBodyBytes, and matches os.ErrDeadlineExceeded if the body arrives too slowly.
 func (b *Body) Read(p []byte) (int, error) {
 	start := time.Now()
-	deadline := start.Add(b.allowance)
+	deadline := start.Add(b.remainingLag)
 	if b.smallDeadline.After(deadline) {
 		deadline = b.smallDeadline
 	}
 	b.conn.limitNextRead(deadline)
 	n, err := b.body.Read(p)
-	earned := time.Duration(n) * time.Second / minBodyRate
-	b.allowance = min(maxBodyLag, b.allowance-time.Since(start)+earned)
+	timeAtMinRate := time.Duration(n) * time.Second / minBodyRate
+	b.remainingLag = min(maxBodyLag, b.remainingLag-time.Since(start)+timeAtMinRate)
 	if b.remainingBytes -= int64(n); b.remainingBytes < 0 {
 		return 0, ErrBodyTooLarge
 	}
 	return n, err
 }
 
-// Discard reads and drops the body of a client that has its response and is still writing, until the body ends or a
-// read fails, or for the given time. A connection that is closed with something unread is reset, and the client would
-// find the reset in place of its response.
+// Discard reads and drops the remainder of the body of a client that is still writing after its response was sent. It
+// ends at the end of the body, when a read fails, or once limit has passed. Without it, the kernel would reset a
+// connection that is closed with unread bytes, and the client could get the reset instead of its response.
 func (b *Body) Discard(limit time.Duration) {
 	chunk := httpmsg.ChunkBuffers.Get().(*[httpmsg.ChunkBytes]byte)
 	defer httpmsg.ChunkBuffers.Put(chunk)
@@ -74,8 +75,9 @@
 	}
 }
 
-// LastDataAge returns how long ago the latest bytes of the client came to this machine, as its kernel says.
+// LastDataAge returns how long ago the latest bytes of the client arrived at this machine, as reported by the kernel.
+// It returns 0 if that is not known.
 func (b *Body) LastDataAge() time.Duration { return system.LastDataAge(b.conn.Conn) }
 
-// ClientClosed reports whether the client has ended its side of the connection, or the connection is broken.
+// ClientClosed reports whether the client has closed its side of the connection, or the connection is broken.
 func (b *Body) ClientClosed() bool { return b.conn.ClientClosed() }
--- a/internal/downstream/body_test.go
+++ b/internal/downstream/body_test.go
@@ -10,22 +10,22 @@
 	"time"
 )
 
-// A body that exceeds the limit is an error with status 413.
+// Reading a body that exceeds the size limit returns an error with status 413.
 func TestBodyOverLimitIsError(t *testing.T) {
 	b := &Body{
-		conn:           &Conn{Conn: withoutDeadlines{}},
+		conn:           &Conn{Conn: noDeadlineConn{}},
 		body:           strings.NewReader("123456"),
-		allowance:      time.Hour,
+		remainingLag:   time.Hour,
 		remainingBytes: 5,
 	}
 	var requestError *RequestError
 	_, err := io.ReadAll(b)
 	if !errors.As(err, &requestError) || requestError.StatusCode != http.StatusRequestEntityTooLarge {
-		t.Errorf("a body beyond the limit: %v, want a *RequestError with status 413", err)
+		t.Errorf("reading 6 bytes with a limit of 5: got error %v, want a *RequestError with status 413", err)
 	}
 }
 
-// withoutDeadlines is a connection that has no deadlines.
-type withoutDeadlines struct{ net.Conn }
+// noDeadlineConn is a connection that ignores read deadlines.
+type noDeadlineConn struct{ net.Conn }
 
-func (withoutDeadlines) SetReadDeadline(time.Time) error { return nil }
+func (noDeadlineConn) SetReadDeadline(time.Time) error { return nil }
--- a/internal/downstream/close_reason.go
+++ b/internal/downstream/close_reason.go
@@ -8,19 +8,19 @@
 // closeReason says why a client's connection was closed.
 type closeReason uint8
 
-// The reasons for which a client's connection ends.
+// The reasons for closing a client's connection.
 const (
-	closedByClient        closeReason = iota // the client ended its side, or the connection broke
-	closedAfterResponse                      // a response said Connection: close
-	closedIdle                               // no request came in time, or none came complete
-	closedDraining                           // an idle connection was expired: draining, termination or a lower limit
-	closedEvicted                            // it was evicted for a new connection
-	closedConnectionLimit                    // it came beyond the connection limit
-	closedTruncated                          // its response broke off, and the connection was reset
+	closedByClient        closeReason = iota // the client closed its side, or the connection broke
+	closedAfterResponse                      // the connection was closed after a response with Connection: close
+	closedIdle                               // no complete request arrived in time
+	closedDraining                           // the idle connection was expired by a drain, a termination or a lower limit
+	closedEvicted                            // the connection was evicted to make room for a new one
+	closedConnectionLimit                    // the connection exceeded the connection limit
+	closedTruncated                          // the response was cut off, and the connection was reset
 	closeReasonCount
 )
 
-// closeReasonNames are the names by which the log knows the reasons.
+// closeReasonNames are the names of the reasons in the log.
 var closeReasonNames = [closeReasonCount]string{
 	closedByClient:        "client",
 	closedAfterResponse:   "answered",
@@ -31,13 +31,14 @@
 	closedTruncated:       "truncated",
 }
 
-// String returns the name by which the log knows the reason.
+// String returns the name of the reason in the log.
 func (r closeReason) String() string { return closeReasonNames[r] }
 
 // CloseCounts counts closed connections by reason.
 type CloseCounts [closeReasonCount]uint64
 
-// Since returns what was counted after old was, as text: the reasons that occurred, with their counts.
+// Since returns the increase of the counts since old, an earlier value of the same counts. The result is a text for the
+// log, such as "[client:2 idle:1]", and omits reasons that have not occurred since.
 func (c CloseCounts) Since(old CloseCounts) string {
 	var parts []string
 	for reason, count := range c {
--- a/internal/downstream/conn.go
+++ b/internal/downstream/conn.go
@@ -14,54 +14,56 @@
 
 // Conn is one connection of a client. It carries one request at a time.
 //
-// net/http owns the connection: its goroutine of the connection calls Read, Write, SetReadDeadline and Close, and runs
-// the handler, which calls the methods on requests. While a handler runs, net/http reads in a further goroutine. The
-// listener's callers, from goroutines of their own, expire, reject or evict connections that have no request open.
+// net/http owns the connection. It has one goroutine per connection, which calls Read, Write, SetReadDeadline and
+// Close. The same goroutine runs the handler, which calls the methods that concern requests, such as BeginRequest.
+// While the handler runs, net/http also calls Read from a second goroutine. Callers of Listener's methods run in other
+// goroutines, and expire, reject or evict connections that have no open request.
 type Conn struct {
 	net.Conn
 	listener *Listener
 
-	// AcceptedAt is when the connection was accepted. It does not change.
+	// AcceptedAt is the time at which the connection was accepted. It does not change.
 	AcceptedAt time.Time
-	// Requests is how many requests have come on the connection. BeginRequest writes it, with listener.mu held.
+	// Requests is the number of requests that have begun on the connection. Only BeginRequest writes it, with
+	// listener.mu held.
 	Requests int
 
-	// Guarded by listener.mu.
-	state        connState     // changed by listener.setState alone
-	element      *list.Element // in listener.waiting or listener.closing, as state says; nil in other states
-	lastActivity time.Time     // of the latest bytes, the accept, or the end of the latest request
-	used         bool          // a request has come on it
+	// The following fields are guarded by listener.mu.
+	state        connState     // changed only by listener.setState
+	listElement  *list.Element // the entry in listener.waiting (stateWaiting) or listener.closing (stateClosing); else nil
+	lastActivity time.Time     // the latest of the accept, the last bytes read and the end of the last request
+	used         bool          // a request has begun on the connection
 
-	mu sync.Mutex // guards what follows
+	mu sync.Mutex // guards the fields below
 
 	// The request that is being read, and its response.
-	head             httpmsg.HeadScanner // of what came since the latest complete request
-	requestStart     time.Time           // of the first request: the accept; zero before the first byte of a later one
-	responseWritten  bool                // something was written since the request began
-	awaitingResponse bool                // a complete request has come and its response has not begun
-	pipelined        bool                // something came behind that request, which is not served
-	disconnected     chan struct{}       // closed when the client ends its side behind pipelined bytes; nil before
-
-	// Whether the connection may be read, and how it ends.
-	phase         readPhase // changed by setPhase alone
-	readDeadline  time.Time // as net/http has set it; an expiry moves that of the socket for a moment
-	peerClosed    bool      // the client has ended its side, or the connection is broken
-	resetOnClose  bool      // it ends in a reset
-	rejectPartial bool      // a request that came in part is answered by a rejection when the connection closes
+	head             httpmsg.HeadScanner // scans what was read since the last complete request
+	requestStart     time.Time           // the accept, or the first byte of a later request; zero until that byte
+	responseWritten  bool                // something was written since the start of the request
+	awaitingResponse bool                // a complete request was read and its response has not begun
+	pipelined        bool                // further bytes followed that request; they are not served
+	disconnected     chan struct{}       // closed on a disconnect after pipelined bytes; nil before NotifyDisconnect
+
+	// Whether the connection may be read, and how it is closed.
+	phase         readPhase // changed only by setPhase
+	readDeadline  time.Time // set last by net/http or Body; an expiry replaces it on the socket for a moment
+	peerClosed    bool      // the client has closed its side, or the connection is broken
+	resetOnClose  bool      // the connection is closed with a reset
+	rejectPartial bool      // Close answers a partly received request with rejectionResponse
 }
 
-// newConn returns a connection that was accepted now.
+// newConn returns the Conn for raw, a connection that was just accepted.
 func newConn(raw net.Conn, l *Listener) *Conn {
 	now := time.Now()
 	return &Conn{Conn: raw, listener: l, AcceptedAt: now, requestStart: now}
 }
 
-// Read reads what the client sends. It returns net.ErrClosed once the connection's end is decided.
+// Read reads what the client sends. It returns net.ErrClosed once the connection was evicted or Close was called.
 func (c *Conn) Read(p []byte) (int, error) {
 	c.mu.Lock()
-	endDecided := c.phase.endDecided()
+	readsBlocked := c.phase.blocksReads()
 	c.mu.Unlock()
-	if endDecided {
+	if readsBlocked {
 		return 0, net.ErrClosed
 	}
 	n, err := c.Conn.Read(p)
@@ -75,12 +77,12 @@
 	return n, err
 }
 
-// recordRead notes what a read returned, and returns what its caller may see of it: nothing, where the connection's end
-// was decided meanwhile.
+// recordRead records the result of a read of the socket, and returns the result for the caller of Read. If the
+// connection was evicted or closed during the read, that is net.ErrClosed and no data.
 func (c *Conn) recordRead(data []byte, err error) (int, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.phase.endDecided() {
+	if c.phase.blocksReads() {
 		data, err = nil, net.ErrClosed
 	}
 	if c.requestStart.IsZero() {
@@ -88,18 +90,18 @@
 	}
 	c.responseWritten = c.responseWritten && c.head.Size > 0
 	c.head.Scan(data)
-	if len(data) > 0 && c.phase == phaseExpiring { // the data came while the expiry was being set
+	if len(data) > 0 && c.phase == phaseExpiring { // the data arrived while the expiry was being set
 		c.setPhase(phaseOpen)
 		c.Conn.SetReadDeadline(c.readDeadline)
 	}
 	if len(data) > 0 && c.awaitingResponse {
-		c.watchDisconnect()
+		c.startDisconnectWatch()
 	}
 	c.peerClosed = c.peerClosed || err != nil && !errors.Is(err, os.ErrDeadlineExceeded)
 	return len(data), err
 }
 
-// Write writes a part of a response.
+// Write writes a part of a response to the client.
 func (c *Conn) Write(p []byte) (int, error) {
 	c.mu.Lock()
 	c.responseWritten = true
@@ -107,7 +109,7 @@
 	return c.Conn.Write(p)
 }
 
-// SetReadDeadline sets the deadline of reads, as net.Conn does.
+// SetReadDeadline sets the read deadline, as net.Conn does. The deadline is restored if an expiry is cancelled.
 func (c *Conn) SetReadDeadline(t time.Time) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -115,7 +117,8 @@
 	return c.Conn.SetReadDeadline(t)
 }
 
-// limitNextRead sets the deadline of reads. It fails only on a closed connection, which the next read reports.
+// limitNextRead sets the read deadline and ignores the error of the call: setting it fails only on a closed connection,
+// and then the next read fails, too.
 func (c *Conn) limitNextRead(deadline time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -123,16 +126,17 @@
 	c.Conn.SetReadDeadline(deadline)
 }
 
-// limitSendBuffer bounds how many bytes the kernel takes of a response before the client does, so that a write tells in
-// time whether the client still reads. Where the kernel refuses that, writes tell it later.
+// limitSendBuffer limits how many bytes of a response the kernel holds that the client has not received yet. Writes
+// then block soon after a client stops reading, so that this is noticed in time. If the kernel refuses the limit, it is
+// noticed later.
 func (c *Conn) limitSendBuffer(bytes int) {
 	if t, ok := c.Conn.(*net.TCPConn); ok {
 		_ = t.SetWriteBuffer(bytes)
 	}
 }
 
-// BeginRequest marks that a request is open on the connection: from here on it is neither evicted nor expired. It
-// returns false where the connection was evicted or is closed; the request is then not served.
+// BeginRequest marks that a request is open on the connection, which from then on is neither evicted nor expired. It
+// returns false if the connection was evicted or closed; the request must not be served then.
 func (c *Conn) BeginRequest() bool {
 	c.listener.mu.Lock()
 	defer c.listener.mu.Unlock()
@@ -147,40 +151,41 @@
 	return true
 }
 
-// RequestRead marks that a request has been read completely. What is read from here on belongs to the next one.
-// length is the length of the request's body in bytes, -1 where it is unknown. The result says that nothing came
-// behind the request; of a body whose length is unknown this is never said.
-func (c *Conn) RequestRead(length int64) (alone bool) {
+// FinishRequestRead marks that a request has been read completely. What is read afterwards belongs to the next request.
+// bodyLength is the length of the request's body in bytes, or -1 if it is unknown. The result is true if no bytes after
+// the end of the request have been read; it is always false if the length is unknown.
+func (c *Conn) FinishRequestRead(bodyLength int64) (nothingFollows bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	alone = length >= 0 && c.head.Size == c.head.HeadSize+length
+	nothingFollows = bodyLength >= 0 && c.head.Size == c.head.HeadSize+bodyLength
 	c.head, c.requestStart = httpmsg.HeadScanner{}, time.Time{}
-	return alone
+	return nothingFollows
 }
 
-// EndRequest marks that the request has its complete response: the connection waits for the next request. It does
-// nothing where no request is open.
+// EndRequest marks that the response to the open request is complete and that the connection waits for the next
+// request. It does nothing if no request is open.
 func (c *Conn) EndRequest() {
 	c.listener.mu.Lock()
 	defer c.listener.mu.Unlock()
 	c.listener.setState(c, stateWaiting)
 }
 
-// HasAmbiguousLength reports whether the request's head states the length of its body in two ways. net/http hides this,
-// and what follows such a head may be a smuggled request.
+// HasAmbiguousLength reports whether the request's head states the length of its body more than once: in several
+// Content-Length lines, or in Content-Length and Transfer-Encoding. net/http hides this from handlers, and the bytes
+// after such a head may be a smuggled request.
 func (c *Conn) HasAmbiguousLength() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.head.ContentLengths > 1 || c.head.ContentLengths > 0 && c.head.TransferEncoding
 }
 
-// ClientClosed reports whether the client has ended its side of the connection or the connection is broken, also behind
-// bytes that are still to be read.
+// ClientClosed reports whether the client has closed its side of the connection or the connection is broken, even if
+// there are still bytes to read before the end.
 func (c *Conn) ClientClosed() bool {
 	c.mu.Lock()
-	known := c.peerClosed
+	alreadyClosed := c.peerClosed
 	c.mu.Unlock()
-	if known {
+	if alreadyClosed {
 		return true
 	}
 	switch system.Peek(c.Conn) {
--- a/internal/downstream/conn_close.go
+++ b/internal/downstream/conn_close.go
@@ -9,31 +9,33 @@
 )
 
 const (
-	// closeTimeout is how long a client has to end its side after the sidecar has ended its own.
+	// closeTimeout is how long the sidecar, having closed its own side, waits for the client to close the other side.
 	closeTimeout = 500 * time.Millisecond
-	// rejectionTimeout is for writing rejectionResponse.
+	// rejectionTimeout limits the writing of rejectionResponse.
 	rejectionTimeout = 20 * time.Millisecond
-	// rejectionResponse answers a client that has no handler: one beyond the connection limit, or one whose request
-	// came in part before a termination.
+	// rejectionResponse is the response to a client for which no handler runs: one whose connection exceeds the
+	// connection limit, or one whose request was only partly received at a termination.
 	rejectionResponse = "HTTP/1.1 503 Service Unavailable\r\n" +
 		"Connection: close\r\nRetry-After: 1\r\nContent-Length: 0\r\n\r\n"
 )
 
-// wakeReads is a deadline in the past: it ends a read that waits.
-var wakeReads = time.Unix(1, 0)
+// expiredDeadline is a deadline in the past. Setting it as the read deadline wakes a read that is waiting.
+var expiredDeadline = time.Unix(1, 0)
 
-// Close ends the connection. It is the one way in which a client's connection ends, but for an eviction. A connection
-// that is closed over something unread is reset, and a response that the client has not read yet is lost with it. So
-// the sidecar ends its own side, waits up to closeTimeout for the client to end its side, and closes then. It reads
-// nothing meanwhile: a request that crosses the close is not served, and its client may send it again.
+// Close closes the connection. All connections that Accept returns are closed by it, except for evicted ones.
 //
-// Close does not wait, and always returns nil: a socket that is given up leaves nothing to do when closing it fails.
+// The kernel resets a connection that is closed with unread bytes, and a response that the client has not read yet is
+// lost then. Therefore Close closes the sidecar's side first, and a goroutine closes the socket once the client has
+// closed its side, or after closeTimeout. Nothing is read in between: a request that the client sends during that time
+// is not served, and the client may safely send it again.
+//
+// Close does not block, and always returns nil: nothing can be done if closing the abandoned socket fails.
 func (c *Conn) Close() error {
 	c.closeWithReason(c.currentCloseReason())
 	return nil
 }
 
-// currentCloseReason returns why net/http closes the connection now.
+// currentCloseReason returns the reason for which net/http is closing the connection.
 func (c *Conn) currentCloseReason() closeReason {
 	c.listener.mu.Lock()
 	waiting := c.state == stateWaiting
@@ -53,26 +55,26 @@
 	return closedAfterResponse
 }
 
-// closeWithReason closes the connection and counts why. Calls after the first do nothing.
+// closeWithReason closes the connection and counts the close under reason. Calls after the first do nothing.
 func (c *Conn) closeWithReason(reason closeReason) {
 	c.mu.Lock()
-	evicted := c.phase == phaseEvicted // and counted as such
-	atOnce := c.resetOnClose || c.peerClosed || evicted
-	partial := c.rejectPartial && c.head.Size > 0 && c.head.HeadSize == 0 && !c.responseWritten
-	first := c.setPhase(phaseClosed)
+	evicted := c.phase == phaseEvicted // evictOne has counted the close then
+	closeNow := c.resetOnClose || c.peerClosed || evicted
+	sendRejection := c.rejectPartial && c.head.Size > 0 && c.head.HeadSize == 0 && !c.responseWritten
+	firstCall := c.setPhase(phaseClosed)
 	c.mu.Unlock()
-	if !first {
+	if !firstCall {
 		return
 	}
 	if !evicted {
 		c.listener.countClose(reason)
 	}
-	if partial {
+	if sendRejection {
 		c.Conn.SetWriteDeadline(time.Now().Add(rejectionTimeout))
 		io.WriteString(c.Conn, rejectionResponse)
 	}
-	half, ok := c.Conn.(interface{ CloseWrite() error })
-	if atOnce || !ok || half.CloseWrite() != nil || !c.listener.beginClosing(c) {
+	halfCloser, ok := c.Conn.(interface{ CloseWrite() error })
+	if closeNow || !ok || halfCloser.CloseWrite() != nil || !c.listener.beginClosing(c) {
 		c.releaseAndClose()
 		return
 	}
@@ -83,7 +85,7 @@
 	}()
 }
 
-// releaseAndClose ends the counting of the connection and gives its descriptor back.
+// releaseAndClose stops counting the connection as open and releases its file descriptor.
 func (c *Conn) releaseAndClose() {
 	c.listener.mu.Lock()
 	c.listener.setState(c, stateReleased)
@@ -91,8 +93,8 @@
 	c.Conn.Close()
 }
 
-// ResetOnClose has the connection end in a reset. A client that only learns from the end of the connection where its
-// response ends then does not take a truncated one for complete.
+// ResetOnClose makes the later close of the connection a reset. Without it, a client that recognizes the end of its
+// response only by the end of the connection would take a truncated response for a complete one.
 func (c *Conn) ResetOnClose() {
 	c.mu.Lock()
 	c.resetOnClose = true
@@ -102,22 +104,24 @@
 	}
 }
 
-// tryEvict decides the end of a connection that carries nothing: there is nothing to read of it, and less than a head
-// has come since its latest request. It returns false where the connection carries something. From a true result on
-// nothing is read of it, and its caller closes it. The caller holds listener.mu.
+// tryEvict marks the connection as evicted if it can be evicted without losing a request: the socket has nothing to
+// read, and no complete head was read since the last complete request. It returns false, and changes nothing, if the
+// connection cannot be evicted. If it returns true, nothing more is read from the connection and the caller must close
+// it. The caller holds listener.mu.
 func (c *Conn) tryEvict() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.head.HeadSize > 0 || system.Readable(c.Conn) {
 		return false
 	}
-	c.setPhase(phaseEvicted) // unless Close was called already
+	c.setPhase(phaseEvicted) // has no effect if Close was called already
 	return true
 }
 
-// expireIfIdle has a connection end on which nothing has come since its latest request. It wakes the read that waits,
-// and cancelExpiry decides there. It may be called again: net/http may have set a deadline of its own since the first
-// call, and the read would wait on. The caller holds listener.mu.
+// expireIfIdle starts the expiry of the connection if nothing was read from it since the last complete request. It
+// wakes the waiting read, which calls cancelExpiry to decide whether the connection is closed. It may be called
+// repeatedly, which is needed if net/http has set a deadline of its own since the last call: the read would otherwise
+// go on waiting. The caller holds listener.mu.
 func (c *Conn) expireIfIdle() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -125,17 +129,19 @@
 		return
 	}
 	if c.phase == phaseExpiring || c.setPhase(phaseExpiring) {
-		c.Conn.SetReadDeadline(wakeReads)
+		c.Conn.SetReadDeadline(expiredDeadline)
 	}
 }
 
-// cancelExpiry decides what becomes of a connection whose read has met its deadline. It returns true where the deadline
-// was that of expireIfIdle and something has come after all: a close would lose a request, so that the read goes on.
+// cancelExpiry is called when a read has reached its deadline. It returns true if the deadline was set by expireIfIdle
+// and bytes have arrived nevertheless: closing the connection would lose a request then, so the read is to be repeated.
+// If no bytes have arrived, or the deadline in c.readDeadline has passed, too, it completes the expiry and returns
+// false. It also returns false if the connection is not expiring.
 func (c *Conn) cancelExpiry() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.phase != phaseExpiring {
-		return false // the deadline was net/http's own, or the end of the connection is decided
+		return false // the deadline was not that of an expiry, or the connection was evicted or closed meanwhile
 	}
 	nothingCame := c.head.Size == 0 && !system.Readable(c.Conn)
 	pastDeadline := !c.readDeadline.IsZero() && !time.Now().Before(c.readDeadline)
@@ -148,13 +154,14 @@
 	return true
 }
 
-// rejectIfPartial ends the read of a request that has come in part. Close writes the rejection. The caller holds
+// rejectIfPartial wakes the read of a request head that was partly received, so that net/http closes the connection.
+// Close then writes rejectionResponse. rejectIfPartial does nothing if no part of a request was read. The caller holds
 // listener.mu.
 func (c *Conn) rejectIfPartial() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.head.Size > 0 {
 		c.rejectPartial = true
-		c.Conn.SetReadDeadline(wakeReads)
+		c.Conn.SetReadDeadline(expiredDeadline)
 	}
 }
--- a/internal/downstream/conn_test.go
+++ b/internal/downstream/conn_test.go
@@ -15,7 +15,7 @@
 	"oakproxy/internal/system"
 )
 
-// brokenConn is a connection whose reads fail.
+// brokenConn is a connection whose reads fail with err.
 type brokenConn struct {
 	net.Conn
 	err error
@@ -24,8 +24,8 @@
 func (c *brokenConn) Read([]byte) (int, error)        { return 0, c.err }
 func (c *brokenConn) SetReadDeadline(time.Time) error { return nil }
 
-// A connection that breaks in the ways of routers and timeouts counts as closed by its peer: after the last byte the
-// request may have been executed.
+// A connection that breaks because of a timeout, a router's error or a reset counts as closed by its peer. If it breaks
+// after the last byte of a request, the request may have been executed.
 func TestBrokenConnectionCountsAsClosedByPeer(t *testing.T) {
 	for _, errno := range []syscall.Errno{syscall.ETIMEDOUT, syscall.EHOSTUNREACH, syscall.ENETUNREACH,
 		syscall.ECONNRESET, syscall.EPIPE} {
@@ -39,23 +39,23 @@
 				t.Errorf("Read returned %v, want %v", got, errno)
 			}
 			if !c.peerClosed {
-				t.Error("the connection does not count as closed by its peer")
+				t.Error("peerClosed is false after the read failed, want true")
 			}
 		})
 	}
 }
 
-// awaitReadable waits until something that the client wrote can be read of c.
+// awaitReadable waits until bytes that the client wrote can be read from c.
 func awaitReadable(t *testing.T, c *Conn) {
 	t.Helper()
 	sidecartest.Await(t, "the client's bytes", func() bool { return system.Readable(c.Conn) })
 }
 
-// What a client sends while its connection is being closed is not read as a request and does not destroy the response:
-// the client reads the complete response and the end of the connection, and no reset.
+// Bytes that a client sends while its connection is being closed are not read, and do not destroy the response: the
+// client reads the complete response and then the end of the connection, not a reset.
 func TestCloseOverUnreadBytesKeepsResponse(t *testing.T) {
 	const response = "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\ndone"
-	for name, sent := range map[string]string{
+	for name, unread := range map[string]string{
 		"half a line":        "GET /re",
 		"a complete request": sidecartest.ReadHead + "X-Correlation-Id: 2\r\n\r\n",
 		"more than a buffer": strings.Repeat("x", 100<<10),
@@ -64,28 +64,28 @@
 			l := newTestListener(t, 2)
 			client, c := l.connect()
 			c.BeginRequest()
-			io.WriteString(client, sent)
+			io.WriteString(client, unread)
 			awaitReadable(t, c)
 			io.WriteString(c, response)
 			counter := &readCounter{TCPConn: c.Conn.(*net.TCPConn)}
 			c.Conn = counter
 			c.Close()
 			if got, err := io.ReadAll(client); err != nil || string(got) != response {
-				t.Errorf("the client read %q, %v", got, err)
+				t.Errorf("the client read %q with error %v, want %q and no error", got, err, response)
 			}
 			if _, err := c.Read(make([]byte, 1)); err == nil {
-				t.Error("something was read after the close")
+				t.Error("Read after Close returned no error, want one")
 			}
 			client.Close()
 			sidecartest.Await(t, "the release of the connection", func() bool { return l.Count() == 0 })
 			if n := counter.bytes.Load(); n > 0 {
-				t.Errorf("%d bytes that crossed the close were read", n)
+				t.Errorf("%d bytes were read after Close, want 0", n)
 			}
 		})
 	}
 }
 
-// readCounter counts the bytes that are read of a connection.
+// readCounter counts the bytes that are read from a connection.
 type readCounter struct {
 	*net.TCPConn
 	bytes atomic.Int64
@@ -97,31 +97,31 @@
 	return n, err
 }
 
-// The expiry of an idle connection is cancelled by bytes that come while it is being set, and stays cancelled while the
-// request is served.
+// Bytes that arrive while the expiry of an idle connection is being set cancel it. It stays cancelled while the request
+// is served.
 func TestBytesDuringExpiryCancelIt(t *testing.T) {
 	l := newTestListener(t, 2)
 	client, c := l.connect()
 	io.WriteString(client, sidecartest.ReadHead+"\r\n")
 	awaitReadable(t, c)
 	c.mu.Lock()
-	c.setPhase(phaseExpiring) // as ExpireIdle does, between the system call of a read and its record
+	c.setPhase(phaseExpiring) // as ExpireIdle may do between the system call of a read and recordRead
 	c.mu.Unlock()
 	if n, err := c.Read(make([]byte, 1<<10)); n == 0 || err != nil {
-		t.Fatalf("%d bytes, %v", n, err)
+		t.Fatalf("Read returned %d bytes and error %v, want at least 1 byte and no error", n, err)
 	}
 	c.BeginRequest()
-	c.RequestRead(0)
+	c.FinishRequestRead(0)
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.phase == phaseExpiring {
-		t.Error("the connection is still expiring: the read with which net/http watches the client would end it")
+		t.Error("the phase is still phaseExpiring: the read by which net/http watches the client would close the connection")
 	}
 }
 
-// net/http sets a deadline of its own when a request ends, which may overwrite that of an expiry: the next call of
-// ExpireIdle expires the connection all the same.
-func TestExpiryOutlivesADeadlineOfNetHTTP(t *testing.T) {
+// net/http sets a read deadline of its own when a request ends, which may overwrite that of an expiry. The next call of
+// ExpireIdle still expires the connection.
+func TestExpirySurvivesDeadlineSetByNetHTTP(t *testing.T) {
 	l := newTestListener(t, 1)
 	_, c := l.connect()
 	l.ExpireIdle(0, 0)
@@ -130,11 +130,12 @@
 	}
 	l.ExpireIdle(0, 0)
 	if _, err := c.Read(make([]byte, 1)); !errors.Is(err, os.ErrDeadlineExceeded) {
-		t.Errorf("the read ended with %v", err)
+		t.Errorf("Read returned error %v, want %v", err, os.ErrDeadlineExceeded)
 	}
 }
 
-// The client's end is noticed behind pipelined bytes that net/http has read before the handler awaits the response.
+// A disconnect is noticed even if pipelined bytes precede it and net/http has read them before NotifyDisconnect is
+// called.
 func TestDisconnectIsNoticedBehindPipelinedBytes(t *testing.T) {
 	client, c := newTestListener(t, 1).connect()
 	io.WriteString(client, sidecartest.ReadHead+"\r\nx")
@@ -143,19 +144,19 @@
 		t.Fatal(err)
 	}
 	c.BeginRequest()
-	disconnected := c.AwaitResponse(c.RequestRead(0))
+	disconnected := c.NotifyDisconnect(c.FinishRequestRead(0))
 	client.Close()
 	select {
 	case <-disconnected:
 	case <-time.After(sidecartest.WaitTimeout):
-		t.Error("the end of the client is not noticed")
+		t.Error("the channel of NotifyDisconnect is not closed after the client disconnected")
 	}
 	if !c.BeginResponse() {
-		t.Error("BeginResponse does not report what came behind the request")
+		t.Error("BeginResponse returned false, want true for a request with a byte after it")
 	}
 }
 
-// A request that crosses the expiry of its idle connection is read; the connection ends where nothing has come.
+// A request that arrives during the expiry of its idle connection is read. Without a request, the connection expires.
 func TestRequestThatCrossesExpiryIsRead(t *testing.T) {
 	l := newTestListener(t, 4)
 	read := func(c *Conn) (string, error) {
@@ -168,29 +169,29 @@
 	awaitReadable(t, c)
 	l.ExpireIdle(0, 0)
 	if got, err := read(c); got != "GET" || err != nil {
-		t.Errorf("read %q, %v", got, err)
+		t.Errorf("read %q with error %v, want %q and no error", got, err, "GET")
 	}
-	l.ExpireIdle(0, 0) // half a request has come
+	l.ExpireIdle(0, 0) // a part of a request was read
 	io.WriteString(client, " /")
 	if got, err := read(c); got != " /" || err != nil {
-		t.Errorf("the remainder: read %q, %v", got, err)
+		t.Errorf("after a part of a request: read %q with error %v, want %q and no error", got, err, " /")
 	}
 	_, c = l.connect()
 	l.ExpireIdle(0, time.Hour)
 	if c.phase == phaseExpiring {
-		t.Error("an unused connection expires before its time")
+		t.Error("a connection without requests expires before minUnused has passed")
 	}
 	l.ExpireIdle(time.Hour, 0)
 	if got, err := read(c); got != "" || !errors.Is(err, os.ErrDeadlineExceeded) {
-		t.Errorf("with nothing there: read %q, %v", got, err)
+		t.Errorf("nothing sent: read %q with error %v, want nothing and %v", got, err, os.ErrDeadlineExceeded)
 	}
-	// net/http wakes its own read in the same way, and must have it back.
+	// net/http also wakes its own read by a deadline in the past, and that read must return.
 	client, c = l.connect()
 	io.WriteString(client, "GET")
 	awaitReadable(t, c)
 	l.ExpireIdle(0, 0)
 	c.SetReadDeadline(time.Unix(1, 0))
 	if got, err := read(c); got != "" || !errors.Is(err, os.ErrDeadlineExceeded) {
-		t.Errorf("woken by net/http: read %q, %v", got, err)
+		t.Errorf("woken by net/http: read %q with error %v, want nothing and %v", got, err, os.ErrDeadlineExceeded)
 	}
 }
--- a/internal/downstream/doc.go
+++ b/internal/downstream/doc.go
@@ -1,24 +1,24 @@
-// Package downstream holds the connections of clients: it accepts, bounds and closes them, and reads and writes the
-// bodies that are relayed over them.
+// Package downstream manages the connections of clients: it accepts, limits and closes them, reads request bodies from
+// them and relays response bodies to them.
 //
 // Its invariants are:
 //
-//   - The number of open connections is bounded when they are accepted, by Listener.MaxConnections and up to
-//     MaxRejected more, which are rejected. A connection counts until its descriptor is given back.
-//   - There is one path for each close of a counted connection: Listener closes those that it evicts for a new one, and
-//     Conn.Close all others.
-//   - Nothing is read of a connection whose end is decided, so that a request that crosses the close is not served, and
-//     its client may send it again. Only the reader that looks for the client's end behind pipelined bytes goes on, and
-//     drops what it reads.
-//   - A connection that carries a request is never evicted and never expires.
+//   - The number of open connections is limited at accept: there are at most Listener.MaxConnections, plus up to
+//     MaxRejected that are being rejected. A connection counts as open until its file descriptor is released.
+//   - A counted connection is closed in one of two ways: Listener closes a connection that it evicts to make room for a
+//     new one, and Conn.closeWithReason, which Conn.Close calls, closes all others.
+//   - Once a connection is evicted or Close was called, no request is read from it. A request that the client sends
+//     while the connection is being closed is therefore not served, and the client may safely send it again. Only the
+//     goroutine that watches for a disconnect behind pipelined bytes goes on reading, and it discards what it reads.
+//   - A connection with an open request is never evicted and never expires.
 //
-// Two typed states say where a connection stands, and state.go lists all their changes: connState, by which the
-// listener counts it, and readPhase, by which it may be read.
+// Each connection has two state machines, and state.go lists all their transitions: connState says how the listener
+// accounts for the connection, and readPhase says whether the connection may be read.
 //
-// Locks: Listener.mu guards the counts, the lists and the connState of each connection. Conn.mu guards the readPhase,
-// and what was read and written of one connection. Listener.mu is taken first where both are held; no method holds
-// Conn.mu while it takes Listener.mu.
+// Locks: Listener.mu guards the counts, the lists and the connState of each connection. Conn.mu guards the readPhase
+// of one connection and the record of what was read from it and written to it. Where both locks are held, Listener.mu
+// is taken first; no method takes Listener.mu while it holds Conn.mu.
 //
 // The package does not parse requests: net/http does. It does not choose endpoints, decide which requests are admitted
-// or count the memory of bodies.
+// or account for the memory of bodies.
 package downstream
--- a/internal/downstream/listener.go
+++ b/internal/downstream/listener.go
@@ -12,42 +12,44 @@
 	"oakproxy/internal/system"
 )
 
-// MaxRejected is how many connections beyond the limit may be open at a time while they are rejected. They use
-// descriptors of the sidecar's reserve.
+// MaxRejected is the largest number of connections beyond the limit that may be open at a time while they are being
+// rejected. They use file descriptors that the sidecar keeps in reserve.
 const MaxRejected = 4
 
-// acceptErrorLogInterval is the least time between two log lines on failed accepts.
+// acceptErrorLogInterval is the minimum time between two log lines about failed accepts.
 const acceptErrorLogInterval = time.Second
 
-// Listener accepts the connections of clients, and bounds them as they are accepted: a limit that acts when a request
-// comes would let silent connections use up the descriptors that attempts and discovery need.
+// Listener accepts the connections of clients and limits their number at accept. If the limit applied only once a
+// request arrives, connections without requests could use up the file descriptors that attempts and discovery need.
 //
-// Accept is for one goroutine, that of net/http's Serve. All other methods are safe for concurrent use.
+// Accept must be called by one goroutine only, that of net/http's Serve. All other methods are safe for concurrent use.
 type Listener struct {
 	net.Listener
-	// Log records failed accepts. It may be nil. It is set before the first Accept.
+	// Log receives a line for failed accepts. Nil means that they are not logged. Set it before the first Accept.
 	Log *slog.Logger
-	// MaxConnections is the limit on open connections. Once Accept runs, SetLimits sets it, with mu held.
+	// MaxConnections is the limit on open connections. Once Accept was called, only SetLimits changes it, with mu held.
 	MaxConnections int
-	// MaxUsed is how many connections on which requests came may be kept open: see OverUsedLimit. Once Accept runs,
-	// SetLimits sets it, with mu held.
+	// MaxUsed is the limit on open connections that have carried a request: see OverUsedLimit. Once Accept was called,
+	// only SetLimits changes it, with mu held.
 	MaxUsed int
 
-	mu                 sync.Mutex // guards what follows, and fields of Conn; taken before Conn.mu
-	open               int        // connections that are counted
-	used               int        // of those, the ones on which a request has come
-	waiting            list.List  // of *Conn in stateWaiting; the one without a byte for longest is first
-	closing            list.List  // of *Conn in stateClosing; the oldest is first
+	mu                 sync.Mutex // guards the fields below and some of Conn; taken before Conn.mu
+	open               int        // the number of counted connections
+	used               int        // the number of those on which a request has begun
+	waiting            list.List  // the *Conn in stateWaiting; the one without activity for longest is first
+	closing            list.List  // the *Conn in stateClosing; the one half-closed for longest is first
 	closeCounts        CloseCounts
 	acceptErrors       uint64
 	lastAcceptErrorLog time.Time
 }
 
-// Accept returns the next connection, a *Conn. Beyond the limit a connection that carries nothing is evicted for it:
-// one that is being closed, or else the one that has been silent for longest, whether idle or half-way through a
-// head, since a slow client goes on writing. Where none carries nothing, the new connection gets a 503 and is closed.
-// Accept goes on after an error of accept(2) that concerns the moment or one connection: net/http would end the
-// service for some of them. It returns only errors after which no other call would do better, such as net.ErrClosed.
+// Accept returns the next connection, which is a *Conn. If the limit is reached, Accept makes room by evicting a
+// connection that carries no request: one that is being closed or, if there is none, the one that has been silent for
+// longest. The latter may be idle or have sent a part of a head: a client that is merely slow keeps sending, and so is
+// not silent for long. If no connection can be evicted, the new one gets a 503 and is closed.
+//
+// After an error of accept(2) that is transient or concerns one connection, Accept tries again: net/http would stop
+// serving after some of them. It returns only errors after which no later call can succeed, such as net.ErrClosed.
 func (l *Listener) Accept() (net.Conn, error) {
 	for {
 		raw, err := l.Listener.Accept()
@@ -64,7 +66,7 @@
 		case accepted:
 			return c, nil
 		case rejected:
-			io.WriteString(raw, rejectionResponse) // the send buffer of a new connection takes it without waiting
+			io.WriteString(raw, rejectionResponse) // does not block: it fits the empty send buffer of a new connection
 			c.closeWithReason(closedConnectionLimit)
 		case dropped:
 			l.countClose(closedConnectionLimit)
@@ -73,16 +75,17 @@
 	}
 }
 
-// acceptDecision is what becomes of a new connection.
+// acceptDecision is the decision of admit on a new connection.
 type acceptDecision uint8
 
 const (
 	accepted acceptDecision = iota
-	rejected                // beyond the limit: it is counted until it has its 503 and is closed
-	dropped                 // beyond MaxRejected too: it is closed at once and never counted as open
+	rejected                // the limit is reached: the connection gets a 503, and is counted until it is closed
+	dropped                 // MaxRejected is reached, too: the connection is closed at once and never counted as open
 )
 
-// admit counts a new connection and evicts those that have to go for it.
+// admit decides on a new connection, and counts it unless the decision is dropped. It evicts other connections if
+// that is needed to stay within the limit.
 func (l *Listener) admit(c *Conn) acceptDecision {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -100,7 +103,7 @@
 	return accepted
 }
 
-// evictOne closes one connection that carries nothing, and reports whether there was one. The caller holds l.mu.
+// evictOne closes one connection that carries no request, and reports whether there was one. The caller holds l.mu.
 func (l *Listener) evictOne() bool {
 	if e := l.closing.Front(); e != nil {
 		c := e.Value.(*Conn)
@@ -119,14 +122,16 @@
 	return false
 }
 
-// beginClosing marks that a connection is half-closed. It returns false where the connection is released already.
+// beginClosing marks that a connection is half-closed. It returns false if the connection was already released.
 func (l *Listener) beginClosing(c *Conn) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.setState(c, stateClosing)
 }
 
-// SetLimits sets MaxConnections and MaxUsed, and expires as many silent connections as there are beyond the new limit.
+// SetLimits sets MaxConnections and MaxUsed. If maxConnections is below the number of open connections, it expires as
+// many connections as there are too many: of those without an open request, the ones that have been silent for longest.
+// A connection among these that has received a part of a request is not expired.
 func (l *Listener) SetLimits(maxConnections, maxUsed int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -145,9 +150,9 @@
 	return l.MaxConnections, l.MaxUsed
 }
 
-// OverUsedLimit reports whether requests have come on so many open connections that responses should close theirs. Some
-// clients send one request and keep the connection for good, and all clients together may open only so many: kept here,
-// these would leave none for the next request.
+// OverUsedLimit reports whether more than MaxUsed open connections have carried a request, so that responses should
+// close their connections. Some clients send one request and then keep the connection open indefinitely. The number of
+// connections that all clients together may open is limited, so such connections would leave none for the next request.
 func (l *Listener) OverUsedLimit() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -161,7 +166,7 @@
 	return l.open
 }
 
-// PartialBytes returns how many bytes have come of requests that are not complete yet.
+// PartialBytes returns how many bytes were read of requests whose handlers have not begun yet.
 func (l *Listener) PartialBytes() (bytes int64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -181,8 +186,9 @@
 	return l.closeCounts
 }
 
-// ExpireIdle expires the connections that have had no request open and no byte for some time: minUsed for those on which
-// requests came, minUnused for the others. A request that crosses the expiry is served.
+// ExpireIdle starts the expiry of connections that have had no open request and received no bytes for some time:
+// minUsed for connections that have carried a request, minUnused for all others. A request that arrives during the
+// expiry is served.
 func (l *Listener) ExpireIdle(minUsed, minUnused time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -198,8 +204,7 @@
 	}
 }
 
-// RejectPartial ends the connections on which a request has come in part and no more than that. Their clients get a
-// 503.
+// RejectPartial closes the connections that have received only a part of a request head. Their clients get a 503.
 func (l *Listener) RejectPartial() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -208,17 +213,17 @@
 	}
 }
 
-// recordActivity marks that something has come on a connection.
+// recordActivity records that bytes were read from a connection.
 func (l *Listener) recordActivity(c *Conn) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if c.state == stateWaiting {
 		c.lastActivity = time.Now()
-		l.waiting.MoveToBack(c.element)
+		l.waiting.MoveToBack(c.listElement)
 	}
 }
 
-// recordAcceptError counts a failed accept, and logs one in each acceptErrorLogInterval at most.
+// recordAcceptError counts a failed accept, and logs at most one per acceptErrorLogInterval.
 func (l *Listener) recordAcceptError(err error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -229,7 +234,7 @@
 	}
 }
 
-// countClose counts a connection that ended for this reason.
+// countClose counts a connection that was closed for the given reason.
 func (l *Listener) countClose(reason closeReason) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/downstream/listener_test.go
+++ b/internal/downstream/listener_test.go
@@ -14,8 +14,8 @@
 	"oakproxy/internal/sidecartest"
 )
 
-// Accept goes on after the errors that accept(2) documents for a fault of the moment or of one connection, for clients
-// and operators alike: the next connection is accepted.
+// After the errors that accept(2) documents for a transient fault or a fault of one connection, Accept returns the next
+// connection. The listeners of clients and of operators share this code.
 func TestAcceptContinuesAfterTransientErrors(t *testing.T) {
 	for _, errno := range []syscall.Errno{syscall.ECONNABORTED, syscall.EINTR, syscall.ENFILE, syscall.EMFILE,
 		syscall.ENOBUFS, syscall.ENOMEM, syscall.EPROTO, syscall.EPERM, syscall.ENETDOWN, syscall.ENOPROTOOPT,
@@ -44,7 +44,7 @@
 	}
 }
 
-// testListener is a Listener on loopback, and opens connections to it.
+// testListener is a Listener on the loopback interface that can open connections to itself.
 type testListener struct {
 	t *testing.T
 	*Listener
@@ -61,14 +61,14 @@
 	return l
 }
 
-// released reports whether a connection is not counted any more.
+// released reports whether a connection is no longer counted.
 func (l *testListener) released(c *Conn) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return c.state == stateReleased
 }
 
-// connect opens a connection and accepts it. It returns both sides.
+// connect opens a connection and accepts it. It returns the client's side and the accepted side.
 func (l *testListener) connect() (client *net.TCPConn, c *Conn) {
 	l.t.Helper()
 	conn, err := net.Dial("tcp", l.Addr().String())
@@ -84,41 +84,41 @@
 	return conn.(*net.TCPConn), server.(*Conn)
 }
 
-// A half-closed connection is evicted before all others.
+// A half-closed connection is evicted before any other.
 func TestHalfClosedConnectionIsEvictedFirst(t *testing.T) {
 	l := newTestListener(t, 2)
-	_, idle := l.connect()
-	_, halfClosed := l.connect()
-	halfClosed.Close()
+	_, idleConn := l.connect()
+	_, halfClosedConn := l.connect()
+	halfClosedConn.Close()
 	l.connect()
-	if l.released(idle) || !l.released(halfClosed) {
-		t.Errorf("released: the idle one %v, the half-closed one %v", l.released(idle), l.released(halfClosed))
+	if l.released(idleConn) || !l.released(halfClosedConn) {
+		t.Errorf("released: idle %v, half-closed %v, want false, true", l.released(idleConn), l.released(halfClosedConn))
 	}
 }
 
-// A connection that carries a request, or a part of one that has not been read yet, is not evicted for a new one; where
-// all do, the new one is rejected.
+// A connection that carries a request is not evicted for a new one, even if the request has not been read yet. If all
+// connections carry requests, the new one is rejected.
 func TestConnectionWithRequestIsNotEvicted(t *testing.T) {
 	l := newTestListener(t, 3)
-	client, first := l.connect()
+	client, unreadConn := l.connect()
 	io.WriteString(client, sidecartest.ReadHead+"\r\n")
-	awaitReadable(t, first)
-	_, idle := l.connect()
-	client, read := l.connect()
+	awaitReadable(t, unreadConn)
+	_, idleConn := l.connect()
+	client, readConn := l.connect()
 	io.WriteString(client, sidecartest.ReadHead+"\r\n")
-	awaitReadable(t, read)
-	if _, err := read.Read(make([]byte, 1<<10)); err != nil { // complete, and its handler is about to start
+	awaitReadable(t, readConn)
+	if _, err := readConn.Read(make([]byte, 1<<10)); err != nil { // reads the complete request
 		t.Fatal(err)
 	}
-	_, another := l.connect()
-	if l.released(first) || !l.released(idle) || l.released(read) {
-		t.Fatalf("released: the unread %v, the idle %v, the read %v",
-			l.released(first), l.released(idle), l.released(read))
+	_, latestConn := l.connect()
+	if l.released(unreadConn) || !l.released(idleConn) || l.released(readConn) {
+		t.Fatalf("released: unread request %v, idle %v, read request %v, want false, true, false",
+			l.released(unreadConn), l.released(idleConn), l.released(readConn))
 	}
-	if !read.BeginRequest() {
-		t.Error("a request that was read completely is not served")
+	if !readConn.BeginRequest() {
+		t.Error("BeginRequest returned false for a completely read request, want true")
 	}
-	another.BeginRequest()
+	latestConn.BeginRequest()
 	received := make(chan string)
 	go func() {
 		conn, err := net.Dial("tcp", l.Addr().String())
@@ -133,14 +133,14 @@
 	}()
 	go l.Accept()
 	if got := <-received; got != rejectionResponse {
-		t.Errorf("the client beyond the limit read %q, want %q", got, rejectionResponse)
+		t.Errorf("the client of the connection beyond the limit read %q, want %q", got, rejectionResponse)
 	}
 	if n := l.Count(); n > l.MaxConnections+MaxRejected {
-		t.Errorf("%d connections, limit %d", n, l.MaxConnections)
+		t.Errorf("%d connections are open, want at most %d", n, l.MaxConnections+MaxRejected)
 	}
 }
 
-// Where every connection has a request open, a new one gets a 503 and is closed.
+// If every connection has an open request, a new one gets a 503 and is closed.
 func TestConnectionBeyondLimitIsRejected(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -151,11 +151,11 @@
 	conns := make(chan *Conn, 2)
 	go func() {
 		for {
-			c, err := l.Accept()
+			conn, err := l.Accept()
 			if err != nil {
 				return
 			}
-			conns <- c.(*Conn)
+			conns <- conn.(*Conn)
 		}
 	}()
 	dial := func() net.Conn {
@@ -167,29 +167,29 @@
 		return conn
 	}
 	defer dial().Close()
-	c := <-conns
-	if !c.BeginRequest() {
-		t.Fatal("the first connection is released")
+	first := <-conns
+	if !first.BeginRequest() {
+		t.Fatal("BeginRequest of the first connection returned false, want true")
 	}
 	second := dial()
 	defer second.Close()
 	if got, err := io.ReadAll(second); err != nil || string(got) != rejectionResponse {
-		t.Errorf("the second connection: %q, %v; want 503 and its end", got, err)
+		t.Errorf("the second client read %q with error %v, want %q and no error", got, err, rejectionResponse)
 	}
-	c.EndRequest()
+	first.EndRequest()
 	defer dial().Close()
 	<-conns
-	if c.BeginRequest() {
-		t.Error("the first connection serves requests after its eviction")
+	if first.BeginRequest() {
+		t.Error("BeginRequest of the evicted first connection returned true, want false")
 	}
-	c.Close()
+	first.Close()
 	if n := l.Count(); n != 1 {
 		t.Errorf("%d connections are counted, want 1", n)
 	}
 }
 
-// Beyond the limit the connection that has been silent for longest is evicted: that of a client that writes slowly goes
-// on, though it was accepted before the others.
+// At the limit, the connection that has been silent for longest is evicted. The connection of a client that writes
+// slowly stays open, although it was accepted before the others.
 func TestSilentConnectionsAreEvictedBeforeSlowOnes(t *testing.T) {
 	l := newTestListener(t, 3)
 	write := func(client, c net.Conn) error {
@@ -197,19 +197,19 @@
 		_, err := c.Read(make([]byte, 3))
 		return err
 	}
-	slow, c := l.connect()
-	half, h := l.connect()
-	silent, _ := l.connect()
-	if err := write(half, h); err != nil {
+	slowClient, slowConn := l.connect()
+	partialClient, partialConn := l.connect()
+	silentClient, _ := l.connect()
+	if err := write(partialClient, partialConn); err != nil {
 		t.Fatal(err)
 	}
-	for i, evicted := range []net.Conn{silent, half} {
-		if err := write(slow, c); err != nil {
-			t.Fatalf("the slow client, piece %d: %v", i, err)
+	for i, evictedClient := range []net.Conn{silentClient, partialClient} {
+		if err := write(slowClient, slowConn); err != nil {
+			t.Fatalf("reading part %d of the slow client: %v", i, err)
 		}
 		l.connect()
-		if _, err := evicted.Read(make([]byte, 1)); err == nil || errors.Is(err, os.ErrDeadlineExceeded) {
-			t.Errorf("connection %d, which should be evicted: its client read %v", i, err)
+		if _, err := evictedClient.Read(make([]byte, 1)); err == nil || errors.Is(err, os.ErrDeadlineExceeded) {
+			t.Errorf("connection %d is not evicted: its client read with error %v, want the end of the connection", i, err)
 		}
 	}
 }
--- a/internal/downstream/pipelining.go
+++ b/internal/downstream/pipelining.go
@@ -5,24 +5,26 @@
 	"os"
 )
 
-// maxPipelinedBytes bounds what is read behind a request to find the client's end there.
+// maxPipelinedBytes limits how many bytes are read after a request to notice that the client disconnects.
 const maxPipelinedBytes = 1 << 20
 
-// AwaitResponse marks that a complete request has come; alone says that nothing came behind it. The channel is closed
-// when the client ends its side behind pipelined bytes before the response. Clients send one request at a time, so that
-// nothing behind a request is served; and net/http, which would notice the end of the client, reads but one byte.
-func (c *Conn) AwaitResponse(alone bool) (disconnected <-chan struct{}) {
+// NotifyDisconnect marks that a complete request was read and awaits its response. nothingFollows is the result of
+// FinishRequestRead: no bytes after the request were read. The returned channel is closed if the client closes its side
+// before the response begins and had sent bytes after the request. Clients must send one request at a time, so those
+// bytes are not served. net/http does not notice a disconnect after such bytes: while a handler runs, it reads only one
+// byte.
+func (c *Conn) NotifyDisconnect(nothingFollows bool) (disconnected <-chan struct{}) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.awaitingResponse, c.disconnected = true, make(chan struct{})
-	if !alone || c.head.Size > 0 {
-		c.watchDisconnect()
+	if !nothingFollows || c.head.Size > 0 {
+		c.startDisconnectWatch()
 	}
 	return c.disconnected
 }
 
-// BeginResponse marks that the response begins. The result says that something came behind the request: the connection
-// has to be closed after the response.
+// BeginResponse marks that the response begins. The result is true if bytes after the request were read; the connection
+// must then be closed after the response.
 func (c *Conn) BeginResponse() (pipelined bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -30,9 +32,10 @@
 	return c.pipelined
 }
 
-// watchDisconnect marks that something came behind the request, and starts to look for the client's end behind that.
-// Its goroutine ends when the connection is closed, which it is after the response, or sooner. The caller holds c.mu.
-func (c *Conn) watchDisconnect() {
+// startDisconnectWatch marks that bytes after the request were read, and starts a goroutine that discards up to
+// maxPipelinedBytes more until the client disconnects. The goroutine ends at the latest when the connection is closed
+// after the response. startDisconnectWatch does nothing if the goroutine was already started. The caller holds c.mu.
+func (c *Conn) startDisconnectWatch() {
 	if c.pipelined {
 		return
 	}
@@ -48,7 +51,7 @@
 	}()
 }
 
-// discard reads and drops limit bytes, or as many as come before an error, which it returns.
+// discard reads and drops bytes until at least limit bytes were read, or a read fails, whose error it returns.
 func (c *Conn) discard(limit int) error {
 	var chunk [1 << 10]byte
 	for limit > 0 {
--- a/internal/downstream/relay.go
+++ b/internal/downstream/relay.go
@@ -9,20 +9,21 @@
 	"oakproxy/internal/httpmsg"
 )
 
-// sendBufferBytes bounds how much of a response the socket holds ahead of the client. It has to leave the socket within
-// httpmsg.ChunkTimeout, so that a write notices in time that a client no longer reads.
+// sendBufferBytes limits how many bytes of a response the socket holds that the client has not received. A client that
+// still reads must be able to receive them within httpmsg.ChunkTimeout, so that a write timeout means that the client
+// no longer reads.
 const sendBufferBytes = 128 << 10
 
-// Relay writes the remainder of a response to w, chunk by chunk as it comes from body. c is the connection under w.
-// Each chunk has httpmsg.ChunkTimeout to be written. An error means that the client has less than the complete
-// response.
+// Relay flushes the head of a response and then copies body to w, chunk by chunk as it arrives. c is the connection to
+// which w writes. The write of each chunk may take up to httpmsg.ChunkTimeout. An error means that the client did not
+// get the complete response.
 func Relay(w http.ResponseWriter, c *Conn, body io.Reader) error {
 	c.limitSendBuffer(sendBufferBytes)
 	control := http.NewResponseController(w)
 	chunk := httpmsg.ChunkBuffers.Get().(*[httpmsg.ChunkBytes]byte)
 	defer httpmsg.ChunkBuffers.Put(chunk)
 	if err := control.Flush(); err != nil {
-		return fmt.Errorf("flush the head: %w", err)
+		return fmt.Errorf("flush the response head: %w", err)
 	}
 	for {
 		n, readErr := body.Read(chunk[:])
@@ -32,7 +33,7 @@
 				return err
 			}
 		}
-		if readErr == io.EOF { // itself: a wrapped one may tell of a body that broke off
+		if readErr == io.EOF { // not errors.Is: an error that wraps io.EOF may mean that the body was cut off
 			return nil
 		}
 		if readErr != nil {
@@ -41,13 +42,13 @@
 	}
 }
 
-// writeAndFlush writes one chunk and passes it on to the socket.
+// writeAndFlush writes one chunk to w and flushes it to the socket by control.
 func writeAndFlush(w io.Writer, control *http.ResponseController, chunk []byte) error {
 	if _, err := w.Write(chunk); err != nil {
-		return fmt.Errorf("write a chunk: %w", err)
+		return fmt.Errorf("write a chunk of the response: %w", err)
 	}
 	if err := control.Flush(); err != nil {
-		return fmt.Errorf("flush a chunk: %w", err)
+		return fmt.Errorf("flush a chunk of the response: %w", err)
 	}
 	return nil
 }
--- a/internal/downstream/state.go
+++ b/internal/downstream/state.go
@@ -2,20 +2,21 @@
 
 import "time"
 
-// connState says how the listener accounts for a connection. Listener.mu guards it.
+// connState is the state by which the listener accounts for a connection. Listener.mu guards it.
 type connState uint8
 
 const (
-	stateNew       connState = iota // just accepted: not counted
+	stateNew       connState = iota // just accepted, and not counted yet
 	stateWaiting                    // no request is open: the connection is idle, or its next request is being read
-	stateServing                    // a request is open, from BeginRequest to EndRequest
-	stateRejecting                  // beyond the connection limit: it gets a 503 and is closed
-	stateClosing                    // half-closed, until its client ends its side
-	stateReleased                   // not counted any more: its descriptor is given back
+	stateServing                    // a request is open: from BeginRequest to EndRequest or Close
+	stateRejecting                  // the connection limit is reached: the connection gets a 503 and is closed
+	stateClosing                    // half-closed, until the client closes its side
+	stateReleased                   // no longer counted: its file descriptor is released
 	connStateCount
 )
 
-// connTransitions holds all changes of state that there are.
+// connTransitions lists the valid transitions: connTransitions[from][to] is true if a connection may change from the
+// first state to the second.
 var connTransitions = [connStateCount][connStateCount]bool{
 	stateNew: {
 		stateWaiting:   true, // Accept, within the limit
@@ -36,13 +37,13 @@
 		stateReleased: true, // Close of a broken connection
 	},
 	stateClosing: {
-		stateReleased: true, // the client has ended its side, its time is over, or eviction
+		stateReleased: true, // the client has closed its side, closeTimeout has passed, or eviction
 	},
 	stateReleased: {},
 }
 
-// setState changes the state of a connection, and with it the counts and the list that it is in. It returns false, and
-// changes nothing, where connTransitions does not hold the change. The caller holds l.mu.
+// setState changes the state of a connection and updates the listener's counts and lists to match. It returns false,
+// and changes nothing, if connTransitions does not allow the transition. The caller holds l.mu.
 func (l *Listener) setState(c *Conn, next connState) bool {
 	if !connTransitions[c.state][next] {
 		return false
@@ -51,17 +52,17 @@
 	case stateNew:
 		l.open++
 	case stateWaiting:
-		l.waiting.Remove(c.element)
+		l.waiting.Remove(c.listElement)
 	case stateClosing:
-		l.closing.Remove(c.element)
+		l.closing.Remove(c.listElement)
 	}
-	c.state, c.element = next, nil
+	c.state, c.listElement = next, nil
 	switch next {
 	case stateWaiting:
 		c.lastActivity = time.Now()
-		c.element = l.waiting.PushBack(c)
+		c.listElement = l.waiting.PushBack(c)
 	case stateClosing:
-		c.element = l.closing.PushBack(c)
+		c.listElement = l.closing.PushBack(c)
 	case stateReleased:
 		l.open--
 		if c.used {
@@ -71,30 +72,31 @@
 	return true
 }
 
-// readPhase says whether a connection may be read, and how its end comes about. Conn.mu guards it. It is apart from
-// connState, so that a read needs no lock on the listener to know it, and the start of a request none on the
-// connection.
+// readPhase says whether a connection may be read, and how it comes to be closed. Conn.mu guards it. It is separate
+// from connState, so that a read does not need Listener.mu to check it, and the start of a request does not need
+// Conn.mu.
 type readPhase uint8
 
 const (
-	phaseOpen     readPhase = iota // what comes is read
-	phaseExpiring                  // its read was woken, and decides whether the connection ends
-	phaseExpired                   // it was decided to end, for nothing had come: net/http closes it
-	phaseEvicted                   // closed for another connection: nothing more is read
+	phaseOpen     readPhase = iota // the connection may be read
+	phaseExpiring                  // the waiting read was woken, and cancelExpiry decides whether the connection is closed
+	phaseExpired                   // expiry is complete: the read fails, and net/http closes the connection
+	phaseEvicted                   // closed to make room for another connection: nothing more is read
 	phaseClosed                    // Close was called: nothing more is read
 	readPhaseCount
 )
 
-// phaseTransitions holds all changes of phase that there are.
+// phaseTransitions lists the valid transitions: phaseTransitions[from][to] is true if a connection may change from the
+// first phase to the second.
 var phaseTransitions = [readPhaseCount][readPhaseCount]bool{
 	phaseOpen: {
-		phaseExpiring: true, // ExpireIdle or SetLimits, where nothing has come since the latest request
+		phaseExpiring: true, // ExpireIdle or SetLimits, if nothing was read since the last complete request
 		phaseEvicted:  true, // Accept beyond the limit
 		phaseClosed:   true, // Close
 	},
 	phaseExpiring: {
-		phaseOpen:    true, // something has come after all
-		phaseExpired: true, // nothing has come, or net/http's own deadline has passed
+		phaseOpen:    true, // bytes have arrived after all
+		phaseExpired: true, // nothing has arrived, or the deadline set by net/http or Body has passed
 		phaseEvicted: true, // Accept beyond the limit
 		phaseClosed:  true, // Close
 	},
@@ -108,8 +110,8 @@
 	phaseClosed: {},
 }
 
-// setPhase changes the phase of the connection. It returns false, and changes nothing, where phaseTransitions does not
-// hold the change. The caller holds c.mu.
+// setPhase changes the phase of the connection. It returns false, and changes nothing, if phaseTransitions does not
+// allow the transition. The caller holds c.mu.
 func (c *Conn) setPhase(next readPhase) bool {
 	if !phaseTransitions[c.phase][next] {
 		return false
@@ -118,5 +120,5 @@
 	return true
 }
 
-// endDecided reports whether nothing may be read of a connection in this phase.
-func (p readPhase) endDecided() bool { return p == phaseEvicted || p == phaseClosed }
+// blocksReads reports whether nothing may be read from a connection in this phase.
+func (p readPhase) blocksReads() bool { return p == phaseEvicted || p == phaseClosed }
--- a/internal/sidecar/read.go
+++ b/internal/sidecar/read.go
@@ -80,7 +80,7 @@
 	}
 	// The deadline for reading the request would otherwise end its context while the response is still awaited.
 	clearReadDeadline(x.conn)
-	alone := x.conn.RequestRead(x.in.ContentLength)
+	alone := x.conn.FinishRequestRead(x.in.ContentLength)
 	if x.in.URL.Path == readyPath {
 		if !alone {
 			x.w.Header().Set("Connection", "close")
@@ -93,7 +93,7 @@
 		return
 	}
 	x.times.BodyRead = time.Now()
-	x.clientLeft = x.conn.AwaitResponse(alone)
+	x.clientLeft = x.conn.NotifyDisconnect(alone)
 	s.forward(x)
 }
 
--- a/internal/sidecar/response.go
+++ b/internal/sidecar/response.go
@@ -19,7 +19,7 @@
 	behind := c.BeginResponse()
 	bodyPending := false
 	if upload := r.message.Upload; upload != nil {
-		bodyPending = !upload.ReachedEOF.Load() || !c.RequestRead(upload.Length)
+		bodyPending = !upload.ReachedEOF.Load() || !c.FinishRequestRead(upload.Length)
 	}
 	if behind || bodyPending || s.clients.OverUsedLimit() || s.draining() {
 		w.Header().Set("Connection", "close")
