--- a/internal/asynclog/writer_test.go
+++ b/internal/asynclog/writer_test.go
@@ -19,7 +19,7 @@
 	}
 	w.Close(time.Minute)
 	if out.String() != want.String() {
-		t.Errorf("got %d bytes of log, or other contents than written, want %d bytes", out.Len(), want.Len())
+		t.Errorf("the log differs from the written lines: got %d bytes, want %d", out.Len(), want.Len())
 	}
 	if n, err := w.Write([]byte("late\n")); n != 5 || err != nil {
 		t.Errorf("Write after Close returned %d and error %v, want 5 and no error", n, err)
