--- a/cmd/sidecar/faults_test.go
+++ b/cmd/sidecar/faults_test.go
@@ -17,13 +17,14 @@
 	"oakproxy/internal/faults"
 )
 
-// faultyFleet is a running program with endpoints, some of which are behind a fault proxy.
+// faultyFleet is a running sidecar with its discovery service and its endpoints. Every third endpoint is
+// behind a fault proxy.
 type faultyFleet struct {
 	t         *testing.T
 	socket    *passedSocket
-	config    string // JSON
-	injection string // path of the faults that are injected into it
-	ledger    *ledger
+	config    string // configuration of the sidecar as JSON
+	injection string // path of the faults.Injection that all processes of the sidecar read
+	recorder  *requestRecorder
 	program   *program
 }
 
@@ -32,11 +33,12 @@
 
 func newFaultyFleet(t *testing.T) *faultyFleet {
 	t.Helper()
-	w := &faultyFleet{t: t, socket: newPassedSocket(t), ledger: &ledger{arrivals: map[string]arrival{}}}
-	w.injection = filepath.Join(t.TempDir(), "injection")
+	fleet := &faultyFleet{t: t, socket: newPassedSocket(t),
+		recorder: &requestRecorder{arrivals: map[string]arrivalRecord{}}}
+	fleet.injection = filepath.Join(t.TempDir(), "injection")
 	entries := make([]string, faultyFleetSize)
 	for i := range entries {
-		address := newEndpoint(t, w.ledger)
+		address := newEndpoint(t, fleet.recorder)
 		if i%3 == 0 {
 			address = newFaultProxy(t, address)
 		}
@@ -54,42 +56,44 @@
 	from, to := strings.Index(text, `"known":`), strings.Index(text, `"settings":`)
 	text = text[:from] + `"known":` + list + "," + text[to:]
 	address := fmt.Sprintf(`"discovery":%q`, discovery.Listener.Addr())
-	w.config = strings.Replace(text, `"discovery":"127.0.0.1:1"`, address, 1)
-	w.program = w.launch()
-	return w
+	fleet.config = strings.Replace(text, `"discovery":"127.0.0.1:1"`, address, 1)
+	fleet.program = fleet.launch()
+	return fleet
 }
 
-// launch starts a process of this sidecar and waits until it is ready.
-func (w *faultyFleet) launch() *program {
-	w.t.Helper()
-	p := w.socket.launch(w.t, w.config, injectionVar+"="+w.injection)
-	waitFor(w.t, "the program to be ready", p.healthy)
+// launch starts a process of the sidecar and waits until it is ready.
+func (fleet *faultyFleet) launch() *program {
+	fleet.t.Helper()
+	p := fleet.socket.launch(fleet.t, fleet.config, injectionVar+"="+fleet.injection)
+	waitFor(fleet.t, "the program to be ready", p.healthy)
 	return p
 }
 
-// replaceProgram launches a process of this sidecar beside the running one, and returns the latter.
-func (w *faultyFleet) replaceProgram() (old *program) {
-	w.t.Helper()
-	old, w.program = w.program, w.launch()
+// replaceProgram launches a new process of the sidecar, makes it fleet.program, and returns the previous process, which
+// is still running.
+func (fleet *faultyFleet) replaceProgram() (old *program) {
+	fleet.t.Helper()
+	old, fleet.program = fleet.program, fleet.launch()
 	return old
 }
 
-// waitForExit waits until a process that was replaced exits, without error and without aborted requests.
-func (w *faultyFleet) waitForExit(old *program) {
-	w.t.Helper()
+// waitForExit waits until the replaced process old exits. It fails the test if the process ended with an error or
+// aborted requests.
+func (fleet *faultyFleet) waitForExit(old *program) {
+	fleet.t.Helper()
 	if err := old.Wait(); err != nil {
-		w.t.Errorf("the replaced process ended with %v, want exit code 0", err)
+		fleet.t.Errorf("got exit error %v of the replaced process, want exit code 0", err)
 	}
 	if n := old.log.count("aborted by shutdown"); n > 0 {
-		w.t.Errorf("got %d requests aborted by shutdown, want none", n)
+		fleet.t.Errorf("got %d requests aborted by shutdown, want none", n)
 	}
 }
 
-// adminCall repeats an admin call until it succeeds.
-func (w *faultyFleet) adminCall(path string) {
-	w.t.Helper()
-	waitFor(w.t, path, func() bool {
-		response, err := http.Post("http://"+w.program.admin+path, "", nil)
+// adminCall repeats an admin call of the current process until it succeeds.
+func (fleet *faultyFleet) adminCall(path string) {
+	fleet.t.Helper()
+	waitFor(fleet.t, path, func() bool {
+		response, err := http.Post("http://"+fleet.program.admin+path, "", nil)
 		if err != nil {
 			return false
 		}
@@ -98,22 +102,23 @@
 	})
 }
 
-// inject replaces the faults that are injected into the program.
-func (w *faultyFleet) inject(i faults.Injection) {
-	w.t.Helper()
-	if err := i.Store(w.injection); err != nil {
-		w.t.Fatal(err)
+// inject replaces the faults that are injected into the processes of the sidecar.
+func (fleet *faultyFleet) inject(i faults.Injection) {
+	fleet.t.Helper()
+	if err := i.Store(fleet.injection); err != nil {
+		fleet.t.Fatal(err)
 	}
 }
 
-// processFault is a fault, or an operation, under which a faultyFleet must keep serving.
+// processFault is a fault, or an operation such as a reload, during which a faultyFleet must continue to serve.
 type processFault struct {
-	inject   func(w *faultyFleet)
-	maxEnded int // limit of requests on connections that ended
+	inject        func(fleet *faultyFleet)
+	maxUnanswered int // limit on requests whose connection ended without a response
 }
 
-// maxCrossing limits the requests that cross the end of a drained connection; each client has one connection.
-const maxCrossing = 40
+// maxUnansweredWhenDrained limits the requests that stay unanswered because a drained sidecar closes an idle connection
+// while a request is on its way. Each client has one connection.
+const maxUnansweredWhenDrained = 40
 
 var processFaults = map[string]processFault{
 	"none":                    {func(*faultyFleet) {}, 0},
@@ -122,166 +127,171 @@
 	"wall clock steps":        {(*faultyFleet).stepWallClock, 0},
 	"disk errors":             {(*faultyFleet).failDisk, 0},
 	"configuration reloads":   {(*faultyFleet).reloadRepeatedly, 0},
-	"drained and resumed":     {(*faultyFleet).drainRepeatedly, maxCrossing},
-	"hand-over":               {(*faultyFleet).handOver, maxCrossing},
-	"hand-over, shortage of descriptors, repeated signals": {(*faultyFleet).handOverUnderFaults, maxCrossing},
+	"drained and resumed":     {(*faultyFleet).drainRepeatedly, maxUnansweredWhenDrained},
+	"hand-over":               {(*faultyFleet).handOver, maxUnansweredWhenDrained},
+	"hand-over, shortage of descriptors, repeated signals": {(*faultyFleet).handOverUnderFaults, maxUnansweredWhenDrained},
 }
 
-func (w *faultyFleet) exhaustDescriptors() {
-	w.t.Helper()
-	before, err := faults.LimitDescriptors(w.program.Process, 8)
+func (fleet *faultyFleet) exhaustDescriptors() {
+	fleet.t.Helper()
+	before, err := faults.LimitDescriptors(fleet.program.Process, 8)
 	if err != nil {
-		w.t.Fatal(err)
+		fleet.t.Fatal(err)
 	}
 	time.Sleep(400 * time.Millisecond)
-	if _, err := faults.LimitDescriptors(w.program.Process, before); err != nil {
-		w.t.Fatal(err)
+	if _, err := faults.LimitDescriptors(fleet.program.Process, before); err != nil {
+		fleet.t.Fatal(err)
 	}
 }
 
-func (w *faultyFleet) pauseRepeatedly() {
-	w.t.Helper()
+func (fleet *faultyFleet) pauseRepeatedly() {
+	fleet.t.Helper()
 	for range 3 {
-		if err := faults.Pause(w.program.Process, 150*time.Millisecond); err != nil {
-			w.t.Fatal(err)
+		if err := faults.Pause(fleet.program.Process, 150*time.Millisecond); err != nil {
+			fleet.t.Fatal(err)
 		}
 		time.Sleep(100 * time.Millisecond)
 	}
 }
 
-func (w *faultyFleet) stepWallClock() {
-	w.t.Helper()
+func (fleet *faultyFleet) stepWallClock() {
+	fleet.t.Helper()
 	for _, step := range []time.Duration{time.Hour, -time.Hour, 3 * time.Second, -3 * time.Second, 0} {
-		w.inject(faults.Injection{WallClockStep: step})
-		w.adminCall("/admin/cordon?name=s-1")
-		w.adminCall("/admin/uncordon?name=s-1")
+		fleet.inject(faults.Injection{WallClockStep: step})
+		fleet.adminCall("/admin/cordon?name=s-1")
+		fleet.adminCall("/admin/uncordon?name=s-1")
 		time.Sleep(50 * time.Millisecond)
 	}
 }
 
-func (w *faultyFleet) failDisk() {
-	w.t.Helper()
+func (fleet *faultyFleet) failDisk() {
+	fleet.t.Helper()
 	for _, operation := range []faults.FileOperation{faults.Write, faults.Sync, faults.Rename, faults.Read} {
-		w.inject(faults.Injection{FailOperation: operation, Errno: syscall.EIO})
+		fleet.inject(faults.Injection{FailOperation: operation, Errno: syscall.EIO})
 		time.Sleep(100 * time.Millisecond)
 	}
-	w.inject(faults.Injection{})
-	w.adminCall("/admin/cordon?name=s-1")
+	fleet.inject(faults.Injection{})
+	fleet.adminCall("/admin/cordon?name=s-1")
 }
 
-func (w *faultyFleet) reloadRepeatedly() {
-	w.t.Helper()
+func (fleet *faultyFleet) reloadRepeatedly() {
+	fleet.t.Helper()
 	for i := range 20 {
 		target := fmt.Sprintf(`"target":%d`, 300000+i)
-		w.program.replaceConfig(strings.Replace(w.config, `"target":300000`, target, 1))
-		w.program.signal(syscall.SIGHUP)
+		fleet.program.replaceConfig(strings.Replace(fleet.config, `"target":300000`, target, 1))
+		fleet.program.signal(syscall.SIGHUP)
 		time.Sleep(10 * time.Millisecond)
 	}
 }
 
-func (w *faultyFleet) drainRepeatedly() {
-	w.t.Helper()
+func (fleet *faultyFleet) drainRepeatedly() {
+	fleet.t.Helper()
 	for range 3 {
-		w.adminCall("/admin/quiesce")
+		fleet.adminCall("/admin/quiesce")
 		time.Sleep(300 * time.Millisecond)
-		w.adminCall("/admin/resume")
+		fleet.adminCall("/admin/resume")
 	}
 }
 
-func (w *faultyFleet) handOver() {
-	w.t.Helper()
-	old := w.replaceProgram()
+func (fleet *faultyFleet) handOver() {
+	fleet.t.Helper()
+	old := fleet.replaceProgram()
 	old.signal(syscall.SIGTERM)
-	w.waitForExit(old)
+	fleet.waitForExit(old)
 }
 
-func (w *faultyFleet) handOverUnderFaults() {
-	w.t.Helper()
-	old := w.replaceProgram()
+func (fleet *faultyFleet) handOverUnderFaults() {
+	fleet.t.Helper()
+	old := fleet.replaceProgram()
 	if _, err := faults.LimitDescriptors(old.Process, 8); err != nil {
-		w.t.Fatal(err)
+		fleet.t.Fatal(err)
 	}
 	old.signal(syscall.SIGTERM)
 	old.signal(syscall.SIGHUP)
 	old.signal(syscall.SIGTERM)
 	if err := faults.Pause(old.Process, 100*time.Millisecond); err != nil {
-		w.t.Fatal(err)
+		fleet.t.Fatal(err)
 	}
 	if err := old.Wait(); err != nil {
-		w.t.Errorf("the replaced process ended with %v, want exit code 0", err)
+		fleet.t.Errorf("got exit error %v of the replaced process, want exit code 0", err)
 	}
 }
 
-// Under each fault the process keeps running, each request that it forwards has exactly one response, and it serves
-// once the fault is over. No connection may end under a request except where clients are drained.
+// Guards against a fault or an operation that ends the process, loses or duplicates a response, or stops the service
+// for good. During each one the process must keep running, each forwarded request must get exactly one response, and
+// requests must be served afterwards. A connection may end with a request unanswered only while clients are drained.
 func TestServesThroughFaults(t *testing.T) {
 	for name, fault := range processFaults {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			w := newFaultyFleet(t)
-			f := startTraffic(w.socket.address, w.ledger, 24)
-			waitFor(t, "the first responses", func() bool { return f.served.Load() > 20 })
-			fault.inject(w)
-			before := f.served.Load()
-			waitFor(t, "responses after the fault", func() bool { return f.served.Load() > before+20 })
-			f.stop()
-			f.check(t, fault.maxEnded)
-			w.program.terminate()
+			fleet := newFaultyFleet(t)
+			clients := startTraffic(fleet.socket.address, fleet.recorder, 24)
+			waitFor(t, "the first responses", func() bool { return clients.served.Load() > 20 })
+			fault.inject(fleet)
+			before := clients.served.Load()
+			waitFor(t, "responses after the fault", func() bool { return clients.served.Load() > before+20 })
+			clients.stop()
+			clients.check(t, fault.maxUnanswered)
+			fleet.program.terminate()
 		})
 	}
 }
 
-// Whenever a process is shut down, the process that replaces it serves, and each request that either forwards has
-// exactly one response.
+// Guards against requests lost in a hand-over, when SIGTERM reaches the old process at an unfavourable moment after the
+// start of the new one. Each request that either process forwards must get exactly one response.
 func TestHandOverAtAnyMomentLosesNoRequest(t *testing.T) {
-	w := newFaultyFleet(t)
-	f := startTraffic(w.socket.address, w.ledger, 24)
+	fleet := newFaultyFleet(t)
+	clients := startTraffic(fleet.socket.address, fleet.recorder, 24)
 	for delay := time.Duration(0); delay <= 120*time.Millisecond; delay += 20 * time.Millisecond {
-		old := w.replaceProgram()
+		old := fleet.replaceProgram()
 		time.Sleep(delay)
 		old.signal(syscall.SIGTERM)
-		w.waitForExit(old)
+		fleet.waitForExit(old)
 	}
-	f.stop()
-	f.check(t, 100)
+	clients.stop()
+	clients.check(t, 100)
 }
 
-// After a pause the process forwards no more remaining time than the clients have.
+// Guards against forwarding too much remaining time after a pause. A process that is stopped while requests wait in its
+// socket would do so if it counted each request's time from the moment when it reads the request.
 func TestPausedProcessForwardsRemainingTime(t *testing.T) {
-	const pause, slack = 500 * time.Millisecond, 350 * time.Millisecond // slack for a busy machine
-	w := newFaultyFleet(t)
-	w.program.signal(syscall.SIGSTOP)
+	const pause, slack = 500 * time.Millisecond, 350 * time.Millisecond // slack is for a busy machine
+	fleet := newFaultyFleet(t)
+	fleet.program.signal(syscall.SIGSTOP)
 	var ids []string
 	written := time.Now()
 	for i := range 20 {
-		conn, err := net.Dial("tcp", w.socket.address)
+		conn, err := net.Dial("tcp", fleet.socket.address)
 		if err != nil {
 			t.Fatal(err)
 		}
 		t.Cleanup(func() { conn.Close() })
 		id := fmt.Sprintf("paused-%d", i)
-		f := &traffic{ledger: w.ledger}
-		if err := f.writeRequest(conn, id, true); err != nil {
+		sender := &traffic{recorder: fleet.recorder}
+		if err := sender.writeRequest(conn, id, true); err != nil {
 			t.Fatal(err)
 		}
 		ids = append(ids, id)
 		go http.ReadResponse(bufio.NewReader(conn), nil)
 	}
 	time.Sleep(pause)
-	w.program.signal(syscall.SIGCONT)
+	fleet.program.signal(syscall.SIGCONT)
 	time.Sleep(trafficTimeLeft)
 	for _, id := range ids {
-		a := w.ledger.of(id)
+		a := fleet.recorder.lookup(id)
 		if remaining := trafficTimeLeft - a.at.Sub(written); a.count > 0 && a.timeLeft > remaining+slack {
-			t.Errorf("%s: got %v of remaining time forwarded, want at most its client's %v", id, a.timeLeft, remaining)
+			t.Errorf("%s: got forwarded remaining time %v, want at most the client's %v plus %v",
+				id, a.timeLeft, remaining, slack)
 		}
 	}
-	w.program.terminate()
+	fleet.program.terminate()
 }
 
-// Overrides whose admin calls succeeded are in force in the next process, whenever the previous one is killed.
+// Guards against losing an operator's confirmed override, or storing a damaged state, when a process is killed during
+// admin calls. After each kill, the state file that the next process uses must hold every override whose admin call
+// succeeded.
 func TestKilledProcessKeepsConfirmedOverrides(t *testing.T) {
-	w := newFaultyFleet(t)
+	fleet := newFaultyFleet(t)
 	expected := map[string]bool{}
 	for round := range 12 {
 		cordon, path := round%2 == 0, "/admin/uncordon?name="
@@ -289,11 +299,11 @@
 			path = "/admin/cordon?name="
 		}
 		killed := make(chan error, 1)
-		time.AfterFunc(time.Duration(round)*500*time.Microsecond, func() { killed <- w.program.Process.Kill() })
+		time.AfterFunc(time.Duration(round)*500*time.Microsecond, func() { killed <- fleet.program.Process.Kill() })
 		for i := range faultyFleetSize {
 			name := fmt.Sprintf("s-%d", i)
-			delete(expected, name) // an interrupted call may or may not have taken effect
-			response, err := http.Post("http://"+w.program.admin+path+name, "", nil)
+			delete(expected, name) // not expected until the call succeeds: an interrupted call may or may not have taken effect
+			response, err := http.Post("http://"+fleet.program.admin+path+name, "", nil)
 			if err != nil {
 				break
 			}
@@ -305,16 +315,17 @@
 		if err := <-killed; err != nil {
 			t.Fatal(err)
 		}
-		w.program.Wait()
-		w.program = w.launch()
-		if n := w.program.log.count("operator state ignored"); n > 0 {
-			t.Errorf("got %d log lines on an ignored state, want none", n)
+		fleet.program.Wait()
+		fleet.program = fleet.launch()
+		if n := fleet.program.log.count("operator state ignored"); n > 0 {
+			t.Errorf("got %d log lines about an ignored operator state, want none", n)
 		}
-		checkOverrides(t, filepath.Join(w.socket.folder, "oakproxy-state.json"), expected)
+		checkOverrides(t, filepath.Join(fleet.socket.folder, "oakproxy-state.json"), expected)
 	}
 }
 
-// checkOverrides compares the cordoned endpoints in a state file with the admin calls that succeeded.
+// checkOverrides checks that the state file at path holds the expected overrides. The keys of expected are endpoint
+// names; the values say whether the endpoint is cordoned. It ignores other endpoints.
 func checkOverrides(t *testing.T, path string, expected map[string]bool) {
 	t.Helper()
 	var stored struct {
--- a/cmd/sidecar/frozen_test.go
+++ b/cmd/sidecar/frozen_test.go
@@ -20,20 +20,22 @@
 	"golang.org/x/sys/unix"
 )
 
-// These tests pin what other versions and other programs rely on: the names and keys of stored files, environment
-// variables, admin calls, headers and the deploy file. During a hand-over two versions run side by side and read each
-// other's files. The files in testdata/release were written by the release before the names in the code changed.
+// The tests in this file guard against changes of names and keys that other versions and other programs rely on: those
+// of stored files, environment variables, admin calls, headers and the deploy file. During a hand-over two versions run
+// side by side and read each other's files. An earlier release, from before the names in the code changed, wrote the
+// files in testdata/release.
 
-// releaseFiles is the folder of what that release wrote.
+// releaseFiles is the folder of the files that the earlier release wrote.
 const releaseFiles = "testdata/release"
 
-// releaseHash is the hash that it logged with testdata/release/config.json in force. It covers every setting.
+// releaseHash is the configuration hash that the earlier release logged for testdata/release/config.json. The hash
+// covers every setting.
 const releaseHash = "51fb5868301e"
 
-// unusedAddress refuses connections: nothing is learned from endpoints there.
+// unusedAddress is an address that refuses connections, so the balancer measures nothing at endpoints there.
 const unusedAddress = "127.0.0.1:1"
 
-// releaseConfig returns the release's configuration with the addresses of this test.
+// releaseConfig returns the configuration of the earlier release with the given addresses in place of its placeholders.
 func releaseConfig(t *testing.T, listen, discovery, endpoint string) string {
 	t.Helper()
 	text, err := os.ReadFile(filepath.Join(releaseFiles, "config.json"))
@@ -44,7 +46,7 @@
 		Replace(string(text))
 }
 
-// uptimeMS is the machine's uptime as the sidecar reads it, in milliseconds.
+// uptimeMS returns the machine's uptime in milliseconds, from the same clock that the sidecar reads.
 func uptimeMS(t *testing.T) int64 {
 	t.Helper()
 	var now unix.Timespec
@@ -54,7 +56,7 @@
 	return time.Duration(now.Nano()).Milliseconds()
 }
 
-// restoreFile copies a file of the release into folder as if it had been written just now.
+// restoreFile copies a file of the earlier release into folder. It sets the times in the file to the present.
 func restoreFile(t *testing.T, folder, name string) {
 	t.Helper()
 	text, err := os.ReadFile(filepath.Join(releaseFiles, name))
@@ -69,7 +71,7 @@
 	}
 }
 
-// readJSON returns the object in a file of folder, or nil if there is no such file.
+// readJSON returns the JSON object in the named file of folder, or nil if the file does not exist.
 func readJSON(t *testing.T, folder, name string) map[string]any {
 	t.Helper()
 	text, err := os.ReadFile(filepath.Join(folder, name))
@@ -86,8 +88,8 @@
 	return object
 }
 
-// wantKeys fails the test unless an object has exactly the given keys.
-func wantKeys(t *testing.T, what string, object any, want ...string) {
+// checkKeys fails the test unless object has exactly the keys in want. The failure message begins with what.
+func checkKeys(t *testing.T, what string, object any, want ...string) {
 	t.Helper()
 	got := slices.Sorted(maps.Keys(object.(map[string]any)))
 	if slices.Sort(want); !slices.Equal(got, want) {
@@ -95,8 +97,8 @@
 	}
 }
 
-// call makes an admin call and returns its status.
-func call(t *testing.T, method, url string) int {
+// callAdmin makes an admin call on a new connection and returns the status of the response.
+func callAdmin(t *testing.T, method, url string) int {
 	t.Helper()
 	request, err := http.NewRequest(method, url, nil)
 	if err != nil {
@@ -111,7 +113,8 @@
 	return response.StatusCode
 }
 
-// The program reads what the previous release stored, and stores it under the same names and keys.
+// Guards against a version that ignores the files of the earlier release, or stores files that the earlier release
+// cannot read. Either happens when a change in the code also changes the name of a file or one of its keys.
 func TestReadsAndWritesFilesOfThePreviousRelease(t *testing.T) {
 	socket := newPassedSocket(t)
 	for _, name := range []string{"oakproxy-state.json", "oakproxy-learned.json"} {
@@ -133,22 +136,22 @@
 		cmd.Process.Kill()
 		cmd.Wait()
 	})
-	waitFor(t, "health", func() bool { return statusOf("http://"+admin+"/admin/health") == http.StatusOK })
+	waitFor(t, "health", func() bool { return getStatus("http://"+admin+"/admin/health") == http.StatusOK })
 	if log.count("hash="+releaseHash) == 0 {
 		t.Errorf("the logged hash of the configuration is not %s", releaseHash)
 	}
-	if got := readiness(socket.address); got != http.StatusServiceUnavailable {
+	if got := readinessStatus(socket.address); got != http.StatusServiceUnavailable {
 		t.Errorf("readiness of a drained sidecar: got %d, want 503", got)
 	}
 
 	for path, want := range map[string]int{"/admin/quiesce": 200, "/admin/resume": 200, "/admin/cordon?name=s-1": 200,
 		"/admin/uncordon?name=s-2": 200, "/admin/cordon?name=nobody": 404} {
-		if got := call(t, http.MethodPost, "http://"+admin+path); got != want {
+		if got := callAdmin(t, http.MethodPost, "http://"+admin+path); got != want {
 			t.Errorf("%s: got %d, want %d", path, got, want)
 		}
 	}
-	call(t, http.MethodPost, "http://"+admin+"/admin/resume")
-	restored["drained"] = false // the other calls repeated what was set
+	callAdmin(t, http.MethodPost, "http://"+admin+"/admin/resume")
+	restored["drained"] = false // the other calls repeated settings that the file already held
 	checkStateFile(t, socket.folder, restored)
 	checkLearnedFile(t, socket.folder, learned)
 	checkFileNames(t, socket.folder)
@@ -158,20 +161,21 @@
 	})
 }
 
-// checkStateFile compares the stored state with an object, and its keys with those of the previous release.
+// checkStateFile checks that the stored state equals want, and that its keys are those of the earlier release.
 func checkStateFile(t *testing.T, folder string, want map[string]any) {
 	t.Helper()
 	stored := readJSON(t, folder, "oakproxy-state.json")
 	if !reflect.DeepEqual(stored, want) {
 		t.Errorf("got stored state %v, want %v", stored, want)
 	}
-	wantKeys(t, "the state", stored, "version", "sidecar", "drained", "hosts")
+	checkKeys(t, "the state", stored, "version", "sidecar", "drained", "hosts")
 	for _, host := range stored["hosts"].([]any) {
-		wantKeys(t, "a host of the state", host, "host", "out", "since_ms", "up_ms")
+		checkKeys(t, "a host of the state", host, "host", "out", "since_ms", "up_ms")
 	}
 }
 
-// checkLearnedFile waits until the warm-start data is stored again, and compares it with what was stored before.
+// checkLearnedFile waits until the program has stored the warm-start data again. It checks that the data equals
+// learned, apart from times, and that its keys are those of the earlier release.
 func checkLearnedFile(t *testing.T, folder string, learned map[string]any) {
 	t.Helper()
 	written := learned
@@ -179,11 +183,12 @@
 		written = readJSON(t, folder, "oakproxy-learned.json")
 		return written["at_ms"] != learned["at_ms"]
 	})
-	wantKeys(t, "the warm-start data", written, "version", "sidecar", "at_ms", "up_ms", "clock_us", "learned")
+	checkKeys(t, "the warm-start data", written, "version", "sidecar", "at_ms", "up_ms", "clock_us", "learned")
 	before, after := learned["learned"].(map[string]any), written["learned"].(map[string]any)
-	for _, known := range []any{before, after} { // times by the clock of the process that wrote them
-		for _, endpoint := range known.(map[string]any)["Endpoints"].([]any) {
-			wantKeys(t, "an endpoint", endpoint, "Name", "StartTime", "PaceAt", "Pace", "Mean")
+	// PaceAt is a time on the clock of the process that wrote it, so it is not compared.
+	for _, estimates := range []any{before, after} {
+		for _, endpoint := range estimates.(map[string]any)["Endpoints"].([]any) {
+			checkKeys(t, "an endpoint", endpoint, "Name", "StartTime", "PaceAt", "Pace", "Mean")
 			delete(endpoint.(map[string]any), "PaceAt")
 		}
 	}
@@ -192,7 +197,8 @@
 	}
 }
 
-// checkFileNames compares the names of all files in a folder with those of the previous release.
+// checkFileNames checks that the names of the files in folder are those of the earlier release. It ignores temporary
+// files of the warm-start data.
 func checkFileNames(t *testing.T, folder string) {
 	t.Helper()
 	var names []string
@@ -208,7 +214,9 @@
 	}
 }
 
-// The form of requests to endpoints and to discovery, and the headers that are read from clients, are fixed.
+// Guards against a change in the requests to endpoints and to the discovery service, or in the headers that the sidecar
+// reads from clients. Endpoints, discovery and clients are other programs, which would no longer understand the
+// sidecar.
 func TestRequestsKeepTheirForm(t *testing.T) {
 	received := make(chan *http.Request, 16)
 	probed := make(chan string, 256)
@@ -265,7 +273,8 @@
 	}
 }
 
-// sendPayment sends a request of class pay with every header that a client may set. It must be served.
+// sendPayment sends a request of class pay with every header that a client may set. It fails the test unless the
+// response has status 200.
 func sendPayment(t *testing.T, url string) {
 	t.Helper()
 	request, err := http.NewRequest(http.MethodPost, url, strings.NewReader("body"))
@@ -295,11 +304,12 @@
 	}
 }
 
-// The platform reads these keys of the deploy file, and no others.
+// Guards against a changed, missing or additional top-level key in the deploy file. The platform reads exactly these
+// keys.
 func TestDeployFileKeepsItsKeys(t *testing.T) {
 	var file map[string]any
 	if _, err := toml.DecodeFile("../../deploy/balancer.toml", &file); err != nil {
 		t.Fatal(err)
 	}
-	wantKeys(t, "deploy/balancer.toml", file, "build", "run", "sim", "policy", "node", "packages")
+	checkKeys(t, "deploy/balancer.toml", file, "build", "run", "sim", "policy", "node", "packages")
 }
--- a/cmd/sidecar/largefleet_test.go
+++ b/cmd/sidecar/largefleet_test.go
@@ -20,22 +20,23 @@
 )
 
 const (
-	largeEndpoints = 1024
-	largeTenants   = 1024
-	largePeers     = 1024
-	largeSidecars  = 350
-	minMemoryMB    = 32 // the smallest limits that the platform documents
-	minSockets     = 256
+	largeFleetEndpoints = 1024
+	largeFleetTenants   = 1024
+	largeFleetPeers     = 1024
+	largeFleetSidecars  = 350
+	minMemoryMB         = 32 // minMemoryMB and minSockets are the smallest limits that the platform documents
+	minSockets          = 256
 )
 
-// endpointList returns an endpoint list whose second half has the given health and its own address.
-func endpointList(version int, complete bool, health, first, second string) []byte {
+// endpointList returns an endpoint list as JSON. The endpoints of its first half are ready and have the address
+// firstAddress; those of its second half have the given health and the address secondAddress.
+func endpointList(version int, complete bool, health, firstAddress, secondAddress string) []byte {
 	var entries []map[string]any
-	for i := range largeEndpoints {
-		entry := map[string]any{"host": fmt.Sprintf("s-%08x", i), "dial": first, "site": "a", "class": "m",
+	for i := range largeFleetEndpoints {
+		entry := map[string]any{"host": fmt.Sprintf("s-%08x", i), "dial": firstAddress, "site": "a", "class": "m",
 			"block": i / 8, "health": "Ready", "share": 1.0, "born_ms": 0}
-		if i >= largeEndpoints/2 {
-			entry["dial"], entry["health"] = second, health
+		if i >= largeFleetEndpoints/2 {
+			entry["dial"], entry["health"] = secondAddress, health
 		}
 		entries = append(entries, entry)
 	}
@@ -47,7 +48,7 @@
 	return text
 }
 
-// countingEndpoint is an endpoint that counts what it serves.
+// countingEndpoint is an endpoint that counts the requests that sendRead sends. It does not count probes.
 type countingEndpoint struct{ served atomic.Int64 }
 
 func (c *countingEndpoint) ServeHTTP(w http.ResponseWriter, r *http.Request) {
@@ -57,70 +58,73 @@
 	io.WriteString(w, "done")
 }
 
-// raceDetectorEnabled reports whether the race detector is built in, which needs memory of its own.
+// raceDetectorEnabled reports whether the test binary is built with the race detector, which uses additional memory.
 func raceDetectorEnabled() bool {
 	info, _ := debug.ReadBuildInfo()
 	return info != nil && slices.Contains(info.Settings, debug.BuildSetting{Key: "-race", Value: "true"})
 }
 
-// largeFleet is a discovery service that lists endpoints at full length, half of which drain once drain is closed.
+// largeFleet is a discovery service that lists largeFleetEndpoints endpoints, and two servers that stand for the
+// endpoints of the two halves of the list. The second half drains once drain is closed.
 type largeFleet struct {
-	discovery   *httptest.Server
-	ready       countingEndpoint // the first half of the list
-	draining    countingEndpoint // the second half
-	first       string           // address of the first half
-	second      string           // address of the second half
-	drain       chan struct{}    // closed to drain the second half
-	drainPassed chan struct{}    // closed by the first call after the drain was listed
-	once        sync.Once
+	discovery          *httptest.Server
+	ready              countingEndpoint // serves the first half of the list
+	draining           countingEndpoint // serves the second half of the list
+	readyAddress       string           // address of ready
+	drainingAddress    string           // address of draining
+	drain              chan struct{}    // closed by the test to drain the second half
+	callAfterDrain     chan struct{}    // closed on the first discovery call that follows the answer with the drain
+	callAfterDrainOnce sync.Once        // closes callAfterDrain only once
 }
 
 func newLargeFleet(t *testing.T) *largeFleet {
 	t.Helper()
-	f := &largeFleet{drain: make(chan struct{}), drainPassed: make(chan struct{})}
+	f := &largeFleet{drain: make(chan struct{}), callAfterDrain: make(chan struct{})}
 	ready, draining := httptest.NewServer(&f.ready), httptest.NewServer(&f.draining)
 	t.Cleanup(ready.Close)
 	t.Cleanup(draining.Close)
-	f.first, f.second = ready.Listener.Addr().String(), draining.Listener.Addr().String()
+	f.readyAddress, f.drainingAddress = ready.Listener.Addr().String(), draining.Listener.Addr().String()
 	f.discovery = httptest.NewServer(f)
 	t.Cleanup(f.discovery.Close)
 	return f
 }
 
-// ServeHTTP answers calls of discovery: version 42 to one that has 41, and 43 with the drain to one that has 42.
+// ServeHTTP answers discovery calls. A caller that has version 41 of the list gets version 42. A caller that has
+// version 42 gets version 43, in which the second half drains, once drain is closed. Later calls get no answer.
 func (f *largeFleet) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	switch {
 	case r.FormValue("after") == "41" && r.FormValue("wait_ms") == "0":
-		w.Write(endpointList(42, true, "Ready", f.first, f.second))
+		w.Write(endpointList(42, true, "Ready", f.readyAddress, f.drainingAddress))
 	case r.FormValue("after") == "42":
 		select {
 		case <-f.drain:
-			w.Write(endpointList(43, false, "Terminating", f.first, f.second))
+			w.Write(endpointList(43, false, "Terminating", f.readyAddress, f.drainingAddress))
 		case <-r.Context().Done():
 		}
 	default:
-		f.once.Do(func() { close(f.drainPassed) })
+		f.callAfterDrainOnce.Do(func() { close(f.callAfterDrain) })
 		<-r.Context().Done()
 	}
 }
 
-// config returns a configuration at full length that knows the fleet, within the smallest limits.
+// config returns a configuration with the smallest limits, largeFleetPeers peers and largeFleetTenants tenants. It
+// contains version 41 of the endpoint list.
 func (f *largeFleet) config(t *testing.T, listen string) string {
 	t.Helper()
-	peers := make([]string, largePeers)
+	peers := make([]string, largeFleetPeers)
 	for i := range peers {
 		peers[i] = fmt.Sprintf("10.3.%d.%d:7946", i/256, i%256)
 	}
-	tenants := make([]map[string]any, largeTenants)
+	tenants := make([]map[string]any, largeFleetTenants)
 	for i := range tenants {
 		tenants[i] = map[string]any{
-			"name": fmt.Sprintf("tenant-%d", i), "allowance-per-s": 10.0, "share": 1.0 / largeTenants,
+			"name": fmt.Sprintf("tenant-%d", i), "allowance-per-s": 10.0, "share": 1.0 / largeFleetTenants,
 		}
 	}
 	class := map[string]any{"name": "read", "repeat": "pure", "target": 5000000, "give-up": 10000000, "credit": 1.0}
 	settings := map[string]any{
 		"areas": []string{"a"}, "skus": []string{"m"}, "discovery": "subscribe",
-		"peers-total": largeSidecars, "position": largeSidecars - 1, "tenants": tenants,
+		"peers-total": largeFleetSidecars, "position": largeFleetSidecars - 1, "tenants": tenants,
 		"contract":  map[string]any{"ask-within": 1_000_000, "drain-grace": 500_000},
 		"limits":    map[string]any{"keepalive": 5000000, "dial-timeout": 250000, "most-tries": 3, "probes": true},
 		"reporting": map[string]any{"how": "none"},
@@ -129,8 +133,8 @@
 	text, err := json.Marshal(map[string]any{
 		"name": "n349", "listen": listen, "discovery": f.discovery.Listener.Addr().String(), "seed": "1f",
 		"limits":      map[string]any{"cores": 1, "memory_mb": minMemoryMB, "sockets": minSockets},
-		"peer_listen": peers[largeSidecars-1], "peers": peers,
-		"known":    json.RawMessage(endpointList(41, true, "Ready", f.first, f.second)),
+		"peer_listen": peers[largeFleetSidecars-1], "peers": peers,
+		"known":    json.RawMessage(endpointList(41, true, "Ready", f.readyAddress, f.drainingAddress)),
 		"settings": settings,
 	})
 	if err != nil {
@@ -139,8 +143,8 @@
 	return string(text)
 }
 
-// sendReads sends n requests of rotating tenants and keys, 16 at a time, and fails the test unless each is served. It
-// returns the largest number of descriptors that the program had open.
+// sendReads sends n requests, 16 at a time, with changing tenants and session keys. It fails the test unless each is
+// served. After every 50 requests it counts the program's open file descriptors, and it returns the largest count.
 func sendReads(t *testing.T, p *program, listen string, n int) (descriptors int) {
 	t.Helper()
 	var senders sync.WaitGroup
@@ -171,14 +175,15 @@
 	return descriptors
 }
 
-// sendRead sends request i of n. It returns an error if the request was not served.
+// sendRead sends a request of class read, number i of n. It returns an error if the request was not served.
 func sendRead(listen string, n, i int) error {
 	r, err := http.NewRequest(http.MethodGet, "http://"+listen+"/read", nil)
 	if err != nil {
 		return err
 	}
 	for name, value := range map[string]string{"X-Correlation-Id": fmt.Sprintf("%d-%d", n, i), "X-Service-Class": "read",
-		"X-Account": fmt.Sprintf("tenant-%d", i%largeTenants), "X-Session-Key": strconv.Itoa(i), "X-Time-Left-Ms": "10000"} {
+		"X-Account": fmt.Sprintf("tenant-%d", i%largeFleetTenants), "X-Session-Key": strconv.Itoa(i),
+		"X-Time-Left-Ms": "10000"} {
 		r.Header.Set(name, value)
 	}
 	response, err := http.DefaultClient.Do(r)
@@ -195,7 +200,7 @@
 	return nil
 }
 
-// peakMemoryKB returns the peak resident memory of a program.
+// peakMemoryKB returns the peak resident memory of a program in kB.
 func peakMemoryKB(t *testing.T, p *program) int {
 	t.Helper()
 	status, err := os.ReadFile(filepath.Join("/proc", strconv.Itoa(p.Process.Pid), "status"))
@@ -210,8 +215,9 @@
 	return kb
 }
 
-// A large fleet fits the smallest limits: a configuration and a list at full length are accepted, requests are served,
-// and half of the list can drain at once.
+// Guards against a sidecar that needs more memory or file descriptors than the smallest documented limits when its
+// configuration and its endpoint list have the full length of a large fleet. It must accept both, serve requests, and
+// continue to serve when half of the endpoints drain at once.
 func TestLargeFleetFitsSmallestLimits(t *testing.T) {
 	fleet, listen := newLargeFleet(t), freeAddress(t)
 	p := launch(t, command(t, fleet.config(t, listen)))
@@ -222,18 +228,20 @@
 	})
 	awaitReady(t, listen)
 
-	descriptors := sendReads(t, p, listen, 2*largeEndpoints)
-	if first, second := fleet.ready.served.Load(), fleet.draining.served.Load(); first == 0 || second == 0 {
-		t.Errorf("got %d requests at the first half of the list and %d at the second, want some at both", first, second)
+	descriptors := sendReads(t, p, listen, 2*largeFleetEndpoints)
+	if readyServed, drainingServed := fleet.ready.served.Load(), fleet.draining.served.Load(); readyServed == 0 ||
+		drainingServed == 0 {
+		t.Errorf("got %d requests at the first half of the list and %d at the second, want more than 0 at both",
+			readyServed, drainingServed)
 	}
 	close(fleet.drain)
-	select { // the next call follows once the balancer has the list
-	case <-fleet.drainPassed:
+	select { // the sidecar calls again once the balancer has the list
+	case <-fleet.callAfterDrain:
 	case <-time.After(20 * time.Second):
-		t.Fatal("got no call after the change in 20 s")
+		t.Fatal("got no discovery call in 20 s after the drain was listed, want one")
 	}
 	before := fleet.draining.served.Load()
-	descriptors = max(descriptors, sendReads(t, p, listen, largeEndpoints+1))
+	descriptors = max(descriptors, sendReads(t, p, listen, largeFleetEndpoints+1))
 	if late := fleet.draining.served.Load() - before; late > 0 {
 		t.Errorf("got %d requests at draining endpoints, want none", late)
 	}
@@ -242,7 +250,7 @@
 	}
 	kb := peakMemoryKB(t, p)
 	if kb > minMemoryMB<<10 && !raceDetectorEnabled() {
-		t.Errorf("got peak memory of %d kB, want at most %d MB", kb, minMemoryMB)
+		t.Errorf("got peak memory %d kB, want at most %d MB", kb, minMemoryMB)
 	}
 	t.Logf("%d descriptors, peak memory %d kB", descriptors, kb)
 }
--- a/cmd/sidecar/log_test.go
+++ b/cmd/sidecar/log_test.go
@@ -7,13 +7,14 @@
 	"testing"
 )
 
-// setPipeSize is Linux's F_SETPIPE_SZ, and pipeSize the smallest size that it sets.
+// setPipeSize is F_SETPIPE_SZ on Linux, and pipeSize is the smallest pipe size in bytes that it can set.
 const (
 	setPipeSize = 1031
 	pipeSize    = 4096
 )
 
-// A log whose reader stalls or has exited neither blocks a request nor ends the process.
+// Guards against requests that block because the reader of the log has stalled and the pipe is full, and against the
+// end of the process by SIGPIPE because the reader has exited.
 func TestServesWithoutLogReader(t *testing.T) {
 	for name, closed := range map[string]bool{"stalled": false, "closed": true} {
 		t.Run(name, func(t *testing.T) {
@@ -40,16 +41,16 @@
 				reader.Close()
 			}
 			awaitReady(t, listen)
-			for i := range 100 { // each logs over 200 bytes
+			for i := range 100 { // each request logs over 200 bytes, so that the pipe fills up
 				if got := requestStatus(t, listen, "read"); got != http.StatusOK {
-					t.Fatalf("request %d: got %d, want 200", i, got)
+					t.Fatalf("request %d: got status %d, want 200", i, got)
 				}
 			}
 			if err := cmd.Process.Signal(syscall.SIGTERM); err != nil {
 				t.Fatal(err)
 			}
 			if err := cmd.Wait(); err != nil {
-				t.Errorf("the program ended with %v, want exit code 0", err)
+				t.Errorf("got program exit error %v, want exit code 0", err)
 			}
 		})
 	}
--- a/cmd/sidecar/main.go
+++ b/cmd/sidecar/main.go
@@ -1,8 +1,9 @@
 // Command sidecar runs one load-balancing sidecar beside an application. It accepts the application's requests and
 // forwards them to the endpoints that discovery lists.
 //
-// Its settings come from the file that $BALANCER_CONFIG names, read at the start and again at each SIGHUP. SIGTERM and
-// SIGINT shut it down gracefully. It logs to standard error; docs/operations.md describes the lines.
+// The environment variable BALANCER_CONFIG holds the path of its configuration file, which it reads at the start and
+// again after each SIGHUP. SIGTERM and SIGINT shut it down gracefully. It logs to standard error; docs/operations.md
+// describes the log lines.
 package main
 
 import (
@@ -21,19 +22,19 @@
 )
 
 const (
-	// configVar names the path of the configuration file.
+	// configVar is the environment variable that holds the path of the configuration file.
 	configVar = "BALANCER_CONFIG"
 
-	// logLevelVar names the minimum level of log lines, info by default. At debug each request's attempts, responses
-	// and end are logged with its id.
+	// logLevelVar is the environment variable that holds the minimum level of log lines; the default is info. At level
+	// debug, the attempts, the responses and the end of each request are logged with the request's id.
 	logLevelVar = "BALANCER_LOG_LEVEL"
 
-	// logFlushTimeout limits the wait for the last log lines to be written at the end.
+	// logFlushTimeout limits how long the exit of the process waits until the last log lines are written.
 	logFlushTimeout = 100 * time.Millisecond
 )
 
-// errNoConfig says that the environment names no configuration file.
-var errNoConfig = errors.New("environment: " + configVar + " is not set")
+// errNoConfig is the error of a start without the environment variable configVar.
+var errNoConfig = errors.New("environment variable " + configVar + " is not set")
 
 func main() {
 	if err := run(func(*config.Host) {}); err != nil {
@@ -42,23 +43,23 @@
 	}
 }
 
-// logLevel returns the minimum level of log lines that the environment sets.
+// logLevel returns the minimum level of log lines from the environment, or info if it is not set.
 func logLevel() (level slog.Level, err error) {
 	text := os.Getenv(logLevelVar)
 	if text == "" {
 		return slog.LevelInfo, nil
 	}
 	if err := level.UnmarshalText([]byte(text)); err != nil {
-		return level, fmt.Errorf("environment: %s: %w", logLevelVar, err)
+		return level, fmt.Errorf("environment variable %s: %w", logLevelVar, err)
 	}
 	return level, nil
 }
 
-// run runs a sidecar until a signal shuts it down. adjustHost may replace what the sidecar uses of its host, for tests
-// that inject faults.
+// run runs a sidecar until a signal shuts it down. adjustHost may replace fields of the config.Host before the sidecar
+// starts; tests use it to inject faults.
 func run(adjustHost func(*config.Host)) error {
-	// Unhandled, SIGHUP would end the process. It is caught before the file is read: a signal that comes meanwhile
-	// has the file read again.
+	// The default action of SIGHUP would end the process. Catch it before the file is read, so that a SIGHUP during the
+	// read makes the sidecar read the file again.
 	hangup := make(chan os.Signal, 1)
 	signal.Notify(hangup, syscall.SIGHUP)
 	path := os.Getenv(configVar)
@@ -76,10 +77,10 @@
 	if err != nil {
 		return err
 	}
-	// A log without a reader must neither block requests nor end the process.
+	// A log that nobody reads must neither block requests (asynclog drops lines) nor end the process (SIGPIPE).
 	signal.Ignore(syscall.SIGPIPE)
-	lines := asynclog.New(os.Stderr)
-	defer lines.Close(logFlushTimeout)
-	log := slog.New(slog.NewTextHandler(lines, &slog.HandlerOptions{Level: level})).With("sidecar", cfg.Name)
+	logWriter := asynclog.New(os.Stderr)
+	defer logWriter.Close(logFlushTimeout)
+	log := slog.New(slog.NewTextHandler(logWriter, &slog.HandlerOptions{Level: level})).With("sidecar", cfg.Name)
 	return sidecar.Run(ctx, cfg, config.ReloadOnSignal(path, hangup), log)
 }
--- a/cmd/sidecar/main_test.go
+++ b/cmd/sidecar/main_test.go
@@ -18,7 +18,7 @@
 	"oakproxy/internal/faults"
 )
 
-// TestMain lets the test binary stand in for the program.
+// TestMain runs the program instead of the tests if SIDECAR_TEST_RUN is set. Tests start the test binary that way.
 func TestMain(m *testing.M) {
 	if os.Getenv("SIDECAR_TEST_RUN") != "" {
 		if injection := os.Getenv(injectionVar); injection != "" {
@@ -30,10 +30,10 @@
 	os.Exit(m.Run())
 }
 
-// injectionVar names the path of the faults to inject into a program.
+// injectionVar is the environment variable that holds the path of the stored faults.Injection of a program.
 const injectionVar = "SIDECAR_TEST_INJECTION"
 
-// runWithInjection is main with faults of the disk and the wall clock, see faults.Inject.
+// runWithInjection does what main does, with injected faults of the disk and the wall clock. See faults.Inject.
 func runWithInjection(injection string) {
 	if err := run(func(host *config.Host) { faults.Inject(host, injection) }); err != nil {
 		fmt.Fprintln(os.Stderr, "sidecar:", err)
@@ -42,9 +42,9 @@
 	os.Exit(0)
 }
 
-// keepAliveReady reports whether the program that listens at an address is ready. Unlike readiness, it may reuse a
-// connection.
-func keepAliveReady(address string) bool {
+// isReadyKeepAlive reports whether the program that listens at an address is ready. Unlike readinessStatus, it may
+// reuse an open connection.
+func isReadyKeepAlive(address string) bool {
 	response, err := http.Get("http://" + address + "/health/ready")
 	if err != nil {
 		return false
@@ -53,6 +53,8 @@
 	return response.StatusCode == http.StatusOK
 }
 
+// Guards against an invalid or missing configuration that lets the program start, or ends it without telling the
+// operator which key is wrong. The program must exit with code 1 and one line that names the key.
 func TestInvalidConfigurationFailsWithOneLine(t *testing.T) {
 	valid := configJSON("127.0.0.1:0")
 	for name, c := range map[string]struct{ text, key string }{
@@ -77,12 +79,12 @@
 	}
 }
 
-// SIGHUP, whose default action is to end a process, reloads the file; an invalid file changes nothing. SIGTERM shuts
-// the program down, also when SIGHUP follows at once.
+// Guards against a SIGHUP that ends the program, which is the signal's default action. SIGHUP must reload the file, and
+// an invalid file must change nothing. SIGTERM must shut the program down gracefully even if SIGHUP follows at once.
 func TestSIGHUPReloadsAndSIGTERMShutsDown(t *testing.T) {
 	listen := freeAddress(t)
 	p := launch(t, command(t, configJSON(listen)))
-	ready := func() bool { return keepAliveReady(listen) }
+	ready := func() bool { return isReadyKeepAlive(listen) }
 	waitFor(t, "the program to be ready", ready)
 	p.replaceConfig("{")
 	p.signal(syscall.SIGHUP)
@@ -99,60 +101,62 @@
 	select {
 	case call := <-calls:
 		if call != "/registry/instances" {
-			t.Errorf("got first call %s to the new address, want /registry/instances", call)
+			t.Errorf("got first call %s at the new discovery address, want /registry/instances", call)
 		}
 	case <-time.After(20 * time.Second):
-		t.Fatal("got no call to the new address in 20 s")
+		t.Fatal("got no call at the new discovery address in 20 s, want one")
 	}
 	if !ready() {
-		t.Error("the program is not ready after SIGHUP")
+		t.Error("after SIGHUP: got a program that is not ready, want it ready")
 	}
 	p.signal(syscall.SIGTERM)
 	p.signal(syscall.SIGHUP)
 	if err := p.Wait(); err != nil {
-		t.Errorf("the program ended with %v, want exit code 0", err)
+		t.Errorf("got program exit error %v, want exit code 0", err)
 	}
 }
 
-// While the first process serves, a second one inherits the same socket and reports ready at its own admin address. It
-// serves alone after the first is shut down.
+// Guards against an interruption of service while one process replaces another on the same inherited socket. Both must
+// become ready at their own admin addresses, and the second must serve alone after the first is shut down.
 func TestHandOverOnPassedSocket(t *testing.T) {
 	socket := newPassedSocket(t)
 	http.DefaultTransport.(*http.Transport).CloseIdleConnections()
-	launch := func() *program { return socket.launch(t, configJSON("127.0.0.1:1")) } // the address is not listened at
-	clients := func() bool { return keepAliveReady(socket.address) }
+	// The listen address of the configuration is not used, because the socket is inherited.
+	launch := func() *program { return socket.launch(t, configJSON("127.0.0.1:1")) }
+	clientsReady := func() bool { return isReadyKeepAlive(socket.address) }
 	first := launch()
 	waitFor(t, "the first process to be ready", first.healthy)
-	waitFor(t, "readiness for clients", clients)
+	waitFor(t, "readiness for clients", clientsReady)
 	second := launch()
 	waitFor(t, "the second process to be ready", second.healthy)
 	first.terminate()
-	if !second.healthy() || !clients() {
-		t.Error("the second process does not serve alone")
+	if !second.healthy() || !clientsReady() {
+		t.Error("after the end of the first process: got a second process that is not ready, want it ready")
 	}
 	second.terminate()
 }
 
-// A second process that never becomes ready accepts no client's connection.
+// Guards against a process that accepts connections of clients before it is ready, and then rejects their requests. The
+// second process here knows no endpoint and so never becomes ready; the first must get every connection.
 func TestUnreadyProcessAcceptsNoClient(t *testing.T) {
 	socket := newPassedSocket(t)
 	first := socket.launch(t, configJSON("127.0.0.1:1"))
 	waitFor(t, "the first process to be ready", first.healthy)
 	config := configJSON("127.0.0.1:1")
 	from, to := strings.Index(config, `[{"host"`), strings.Index(config, `]},`)
-	second := socket.launch(t, config[:from+1]+config[to:]) // knows no endpoint
+	second := socket.launch(t, config[:from+1]+config[to:]) // the list of known endpoints is empty
 	waitFor(t, "the second process to answer", func() bool { return second.health() == http.StatusServiceUnavailable })
 	ended := make(chan error, 1)
 	for i := range 400 {
-		if i == 200 { // as in a rollback
+		if i == 200 { // a rollback ends the second process
 			second.signal(syscall.SIGTERM)
 			go func() { ended <- second.Wait() }()
 		}
-		if got := readiness(socket.address); got != http.StatusOK {
-			t.Fatalf("connection %d: got %d, want 200", i, got)
+		if got := readinessStatus(socket.address); got != http.StatusOK {
+			t.Fatalf("connection %d: got status %d, want 200", i, got)
 		}
 	}
 	if err := <-ended; err != nil {
-		t.Errorf("the second process ended with %v, want exit code 0", err)
+		t.Errorf("got exit error %v of the second process, want exit code 0", err)
 	}
 }
--- a/cmd/sidecar/program_test.go
+++ b/cmd/sidecar/program_test.go
@@ -18,7 +18,7 @@
 	"time"
 )
 
-// command returns a command that runs the program with a configuration file of this text.
+// command returns a command that runs the program with a configuration file that contains config.
 func command(t *testing.T, config string) *exec.Cmd {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "config.json")
@@ -30,7 +30,8 @@
 	return cmd
 }
 
-// freeAddress returns an address that was free a moment ago.
+// freeAddress returns a loopback address with a port that was free at the time of the call. Another process may take
+// it.
 func freeAddress(t *testing.T) string {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -41,7 +42,8 @@
 	return listener.Addr().String()
 }
 
-// configJSON returns a configuration with one class and one endpoint, which refuses connections.
+// configJSON returns a configuration that listens at listen. It has one class, and one endpoint that refuses
+// connections.
 func configJSON(listen string) string {
 	return fmt.Sprintf(`{"name":"n0","listen":%q,"discovery":"127.0.0.1:1","seed":"1f",
 "limits":{"cores":1,"memory_mb":192,"sockets":1024},
@@ -50,7 +52,7 @@
 "classes":[{"name":"read","repeat":"pure","target":600000,"give-up":1000000}]}}`, listen)
 }
 
-// logBuffer collects the output of a program.
+// logBuffer collects the log output of a program. It is safe for concurrent use.
 type logBuffer struct {
 	mu   sync.Mutex
 	text bytes.Buffer
@@ -75,21 +77,21 @@
 	return strings.Count(l.text.String(), text)
 }
 
-// waitFor waits until a condition holds. It fails the test, naming what it waited for, after 20 s.
+// waitFor waits until condition returns true. After 20 s it fails the test with a message that contains what.
 func waitFor(t *testing.T, what string, condition func() bool) {
 	t.Helper()
 	for deadline := time.Now().Add(20 * time.Second); !condition(); time.Sleep(5 * time.Millisecond) {
 		if time.Now().After(deadline) {
-			t.Fatalf("timed out waiting for: %s", what)
+			t.Fatalf("waited 20 s for %s, want it earlier", what)
 		}
 	}
 }
 
-// passedSocket is a listening socket that the processes of one sidecar inherit, and the directory that they share.
+// passedSocket is a listening socket that the processes of one sidecar inherit.
 type passedSocket struct {
-	address string
-	file    *os.File
-	folder  string
+	address string   // address that the socket listens at
+	file    *os.File // descriptor to pass to the processes
+	folder  string   // directory that the processes share
 }
 
 func newPassedSocket(t *testing.T) *passedSocket {
@@ -107,7 +109,7 @@
 	return &passedSocket{listener.Addr().String(), file, t.TempDir()}
 }
 
-// launch starts a process on the socket, with further variables in its environment.
+// launch starts a process that inherits the socket. env holds additional environment variables as "name=value".
 func (s *passedSocket) launch(t *testing.T, config string, env ...string) *program {
 	t.Helper()
 	admin := freeAddress(t)
@@ -120,8 +122,8 @@
 	return p
 }
 
-// statusOf makes a GET call on a connection of its own and returns the status; 0 means no response.
-func statusOf(url string) int {
+// getStatus sends a GET request on a new connection and returns the status of the response; 0 means no response.
+func getStatus(url string) int {
 	client := http.Client{Transport: &http.Transport{DisableKeepAlives: true}}
 	response, err := client.Get(url)
 	if err != nil {
@@ -131,16 +133,17 @@
 	return response.StatusCode
 }
 
-// readiness returns the status that clients at an address get for the program's readiness; 0 means no response.
-func readiness(address string) int { return statusOf("http://" + address + "/health/ready") }
+// readinessStatus returns the status of the readiness check for clients at an address; 0 means no response.
+func readinessStatus(address string) int { return getStatus("http://" + address + "/health/ready") }
 
 // awaitReady waits until the program that listens at an address is ready.
 func awaitReady(t *testing.T, address string) {
 	t.Helper()
-	waitFor(t, "the program to be ready", func() bool { return readiness(address) == http.StatusOK })
+	waitFor(t, "the program to be ready", func() bool { return readinessStatus(address) == http.StatusOK })
 }
 
-// withEndpoint starts an endpoint that answers 200 and names it in a configuration.
+// withEndpoint starts an endpoint that responds with status 200. It returns the configuration text with the address of
+// that endpoint in place of the one that refuses connections.
 func withEndpoint(t *testing.T, text string) string {
 	t.Helper()
 	endpoint := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
@@ -150,15 +153,17 @@
 	return strings.Replace(text, `"dial":"127.0.0.1:1"`, fmt.Sprintf(`"dial":%q`, endpoint.Listener.Addr()), 1)
 }
 
-// withSearchClass adds the class "search" to a configuration.
+// withSearchClass returns the configuration text with the additional class "search".
 func withSearchClass(text string) string {
 	return strings.Replace(text, `"classes":[`,
 		`"classes":[{"name":"search","repeat":"pure","target":600000,"give-up":1000000},`, 1)
 }
 
+// lastRequestID is the number in the latest request id of this test process.
 var lastRequestID atomic.Int32
 
-// requestStatus sends a request of a class and returns the status of its response; 0 means no response.
+// requestStatus sends a request of a class on a new connection and returns the status of the response; 0 means no
+// response.
 func requestStatus(t *testing.T, address, class string) int {
 	t.Helper()
 	r, err := http.NewRequest(http.MethodGet, "http://"+address+"/"+class, nil)
@@ -177,16 +182,16 @@
 	return response.StatusCode
 }
 
-// program is a running sidecar.
+// program is a running process of the sidecar program.
 type program struct {
 	*exec.Cmd
 	t          *testing.T
 	configPath string
-	admin      string // admin address; empty unless a passedSocket launched it
+	admin      string // admin address; empty unless passedSocket.launch started the program
 	log        *logBuffer
 }
 
-// launch starts a program, which the end of the test kills unless it has exited.
+// launch starts a program. The end of the test kills it if it is still running.
 func launch(t *testing.T, cmd *exec.Cmd) *program {
 	t.Helper()
 	p := &program{Cmd: cmd, t: t, log: &logBuffer{}}
@@ -206,8 +211,8 @@
 	return p
 }
 
-// health returns the status of the program's health check; 0 means no response.
-func (p *program) health() int { return statusOf("http://" + p.admin + "/admin/health") }
+// health returns the status of the health check at the program's admin address; 0 means no response.
+func (p *program) health() int { return getStatus("http://" + p.admin + "/admin/health") }
 
 func (p *program) healthy() bool { return p.health() == http.StatusOK }
 
@@ -235,6 +240,6 @@
 	p.t.Helper()
 	p.signal(syscall.SIGTERM)
 	if err := p.Wait(); err != nil {
-		p.t.Errorf("the program ended with %v, want exit code 0", err)
+		p.t.Errorf("got program exit error %v, want exit code 0", err)
 	}
 }
--- a/cmd/sidecar/reload_test.go
+++ b/cmd/sidecar/reload_test.go
@@ -9,14 +9,15 @@
 	"testing"
 )
 
-// A class that is added to the file is served after SIGHUP. A truncated file changes nothing.
+// Guards against a reload that does not take effect, drops the previous classes, or applies a truncated file. Requests
+// of a class that was added to the file must be served after SIGHUP.
 func TestReloadAddsClass(t *testing.T) {
 	listen := freeAddress(t)
 	text := withEndpoint(t, configJSON(listen))
 	p := launch(t, command(t, text))
 	awaitReady(t, listen)
 	if n := p.log.count("generation=1"); n != 1 || requestStatus(t, listen, "search") != http.StatusBadRequest {
-		t.Errorf("got %d log lines on generation 1, want 1, and 400 for the class that is not configured", n)
+		t.Errorf("got %d log lines about generation 1, or not status 400 for the unconfigured class, want 1 line and 400", n)
 	}
 	p.replaceConfig(withSearchClass(text)[:300])
 	p.signal(syscall.SIGHUP)
@@ -25,15 +26,16 @@
 	p.signal(syscall.SIGHUP)
 	waitFor(t, "the reload", func() bool { return p.log.count("generation=2") == 1 })
 	if got := requestStatus(t, listen, "search"); got != http.StatusOK {
-		t.Errorf("the new class: got %d, want 200", got)
+		t.Errorf("request of the new class: got status %d, want 200", got)
 	}
 	if got := requestStatus(t, listen, "read"); got != http.StatusOK {
-		t.Errorf("the previous class: got %d, want 200", got)
+		t.Errorf("request of the previous class: got status %d, want 200", got)
 	}
 	p.terminate()
 }
 
-// After a SIGHUP during startup the file is read again once startup is complete.
+// Guards against losing a SIGHUP that arrives while the program reads its configuration file for the first time. The
+// file changes in that moment, so the program must read it again once startup is complete.
 func TestSIGHUPDuringStartup(t *testing.T) {
 	listen := freeAddress(t)
 	text := withEndpoint(t, configJSON(listen))
@@ -44,7 +46,7 @@
 	}
 	cmd.Env = append(cmd.Env, "BALANCER_CONFIG="+path)
 	p := launch(t, cmd)
-	pipe, err := os.OpenFile(path, os.O_WRONLY, 0) // returns when the program has begun to read
+	pipe, err := os.OpenFile(path, os.O_WRONLY, 0) // returns when the program has opened the pipe for reading
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -57,7 +59,8 @@
 	p.terminate()
 }
 
-// During a hand-over both processes reload the file, and no client is served by the previous configuration.
+// Guards against a process that misses a reload during a hand-over and serves clients by the previous configuration.
+// Both processes must reload the file.
 func TestSIGHUPDuringHandOver(t *testing.T) {
 	socket, text := newPassedSocket(t), withEndpoint(t, configJSON("127.0.0.1:1"))
 	start := func() *program {
@@ -77,7 +80,7 @@
 			first.terminate()
 		}
 		if got := requestStatus(t, socket.address, "search"); got != http.StatusOK {
-			t.Fatalf("request %d of the new class: got %d, want 200", i, got)
+			t.Fatalf("request %d of the new class: got status %d, want 200", i, got)
 		}
 	}
 	second.terminate()
--- a/cmd/sidecar/termination_test.go
+++ b/cmd/sidecar/termination_test.go
@@ -13,11 +13,11 @@
 	"time"
 )
 
-// hangingEndpoint accepts requests, records their ids and never responds.
+// hangingEndpoint is an endpoint that reads requests, records their ids and never responds.
 type hangingEndpoint struct {
 	address string
 
-	mu  sync.Mutex
+	mu  sync.Mutex // guards ids
 	ids map[string]bool
 }
 
@@ -36,14 +36,16 @@
 	})
 }
 
+// received reports whether the endpoint has read a complete request with the given id.
 func (e *hangingEndpoint) received(id string) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.ids[id]
 }
 
-// terminationConfig returns a configuration with a number of endpoints at one address and two classes, whose longest
-// deadline is 0.7 s. With one endpoint per request, no request is rejected because others time out.
+// terminationConfig returns a configuration that listens at listen. It has the given number of endpoints, all at the
+// address endpoint, and two classes, whose longest deadline is 0.7 s. If a test has at least one endpoint per request,
+// no request is rejected because other requests time out.
 func terminationConfig(listen, endpoint string, endpoints int) string {
 	hosts := make([]string, endpoints)
 	for i := range hosts {
@@ -57,12 +59,12 @@
 			`{"name":"order","repeat":"side_effect","target":300000,"give-up":700000}]`, 1)
 }
 
-// lateRequest is a request that is sent on an idle connection some time after SIGTERM.
+// lateRequest is a request that is sent on an idle connection after SIGTERM, with a delay.
 type lateRequest struct {
 	id, method, class string
-	after, timeLeft   time.Duration
+	delay, timeLeft   time.Duration
 	conn              net.Conn
-	in                *bufio.Reader
+	reader            *bufio.Reader
 }
 
 func (r *lateRequest) write() error {
@@ -71,9 +73,9 @@
 	return err
 }
 
-// answered reads the response and reports whether it is complete.
-func (r *lateRequest) answered() bool {
-	response, err := http.ReadResponse(r.in, nil)
+// readResponse reads the response and reports whether it arrived completely.
+func (r *lateRequest) readResponse() bool {
+	response, err := http.ReadResponse(r.reader, nil)
 	if err != nil {
 		return false
 	}
@@ -81,18 +83,19 @@
 	return err == nil
 }
 
-// A request that the process forwards after SIGTERM gets a complete response before the process exits, whenever it
-// arrives on its open connection and however long its endpoint stays silent.
+// Guards against a process that exits after SIGTERM before a request that it forwarded has a complete response. This
+// could happen if the request arrives late on an open connection, or if its endpoint does not respond before the
+// deadline.
 func TestShutdownAnswersForwardedRequests(t *testing.T) {
 	const (
-		step = 50 * time.Millisecond
-		last = 1400 * time.Millisecond // SIGKILL follows 0.7 s after the longest deadline
+		step     = 50 * time.Millisecond
+		maxDelay = 1400 * time.Millisecond // 1.4 s = 0.7 s, the longest deadline, + 0.7 s, after which SIGKILL follows
 	)
 	endpoint, listen := newHangingEndpoint(t), freeAddress(t)
 	p := launch(t, command(t, terminationConfig(listen, endpoint.address, 100)))
 	awaitReady(t, listen)
 	var requests []*lateRequest
-	for after := time.Duration(0); after <= last; after += step {
+	for delay := time.Duration(0); delay <= maxDelay; delay += step {
 		for _, r := range []*lateRequest{
 			{method: http.MethodGet, class: "read", timeLeft: 210 * time.Millisecond},
 			{method: http.MethodPost, class: "order", timeLeft: 700 * time.Millisecond},
@@ -103,8 +106,8 @@
 			}
 			t.Cleanup(func() { conn.Close() })
 			conn.SetDeadline(time.Now().Add(20 * time.Second))
-			r.id, r.after = fmt.Sprintf("late-%s-%d", r.class, after.Milliseconds()), after
-			r.conn, r.in = conn, bufio.NewReader(conn)
+			r.id, r.delay = fmt.Sprintf("late-%s-%d", r.class, delay.Milliseconds()), delay
+			r.conn, r.reader = conn, bufio.NewReader(conn)
 			requests = append(requests, r)
 		}
 	}
@@ -114,23 +117,24 @@
 	var pending sync.WaitGroup
 	for _, r := range requests {
 		pending.Add(1)
-		time.AfterFunc(r.after, func() {
+		time.AfterFunc(r.delay, func() {
 			defer pending.Done()
-			if r.write() == nil && !r.answered() && endpoint.received(r.id) {
-				t.Errorf("%s, %v after SIGTERM: forwarded, got no complete response", r.id, r.after)
+			if r.write() == nil && !r.readResponse() && endpoint.received(r.id) {
+				t.Errorf("%s, sent %v after SIGTERM and forwarded: got no complete response, want one", r.id, r.delay)
 			}
 		})
 	}
 	pending.Wait()
 	if err := p.Wait(); err != nil {
-		t.Errorf("the program ended with %v, want exit code 0", err)
+		t.Errorf("got program exit error %v, want exit code 0", err)
 	}
 	if n := p.log.count("request aborted by shutdown"); n > 0 {
 		t.Errorf("got %d requests aborted by shutdown, want none", n)
 	}
 }
 
-// A process that gets SIGTERM during startup exits, without error if it already handles the signal.
+// Guards against a process that ignores SIGTERM during startup, or exits with an error because of it. Until the process
+// handles the signal, SIGTERM may kill it.
 func TestSIGTERMDuringStartup(t *testing.T) {
 	endpoint := newHangingEndpoint(t)
 	for delay := time.Duration(0); delay < 60*time.Millisecond; delay += 3 * time.Millisecond {
@@ -143,13 +147,13 @@
 			go func() { ended <- p.Wait() }()
 			select {
 			case err := <-ended:
-				// A program that does not handle the signal yet is killed by it.
+				// SIGTERM kills a program that does not handle it yet.
 				status := p.ProcessState.Sys().(syscall.WaitStatus)
 				if err != nil && status.Signal() != syscall.SIGTERM {
-					t.Errorf("the program ended with %v, want no error or SIGTERM", err)
+					t.Errorf("got program exit error %v, want none, or death by SIGTERM", err)
 				}
 			case <-time.After(20 * time.Second):
-				t.Fatal("the process did not exit in 20 s")
+				t.Fatal("got no exit of the process in 20 s after SIGTERM, want one")
 			}
 		})
 	}
--- a/cmd/sidecar/traffic_test.go
+++ b/cmd/sidecar/traffic_test.go
@@ -17,35 +17,36 @@
 	"oakproxy/internal/faults"
 )
 
-// arrival records the complete requests with one id at the endpoints.
-type arrival struct {
-	count    int           // of complete requests
-	timeLeft time.Duration // as the latest request states it
-	at       time.Time
+// arrivalRecord describes the complete requests with one id that the endpoints received.
+type arrivalRecord struct {
+	count    int           // number of complete requests
+	timeLeft time.Duration // value of X-Time-Left-Ms in the latest request
+	at       time.Time     // arrival of the latest request
 }
 
-// ledger records the requests that the endpoints of a test received, by X-Correlation-Id.
-type ledger struct {
+// requestRecorder records the requests that the endpoints of a test received, by their X-Correlation-Id.
+type requestRecorder struct {
 	mu       sync.Mutex
-	arrivals map[string]arrival
+	arrivals map[string]arrivalRecord
 }
 
-func (l *ledger) record(r *http.Request) {
+func (recorder *requestRecorder) record(r *http.Request) {
 	ms, _ := strconv.Atoi(r.Header.Get("X-Time-Left-Ms"))
 	id := r.Header.Get("X-Correlation-Id")
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	a := l.arrivals[id]
-	l.arrivals[id] = arrival{a.count + 1, time.Duration(ms) * time.Millisecond, time.Now()}
+	recorder.mu.Lock()
+	defer recorder.mu.Unlock()
+	a := recorder.arrivals[id]
+	recorder.arrivals[id] = arrivalRecord{a.count + 1, time.Duration(ms) * time.Millisecond, time.Now()}
 }
 
-func (l *ledger) of(id string) arrival {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	return l.arrivals[id]
+func (recorder *requestRecorder) lookup(id string) arrivalRecord {
+	recorder.mu.Lock()
+	defer recorder.mu.Unlock()
+	return recorder.arrivals[id]
 }
 
-// serveConnections listens at a free address until the test ends, and serves each connection on its own goroutine.
+// serveConnections listens at a free address until the test ends, and calls serve for each connection in its own
+// goroutine.
 func serveConnections(t *testing.T, serve func(net.Conn)) (address string) {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -65,15 +66,16 @@
 	return listener.Addr().String()
 }
 
-// newEndpoint starts an endpoint that serves a request in up to 40 ms and never answers one in thirty.
-func newEndpoint(t *testing.T, l *ledger) (address string) {
+// newEndpoint starts an endpoint that responds to a request within 40 ms, but never responds to one in thirty. The
+// response body is the id of the request.
+func newEndpoint(t *testing.T, recorder *requestRecorder) (address string) {
 	t.Helper()
-	return serveConnections(t, func(conn net.Conn) { serveEndpoint(conn, l) })
+	return serveConnections(t, func(conn net.Conn) { serveEndpoint(conn, recorder) })
 }
 
-func serveEndpoint(conn net.Conn, l *ledger) {
+func serveEndpoint(conn net.Conn, recorder *requestRecorder) {
 	readRequests(conn, func(r *http.Request) {
-		l.record(r)
+		recorder.record(r)
 		id, hash := r.Header.Get("X-Correlation-Id"), fnv.New32a()
 		io.WriteString(hash, id)
 		if hash.Sum32()%30 == 0 {
@@ -84,12 +86,13 @@
 	})
 }
 
-// readRequests calls handle for each complete request of a connection until the connection ends, and closes it.
+// readRequests calls handle for each complete request on a connection. When the connection ends or a read fails, it
+// closes the connection and returns.
 func readRequests(conn net.Conn, handle func(*http.Request)) {
 	defer conn.Close()
-	in := bufio.NewReader(conn)
+	reader := bufio.NewReader(conn)
 	for {
-		r, err := http.ReadRequest(in)
+		r, err := http.ReadRequest(reader)
 		if err != nil {
 			return
 		}
@@ -100,7 +103,8 @@
 	}
 }
 
-// newFaultProxy starts a proxy before an endpoint that delays, drops, resets or truncates some connections.
+// newFaultProxy starts a proxy in front of the endpoint at the address to. The proxy delays, drops, resets, truncates
+// or splits into small chunks some of the connections.
 func newFaultProxy(t *testing.T, to string) (address string) {
 	t.Helper()
 	proxy, err := faults.NewProxy(to, func(connection int) faults.ConnFault {
@@ -127,80 +131,83 @@
 	return proxy.Address()
 }
 
-// traffic runs the clients of a test and records the results of their requests.
+// traffic runs the clients of a test, and records the results of their requests.
 type traffic struct {
-	address  string
-	ledger   *ledger
-	stopping chan struct{}
+	address  string           // address of the sidecar
+	recorder *requestRecorder // records the requests that reach endpoints
+	stopping chan struct{}    // closed to stop the clients
 	clients  sync.WaitGroup
 
-	answered, served atomic.Int64
-	mu               sync.Mutex
-	violations       []string
+	answered, served atomic.Int64         // requests with a response, and those of them with status 200
+	mu               sync.Mutex           // guards the fields below
+	violations       []string             // messages, which check reports
 	unanswered       []string             // ids of requests whose connection ended without a response
 	abandoned        map[string]time.Time // when clients abandoned requests, by id
 }
 
+// trafficTimeLeft is the remaining time that each request states in X-Time-Left-Ms.
 const trafficTimeLeft = 700 * time.Millisecond
 
-// maxLateArrival limits how long after its client has abandoned it a request may arrive at an endpoint: 0.1 s until the
-// attempt starts, 0.1 s on the slowest connection, and slack for a busy machine.
+// maxLateArrival limits the time from the moment when a client abandons a request to the request's arrival at an
+// endpoint. It allows 0.1 s until the attempt starts, 0.1 s on the slowest connection, and 0.3 s for a busy machine.
 const maxLateArrival = 500 * time.Millisecond
 
-// startTraffic starts clients that each keep a connection and send one request after another.
-func startTraffic(address string, l *ledger, clients int) *traffic {
-	f := &traffic{address: address, ledger: l, stopping: make(chan struct{}), abandoned: map[string]time.Time{}}
+// startTraffic starts the given number of clients. Each keeps one connection open and sends one request after another.
+func startTraffic(address string, recorder *requestRecorder, clients int) *traffic {
+	tr := &traffic{address: address, recorder: recorder, stopping: make(chan struct{}), abandoned: map[string]time.Time{}}
 	for i := range clients {
-		f.clients.Add(1)
-		go f.client(i)
+		tr.clients.Add(1)
+		go tr.client(i)
 	}
-	return f
+	return tr
 }
 
-// stop ends the clients, each after its request in flight.
-func (f *traffic) stop() {
-	close(f.stopping)
-	f.clients.Wait()
+// stop stops the clients, and waits until each has finished its current request.
+func (tr *traffic) stop() {
+	close(tr.stopping)
+	tr.clients.Wait()
 }
 
-func (f *traffic) stopped() bool {
+// stopped reports whether stop was called.
+func (tr *traffic) stopped() bool {
 	select {
-	case <-f.stopping:
+	case <-tr.stopping:
 		return true
 	default:
 		return false
 	}
 }
 
-// violation records a violation, which check reports.
-func (f *traffic) violation(format string, args ...any) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	f.violations = append(f.violations, fmt.Sprintf(format, args...))
+// addViolation records a violation for check to report.
+func (tr *traffic) addViolation(format string, args ...any) {
+	tr.mu.Lock()
+	defer tr.mu.Unlock()
+	tr.violations = append(tr.violations, fmt.Sprintf(format, args...))
 }
 
-// client alternates between requests of both classes. It regularly abandons a request or pauses.
-func (f *traffic) client(number int) {
-	defer f.clients.Done()
+// client sends requests until stop is called, alternating between the classes read and order. It abandons every 17th
+// request, and pauses after some of the others.
+func (tr *traffic) client(clientNumber int) {
+	defer tr.clients.Done()
 	var conn net.Conn
-	var in *bufio.Reader
-	for i := 0; !f.stopped(); i++ {
+	var reader *bufio.Reader
+	for i := 0; !tr.stopped(); i++ {
 		if conn == nil {
 			var err error
-			if conn, err = net.DialTimeout("tcp", f.address, 5*time.Second); err != nil {
+			if conn, err = net.DialTimeout("tcp", tr.address, 5*time.Second); err != nil {
 				conn = nil
 				time.Sleep(5 * time.Millisecond)
 				continue
 			}
-			in = bufio.NewReader(conn)
+			reader = bufio.NewReader(conn)
 		}
-		id := fmt.Sprintf("t%d-%d-%d", lastRequestID.Add(1), number, i)
+		id := fmt.Sprintf("t%d-%d-%d", lastRequestID.Add(1), clientNumber, i)
 		if i%17 == 16 {
-			f.abandon(conn, id)
+			tr.abandon(conn, id)
 			conn = nil
 			continue
 		}
-		if !f.roundTrip(conn, in, id, i) {
+		if !tr.roundTrip(conn, reader, id, i) {
 			conn.Close()
 			conn = nil
 		}
@@ -213,8 +220,8 @@
 	}
 }
 
-// writeRequest writes a request of class order or, if it is idempotent, of class read.
-func (f *traffic) writeRequest(conn net.Conn, id string, nonIdempotent bool) error {
+// writeRequest writes a request of class order if nonIdempotent, and otherwise one of class read.
+func (tr *traffic) writeRequest(conn net.Conn, id string, nonIdempotent bool) error {
 	method, class := http.MethodGet, "read"
 	if nonIdempotent {
 		method, class = http.MethodPost, "order"
@@ -224,84 +231,87 @@
 	return err
 }
 
-// abandon writes a request and closes the connection.
-func (f *traffic) abandon(conn net.Conn, id string) {
-	f.writeRequest(conn, id, true)
+// abandon writes a request of class order and closes the connection without waiting for the response.
+func (tr *traffic) abandon(conn net.Conn, id string) {
+	tr.writeRequest(conn, id, true)
 	conn.Close()
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	f.abandoned[id] = time.Now()
+	tr.mu.Lock()
+	defer tr.mu.Unlock()
+	tr.abandoned[id] = time.Now()
 }
 
-// roundTrip sends one request and reports whether its connection may be used again.
-func (f *traffic) roundTrip(conn net.Conn, in *bufio.Reader, id string, i int) bool {
+// roundTrip sends request number i of a client and checks its response. It reports whether the connection may be used
+// again.
+func (tr *traffic) roundTrip(conn net.Conn, reader *bufio.Reader, id string, i int) bool {
 	nonIdempotent := i%2 == 1
 	conn.SetDeadline(time.Now().Add(20 * time.Second))
 	var response *http.Response
-	err := f.writeRequest(conn, id, nonIdempotent)
+	err := tr.writeRequest(conn, id, nonIdempotent)
 	if err == nil {
-		response, err = http.ReadResponse(in, nil)
+		response, err = http.ReadResponse(reader, nil)
 	}
 	if err != nil {
-		f.recordUnanswered(id, err)
+		tr.recordUnanswered(id, err)
 		return false
 	}
 	body, err := io.ReadAll(response.Body)
 	switch {
 	case err != nil:
-		f.violation("%s: truncated response %d: %v", id, response.StatusCode, err)
+		tr.addViolation("%s: got a truncated response with status %d (%v), want a complete one",
+			id, response.StatusCode, err)
 	case response.StatusCode == http.StatusOK && string(body) != id:
-		f.violation("%s: got the response to another request, %q", id, body)
-	case nonIdempotent && f.ledger.of(id).count > 1:
-		f.violation("%s: not idempotent, and run %d times", id, f.ledger.of(id).count)
-	case response.StatusCode == http.StatusServiceUnavailable && nonIdempotent && f.ledger.of(id).count > 0:
-		f.violation("%s: not idempotent, run, and rejected as if it had not run", id)
+		tr.addViolation("%s: got body %q, want the id of the request", id, body)
+	case nonIdempotent && tr.recorder.lookup(id).count > 1:
+		tr.addViolation("%s: got %d runs of a non-idempotent request, want at most 1", id, tr.recorder.lookup(id).count)
+	case response.StatusCode == http.StatusServiceUnavailable && nonIdempotent && tr.recorder.lookup(id).count > 0:
+		tr.addViolation("%s: got status 503 for a non-idempotent request that had run, want another status", id)
 	}
-	f.answered.Add(1)
+	tr.answered.Add(1)
 	if response.StatusCode == http.StatusOK {
-		f.served.Add(1)
+		tr.served.Add(1)
 	}
 	return err == nil && !response.Close
 }
 
-// recordUnanswered records a request whose connection ended without a response. A request may cross the end of an idle
-// connection; one that the sidecar forwarded may not.
-func (f *traffic) recordUnanswered(id string, err error) {
-	var timeout net.Error
-	if errors.As(err, &timeout) && timeout.Timeout() {
-		f.violation("%s: no response in 20 s", id)
+// recordUnanswered records a request whose connection ended without a response. That is allowed if the sidecar closed
+// the idle connection while the request was on its way, but not if the sidecar forwarded the request.
+func (tr *traffic) recordUnanswered(id string, err error) {
+	var netErr net.Error
+	if errors.As(err, &netErr) && netErr.Timeout() {
+		tr.addViolation("%s: got no response in 20 s, want one", id)
 	}
-	f.mu.Lock()
-	f.unanswered = append(f.unanswered, id)
-	f.mu.Unlock()
+	tr.mu.Lock()
+	tr.unanswered = append(tr.unanswered, id)
+	tr.mu.Unlock()
 }
 
-// check reports violations. maxUnanswered limits the requests that crossed the end of a connection.
-func (f *traffic) check(t *testing.T, maxUnanswered int) {
+// check fails the test if there were violations. maxUnanswered limits the requests whose connection ended without a
+// response.
+func (tr *traffic) check(t *testing.T, maxUnanswered int) {
 	t.Helper()
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	for _, violation := range f.violations {
+	tr.mu.Lock()
+	defer tr.mu.Unlock()
+	for _, violation := range tr.violations {
 		t.Error(violation)
 	}
-	for _, id := range f.unanswered {
-		if n := f.ledger.of(id).count; n > 0 {
-			t.Errorf("%s: forwarded %d times, got no response", id, n)
+	for _, id := range tr.unanswered {
+		if n := tr.recorder.lookup(id).count; n > 0 {
+			t.Errorf("%s: forwarded %d times, got no response, want one", id, n)
 		}
 	}
-	for id, at := range f.abandoned {
-		if a := f.ledger.of(id); a.count > 0 && a.at.After(at.Add(maxLateArrival)) {
-			t.Errorf("%s: forwarded %v after its client had abandoned it, want at most %v",
+	for id, at := range tr.abandoned {
+		if a := tr.recorder.lookup(id); a.count > 0 && a.at.After(at.Add(maxLateArrival)) {
+			t.Errorf("%s: arrived at an endpoint %v after its client abandoned it, want at most %v",
 				id, a.at.Sub(at), maxLateArrival)
 		}
 	}
-	if len(f.unanswered) > maxUnanswered {
-		t.Errorf("got %d connections that ended under requests, want at most %d: %v",
-			len(f.unanswered), maxUnanswered, f.unanswered)
+	if len(tr.unanswered) > maxUnanswered {
+		t.Errorf("got %d requests whose connection ended without a response, want at most %d: %v",
+			len(tr.unanswered), maxUnanswered, tr.unanswered)
 	}
-	if f.served.Load() == 0 {
-		t.Error("got no served request, want some")
+	if tr.served.Load() == 0 {
+		t.Error("got 0 served requests, want at least 1")
 	}
-	t.Logf("%d answered, %d of them served, %d on connections that ended",
-		f.answered.Load(), f.served.Load(), len(f.unanswered))
+	t.Logf("%d requests answered, %d of them served, %d unanswered",
+		tr.answered.Load(), tr.served.Load(), len(tr.unanswered))
 }
--- a/internal/faults/inject.go
+++ b/internal/faults/inject.go
@@ -12,10 +12,10 @@
 	"oakproxy/internal/system"
 )
 
-// FileOperation names an operation of system.FileOps.
+// FileOperation is the name of an operation of system.FileOps.
 type FileOperation string
 
-// The operations on files that can be made to fail.
+// The file operations that an Injection can make fail.
 const (
 	Read   FileOperation = "read"
 	Write  FileOperation = "write"
@@ -23,15 +23,17 @@
 	Rename FileOperation = "rename"
 )
 
-// Injection is the set of faults that a test injects into the disk and the wall clock of a process. The zero Injection
-// injects none. The test stores it in a file that the process reads at each call, see Inject.
+// Injection is the set of faults that a test injects into the file operations and the wall clock of a process. The zero
+// Injection injects none. The test stores it in a file, which the process reads at each file operation and at each
+// reading of the wall clock; see Inject.
 type Injection struct {
-	WallClockStep time.Duration // added to the wall clock; may be negative
-	FailOperation FileOperation // that fails; none if empty
-	Errno         syscall.Errno // with which it fails
+	WallClockStep time.Duration // duration added to the wall clock; may be negative
+	FailOperation FileOperation // operation that fails; none if empty
+	Errno         syscall.Errno // error of the operation that fails
 }
 
-// Store puts an injection in force: every call of the process that comes after Store obeys it.
+// Store writes the injection to path. It applies to every file operation and reading of the wall clock that the process
+// starts after Store has returned.
 func (i Injection) Store(path string) error {
 	text, err := json.Marshal(i)
 	if err != nil {
@@ -47,7 +49,7 @@
 	return nil
 }
 
-// loadInjection reads the injection in force. Without a readable one there is none.
+// loadInjection reads the injection stored at path. It returns the zero Injection if the file is missing or invalid.
 func loadInjection(path string) Injection {
 	var i Injection
 	text, err := os.ReadFile(path)
@@ -57,21 +59,21 @@
 	return i
 }
 
-// Inject replaces the file operations and the wall clock of a host by ones that obey the injection stored at path.
+// Inject replaces the file operations and the wall clock of host. The replacements apply the injection stored at path.
 func Inject(host *config.Host, path string) {
 	files := &faultyFiles{injection: path, native: system.FileOps{}.OrSystem()}
 	host.Files = system.FileOps{Read: files.read, Write: files.write, Sync: files.sync, Rename: files.rename}
 	host.Time.Wall = func() time.Time { return time.Now().Add(loadInjection(path).WallClockStep) }
 }
 
-// faultyFiles are file operations of which one may fail.
+// faultyFiles provides file operations, of which the injection in effect may make one fail.
 type faultyFiles struct {
-	injection string // path of the injection in force
-	native    system.FileOps
+	injection string         // path of the stored injection
+	native    system.FileOps // operations of the operating system
 }
 
-// fail returns the error of an operation on a file, if one is injected.
-func (f *faultyFiles) fail(operation FileOperation, path string) error {
+// injectedError returns the error that is injected into operation, or nil. path is the file named in the error.
+func (f *faultyFiles) injectedError(operation FileOperation, path string) error {
 	if i := loadInjection(f.injection); i.FailOperation == operation {
 		return &os.PathError{Op: string(operation), Path: path, Err: i.Errno}
 	}
@@ -79,15 +81,15 @@
 }
 
 func (f *faultyFiles) read(file *os.File, maxBytes int64) ([]byte, error) {
-	if err := f.fail(Read, file.Name()); err != nil {
+	if err := f.injectedError(Read, file.Name()); err != nil {
 		return nil, err
 	}
 	return f.native.Read(file, maxBytes)
 }
 
-// write writes the first half of the text before it fails, as a disk does that runs full.
+// write writes the first half of text before an injected failure, as on a disk that becomes full.
 func (f *faultyFiles) write(file *os.File, text []byte) error {
-	if err := f.fail(Write, file.Name()); err != nil {
+	if err := f.injectedError(Write, file.Name()); err != nil {
 		if writeErr := f.native.Write(file, text[:len(text)/2]); writeErr != nil {
 			return errors.Join(err, writeErr)
 		}
@@ -97,14 +99,14 @@
 }
 
 func (f *faultyFiles) sync(file *os.File) error {
-	if err := f.fail(Sync, file.Name()); err != nil {
+	if err := f.injectedError(Sync, file.Name()); err != nil {
 		return err
 	}
 	return f.native.Sync(file)
 }
 
 func (f *faultyFiles) rename(from, to string) error {
-	if err := f.fail(Rename, from); err != nil {
+	if err := f.injectedError(Rename, from); err != nil {
 		return err
 	}
 	return f.native.Rename(from, to)
--- a/internal/faults/process.go
+++ b/internal/faults/process.go
@@ -8,7 +8,7 @@
 	"unsafe"
 )
 
-// Pause stops a process for a duration, as a machine does that has no processor time for it.
+// Pause stops a process for a duration, as if a busy machine gave it no processor time.
 func Pause(process *os.Process, duration time.Duration) error {
 	if err := process.Signal(syscall.SIGSTOP); err != nil {
 		return fmt.Errorf("stop process %d: %w", process.Pid, err)
@@ -20,10 +20,10 @@
 	return nil
 }
 
-const rlimitNoFile = 7 // Linux's RLIMIT_NOFILE
+const rlimitNoFile = 7 // RLIMIT_NOFILE on Linux
 
-// LimitDescriptors sets the limit on open descriptors of a process and returns the limit before. While the process has
-// more of them open, accept and socket fail with EMFILE.
+// LimitDescriptors sets the soft limit on the file descriptors of a process, and returns the previous limit. While the
+// process has that many or more open, accept and socket fail with EMFILE.
 func LimitDescriptors(process *os.Process, limit uint64) (previous uint64, err error) {
 	var old syscall.Rlimit
 	if err := prlimit(process.Pid, nil, &old); err != nil {
@@ -35,7 +35,7 @@
 	return old.Cur, nil
 }
 
-// prlimit sets and reads RLIMIT_NOFILE of a process; next and old may be nil.
+// prlimit stores the RLIMIT_NOFILE of a process in old and sets it to next. It skips an argument that is nil.
 func prlimit(pid int, next, old *syscall.Rlimit) error {
 	_, _, errno := syscall.RawSyscall6(syscall.SYS_PRLIMIT64, uintptr(pid), rlimitNoFile,
 		uintptr(unsafe.Pointer(next)), uintptr(unsafe.Pointer(old)), 0, 0)
--- a/internal/faults/proxy.go
+++ b/internal/faults/proxy.go
@@ -1,7 +1,7 @@
-// Package faults injects faults into a running sidecar, for tests: a fault proxy before its endpoints, faults of its
-// disk and wall clock, pauses, and a limit on its descriptors.
+// Package faults injects faults into a running sidecar, for tests. It provides a fault proxy in front of endpoints,
+// faults of the disk and the wall clock, pauses of a process, and a limit on a process's file descriptors.
 //
-// Faults are deterministic: the test chooses each one. The package checks nothing of what the sidecar makes of them.
+// Faults are deterministic: the test chooses each one. The package does not check how the sidecar reacts to them.
 package faults
 
 import (
@@ -11,31 +11,31 @@
 	"time"
 )
 
-// ConnFault is the fault of one connection through a Proxy. The zero ConnFault is none.
+// ConnFault describes the fault of one connection through a Proxy. The zero ConnFault means no fault.
 type ConnFault struct {
-	Delay         time.Duration // before anything is forwarded to the endpoint
-	Blackhole     bool          // what the client sends is read and not forwarded
-	ResetOnAccept bool          // the connection is reset as soon as it is accepted
-	TruncateAfter int           // bytes of the responses, after which the connection ends by a reset; 0: never
-	CleanEnd      bool          // a truncated connection ends by a FIN in place of a reset
-	ChunkBytes    int           // responses are written in chunks of at most so many bytes; 0: as they come
+	Delay         time.Duration // delay before the proxy dials the endpoint and forwards anything
+	Blackhole     bool          // the proxy reads what the client sends, but does not forward it
+	ResetOnAccept bool          // the proxy resets the connection as soon as it has accepted it
+	TruncateAfter int           // response bytes after which the connection is reset; 0: no limit
+	CleanEnd      bool          // a truncated connection ends with a FIN instead of a reset
+	ChunkBytes    int           // maximum bytes per write of responses to the client; 0: no limit of its own
 }
 
-// Proxy is a TCP proxy before one address, on loopback. NewProxy starts it; Close ends it.
+// Proxy is a TCP proxy on the loopback interface in front of one address. NewProxy starts it and Close stops it.
 type Proxy struct {
-	upstream string
-	choose   func(connection int) ConnFault
-	listener net.Listener
+	upstream    string                         // address of the endpoint
+	chooseFault func(connection int) ConnFault // returns the fault of a connection, by the connection's number
+	listener    net.Listener
 }
 
-// NewProxy starts a proxy before an upstream address. choose names the fault of each connection by its number, which
-// counts from 0. Calls of it come one at a time.
-func NewProxy(upstream string, choose func(connection int) ConnFault) (*Proxy, error) {
+// NewProxy starts a proxy in front of the address upstream. chooseFault returns the fault of a connection, given the
+// connection's number, which counts from 0. It is not called concurrently.
+func NewProxy(upstream string, chooseFault func(connection int) ConnFault) (*Proxy, error) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
-		return nil, fmt.Errorf("start a fault proxy before %s: %w", upstream, err)
+		return nil, fmt.Errorf("start a fault proxy in front of %s: %w", upstream, err)
 	}
-	p := &Proxy{upstream: upstream, choose: choose, listener: listener}
+	p := &Proxy{upstream: upstream, chooseFault: chooseFault, listener: listener}
 	go p.accept()
 	return p, nil
 }
@@ -43,21 +43,22 @@
 // Address returns the address at which the proxy listens.
 func (p *Proxy) Address() string { return p.listener.Addr().String() }
 
-// Close ends the listener. Connections go on until one of their sides ends.
+// Close closes the listener. Open connections continue until one of their sides closes them.
 func (p *Proxy) Close() error { return p.listener.Close() }
 
-// accept serves each connection on a goroutine of its own until the listener is closed.
+// accept serves each connection in its own goroutine, until the listener is closed.
 func (p *Proxy) accept() {
 	for number := 0; ; number++ {
 		conn, err := p.listener.Accept()
 		if err != nil {
 			return
 		}
-		go p.serve(conn.(*net.TCPConn), p.choose(number))
+		go p.serve(conn.(*net.TCPConn), p.chooseFault(number))
 	}
 }
 
-// serve forwards one connection with its fault. Errors of either side end the connection, as on a real network.
+// serve forwards one connection and applies its fault. An error of either side ends the connection, as on a real
+// network.
 func (p *Proxy) serve(client *net.TCPConn, fault ConnFault) {
 	defer client.Close()
 	if fault.ResetOnAccept {
@@ -65,7 +66,7 @@
 		return
 	}
 	if fault.Blackhole {
-		_, _ = io.Copy(io.Discard, client) // until the client ends, in whatever way
+		_, _ = io.Copy(io.Discard, client) // returns when the client closes or resets the connection
 		return
 	}
 	time.Sleep(fault.Delay)
@@ -77,18 +78,19 @@
 	endpoint := conn.(*net.TCPConn)
 	defer endpoint.Close()
 	go func() {
-		_, _ = io.Copy(endpoint, client) // the endpoint sees how far it came
-		_ = endpoint.CloseWrite()        // fails where the endpoint has ended first
+		_, _ = io.Copy(endpoint, client) // on an error the endpoint has received only a part of the bytes
+		_ = endpoint.CloseWrite()        // fails if the endpoint closed the connection first
 	}()
 	fault.relayResponses(client, endpoint)
 }
 
-// resetOnClose makes Close send a reset.
+// resetOnClose makes the Close of conn send a reset.
 func resetOnClose(conn *net.TCPConn) {
-	_ = conn.SetLinger(0) // fails only on a connection that is closed
+	_ = conn.SetLinger(0) // fails only if conn is already closed
 }
 
-// relayResponses forwards the endpoint's bytes to the client until either side ends or the fault does.
+// relayResponses forwards the endpoint's bytes to the client until either side ends the connection, or until the fault
+// truncates it.
 func (f ConnFault) relayResponses(client, endpoint *net.TCPConn) {
 	forwarded, buffer := 0, make([]byte, 32<<10)
 	if f.ChunkBytes > 0 {
@@ -97,7 +99,7 @@
 	for {
 		n, readErr := endpoint.Read(buffer)
 		if f.TruncateAfter > 0 && forwarded+n >= f.TruncateAfter {
-			_, _ = client.Write(buffer[:f.TruncateAfter-forwarded]) // the connection ends in either case
+			_, _ = client.Write(buffer[:f.TruncateAfter-forwarded]) // an error does not matter: the connection ends anyway
 			if !f.CleanEnd {
 				resetOnClose(client)
 			}
--- a/internal/handover/doc.go
+++ b/internal/handover/doc.go
@@ -1,15 +1,16 @@
-// Package handover lets the processes of one sidecar share its listening socket, and see each other while one replaces
-// the other.
+// Package handover lets the processes of one sidecar share its listening socket, and detect each other while one
+// replaces the other.
 //
-// Its invariants are:
+// The package guarantees:
 //
-//   - A slot has one process at most: that which holds the lock on the slot's file. The kernel drops the lock when the
-//     process ends, in whatever way.
-//   - A slot's file says that its process is ready only once that process has said so: the next holder clears it.
-//   - Closing an inherited listener ends only this process's descriptor. The other processes go on accepting.
+//   - A slot belongs to at most one process: the one that holds the lock on the slot's file. The kernel releases the
+//     lock when the process ends, for whatever reason.
+//   - A slot's file says "ready" only after the process that holds the slot has called MarkReady. AcquireSlot clears
+//     the mark that the previous holder may have left.
+//   - Closing an inherited listener closes only this process's descriptor. The other processes continue to accept.
 //
-// On disk a slot is the file oakproxy-process.N in the shared folder, N from 0. It is empty, or holds the word "ready".
-// Both are read by processes of other versions and do not change.
+// On disk, a slot is the file oakproxy-process.N in the shared directory, where N counts from 0. The file is empty or
+// contains the word "ready". Processes of other versions read both the name and the content, so neither may change.
 //
 // The package does not start or stop processes, pass the socket on, or divide the limits of the sidecar among its
 // processes.
--- a/internal/handover/inherit_test.go
+++ b/internal/handover/inherit_test.go
@@ -13,7 +13,8 @@
 	"oakproxy/internal/config"
 )
 
-// An inherited socket is used as it is, and closing its listener leaves the socket open for other processes.
+// Guards against closing the listening socket of all processes when one of them stops. This would happen if closing the
+// inherited listener shut down the socket instead of closing only this process's descriptor.
 func TestInheritedSocketStaysOpenForOtherProcesses(t *testing.T) {
 	original, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -25,49 +26,50 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		fd, err := syscall.Dup(int(file.Fd())) // which Listen owns from here on
+		fd, err := syscall.Dup(int(file.Fd())) // Listen takes ownership of fd
 		file.Close()
 		if err != nil {
 			t.Fatal(err)
 		}
-		passed, err := Listen(t.Context(), "127.0.0.1:1", fmt.Sprint(fd))
+		inherited, err := Listen(t.Context(), "127.0.0.1:1", fmt.Sprint(fd))
 		if err != nil {
 			t.Fatal(err)
 		}
-		if passed.Addr().String() != original.Addr().String() {
-			t.Errorf("listens on %s, want %s", passed.Addr(), original.Addr())
+		if inherited.Addr().String() != original.Addr().String() {
+			t.Errorf("got a listener on %s, want %s", inherited.Addr(), original.Addr())
 		}
 		client, err := net.Dial("tcp", original.Addr().String())
 		if err != nil {
-			t.Fatalf("after the other process is done: %v", err)
+			t.Fatalf("connect to the socket: got %v, want no error", err)
 		}
 		defer client.Close()
-		conn, err := passed.Accept()
+		conn, err := inherited.Accept()
 		if err != nil {
 			t.Fatal(err)
 		}
 		conn.Close()
-		passed.Close()
+		inherited.Close()
 	}
 }
 
-// What can't be listened on stops the start, with an error that names the variable and says why.
+// Guards against starting on an inherited descriptor that is not a listening TCP socket, which happens if the
+// environment variable is set wrongly. Listen must return an error that names the variable and the reason.
 func TestListenRejectsUnusableInheritedSocket(t *testing.T) {
 	file, err := os.Open(os.DevNull)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer file.Close()
-	packets, err := net.ListenPacket("udp", "127.0.0.1:0")
+	udpConn, err := net.ListenPacket("udp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer packets.Close()
-	udp, err := packets.(*net.UDPConn).File()
+	defer udpConn.Close()
+	udpFile, err := udpConn.(*net.UDPConn).File()
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer udp.Close()
+	defer udpFile.Close()
 	for _, test := range []struct {
 		name, passed string
 		want         error
@@ -76,20 +78,20 @@
 		{"negative", "-1", ErrNotDescriptor},
 		{"not open", "1000000", ErrNotSocket},
 		{"a file", fmt.Sprint(file.Fd()), ErrNotSocket},
-		{"no listener", fmt.Sprint(udp.Fd()), ErrNotListening},
+		{"no listener", fmt.Sprint(udpFile.Fd()), ErrNotListening},
 		{"a Unix listener", fmt.Sprint(unixListenerDescriptor(t)), ErrNotTCP},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			l, err := Listen(t.Context(), "127.0.0.1:0", test.passed)
 			if !errors.Is(err, test.want) || !strings.Contains(err.Error(), config.InheritedSocketVariable) {
-				t.Errorf("%v, %v, want an error that names %s and matches %q",
+				t.Errorf("got listener %v and error %v, want an error that names %s and matches %q",
 					l, err, config.InheritedSocketVariable, test.want)
 			}
 		})
 	}
 }
 
-// unixListenerDescriptor returns the descriptor of a listening Unix socket, which its caller owns.
+// unixListenerDescriptor returns the descriptor of a listening Unix socket. The caller owns the descriptor.
 func unixListenerDescriptor(t *testing.T) int {
 	t.Helper()
 	listener, err := net.Listen("unix", filepath.Join(t.TempDir(), "socket"))
--- a/internal/handover/listen.go
+++ b/internal/handover/listen.go
@@ -13,22 +13,22 @@
 	"oakproxy/internal/system"
 )
 
-// The reasons for which Listen rejects what was passed to it as a listening socket. Match them by errors.Is.
+// The reasons why Listen rejects an inherited descriptor. Match them with errors.Is.
 var (
-	ErrNotDescriptor = errors.New("is not the number of a descriptor")
-	ErrNotSocket     = errors.New("is no socket")
-	ErrNotListening  = errors.New("does not listen")
+	ErrNotDescriptor = errors.New("is not a file descriptor number")
+	ErrNotSocket     = errors.New("is not a socket")
+	ErrNotListening  = errors.New("is not a listening socket")
 	ErrNotTCP        = errors.New("not TCP")
 )
 
-// Listen returns the listener for clients: of the inherited socket whose descriptor is passed, or a new one at
-// address where passed is empty. It retries what fails for a moment at a start, until ctx ends. An error on the
-// inherited socket names the variable that passes it.
+// Listen returns the listener for clients. If passed is empty, it is a new listener at address; otherwise passed is the
+// number of the descriptor of an inherited listening socket. Until ctx ends, Listen retries errors that are transient
+// during a start (system.RetryAtStart). An error about the inherited socket names config.InheritedSocketVariable.
 func Listen(ctx context.Context, address, passed string) (net.Listener, error) {
 	if passed == "" {
 		listener, err := ListenAt(ctx, address)
 		if err != nil {
-			return nil, fmt.Errorf("listen: %w", err)
+			return nil, fmt.Errorf("listen for clients: %w", err)
 		}
 		return listener, nil
 	}
@@ -39,8 +39,9 @@
 	return listener, nil
 }
 
-// ListenAt listens on TCP at address. It retries what fails for a moment at a start, such as an address that the
-// process before still holds, until ctx ends; its error is then that of the latest attempt.
+// ListenAt listens on TCP at address. Until ctx ends, it retries errors that are transient during a start
+// (system.RetryAtStart), such as an address that the previous process still uses. It returns the error of the last
+// attempt.
 func ListenAt(ctx context.Context, address string) (listener net.Listener, err error) {
 	err = system.RetryAtStart(ctx, func() error {
 		listener, err = net.Listen("tcp", address)
@@ -49,8 +50,8 @@
 	return listener, err
 }
 
-// inherit returns a listener on a passed descriptor, which it owns from here on. Closing the listener ends only this
-// process's descriptor of the socket: other processes go on accepting.
+// inherit returns a listener on the socket whose descriptor number is passed. It takes ownership of that descriptor.
+// Closing the listener closes only this process's descriptor: other processes continue to accept.
 func inherit(ctx context.Context, passed string) (net.Listener, error) {
 	fd, err := parseListeningDescriptor(passed)
 	if err != nil {
@@ -64,16 +65,16 @@
 		return err
 	})
 	if err != nil {
-		return nil, fmt.Errorf("descriptor %d: %w", fd, err)
+		return nil, fmt.Errorf("file descriptor %d: %w", fd, err)
 	}
 	if _, ok := listener.(*net.TCPListener); !ok {
 		listener.Close()
-		return nil, fmt.Errorf("descriptor %d listens on %s, %w", fd, listener.Addr().Network(), ErrNotTCP)
+		return nil, fmt.Errorf("file descriptor %d listens on %s, %w", fd, listener.Addr().Network(), ErrNotTCP)
 	}
 	return listener, nil
 }
 
-// parseListeningDescriptor returns the descriptor that passed is the number of, which is a listening socket.
+// parseListeningDescriptor parses passed as the number of a descriptor, and checks that it is a listening socket.
 func parseListeningDescriptor(passed string) (fd int, err error) {
 	fd, err = strconv.Atoi(passed)
 	if err != nil || fd < 0 {
@@ -81,10 +82,10 @@
 	}
 	listening, err := syscall.GetsockoptInt(fd, syscall.SOL_SOCKET, syscall.SO_ACCEPTCONN)
 	if err != nil {
-		return 0, fmt.Errorf("descriptor %d %w: %w", fd, ErrNotSocket, err)
+		return 0, fmt.Errorf("file descriptor %d %w: %w", fd, ErrNotSocket, err)
 	}
 	if listening == 0 {
-		return 0, fmt.Errorf("descriptor %d %w", fd, ErrNotListening)
+		return 0, fmt.Errorf("file descriptor %d %w", fd, ErrNotListening)
 	}
 	return fd, nil
 }
--- a/internal/handover/listen_test.go
+++ b/internal/handover/listen_test.go
@@ -11,13 +11,14 @@
 	"oakproxy/internal/system"
 )
 
-// ListenAt waits for an address that is in use for a moment; it returns an error where ctx ends before.
+// Guards against a start that fails because the previous process still uses the address for a moment. ListenAt must
+// retry until the address is free. If ctx ends first, it must return the error EADDRINUSE.
 func TestListenAtWaitsForAddressInUse(t *testing.T) {
-	holder, err := net.Listen("tcp", "127.0.0.1:0")
+	firstListener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	address := holder.Addr().String()
+	address := firstListener.Addr().String()
 	got := make(chan error, 1)
 	go func() {
 		listener, err := ListenAt(t.Context(), address)
@@ -26,18 +27,18 @@
 		}
 		got <- err
 	}()
-	time.AfterFunc(3*system.StartRetryDelay, func() { holder.Close() })
+	time.AfterFunc(3*system.StartRetryDelay, func() { firstListener.Close() })
 	if err := <-got; err != nil {
-		t.Error(err)
+		t.Errorf("listen at an address that becomes free: got %v, want no error", err)
 	}
 	ctx, cancel := context.WithCancel(t.Context())
 	cancel()
-	again, err := net.Listen("tcp", address)
+	secondListener, err := net.Listen("tcp", address)
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer again.Close()
+	defer secondListener.Close()
 	if _, err := ListenAt(ctx, address); !errors.Is(err, syscall.EADDRINUSE) {
-		t.Errorf("with SIGTERM during the start: %v", err)
+		t.Errorf("listen at an address in use after ctx has ended: got %v, want EADDRINUSE", err)
 	}
 }
--- a/internal/handover/slot.go
+++ b/internal/handover/slot.go
@@ -14,48 +14,49 @@
 )
 
 const (
-	// maxProcesses is how many processes of one sidecar may have a slot.
+	// maxProcesses is the number of slots, and so of processes of one sidecar that can hold one at the same time.
 	maxProcesses = 4
-	// slotFileFormat names the file of a slot by its index. Processes of other versions open it: it is frozen.
+	// slotFileFormat is the format of a slot's file name; its argument is the index of the slot. It must not change,
+	// because processes of other versions open the file too.
 	slotFileFormat = "oakproxy-process.%d"
-	// readyMarker is the content of the slot's file of a process that serves. It is frozen as well.
+	// readyMarker is the content of a slot's file once its process is ready. It must not change for the same reason.
 	readyMarker = "ready"
 )
 
-// NoFreeSlotError is the error of AcquireSlot where other processes hold all slots. Match it by errors.As.
+// NoFreeSlotError is the error of AcquireSlot if other processes hold all slots. Match it with errors.As.
 type NoFreeSlotError struct {
-	Dir string // the folder of the slots
+	Dir string // directory of the slot files
 }
 
-// Error says how many processes share which folder.
+// Error returns a message with the number of slots and their directory.
 func (e *NoFreeSlotError) Error() string {
-	return fmt.Sprintf("%d processes share %s already", maxProcesses, e.Dir)
+	return fmt.Sprintf("all %d process slots in %s are in use", maxProcesses, e.Dir)
 }
 
-// errSlotHeld is the error of lockSlotFile where another process holds the slot.
+// errSlotHeld is the error of lockSlotFile if another process holds the slot.
 var errSlotHeld = errors.New("another process holds the slot")
 
-// Slot is a process's place among those of one sidecar: a locked file in the folder that they share. Its methods are
-// safe for concurrent use, but for Release.
+// Slot registers a process as one of the processes of a sidecar, by a locked file in the directory that they share. Its
+// methods are safe for concurrent use, except Release.
 type Slot struct {
 	dir   string
 	index int
 	file  *os.File // open and locked while the slot is held
 
 	mu    sync.Mutex              // guards peers
-	peers [maxProcesses]peerState // by slot, as last seen; the one at index stays empty
+	peers [maxProcesses]peerState // last known state of each slot's process; zero for this process's own slot
 }
 
-// peerState is what is known of the process that holds a slot; the zero value says that none does.
+// peerState describes the process that holds a slot. The zero value means that no process holds it.
 type peerState struct{ alive, ready bool }
 
-// slotPath returns the path of the file of a slot.
+// slotPath returns the path of the slot file with the given index.
 func slotPath(dir string, index int) string {
 	return filepath.Join(dir, fmt.Sprintf(slotFileFormat, index))
 }
 
-// AcquireSlot takes the first free slot in dir, which must exist. Where there is none, its error is a *NoFreeSlotError;
-// other errors are those of the file system.
+// AcquireSlot takes the first free slot in dir, which must exist. If all slots are taken, it returns a
+// *NoFreeSlotError; its other errors are those of the file system.
 func AcquireSlot(dir string) (*Slot, error) {
 	for index := range maxProcesses {
 		file, err := lockSlotFile(slotPath(dir, index))
@@ -69,12 +70,12 @@
 	return nil, &NoFreeSlotError{Dir: dir}
 }
 
-// lockSlotFile opens a slot's file, locks it and clears it. Its error is errSlotHeld where another process holds the
-// lock. That is not matched by the errno: opening and clearing a file may fail with the same one.
+// lockSlotFile opens the slot file at path, locks it and clears it. If another process holds the lock, it returns
+// errSlotHeld rather than the errno EWOULDBLOCK, because opening or clearing the file may fail with the same errno.
 func lockSlotFile(path string) (*os.File, error) {
 	file, err := os.OpenFile(path, os.O_CREATE|os.O_RDWR, 0o600)
 	if err != nil {
-		return nil, err // names the path, and callers match it by os.IsNotExist, which does not unwrap
+		return nil, err // not wrapped: it names the path already, and callers use os.IsNotExist, which does not unwrap
 	}
 	err = system.LockFile(file, syscall.LOCK_EX)
 	if errors.Is(err, syscall.EWOULDBLOCK) {
@@ -85,21 +86,21 @@
 		file.Close()
 		return nil, fmt.Errorf("lock %s: %w", path, err)
 	}
-	if err := file.Truncate(0); err != nil { // the process before may have marked itself ready
+	if err := file.Truncate(0); err != nil { // clears the mark of the previous holder
 		file.Close()
 		return nil, err
 	}
 	return file, nil
 }
 
-// MarkReady notifies the other processes that this one serves.
+// MarkReady tells the other processes that this one is ready to serve.
 func (s *Slot) MarkReady() error {
 	_, err := s.file.WriteAt([]byte(readyMarker), 0)
 	return err
 }
 
-// Peers returns how many other processes of the sidecar are alive, and how many of those serve. A slot that cannot be
-// inspected for the moment counts as it was seen last.
+// Peers returns how many other processes of the sidecar are alive, and how many of those are ready to serve. If a slot
+// currently cannot be inspected, its last known state counts.
 func (s *Slot) Peers() (alive, ready int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -120,7 +121,8 @@
 	return alive, ready
 }
 
-// inspectSlot returns the state of the process that holds a slot. An error says that it cannot be told for the moment.
+// inspectSlot returns the state of the process that holds the slot file at path. An error means that the state is
+// currently unknown.
 func inspectSlot(path string) (peerState, error) {
 	file, err := os.Open(path)
 	if errors.Is(err, fs.ErrNotExist) {
@@ -129,10 +131,10 @@
 	if err != nil {
 		return peerState{}, err
 	}
-	defer file.Close() // and with it the lock
+	defer file.Close() // also releases the shared lock, if it was taken
 	err = system.LockFile(file, syscall.LOCK_SH)
 	if err == nil {
-		return peerState{}, nil // nobody else holds the lock
+		return peerState{}, nil // no process holds the slot
 	}
 	if !errors.Is(err, syscall.EWOULDBLOCK) {
 		return peerState{}, fmt.Errorf("lock %s: %w", path, err)
@@ -145,5 +147,5 @@
 	return peerState{alive: true, ready: string(content[:n]) == readyMarker}, nil
 }
 
-// Release gives the slot up, as the end of the process does. The slot is not used afterwards.
+// Release frees the slot, as the end of the process would. The Slot must not be used afterwards.
 func (s *Slot) Release() { s.file.Close() }
--- a/internal/handover/slot_test.go
+++ b/internal/handover/slot_test.go
@@ -7,7 +7,8 @@
 	"testing"
 )
 
-// Processes that share a folder see each other until they end, in whatever way.
+// Guards against processes that count a peer which has ended, or miss one that is alive, and then divide the sidecar's
+// limits wrongly. This would happen if a slot stayed taken or ready after its process ended.
 func TestProcessesSeeEachOther(t *testing.T) {
 	dir := t.TempDir()
 	acquire := func() *Slot {
@@ -20,8 +21,8 @@
 	}
 	check := func(s *Slot, alive, ready int) {
 		t.Helper()
-		if a, r := s.Peers(); a != alive || r != ready {
-			t.Errorf("%d peers alive, %d ready, want %d and %d", a, r, alive, ready)
+		if gotAlive, gotReady := s.Peers(); gotAlive != alive || gotReady != ready {
+			t.Errorf("got %d peers alive and %d ready, want %d and %d", gotAlive, gotReady, alive, ready)
 		}
 	}
 	first := acquire()
@@ -32,30 +33,31 @@
 	second := acquire()
 	check(first, 1, 0)
 	check(second, 1, 1)
-	first.file.Close() // as the end of its process does
+	first.file.Close() // releases the lock, as the end of the process would
 	check(second, 0, 0)
-	third := acquire() // gets the slot of the first, and is not ready for that
+	third := acquire() // gets the slot of the first process; its mark "ready" must be gone
 	check(second, 1, 0)
 	for range maxProcesses - 2 {
 		acquire()
 	}
 	var noFreeSlot *NoFreeSlotError
 	if _, err := AcquireSlot(dir); !errors.As(err, &noFreeSlot) || !strings.Contains(err.Error(), dir) {
-		t.Errorf("beyond the last slot: %v, want a *NoFreeSlotError that names %s", err, dir)
+		t.Errorf("acquire a slot while all are taken: got %v, want a *NoFreeSlotError that names %s", err, dir)
 	}
 	third.file.Close()
 	if _, err := AcquireSlot(dir + "/none"); !os.IsNotExist(err) {
-		t.Errorf("without a folder: %v", err)
+		t.Errorf("acquire a slot in a directory that does not exist: got %v, want an error for os.IsNotExist", err)
 	}
 }
 
-// A slot that can't be inspected is an error, and not a free slot.
+// Guards against reporting a slot as free if its file cannot be opened. Its process may be alive, so the result must be
+// an error.
 func TestInspectSlotReturnsErrorOfUnreadableFile(t *testing.T) {
 	path := slotPath(t.TempDir(), 0)
-	if err := os.Symlink(path, path); err != nil { // ELOOP
+	if err := os.Symlink(path, path); err != nil { // opening a symbolic link to itself fails with ELOOP
 		t.Fatal(err)
 	}
 	if _, err := inspectSlot(path); err == nil || !strings.Contains(err.Error(), "symbolic") {
-		t.Errorf("inspectSlot returned the error %v, want one of the symbolic link", err)
+		t.Errorf("inspect a slot file that is a symbolic link to itself: got %v, want an error about symbolic links", err)
 	}
 }
--- a/internal/operatorstate/doc.go
+++ b/internal/operatorstate/doc.go
@@ -1,14 +1,14 @@
-// Package operatorstate stores what operators have set by hand: whether the sidecar is drained, and which endpoints are
-// cordoned.
+// Package operatorstate stores the settings that operators make by hand: whether the sidecar is drained, and which
+// endpoints are cordoned.
 //
-// The processes of one sidecar share the file, since a replacement runs beside its predecessor for a while. These
-// invariants hold:
+// All processes of one sidecar share the state file, because a replacement process runs beside its predecessor for a
+// while. The package guarantees:
 //
-//   - An update that returned nil is on disk, and in force in the process that made it.
-//   - A change is a read, a modification and a write under one lock, so that no process overwrites another's update.
-//   - The file is replaced by a rename. A reader sees one complete version, whenever a writer is killed.
-//   - A read error is transient: the state in force stays, and the file is read again later.
+//   - When Store.Update returns nil, the update is on disk and in effect in the calling process.
+//   - An update reads, changes and writes the file under one lock, so no process overwrites another's update.
+//   - The file is replaced by a rename. A reader sees one complete version, even if a writer is killed.
+//   - A read error is treated as transient: the state in effect stays, and the file is read again later.
 //
-// The package does not decide what a cordon or a drain means for requests; Store.Apply does that. It does not watch the
-// file by itself either: its owner calls Refresh every PollInterval.
+// The package does not decide how a cordon or a drain affects requests; Store.Apply does. It does not watch the file
+// either: the owner of a Store calls Store.Refresh every PollInterval.
 package operatorstate
--- a/internal/operatorstate/file.go
+++ b/internal/operatorstate/file.go
@@ -16,27 +16,27 @@
 const FileName = "oakproxy-state.json"
 
 const (
-	temporarySuffix = ".new" // one process at a time writes, so one temporary name is enough
+	temporarySuffix = ".new" // one temporary name is enough, because only the holder of the lock writes
 
-	maxStateBytes = 1 << 20 // that are read of a state file
+	maxStateBytes = 1 << 20 // limit on the bytes read from a state file
 
-	// readWarnInterval is the least time between two log lines on a file that cannot be read: it is tried every
-	// PollInterval.
+	// readWarnInterval is the minimum time between two log lines about an unreadable state file. Reads are retried every
+	// PollInterval, which is too often to log each failure.
 	readWarnInterval = time.Second
 )
 
 func (s *Store) path() string { return filepath.Join(s.Directory, FileName) }
 
-// read returns the stored state. Where there is none, or it is not valid, that is the state in force. An error means
-// that the file could not be read for now, so that it may hold another process's update.
+// read returns the stored state, or the state in effect if the file does not exist or is invalid. An error means that
+// the file is currently unreadable; it may then hold another process's update.
 func (s *Store) read() (State, error) {
 	stored, info, err := s.readFile()
 	if system.IsReadError(err) {
-		s.file = nil
+		s.fileInfo = nil
 		s.warnUnreadable(err)
 		return State{}, err
 	}
-	s.file = info
+	s.fileInfo = info
 	if err == nil {
 		return stored, nil
 	}
@@ -46,7 +46,7 @@
 	return s.current, nil
 }
 
-// warnUnreadable logs a read error, unless one was logged within readWarnInterval.
+// warnUnreadable logs a read error unless another one was logged less than readWarnInterval ago.
 func (s *Store) warnUnreadable(err error) {
 	if time.Since(s.warnedAt) < readWarnInterval {
 		return
@@ -55,8 +55,8 @@
 	s.Log.Warn("operator state not readable", "error", err)
 }
 
-// readFile returns the stored state and the file that it is from. The error is one of reading (system.IsReadError),
-// of a file that does not exist, or of contents that are not valid; info is set in the last case, too.
+// readFile reads the state file and returns the state and the file's info. The error is a read error
+// (system.IsReadError), fs.ErrNotExist, or says why the contents are invalid; in the last case info is set too.
 func (s *Store) readFile() (stored State, info os.FileInfo, err error) {
 	text, info, err := s.Files.OrSystem().ReadFile(s.path(), maxStateBytes)
 	if err != nil {
@@ -68,7 +68,7 @@
 	return stored, info, stored.validate(s.Sidecar)
 }
 
-// write stores a state durably. The caller holds the lock.
+// write stores st durably. The caller must hold the file lock (Store.lock).
 func (s *Store) write(st State) error {
 	st.Version, st.Sidecar = stateVersion, s.Sidecar
 	text, err := json.Marshal(st)
@@ -78,9 +78,9 @@
 	if err := s.Files.OrSystem().ReplaceFile(s.path(), s.path()+temporarySuffix, text, true); err != nil {
 		return fmt.Errorf("state: %w", err)
 	}
-	s.file, err = os.Stat(s.path())
+	s.fileInfo, err = os.Stat(s.path())
 	if err != nil {
-		s.file = nil // the state is stored; Refresh reads it once more
+		s.fileInfo = nil // the state is stored; the next Refresh reads it again
 	}
 	return nil
 }
--- a/internal/operatorstate/lock.go
+++ b/internal/operatorstate/lock.go
@@ -14,15 +14,16 @@
 const (
 	lockFileName = "oakproxy-state.lock"
 
-	// lockTimeout bounds the wait for the other process to release the lock: an admin call has to be answered within 1 s.
+	// lockTimeout limits the wait for another process to release the lock. An admin call must be answered within 1 s.
 	lockTimeout = 500 * time.Millisecond
 
-	// lockRetryDelay is the pause between two attempts. An update holds the lock for a read and a synced write.
+	// lockRetryDelay is the pause between two attempts to take the lock. An update holds the lock while it reads the file
+	// and writes and syncs the new one.
 	lockRetryDelay = 5 * time.Millisecond
 )
 
-// lock keeps other processes from writing the state until unlock is called. The lock is on a file of its own, since the
-// state file is replaced by each write. The error is EWOULDBLOCK where another process held the lock for lockTimeout.
+// lock prevents other processes from writing the state until unlock is called. It locks a separate file, because each
+// write replaces the state file. The error wraps syscall.EWOULDBLOCK if the lock was not free within lockTimeout.
 func (s *Store) lock() (unlock func(), err error) {
 	file, err := os.OpenFile(filepath.Join(s.Directory, lockFileName), os.O_CREATE|os.O_RDWR, 0o600)
 	if err != nil {
@@ -31,7 +32,7 @@
 	for deadline := time.Now().Add(lockTimeout); ; time.Sleep(lockRetryDelay) {
 		err = system.LockFile(file, syscall.LOCK_EX)
 		if err == nil {
-			return func() { file.Close() }, nil // which releases the lock
+			return func() { file.Close() }, nil // closing the file releases the lock
 		}
 		if !errors.Is(err, syscall.EWOULDBLOCK) || time.Now().After(deadline) {
 			file.Close()
--- a/internal/operatorstate/state.go
+++ b/internal/operatorstate/state.go
@@ -9,23 +9,23 @@
 	"oakproxy/internal/system"
 )
 
-// stateVersion is the version of the stored form. A file of another version is ignored.
+// stateVersion is the version of the file format. A file of another version is ignored.
 const stateVersion = 1
 
-// State is what operators have set by hand. It outlives a process. Its JSON keys are those of the stored file.
+// State holds the settings that operators made by hand. It is stored as JSON and outlives the process.
 type State struct {
-	Version   int        `json:"version"` // of the stored form
-	Sidecar   string     `json:"sidecar"` // the name of the sidecar that it belongs to
-	Drained   bool       `json:"drained"` // readiness is withdrawn
-	Overrides []Override `json:"hosts"`   // endpoints that are cordoned, or were until recently
+	Version   int        `json:"version"` // version of the file format
+	Sidecar   string     `json:"sidecar"` // name of the sidecar that the state belongs to
+	Drained   bool       `json:"drained"` // true if the sidecar must report that it is not ready
+	Overrides []Override `json:"hosts"`   // endpoints that are cordoned or were uncordoned recently
 }
 
-// Override is an operator's decision on one endpoint: cordoned, or put back into service.
+// Override is an operator's decision to cordon or uncordon one endpoint.
 type Override struct {
 	Name      string `json:"host"`
 	Cordoned  bool   `json:"out"`
 	SetUnixMS int64  `json:"since_ms"` // Unix time of the decision in milliseconds
-	UptimeMS  int64  `json:"up_ms"`    // machine uptime then, in milliseconds: a wall clock step does not change its age
+	UptimeMS  int64  `json:"up_ms"`    // machine uptime at the decision in milliseconds; not affected by wall clock steps
 }
 
 // SetAt returns when the decision was made.
@@ -33,10 +33,10 @@
 	return system.Timestamp{UnixMS: o.SetUnixMS, UptimeMS: o.UptimeMS}
 }
 
-// SetCordon records that an endpoint is cordoned, or put back into service, at now. It does nothing if the endpoint is
-// in that state already, so repeated calls keep the time of the first.
+// SetCordon records that the named endpoint is cordoned or uncordoned at now. It does nothing if the endpoint is in
+// that state already, so repeated calls keep the time of the first.
 func (st *State) SetCordon(name string, cordoned bool, now system.Timestamp) {
-	// The name is cloned, since it may be a part of a request that the state would keep alive.
+	// Clone the name: it may be a substring of a request, which the state would otherwise keep in memory.
 	override := Override{Name: strings.Clone(name), Cordoned: cordoned, SetUnixMS: now.UnixMS, UptimeMS: now.UptimeMS}
 	i := slices.IndexFunc(st.Overrides, func(o Override) bool { return o.Name == name })
 	switch {
@@ -47,16 +47,16 @@
 	}
 }
 
-// errUnnamedEndpoint is the error of a stored state with an override that names no endpoint.
-var errUnnamedEndpoint = errors.New("an endpoint without a name")
+// errUnnamedEndpoint is the error for a stored override with an empty endpoint name.
+var errUnnamedEndpoint = errors.New("stored override without an endpoint name")
 
-// validate reports why a stored state cannot be that of the given sidecar.
+// validate returns an error if st has another version, belongs to another sidecar, or names an endpoint "".
 func (st *State) validate(sidecar string) error {
 	switch {
 	case st.Version != stateVersion:
-		return fmt.Errorf("version %d, not %d", st.Version, stateVersion)
+		return fmt.Errorf("stored version is %d, want %d", st.Version, stateVersion)
 	case st.Sidecar != sidecar:
-		return fmt.Errorf("of sidecar %q, not %q", st.Sidecar, sidecar)
+		return fmt.Errorf("stored state belongs to sidecar %q, want %q", st.Sidecar, sidecar)
 	case slices.ContainsFunc(st.Overrides, func(o Override) bool { return o.Name == "" }):
 		return errUnnamedEndpoint
 	}
--- a/internal/operatorstate/store.go
+++ b/internal/operatorstate/store.go
@@ -12,30 +12,31 @@
 	"oakproxy/internal/system"
 )
 
-// PollInterval is the time between two calls of Store.Refresh: an update of the other process is in force here after
-// that long at the latest, while the file can be read.
+// PollInterval is the time between two calls of Store.Refresh. While the file is readable, an update by another process
+// takes effect in this one within PollInterval.
 const PollInterval = 50 * time.Millisecond
 
-// Store keeps the state in a file that the processes of one sidecar share while one replaces the other. An update in
-// one process comes into force in all. The exported fields are set before the first call and do not change.
+// Store keeps the state in a file that the processes of one sidecar share while one replaces the other. An update by
+// one process takes effect in all of them. The exported fields must be set before the first call and not be changed
+// after.
 type Store struct {
-	Directory string               // of the state file and its lock
-	Sidecar   string               // the name of the sidecar; a file of another is ignored
-	Log       *slog.Logger         // must not be nil
-	Files     system.FileOps       // the zero value uses the system's
-	Time      system.Clock         // must have its clocks set (Clock.OrSystem)
-	Retention func() time.Duration // for how long an endpoint that was put back into service is remembered
-	Apply     func(State)          // puts a state into force before it returns; called under the lock
+	Directory string               // directory of the state file and the lock file
+	Sidecar   string               // name of the sidecar; a state file of another sidecar is ignored
+	Log       *slog.Logger         // logger; must not be nil
+	Files     system.FileOps       // file operations; the zero value uses those of the operating system
+	Time      system.Clock         // clock; both functions must be set, see system.Clock.OrSystem
+	Retention func() time.Duration // how long an uncordoned endpoint is remembered
+	Apply     func(State)          // puts a state into effect before it returns; called with mu held
 
 	mu       sync.Mutex
-	current  State       // in force
-	file     os.FileInfo // of the version that was read or written last; nil if not known
-	warnedAt time.Time   // when a file that cannot be read was last logged
+	current  State       // state in effect
+	fileInfo os.FileInfo // info of the file version read or written last; nil if unknown
+	warnedAt time.Time   // when a read error was last logged
 }
 
-// Load returns the state that the process before this one stored. It is called before any request is forwarded, and
-// does not call Apply. A file that cannot be read for now is tried for up to system.StartTimeout, or until ctx ends;
-// after that the zero state is returned, and Refresh reads the file later.
+// Load returns the state that the previous process stored. It must be called before any request is forwarded, and does
+// not call Apply. Load retries read errors for up to system.StartTimeout or until ctx ends. If they persist, it returns
+// the zero State, and Refresh reads the file later.
 func (s *Store) Load(ctx context.Context) State {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -44,19 +45,19 @@
 		stored, err = s.read()
 		return err
 	})
-	if err != nil { // which read has logged
+	if err != nil { // already logged by read
 		stored = s.current
 	}
 	s.current = stored
 	return stored
 }
 
-// Refresh puts into force what another process has stored since the last call. A file that is unchanged is not read.
+// Refresh puts into effect what another process has stored since the last call. It does not read an unchanged file.
 func (s *Store) Refresh() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	info, err := os.Stat(s.path())
-	if err != nil || s.file != nil && os.SameFile(info, s.file) && info.ModTime().Equal(s.file.ModTime()) {
+	if err != nil || s.fileInfo != nil && os.SameFile(info, s.fileInfo) && info.ModTime().Equal(s.fileInfo.ModTime()) {
 		return
 	}
 	if stored, err := s.read(); err == nil {
@@ -64,9 +65,9 @@
 	}
 }
 
-// Update changes the state. When it returns nil, the new state is stored durably and in force in this process. On an
-// error the change is neither stored nor in force; the error wraps that of the file system, or syscall.EWOULDBLOCK
-// where the lock was not released in time.
+// Update calls change to modify the state. When Update returns nil, the new state is stored durably and in effect in
+// this process. On an error the change is neither stored nor in effect. The error wraps that of the file system, or
+// syscall.EWOULDBLOCK if another process did not release the lock in time.
 func (s *Store) Update(change func(*State)) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -77,21 +78,21 @@
 	defer unlock()
 	stored, err := s.read()
 	if err != nil {
-		return fmt.Errorf("state: %w", err) // the file may hold another process's update, which must not be overwritten
+		return fmt.Errorf("state: %w", err) // do not write: the file may hold another process's update
 	}
 	next := stored
 	next.Overrides = slices.Clone(stored.Overrides)
 	change(&next)
 	next.Overrides = slices.DeleteFunc(next.Overrides, s.isObsolete)
 	if err := s.write(next); err != nil {
-		s.apply(stored) // it may be another process's update, and Refresh would take it for known
+		s.apply(stored) // may hold another process's update, which Refresh would skip: read has set fileInfo
 		return err
 	}
 	s.apply(next)
 	return nil
 }
 
-// isObsolete reports whether an endpoint is back in service for so long that it need not be remembered.
+// isObsolete reports whether o uncordoned its endpoint more than Retention ago, so that it need not be remembered.
 func (s *Store) isObsolete(o Override) bool {
 	if o.Cordoned {
 		return false
@@ -100,6 +101,7 @@
 	return known && age > s.Retention()
 }
 
+// apply puts a state into effect. The caller must hold s.mu.
 func (s *Store) apply(st State) {
 	s.current = st
 	s.Apply(st)
--- a/internal/warmstart/file.go
+++ b/internal/warmstart/file.go
@@ -9,45 +9,48 @@
 	"oakproxy/internal/system"
 )
 
-// FileName is the name of the file with the estimates, in the directory that the processes of one sidecar share.
+// FileName is the name of the file that holds the estimates, in the directory that the processes of a sidecar share.
 const FileName = "oakproxy-learned.json"
 
 const (
-	fileVersion  = 1
-	maxFileBytes = 1 << 20 // that are read of the file
+	fileVersion  = 1       // version of the file format
+	maxFileBytes = 1 << 20 // limit on the bytes read from the file
 
-	// maxAge is how old estimates may be. The load of a fleet changes within seconds, and older ones would mislead.
+	// maxAge is the maximum age of saved estimates. The load of a fleet changes within seconds, so older estimates would
+	// mislead the balancer.
 	maxAge = 30 * time.Second
 )
 
-// contents is the stored form. Its JSON keys are those of the file.
-type contents struct {
-	Version   int                `json:"version"`
-	Sidecar   string             `json:"sidecar"`  // the name of the sidecar that it belongs to
-	AtMS      int64              `json:"at_ms"`    // Unix time of the save in milliseconds
-	UpMS      int64              `json:"up_ms"`    // machine uptime then, in milliseconds
-	Clock     balancer.Micros    `json:"clock_us"` // the same instant by the clock of the balancer that had the estimates
-	Estimates balancer.Estimates `json:"learned"`
+// fileContents is the content of the file, which is stored as JSON.
+type fileContents struct {
+	Version       int                `json:"version"`
+	Sidecar       string             `json:"sidecar"`  // name of the sidecar that the estimates belong to
+	SavedUnixMS   int64              `json:"at_ms"`    // Unix time of the save in milliseconds
+	SavedUptimeMS int64              `json:"up_ms"`    // machine uptime at the save in milliseconds
+	Clock         balancer.Micros    `json:"clock_us"` // time of the save on the balancer's clock in the saving process
+	Estimates     balancer.Estimates `json:"learned"`
 }
 
-// parse returns stored contents and their age. It fails on those that are damaged, of another sidecar or version, or
-// older than maxAge.
-func (s *Store) parse(text []byte) (saved contents, age time.Duration, err error) {
+// parse returns the content of a file and its age. It returns an error if the content is damaged, belongs to another
+// sidecar, has another version, has an unknown age, or is older than maxAge.
+func (s *Store) parse(text []byte) (saved fileContents, age time.Duration, err error) {
 	if err := json.Unmarshal(text, &saved); err != nil {
 		return saved, 0, err
 	}
-	age, known := s.clock.Age(system.Timestamp{UnixMS: saved.AtMS, UptimeMS: saved.UpMS})
+	age, known := s.clock.Age(system.Timestamp{UnixMS: saved.SavedUnixMS, UptimeMS: saved.SavedUptimeMS})
 	if saved.Version != fileVersion || saved.Sidecar != s.sidecar || !known || age > maxAge {
-		return saved, age, fmt.Errorf("version %d of sidecar %q, %v old", saved.Version, saved.Sidecar, age)
+		return saved, age, fmt.Errorf("got version %d of sidecar %q, age %v (known: %v), "+
+			"want version %d of sidecar %q, age at most %v",
+			saved.Version, saved.Sidecar, age, known, fileVersion, s.sidecar, maxAge)
 	}
 	return saved, age, nil
 }
 
-// shiftTo moves the times of the estimates to a balancer's clock that shows now, age after they were saved. The
-// clocks of two processes may differ by a step.
-func (c *contents) shiftTo(now balancer.Micros, age time.Duration) {
+// shiftTo converts the times of the estimates to the clock of the present balancer. now is the time on that clock, and
+// age the time since the save. The clocks of two processes may differ by a constant offset.
+func (c *fileContents) shiftTo(now balancer.Micros, age time.Duration) {
 	if c.Clock <= 0 {
-		return // a file that has no clock, and so no times either
+		return // a file without the time of a balancer's clock has no times to convert
 	}
 	offset := now - age.Microseconds() - c.Clock
 	for i := range c.Estimates.Endpoints {
--- a/internal/warmstart/store.go
+++ b/internal/warmstart/store.go
@@ -13,20 +13,20 @@
 	"oakproxy/internal/system"
 )
 
-// Store saves estimates to a file in the background, and loads them. Make one with NewStore. Its methods may be
-// called by several goroutines.
+// Store saves estimates to a file in the background, and loads them. Create it with NewStore. Its methods are safe for
+// concurrent use.
 type Store struct {
 	path      string
-	temporary string // the name that this process writes to before it renames the file
+	temporary string // path of the temporary file that this process writes and then renames to path
 	sidecar   string
 	files     system.FileOps
 	clock     system.Clock
 	log       *slog.Logger
-	pending   chan contents // at most one, to be written by run
+	pending   chan fileContents // holds at most one, which run writes
 }
 
-// NewStore returns a store of the named sidecar's estimates in host.Directory. It removes files that killed processes
-// left half written, and starts a goroutine that writes until ctx ends.
+// NewStore returns a Store for the estimates of the named sidecar, with its file in host.Directory. It removes the
+// temporary files that killed processes left, and starts a goroutine that writes the file until ctx ends.
 func NewStore(ctx context.Context, sidecar string, host config.Host, log *slog.Logger) *Store {
 	path := filepath.Join(host.Directory, FileName)
 	s := &Store{
@@ -36,14 +36,14 @@
 		files:     host.Files.OrSystem(),
 		clock:     host.Time.OrSystem(),
 		log:       log,
-		pending:   make(chan contents, 1),
+		pending:   make(chan fileContents, 1),
 	}
 	s.removeLeftovers()
 	go s.run(ctx)
 	return s
 }
 
-// run writes what Save queues until ctx ends.
+// run writes the estimates that Save queues, until ctx ends.
 func (s *Store) run(ctx context.Context) {
 	for {
 		select {
@@ -57,24 +57,25 @@
 	}
 }
 
-// Save queues estimates to be written; now is the time of the balancer's clock, in microseconds. It does not block:
-// while others are queued, these are dropped, and the next call saves newer ones.
+// Save queues estimates to be written; now is the time on the balancer's clock, in microseconds. Save does not block:
+// if earlier estimates are still queued, it drops the new ones. The next call then saves newer ones.
 func (s *Store) Save(now balancer.Micros, estimates balancer.Estimates) {
-	at := s.clock.Now()
-	next := contents{Version: fileVersion, Sidecar: s.sidecar, AtMS: at.UnixMS, UpMS: at.UptimeMS,
-		Clock: now, Estimates: estimates}
+	savedAt := s.clock.Now()
+	next := fileContents{Version: fileVersion, Sidecar: s.sidecar, SavedUnixMS: savedAt.UnixMS,
+		SavedUptimeMS: savedAt.UptimeMS, Clock: now, Estimates: estimates}
 	select {
 	case s.pending <- next:
 	default:
 	}
 }
 
-// Load returns the estimates of the process before this one, with their times by a balancer's clock that shows now, in
-// microseconds. It returns nil where there are none that can be used, and logs why if there is a file.
+// Load returns the estimates that the previous process saved, with their times converted to the balancer's clock; now
+// is the time on that clock, in microseconds. Load returns nil if there are no usable estimates. If it could read the
+// file, it logs why they are unusable.
 func (s *Store) Load(now balancer.Micros) *balancer.Estimates {
 	text, _, err := s.files.ReadFile(s.path, maxFileBytes)
 	if err != nil {
-		return nil // most starts have no file; one that cannot be read is not worth a wait
+		return nil // most starts have no file; an unreadable one is not worth a retry
 	}
 	saved, age, err := s.parse(text)
 	if err != nil {
@@ -85,7 +86,8 @@
 	return &saved.Estimates
 }
 
-func (s *Store) write(next contents) error {
+// write replaces the file. It does not sync, so the new content may be lost if the machine stops.
+func (s *Store) write(next fileContents) error {
 	text, err := json.Marshal(next)
 	if err != nil {
 		return fmt.Errorf("encode estimates: %w", err)
@@ -93,12 +95,12 @@
 	return s.files.ReplaceFile(s.path, s.temporary, text, false)
 }
 
-// removeLeftovers removes the temporary files of processes that were killed while they wrote. It may remove one that a
-// live process is about to rename, which fails one of that process's saves.
+// removeLeftovers removes the temporary files of processes that were killed during a write. It may also remove a file
+// that a live process is about to rename; one save of that process then fails.
 func (s *Store) removeLeftovers() {
 	leftovers, err := filepath.Glob(s.path + ".*")
 	if err != nil {
-		return // the directory's name is not a valid pattern
+		return // the directory's name is not a valid glob pattern
 	}
 	for _, path := range leftovers {
 		os.Remove(path)
