--- a/internal/operatorstate/store.go
+++ b/internal/operatorstate/store.go
@@ -20,23 +20,13 @@
 // one process takes effect in all of them. The exported fields must be set before the first call and not be changed
 // after.
 type Store struct {
-<<<<<<< .merge_file_4fjpSU
-	Directory string               // of the state file and its lock
-	Sidecar   string               // the name of the sidecar; a file of another is ignored
-	Log       *slog.Logger         // must not be nil
-	Files     system.FileOps       // the zero value uses the system's
-	Time      system.Clock         // must have its clocks set (Clock.WithDefaults)
-	Retention func() time.Duration // for how long an endpoint that was put back into service is remembered
-	Apply     func(State)          // puts a state into force before it returns; called under the lock
-=======
 	Directory string               // directory of the state file and the lock file
 	Sidecar   string               // name of the sidecar; a state file of another sidecar is ignored
 	Log       *slog.Logger         // logger; must not be nil
 	Files     system.FileOps       // file operations; the zero value uses those of the operating system
-	Time      system.Clock         // clock; both functions must be set, see system.Clock.OrSystem
+	Time      system.Clock         // clock; both functions must be set, see system.Clock.WithDefaults
 	Retention func() time.Duration // how long an uncordoned endpoint is remembered
 	Apply     func(State)          // puts a state into effect before it returns; called with mu held
->>>>>>> .merge_file_6baNH3
 
 	mu       sync.Mutex
 	current  State       // state in effect
