--- a/internal/emulator/emulatortest/await.go
+++ b/internal/emulator/emulatortest/await.go
@@ -12,11 +12,11 @@
 
 // Await returns once a condition holds. It fails the test, naming what it waited for, if that takes longer than
 // 10 s. It yields the processor between two checks, since most conditions hold soon.
-func Await(t testing.TB, what string, condition func() bool) {
+func Await(t testing.TB, description string, condition func() bool) {
 	t.Helper()
 	for deadline := time.Now().Add(awaitTimeout); !condition(); runtime.Gosched() {
 		if time.Now().After(deadline) {
-			t.Fatalf("timed out waiting for %s", what)
+			t.Fatalf("timed out waiting for %s", description)
 		}
 	}
 }
--- a/internal/emulator/endpoint/endpoint.go
+++ b/internal/emulator/endpoint/endpoint.go
@@ -14,7 +14,7 @@
 	"oakproxy/internal/emulator/httpconn"
 )
 
-const acceptPause = 5 * time.Millisecond
+const acceptRetryDelay = 5 * time.Millisecond
 
 // ErrClosed is returned for an Endpoint that has been closed.
 var ErrClosed = errors.New("endpoint: closed")
--- a/internal/emulator/endpoint/faults.go
+++ b/internal/emulator/endpoint/faults.go
@@ -25,14 +25,14 @@
 	return e.acceptor.dropSYNs()
 }
 
-// Hang suspends the process or resumes it. While it hangs, connections are established and no request gets a
+// SetHung suspends the process or resumes it. While it hangs, connections are established and no request gets a
 // response.
-func (e *Endpoint) Hang(hang bool) {
+func (e *Endpoint) SetHung(hung bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	switch {
 	case e.unreachable || e.acceptor == nil:
-	case hang:
+	case hung:
 		e.suspend()
 	default:
 		e.resume()
--- a/internal/emulator/endpoint/faults_test.go
+++ b/internal/emulator/endpoint/faults_test.go
@@ -75,7 +75,7 @@
 func TestHungEndpointRespondsOnceItResumes(t *testing.T) {
 	e := start(t, Config{})
 	c := newClient(t, e)
-	e.Hang(true)
+	e.SetHung(true)
 	result := c.sendAsync("id1")
 	connected, err := net.Dial("tcp", c.address)
 	if err != nil {
@@ -85,7 +85,7 @@
 	if got := e.Counts(); got.Requests != 0 || got.BytesOut != 0 {
 		t.Errorf("counts while it hangs: %+v", got)
 	}
-	e.Hang(false)
+	e.SetHung(false)
 	if got := <-result; got.status != 200 {
 		t.Errorf("got %+v", got)
 	}
--- a/internal/emulator/endpoint/harness_test.go
+++ b/internal/emulator/endpoint/harness_test.go
@@ -86,7 +86,7 @@
 	return result
 }
 
-func awaitInFlight(t *testing.T, e *Endpoint, want string) {
+func awaitInFlight(t *testing.T, e *Endpoint, wantReport string) {
 	t.Helper()
-	emulatortest.Await(t, want, func() bool { return e.loadReport() == want })
+	emulatortest.Await(t, wantReport, func() bool { return e.loadReport() == wantReport })
 }
--- a/internal/emulator/endpoint/listener.go
+++ b/internal/emulator/endpoint/listener.go
@@ -11,8 +11,8 @@
 )
 
 const (
-	fillTimeout = time.Second // for a connection of the acceptor itself to fill the backlog
-	fillPoll    = time.Millisecond
+	backlogFillTimeout  = time.Second // for a connection of the acceptor itself to fill the backlog
+	backlogPollInterval = time.Millisecond
 )
 
 // pastDeadline is a deadline that has always passed.
@@ -67,28 +67,28 @@
 	if err != nil {
 		return err
 	}
-	var shrunk error
-	if err := raw.Control(func(descriptor uintptr) { shrunk = syscall.Listen(int(descriptor), 0) }); err != nil {
+	var listenErr error
+	if err := raw.Control(func(descriptor uintptr) { listenErr = syscall.Listen(int(descriptor), 0) }); err != nil {
 		return err
 	}
-	if shrunk != nil {
-		return shrunk
+	if listenErr != nil {
+		return listenErr
 	}
 	return a.fillBacklog(raw)
 }
 
 // fillBacklog waits until the backlog holds a connection, and opens one itself if there is none.
 func (a *acceptor) fillBacklog(raw syscall.RawConn) error {
-	for deadline := time.Now().Add(fillTimeout); time.Now().Before(deadline); {
+	for deadline := time.Now().Add(backlogFillTimeout); time.Now().Before(deadline); {
 		length, err := backlogLength(raw)
 		if err != nil || length > 0 {
 			return err
 		}
 		if a.backlogConn != nil {
-			time.Sleep(fillPoll) // the last packet of its handshake is on its way
+			time.Sleep(backlogPollInterval) // the last packet of its handshake is on its way
 			continue
 		}
-		if a.backlogConn, err = net.DialTimeout("tcp", a.listener.Addr().String(), fillTimeout); err != nil {
+		if a.backlogConn, err = net.DialTimeout("tcp", a.listener.Addr().String(), backlogFillTimeout); err != nil {
 			return err
 		}
 	}
--- a/internal/emulator/endpoint/memory_test.go
+++ b/internal/emulator/endpoint/memory_test.go
@@ -8,13 +8,13 @@
 	"golang.org/x/sys/unix"
 )
 
-// idleConnections is how many connections are measured. Each takes two descriptors.
-const idleConnections = 5000
+// idleConnectionCount is how many connections are measured. Each takes two descriptors.
+const idleConnectionCount = 5000
 
 // BenchmarkIdleConnections reports the memory that an endpoint uses for an idle connection after its first request.
 // The clients' ends are bare descriptors, which use no memory of the process.
 func BenchmarkIdleConnections(b *testing.B) {
-	e, err := Start(Config{Name: "s-1", Address: "127.0.0.1:0", Cores: 1, QueueLimit: idleConnections})
+	e, err := Start(Config{Name: "s-1", Address: "127.0.0.1:0", Cores: 1, QueueLimit: idleConnectionCount})
 	if err != nil {
 		b.Fatal(err)
 	}
@@ -22,10 +22,10 @@
 	port := netip.MustParseAddrPort(e.Address()).Port()
 	for b.Loop() {
 		baseline := memoryInUse()
-		for range idleConnections {
+		for range idleConnectionCount {
 			defer unix.Close(exchange(b, int(port)))
 		}
-		b.ReportMetric(float64(memoryInUse()-baseline)/idleConnections, "B/connection")
+		b.ReportMetric(float64(memoryInUse()-baseline)/idleConnectionCount, "B/connection")
 	}
 }
 
--- a/internal/emulator/endpoint/queue_test.go
+++ b/internal/emulator/endpoint/queue_test.go
@@ -9,10 +9,10 @@
 )
 
 func TestQueueIsFIFOAndSkipsExpiredTasks(t *testing.T) {
-	near, far := net.Pipe()
-	defer near.Close()
-	defer far.Close()
-	conn := httpconn.New(near, &httpconn.Traffic{})
+	serverEnd, clientEnd := net.Pipe()
+	defer serverEnd.Close()
+	defer clientEnd.Close()
+	conn := httpconn.New(serverEnd, &httpconn.Traffic{})
 	q := &queue{cores: 1, limit: 9, serviceTime: func(time.Time) time.Duration { return time.Hour }}
 	first := &task{conn: conn}
 	late := &task{conn: conn, deadline: time.Now()}
--- a/internal/emulator/endpoint/serve.go
+++ b/internal/emulator/endpoint/serve.go
@@ -64,26 +64,26 @@
 		return e.write(c, http.StatusNotFound, nil)
 	}
 	queue, draining := e.incarnation()
-	current := &task{conn: c, deadline: parseDeadline(request.Header)}
+	t := &task{conn: c, deadline: parseDeadline(request.Header)}
 	switch {
 	case draining:
 		return e.reject(c, http.StatusServiceUnavailable)
-	case !current.deadline.IsZero() && !time.Now().Before(current.deadline):
+	case !t.deadline.IsZero() && !time.Now().Before(t.deadline):
 		return e.reject(c, http.StatusGatewayTimeout)
-	case !queue.admit(current):
+	case !queue.admit(t):
 		return e.reject(c, http.StatusServiceUnavailable)
 	}
 	if e.recentIDs.add(id) {
 		e.counters.duplicates.Add(1)
 	}
-	return e.complete(c, queue, current, id)
+	return e.complete(c, queue, t, id)
 }
 
 // complete waits until a task is done or has expired and writes its response.
-func (e *Endpoint) complete(c *httpconn.Conn, from *queue, current *task, id string) error {
+func (e *Endpoint) complete(c *httpconn.Conn, queue *queue, t *task, id string) error {
 	err := c.AwaitWake()
 	e.pauseGate.wait()
-	state := from.finish(current)
+	state := queue.finish(t)
 	switch {
 	case err != nil:
 		e.counters.abandoned.Add(1)
@@ -144,29 +144,29 @@
 }
 
 // accept serves the connections of one incarnation until that ends.
-func (e *Endpoint) accept(from *acceptor) {
+func (e *Endpoint) accept(acceptor *acceptor) {
 	defer e.serving.Done()
 	for {
 		e.pauseGate.wait()
-		socket, err := from.accept()
+		socket, err := acceptor.accept()
 		var timeout net.Error
 		switch {
 		case err == nil:
-			e.serveConn(from, httpconn.New(socket, &e.traffic))
+			e.serveConn(acceptor, httpconn.New(socket, &e.traffic))
 		case errors.Is(err, net.ErrClosed):
 			return
 		case errors.As(err, &timeout) && timeout.Timeout(): // suspended
 		default:
-			time.Sleep(acceptPause)
+			time.Sleep(acceptRetryDelay)
 		}
 	}
 }
 
 // serveConn starts serving a connection, unless the incarnation that accepted it is over.
-func (e *Endpoint) serveConn(from *acceptor, c *httpconn.Conn) {
+func (e *Endpoint) serveConn(acceptor *acceptor, c *httpconn.Conn) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if e.acceptor != from {
+	if e.acceptor != acceptor {
 		c.Reset()
 		return
 	}
--- a/internal/emulator/httpconn/conn.go
+++ b/internal/emulator/httpconn/conn.go
@@ -33,7 +33,7 @@
 // pastDeadline is a deadline that has always passed.
 var pastDeadline = time.Unix(1, 0)
 
-var readers = sync.Pool{New: func() any { return bufio.NewReaderSize(nil, readBufferSize) }}
+var readerPool = sync.Pool{New: func() any { return bufio.NewReaderSize(nil, readBufferSize) }}
 
 // Traffic counts the bytes of any number of connections.
 type Traffic struct {
@@ -49,10 +49,10 @@
 // Conn is an accepted connection. Only the one goroutine that serves it may call its methods, except Wake,
 // WakeAt, Close and Reset, which are safe for concurrent use.
 type Conn struct {
-	socket   net.Conn
-	traffic  *Traffic
-	first    [1]byte // of the next request; valid if hasFirst
-	hasFirst bool
+	socket       net.Conn
+	traffic      *Traffic
+	firstByte    [1]byte // of the next request; valid if hasFirst
+	hasFirstByte bool
 }
 
 // New wraps an accepted connection, whose bytes are counted in traffic.
@@ -62,10 +62,10 @@
 
 // AwaitRequest blocks until the first byte of a request has arrived. It fails once the client has disconnected.
 func (c *Conn) AwaitRequest() error {
-	n, err := c.socket.Read(c.first[:])
+	n, err := c.socket.Read(c.firstByte[:])
 	c.traffic.in.Add(uint64(n))
-	c.hasFirst = n > 0
-	if c.hasFirst {
+	c.hasFirstByte = n > 0
+	if c.hasFirstByte {
 		return nil
 	}
 	return err
@@ -73,9 +73,9 @@
 
 // ReadRequest reads a complete request. Its body is counted and discarded.
 func (c *Conn) ReadRequest() (*http.Request, error) {
-	reader := readers.Get().(*bufio.Reader)
-	defer readers.Put(reader)
-	reader.Reset((*source)(c))
+	reader := readerPool.Get().(*bufio.Reader)
+	defer readerPool.Put(reader)
+	reader.Reset((*requestReader)(c))
 	defer reader.Reset(nil)
 	request, err := http.ReadRequest(reader)
 	if err != nil {
@@ -137,14 +137,14 @@
 	_ = c.socket.Close()
 }
 
-// source reads a request, starting with the byte that AwaitRequest consumed.
-type source Conn
+// requestReader reads a request, starting with the byte that AwaitRequest consumed.
+type requestReader Conn
 
 // Read implements io.Reader.
-func (s *source) Read(buffer []byte) (int, error) {
-	if s.hasFirst && len(buffer) > 0 {
-		buffer[0] = s.first[0]
-		s.hasFirst = false
+func (s *requestReader) Read(buffer []byte) (int, error) {
+	if s.hasFirstByte && len(buffer) > 0 {
+		buffer[0] = s.firstByte[0]
+		s.hasFirstByte = false
 		return 1, nil
 	}
 	n, err := s.socket.Read(buffer)
--- a/internal/emulator/load/client.go
+++ b/internal/emulator/load/client.go
@@ -84,16 +84,16 @@
 	if err != nil {
 		return nil, err
 	}
-	stop := context.AfterFunc(ctx, func() { _ = conn.Close() })
-	got, err := exchange(conn, r, deadline)
-	open := stop()
+	cancelClose := context.AfterFunc(ctx, func() { _ = conn.Close() })
+	resp, err := exchange(conn, r, deadline)
+	stillOpen := cancelClose()
 	switch {
-	case err != nil || !got.reusable || !open:
+	case err != nil || !resp.reusable || !stillOpen:
 		_ = conn.Close()
 	default:
 		c.putIdle(r.target, conn)
 	}
-	return got, err
+	return resp, err
 }
 
 // connect returns an idle connection, if the source allows it and there is one, or opens one.
@@ -152,10 +152,10 @@
 func exchange(conn *connection, r *request, deadline time.Time) (*response, error) {
 	message := appendRequest(nil, r, time.Until(deadline))
 	if _, err := conn.Write(message); err != nil {
-		return nil, conn.classify(err)
+		return nil, conn.classifyError(err)
 	}
 	if _, err := conn.reader.Peek(1); err != nil {
-		return nil, conn.classify(err)
+		return nil, conn.classifyError(err)
 	}
 	received, err := http.ReadResponse(conn.reader, &http.Request{Method: r.class.Method})
 	if err != nil {
@@ -174,9 +174,9 @@
 	return &response{status: received.StatusCode, body: body, reusable: !received.Close}, nil
 }
 
-// classify returns errStaleConnection for the failure of a reused connection that was not closed on this side,
+// classifyError returns errStaleConnection for the failure of a reused connection that was not closed on this side,
 // and other errors as they are.
-func (c *connection) classify(err error) error {
+func (c *connection) classifyError(err error) error {
 	closedHere := errors.Is(err, net.ErrClosed)
 	if c.reused && !closedHere {
 		return errStaleConnection
--- a/internal/emulator/load/generator.go
+++ b/internal/emulator/load/generator.go
@@ -62,9 +62,9 @@
 func (g *generator) dispatch(ctx context.Context) {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
-	requests := newSchedule(g.plan)
+	schedule := newSchedule(g.plan)
 	for {
-		next, more := requests.next()
+		next, more := schedule.next()
 		if !more {
 			return
 		}
@@ -84,8 +84,8 @@
 
 // sleepUntil waits until a time and says whether ctx was not done before.
 func sleepUntil(ctx context.Context, timer *time.Timer, at time.Time) bool {
-	if coarse := time.Until(at) - timerSlack; coarse > 0 {
-		timer.Reset(coarse)
+	if coarseWait := time.Until(at) - timerSlack; coarseWait > 0 {
+		timer.Reset(coarseWait)
 		select {
 		case <-timer.C:
 		case <-ctx.Done():
@@ -131,17 +131,17 @@
 	defer g.inFlight.Done()
 	defer func() { <-g.slots }()
 	g.recorder.recordSend(time.Since(intended))
-	got, err := g.client.do(ctx, &r, deadline, pooled)
+	resp, err := g.client.do(ctx, &r, deadline, pooled)
 	if errors.Is(err, errStaleConnection) && !g.plan.Direct && time.Now().Before(deadline) {
 		g.client.resent.Add(1)
-		got, err = g.client.do(ctx, &r, deadline, fresh)
+		resp, err = g.client.do(ctx, &r, deadline, fresh)
 	}
 	latency := time.Since(intended)
-	g.recorder.recordOutcome(classify(ctx, &r, got, err, deadline), latency)
+	g.recorder.recordOutcome(classifyOutcome(ctx, &r, resp, err, deadline), latency)
 }
 
-// classify returns a request's outcome.
-func classify(ctx context.Context, r *request, got *response, err error, deadline time.Time) outcome {
+// classifyOutcome returns a request's outcome.
+func classifyOutcome(ctx context.Context, r *request, resp *response, err error, deadline time.Time) outcome {
 	switch {
 	case err != nil && ctx.Err() != nil:
 		return cancelled
@@ -150,9 +150,9 @@
 	case err != nil:
 		return broken
 	}
-	switch got.status {
+	switch resp.status {
 	case http.StatusOK:
-		if !bytes.Contains(got.body, []byte(r.id)) {
+		if !bytes.Contains(resp.body, []byte(r.id)) {
 			return mismatched
 		}
 		return served
--- a/internal/emulator/load/load_test.go
+++ b/internal/emulator/load/load_test.go
@@ -56,13 +56,13 @@
 		t.Errorf("%d requests, want about 10000", len(all))
 	}
 	counts := map[string]int{}
-	for _, one := range all {
-		counts[one.target]++
-		counts[one.tenant]++
-		counts[one.class.Name]++
-		hasKey := one.class.Name == "checkout"
-		if (one.idempotencyKey != "") != hasKey || (one.class.Method == http.MethodPost) != hasKey {
-			t.Fatalf("request %+v", one)
+	for _, r := range all {
+		counts[r.target]++
+		counts[r.tenant]++
+		counts[r.class.Name]++
+		hasKey := r.class.Name == "checkout"
+		if (r.idempotencyKey != "") != hasKey || (r.class.Method == http.MethodPost) != hasKey {
+			t.Fatalf("request %+v", r)
 		}
 	}
 	if fraction := float64(counts["search"]) / float64(len(all)); fraction < 0.72 || fraction > 0.78 {
--- a/internal/emulator/load/ready.go
+++ b/internal/emulator/load/ready.go
@@ -8,16 +8,16 @@
 )
 
 const (
-	readyPath    = "/health/ready"
-	readyTimeout = time.Second // of one request
-	readyPoll    = 50 * time.Millisecond
+	readyPath           = "/health/ready"
+	readyRequestTimeout = time.Second // of one request
+	readyPollInterval   = 50 * time.Millisecond
 )
 
 // AwaitReady waits until each of the sidecars is ready, as an application waits for its own before it sends. It
 // fails with the error of ctx when that is done.
 func AwaitReady(ctx context.Context, targets []string) error {
 	transport := &http.Transport{DisableKeepAlives: true}
-	client := &http.Client{Transport: transport, Timeout: readyTimeout}
+	client := &http.Client{Transport: transport, Timeout: readyRequestTimeout}
 	for _, target := range targets {
 		if err := awaitReady(ctx, client, target); err != nil {
 			return fmt.Errorf("load: %s is not ready: %w", target, err)
@@ -27,7 +27,7 @@
 }
 
 func awaitReady(ctx context.Context, client *http.Client, target string) error {
-	ticker := time.NewTicker(readyPoll)
+	ticker := time.NewTicker(readyPollInterval)
 	defer ticker.Stop()
 	for !IsReady(ctx, client, target) {
 		select {
--- a/internal/emulator/play/propagation.go
+++ b/internal/emulator/play/propagation.go
@@ -29,7 +29,7 @@
 
 // awaitList waits until every simulated sidecar has received a version of the list.
 func (r *runner) awaitList(ctx context.Context, version worker.ListVersion, times *propagation) error {
-	request := worker.Await{Version: version.Number, Timeout: propagationTimeout}
+	request := worker.AwaitRequest{Version: version.Number, Timeout: propagationTimeout}
 	received, err := callAll[worker.Completions](ctx, r.sidecarWorkers, worker.AwaitList, request)
 	if err != nil {
 		return err
--- a/internal/emulator/play/replace.go
+++ b/internal/emulator/play/replace.go
@@ -110,7 +110,7 @@
 	if err := r.applyAction(ctx, worker.Drain, []fleet.Endpoint{c.endpoint}); err != nil {
 		return err
 	}
-	names := worker.Names{Names: []string{c.sidecar.Name}}
+	names := worker.SidecarNames{Names: []string{c.sidecar.Name}}
 	if err := r.sidecarWorkers[c.worker].Call(ctx, worker.StopSidecars, names, nil); err != nil {
 		return err
 	}
--- a/internal/emulator/play/rollout.go
+++ b/internal/emulator/play/rollout.go
@@ -38,7 +38,7 @@
 	if err != nil {
 		return nil, err
 	}
-	if _, err := callAll[control.Empty](ctx, r.sidecarWorkers, worker.ReloadSidecars, worker.Names{}); err != nil {
+	if _, err := callAll[control.Empty](ctx, r.sidecarWorkers, worker.ReloadSidecars, worker.SidecarNames{}); err != nil {
 		return nil, err
 	}
 	for _, s := range r.real {
@@ -61,7 +61,7 @@
 		defer waiting.Done()
 		realErr = r.awaitRealConfig(ctx, applied.at)
 	}()
-	request := worker.Await{Timeout: reloadTimeout}
+	request := worker.AwaitRequest{Timeout: reloadTimeout}
 	simulated, err := callAll[worker.Completions](ctx, r.sidecarWorkers, worker.AwaitConfig, request)
 	waiting.Wait()
 	if err := errors.Join(err, realErr); err != nil {
--- a/internal/emulator/play/sidecars.go
+++ b/internal/emulator/play/sidecars.go
@@ -127,14 +127,14 @@
 ) (result.Distribution, error) {
 	var workers []*workerProcess
 	var starts []worker.Sidecars
-	var awaits []worker.Await
+	var awaits []worker.AwaitRequest
 	count := 0
 	for i, group := range byWorker {
 		if len(group) == 0 {
 			continue
 		}
 		start := worker.Sidecars{Over: over}
-		await := worker.Await{Timeout: r.spec().Limits.Ready.Std()}
+		await := worker.AwaitRequest{Timeout: r.spec().Limits.Ready.Std()}
 		for _, s := range group {
 			start.Files = append(start.Files, worker.SidecarFile{Name: s.Name, Path: r.configPath(s)})
 			await.Names = append(await.Names, s.Name)
--- a/internal/emulator/play/zone.go
+++ b/internal/emulator/play/zone.go
@@ -102,7 +102,7 @@
 		if len(group) == 0 {
 			continue
 		}
-		var names worker.Names
+		var names worker.SidecarNames
 		for _, s := range group {
 			names.Names = append(names.Names, s.Name)
 		}
--- a/internal/emulator/process/group.go
+++ b/internal/emulator/process/group.go
@@ -12,8 +12,8 @@
 	"time"
 )
 
-// stopPoll is the interval at which Stop checks whether children have exited.
-const stopPoll = 10 * time.Millisecond
+// stopPollInterval is the interval at which Stop checks whether children have exited.
+const stopPollInterval = 10 * time.Millisecond
 
 // Program is a program to start as a child process.
 type Program struct {
@@ -183,7 +183,7 @@
 	}
 	deadline := time.Now().Add(grace)
 	for len(g.Children()) > 0 && time.Now().Before(deadline) {
-		time.Sleep(stopPoll)
+		time.Sleep(stopPollInterval)
 	}
 	for _, child := range g.Children() {
 		_ = child.Signal(syscall.SIGKILL)
--- a/internal/emulator/process/usage.go
+++ b/internal/emulator/process/usage.go
@@ -130,19 +130,19 @@
 		return MachineCPU{}, err
 	}
 	line, _, _ := strings.Cut(string(text), "\n")
-	const idleField, waitField, countedFields = 3, 4, 8 // guest time is part of user time
+	const idleField, iowaitField, countedFieldCount = 3, 4, 8 // guest time is part of user time
 	var cpu MachineCPU
 	for i, field := range strings.Fields(strings.TrimPrefix(line, "cpu")) {
 		ticks, err := strconv.ParseInt(field, 10, 64)
 		if err != nil {
 			return MachineCPU{}, err
 		}
-		if i >= countedFields {
+		if i >= countedFieldCount {
 			break
 		}
 		elapsed := time.Duration(ticks) * time.Second / ticksPerSecond
 		cpu.Total += elapsed
-		if i != idleField && i != waitField {
+		if i != idleField && i != iowaitField {
 			cpu.Busy += elapsed
 		}
 	}
--- a/internal/emulator/registry/list.go
+++ b/internal/emulator/registry/list.go
@@ -87,8 +87,8 @@
 		l.apply(instance)
 	}
 	l.history = append(l.history, versionChange{version: l.version, instances: append([]Instance(nil), changes...)})
-	if excess := len(l.history) - l.historyLimit; excess > 0 {
-		l.history = append([]versionChange(nil), l.history[excess:]...)
+	if overLimit := len(l.history) - l.historyLimit; overLimit > 0 {
+		l.history = append([]versionChange(nil), l.history[overLimit:]...)
 	}
 }
 
--- a/internal/emulator/registry/listen.go
+++ b/internal/emulator/registry/listen.go
@@ -41,14 +41,14 @@
 		return nil, err
 	}
 	for listener, set := range previous {
-		s.abandon(listener, set)
+		s.retireListener(listener, set)
 	}
 	s.logger.Info("registry moved", "address", newAddress)
 	return newAddress, nil
 }
 
-// abandon closes a listener, and after the move grace its connections.
-func (s *Server) abandon(listener net.Listener, set *httpconn.Set) {
+// retireListener closes a listener, and after the move grace its connections.
+func (s *Server) retireListener(listener net.Listener, set *httpconn.Set) {
 	_ = listener.Close()
 	s.mu.Lock()
 	delete(s.listeners, listener)
@@ -70,12 +70,12 @@
 		}
 		if err != nil {
 			s.logger.Warn("registry can't accept", "error", err)
-			time.Sleep(acceptPause)
+			time.Sleep(acceptRetryDelay)
 			continue
 		}
 		c := httpconn.New(socket, &s.traffic)
 		set.Add(c)
-		if !s.track(c) {
+		if !s.trackConnection(c) {
 			c.Close()
 			return
 		}
@@ -89,8 +89,8 @@
 	}
 }
 
-// track registers a connection that is about to be served. It returns false if the server is closed.
-func (s *Server) track(c *httpconn.Conn) bool {
+// trackConnection registers a connection that is about to be served. It returns false if the server is closed.
+func (s *Server) trackConnection(c *httpconn.Conn) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.closed {
--- a/internal/emulator/registry/server.go
+++ b/internal/emulator/registry/server.go
@@ -21,7 +21,7 @@
 const (
 	defaultHistory   = 256
 	defaultMoveGrace = 1500 * time.Millisecond
-	acceptPause      = 5 * time.Millisecond
+	acceptRetryDelay = 5 * time.Millisecond
 )
 
 // ErrClosed is returned for a Server that has been closed.
--- a/internal/emulator/sidecarlog/events_test.go
+++ b/internal/emulator/sidecarlog/events_test.go
@@ -10,9 +10,9 @@
 // checkBothSources checks events that a hosted sidecar logs, and those that a process writes as lines of text.
 func checkBothSources(t *testing.T, log func(*slog.Logger), check func(*Events)) {
 	t.Helper()
-	hosted := New()
-	log(hosted.Logger().With("sidecar", "n0"))
-	check(hosted)
+	simulated := New()
+	log(simulated.Logger().With("sidecar", "n0"))
+	check(simulated)
 	process := New()
 	log(slog.New(slog.NewTextHandler(byteWriter{NewWriter(process)}, nil)).With("sidecar", "n0"))
 	check(process)
--- a/internal/emulator/worker/endpoints.go
+++ b/internal/emulator/worker/endpoints.go
@@ -55,7 +55,7 @@
 	defer s.mu.Unlock()
 	var affected Incarnations
 	for _, name := range s.names {
-		if !matchesName(request.Names, name) {
+		if !matchesNames(request.Names, name) {
 			continue
 		}
 		e := s.endpoints[name]
--- a/internal/emulator/worker/hostedsidecar.go
+++ b/internal/emulator/worker/hostedsidecar.go
@@ -11,8 +11,8 @@
 	"oakproxy/internal/sidecar"
 )
 
-// hostedSidecar is one incarnation of a sidecar.
-type hostedSidecar struct {
+// simulatedSidecar is one incarnation of a sidecar.
+type simulatedSidecar struct {
 	file    SidecarFile
 	started time.Time
 	events  *sidecarlog.Events
@@ -33,14 +33,14 @@
 	return config.Parse(text)
 }
 
-// startHosted starts a sidecar with its configuration file. It runs until its stop is called.
-func startHosted(file SidecarFile) (*hostedSidecar, error) {
+// startSimulated starts a sidecar with its configuration file. It runs until its stop is called.
+func startSimulated(file SidecarFile) (*simulatedSidecar, error) {
 	cfg, err := readConfig(file.Path)
 	if err != nil {
 		return nil, err
 	}
 	ctx, stop := context.WithCancel(context.Background())
-	h := &hostedSidecar{
+	s := &simulatedSidecar{
 		file:    file,
 		started: time.Now(),
 		events:  sidecarlog.New(),
@@ -49,60 +49,60 @@
 		done:    make(chan struct{}),
 	}
 	go func() {
-		defer close(h.done)
-		defer h.closeReloads()
-		h.err = sidecar.Run(ctx, cfg, config.ReloadOnSignal(file.Path, h.reloads), h.events.Logger())
+		defer close(s.done)
+		defer s.closeReloads()
+		s.err = sidecar.Run(ctx, cfg, config.ReloadOnSignal(file.Path, s.reloads), s.events.Logger())
 	}()
-	return h, nil
+	return s, nil
 }
 
 // requestReload has the effect of SIGHUP. A request while another is pending adds nothing.
-func (h *hostedSidecar) requestReload() {
-	h.mu.Lock()
-	defer h.mu.Unlock()
+func (s *simulatedSidecar) requestReload() {
+	s.mu.Lock()
+	defer s.mu.Unlock()
 	select {
-	case h.reloads <- nil:
+	case s.reloads <- nil:
 	default:
 	}
 }
 
 // closeReloads ends the reload requests of a sidecar that has ended.
-func (h *hostedSidecar) closeReloads() {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	close(h.reloads)
-	h.reloads = nil
+func (s *simulatedSidecar) closeReloads() {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	close(s.reloads)
+	s.reloads = nil
 }
 
 // await waits until a condition is met, ctx is done or the sidecar has ended.
-func (h *hostedSidecar) await(ctx context.Context, condition sidecarlog.Condition) (time.Time, bool) {
+func (s *simulatedSidecar) await(ctx context.Context, condition sidecarlog.Condition) (time.Time, bool) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	go func() {
 		select {
-		case <-h.done:
+		case <-s.done:
 			cancel()
 		case <-ctx.Done():
 		}
 	}()
-	return h.events.Await(ctx, condition)
+	return s.events.Await(ctx, condition)
 }
 
-func (h *hostedSidecar) running() bool {
+func (s *simulatedSidecar) running() bool {
 	select {
-	case <-h.done:
+	case <-s.done:
 		return false
 	default:
 		return true
 	}
 }
 
-func (h *hostedSidecar) counts() SidecarCounts {
-	c := SidecarCounts{Counts: h.events.Counts()}
-	if h.running() {
+func (s *simulatedSidecar) counts() SidecarCounts {
+	c := SidecarCounts{Counts: s.events.Counts()}
+	if s.running() {
 		c.Running = 1
-	} else if h.err != nil {
-		c.Failed, c.FirstFailure = 1, h.file.Name+": "+h.err.Error()
+	} else if s.err != nil {
+		c.Failed, c.FirstFailure = 1, s.file.Name+": "+s.err.Error()
 	}
 	return c
 }
--- a/internal/emulator/worker/messages.go
+++ b/internal/emulator/worker/messages.go
@@ -109,12 +109,12 @@
 	Over  time.Duration
 }
 
-// Names are the sidecars of a request; without names, all that are running.
-type Names struct{ Names []string }
+// SidecarNames are the sidecars of a request; without names, all that are running.
+type SidecarNames struct{ Names []string }
 
-// Await waits until each of the named sidecars, or each that is running, is ready, has received a list of
+// AwaitRequest waits until each of the named sidecars, or each that is running, is ready, has received a list of
 // this version, or has applied the configuration of its file.
-type Await struct {
+type AwaitRequest struct {
 	Names   []string
 	Version uint64
 	Timeout time.Duration
--- a/internal/emulator/worker/registry.go
+++ b/internal/emulator/worker/registry.go
@@ -16,9 +16,9 @@
 
 // registryService is the registry role: it hosts the discovery server.
 type registryService struct {
-	mu      sync.Mutex
-	server  *registry.Server
-	scratch string
+	mu               sync.Mutex
+	server           *registry.Server
+	scratchDirectory string
 }
 
 func (s *registryService) handlers() control.Handlers {
@@ -36,7 +36,7 @@
 	if s.server != nil {
 		return RegistryAddress{}, spec.Invalid("registry: already started")
 	}
-	s.scratch = options.Scratch
+	s.scratchDirectory = options.Scratch
 	s.server = registry.New(registry.Options{
 		CallsPerSecond: options.CallsPerSecond,
 		MaxQueueDelay:  options.MaxQueueDelay,
@@ -73,7 +73,7 @@
 	if s.server != nil {
 		_ = s.server.Close()
 	}
-	if s.scratch != "" {
-		_ = os.RemoveAll(s.scratch) // the emulator may have been killed before it could
+	if s.scratchDirectory != "" {
+		_ = os.RemoveAll(s.scratchDirectory) // the emulator may have been killed before it could
 	}
 }
--- a/internal/emulator/worker/sidecars.go
+++ b/internal/emulator/worker/sidecars.go
@@ -21,13 +21,13 @@
 // process of its own, many to a process and without an application.
 type sidecarService struct {
 	mu         sync.Mutex
-	sidecars   map[string]*hostedSidecar // the latest incarnation of each
-	names      []string                  // in the order of their first start
-	pastCounts SidecarCounts             // of earlier incarnations
+	sidecars   map[string]*simulatedSidecar // the latest incarnation of each
+	names      []string                     // in the order of their first start
+	pastCounts SidecarCounts                // of earlier incarnations
 }
 
 func newSidecarService() *sidecarService {
-	return &sidecarService{sidecars: map[string]*hostedSidecar{}}
+	return &sidecarService{sidecars: map[string]*simulatedSidecar{}}
 }
 
 func (s *sidecarService) handlers() control.Handlers {
@@ -70,7 +70,7 @@
 		}
 		s.pastCounts.Add(previous.counts())
 	}
-	next, err := startHosted(file)
+	next, err := startSimulated(file)
 	if err != nil {
 		return err
 	}
@@ -82,51 +82,51 @@
 }
 
 // stop shuts sidecars down gracefully, as SIGTERM does, and waits for them.
-func (s *sidecarService) stop(_ context.Context, request Names) (control.Empty, error) {
+func (s *sidecarService) stop(_ context.Context, request SidecarNames) (control.Empty, error) {
 	stopping := s.selected(request.Names)
-	for _, h := range stopping {
-		h.stop()
+	for _, sidecar := range stopping {
+		sidecar.stop()
 	}
-	for _, h := range stopping {
-		<-h.done
+	for _, sidecar := range stopping {
+		<-sidecar.done
 	}
 	return control.Empty{}, nil
 }
 
 // reload makes sidecars reload their files, as SIGHUP does.
-func (s *sidecarService) reload(_ context.Context, request Names) (control.Empty, error) {
-	for _, h := range s.selected(request.Names) {
-		h.requestReload()
+func (s *sidecarService) reload(_ context.Context, request SidecarNames) (control.Empty, error) {
+	for _, sidecar := range s.selected(request.Names) {
+		sidecar.requestReload()
 	}
 	return control.Empty{}, nil
 }
 
 // selected returns the sidecars of these names; without names, all that are running.
-func (s *sidecarService) selected(names []string) []*hostedSidecar {
+func (s *sidecarService) selected(names []string) []*simulatedSidecar {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	var chosen []*hostedSidecar
+	var chosen []*simulatedSidecar
 	for _, name := range s.names {
-		h := s.sidecars[name]
-		if slices.Contains(names, name) || len(names) == 0 && h.running() {
-			chosen = append(chosen, h)
+		sidecar := s.sidecars[name]
+		if slices.Contains(names, name) || len(names) == 0 && sidecar.running() {
+			chosen = append(chosen, sidecar)
 		}
 	}
 	return chosen
 }
 
-func (s *sidecarService) awaitReady(ctx context.Context, request Await) (Completions, error) {
-	return s.await(ctx, request, func(*hostedSidecar) sidecarlog.Condition { return sidecarlog.Ready })
+func (s *sidecarService) awaitReady(ctx context.Context, request AwaitRequest) (Completions, error) {
+	return s.await(ctx, request, func(*simulatedSidecar) sidecarlog.Condition { return sidecarlog.Ready })
 }
 
-func (s *sidecarService) awaitList(ctx context.Context, request Await) (Completions, error) {
+func (s *sidecarService) awaitList(ctx context.Context, request AwaitRequest) (Completions, error) {
 	received := sidecarlog.ListReceived(request.Version)
-	return s.await(ctx, request, func(*hostedSidecar) sidecarlog.Condition { return received })
+	return s.await(ctx, request, func(*simulatedSidecar) sidecarlog.Condition { return received })
 }
 
-func (s *sidecarService) awaitConfig(ctx context.Context, request Await) (Completions, error) {
-	return s.await(ctx, request, func(h *hostedSidecar) sidecarlog.Condition {
-		cfg, err := readConfig(h.file.Path)
+func (s *sidecarService) awaitConfig(ctx context.Context, request AwaitRequest) (Completions, error) {
+	return s.await(ctx, request, func(sidecar *simulatedSidecar) sidecarlog.Condition {
+		cfg, err := readConfig(sidecar.file.Path)
 		if err != nil {
 			return func(*sidecarlog.Events) (time.Time, bool) { return time.Time{}, false }
 		}
@@ -137,18 +137,18 @@
 // await waits until each sidecar of a request meets its condition. One that ends in the meantime is
 // neither completed nor missing.
 func (s *sidecarService) await(
-	ctx context.Context, request Await, conditionOf func(*hostedSidecar) sidecarlog.Condition,
+	ctx context.Context, request AwaitRequest, conditionOf func(*simulatedSidecar) sidecarlog.Condition,
 ) (Completions, error) {
 	ctx, cancel := context.WithTimeout(ctx, request.Timeout)
 	defer cancel()
 	var result Completions
-	for _, h := range s.selected(request.Names) {
-		at, met := h.await(ctx, conditionOf(h))
+	for _, sidecar := range s.selected(request.Names) {
+		at, met := sidecar.await(ctx, conditionOf(sidecar))
 		switch {
 		case met:
-			result.Completed = append(result.Completed, Completion{Name: h.file.Name, StartedAt: h.started, At: at})
-		case h.running():
-			result.Missing = append(result.Missing, h.file.Name)
+			result.Completed = append(result.Completed, Completion{Name: sidecar.file.Name, StartedAt: sidecar.started, At: at})
+		case sidecar.running():
+			result.Missing = append(result.Missing, sidecar.file.Name)
 		}
 	}
 	return result, nil
@@ -158,8 +158,8 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	sum := s.pastCounts
-	for _, h := range s.sidecars {
-		sum.Add(h.counts())
+	for _, sidecar := range s.sidecars {
+		sum.Add(sidecar.counts())
 	}
 	sum.Goroutines = runtime.NumGoroutine()
 	return sum, nil
@@ -169,7 +169,7 @@
 func (s *sidecarService) close() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for _, h := range s.sidecars {
-		h.stop()
+	for _, sidecar := range s.sidecars {
+		sidecar.stop()
 	}
 }
--- a/internal/emulator/worker/worker.go
+++ b/internal/emulator/worker/worker.go
@@ -40,7 +40,7 @@
 	return nil, spec.Invalid("unknown role %q", role)
 }
 
-// matchesName says whether name is among names. No names match every name.
-func matchesName(names []string, name string) bool {
+// matchesNames says whether name is among names. No names match every name.
+func matchesNames(names []string, name string) bool {
 	return len(names) == 0 || slices.Contains(names, name)
 }
