--- a/internal/emulator/endpoint/endpoint.go
+++ b/internal/emulator/endpoint/endpoint.go
@@ -1,9 +1,9 @@
 // Package endpoint is a test double of a service behind the sidecars.
 //
-// An endpoint serves requests and health checks, models their work as service time on a number of cores
-// with a bounded queue, and injects the faults of a process and of its machine: draining, restart, crash,
-// hang and loss of the network. Counters survive restarts. It does no work for a request and keeps nothing
-// of it but its correlation ID.
+// An endpoint serves requests and health checks. It models the processing of requests as service time on a number of
+// cores with a bounded queue in front of them. It can simulate planned changes and faults of its process and machine:
+// draining, restart, crash, hang and loss of the network. Counters survive restarts. The endpoint does no real work
+// for a request, and of the request it stores only the correlation ID.
 package endpoint
 
 import (
@@ -14,12 +14,12 @@
 	"oakproxy/internal/emulator/httpconn"
 )
 
-const acceptRetryDelay = 5 * time.Millisecond
+const acceptRetryDelay = 5 * time.Millisecond // pause after a failed accept
 
-// ErrClosed is returned for an Endpoint that has been closed.
-var ErrClosed = errors.New("endpoint: closed")
+// ErrClosed is returned by methods of an Endpoint after Close.
+var ErrClosed = errors.New("endpoint: endpoint is closed")
 
-// Endpoint is a running endpoint. Make one with Start. It is safe for concurrent use.
+// Endpoint is a running endpoint. Start creates one. It is safe for concurrent use.
 type Endpoint struct {
 	config      Config
 	address     string
@@ -27,19 +27,19 @@
 	connections httpconn.Set
 	counters    counters
 	recentIDs   idWindow
-	pauseGate   pauseGate // paused while the endpoint hangs or is disconnected
-	serving     sync.WaitGroup
+	pauseGate   pauseGate      // paused while the endpoint hangs or is disconnected
+	serving     sync.WaitGroup // goroutines that accept or serve connections
 
 	mu          sync.Mutex
-	acceptor    *acceptor // nil while the process is down
-	queue       *queue
-	startedAt   time.Time // of the last start; zero for long ago
+	acceptor    *acceptor // nil while the simulated process is down
+	queue       *queue    // queue of the current incarnation
+	startedAt   time.Time // time of the last cold start; zero for a warm first start, which counts as long ago
 	draining    bool
-	unreachable bool
+	unreachable bool // set by Disconnect until Restart, Crash, Recover or Close
 	closed      bool
 }
 
-// Start starts an endpoint, which listens and serves until Close.
+// Start starts an endpoint, which listens and serves requests until Close.
 func Start(config Config) (*Endpoint, error) {
 	e := &Endpoint{config: config.withDefaults(), address: config.Address}
 	e.mu.Lock()
@@ -57,10 +57,11 @@
 // Address returns the address that the endpoint listens on.
 func (e *Endpoint) Address() string { return e.address }
 
-// Config returns what the endpoint was started with.
+// Config returns the configuration of the endpoint, with defaults filled in.
 func (e *Endpoint) Config() Config { return e.config }
 
-// StartedMS returns the Unix time of the last start in milliseconds; 0 if it was long ago.
+// StartedMS returns the time of the last cold start as Unix time in milliseconds. It returns 0 for an endpoint that
+// started warm, which stands for a start long ago.
 func (e *Endpoint) StartedMS() int64 {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -70,15 +71,15 @@
 	return e.startedAt.UnixMilli()
 }
 
-// Drain makes the endpoint complete the requests it has and reject new ones.
+// Drain makes the endpoint reject new requests and complete those that it has admitted.
 func (e *Endpoint) Drain() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.draining = true
 }
 
-// Restart resets all connections and starts a new incarnation, which is cold and ready. It returns ErrClosed
-// after Close.
+// Restart resets all connections and starts a new incarnation, which is cold and accepts requests. It returns
+// ErrClosed after Close.
 func (e *Endpoint) Restart() error {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -89,7 +90,7 @@
 	return e.start(time.Now())
 }
 
-// Counts returns the counters so far.
+// Counts returns the current values of the counters.
 func (e *Endpoint) Counts() Counts {
 	return Counts{
 		Requests:     e.counters.requests.Load(),
@@ -105,7 +106,7 @@
 	}
 }
 
-// Close stops the endpoint for good and waits for its goroutines.
+// Close stops the endpoint permanently and waits until its goroutines have ended.
 func (e *Endpoint) Close() error {
 	e.mu.Lock()
 	e.closed = true
--- a/internal/emulator/endpoint/endpoint_test.go
+++ b/internal/emulator/endpoint/endpoint_test.go
@@ -30,7 +30,7 @@
 		got := c.send(check.method, check.path, check.id)
 		if got.err != nil || got.status != check.status || got.body != check.body ||
 			got.header.Get(loadHeader) != "inflight=0" {
-			t.Errorf("got %+v, want %+v", got, check)
+			t.Errorf("%s %s: got %+v, want %+v", check.method, check.path, got, check)
 		}
 	}
 	emulatortest.Await(t, "the third response", func() bool { return e.Counts().Served == 3 })
@@ -38,7 +38,8 @@
 	if got.Requests != 4 || got.MissingIDs != 1 || got.Duplicates != 1 || got.HealthChecks != 2 ||
 		got.BytesIn == 0 || got.BytesOut == 0 ||
 		got.Connections != (httpconn.SetCounts{Accepted: 1, Open: 1, MaxOpen: 1}) {
-		t.Errorf("got counts %+v", got)
+		t.Errorf("got counts %+v, want 4 requests, 1 missing ID, 1 duplicate, 2 health checks, bytes in both directions "+
+			"and 1 connection, which is open", got)
 	}
 }
 
@@ -53,13 +54,13 @@
 	e.connections.ResetAll()
 	for _, result := range []<-chan requestResult{running, queued} {
 		if got := <-result; got.err == nil {
-			t.Errorf("got %+v", got)
+			t.Errorf("request on a connection that was reset: got response %+v, want an error", got)
 		}
 	}
 	awaitInFlight(t, e, "inflight=0")
 	emulatortest.Await(t, "the abandoned requests", func() bool { return e.Counts().Abandoned == 2 })
 	if got := e.Counts(); got.Rejected != 1 || got.Served != 0 {
-		t.Errorf("got counts %+v", got)
+		t.Errorf("got counts %+v, want 1 request rejected and 0 served", got)
 	}
 }
 
@@ -71,7 +72,7 @@
 	}
 	defer socket.Close()
 	if _, err := socket.Read(make([]byte, 1)); !errors.Is(err, io.EOF) {
-		t.Errorf("got %v, want EOF", err)
+		t.Errorf("read from an idle connection: got %v, want EOF", err)
 	}
 	emulatortest.Await(t, "the connection to be closed", func() bool { return e.Counts().Connections.Open == 0 })
 }
@@ -88,7 +89,7 @@
 			t.Fatal(err)
 		}
 		defer socket.Close()
-		_, _ = io.WriteString(socket, sent) // fails if the connection is closed first
+		_, _ = io.WriteString(socket, sent) // fails if the endpoint closes the connection before it has read everything
 		if got, _ := io.ReadAll(socket); len(got) > 0 {
 			t.Errorf("%s: got response %q, want none", name, got)
 		}
@@ -104,7 +105,7 @@
 		time.Hour:              10 * time.Millisecond,
 	} {
 		if got := config.serviceTimeAt(elapsed); got.Round(time.Microsecond) != want {
-			t.Errorf("%v after the start: got %v, want %v", elapsed, got, want)
+			t.Errorf("%v after the start: got service time %v, want %v", elapsed, got, want)
 		}
 	}
 }
--- a/internal/emulator/endpoint/faults.go
+++ b/internal/emulator/endpoint/faults.go
@@ -2,15 +2,17 @@
 
 import "time"
 
-// Crash ends the process: connections are reset and new ones refused, until Restart or Recover.
+// Crash simulates the death of the process: open connections are reset, and new ones are refused until Restart or
+// Recover.
 func (e *Endpoint) Crash() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.stop()
 }
 
-// Disconnect cuts the machine off the network: connections stay open and silent, and new ones time out, until
-// Restart or Recover. It returns ErrClosed after Close.
+// Disconnect simulates a machine that has lost its network: until Restart or Recover, open connections stay open but
+// carry no responses, and attempts to connect time out. It has no effect on an endpoint that has crashed or is
+// already disconnected. It returns ErrClosed after Close.
 func (e *Endpoint) Disconnect() error {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -25,8 +27,8 @@
 	return e.acceptor.dropSYNs()
 }
 
-// SetHung suspends the process or resumes it. While it hangs, connections are established and no request gets a
-// response.
+// SetHung suspends the process or resumes it. While the process hangs, clients can connect, but no request gets a
+// response. SetHung has no effect on an endpoint that has crashed or is disconnected.
 func (e *Endpoint) SetHung(hung bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -39,9 +41,9 @@
 	}
 }
 
-// Recover ends the fault that is injected. An endpoint that hung resumes; one that was draining accepts requests
-// again; one that was disconnected resets the connections it had and keeps its start time; one that crashed
-// starts a new incarnation. It returns ErrClosed after Close.
+// Recover ends the fault that the endpoint simulates. A hung endpoint resumes. A draining endpoint accepts requests
+// again. A disconnected endpoint resets the connections it had and keeps its start time. A crashed endpoint starts a
+// new incarnation. Recover returns ErrClosed after Close.
 func (e *Endpoint) Recover() error {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/internal/emulator/endpoint/harness_test.go
+++ b/internal/emulator/endpoint/harness_test.go
@@ -9,6 +9,7 @@
 	"oakproxy/internal/emulator/emulatortest"
 )
 
+// start starts an endpoint on a loopback port that the operating system chooses, and closes it after the test.
 func start(t *testing.T, config Config) *Endpoint {
 	t.Helper()
 	config.Name, config.Address = "s-1", "127.0.0.1:0"
@@ -27,7 +28,7 @@
 	}
 }
 
-// requestResult is the outcome of a request.
+// requestResult is the response to a request, or the error that the client got.
 type requestResult struct {
 	status int
 	header http.Header
@@ -69,13 +70,15 @@
 	return requestResult{response.StatusCode, response.Header, string(body), err}
 }
 
-// expect sends a request and checks its status. A 503 has to say that the request was not processed.
+// expect sends a request and checks the response status. A 503 response to a request with an ID must carry the header
+// that says that the request was not processed; other responses must not carry it.
 func (c *client) expect(status int, path, id string) {
 	c.t.Helper()
 	got := c.send(http.MethodGet, path, id)
 	rejected := got.header.Get(unprocessedHeader) == "1"
 	if got.status != status || rejected != (status == http.StatusServiceUnavailable && id != "") {
-		c.t.Errorf("%s: got %+v, want %d", path, got, status)
+		c.t.Errorf("%s: got %+v, want status %d and %s: 1 only with a 503 to a request with an ID",
+			path, got, status, unprocessedHeader)
 	}
 }
 
@@ -86,6 +89,7 @@
 	return result
 }
 
+// awaitInFlight waits until the load report of the endpoint is wantReport, such as "inflight=1".
 func awaitInFlight(t *testing.T, e *Endpoint, wantReport string) {
 	t.Helper()
 	emulatortest.Await(t, wantReport, func() bool { return e.loadReport() == wantReport })
--- a/internal/emulator/endpoint/idwindow.go
+++ b/internal/emulator/endpoint/idwindow.go
@@ -2,17 +2,17 @@
 
 import "sync"
 
-// idWindowSize is the number of IDs in one generation.
+// idWindowSize is the maximum number of IDs in one generation of an idWindow.
 const idWindowSize = 512
 
-// idWindow remembers the most recent IDs, at least idWindowSize of them once there are as many. It holds two
-// generations and discards the older one when the newer one is full.
+// idWindow is a set of the most recent IDs. It holds two generations of up to idWindowSize IDs and discards the older
+// one when the newer one is full, so that at least the last idWindowSize IDs are present. The zero value is empty.
 type idWindow struct {
 	mu                sync.Mutex
 	current, previous map[string]struct{}
 }
 
-// add adds an ID and says whether the window held it already.
+// add adds an ID and reports whether the window already contained it.
 func (w *idWindow) add(id string) (seen bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
--- a/internal/emulator/endpoint/incarnation.go
+++ b/internal/emulator/endpoint/incarnation.go
@@ -2,7 +2,8 @@
 
 import "time"
 
-// start starts an incarnation of the process. e.mu is locked.
+// start starts an incarnation of the process. startedAt is its start time; the zero time means that it is warm.
+// The caller holds e.mu.
 func (e *Endpoint) start(startedAt time.Time) error {
 	acceptor, err := listen(e.address)
 	if err != nil {
@@ -22,7 +23,8 @@
 	return nil
 }
 
-// stop ends the incarnation of the process, if there is one. e.mu is locked.
+// stop ends the current incarnation of the process, if there is one, and resets its connections. The caller holds
+// e.mu.
 func (e *Endpoint) stop() {
 	if e.acceptor == nil {
 		return
@@ -34,19 +36,19 @@
 	e.pauseGate.resume()
 }
 
-// suspend blocks all goroutines that serve. e.mu is locked.
+// suspend blocks all goroutines that accept or serve connections. The caller holds e.mu.
 func (e *Endpoint) suspend() {
 	e.pauseGate.pause()
 	e.acceptor.pause()
 }
 
-// resume undoes suspend. e.mu is locked.
+// resume ends the effect of suspend. The caller holds e.mu.
 func (e *Endpoint) resume() {
 	e.acceptor.resume()
 	e.pauseGate.resume()
 }
 
-// incarnation returns the queue of the current incarnation, and whether it is draining.
+// incarnation returns the queue of the current incarnation, and whether the endpoint is draining.
 func (e *Endpoint) incarnation() (current *queue, draining bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/internal/emulator/endpoint/listener.go
+++ b/internal/emulator/endpoint/listener.go
@@ -11,21 +11,21 @@
 )
 
 const (
-	backlogFillTimeout  = time.Second // for a connection of the acceptor itself to fill the backlog
-	backlogPollInterval = time.Millisecond
+	backlogFillTimeout  = time.Second      // time limit of fillBacklog, and of the connection that it opens
+	backlogPollInterval = time.Millisecond // interval at which fillBacklog checks the length of the backlog
 )
 
-// pastDeadline is a deadline that has always passed.
+// pastDeadline is a time in the past. As an I/O deadline it makes a blocked operation fail immediately.
 var pastDeadline = time.Unix(1, 0)
 
-// errBacklogNotFull is returned when the backlog did not fill up in time.
-var errBacklogNotFull = errors.New("endpoint: listen backlog cannot be filled")
+// errBacklogNotFull is returned when the listen backlog was not full within backlogFillTimeout.
+var errBacklogNotFull = errors.New("endpoint: listen backlog was not full within 1 s")
 
-// acceptor is a listener that can stop accepting while it stays open.
+// acceptor is a listener that can stop accepting connections while its socket stays open.
 type acceptor struct {
 	listener    *net.TCPListener
-	accepting   sync.Mutex // locked during each Accept
-	backlogConn net.Conn   // fills the backlog after dropSYNs; nil if another connection does
+	accepting   sync.Mutex // locked during each call of Accept
+	backlogConn net.Conn   // connection that dropSYNs opened to fill the backlog; nil if a client's connection fills it
 }
 
 func listen(address string) (*acceptor, error) {
@@ -40,28 +40,28 @@
 	return &acceptor{listener: listener}, nil
 }
 
-// accept returns the next connection. It fails with a timeout while accepting is paused.
+// accept returns the next connection. It fails with a timeout error while the acceptor is paused.
 func (a *acceptor) accept() (net.Conn, error) {
 	a.accepting.Lock()
 	defer a.accepting.Unlock()
 	return a.listener.Accept()
 }
 
-// pause leaves new connections to the system, which establishes them until the backlog is full. No connection
-// is accepted once it has returned.
+// pause stops the acceptor from accepting connections. The operating system still establishes new connections until
+// the backlog is full. After pause has returned, no connection is accepted until resume.
 func (a *acceptor) pause() {
-	// It fails only on a closed listener, which accepts nothing anyway.
+	// SetDeadline fails only on a closed listener, which accepts no connections anyway.
 	_ = a.listener.SetDeadline(pastDeadline)
-	a.accepting.Lock() // waits for an Accept in progress
+	a.accepting.Lock() // waits until an Accept in progress has returned
 	defer a.accepting.Unlock()
 }
 
-// resume ends a pause.
+// resume ends the effect of pause.
 func (a *acceptor) resume() { _ = a.listener.SetDeadline(time.Time{}) }
 
-// dropSYNs makes the system ignore new connections, as if the machine were off the network: while the
-// backlog is full, Linux drops each further SYN. The acceptor must have been paused before, and can only be
-// closed after.
+// dropSYNs makes the operating system ignore connection attempts, as if the machine had lost its network. It reduces
+// the backlog to its minimum and fills it: while the backlog is full, Linux drops every further SYN. The acceptor must
+// be paused before the call; afterwards it can only be closed.
 func (a *acceptor) dropSYNs() error {
 	raw, err := a.listener.SyscallConn()
 	if err != nil {
@@ -77,7 +77,8 @@
 	return a.fillBacklog(raw)
 }
 
-// fillBacklog waits until the backlog holds a connection, and opens one itself if there is none.
+// fillBacklog waits until the backlog contains a connection, and opens a connection itself if there is none. It returns
+// errBacklogNotFull if the backlog is still empty after backlogFillTimeout.
 func (a *acceptor) fillBacklog(raw syscall.RawConn) error {
 	for deadline := time.Now().Add(backlogFillTimeout); time.Now().Before(deadline); {
 		length, err := backlogLength(raw)
@@ -85,7 +86,7 @@
 			return err
 		}
 		if a.backlogConn != nil {
-			time.Sleep(backlogPollInterval) // the last packet of its handshake is on its way
+			time.Sleep(backlogPollInterval) // the last packet of backlogConn's handshake has not arrived yet
 			continue
 		}
 		if a.backlogConn, err = net.DialTimeout("tcp", a.listener.Addr().String(), backlogFillTimeout); err != nil {
@@ -95,19 +96,19 @@
 	return errBacklogNotFull
 }
 
-// backlogLength returns the number of connections that wait to be accepted.
+// backlogLength returns the number of established connections that wait to be accepted.
 func backlogLength(raw syscall.RawConn) (length int, err error) {
 	var optionErr error
 	err = raw.Control(func(descriptor uintptr) {
 		info, infoErr := unix.GetsockoptTCPInfo(int(descriptor), unix.SOL_TCP, unix.TCP_INFO)
 		if optionErr = infoErr; infoErr == nil {
-			length = int(info.Unacked) // the backlog's length, for a listening socket
+			length = int(info.Unacked) // for a listening socket, tcpi_unacked is the length of the backlog
 		}
 	})
 	return length, errors.Join(err, optionErr)
 }
 
-// close stops listening. Connections in the backlog are reset.
+// close stops listening. The operating system resets the connections in the backlog.
 func (a *acceptor) close() {
 	_ = a.listener.Close()
 	if a.backlogConn != nil {
--- a/internal/emulator/endpoint/memory_test.go
+++ b/internal/emulator/endpoint/memory_test.go
@@ -8,11 +8,11 @@
 	"golang.org/x/sys/unix"
 )
 
-// idleConnectionCount is how many connections are measured. Each takes two descriptors.
+// idleConnectionCount is the number of connections that the benchmark opens. Each takes two file descriptors.
 const idleConnectionCount = 5000
 
-// BenchmarkIdleConnections reports the memory that an endpoint uses for an idle connection after its first request.
-// The clients' ends are bare descriptors, which use no memory of the process.
+// BenchmarkIdleConnections reports the memory that an endpoint uses for a connection that is idle after its first
+// request. The clients use raw file descriptors, which take no heap or stack memory of the process.
 func BenchmarkIdleConnections(b *testing.B) {
 	e, err := Start(Config{Name: "s-1", Address: "127.0.0.1:0", Cores: 1, QueueLimit: idleConnectionCount})
 	if err != nil {
@@ -29,7 +29,8 @@
 	}
 }
 
-// exchange opens a connection, sends a request and reads the response.
+// exchange opens a connection, sends a request and reads the response. It returns the descriptor of the open
+// connection.
 func exchange(b *testing.B, port int) (descriptor int) {
 	descriptor, err := unix.Socket(unix.AF_INET, unix.SOCK_STREAM, 0)
 	if err == nil {
@@ -48,7 +49,7 @@
 	return descriptor
 }
 
-// memoryInUse returns the bytes of the heap and the stacks after a garbage collection.
+// memoryInUse returns the size of the heap and the stacks, in bytes, after garbage collection.
 func memoryInUse() uint64 {
 	var stats runtime.MemStats
 	runtime.GC()
--- a/internal/emulator/endpoint/pausegate.go
+++ b/internal/emulator/endpoint/pausegate.go
@@ -2,13 +2,13 @@
 
 import "sync"
 
-// pauseGate blocks goroutines while it is paused. The zero value is not paused.
+// pauseGate blocks the goroutines that call wait while it is paused. The zero value is not paused.
 type pauseGate struct {
 	mu      sync.Mutex
 	resumed chan struct{} // closed by resume; nil while the gate is not paused
 }
 
-// pause makes wait block.
+// pause makes wait block until resume. It has no effect if the gate is already paused.
 func (g *pauseGate) pause() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -17,7 +17,7 @@
 	}
 }
 
-// resume ends a pause.
+// resume releases the goroutines that wait blocks. It has no effect if the gate is not paused.
 func (g *pauseGate) resume() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -27,7 +27,7 @@
 	}
 }
 
-// wait returns once the gate is not paused.
+// wait blocks while the gate is paused.
 func (g *pauseGate) wait() {
 	g.mu.Lock()
 	resumed := g.resumed
--- a/internal/emulator/endpoint/queue.go
+++ b/internal/emulator/endpoint/queue.go
@@ -8,35 +8,36 @@
 	"oakproxy/internal/emulator/httpconn"
 )
 
-// taskState is the progress of a task.
+// taskState is the state of a task.
 type taskState int
 
 const (
-	queued taskState = iota
-	running
-	expired // its deadline passed before a core was free
-	done
+	queued  taskState = iota // the task waits for a core
+	running                  // the task occupies a core
+	expired                  // the deadline of the task passed before a core was free
+	done                     // finish has removed the task
 )
 
-// task is a request in a queue. Its connection is woken once its service time is over or it has expired.
+// task is a request in a queue. The connection of the task is woken when its service time is over or when it has
+// expired.
 type task struct {
 	conn     *httpconn.Conn
-	deadline time.Time // zero: none
+	deadline time.Time // zero if the request has no deadline
 	state    taskState
-	element  *list.Element // of the queue, while it is queued
+	element  *list.Element // element of queue.queued that holds the task, while its state is queued
 }
 
 // queue is a bounded FIFO queue in front of a number of cores.
 type queue struct {
-	cores, limit int
-	serviceTime  func(now time.Time) time.Duration
+	cores, limit int                               // maximum numbers of running and of queued tasks
+	serviceTime  func(now time.Time) time.Duration // returns the service time of a task that starts now
 
 	mu      sync.Mutex
-	running int
-	queued  list.List // of *task
+	running int       // number of running tasks
+	queued  list.List // queued tasks, of type *task, oldest first
 }
 
-// admit starts a task or queues it. It returns false if the queue is full.
+// admit starts a task or queues it. It returns false, and does neither, if the queue is full.
 func (q *queue) admit(t *task) bool {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -51,7 +52,8 @@
 	return true
 }
 
-// finish removes a task in any state and starts the next one. It returns the state that the task was in.
+// finish removes a task, whatever its state, and starts the next one if a core has become free. It returns the state
+// that the task was in.
 func (q *queue) finish(t *task) taskState {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -74,7 +76,7 @@
 	return q.running + q.queued.Len()
 }
 
-// start runs a task on a core. q.mu is locked.
+// start runs a task on a free core. The caller holds q.mu.
 func (q *queue) start(t *task) {
 	now := time.Now()
 	q.running++
@@ -82,8 +84,8 @@
 	t.conn.WakeAt(now.Add(q.serviceTime(now)))
 }
 
-// startNext starts the first queued task whose deadline has not passed, and expires those before it.
-// q.mu is locked.
+// startNext starts the first queued task whose deadline has not passed, and marks the tasks before it as expired.
+// The caller holds q.mu.
 func (q *queue) startNext() {
 	for q.queued.Len() > 0 {
 		next := q.queued.Remove(q.queued.Front()).(*task)
--- a/internal/emulator/endpoint/queue_test.go
+++ b/internal/emulator/endpoint/queue_test.go
@@ -19,19 +19,20 @@
 	second, third := &task{conn: conn}, &task{conn: conn}
 	for _, next := range []*task{first, late, second, third} {
 		if !q.admit(next) {
-			t.Fatal("a task was rejected")
+			t.Fatalf("admit(%+v): got false, want true", next)
 		}
 	}
 	if got := q.finish(first); got != running {
-		t.Errorf("the first task was in state %v, want running", got)
+		t.Errorf("state of the first task: got %v, want %v (running)", got, running)
 	}
 	if late.state != expired || second.state != running || third.state != queued {
-		t.Errorf("states: expired task %v, second %v, third %v", late.state, second.state, third.state)
+		t.Errorf("states of the late, the second and the third task: got %v, %v and %v, want %v, %v and %v",
+			late.state, second.state, third.state, expired, running, queued)
 	}
 	for _, next := range []*task{third, late, second} {
 		q.finish(next)
 	}
 	if got := q.inFlight(); got != 0 {
-		t.Errorf("%d tasks in flight, want 0", got)
+		t.Errorf("got %d tasks in flight, want 0", got)
 	}
 }
--- a/internal/emulator/endpoint/serve.go
+++ b/internal/emulator/endpoint/serve.go
@@ -20,7 +20,7 @@
 	unprocessedHeader   = "X-Unprocessed"
 )
 
-// serve handles the requests on a connection until it ends.
+// serve handles the requests on a connection until it is closed.
 func (e *Endpoint) serve(c *httpconn.Conn) {
 	defer e.serving.Done()
 	defer e.connections.Remove(c)
@@ -29,7 +29,7 @@
 	}
 }
 
-// serveNext handles one request and says whether the connection stays open.
+// serveNext handles one request and reports whether the connection stays open.
 func (e *Endpoint) serveNext(c *httpconn.Conn) bool {
 	c.WakeAt(e.idleDeadline())
 	if c.AwaitRequest() != nil {
@@ -44,7 +44,7 @@
 	return e.respond(c, request) == nil && !request.Close
 }
 
-// idleDeadline returns when a connection that is idle from now on is closed; zero: never.
+// idleDeadline returns the time at which a connection that is idle from now on is closed; the zero time means never.
 func (e *Endpoint) idleDeadline() time.Time {
 	if e.config.IdleTimeout <= 0 {
 		return time.Time{}
@@ -79,7 +79,8 @@
 	return e.complete(c, queue, t, id)
 }
 
-// complete waits until a task is done or has expired and writes its response.
+// complete waits until the service time of an admitted task is over, the task has expired or its client has
+// disconnected, and writes the response.
 func (e *Endpoint) complete(c *httpconn.Conn, queue *queue, t *task, id string) error {
 	err := c.AwaitWake()
 	e.pauseGate.wait()
@@ -115,7 +116,7 @@
 	return e.write(c, status, body)
 }
 
-// reject rejects a request that has not been processed and never will be.
+// reject responds to a request that has not been processed and will not be. The response tells the client so.
 func (e *Endpoint) reject(c *httpconn.Conn, status int) error {
 	e.counters.rejected.Add(1)
 	return e.write(c, status, nil, httpconn.Field{Name: unprocessedHeader, Value: "1"})
@@ -134,7 +135,8 @@
 	return e.config.LoadField + "=" + strconv.Itoa(queue.inFlight())
 }
 
-// parseDeadline returns the deadline of a request from its header; zero if it has none.
+// parseDeadline returns the deadline of a request from the remaining time in its header; zero if the header holds no
+// valid remaining time.
 func parseDeadline(header http.Header) time.Time {
 	milliseconds, err := strconv.ParseInt(header.Get(remainingTimeHeader), 10, 64)
 	if err != nil {
@@ -143,7 +145,7 @@
 	return time.Now().Add(time.Duration(milliseconds) * time.Millisecond)
 }
 
-// accept serves the connections of one incarnation until that ends.
+// accept accepts and serves the connections of one incarnation until the incarnation ends.
 func (e *Endpoint) accept(acceptor *acceptor) {
 	defer e.serving.Done()
 	for {
@@ -155,14 +157,14 @@
 			e.serveConn(acceptor, httpconn.New(socket, &e.traffic))
 		case errors.Is(err, net.ErrClosed):
 			return
-		case errors.As(err, &timeout) && timeout.Timeout(): // suspended
+		case errors.As(err, &timeout) && timeout.Timeout(): // the endpoint is suspended
 		default:
 			time.Sleep(acceptRetryDelay)
 		}
 	}
 }
 
-// serveConn starts serving a connection, unless the incarnation that accepted it is over.
+// serveConn starts to serve a connection. It resets the connection if the incarnation that accepted it has ended.
 func (e *Endpoint) serveConn(acceptor *acceptor, c *httpconn.Conn) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
