--- a/internal/emulator/registry/call.go
+++ b/internal/emulator/registry/call.go
@@ -13,27 +13,27 @@
 
 const (
 	listPath = "/registry/instances"
-	maxWait  = 60 * time.Second
+	maxWait  = 60 * time.Second // upper limit of the wait that a watch may ask for
 )
 
-// errBadQuery is returned for a call whose query is invalid.
+// errBadQuery is returned for a call whose query parameter after or wait_ms is not a number.
 var errBadQuery = errors.New("registry: after and wait_ms must be unsigned integers")
 
-// listCall is a request for the endpoint list, or a watch for what is newer than a version.
+// listCall is a parsed call: a request for the complete list, or a watch for changes after a version.
 type listCall struct {
 	isWatch      bool
-	afterVersion uint64
-	wait         time.Duration
+	afterVersion uint64        // version that the client of a watch has
+	wait         time.Duration // time after which a watch gets a response even if there is no newer version
 }
 
-// pendingWatch is a watch whose response is not due yet.
+// pendingWatch is a watch that waits for its response.
 type pendingWatch struct {
 	conn         *httpconn.Conn
 	afterVersion uint64
-	deadline     time.Time
+	deadline     time.Time // time at which the response is due even if there is no newer version
 }
 
-// serve handles the calls on a connection until it ends.
+// serve handles the calls on a connection until it is closed.
 func (s *Server) serve(c *httpconn.Conn) {
 	for {
 		c.WakeAt(time.Time{})
@@ -49,7 +49,7 @@
 	}
 }
 
-// countCPU adds the processor time of step, which must not block, to the counters.
+// countCPU runs step and adds the processor time that its thread used to handlingCPU. step must not block.
 func (s *Server) countCPU(step func()) {
 	runtime.LockOSThread()
 	defer runtime.UnlockOSThread()
@@ -58,7 +58,7 @@
 	s.counters.handlingCPU.Add(int64(threadCPU() - start))
 }
 
-// respond handles one request.
+// respond handles one request. An error means that the connection has to be closed.
 func (s *Server) respond(c *httpconn.Conn, request *http.Request) error {
 	if request.URL.Path != listPath || request.Method != http.MethodGet {
 		return s.reject(c, http.StatusNotFound)
@@ -85,6 +85,7 @@
 	return s.writeList(c, s.completeList())
 }
 
+// completeList returns the response with the complete list.
 func (s *Server) completeList() (complete *response) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -92,6 +93,7 @@
 	return complete
 }
 
+// parseCall parses the query of a call. A call without the parameter after asks for the complete list.
 func parseCall(query url.Values) (listCall, error) {
 	if !query.Has("after") {
 		return listCall{}, nil
@@ -111,8 +113,9 @@
 	return call, nil
 }
 
-// awaitCapacity waits until the rate limit admits the call. It returns false, after MaxQueueDelay, for a call
-// that the limit would delay for longer.
+// awaitCapacity waits until the rate limit admits the call. If the rate limit would delay the call for longer than
+// MaxQueueDelay, awaitCapacity waits for MaxQueueDelay and returns false. The error says that the client has
+// disconnected or sent a byte in the meantime.
 func (s *Server) awaitCapacity(c *httpconn.Conn) (admitted bool, err error) {
 	reservation := s.limiter.Reserve()
 	delay := reservation.Delay()
@@ -134,7 +137,8 @@
 	return s.down
 }
 
-// respondToWatch responds to a watch once there is a newer version or its wait is over.
+// respondToWatch responds to a watch when there is a newer version, when its wait is over, or with a 503 when an outage
+// has begun.
 func (s *Server) respondToWatch(c *httpconn.Conn, call listCall) error {
 	watch := &pendingWatch{conn: c, afterVersion: call.afterVersion, deadline: time.Now().Add(call.wait)}
 	defer s.removeWatch(watch)
@@ -153,8 +157,9 @@
 	}
 }
 
-// nextResponse returns the response to a watch if it is due. If not, the watch is pending: its connection is
-// woken by the next version or when its wait is over.
+// nextResponse returns the response to a watch if it is due, or down = true during an outage. Otherwise it returns nil
+// and false and registers the watch as pending: the connection of the watch is woken when the list changes, when its
+// wait is over (unless the registry is silent), or when the registry stops being silent.
 func (s *Server) nextResponse(watch *pendingWatch) (due *response, down bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -173,7 +178,7 @@
 	return nil, false
 }
 
-// wakeWatches makes every pending watch check for its response. s.mu is locked.
+// wakeWatches makes every pending watch check whether its response is due. The caller holds s.mu.
 func (s *Server) wakeWatches() {
 	for watch := range s.watches {
 		watch.conn.Wake()
--- a/internal/emulator/registry/faults.go
+++ b/internal/emulator/registry/faults.go
@@ -1,7 +1,7 @@
 package registry
 
-// SetDown starts or ends an outage. At its start pending watches are reset, and until its end each call
-// gets a 503.
+// SetDown starts or ends an outage. The start of an outage resets the connections of pending watches; every call
+// during the outage gets a 503.
 func (s *Server) SetDown(down bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -15,8 +15,8 @@
 	s.logger.Info("registry availability changed", "down", down)
 }
 
-// SetSilent makes the registry accept watches and never respond to them, or ends that. Calls for the
-// complete list get their response.
+// SetSilent starts or ends a period in which the registry accepts watches but does not respond to them. Calls for the
+// complete list still get a response.
 func (s *Server) SetSilent(silent bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/emulator/registry/harness_test.go
+++ b/internal/emulator/registry/harness_test.go
@@ -9,7 +9,7 @@
 	"oakproxy/internal/emulator/emulatortest"
 )
 
-// testRegistry is a listening Server and a client with connections of its own.
+// testRegistry is a listening Server together with a client that has its own connections to it.
 type testRegistry struct {
 	*Server
 	t       testing.TB
@@ -35,7 +35,7 @@
 	return r
 }
 
-// callResult is the outcome of a call.
+// callResult is the response to a call, or the error that the client got.
 type callResult struct {
 	status int
 	list   responseBody
@@ -55,7 +55,7 @@
 	return got
 }
 
-// startWatch makes a call in the background and returns once it is pending.
+// startWatch makes a watch call in the background and returns when it is the only pending watch.
 func (r *testRegistry) startWatch(query string) <-chan callResult {
 	result := make(chan callResult, 1)
 	go func() { result <- r.call(query) }()
@@ -69,6 +69,8 @@
 	return len(r.watches)
 }
 
+// expect checks that a call got a list with this version and completeness, whose entries are hosts, each in the form
+// name=health.
 func (r *testRegistry) expect(got callResult, version uint64, complete bool, hosts ...string) {
 	r.t.Helper()
 	names := []string{}
@@ -84,7 +86,7 @@
 func (r *testRegistry) expectUnavailable(query string) {
 	r.t.Helper()
 	if got := r.call(query); got.status != http.StatusServiceUnavailable {
-		r.t.Errorf("%s: got %+v", query, got)
+		r.t.Errorf("%s: got %+v, want status %d", query, got, http.StatusServiceUnavailable)
 	}
 }
 
--- a/internal/emulator/registry/list.go
+++ b/internal/emulator/registry/list.go
@@ -11,7 +11,7 @@
 const (
 	Ready       = "Ready"
 	Terminating = "Terminating"
-	Removed     = "Gone" // only among changes
+	Removed     = "Gone" // occurs only in changes: the instance has been removed from the list
 )
 
 // Instance is an entry of the endpoint list.
@@ -26,14 +26,14 @@
 	StartedMS   int64   `json:"born_ms"`
 }
 
-// responseBody is the body of a response.
+// responseBody is the JSON body of a 200 response.
 type responseBody struct {
 	Version  uint64     `json:"seq"`
-	Complete bool       `json:"whole"`
+	Complete bool       `json:"whole"` // true if Hosts is the complete list, false if it holds changed entries only
 	Hosts    []Instance `json:"hosts"`
 }
 
-// versionChange holds the entries that one version changed.
+// versionChange holds the entries that changed from the previous version to version.
 type versionChange struct {
 	version   uint64
 	instances []Instance
@@ -41,35 +41,36 @@
 
 // response is an encoded response and its kind.
 type response struct {
-	encoded []byte
+	encoded []byte // the complete HTTP response
 	kind    responseKind
 }
 
+// responseKind says what a response contains.
 type responseKind int
 
 const (
-	completeResponse responseKind = iota
-	deltaResponse
-	emptyResponse
+	completeResponse responseKind = iota // the complete list
+	deltaResponse                        // changed entries only
+	emptyResponse                        // no entries, since none has changed
 )
 
-// endpointList holds the instances, their version, and the changes of recent versions.
-// It encodes each response once per version. It is not safe for concurrent use.
+// endpointList is a versioned list of instances with the changes of recent versions. It encodes each response at most
+// once per version. It is not safe for concurrent use.
 type endpointList struct {
 	version      uint64
-	names        []string // in the order of their first appearance
-	byName       map[string]Instance
-	history      []versionChange // without gaps, up to version
-	historyLimit int
-	complete     *response            // nil until it is requested
-	deltas       map[uint64]*response // by the version they are newer than
+	names        []string             // hosts of the instances, in the order in which they were added
+	byName       map[string]Instance  // instances by host
+	history      []versionChange      // changes of consecutive versions; the last one led to version
+	historyLimit int                  // maximum length of history
+	complete     *response            // encoded complete list of version; nil until it is requested
+	deltas       map[uint64]*response // encoded changes to version, by the version of the client
 }
 
 func newEndpointList(historyLimit int) *endpointList {
 	return &endpointList{byName: map[string]Instance{}, historyLimit: historyLimit, deltas: map[uint64]*response{}}
 }
 
-// set replaces all instances. There are no changes from an earlier version to this one.
+// set replaces all instances. It clears the history, so that clients with an earlier version get the complete list.
 func (l *endpointList) set(instances []Instance) {
 	l.advance()
 	l.history = nil
@@ -80,7 +81,7 @@
 	}
 }
 
-// update makes one version of the changes.
+// update creates a new version by applying the changes to the current one.
 func (l *endpointList) update(changes []Instance) {
 	l.advance()
 	for _, instance := range changes {
@@ -92,14 +93,14 @@
 	}
 }
 
-// advance begins a version, whose responses have not been encoded yet.
+// advance begins a new version and discards the encoded responses of the previous one.
 func (l *endpointList) advance() {
 	l.version++
 	l.complete = nil
 	clear(l.deltas)
 }
 
-// apply adds, replaces or, with health Gone, removes an instance.
+// apply adds or replaces an instance, or removes it if its health is Removed.
 func (l *endpointList) apply(instance Instance) {
 	_, known := l.byName[instance.Host]
 	if instance.Health == Removed {
@@ -122,7 +123,7 @@
 	}
 }
 
-// completeResponse returns the response with every instance.
+// completeResponse returns the response with the complete list.
 func (l *endpointList) completeResponse() *response {
 	if l.complete == nil {
 		hosts := make([]Instance, 0, len(l.names))
@@ -137,8 +138,8 @@
 	return l.complete
 }
 
-// responseAfter returns the response to a watch from a version: the entries that have changed, or the
-// complete list if the history does not reach back that far.
+// responseAfter returns the response to a watch whose client has the version after: the entries that have changed
+// since then, or the complete list if the history does not cover all of these changes.
 func (l *endpointList) responseAfter(after uint64) *response {
 	if !l.historyCovers(after) {
 		return l.completeResponse()
@@ -156,12 +157,12 @@
 	return delta
 }
 
-// historyCovers says whether the history holds every change since a version.
+// historyCovers reports whether the history contains every change since the version after.
 func (l *endpointList) historyCovers(after uint64) bool {
 	return after <= l.version && after+uint64(len(l.history)) >= l.version
 }
 
-// changesAfter returns the latest entry of each instance that changed since a version.
+// changesAfter returns the latest entry of each instance that changed since the version after.
 func (l *endpointList) changesAfter(after uint64) []Instance {
 	hosts := []Instance{}
 	position := map[string]int{}
@@ -181,11 +182,11 @@
 	return hosts
 }
 
-// encode returns a response 200 with this body.
+// encode returns a complete 200 response with this body.
 func encode(body responseBody) []byte {
 	encoded, err := json.Marshal(body)
 	if err != nil {
-		// Only a weight that is not a number cannot be encoded.
+		// Encoding fails only if a weight is NaN or infinite.
 		panic("registry: " + err.Error())
 	}
 	contentType := httpconn.Field{Name: "Content-Type", Value: "application/json"}
--- a/internal/emulator/registry/listen.go
+++ b/internal/emulator/registry/listen.go
@@ -8,7 +8,8 @@
 	"oakproxy/internal/emulator/httpconn"
 )
 
-// Listen starts serving at an address, in addition to any earlier ones. It returns ErrClosed after Close.
+// Listen starts to serve at an address, in addition to the addresses that are served already. It returns the address
+// that it listens on, and ErrClosed after Close.
 func (s *Server) Listen(address string) (net.Addr, error) {
 	listener, err := net.Listen("tcp", address)
 	if err != nil {
@@ -27,8 +28,8 @@
 	return listener.Addr(), nil
 }
 
-// Move starts serving at a new address. All earlier ones stop accepting connections, and close those they
-// have after 1.5 s.
+// Move starts to serve at a new address. All earlier addresses stop accepting connections immediately, and their open
+// connections are closed after 1.5 s.
 func (s *Server) Move(address string) (net.Addr, error) {
 	s.mu.Lock()
 	previous := make(map[net.Listener]*httpconn.Set, len(s.listeners))
@@ -47,7 +48,7 @@
 	return newAddress, nil
 }
 
-// retireListener closes a listener, and after the move grace its connections.
+// retireListener closes a listener immediately, and its connections after moveGrace.
 func (s *Server) retireListener(listener net.Listener, set *httpconn.Set) {
 	_ = listener.Close()
 	s.mu.Lock()
@@ -60,7 +61,7 @@
 	})
 }
 
-// accept serves the connections of a listener until it is closed.
+// accept accepts and serves the connections of a listener until the listener is closed.
 func (s *Server) accept(listener net.Listener, set *httpconn.Set) {
 	defer s.serving.Done()
 	for {
@@ -89,7 +90,8 @@
 	}
 }
 
-// trackConnection registers a connection that is about to be served. It returns false if the server is closed.
+// trackConnection registers a connection before it is served. It returns false, and does not register the connection,
+// if the server is closed.
 func (s *Server) trackConnection(c *httpconn.Conn) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/emulator/registry/registry_test.go
+++ b/internal/emulator/registry/registry_test.go
@@ -20,12 +20,13 @@
 	r.expect(r.call("?after=2"), 3, false, "x=Gone", "z=Ready")
 	r.expect(r.call("?after=1"), 3, false, "x=Gone", "z=Ready")
 	r.expect(r.call("?after=0"), 3, true, "y=Ready", "z=Ready") // older than the history
-	r.expect(r.call("?after=9"), 3, true, "y=Ready", "z=Ready") // of another numbering
+	r.expect(r.call("?after=9"), 3, true, "y=Ready", "z=Ready") // newer than the list, so of another numbering
 	r.expect(r.call("?after=3&wait_ms=1"), 3, false)
 	if got := r.Counts(); got.ListCalls != 1 || got.WatchCalls != 5 || got.CompleteResponses != 3 ||
 		got.DeltaResponses != 2 || got.EmptyResponses != 1 || got.BytesOut == 0 || got.BytesIn == 0 ||
 		got.HandlingCPU <= 0 || got.Connections.Accepted != 1 {
-		t.Errorf("got counts %+v", got)
+		t.Errorf("got counts %+v, want 1 list call and 5 watch calls with 3 complete, 2 delta and 1 empty response, "+
+			"bytes in both directions, handling CPU time and 1 connection", got)
 	}
 }
 
@@ -35,7 +36,7 @@
 	given := instance("s", Ready)
 	given.Cell, given.StartedMS = 3, 5
 	if got, err := json.Marshal(given); err != nil || string(got) != want {
-		t.Errorf("got %s (%v), want %s", got, err, want)
+		t.Errorf("got encoding %s, error %v, want encoding %s", got, err, want)
 	}
 }
 
@@ -66,7 +67,7 @@
 	r.expect(r.call(""), 0, true)
 	r.expectUnavailable("")
 	if got := r.Counts(); got.Unavailable != 1 || got.CompleteResponses != 1 {
-		t.Errorf("got counts %+v", got)
+		t.Errorf("got counts %+v, want 1 unavailable and 1 complete response", got)
 	}
 }
 
@@ -87,7 +88,7 @@
 		result := r.startWatch("?after=0&wait_ms=60000")
 		fail()
 		if got := <-result; !errors.Is(got.err, syscall.ECONNRESET) {
-			t.Errorf("watch: got %+v, want a reset", got)
+			t.Errorf("watch: got %+v, want %v", got, syscall.ECONNRESET)
 		}
 		emulatortest.Await(t, "the end of the watch", func() bool { return r.pendingWatches() == 0 })
 	}
@@ -95,7 +96,7 @@
 	r.SetDown(false)
 	r.expect(r.call(""), 0, true)
 	if got := r.Counts(); got.Reset != 2 || got.Unavailable != 1 {
-		t.Errorf("got counts %+v", got)
+		t.Errorf("got counts %+v, want 2 resets and 1 unavailable response", got)
 	}
 }
 
@@ -106,7 +107,8 @@
 	r.Update(instance("x", Ready))
 	r.expect(r.call(""), 1, true, "x=Ready")
 	if got := r.Counts(); r.pendingWatches() != 1 || got.DeltaResponses+got.EmptyResponses != 0 {
-		t.Errorf("the watch got a response: %+v", got)
+		t.Errorf("silent registry: got %d pending watches and counts %+v, want 1 pending watch without a response",
+			r.pendingWatches(), got)
 	}
 	r.SetSilent(false)
 	r.expect(<-result, 1, false, "x=Ready")
@@ -121,10 +123,10 @@
 		t.Fatal(err)
 	}
 	if got := <-result; got.err == nil {
-		t.Errorf("the watch at the old address got response %+v", got)
+		t.Errorf("watch at the old address: got response %+v, want an error", got)
 	}
 	if got := r.call(""); !errors.Is(got.err, syscall.ECONNREFUSED) {
-		t.Errorf("the old address: got %+v, want connection refused", got)
+		t.Errorf("call at the old address: got %+v, want %v", got, syscall.ECONNREFUSED)
 	}
 	r.address = newAddress.String()
 	r.expect(r.call(""), 0, true)
@@ -134,11 +136,12 @@
 	r := startRegistry(t, Options{})
 	for query, want := range map[string]int{"?after=x": 400, "?after=1&wait_ms=-1": 400, "/more": 404} {
 		if got := r.call(query); got.status != want {
-			t.Errorf("%s: got %+v, want %d", query, got, want)
+			t.Errorf("%s: got %+v, want status %d", query, got, want)
 		}
 	}
 }
 
+// benchmarkCall calls a registry with 860 instances and reports the processor time that a call takes.
 func benchmarkCall(b *testing.B, query string) {
 	r := startRegistry(b, Options{})
 	instances := make([]Instance, 860)
--- a/internal/emulator/registry/server.go
+++ b/internal/emulator/registry/server.go
@@ -1,9 +1,9 @@
 // Package registry is a test double of the discovery service.
 //
-// It serves the endpoint list as complete lists and by long-polling watches, limits its rate as the real
-// service does, and injects that service's faults: outages, silence, resets and a move to another address.
-// Lists are versioned; each response is encoded once per version. It does not check the health of the
-// endpoints that it lists.
+// A Server serves the endpoint list in two ways: as a complete list, and as changes to clients that watch the list by
+// long polling. It limits the rate of calls as the real service does, and it can simulate the faults of that service:
+// outages, silence, connection resets and a move to another address. Lists are versioned; each response is encoded at
+// most once per version. The Server does not check the health of the endpoints that it lists.
 package registry
 
 import (
@@ -19,50 +19,50 @@
 )
 
 const (
-	defaultHistory   = 256
-	defaultMoveGrace = 1500 * time.Millisecond
-	acceptRetryDelay = 5 * time.Millisecond
+	defaultHistory   = 256                     // default of Options.History
+	defaultMoveGrace = 1500 * time.Millisecond // value of Server.moveGrace outside tests
+	acceptRetryDelay = 5 * time.Millisecond    // pause after a failed accept
 )
 
-// ErrClosed is returned for a Server that has been closed.
-var ErrClosed = errors.New("registry: server closed")
+// ErrClosed is returned by Listen and Move after Close.
+var ErrClosed = errors.New("registry: server is closed")
 
 // Options are the settings of a Server.
 type Options struct {
-	// CallsPerSecond is the rate at which calls are admitted, without bursts; 0: no limit.
-	// A watch is admitted once, when it arrives.
+	// CallsPerSecond is the rate at which calls are admitted, without bursts; 0 means no limit. A watch counts as one
+	// call, which is admitted when it arrives.
 	CallsPerSecond float64
-	// MaxQueueDelay is how long a call may wait to be admitted; one that would wait longer
-	// gets a 503 after it. 0: no limit.
+	// MaxQueueDelay is the longest time that a call may wait to be admitted; 0 means no limit. A call that would have
+	// to wait longer gets a 503 after MaxQueueDelay.
 	MaxQueueDelay time.Duration
-	// History is the number of versions for which changes are stored; 0: 256.
+	// History is the number of versions whose changes are kept; 0 means 256.
 	History int
-	// Logger logs faults; nil: slog.Default().
+	// Logger is where changes of the simulated faults are logged; nil means slog.Default().
 	Logger *slog.Logger
 }
 
-// Server is a registry. Make one with New. It is safe for concurrent use.
+// Server is a simulated discovery server. New creates one. It is safe for concurrent use.
 type Server struct {
 	options   Options
 	logger    *slog.Logger
 	limiter   *rate.Limiter
 	traffic   httpconn.Traffic
 	counters  counters
-	startCPU  time.Duration
-	moveGrace time.Duration
-	serving   sync.WaitGroup
+	startCPU  time.Duration  // processor time of the process at New
+	moveGrace time.Duration  // time after Move until the connections of earlier addresses are closed
+	serving   sync.WaitGroup // goroutines that accept or serve connections
 
 	mu          sync.Mutex
 	list        *endpointList
-	watches     map[*pendingWatch]struct{} // pending
-	listeners   map[net.Listener]*httpconn.Set
-	connections httpconn.Set // of all listeners, present and past
-	down        bool
-	silent      bool
+	watches     map[*pendingWatch]struct{}
+	listeners   map[net.Listener]*httpconn.Set // open listeners, each with its connections
+	connections httpconn.Set                   // connections of all listeners, including those that Move has closed
+	down        bool                           // set by SetDown
+	silent      bool                           // set by SetSilent
 	closed      bool
 }
 
-// New returns a Server with an empty list of version 0, which listens nowhere yet.
+// New returns a Server with an empty list of version 0. It does not listen before Listen is called.
 func New(options Options) *Server {
 	if options.History <= 0 {
 		options.History = defaultHistory
@@ -86,7 +86,7 @@
 	}
 }
 
-// Set replaces the complete list as one version. Every pending watch gets that list.
+// Set replaces the complete list, which creates one new version. Every pending watch gets the complete list.
 func (s *Server) Set(instances []Instance) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -94,7 +94,7 @@
 	s.wakeWatches()
 }
 
-// Update makes one version of the changes. Health Gone removes an instance.
+// Update applies the changes, which creates one new version. A change with health Removed removes the instance.
 func (s *Server) Update(changes ...Instance) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -102,14 +102,14 @@
 	s.wakeWatches()
 }
 
-// Version returns the version of the list.
+// Version returns the current version of the list.
 func (s *Server) Version() uint64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.list.version
 }
 
-// Counts returns the counters so far.
+// Counts returns the current values of the counters.
 func (s *Server) Counts() Counts {
 	return Counts{
 		ListCalls:         s.counters.listCalls.Load(),
@@ -128,7 +128,7 @@
 	}
 }
 
-// Close stops serving, closes all connections and waits for their goroutines.
+// Close stops the server: it closes all listeners and connections and waits until their goroutines have ended.
 func (s *Server) Close() error {
 	s.mu.Lock()
 	s.closed = true
