--- a/internal/emulator/load/client.go
+++ b/internal/emulator/load/client.go
@@ -15,33 +15,34 @@
 )
 
 const (
-	readBufferSize   = 1 << 10
-	maxResponseBytes = 64 << 10
-	bodySize         = 212 // of a request that has one, in bytes
+	readBufferSize   = 1 << 10  // size of the read buffer of a connection, in bytes
+	maxResponseBytes = 64 << 10 // maximum size of a response body
+	bodySize         = 212      // size of the body of a request that has one, in bytes
 )
 
-// Errors of a request that got no complete response.
+// Errors of requests that got no complete response.
 var (
 	errStaleConnection = errors.New("load: idle connection was closed by the target")
-	errTooLarge        = errors.New("load: response too large")
+	errTooLarge        = errors.New("load: response body exceeds 64 KiB")
 )
 
-// connection is a connection to a target. It carries one request at a time.
+// connection is a connection to a target that carries one request at a time. It counts its bytes in those of its
+// client.
 type connection struct {
 	net.Conn
 	client *client
 	reader *bufio.Reader
-	reused bool // has carried a request before
+	reused bool // true once the connection has carried a request
 }
 
-// Read reads from the target and counts the bytes.
+// Read implements io.Reader and counts the bytes read.
 func (c *connection) Read(buffer []byte) (int, error) {
 	n, err := c.Conn.Read(buffer)
 	c.client.bytesIn.Add(uint64(n))
 	return n, err
 }
 
-// Write sends to the target and counts the bytes.
+// Write implements io.Writer and counts the bytes written.
 func (c *connection) Write(buffer []byte) (int, error) {
 	n, err := c.Conn.Write(buffer)
 	c.client.bytesOut.Add(uint64(n))
@@ -52,31 +53,33 @@
 type response struct {
 	status   int
 	body     []byte
-	reusable bool // the connection may be used again
+	reusable bool // whether the target keeps the connection open for another request
 }
 
 // connectionSource says which connections may carry a request.
 type connectionSource int
 
 const (
-	pooled connectionSource = iota // an idle connection, or a new one if there is none
-	fresh                          // a new connection only
+	pooled connectionSource = iota // an idle connection, or a new one if there is no idle one
+	fresh                          // a new connection in any case
 )
 
-// client pools connections to targets, and opens one when all are busy. It is safe for concurrent use.
+// client sends requests over a pool of connections to each target. It opens a connection when all connections to the
+// target are busy. It is safe for concurrent use.
 type client struct {
 	dialer net.Dialer
 
 	opened, resent, bytesIn, bytesOut atomic.Uint64
 
 	mu   sync.Mutex
-	idle map[string][]*connection // by target, the most recently used last
+	idle map[string][]*connection // idle connections by target, the most recently used last
 }
 
 func newClient() *client { return &client{idle: map[string][]*connection{}} }
 
-// do sends a request and reads its response, until the deadline. It returns errStaleConnection if the target had
-// closed the idle connection that was used, before any byte of a response. A fresh connection is never stale.
+// do sends a request and reads its response. It gives up at the deadline. It returns errStaleConnection if it used an
+// idle connection that failed before the first byte of a response, since the target may have closed it while it was
+// idle. A connection from the source fresh is never stale.
 func (c *client) do(ctx context.Context, r *request, deadline time.Time, source connectionSource) (*response, error) {
 	ctx, cancel := context.WithDeadline(ctx, deadline)
 	defer cancel()
@@ -96,7 +99,8 @@
 	return resp, err
 }
 
-// connect returns an idle connection, if the source allows it and there is one, or opens one.
+// connect returns an idle connection to the target if source is pooled and there is one. Otherwise it opens a
+// connection.
 func (c *client) connect(ctx context.Context, target string, source connectionSource) (*connection, error) {
 	if source == pooled {
 		if conn := c.takeIdle(target); conn != nil {
@@ -113,7 +117,8 @@
 	return conn, nil
 }
 
-// takeIdle removes and returns the most recently used idle connection; nil if there is none.
+// takeIdle removes the most recently used idle connection to the target from the pool and returns it. It returns nil
+// if there is none.
 func (c *client) takeIdle(target string) *connection {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -128,7 +133,7 @@
 	return conn
 }
 
-// putIdle adds a connection that can be reused.
+// putIdle returns a connection that can be reused to the pool.
 func (c *client) putIdle(target string, conn *connection) {
 	conn.reused = true
 	c.mu.Lock()
@@ -136,7 +141,7 @@
 	c.idle[target] = append(c.idle[target], conn)
 }
 
-// close closes the idle connections.
+// close closes all idle connections.
 func (c *client) close() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -148,7 +153,8 @@
 	clear(c.idle)
 }
 
-// exchange sends a request on a connection and reads the response. After an error the connection has to be closed.
+// exchange sends a request on a connection and reads the response. After an error the caller must close the
+// connection.
 func exchange(conn *connection, r *request, deadline time.Time) (*response, error) {
 	message := appendRequest(nil, r, time.Until(deadline))
 	if _, err := conn.Write(message); err != nil {
@@ -174,8 +180,8 @@
 	return &response{status: received.StatusCode, body: body, reusable: !received.Close}, nil
 }
 
-// classifyError returns errStaleConnection for the failure of a reused connection that was not closed on this side,
-// and other errors as they are.
+// classifyError classifies the error of a connection that failed before the first byte of a response. It returns
+// errStaleConnection for a reused connection that this process had not closed, and err otherwise.
 func (c *connection) classifyError(err error) error {
 	closedHere := errors.Is(err, net.ErrClosed)
 	if c.reused && !closedHere {
@@ -184,7 +190,7 @@
 	return err
 }
 
-// appendRequest appends the encoded request to buffer.
+// appendRequest appends the encoded request to buffer. remaining is the time until the deadline of the request.
 func appendRequest(buffer []byte, r *request, remaining time.Duration) []byte {
 	buffer = append(buffer, r.class.Method+" /"+r.class.Name+" HTTP/1.1\r\n"...)
 	buffer = appendField(buffer, "Host", "api.internal")
@@ -206,6 +212,7 @@
 	return append(buffer, body...)
 }
 
+// appendField appends an encoded header field to buffer.
 func appendField(buffer []byte, name, value string) []byte {
 	buffer = append(buffer, name...)
 	buffer = append(buffer, ": "...)
--- a/internal/emulator/load/generator.go
+++ b/internal/emulator/load/generator.go
@@ -1,9 +1,9 @@
 // Package load is an open-loop load generator.
 //
-// Requests have intended starts from a schedule that no response delays, and latencies are measured from the
-// intended start, so that a slow target cannot hide its latency by delaying later requests (coordinated
-// omission). A plan with the same seed has the same schedule. The generator neither retries nor hedges; it only
-// resends a request once that met a stale connection.
+// The schedule gives each request an intended start, which does not depend on responses, and latencies are measured
+// from the intended start. A slow target therefore cannot hide its latency by delaying later requests (coordinated
+// omission). The same plan with the same seed yields the same schedule. The generator neither retries nor hedges
+// requests, with one exception: it resends a request once if the request failed on a stale connection.
 package load
 
 import (
@@ -16,8 +16,8 @@
 	"time"
 )
 
-// timerSlack is how late the runtime's timers may fire, which have a resolution of milliseconds while the process
-// is idle. The last part of a wait is a system sleep, which ctx cannot interrupt.
+// timerSlack is how late a timer of the Go runtime may fire: these timers have a resolution of milliseconds while the
+// process is idle. Therefore the last timerSlack of a wait is a nanosleep system call, which ctx cannot interrupt.
 const timerSlack = 2 * time.Millisecond
 
 // generator is a run of a plan.
@@ -25,12 +25,13 @@
 	plan     Plan
 	client   *client
 	recorder *recorder
-	slots    chan struct{} // one for each request in flight
-	start    time.Time
-	inFlight sync.WaitGroup
+	slots    chan struct{}  // holds one element for each request in flight; its capacity is plan.MaxInFlight
+	start    time.Time      // start of the run
+	inFlight sync.WaitGroup // goroutines that send requests
 }
 
-// Run runs a plan. When ctx is done it ends early and returns the report so far. It fails only on an invalid plan.
+// Run runs a plan and returns its report. When ctx is done, the run ends early and Run returns the report up to then.
+// Run fails only if the plan is invalid.
 func Run(ctx context.Context, plan Plan) (*Report, error) {
 	plan, err := plan.withDefaults()
 	if err != nil {
@@ -58,7 +59,8 @@
 	return report, nil
 }
 
-// dispatch starts each request at its intended start, or records it as unsent.
+// dispatch starts each request of the plan at its intended start, or as soon as there is a free slot. A request that
+// gets no slot is recorded as unsent, or as cancelled if ctx is done.
 func (g *generator) dispatch(ctx context.Context) {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
@@ -82,7 +84,7 @@
 	}
 }
 
-// sleepUntil waits until a time and says whether ctx was not done before.
+// sleepUntil waits until the time at. It returns false if ctx is done by then.
 func sleepUntil(ctx context.Context, timer *time.Timer, at time.Time) bool {
 	if coarseWait := time.Until(at) - timerSlack; coarseWait > 0 {
 		timer.Reset(coarseWait)
@@ -94,14 +96,14 @@
 	}
 	for remaining := time.Until(at); remaining > 0; remaining = time.Until(at) {
 		length := syscall.NsecToTimespec(remaining.Nanoseconds())
-		// The loop continues a sleep that a signal interrupted.
+		// If a signal interrupts the sleep, the loop sleeps for the remaining time.
 		_ = syscall.Nanosleep(&length, nil)
 	}
 	return ctx.Err() == nil
 }
 
-// acquireSlot waits until one more request may be in flight. It returns false if the deadline passes or ctx is
-// done before.
+// acquireSlot waits until one more request may be in flight. It returns false if the deadline passes or ctx is done
+// first.
 func (g *generator) acquireSlot(ctx context.Context, timer *time.Timer, deadline time.Time) bool {
 	select {
 	case g.slots <- struct{}{}:
@@ -126,7 +128,7 @@
 	return unsent
 }
 
-// send sends one request and records its outcome. It releases the request's slot.
+// send sends one request, records its outcome and releases its slot.
 func (g *generator) send(ctx context.Context, r request, intended, deadline time.Time) {
 	defer g.inFlight.Done()
 	defer func() { <-g.slots }()
@@ -140,7 +142,7 @@
 	g.recorder.recordOutcome(classifyOutcome(ctx, &r, resp, err, deadline), latency)
 }
 
-// classifyOutcome returns a request's outcome.
+// classifyOutcome returns the outcome of a request that got a response or an error.
 func classifyOutcome(ctx context.Context, r *request, resp *response, err error, deadline time.Time) outcome {
 	switch {
 	case err != nil && ctx.Err() != nil:
--- a/internal/emulator/load/histogram.go
+++ b/internal/emulator/load/histogram.go
@@ -8,15 +8,16 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// Bounds and precision of a Histogram.
+// Range, in microseconds, and precision of a Histogram.
 const (
 	lowestMicros      = 1
 	highestMicros     = int64(time.Minute / time.Microsecond)
 	significantDigits = 3
 )
 
-// Histogram counts durations from 1 µs to 1 min, to three significant digits. Its JSON encoding is a string with
-// HdrHistogram's compressed one. Make one with NewHistogram. It is not safe for concurrent use.
+// Histogram counts durations from 1 µs to 1 min with a precision of three significant digits. Its JSON encoding is a
+// string that holds the compressed encoding of HdrHistogram. NewHistogram creates one. It is not safe for concurrent
+// use.
 type Histogram struct {
 	counts *hdrhistogram.Histogram
 }
@@ -26,34 +27,34 @@
 	return &Histogram{hdrhistogram.New(lowestMicros, highestMicros, significantDigits)}
 }
 
-// Record counts a duration. One that is out of bounds counts as the nearest bound.
+// Record counts a duration. A duration outside the range of the histogram counts as the nearest bound.
 func (h *Histogram) Record(d time.Duration) {
-	// It fails only on values out of bounds.
+	// RecordValue fails only on values outside the range.
 	_ = h.counts.RecordValue(min(highestMicros, max(lowestMicros, d.Microseconds())))
 }
 
-// Merge adds another histogram's counts.
+// Merge adds the counts of another histogram to h.
 func (h *Histogram) Merge(other *Histogram) { h.counts.Merge(other.counts) }
 
 // Count returns the number of durations recorded.
 func (h *Histogram) Count() int64 { return h.counts.TotalCount() }
 
-// Quantile returns the duration that this fraction of all durations, from 0 to 1, does not exceed.
+// Quantile returns the duration that the given fraction, from 0 to 1, of all recorded durations does not exceed.
 func (h *Histogram) Quantile(fraction float64) time.Duration {
 	return time.Duration(h.counts.ValueAtQuantile(fraction*100)) * time.Microsecond
 }
 
-// Max returns the longest duration.
+// Max returns the longest recorded duration.
 func (h *Histogram) Max() time.Duration {
 	return time.Duration(h.counts.Max()) * time.Microsecond
 }
 
-// Mean returns the average duration.
+// Mean returns the arithmetic mean of the recorded durations.
 func (h *Histogram) Mean() time.Duration {
 	return time.Duration(h.counts.Mean() * float64(time.Microsecond))
 }
 
-// MarshalJSON encodes the histogram.
+// MarshalJSON encodes the histogram as a JSON string.
 func (h *Histogram) MarshalJSON() ([]byte, error) {
 	encoded, err := h.counts.Encode(hdrhistogram.V2CompressedEncodingCookieBase)
 	if err != nil {
@@ -62,7 +63,7 @@
 	return json.Marshal(string(encoded))
 }
 
-// UnmarshalJSON replaces the histogram by an encoded one.
+// UnmarshalJSON replaces the contents of the histogram with those of an encoded one.
 func (h *Histogram) UnmarshalJSON(data []byte) error {
 	var encoded string
 	if err := json.Unmarshal(data, &encoded); err != nil {
--- a/internal/emulator/load/load_test.go
+++ b/internal/emulator/load/load_test.go
@@ -16,7 +16,7 @@
 	"oakproxy/internal/emulator/endpoint"
 )
 
-// startTarget starts a server with a handler and returns its address.
+// startTarget starts an HTTP server with this handler and returns its address.
 func startTarget(t *testing.T, handle http.HandlerFunc) string {
 	t.Helper()
 	server := httptest.NewServer(handle)
@@ -33,6 +33,7 @@
 	return report
 }
 
+// scheduledRequests returns all requests of a plan's schedule.
 func scheduledRequests(t *testing.T, plan Plan) []request {
 	t.Helper()
 	plan, err := plan.withDefaults()
@@ -53,7 +54,7 @@
 		Classes: []Class{{Name: "search", Weight: 3}, {Name: "checkout", HasIdempotencyKey: true, Weight: 1}}}
 	all := scheduledRequests(t, plan)
 	if len(all) < 9500 || len(all) > 10500 {
-		t.Errorf("%d requests, want about 10000", len(all))
+		t.Errorf("got %d requests, want 9500 to 10500", len(all))
 	}
 	counts := map[string]int{}
 	for _, r := range all {
@@ -62,21 +63,22 @@
 		counts[r.class.Name]++
 		hasKey := r.class.Name == "checkout"
 		if (r.idempotencyKey != "") != hasKey || (r.class.Method == http.MethodPost) != hasKey {
-			t.Fatalf("request %+v", r)
+			t.Fatalf("got request %+v, want POST with an idempotency key for class checkout only", r)
 		}
 	}
 	if fraction := float64(counts["search"]) / float64(len(all)); fraction < 0.72 || fraction > 0.78 {
-		t.Errorf("fraction of the class with three quarters of the weight: %.3f", fraction)
+		t.Errorf("class search has 3 of 4 parts of the weight: got fraction %.3f of the requests, want 0.72 to 0.78",
+			fraction)
 	}
 	if counts["a"] == 0 || counts["b"] == 0 || counts["t1"] == 0 || counts["t2"] == 0 {
-		t.Errorf("counts %v", counts)
+		t.Errorf("got request counts %v, want requests for each target and each tenant", counts)
 	}
 	if !reflect.DeepEqual(all, scheduledRequests(t, plan)) {
 		t.Error("two schedules with the same seed differ")
 	}
 	plan.Arrivals, plan.MaxRequests = Fixed, 3
 	if fixed := scheduledRequests(t, plan); len(fixed) != 3 || fixed[2].startOffset != 3*time.Millisecond {
-		t.Errorf("fixed arrivals: got %+v", fixed)
+		t.Errorf("fixed arrivals: got %+v, want 3 requests, the last one 3ms after the start", fixed)
 	}
 }
 
@@ -90,12 +92,13 @@
 		"negative weight": {Targets: []string{"a"}, Rate: 1, MaxRequests: 1, Classes: []Class{{Name: "x", Weight: -1}}},
 	} {
 		if report, err := Run(context.Background(), plan); err == nil {
-			t.Errorf("%s: got %+v, want an error", name, report)
+			t.Errorf("%s: got report %+v, want an error", name, report)
 		}
 	}
 }
 
-// respondByClass responds to the requests of each class of TestOutcomesAreCounted with the outcome that it needs.
+// respondByClass gives the requests of each class in TestOutcomesAreCounted the outcome that the test expects of the
+// class.
 func respondByClass(w http.ResponseWriter, r *http.Request) {
 	switch r.URL.Path {
 	case "/full":
@@ -132,11 +135,12 @@
 		got := report.Counts
 		if got.Connections == 0 || got.BytesOut == 0 || uint64(report.Latency.Count()) != want.Served ||
 			report.AllLatency.Count() != 4 {
-			t.Errorf("%s: report %+v", name, report)
+			t.Errorf("%s: got report %+v, want connections and bytes sent, %d latencies of served requests and 4 of all",
+				name, report, want.Served)
 		}
 		got.Connections, got.BytesIn, got.BytesOut = 0, 0, 0
 		if got != want || got.Lost() != want.TimedOut+want.Broken {
-			t.Errorf("%s: got %+v, want %+v", name, got, want)
+			t.Errorf("%s: got counts %+v, want %+v", name, got, want)
 		}
 	}
 }
@@ -151,8 +155,9 @@
 		Plan{Targets: []string{address}, Rate: 1000, MaxRequests: 5, MaxInFlight: 1, Arrivals: Fixed})
 	const minLatency = 5*serviceTime - 4*time.Millisecond
 	if report.Counts.Served != 5 || report.Latency.Max() < minLatency || report.SendDelay.Max() < minLatency-serviceTime {
-		t.Errorf("counts %+v, maximum latency %v, maximum send delay %v",
-			report.Counts, report.Latency.Max(), report.SendDelay.Max())
+		t.Errorf("got counts %+v, want 5 served; got maximum latency %v, want at least %v; "+
+			"got maximum send delay %v, want at least %v", report.Counts, report.Latency.Max(), minLatency,
+			report.SendDelay.Max(), minLatency-serviceTime)
 	}
 }
 
@@ -168,11 +173,11 @@
 	})
 	plan := Plan{Targets: []string{address}, Rate: 10000, MaxRequests: 3, MaxInFlight: 1}
 	if got := mustRun(context.Background(), t, plan).Counts; got.Served != 3 || got.Resent != 2 || got.Connections != 3 {
-		t.Errorf("got %+v", got)
+		t.Errorf("got counts %+v, want 3 served, 2 resent and 3 connections", got)
 	}
 	plan.Direct = true
 	if got := mustRun(context.Background(), t, plan).Counts; got.Served != 2 || got.Broken != 1 || got.Resent != 0 {
-		t.Errorf("direct: got %+v", got)
+		t.Errorf("direct: got counts %+v, want 2 served, 1 broken and 0 resent", got)
 	}
 }
 
@@ -186,7 +191,7 @@
 	report := mustRun(ctx, t, Plan{Targets: []string{address}, Rate: 100, Duration: time.Hour,
 		Classes: []Class{{Name: "x", Weight: 1, Timeout: time.Hour}}})
 	if got := report.Counts; got.Cancelled == 0 || got.Cancelled != got.Planned {
-		t.Errorf("got %+v", got)
+		t.Errorf("got counts %+v, want at least 1 planned request and all of them cancelled", got)
 	}
 }
 
@@ -198,12 +203,12 @@
 		}
 	})
 	if err := AwaitReady(context.Background(), []string{address}); err != nil || polls.Load() != 3 {
-		t.Errorf("%d polls, %v, want 3 polls", polls.Load(), err)
+		t.Errorf("got %d polls and error %v, want 3 polls and no error", polls.Load(), err)
 	}
 	cancelled, cancel := context.WithCancel(context.Background())
 	cancel()
 	if err := AwaitReady(cancelled, []string{address}); !errors.Is(err, context.Canceled) {
-		t.Errorf("with a cancelled context: got %v, want %v", err, context.Canceled)
+		t.Errorf("with a cancelled context: got error %v, want %v", err, context.Canceled)
 	}
 }
 
@@ -218,7 +223,8 @@
 		Classes: []Class{{Name: "search", Weight: 1}, {Name: "checkout", HasIdempotencyKey: true, Weight: 1}}})
 	if got := e.Counts(); report.Counts.Served != 50 || got.Requests != 50 || got.Duplicates != 0 ||
 		report.Counts.BytesOut != got.BytesIn || !report.Direct {
-		t.Errorf("the generator counted %+v, the endpoint %+v", report.Counts, got)
+		t.Errorf("got counts %+v of the generator (direct: %v) and %+v of the endpoint, want 50 requests served directly, "+
+			"no duplicates, and as many bytes received as sent", report.Counts, report.Direct, got)
 	}
 }
 
@@ -238,13 +244,14 @@
 	}
 	first.Merge(&received)
 	if got := first.Counts; got.Planned != 5 || got.Served != 2 || got.Lost() != 3 {
-		t.Errorf("counts %+v", got)
+		t.Errorf("got merged counts %+v, want 5 planned, 2 served and 3 lost", got)
 	}
 	if got := first.Latency; got.Count() != 2 || got.Quantile(0.5) != time.Millisecond ||
 		got.Max().Round(time.Millisecond) != time.Second {
-		t.Errorf("latency: %d values, median %v, maximum %v", got.Count(), got.Quantile(0.5), got.Max())
+		t.Errorf("got merged latency with %d values, median %v and maximum %v, want 2 values, 1ms and about 1s",
+			got.Count(), got.Quantile(0.5), got.Max())
 	}
 	if err := json.Unmarshal([]byte(`{"latency":"`+strings.Repeat("x", 9)+`"}`), &received); err == nil {
-		t.Error("an invalid histogram was decoded")
+		t.Error("decoding an invalid histogram: got no error, want one")
 	}
 }
--- a/internal/emulator/load/ready.go
+++ b/internal/emulator/load/ready.go
@@ -9,12 +9,12 @@
 
 const (
 	readyPath           = "/health/ready"
-	readyRequestTimeout = time.Second // of one request
-	readyPollInterval   = 50 * time.Millisecond
+	readyRequestTimeout = time.Second           // time limit of one readiness check
+	readyPollInterval   = 50 * time.Millisecond // interval between readiness checks
 )
 
-// AwaitReady waits until each of the sidecars is ready, as an application waits for its own before it sends. It
-// fails with the error of ctx when that is done.
+// AwaitReady waits until every sidecar in targets is ready, as an application waits for its sidecar before it sends
+// requests. If ctx is done first, AwaitReady returns an error that wraps the error of ctx.
 func AwaitReady(ctx context.Context, targets []string) error {
 	transport := &http.Transport{DisableKeepAlives: true}
 	client := &http.Client{Transport: transport, Timeout: readyRequestTimeout}
@@ -39,7 +39,7 @@
 	return nil
 }
 
-// IsReady says whether a sidecar, given by host and port, responds to a readiness check with 200.
+// IsReady reports whether the sidecar at target, in the form host:port, responds to a readiness check with status 200.
 func IsReady(ctx context.Context, client *http.Client, target string) bool {
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+target+readyPath, nil)
 	if err != nil {
--- a/internal/emulator/load/schedule.go
+++ b/internal/emulator/load/schedule.go
@@ -11,22 +11,23 @@
 
 // request is one request of a schedule.
 type request struct {
-	startOffset    time.Duration // intended start, from the start of the run
+	startOffset    time.Duration // time from the start of the run to the intended start
 	target         string
 	class          Class
 	tenant         string
 	id             string
 	sessionKey     string
-	idempotencyKey string // Idempotency-Key; empty where the class has none
+	idempotencyKey string // value of the Idempotency-Key header; empty if the class has none
 }
 
-// schedule generates the requests of a plan in order. The same seed gives the same requests.
+// schedule generates the requests of a plan in the order of their intended starts. The same plan with the same seed
+// yields the same requests.
 type schedule struct {
 	plan        Plan
 	random      *rand.Rand
-	totalWeight float64
-	count       int
-	offset      time.Duration
+	totalWeight float64       // sum of the weights of all classes
+	count       int           // number of requests generated so far
+	offset      time.Duration // time from the start of the run to the intended start of the latest request
 }
 
 func newSchedule(plan Plan) *schedule {
@@ -37,7 +38,7 @@
 	return s
 }
 
-// next returns the next request, or false at the end of the plan.
+// next returns the next request and true, or false at the end of the plan.
 func (s *schedule) next() (request, bool) {
 	s.offset += s.interarrival()
 	if s.plan.MaxRequests > 0 && s.count >= s.plan.MaxRequests {
@@ -61,7 +62,7 @@
 	return next, true
 }
 
-// interarrival returns a time from one request to the next.
+// interarrival returns the time from one intended start to the next.
 func (s *schedule) interarrival() time.Duration {
 	seconds := 1 / s.plan.Rate
 	if s.plan.Arrivals == Poisson {
@@ -70,7 +71,7 @@
 	return time.Duration(seconds * float64(time.Second))
 }
 
-// pickClass returns a random class, by weight.
+// pickClass returns a random class. The probability of a class is weight / totalWeight.
 func (s *schedule) pickClass() Class {
 	remaining := s.random.Float64() * s.totalWeight
 	for _, class := range s.plan.Classes {
