--- a/internal/emulator/control/client.go
+++ b/internal/emulator/control/client.go
@@ -10,26 +10,27 @@
 )
 
 // ErrClosed is returned for a call to a worker whose output has ended.
-var ErrClosed = errors.New("control: worker has ended")
+var ErrClosed = errors.New("control: output of the worker has ended")
 
-// Client sends requests to one worker. It is safe for concurrent use.
+// Client sends requests to one worker. NewClient creates one. It is safe for concurrent use.
 type Client struct {
 	mu      sync.Mutex
 	encoder *json.Encoder
-	lastID  uint64
-	pending map[uint64]chan response
-	closed  bool
+	lastID  uint64                   // ID of the latest request
+	pending map[uint64]chan response // channels of the calls that wait for a response, by request ID
+	closed  bool                     // true once the output of the worker has ended
 }
 
-// NewClient returns a Client. Its goroutine reads responses until the worker's output ends.
+// NewClient returns a Client and starts a goroutine that reads responses until the output of the worker ends.
 func NewClient(workerOutput io.Reader, workerInput io.Writer) *Client {
 	c := &Client{encoder: json.NewEncoder(workerInput), pending: map[uint64]chan response{}}
 	go c.readResponses(workerOutput)
 	return c
 }
 
-// Call sends a request and decodes the response into result, which may be nil. A failure that the worker
-// reports is a *RemoteError, the end of the worker ErrClosed, and the end of ctx its cause.
+// Call sends a request, waits for the response and decodes it into result, unless result is nil. The error is a
+// *RemoteError if the worker reports a failure, it wraps ErrClosed if the output of the worker has ended, and it is
+// the cause of ctx if ctx is done first.
 func (c *Client) Call(ctx context.Context, kind Kind, body, result any) error {
 	id, responses, err := c.send(kind, body)
 	if err != nil {
@@ -55,7 +56,7 @@
 	}
 }
 
-// send writes a request and returns its ID and the channel of its response.
+// send writes a request. It returns the ID of the request and the channel that will receive the response or be closed.
 func (c *Client) send(kind Kind, body any) (uint64, <-chan response, error) {
 	encoded, err := json.Marshal(body)
 	if err != nil {
@@ -82,7 +83,8 @@
 	delete(c.pending, id)
 }
 
-// readResponses delivers responses to the pending calls until the output ends, then fails those that remain.
+// readResponses delivers responses to the pending calls until the output of the worker ends or holds invalid JSON. Then
+// it makes the remaining calls fail.
 func (c *Client) readResponses(output io.Reader) {
 	decoder := json.NewDecoder(output)
 	for {
--- a/internal/emulator/control/control.go
+++ b/internal/emulator/control/control.go
@@ -1,8 +1,8 @@
-// Package control carries typed requests between the emulator and its worker processes, as JSON lines on a
-// worker's standard input and output.
+// Package control transports typed requests and responses between the emulator and its worker processes. Each is a line
+// of JSON on the standard input or output of the worker.
 //
-// Calls are concurrent: responses may come in any order and are matched by ID. The package starts no
-// process and sets no time limits: contexts do.
+// Calls may be concurrent: responses arrive in any order and are matched to requests by ID. The package starts no
+// processes and sets no time limits; callers limit the time of a call by its context.
 package control
 
 import (
@@ -28,22 +28,22 @@
 	Body  json.RawMessage `json:"body,omitempty"`
 }
 
-// RemoteError is a failure that a worker reports.
+// RemoteError is a failure that a worker has reported in a response.
 type RemoteError struct {
 	Kind    Kind
 	Message string
 }
 
-// Error names the method and the failure.
+// Error returns the kind of the request and the message of the worker.
 func (e *RemoteError) Error() string { return fmt.Sprintf("%s: %s", e.Kind, e.Message) }
 
-// Handler handles the requests of one kind. It returns the body of the response.
+// Handler handles the requests of one kind. It returns the value to encode as the body of the response.
 type Handler func(ctx context.Context, body json.RawMessage) (any, error)
 
-// Handlers are the methods of a worker.
+// Handlers holds the handlers of a worker by the kind of request.
 type Handlers map[Kind]Handler
 
-// Handle makes a Handler of a function with a typed request and response.
+// Handle returns a Handler that decodes the body of a request, calls the typed function handle and returns its result.
 func Handle[Request, Response any](handle func(context.Context, Request) (Response, error)) Handler {
 	return func(ctx context.Context, body json.RawMessage) (any, error) {
 		var request Request
@@ -54,5 +54,5 @@
 	}
 }
 
-// Empty is the body of a request or response without data.
+// Empty is the body of a request or response that carries no data.
 type Empty struct{}
--- a/internal/emulator/control/control_test.go
+++ b/internal/emulator/control/control_test.go
@@ -13,7 +13,7 @@
 	kindWait   Kind = "wait"
 )
 
-// startWorker serves requests in this process until closeInput is called.
+// startWorker serves requests in the test's process until closeInput is called.
 func startWorker(t *testing.T) (client *Client, closeInput func()) {
 	t.Helper()
 	requests, toWorker := io.Pipe()
@@ -42,25 +42,25 @@
 	go func() { waited <- client.Call(t.Context(), kindWait, Empty{}, nil) }()
 	var doubled int
 	if err := client.Call(t.Context(), kindDouble, 21, &doubled); err != nil || doubled != 42 {
-		t.Errorf("got %d, %v, want 42", doubled, err)
+		t.Errorf("got result %d and error %v, want 42 and no error", doubled, err)
 	}
 	var remote *RemoteError
 	if err := client.Call(t.Context(), kindFail, Empty{}, nil); !errors.As(err, &remote) || remote.Message != "a failure" {
-		t.Errorf("got %v, want the worker's error", err)
+		t.Errorf("got error %v, want a RemoteError with the message %q", err, "a failure")
 	}
 	if err := client.Call(t.Context(), "other", Empty{}, nil); !errors.As(err, &remote) {
-		t.Errorf("unknown kind: got %v, want a RemoteError", err)
+		t.Errorf("unknown kind: got error %v, want a RemoteError", err)
 	}
 	closeInput()
 	if err := <-waited; err == nil {
-		t.Error("the pending call succeeded although its worker had ended")
+		t.Error("pending call after the end of the worker: got no error, want one")
 	}
 }
 
 func TestCallFailsAfterWorkerExit(t *testing.T) {
 	client, closeInput := startWorker(t)
 	closeInput()
-	for { // until the client has noticed the end
+	for { // repeats the call until the client has noticed the end of the worker
 		err := client.Call(t.Context(), kindDouble, 1, nil)
 		if errors.Is(err, ErrClosed) || errors.Is(err, io.ErrClosedPipe) {
 			return
--- a/internal/emulator/control/server.go
+++ b/internal/emulator/control/server.go
@@ -9,16 +9,17 @@
 	"sync"
 )
 
-// server handles the requests of one input.
+// server handles the requests of one call of Serve.
 type server struct {
 	handlers Handlers
 
-	mu      sync.Mutex // locked while a response is written
+	mu      sync.Mutex // held while a response is written
 	encoder *json.Encoder
 }
 
-// Serve handles requests, each in a goroutine of its own, until the input ends or ctx is done; then it
-// cancels the context of those in flight and waits for them.
+// Serve handles requests, each in its own goroutine, until the input ends, cannot be decoded, or ctx is done. Then it
+// cancels the context of the requests in flight and waits until their handlers have returned. It notices the end of ctx
+// only after the next read from the input.
 func Serve(ctx context.Context, input io.Reader, output io.Writer, handlers Handlers) error {
 	ctx, cancel := context.WithCancel(ctx)
 	var inFlight sync.WaitGroup
@@ -43,7 +44,7 @@
 	}
 }
 
-// respond handles a request and writes the response.
+// respond handles one request and writes the response.
 func (s *server) respond(ctx context.Context, received request) {
 	reply := response{ID: received.ID}
 	body, err := s.handle(ctx, received)
@@ -55,14 +56,14 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	// The output fails only when the emulator has ended. The input ends then as well, and Serve returns.
+	// Writing fails only if the emulator has ended. In this case the input ends as well, and Serve returns.
 	_ = s.encoder.Encode(reply)
 }
 
 func (s *server) handle(ctx context.Context, received request) (any, error) {
 	handler, known := s.handlers[received.Kind]
 	if !known {
-		return nil, errors.New("unknown request")
+		return nil, errors.New("worker has no handler for this kind of request")
 	}
 	return handler(ctx, received.Body)
 }
--- a/internal/emulator/counter/counter.go
+++ b/internal/emulator/counter/counter.go
@@ -1,17 +1,18 @@
-// Package counter does arithmetic on structs of counters.
+// Package counter adds and subtracts the counters of structs.
 //
-// A struct lists pointers to its counters once, always in the same order; sums and differences then cover
-// the same fields. Gauges, such as open connections, are no counters: their structs treat them on their own.
+// A struct type has one method that returns pointers to its counters, always in the same order, so that sums and
+// differences cover the same fields. Gauges, such as the number of open connections, are not counters: their structs
+// handle them separately.
 package counter
 
-// Add adds each of the counters of other to the one at the same place in sum.
+// Add adds each counter in other to the counter at the same index in sum.
 func Add(sum, other []*uint64) {
 	for i, value := range other {
 		*sum[i] += *value
 	}
 }
 
-// Subtract subtracts each of the counters of earlier from the one at the same place in now.
+// Subtract subtracts each counter in earlier from the counter at the same index in now.
 func Subtract(now, earlier []*uint64) {
 	for i, value := range earlier {
 		*now[i] -= *value
--- a/internal/emulator/httpconn/conn.go
+++ b/internal/emulator/httpconn/conn.go
@@ -1,8 +1,8 @@
-// Package httpconn serves HTTP/1.1 on connections that are idle most of the time.
+// Package httpconn reads requests and writes responses on HTTP/1.1 connections that are idle most of the time.
 //
-// A connection holds no buffer between requests. One goroutine serves it: that goroutine both waits until
-// the response is due and notices that the client has disconnected. The package neither accepts
-// connections nor routes requests, and it does not support pipelining.
+// A connection holds no buffer between requests. A single goroutine serves it: while it waits for the time of the
+// response, it also notices when the client disconnects. The package neither accepts connections nor routes requests,
+// and it does not support pipelining.
 package httpconn
 
 import (
@@ -18,49 +18,52 @@
 )
 
 const (
-	readBufferSize = 4 << 10
-	maxBodyBytes   = 64 << 10
+	readBufferSize = 4 << 10  // size of a pooled read buffer, in bytes
+	maxBodyBytes   = 64 << 10 // maximum size of a request body
 )
 
-// Errors after which a connection has to be closed.
+// Errors after which the connection must be closed.
 var (
-	// ErrPipelined is returned when a request begins before the response to the last one.
-	ErrPipelined = errors.New("httpconn: request before the response to the last one")
-	// ErrBodyTooLarge is returned for a request whose body is over 64 KiB.
-	ErrBodyTooLarge = errors.New("httpconn: request body too large")
+	// ErrPipelined is returned when the client sends data before it has received the response to its previous request.
+	ErrPipelined = errors.New("httpconn: client sent data before the response to its previous request")
+	// ErrBodyTooLarge is returned for a request whose body is larger than 64 KiB.
+	ErrBodyTooLarge = errors.New("httpconn: request body exceeds 64 KiB")
 )
 
-// pastDeadline is a deadline that has always passed.
+// pastDeadline is a time in the past. As a read deadline it makes a blocked read fail immediately.
 var pastDeadline = time.Unix(1, 0)
 
+// readerPool holds *bufio.Reader values that no connection is using.
 var readerPool = sync.Pool{New: func() any { return bufio.NewReaderSize(nil, readBufferSize) }}
 
-// Traffic counts the bytes of any number of connections.
+// Traffic counts the bytes that a group of connections reads and writes. The zero value is ready for use; it is safe
+// for concurrent use.
 type Traffic struct {
 	in, out atomic.Uint64
 }
 
-// BytesIn returns the bytes read so far.
+// BytesIn returns the number of bytes read so far.
 func (t *Traffic) BytesIn() uint64 { return t.in.Load() }
 
-// BytesOut returns the bytes written so far.
+// BytesOut returns the number of bytes written so far.
 func (t *Traffic) BytesOut() uint64 { return t.out.Load() }
 
-// Conn is an accepted connection. Only the one goroutine that serves it may call its methods, except Wake,
-// WakeAt, Close and Reset, which are safe for concurrent use.
+// Conn is an accepted connection. Wake, WakeAt, Close and Reset are safe for concurrent use. Only the goroutine that
+// serves the connection may call the other methods.
 type Conn struct {
 	socket       net.Conn
 	traffic      *Traffic
-	firstByte    [1]byte // of the next request; valid if hasFirst
+	firstByte    [1]byte // first byte of the next request; valid if hasFirstByte is set
 	hasFirstByte bool
 }
 
-// New wraps an accepted connection, whose bytes are counted in traffic.
+// New returns a Conn for an accepted connection, whose bytes it counts in traffic.
 func New(socket net.Conn, traffic *Traffic) *Conn {
 	return &Conn{socket: socket, traffic: traffic}
 }
 
-// AwaitRequest blocks until the first byte of a request has arrived. It fails once the client has disconnected.
+// AwaitRequest blocks until the first byte of a request has arrived. It fails if the client disconnects or the time
+// given to WakeAt has come.
 func (c *Conn) AwaitRequest() error {
 	n, err := c.socket.Read(c.firstByte[:])
 	c.traffic.in.Add(uint64(n))
@@ -71,7 +74,7 @@
 	return err
 }
 
-// ReadRequest reads a complete request. Its body is counted and discarded.
+// ReadRequest reads a complete request after AwaitRequest has returned nil. It discards the body of the request.
 func (c *Conn) ReadRequest() (*http.Request, error) {
 	reader := readerPool.Get().(*bufio.Reader)
 	defer readerPool.Put(reader)
@@ -94,8 +97,8 @@
 	return request, nil
 }
 
-// AwaitWake blocks until Wake, or until the time given to WakeAt, and then returns nil. It fails when the
-// client disconnects, and with ErrPipelined when it sends a byte.
+// AwaitWake blocks until Wake is called or the time given to WakeAt has come, and then returns nil. It fails if the
+// client disconnects, and returns ErrPipelined if the client sends a byte.
 func (c *Conn) AwaitWake() error {
 	var unexpected [1]byte
 	n, err := c.socket.Read(unexpected[:])
@@ -108,13 +111,13 @@
 	return err
 }
 
-// Wake ends AwaitWake, also one that begins later, until WakeAt is called.
+// Wake makes a current call of AwaitWake return, and later ones until WakeAt is called.
 func (c *Conn) Wake() { c.WakeAt(pastDeadline) }
 
-// WakeAt ends AwaitWake at a time; the zero time means never. AwaitRequest and
-// ReadRequest fail at that time, unless it is set again before.
+// WakeAt makes AwaitWake return at the given time; the zero time means never. AwaitRequest and ReadRequest fail at
+// that time. Each call of WakeAt replaces the time of the previous one.
 func (c *Conn) WakeAt(at time.Time) {
-	// It fails only on a closed connection, where reads end by themselves.
+	// SetReadDeadline fails only on a closed connection, where reads fail anyway.
 	_ = c.socket.SetReadDeadline(at)
 }
 
@@ -125,19 +128,20 @@
 	return err
 }
 
-// Close closes the connection. Nothing is left to do when that fails, as it does on one that is closed.
+// Close closes the connection. It ignores errors: closing fails only for a connection that needs no further action,
+// such as one that is already closed.
 func (c *Conn) Close() { _ = c.socket.Close() }
 
-// Reset closes the connection with a TCP reset, as the system does when the serving process dies.
+// Reset closes the connection with a TCP reset, as the operating system does when the serving process dies.
 func (c *Conn) Reset() {
 	if tcp, ok := c.socket.(*net.TCPConn); ok {
-		// It fails only on a connection that is closed already.
+		// SetLinger fails only on a connection that is already closed.
 		_ = tcp.SetLinger(0)
 	}
 	_ = c.socket.Close()
 }
 
-// requestReader reads a request, starting with the byte that AwaitRequest consumed.
+// requestReader is a Conn as an io.Reader, which starts with the byte that AwaitRequest has read.
 type requestReader Conn
 
 // Read implements io.Reader.
--- a/internal/emulator/httpconn/response.go
+++ b/internal/emulator/httpconn/response.go
@@ -5,7 +5,7 @@
 	"strconv"
 )
 
-// Field is one header field of a response.
+// Field is a header field of a response.
 type Field struct {
 	Name, Value string
 }
--- a/internal/emulator/httpconn/set.go
+++ b/internal/emulator/httpconn/set.go
@@ -2,7 +2,7 @@
 
 import "sync"
 
-// Set tracks the open connections of a server. The zero value is empty and ready for use; it is safe for
+// Set is the set of the open connections of a server. The zero value is empty and ready for use. It is safe for
 // concurrent use.
 type Set struct {
 	mu       sync.Mutex
@@ -11,14 +11,14 @@
 	maxOpen  int
 }
 
-// SetCounts are the counts of a Set.
+// SetCounts holds the counts of a Set.
 type SetCounts struct {
-	Accepted uint64 // since the start
-	Open     int    // now
-	MaxOpen  int    // the highest Open so far
+	Accepted uint64 // number of connections added so far
+	Open     int    // number of connections that are open now
+	MaxOpen  int    // highest value of Open so far
 }
 
-// Add adds a connection that has been accepted.
+// Add adds an accepted connection.
 func (s *Set) Add(c *Conn) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -30,14 +30,14 @@
 	s.maxOpen = max(s.maxOpen, len(s.open))
 }
 
-// Remove removes a connection that is closed.
+// Remove removes a connection that has been closed.
 func (s *Set) Remove(c *Conn) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	delete(s.open, c)
 }
 
-// Counts returns the counts so far.
+// Counts returns the current counts.
 func (s *Set) Counts() SetCounts {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -55,7 +55,7 @@
 	return all
 }
 
-// ResetAll resets the connections that are open now and returns their number.
+// ResetAll resets all open connections and returns their number.
 func (s *Set) ResetAll() int {
 	all := s.All()
 	for _, c := range all {
--- a/internal/emulator/process/group.go
+++ b/internal/emulator/process/group.go
@@ -12,43 +12,44 @@
 	"time"
 )
 
-// stopPollInterval is the interval at which Stop checks whether children have exited.
+// stopPollInterval is the interval at which Stop checks whether all children have exited.
 const stopPollInterval = 10 * time.Millisecond
 
-// Program is a program to start as a child process.
+// Program describes a program to start as a child process.
 type Program struct {
-	Name        string
-	Path        string
+	Name        string // name of the child in error messages
+	Path        string // path of the executable
 	Arguments   []string
-	Environment []string  // in addition to the emulator's own
-	Stderr      io.Writer // receives its standard error; nil: the emulator's own
-	Piped       bool      // its standard input and output are Child.Input and Child.Output
+	Environment []string  // variables (key=value) in addition to those of the emulator
+	Stderr      io.Writer // destination of the standard error; nil means the standard error of the emulator
+	Piped       bool      // whether Child.Input and Child.Output are connected to the standard input and output
 }
 
 // Child is a child process.
 type Child struct {
 	Name   string
-	Input  io.WriteCloser // nil unless piped
-	Output io.ReadCloser  // nil unless piped
+	Input  io.WriteCloser // standard input of the process; nil unless Program.Piped was set
+	Output io.ReadCloser  // standard output of the process; nil unless Program.Piped was set
 
 	command *exec.Cmd
-	ended   chan struct{} // closed once it has exited
-	err     error         // how it exited; valid once ended is closed
+	ended   chan struct{} // closed when the process has exited
+	err     error         // result of the process, nil for exit status 0; valid once ended is closed
 }
 
-// PID returns the process ID.
+// PID returns the ID of the process.
 func (c *Child) PID() int { return c.command.Process.Pid }
 
-// Ended returns a channel that is closed once the process has exited.
+// Ended returns a channel that is closed when the process has exited.
 func (c *Child) Ended() <-chan struct{} { return c.ended }
 
-// Err waits for the process to exit and returns how it did; nil for exit status 0.
+// Err waits until the process has exited. It returns nil for exit status 0, and an error that says how the process
+// exited otherwise.
 func (c *Child) Err() error {
 	<-c.ended
 	return c.err
 }
 
-// CPU waits for the process to exit and returns its processor time.
+// CPU waits until the process has exited and returns the processor time that it used.
 func (c *Child) CPU() time.Duration {
 	<-c.ended
 	return c.command.ProcessState.UserTime() + c.command.ProcessState.SystemTime()
@@ -57,23 +58,24 @@
 // Signal sends a signal to the process.
 func (c *Child) Signal(signal os.Signal) error { return c.command.Process.Signal(signal) }
 
-// Group is a group of child processes. Make one with NewGroup. It is safe for concurrent use.
+// Group is a group of child processes. NewGroup creates one. It is safe for concurrent use.
 type Group struct {
-	starts chan func() // run by one thread, which lives as long as the group
+	starts chan func() // functions that start children; a single thread, which lives until Stop, runs them
 
 	mu       sync.Mutex
 	children []*Child
 	stopped  bool
 }
 
-// ErrStopped is returned by Start after Stop.
+// ErrStopped is the cause of the error that Group.Start returns after Stop.
 var ErrStopped = errors.New("process: group has been stopped")
 
-// NewGroup returns a Group. Its thread lives until Stop.
+// NewGroup returns an empty Group. Stop must be called to end the thread of the group.
 func NewGroup() *Group {
 	g := &Group{starts: make(chan func())}
 	go func() {
-		// The parent death signal is sent when the thread that started the child ends, not the process.
+		// The kernel sends the parent death signal when the thread that started the child ends, not when the
+		// process of that thread ends. Hence all children are started by one thread that does not end before Stop.
 		runtime.LockOSThread()
 		for start := range g.starts {
 			start()
@@ -82,8 +84,8 @@
 	return g
 }
 
-// Start starts a process. If the emulator dies without stopping it, the kernel kills it, unless it is piped: then it
-// reads the end of its input, and can clean up.
+// Start starts a program as a child process. If the emulator dies without a call of Stop, the kernel kills the child,
+// unless Program.Piped is set: a piped child reads the end of its input instead, so that it can clean up.
 func (g *Group) Start(program Program) (*Child, error) {
 	command := exec.Command(program.Path, program.Arguments...)
 	command.Env = append(os.Environ(), program.Environment...)
@@ -91,7 +93,7 @@
 	if program.Stderr == nil {
 		command.Stderr = os.Stderr
 	}
-	// Signals from the terminal must reach the emulator only.
+	// The child gets its own process group, because signals from the terminal must reach only the emulator.
 	command.SysProcAttr = &syscall.SysProcAttr{Setpgid: true}
 	if !program.Piped {
 		command.SysProcAttr.Pdeathsig = syscall.SIGKILL
@@ -108,7 +110,7 @@
 	return child, nil
 }
 
-// pipe connects the child's standard input and output.
+// pipe connects Input and Output to the standard input and output of the child.
 func (c *Child) pipe() error {
 	var err error
 	if c.Input, err = c.command.StdinPipe(); err != nil {
@@ -118,7 +120,7 @@
 	return err
 }
 
-// launch starts a child on the group's thread, and a goroutine that waits for its exit.
+// launch starts a child on the thread of the group, and a goroutine that waits until the child has exited.
 func (g *Group) launch(child *Child) error {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -138,7 +140,7 @@
 	return nil
 }
 
-// Children returns the children that have not exited.
+// Children returns the children that have not exited, in the order in which they were started.
 func (g *Group) Children() []*Child {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -153,20 +155,20 @@
 	return alive
 }
 
-// ResidentKB returns the resident memory of all children.
+// ResidentKB returns the resident memory of all running children, in kB.
 func (g *Group) ResidentKB() int64 {
 	var sum int64
 	for _, child := range g.Children() {
 		resident, err := ResidentKB(child.PID())
-		if err == nil { // otherwise it has just exited
+		if err == nil { // an error means that the child has just exited
 			sum += resident
 		}
 	}
 	return sum
 }
 
-// Stop stops all children: first by closing their input or by SIGTERM, and those that still run after the grace
-// period by SIGKILL. It returns once all have exited.
+// Stop stops all children and returns when they have exited. It first closes the input of piped children and sends
+// SIGTERM to the others. Children that still run after the grace period get SIGKILL.
 func (g *Group) Stop(grace time.Duration) {
 	g.mu.Lock()
 	if !g.stopped {
--- a/internal/emulator/process/process_test.go
+++ b/internal/emulator/process/process_test.go
@@ -28,11 +28,13 @@
 	after, err := ReadUsage(os.Getpid())
 	if err != nil || after.Descriptors <= before.Descriptors || after.ResidentKB <= 0 ||
 		after.PeakKB < after.ResidentKB/2 || after.ReadBytes <= before.ReadBytes {
-		t.Errorf("before %+v, after %+v, %v", before, after, err)
+		t.Errorf("got usage %+v, then %+v and error %v; want more descriptors and bytes read than before, "+
+			"resident memory over 0, and a peak of at least half of it", before, after, err)
 	}
 }
 
-// Stop ends children that exit at the end of their input, on SIGTERM, or on SIGKILL only.
+// TestStopEndsAllChildren covers a child that exits at the end of its input, one that exits on SIGTERM and one that
+// only SIGKILL ends.
 func TestStopEndsAllChildren(t *testing.T) {
 	g := NewGroup()
 	programs := []Program{
@@ -49,19 +51,19 @@
 		children = append(children, child)
 	}
 	if n := len(g.Children()); n != 3 || g.ResidentKB() <= 0 {
-		t.Errorf("%d children with %d kB, want 3 with memory", n, g.ResidentKB())
+		t.Errorf("got %d children with %d kB of resident memory, want 3 children and over 0 kB", n, g.ResidentKB())
 	}
 	g.Stop(grace)
 	for _, child := range children {
 		if err := syscall.Kill(child.PID(), 0); !errors.Is(err, syscall.ESRCH) {
-			t.Errorf("%s has not ended: %v", child.Name, err)
+			t.Errorf("signal 0 to child %s after Stop: got error %v, want %v", child.Name, err, syscall.ESRCH)
 		}
 	}
 	if err := children[0].Err(); err != nil {
-		t.Errorf("the piped child ended with %v", err)
+		t.Errorf("exit of the piped child: got error %v, want none", err)
 	}
 	if _, err := g.Start(programs[0]); !errors.Is(err, ErrStopped) {
-		t.Errorf("start after Stop: got %v, want ErrStopped", err)
+		t.Errorf("start after Stop: got error %v, want %v", err, ErrStopped)
 	}
 }
 
@@ -69,6 +71,6 @@
 	g := NewGroup()
 	defer g.Stop(grace)
 	if _, err := g.Start(Program{Name: "none", Path: "/nonesuch"}); !errors.Is(err, os.ErrNotExist) {
-		t.Errorf("got %v, want %v", err, os.ErrNotExist)
+		t.Errorf("start of a missing program: got error %v, want %v", err, os.ErrNotExist)
 	}
 }
--- a/internal/emulator/process/usage.go
+++ b/internal/emulator/process/usage.go
@@ -1,7 +1,7 @@
 // Package process starts and stops child processes and reads the resource usage of processes and of the machine.
 //
-// No child outlives its group: Stop waits for all of them, and the kernel or the end of their input stops them if
-// the emulator dies. Usage is read from Linux's /proc.
+// No child process outlives its group: Group.Stop waits until all children have exited, and if the emulator dies, the
+// kernel or the end of their input stops them. Resource usage is read from /proc of Linux.
 package process
 
 import (
@@ -17,21 +17,21 @@
 
 const (
 	procDirectory  = "/proc"
-	ticksPerSecond = 100 // of processor times in /proc (USER_HZ)
+	ticksPerSecond = 100 // unit of processor times in /proc: 1/100 s (USER_HZ)
 	bytesPerKB     = 1024
 )
 
-// Usage is the resource usage of a process, or of several together.
+// Usage is the resource usage of a process, or the sum for several processes.
 type Usage struct {
-	CPU         time.Duration // user and system, since the start
-	ResidentKB  int64
-	PeakKB      int64
-	Descriptors int
-	ReadBytes   uint64 // by read system calls, sockets included
-	WriteBytes  uint64
+	CPU         time.Duration // user and system time since the start of the process
+	ResidentKB  int64         // resident memory
+	PeakKB      int64         // highest resident memory so far
+	Descriptors int           // open file descriptors
+	ReadBytes   uint64        // bytes read by system calls, sockets included
+	WriteBytes  uint64        // bytes written by system calls, sockets included
 }
 
-// Add adds another process's usage.
+// Add adds the usage of another process to u.
 func (u *Usage) Add(other Usage) {
 	u.CPU += other.CPU
 	u.ResidentKB += other.ResidentKB
@@ -41,7 +41,7 @@
 	u.WriteBytes += other.WriteBytes
 }
 
-// ReadUsage reads the usage of a process.
+// ReadUsage reads the resource usage of a process.
 func ReadUsage(pid int) (Usage, error) {
 	directory := filepath.Join(procDirectory, strconv.Itoa(pid))
 	var u Usage
@@ -64,30 +64,32 @@
 	return u, err
 }
 
-// MaxDescriptors returns the limit of open descriptors of a process.
+// MaxDescriptors returns the soft limit on the open file descriptors of this process.
 func MaxDescriptors() (int, error) {
 	var limit syscall.Rlimit
 	err := syscall.Getrlimit(syscall.RLIMIT_NOFILE, &limit)
 	return int(limit.Cur), err
 }
 
-// ResidentKB reads the resident memory of a process.
+// ResidentKB reads the resident memory of a process, in kB.
 func ResidentKB(pid int) (int64, error) {
 	status, err := readFields(filepath.Join(procDirectory, strconv.Itoa(pid), "status"))
 	return status["VmRSS"], err
 }
 
-// readCPU reads the processor time of a process from its stat file.
+// readCPU reads the processor time of a process from the file stat in its /proc directory.
 func readCPU(directory string) (time.Duration, error) {
 	text, err := os.ReadFile(filepath.Join(directory, "stat"))
 	if err != nil {
 		return 0, err
 	}
-	// The program's name, in parentheses, may contain anything. The fields after it are numbered from 3.
+	// The second field, the program name in parentheses, may contain any characters, so that the last closing
+	// parenthesis ends it. The first field after it has number 3.
 	const firstField, userField, systemField = 3, 14, 15
 	fields := bytes.Fields(text[bytes.LastIndexByte(text, ')')+1:])
 	if len(fields) <= systemField-firstField {
-		return 0, fmt.Errorf("%s/stat is too short", directory)
+		return 0, fmt.Errorf("%s/stat has %d fields after the program name, want at least %d",
+			directory, len(fields), systemField-firstField+1)
 	}
 	var ticks int64
 	for _, field := range []int{userField, systemField} {
@@ -100,7 +102,8 @@
 	return time.Duration(ticks) * time.Second / ticksPerSecond, nil
 }
 
-// readFields reads a file of lines such as "VmRSS: 1234 kB".
+// readFields reads a file with lines such as "VmRSS: 1234 kB". It returns the numbers by their names and skips lines
+// without a number.
 func readFields(path string) (map[string]int64, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -120,7 +123,7 @@
 	return fields, nil
 }
 
-// MachineCPU is the processor time of the machine, over all cores.
+// MachineCPU is the processor time of the machine, summed over all cores. Total includes idle time; Busy does not.
 type MachineCPU struct{ Busy, Total time.Duration }
 
 // ReadMachineCPU reads the processor time of the machine since it started.
@@ -130,7 +133,8 @@
 		return MachineCPU{}, err
 	}
 	line, _, _ := strings.Cut(string(text), "\n")
-	const idleField, iowaitField, countedFieldCount = 3, 4, 8 // guest time is part of user time
+	// The fields after the first countedFieldCount are guest times, which user time already includes.
+	const idleField, iowaitField, countedFieldCount = 3, 4, 8
 	var cpu MachineCPU
 	for i, field := range strings.Fields(strings.TrimPrefix(line, "cpu")) {
 		ticks, err := strconv.ParseInt(field, 10, 64)
@@ -149,7 +153,8 @@
 	return cpu, nil
 }
 
-// BusyShare returns the fraction of the time since an earlier reading in which cores were busy.
+// BusyShare returns the fraction of the processor time since an earlier reading in which the cores were busy. It is 0
+// if no time has passed.
 func (c MachineCPU) BusyShare(earlier MachineCPU) float64 {
 	if c.Total <= earlier.Total {
 		return 0
@@ -157,7 +162,7 @@
 	return float64(c.Busy-earlier.Busy) / float64(c.Total-earlier.Total)
 }
 
-// MachineMemoryKB reads the memory size of the machine.
+// MachineMemoryKB reads the memory size of the machine, in kB.
 func MachineMemoryKB() (int64, error) {
 	fields, err := readFields(filepath.Join(procDirectory, "meminfo"))
 	return fields["MemTotal"], err
