--- a/internal/emulator/emulatortest/await.go
+++ b/internal/emulator/emulatortest/await.go
@@ -1,4 +1,4 @@
-// Package emulatortest holds what the tests of several of the emulator's packages share. Only tests import it.
+// Package emulatortest contains helpers that the tests of several packages of the emulator share. Only tests import it.
 package emulatortest
 
 import (
@@ -7,11 +7,12 @@
 	"time"
 )
 
-// awaitTimeout is how long a test waits for a condition.
+// awaitTimeout is the longest time that Await waits for a condition.
 const awaitTimeout = 10 * time.Second
 
-// Await returns once a condition holds. It fails the test, naming what it waited for, if that takes longer than
-// 10 s. It yields the processor between two checks, since most conditions hold soon.
+// Await returns when the condition holds. If it does not hold within 10 s, Await fails the test with a message that
+// contains the description. Between two checks Await yields the processor without sleeping, because most conditions
+// hold soon.
 func Await(t testing.TB, description string, condition func() bool) {
 	t.Helper()
 	for deadline := time.Now().Add(awaitTimeout); !condition(); runtime.Gosched() {
--- a/internal/emulator/imports_test.go
+++ b/internal/emulator/imports_test.go
@@ -7,7 +7,8 @@
 	"testing"
 )
 
-// The sidecar's packages depend neither on the emulator nor on the external modules that it requires.
+// TestSidecarDoesNotDependOnTheEmulator checks that the sidecar's packages depend neither on packages of the emulator
+// nor on external modules, which only the emulator requires.
 func TestSidecarDoesNotDependOnTheEmulator(t *testing.T) {
 	list := exec.Command("go", "list", "-deps", "oakproxy/balancer", "oakproxy/internal/sidecar", "oakproxy/cmd/sidecar")
 	output, err := list.Output()
@@ -18,7 +19,7 @@
 		domain, _, _ := strings.Cut(path, "/")
 		external := strings.Contains(domain, ".")
 		if external || strings.HasPrefix(path, "oakproxy/internal/emulator") {
-			t.Errorf("the sidecar depends on %s", path)
+			t.Errorf("the sidecar depends on %s, want only the standard library and packages outside the emulator", path)
 		}
 	}
 }
--- a/internal/emulator/sidecarlog/events.go
+++ b/internal/emulator/sidecarlog/events.go
@@ -1,8 +1,8 @@
-// Package sidecarlog turns what a sidecar logs into typed events.
+// Package sidecarlog turns the log records of a sidecar into typed events.
 //
-// A hosted sidecar logs to Events.Logger within the process. A sidecar in a process of its own writes
-// lines, which a Writer parses; lists of endpoints are logged at debug level and are not among them.
-// The package only observes: it neither stores nor forwards log records.
+// A simulated sidecar logs to Events.Logger within the process. A sidecar in a process of its own writes log lines,
+// which a Writer parses. These lines do not include endpoint lists, which the sidecar logs at debug level. The package
+// neither stores nor forwards log records.
 package sidecarlog
 
 import (
@@ -13,62 +13,63 @@
 	"oakproxy/internal/emulator/counter"
 )
 
-// endpointList is an endpoint list that a sidecar received.
+// endpointList describes an endpoint list that a sidecar received.
 type endpointList struct {
 	version    uint64
-	complete   bool
-	endpoints  int64
+	complete   bool  // true for a complete list, false for a list of changes
+	endpoints  int64 // number of entries of the list
 	receivedAt time.Time
 }
 
-// appliedConfig is a configuration that a sidecar applied.
+// appliedConfig describes a configuration that a sidecar applied.
 type appliedConfig struct {
 	hash      string
 	appliedAt time.Time
 }
 
-// Events records the events of one sidecar. Make one with New. It is safe for concurrent use.
+// Events records the events of one sidecar. New creates one. It is safe for concurrent use.
 type Events struct {
 	mu      sync.Mutex
-	changed chan struct{}  // closed and replaced with every event
-	readyAt time.Time      // of the first list with an endpoint
-	lists   []endpointList // one for each version, as it was first received
-	applied []appliedConfig
+	changed chan struct{}   // closed and replaced with every event
+	readyAt time.Time       // time of the first list with an endpoint; zero before
+	lists   []endpointList  // received lists; consecutive lists of the same version are stored once
+	applied []appliedConfig // applied configurations, the latest last
 	counts  Counts
 }
 
-// Counts says how often each event has occurred.
+// Counts holds the number of events of each kind.
 type Counts struct {
-	CompleteLists   uint64 `json:"WholeLists"` // lists that were complete
-	ListChanges     uint64 `json:"Changes"`    // lists of changes, or of nothing new
-	ConfigsApplied  uint64 `json:"InForce"`    // configurations applied, the first one included
+	CompleteLists   uint64 `json:"WholeLists"` // complete lists received
+	ListChanges     uint64 `json:"Changes"`    // lists of changes received, including empty ones
+	ConfigsApplied  uint64 `json:"InForce"`    // configurations applied, including the first one
 	ConfigsRejected uint64 `json:"Refused"`    // configurations rejected
 }
 
-// Add adds another sidecar's counts.
+// Add adds the counts of another sidecar to c.
 func (c *Counts) Add(other Counts) { counter.Add(c.counters(), other.counters()) }
 
-// Since returns the counts since an earlier reading.
+// Since returns the increase of the counts since an earlier reading.
 func (c Counts) Since(earlier Counts) Counts {
 	counter.Subtract(c.counters(), earlier.counters())
 	return c
 }
 
+// counters returns pointers to all counters, always in the same order.
 func (c *Counts) counters() []*uint64 {
 	return []*uint64{&c.CompleteLists, &c.ListChanges, &c.ConfigsApplied, &c.ConfigsRejected}
 }
 
-// New returns the Events of a sidecar that is about to start.
+// New returns an Events without any event, for a sidecar that has not started yet.
 func New() *Events { return &Events{changed: make(chan struct{})} }
 
-// Counts returns the counts so far.
+// Counts returns the current counts.
 func (e *Events) Counts() Counts {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.counts
 }
 
-// recordList records an endpoint list.
+// recordList records that an endpoint list was received.
 func (e *Events) recordList(received endpointList) {
 	e.update(func() {
 		if received.complete {
@@ -98,7 +99,7 @@
 	e.update(func() { e.counts.ConfigsRejected++ })
 }
 
-// update makes a change and wakes the callers of Await.
+// update calls change with the lock held and wakes the callers of Await.
 func (e *Events) update(change func()) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -107,13 +108,14 @@
 	e.changed = make(chan struct{})
 }
 
-// Condition says whether a sidecar has reached a state, and since when. It is called with the lock held.
+// Condition reports whether the events of a sidecar meet a condition, and since when. It is called with the lock of
+// Events held.
 type Condition func(*Events) (since time.Time, met bool)
 
-// Ready is met by the first list with an endpoint.
+// Ready is the Condition that a sidecar has received a list with at least one endpoint.
 func Ready(e *Events) (since time.Time, met bool) { return e.readyAt, !e.readyAt.IsZero() }
 
-// ListReceived is met by a list of this version or a newer one.
+// ListReceived returns the Condition that a sidecar has received a list of the given version or a newer one.
 func ListReceived(version uint64) Condition {
 	return func(e *Events) (time.Time, bool) {
 		for _, received := range e.lists {
@@ -125,7 +127,7 @@
 	}
 }
 
-// ConfigApplied is met while the configuration applied last has this hash.
+// ConfigApplied returns the Condition that the configuration that a sidecar applied last has the given hash.
 func ConfigApplied(hash string) Condition {
 	return func(e *Events) (time.Time, bool) {
 		last := len(e.applied) - 1
@@ -136,7 +138,7 @@
 	}
 }
 
-// Await waits until a condition is met or ctx is done.
+// Await waits until the condition is met or ctx is done. It returns whether the condition is met, and since when.
 func (e *Events) Await(ctx context.Context, condition Condition) (since time.Time, met bool) {
 	for {
 		e.mu.Lock()
--- a/internal/emulator/sidecarlog/events_test.go
+++ b/internal/emulator/sidecarlog/events_test.go
@@ -7,7 +7,8 @@
 	"testing"
 )
 
-// checkBothSources checks events that a hosted sidecar logs, and those that a process writes as lines of text.
+// checkBothSources checks the events from both kinds of log: the records of a simulated sidecar, and the text lines
+// of a sidecar process.
 func checkBothSources(t *testing.T, log func(*slog.Logger), check func(*Events)) {
 	t.Helper()
 	simulated := New()
@@ -18,7 +19,7 @@
 	check(process)
 }
 
-// byteWriter writes one byte at a time.
+// byteWriter writes to destination one byte at a time.
 type byteWriter struct{ destination io.Writer }
 
 func (w byteWriter) Write(text []byte) (int, error) {
@@ -38,15 +39,16 @@
 		log.Info("configuration in force", "generation", 2, "hash", "4567")
 	}, func(e *Events) {
 		if counts := e.Counts(); counts.ConfigsApplied != 2 || counts.ConfigsRejected != 1 {
-			t.Errorf("got counts %+v", counts)
+			t.Errorf("got counts %+v, want 2 configurations applied and 1 rejected", counts)
 		}
 		done, cancel := context.WithCancel(t.Context())
 		cancel()
 		if _, met := e.Await(done, ConfigApplied("0123")); met {
-			t.Error("the replaced configuration counts as applied")
+			t.Error("ConfigApplied with the hash of the replaced configuration: got met, want not met")
 		}
 		if at, met := e.Await(t.Context(), ConfigApplied("4567")); !met || at.IsZero() {
-			t.Error("the second configuration does not count as applied")
+			t.Errorf("ConfigApplied with the hash of the second configuration: got met %v since %v, want met with a time",
+				met, at)
 		}
 	})
 }
@@ -63,16 +65,16 @@
 	done, cancel := context.WithCancel(t.Context())
 	cancel()
 	if _, ready := e.Await(done, Ready); ready {
-		t.Error("ready without endpoints")
+		t.Error("Ready after a list without endpoints: got met, want not met")
 	}
 	log.Debug("endpoint list received", "seq", uint64(8), "whole", false, "hosts", 3)
 	if !<-met {
-		t.Error("a newer version of the list does not count as received")
+		t.Error("ListReceived(7) after a list of version 8: got not met, want met")
 	}
 	if _, ready := e.Await(t.Context(), Ready); !ready {
-		t.Error("not ready with endpoints")
+		t.Error("Ready after a list with endpoints: got not met, want met")
 	}
 	if counts := e.Counts(); counts.CompleteLists != 1 || counts.ListChanges != 1 {
-		t.Errorf("got counts %+v", counts)
+		t.Errorf("got counts %+v, want 1 complete list and 1 list of changes", counts)
 	}
 }
--- a/internal/emulator/sidecarlog/handler.go
+++ b/internal/emulator/sidecarlog/handler.go
@@ -5,7 +5,7 @@
 	"log/slog"
 )
 
-// Messages of the sidecar that become events, and their attributes.
+// Messages and attribute keys of the sidecar's log records that become events.
 const (
 	listReceivedMessage  = "endpoint list received"
 	configAppliedMessage = "configuration in force"
@@ -26,13 +26,13 @@
 // Enabled accepts every level: endpoint lists are logged at debug level.
 func (h *handler) Enabled(context.Context, slog.Level) bool { return true }
 
-// WithAttrs returns the same handler: no event depends on a logger's own attributes.
+// WithAttrs returns the same handler: no event depends on the attributes of a logger.
 func (h *handler) WithAttrs([]slog.Attr) slog.Handler { return h }
 
-// WithGroup returns the same handler: no event depends on a logger's groups.
+// WithGroup returns the same handler: no event depends on the groups of a logger.
 func (h *handler) WithGroup(string) slog.Handler { return h }
 
-// Handle records the event that a log record stands for, if any.
+// Handle records the event of a log record. It ignores records with other messages.
 func (h *handler) Handle(_ context.Context, record slog.Record) error {
 	switch record.Message {
 	case listReceivedMessage:
--- a/internal/emulator/sidecarlog/writer.go
+++ b/internal/emulator/sidecarlog/writer.go
@@ -7,17 +7,17 @@
 	"time"
 )
 
-// Writer records the events in the log lines of a sidecar's process. An event has the time at which its
-// line was read. It is not safe for concurrent use.
+// Writer records the events in the log lines of a sidecar process. The time of an event is the time at which the end of
+// its line was written to the Writer. A Writer is not safe for concurrent use.
 type Writer struct {
 	events      *Events
-	partialLine []byte // of a line whose end has not been written yet
+	partialLine []byte // start of the line whose end has not been written yet
 }
 
-// NewWriter returns a Writer that records to events.
+// NewWriter returns a Writer that records events in events.
 func NewWriter(events *Events) *Writer { return &Writer{events: events} }
 
-// Write accepts lines, or parts of them. It never fails.
+// Write accepts log lines, or parts of lines. It never fails.
 func (w *Writer) Write(text []byte) (int, error) {
 	now := time.Now()
 	w.partialLine = append(w.partialLine, text...)
@@ -31,7 +31,7 @@
 	}
 }
 
-// parseLine records the event that a line stands for, if any.
+// parseLine records the event of a log line. It ignores lines with other messages.
 func (w *Writer) parseLine(line string, now time.Time) {
 	switch {
 	case strings.Contains(line, messageField(configAppliedMessage)):
@@ -41,10 +41,12 @@
 	}
 }
 
-// messageField returns the field of a line that holds this message, as slog.TextHandler writes it.
+// messageField returns the field of a log line with this message, as slog.TextHandler writes it for a message that
+// contains spaces.
 func messageField(message string) string { return fmt.Sprintf("msg=%q", message) }
 
-// fieldValue returns the value of a key in a line, for values that need no quotes.
+// fieldValue returns the value of a key in a log line. It supports only values that slog.TextHandler does not quote.
+// For a missing key it returns an empty string.
 func fieldValue(line, key string) string {
 	_, after, _ := strings.Cut(line, " "+key+"=")
 	value, _, _ := strings.Cut(after, " ")
--- a/internal/emulator/worker/endpoints.go
+++ b/internal/emulator/worker/endpoints.go
@@ -11,11 +11,11 @@
 	"oakproxy/internal/emulator/endpoint"
 )
 
-// endpointService is the endpoints role: it hosts a part of the fleet's endpoints.
+// endpointService implements the endpoints role: it hosts some of the endpoints of the fleet.
 type endpointService struct {
 	mu        sync.Mutex
-	endpoints map[string]*endpoint.Endpoint
-	names     []string // in the order of their start
+	endpoints map[string]*endpoint.Endpoint // endpoints by name
+	names     []string                      // names of the endpoints, in the order in which they were started
 }
 
 func newEndpointService() *endpointService {
@@ -65,7 +65,8 @@
 		affected.Endpoints = append(affected.Endpoints, incarnationOf(e))
 	}
 	if len(affected.Endpoints) < len(request.Names) {
-		return Incarnations{}, fmt.Errorf("%s: some of %v are not hosted by this worker", request.Action, request.Names)
+		return Incarnations{}, fmt.Errorf("%s: this worker hosts only %d of the endpoints %v",
+			request.Action, len(affected.Endpoints), request.Names)
 	}
 	return affected, nil
 }
@@ -80,7 +81,7 @@
 	case Disconnect:
 		return e.Disconnect()
 	}
-	return errors.New("unknown action")
+	return errors.New("unknown endpoint action")
 }
 
 func (s *endpointService) count(context.Context, control.Empty) (endpoint.Counts, error) {
--- a/internal/emulator/worker/hostedsidecar.go
+++ b/internal/emulator/worker/hostedsidecar.go
@@ -11,20 +11,20 @@
 	"oakproxy/internal/sidecar"
 )
 
-// simulatedSidecar is one incarnation of a sidecar.
+// simulatedSidecar is one incarnation of a sidecar that runs within the worker process.
 type simulatedSidecar struct {
 	file    SidecarFile
 	started time.Time
 	events  *sidecarlog.Events
 	stop    context.CancelFunc
 	done    chan struct{} // closed when the sidecar has ended
-	err     error         // how it ended; valid once done is closed
+	err     error         // error with which the sidecar ended, if any; valid once done is closed
 
 	mu      sync.Mutex
-	reloads chan os.Signal // nil once the sidecar has ended
+	reloads chan os.Signal // requests to reload the configuration; nil once the sidecar has ended
 }
 
-// readConfig reads a configuration file for a sidecar that shares its process.
+// readConfig reads and parses the configuration file of a simulated sidecar.
 func readConfig(path string) (*config.Config, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -33,7 +33,8 @@
 	return config.Parse(text)
 }
 
-// startSimulated starts a sidecar with its configuration file. It runs until its stop is called.
+// startSimulated starts a simulated sidecar with its configuration file. The sidecar runs until its stop function is
+// called or it fails.
 func startSimulated(file SidecarFile) (*simulatedSidecar, error) {
 	cfg, err := readConfig(file.Path)
 	if err != nil {
@@ -56,7 +57,8 @@
 	return s, nil
 }
 
-// requestReload has the effect of SIGHUP. A request while another is pending adds nothing.
+// requestReload makes the sidecar reload its configuration, as SIGHUP does for a sidecar process. It has no effect
+// while an earlier request is pending or after the sidecar has ended.
 func (s *simulatedSidecar) requestReload() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -66,7 +68,7 @@
 	}
 }
 
-// closeReloads ends the reload requests of a sidecar that has ended.
+// closeReloads closes the channel of reload requests after the sidecar has ended.
 func (s *simulatedSidecar) closeReloads() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -74,7 +76,8 @@
 	s.reloads = nil
 }
 
-// await waits until a condition is met, ctx is done or the sidecar has ended.
+// await waits until the condition is met, ctx is done or the sidecar has ended. It returns whether the condition is
+// met, and since when.
 func (s *simulatedSidecar) await(ctx context.Context, condition sidecarlog.Condition) (time.Time, bool) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
--- a/internal/emulator/worker/load.go
+++ b/internal/emulator/worker/load.go
@@ -9,13 +9,13 @@
 	"oakproxy/internal/emulator/load"
 )
 
-// errLoadRunning is returned for plans that are to run while others do.
-var errLoadRunning = errors.New("other plans are running")
+// errLoadRunning is returned for a request to run plans while earlier plans are running.
+var errLoadRunning = errors.New("other load plans are already running")
 
-// loadService is the load role: it sends requests as applications do.
+// loadService implements the load role: it sends requests as applications do.
 type loadService struct {
 	mu     sync.Mutex
-	cancel context.CancelFunc // of the plans that run; nil: none do
+	cancel context.CancelFunc // cancels the running plans; nil if no plans are running
 }
 
 func (s *loadService) handlers() control.Handlers {
@@ -28,10 +28,10 @@
 	}
 }
 
-// close has nothing to do: plans end with the context of their request.
+// close does nothing: plans end when the context of their request is cancelled.
 func (s *loadService) close() {}
 
-// start returns the context of plans that are about to run. Only stop releases it.
+// start returns the context for plans that are about to run. The caller must call stop after the plans have ended.
 func (s *loadService) start(ctx context.Context) (context.Context, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -42,7 +42,7 @@
 	return ctx, nil
 }
 
-// stop ends the plans that run, if any do.
+// stop ends the running plans, if there are any.
 func (s *loadService) stop() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -52,7 +52,7 @@
 	}
 }
 
-// send runs both plans at the same time.
+// send runs the proxied and the direct plan concurrently.
 func (s *loadService) send(ctx context.Context, plans LoadPlans) (LoadReports, error) {
 	ctx, err := s.start(ctx)
 	if err != nil {
@@ -66,13 +66,13 @@
 	return LoadReports{Proxied: proxied.report, Direct: direct.report}, errors.Join(proxied.err, direct.err)
 }
 
-// planResult is the outcome of a plan. The report is nil for a plan without targets.
+// planResult is the result of a plan. The report is nil if the plan has no targets or is invalid.
 type planResult struct {
 	report *load.Report
 	err    error
 }
 
-// runPlan runs a plan, unless it has no targets.
+// runPlan runs a plan. It does nothing for a plan without targets.
 func runPlan(ctx context.Context, plan load.Plan) planResult {
 	if len(plan.Targets) == 0 {
 		return planResult{}
--- a/internal/emulator/worker/messages.go
+++ b/internal/emulator/worker/messages.go
@@ -1,8 +1,8 @@
-// Package worker implements the emulator's worker processes and the messages of their requests.
+// Package worker implements the worker processes of the emulator and defines the messages that they exchange with it.
 //
-// A worker has one role: it hosts the discovery server, endpoints or simulated sidecars, or it sends
-// requests. It stops all that it started when its input ends. Messages are exchanged only between
-// processes of one build; of them only the counters are stored, in result files.
+// A worker has one role: it hosts the discovery server, it hosts endpoints, it hosts simulated sidecars, or it sends
+// requests. When its input ends, it stops everything that it has started. Messages are exchanged only between
+// processes of the same build. The counters are the only messages that are stored, in result files.
 package worker
 
 import (
@@ -14,7 +14,7 @@
 	"oakproxy/internal/emulator/registry"
 )
 
-// Role names what a worker process does.
+// Role is the task of a worker process.
 type Role string
 
 // The roles.
@@ -25,7 +25,7 @@
 	LoadRole      Role = "load"
 )
 
-// Requests of the registry role, each with the types of its request and response.
+// Kinds of requests to a worker with the registry role, each with the types of the request and the response.
 const (
 	StartRegistry   control.Kind = "start registry"   // RegistryOptions, RegistryAddress
 	SetInstances    control.Kind = "set instances"    // Instances, ListVersion
@@ -38,29 +38,29 @@
 	CallsPerSecond float64
 	MaxQueueDelay  time.Duration
 	History        int
-	Scratch        string // a directory to remove when the emulator has ended
+	Scratch        string // temporary directory that the worker removes when it ends; empty means none
 }
 
-// RegistryAddress is where the discovery server listens.
+// RegistryAddress holds the address that the discovery server listens on.
 type RegistryAddress struct{ Address string }
 
 // Instances are entries of the discovery server's endpoint list.
 type Instances struct{ Instances []registry.Instance }
 
-// ListVersion is a version of the discovery server's endpoint list, and when it was made.
+// ListVersion is a version of the discovery server's endpoint list and the time of its creation.
 type ListVersion struct {
 	Number    uint64
 	CreatedAt time.Time
 }
 
-// Requests of the endpoints role, each with the types of its request and response.
+// Kinds of requests to a worker with the endpoints role, each with the types of the request and the response.
 const (
 	StartEndpoints control.Kind = "start endpoints"  // EndpointConfigs, Incarnations
 	ActOnEndpoints control.Kind = "act on endpoints" // EndpointAction, Incarnations
 	CountEndpoints control.Kind = "count endpoints"  // Empty, endpoint.Counts
 )
 
-// EndpointConfigs are endpoints to start.
+// EndpointConfigs holds the configurations of endpoints to start.
 type EndpointConfigs struct{ Configs []endpoint.Config }
 
 // Action is a planned change or a fault of an endpoint.
@@ -73,23 +73,23 @@
 	Disconnect Action = "vanish"
 )
 
-// EndpointAction applies an action to the endpoints of these names; without names, to all.
+// EndpointAction applies an action to the named endpoints, or to all endpoints of the worker if Names is empty.
 type EndpointAction struct {
 	Action Action
 	Names  []string
 }
 
-// Incarnation is the address of an endpoint and the start time of its process.
+// Incarnation identifies the current incarnation of an endpoint.
 type Incarnation struct {
 	Name      string
 	Address   string
-	StartedMS int64
+	StartedMS int64 // Unix time of the start in milliseconds; 0 for an endpoint that started warm
 }
 
-// Incarnations are those of the endpoints of a request, after it.
+// Incarnations holds the incarnations of the endpoints of a request, after the request has taken effect.
 type Incarnations struct{ Endpoints []Incarnation }
 
-// Requests of the sidecars role, each with the types of its request and response.
+// Kinds of requests to a worker with the role SidecarsRole, each with the types of the request and the response.
 const (
 	StartSidecars  control.Kind = "start sidecars"  // Sidecars, Empty
 	StopSidecars   control.Kind = "stop sidecars"   // Names, Empty
@@ -100,48 +100,50 @@
 	CountSidecars  control.Kind = "count sidecars"  // Empty, SidecarCounts
 )
 
-// SidecarFile is a sidecar and its configuration file.
+// SidecarFile holds the name of a sidecar and the path of its configuration file.
 type SidecarFile struct{ Name, Path string }
 
-// Sidecars are sidecars to start, evenly over a duration.
+// Sidecars holds the sidecars to start. Their starts are spread evenly over the duration Over.
 type Sidecars struct {
 	Files []SidecarFile
 	Over  time.Duration
 }
 
-// SidecarNames are the sidecars of a request; without names, all that are running.
+// SidecarNames selects the sidecars of a request. If Names is empty, it selects all running sidecars.
 type SidecarNames struct{ Names []string }
 
-// AwaitRequest waits until each of the named sidecars, or each that is running, is ready, has received a list of
-// this version, or has applied the configuration of its file.
+// AwaitRequest waits until each of the selected sidecars meets a condition, which depends on the kind of the request:
+// AwaitReady waits until the sidecar is ready, AwaitList until it has received an endpoint list of this version or a
+// newer one, and AwaitConfig until it has applied the configuration in its file.
 type AwaitRequest struct {
-	Names   []string
-	Version uint64
-	Timeout time.Duration
+	Names   []string      // names of the sidecars; empty means all running sidecars
+	Version uint64        // endpoint list version, for AwaitList only
+	Timeout time.Duration // longest time to wait
 }
 
-// Completion is when one sidecar met the condition.
+// Completion is the time at which a sidecar met the condition of an AwaitRequest.
 type Completion struct {
 	Name      string
-	StartedAt time.Time // of the sidecar
-	At        time.Time
+	StartedAt time.Time // time at which the sidecar was started
+	At        time.Time // time at which the sidecar met the condition
 }
 
-// Completions are those within the timeout, and the names of the sidecars that missed it.
+// Completions holds the sidecars that met the condition of an AwaitRequest within its timeout, and the names of the
+// running sidecars that did not.
 type Completions struct {
 	Completed []Completion
 	Missing   []string
 }
 
-// Requests of the load role, each with the types of its request and response.
+// Kinds of requests to a worker with the load role, each with the types of the request and the response.
 const (
 	SendLoad control.Kind = "send load" // LoadPlans, LoadReports
-	StopLoad control.Kind = "stop load" // Empty, Empty; makes SendLoad return what it has measured
+	StopLoad control.Kind = "stop load" // Empty, Empty; ends a SendLoad request, which returns its reports up to then
 )
 
-// LoadPlans are requests through sidecars and, for comparison, directly to endpoints. A plan without
-// targets is omitted.
+// LoadPlans holds the plan for requests through sidecars (Proxied) and, for comparison, the plan for requests directly
+// to endpoints (Direct). A plan without targets is not run.
 type LoadPlans struct{ Proxied, Direct load.Plan }
 
-// LoadReports are the results of the plans; nil for one that was omitted.
+// LoadReports holds the reports of LoadPlans. The report of a plan that was not run is nil.
 type LoadReports struct{ Proxied, Direct *load.Report }
--- a/internal/emulator/worker/registry.go
+++ b/internal/emulator/worker/registry.go
@@ -11,10 +11,10 @@
 	"oakproxy/internal/emulator/spec"
 )
 
-// anyLoopbackPort lets the system choose the port.
+// anyLoopbackPort is a loopback address whose port the operating system chooses.
 const anyLoopbackPort = "127.0.0.1:0"
 
-// registryService is the registry role: it hosts the discovery server.
+// registryService implements the registry role: it hosts the discovery server.
 type registryService struct {
 	mu               sync.Mutex
 	server           *registry.Server
@@ -74,6 +74,6 @@
 		_ = s.server.Close()
 	}
 	if s.scratchDirectory != "" {
-		_ = os.RemoveAll(s.scratchDirectory) // the emulator may have been killed before it could
+		_ = os.RemoveAll(s.scratchDirectory) // in case the emulator was killed before it could remove the directory
 	}
 }
--- a/internal/emulator/worker/sidecars.go
+++ b/internal/emulator/worker/sidecars.go
@@ -14,16 +14,16 @@
 	"oakproxy/internal/system"
 )
 
-// errAlreadyRunning is returned for the start of a sidecar that is running.
+// errAlreadyRunning is returned for a request to start a sidecar that is running.
 var errAlreadyRunning = errors.New("sidecar is already running")
 
-// sidecarService is the role that hosts simulated sidecars: sidecars that run the same code as one in a
-// process of its own, many to a process and without an application.
+// sidecarService implements the role SidecarsRole: it hosts simulated sidecars. They run the same code as a sidecar
+// that has a process of its own, but many of them share the worker process, and they have no application.
 type sidecarService struct {
 	mu         sync.Mutex
-	sidecars   map[string]*simulatedSidecar // the latest incarnation of each
-	names      []string                     // in the order of their first start
-	pastCounts SidecarCounts                // of earlier incarnations
+	sidecars   map[string]*simulatedSidecar // latest incarnation of each sidecar, by name
+	names      []string                     // names of the sidecars, in the order of their first starts
+	pastCounts SidecarCounts                // sum of the counts of earlier incarnations
 }
 
 func newSidecarService() *sidecarService {
@@ -42,7 +42,7 @@
 	}
 }
 
-// start starts sidecars one by one, evenly over the time that the request gives.
+// start starts sidecars one after another, evenly spread over the duration request.Over.
 func (s *sidecarService) start(ctx context.Context, request Sidecars) (control.Empty, error) {
 	interval := request.Over / time.Duration(max(1, len(request.Files)))
 	for i, file := range request.Files {
@@ -59,7 +59,7 @@
 	return control.Empty{}, nil
 }
 
-// startOne starts a sidecar for the first time, or again once it has ended.
+// startOne starts a sidecar. A sidecar that has ended is started again as a new incarnation.
 func (s *sidecarService) startOne(file SidecarFile) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -81,7 +81,7 @@
 	return nil
 }
 
-// stop shuts sidecars down gracefully, as SIGTERM does, and waits for them.
+// stop shuts sidecars down gracefully, as SIGTERM does for a sidecar process, and waits until they have ended.
 func (s *sidecarService) stop(_ context.Context, request SidecarNames) (control.Empty, error) {
 	stopping := s.selected(request.Names)
 	for _, sidecar := range stopping {
@@ -93,7 +93,7 @@
 	return control.Empty{}, nil
 }
 
-// reload makes sidecars reload their files, as SIGHUP does.
+// reload makes sidecars reload their configuration files, as SIGHUP does for a sidecar process.
 func (s *sidecarService) reload(_ context.Context, request SidecarNames) (control.Empty, error) {
 	for _, sidecar := range s.selected(request.Names) {
 		sidecar.requestReload()
@@ -101,7 +101,7 @@
 	return control.Empty{}, nil
 }
 
-// selected returns the sidecars of these names; without names, all that are running.
+// selected returns the sidecars with the given names, or all running sidecars if names is empty.
 func (s *sidecarService) selected(names []string) []*simulatedSidecar {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -134,8 +134,8 @@
 	})
 }
 
-// await waits until each sidecar of a request meets its condition. One that ends in the meantime is
-// neither completed nor missing.
+// await waits until each sidecar of the request meets its condition. A sidecar that ends before it meets the condition
+// is neither in Completed nor in Missing of the result.
 func (s *sidecarService) await(
 	ctx context.Context, request AwaitRequest, conditionOf func(*simulatedSidecar) sidecarlog.Condition,
 ) (Completions, error) {
@@ -165,7 +165,8 @@
 	return sum, nil
 }
 
-// close stops the sidecars without waiting for their graceful shutdown: the process ends with them.
+// close tells the sidecars to stop, but does not wait for their graceful shutdown: the worker process ends right after
+// it.
 func (s *sidecarService) close() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/emulator/worker/worker.go
+++ b/internal/emulator/worker/worker.go
@@ -9,14 +9,14 @@
 	"oakproxy/internal/emulator/spec"
 )
 
-// service implements one role.
+// service implements a role.
 type service interface {
 	handlers() control.Handlers
-	close() // stops all that was started; no handler runs by then
+	close() // stops everything that the handlers have started; called when no handler is running
 }
 
-// Run serves the requests of a role until the input ends or ctx is done, and stops what the role started.
-// An unknown role is a *spec.InputError.
+// Run serves the requests of a role until the input ends or ctx is done. Then it stops everything that the role has
+// started. For an unknown role it returns a *spec.InputError.
 func Run(ctx context.Context, role Role, input io.Reader, output io.Writer) error {
 	s, err := newService(role)
 	if err != nil {
@@ -40,7 +40,7 @@
 	return nil, spec.Invalid("unknown role %q", role)
 }
 
-// matchesNames says whether name is among names. No names match every name.
+// matchesNames reports whether names contains name. Empty names match every name.
 func matchesNames(names []string, name string) bool {
 	return len(names) == 0 || slices.Contains(names, name)
 }
