--- a/internal/emulator/endpoint/endpoint.go
+++ b/internal/emulator/endpoint/endpoint.go
@@ -16,7 +16,7 @@
 
 const acceptRetryDelay = 5 * time.Millisecond // pause after a failed accept
 
-// ErrClosed is returned by methods of an Endpoint after Close.
+// ErrClosed is returned by Restart, Disconnect and Recover after Close.
 var ErrClosed = errors.New("endpoint: endpoint is closed")
 
 // Endpoint is a running endpoint. Start creates one. It is safe for concurrent use.
--- a/internal/emulator/endpoint/serve.go
+++ b/internal/emulator/endpoint/serve.go
@@ -81,10 +81,10 @@
 
 // complete waits until the service time of an admitted task is over, the task has expired or its client has
 // disconnected, and writes the response.
-func (e *Endpoint) complete(c *httpconn.Conn, queue *queue, t *task, id string) error {
+func (e *Endpoint) complete(c *httpconn.Conn, q *queue, t *task, id string) error {
 	err := c.AwaitWake()
 	e.pauseGate.wait()
-	state := queue.finish(t)
+	state := q.finish(t)
 	switch {
 	case err != nil:
 		e.counters.abandoned.Add(1)
@@ -146,15 +146,15 @@
 }
 
 // accept accepts and serves the connections of one incarnation until the incarnation ends.
-func (e *Endpoint) accept(acceptor *acceptor) {
+func (e *Endpoint) accept(a *acceptor) {
 	defer e.serving.Done()
 	for {
 		e.pauseGate.wait()
-		socket, err := acceptor.accept()
+		socket, err := a.accept()
 		var timeout net.Error
 		switch {
 		case err == nil:
-			e.serveConn(acceptor, httpconn.New(socket, &e.traffic))
+			e.serveConn(a, httpconn.New(socket, &e.traffic))
 		case errors.Is(err, net.ErrClosed):
 			return
 		case errors.As(err, &timeout) && timeout.Timeout(): // the endpoint is suspended
@@ -165,10 +165,10 @@
 }
 
 // serveConn starts to serve a connection. It resets the connection if the incarnation that accepted it has ended.
-func (e *Endpoint) serveConn(acceptor *acceptor, c *httpconn.Conn) {
+func (e *Endpoint) serveConn(a *acceptor, c *httpconn.Conn) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if e.acceptor != acceptor {
+	if e.acceptor != a {
 		c.Reset()
 		return
 	}
--- a/internal/emulator/httpconn/conn.go
+++ b/internal/emulator/httpconn/conn.go
@@ -111,7 +111,7 @@
 	return err
 }
 
-// Wake makes a current call of AwaitWake return, and later ones until WakeAt is called.
+// Wake makes AwaitWake return immediately: both a call in progress and every later call until WakeAt is called.
 func (c *Conn) Wake() { c.WakeAt(pastDeadline) }
 
 // WakeAt makes AwaitWake return at the given time; the zero time means never. AwaitRequest and ReadRequest fail at
@@ -145,13 +145,13 @@
 type requestReader Conn
 
 // Read implements io.Reader.
-func (s *requestReader) Read(buffer []byte) (int, error) {
-	if s.hasFirstByte && len(buffer) > 0 {
-		buffer[0] = s.firstByte[0]
-		s.hasFirstByte = false
+func (r *requestReader) Read(buffer []byte) (int, error) {
+	if r.hasFirstByte && len(buffer) > 0 {
+		buffer[0] = r.firstByte[0]
+		r.hasFirstByte = false
 		return 1, nil
 	}
-	n, err := s.socket.Read(buffer)
-	s.traffic.in.Add(uint64(n))
+	n, err := r.socket.Read(buffer)
+	r.traffic.in.Add(uint64(n))
 	return n, err
 }
--- a/internal/emulator/load/client.go
+++ b/internal/emulator/load/client.go
@@ -133,7 +133,7 @@
 	return conn
 }
 
-// putIdle returns a connection that can be reused to the pool.
+// putIdle puts a reusable connection back into the pool.
 func (c *client) putIdle(target string, conn *connection) {
 	conn.reused = true
 	c.mu.Lock()
