--- a/internal/emulator/endpoint/serve.go
+++ b/internal/emulator/endpoint/serve.go
@@ -20,7 +20,7 @@
 	unprocessedHeader   = "X-Unprocessed"
 )
 
-// serve handles the requests on a connection until it ends.
+// serve handles the requests on a connection until it is closed.
 func (e *Endpoint) serve(c *httpconn.Conn) {
 	defer e.serving.Done()
 	defer e.connections.Remove(c)
@@ -29,7 +29,7 @@
 	}
 }
 
-// serveNext handles one request and says whether the connection stays open.
+// serveNext handles one request and reports whether the connection stays open.
 func (e *Endpoint) serveNext(c *httpconn.Conn) bool {
 	c.WakeAt(e.idleDeadline())
 	if c.AwaitRequest() != nil {
@@ -44,7 +44,7 @@
 	return e.respond(c, request) == nil && !request.Close
 }
 
-// idleDeadline returns when a connection that is idle from now on is closed; zero: never.
+// idleDeadline returns the time at which a connection that is idle from now on is closed; the zero time means never.
 func (e *Endpoint) idleDeadline() time.Time {
 	if e.config.IdleTimeout <= 0 {
 		return time.Time{}
@@ -64,26 +64,27 @@
 		return e.write(c, http.StatusNotFound, nil)
 	}
 	queue, draining := e.incarnation()
-	current := &task{conn: c, deadline: parseDeadline(request.Header)}
+	t := &task{conn: c, deadline: parseDeadline(request.Header)}
 	switch {
 	case draining:
 		return e.reject(c, http.StatusServiceUnavailable)
-	case !current.deadline.IsZero() && !time.Now().Before(current.deadline):
+	case !t.deadline.IsZero() && !time.Now().Before(t.deadline):
 		return e.reject(c, http.StatusGatewayTimeout)
-	case !queue.admit(current):
+	case !queue.admit(t):
 		return e.reject(c, http.StatusServiceUnavailable)
 	}
 	if e.recentIDs.add(id) {
 		e.counters.duplicates.Add(1)
 	}
-	return e.complete(c, queue, current, id)
+	return e.complete(c, queue, t, id)
 }
 
-// complete waits until a task is done or has expired and writes its response.
-func (e *Endpoint) complete(c *httpconn.Conn, from *queue, current *task, id string) error {
+// complete waits until the service time of an admitted task is over, the task has expired or its client has
+// disconnected, and writes the response.
+func (e *Endpoint) complete(c *httpconn.Conn, q *queue, t *task, id string) error {
 	err := c.AwaitWake()
 	e.pauseGate.wait()
-	state := from.finish(current)
+	state := q.finish(t)
 	switch {
 	case err != nil:
 		e.counters.abandoned.Add(1)
@@ -115,7 +116,7 @@
 	return e.write(c, status, body)
 }
 
-// reject rejects a request that has not been processed and never will be.
+// reject responds to a request that has not been processed and will not be. The response tells the client so.
 func (e *Endpoint) reject(c *httpconn.Conn, status int) error {
 	e.counters.rejected.Add(1)
 	return e.write(c, status, nil, httpconn.Field{Name: unprocessedHeader, Value: "1"})
@@ -134,7 +135,8 @@
 	return e.config.LoadField + "=" + strconv.Itoa(queue.inFlight())
 }
 
-// parseDeadline returns the deadline of a request from its header; zero if it has none.
+// parseDeadline returns the deadline of a request from the remaining time in its header; zero if the header holds no
+// valid remaining time.
 func parseDeadline(header http.Header) time.Time {
 	milliseconds, err := strconv.ParseInt(header.Get(remainingTimeHeader), 10, 64)
 	if err != nil {
@@ -143,30 +145,30 @@
 	return time.Now().Add(time.Duration(milliseconds) * time.Millisecond)
 }
 
-// accept serves the connections of one incarnation until that ends.
-func (e *Endpoint) accept(from *acceptor) {
+// accept accepts and serves the connections of one incarnation until the incarnation ends.
+func (e *Endpoint) accept(a *acceptor) {
 	defer e.serving.Done()
 	for {
 		e.pauseGate.wait()
-		socket, err := from.accept()
+		socket, err := a.accept()
 		var timeout net.Error
 		switch {
 		case err == nil:
-			e.serveConn(from, httpconn.New(socket, &e.traffic))
+			e.serveConn(a, httpconn.New(socket, &e.traffic))
 		case errors.Is(err, net.ErrClosed):
 			return
-		case errors.As(err, &timeout) && timeout.Timeout(): // suspended
+		case errors.As(err, &timeout) && timeout.Timeout(): // the endpoint is suspended
 		default:
-			time.Sleep(acceptPause)
+			time.Sleep(acceptRetryDelay)
 		}
 	}
 }
 
-// serveConn starts serving a connection, unless the incarnation that accepted it is over.
-func (e *Endpoint) serveConn(from *acceptor, c *httpconn.Conn) {
+// serveConn starts to serve a connection. It resets the connection if the incarnation that accepted it has ended.
+func (e *Endpoint) serveConn(a *acceptor, c *httpconn.Conn) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if e.acceptor != from {
+	if e.acceptor != a {
 		c.Reset()
 		return
 	}
--- a/internal/emulator/registry/listen.go
+++ b/internal/emulator/registry/listen.go
@@ -8,7 +8,8 @@
 	"oakproxy/internal/emulator/httpconn"
 )
 
-// Listen starts serving at an address, in addition to any earlier ones. It returns ErrClosed after Close.
+// Listen starts to serve at an address, in addition to the addresses that are served already. It returns the address
+// that it listens on, and ErrClosed after Close.
 func (s *Server) Listen(address string) (net.Addr, error) {
 	listener, err := net.Listen("tcp", address)
 	if err != nil {
@@ -27,8 +28,8 @@
 	return listener.Addr(), nil
 }
 
-// Move starts serving at a new address. All earlier ones stop accepting connections, and close those they
-// have after 1.5 s.
+// Move starts to serve at a new address. All earlier addresses stop accepting connections immediately, and their open
+// connections are closed after 1.5 s.
 func (s *Server) Move(address string) (net.Addr, error) {
 	s.mu.Lock()
 	previous := make(map[net.Listener]*httpconn.Set, len(s.listeners))
@@ -41,14 +42,14 @@
 		return nil, err
 	}
 	for listener, set := range previous {
-		s.abandon(listener, set)
+		s.retireListener(listener, set)
 	}
 	s.logger.Info("registry moved", "address", newAddress)
 	return newAddress, nil
 }
 
-// abandon closes a listener, and after the move grace its connections.
-func (s *Server) abandon(listener net.Listener, set *httpconn.Set) {
+// retireListener closes a listener immediately, and its connections after moveGrace.
+func (s *Server) retireListener(listener net.Listener, set *httpconn.Set) {
 	_ = listener.Close()
 	s.mu.Lock()
 	delete(s.listeners, listener)
@@ -60,7 +61,7 @@
 	})
 }
 
-// accept serves the connections of a listener until it is closed.
+// accept accepts and serves the connections of a listener until the listener is closed.
 func (s *Server) accept(listener net.Listener, set *httpconn.Set) {
 	defer s.serving.Done()
 	for {
@@ -70,12 +71,12 @@
 		}
 		if err != nil {
 			s.logger.Warn("registry can't accept", "error", err)
-			time.Sleep(acceptPause)
+			time.Sleep(acceptRetryDelay)
 			continue
 		}
 		c := httpconn.New(socket, &s.traffic)
 		set.Add(c)
-		if !s.track(c) {
+		if !s.trackConnection(c) {
 			c.Close()
 			return
 		}
@@ -89,8 +90,9 @@
 	}
 }
 
-// track registers a connection that is about to be served. It returns false if the server is closed.
-func (s *Server) track(c *httpconn.Conn) bool {
+// trackConnection registers a connection before it is served. It returns false, and does not register the connection,
+// if the server is closed.
+func (s *Server) trackConnection(c *httpconn.Conn) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.closed {
