--- a/cmd/emulator/commands.go
+++ b/cmd/emulator/commands.go
@@ -16,14 +16,14 @@
 )
 
 const (
-	defaultFile      = "deploy/emulator.toml"
-	sidecarProgram   = "sidecar"
-	workerCommand    = "worker"
-	defaultSidecars  = 54
-	defaultReal      = 8
-	defaultSeed      = 1
-	unknownCommit    = "unknown"
-	uncommittedShort = "+" // suffix of the commit of a modified work tree
+	defaultFile     = "deploy/emulator.toml"
+	sidecarProgram  = "sidecar"
+	workerCommand   = "worker"
+	defaultSidecars = 54
+	defaultReal     = 8
+	defaultSeed     = 1
+	unknownCommit   = "unknown"
+	modifiedSuffix  = "+" // suffix of the commit of a modified work tree
 )
 
 // rootCommand is the root of the command line.
@@ -76,13 +76,13 @@
 	if err != nil {
 		return play.Options{}, err
 	}
-	own, err := os.Executable()
+	executable, err := os.Executable()
 	if err != nil {
 		return play.Options{}, err
 	}
 	program := c.sidecar
 	if program == "" {
-		program = filepath.Join(filepath.Dir(own), sidecarProgram)
+		program = filepath.Join(filepath.Dir(executable), sidecarProgram)
 	}
 	commit := c.commit
 	if commit == "" {
@@ -94,7 +94,7 @@
 		Scenario: scenario,
 		Seed:     c.seed,
 		Commit:   commit,
-		Emulator: play.Program{Path: own, Arguments: []string{workerCommand}},
+		Emulator: play.Program{Path: executable, Arguments: []string{workerCommand}},
 		Sidecar:  play.Program{Path: program},
 		Progress: os.Stderr,
 	}, nil
@@ -109,7 +109,7 @@
 	commit := strings.TrimSpace(string(head))
 	changes, err := exec.Command("git", "status", "--porcelain", "--untracked-files=no").Output()
 	if err != nil || len(changes) > 0 {
-		commit += uncommittedShort
+		commit += modifiedSuffix
 	}
 	return commit
 }
--- a/cmd/emulator/harness_test.go
+++ b/cmd/emulator/harness_test.go
@@ -58,7 +58,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	arguments := []string{"run", "--file", smallFile, "--scenario", scenario, "--sidecar", sidecar,
+	arguments := []string{"run", "--file", smallScenarioFile, "--scenario", scenario, "--sidecar", sidecar,
 		"--sidecars", "14", "--endpoints", "12", "--real", "2"}
 	return newEmulator(t, append(arguments, extraArguments...)...)
 }
@@ -153,7 +153,7 @@
 // changedFile writes the small scenario file with one change.
 func changedFile(t *testing.T, old, replacement string) string {
 	t.Helper()
-	text, err := os.ReadFile(smallFile)
+	text, err := os.ReadFile(smallScenarioFile)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/cmd/emulator/main.go
+++ b/cmd/emulator/main.go
@@ -45,8 +45,8 @@
 		return 0
 	}
 	fmt.Fprintln(os.Stderr, "emulator:", strings.ReplaceAll(err.Error(), "\n", "; "))
-	var bad *spec.InputError
-	if errors.As(err, &bad) || !command.parsed {
+	var inputErr *spec.InputError
+	if errors.As(err, &inputErr) || !command.parsed {
 		return exitBadInput
 	}
 	return exitFailure
--- a/cmd/emulator/main_test.go
+++ b/cmd/emulator/main_test.go
@@ -8,9 +8,9 @@
 )
 
 const (
-	runVariable  = "EMULATOR_TEST_RUN" // makes the test binary the program
-	smallFile    = "testdata/small.toml"
-	awaitTimeout = 60 * time.Second
+	runVariable       = "EMULATOR_TEST_RUN" // makes the test binary the program
+	smallScenarioFile = "testdata/small.toml"
+	awaitTimeout      = 60 * time.Second
 )
 
 const loadedPhase = "loaded"
--- a/cmd/emulator/report.go
+++ b/cmd/emulator/report.go
@@ -11,7 +11,7 @@
 	"oakproxy/internal/emulator/spec"
 )
 
-const defaultMetric = "(a choice for each scenario)"
+const defaultMetricsNote = "(a choice for each scenario)"
 
 // outputFlags are the flags for a sweep's table and plot.
 type outputFlags struct {
@@ -26,7 +26,7 @@
 	flags.StringVar(&o.table, "table", "", "file for the Markdown table (default: standard output)")
 	flags.StringVar(&o.plot, "plot", "", "file for the SVG plot (default: none)")
 	flags.StringArrayVar(&o.metrics, "metric", nil,
-		"metric to plot, as the table names it; may be repeated "+defaultMetric)
+		"metric to plot, as the table names it; may be repeated "+defaultMetricsNote)
 }
 
 // writeFiles writes the table and the plot.
@@ -56,7 +56,7 @@
 func (o *outputFlags) writePlot(runs []*result.Run) error {
 	metrics := o.metrics
 	if len(metrics) == 0 {
-		metrics = result.DefaultPlotted
+		metrics = result.DefaultPlotMetrics
 	}
 	err := result.WritePlot(o.plot, runs, metrics)
 	if errors.Is(err, result.ErrNothingToPlot) && len(o.metrics) == 0 {
@@ -77,12 +77,12 @@
 			for _, path := range paths {
 				fileRuns, err := result.Read(path)
 				if err != nil {
-					return spec.Invalid("%w", err)
+					return spec.InputErrorf("%w", err)
 				}
 				runs = append(runs, fileRuns...)
 			}
 			if len(runs) == 0 {
-				return spec.Invalid("%s: no runs", fmt.Sprint(paths))
+				return spec.InputErrorf("%s: no runs", fmt.Sprint(paths))
 			}
 			return o.writeFiles(runs)
 		},
--- a/cmd/emulator/scenarios_test.go
+++ b/cmd/emulator/scenarios_test.go
@@ -60,23 +60,23 @@
 		t.Fatal(err)
 	}
 	directory := t.TempDir()
-	at := func(name string) string { return filepath.Join(directory, name) }
-	e := newEmulator(t, "sweep", "--file", smallFile, "--sidecar", sidecar, "--sizes", "3,5",
+	pathOf := func(name string) string { return filepath.Join(directory, name) }
+	e := newEmulator(t, "sweep", "--file", smallScenarioFile, "--sidecar", sidecar, "--sizes", "3,5",
 		"--plays", "2", "--real", "1",
-		"--out", at("runs.jsonl"), "--table", at("table.md"), "--plot", at("plot.svg"))
+		"--out", pathOf("runs.jsonl"), "--table", pathOf("table.md"), "--plot", pathOf("plot.svg"))
 	if err := e.Run(); err != nil {
 		t.Fatalf("%v: %s", err, e.stderr.String())
 	}
 	e.checkNothingRemains(t)
-	runs, err := result.Read(at("runs.jsonl"))
+	runs, err := result.Read(pathOf("runs.jsonl"))
 	if err != nil || len(runs) != 4 || runs[0].Size.Sidecars != 3 || runs[3].Size.Sidecars != 5 || runs[3].Play != 2 {
 		t.Fatalf("read %d runs, %v, want plays 1 and 2 of 3 and 5 sidecars", len(runs), err)
 	}
-	table, err := os.ReadFile(at("table.md"))
+	table, err := os.ReadFile(pathOf("table.md"))
 	if err != nil || !bytes.Contains(table, []byte("| rest: hollow sidecar, processor time |")) && runs[0].Usable() {
 		t.Errorf("unexpected table %s, %v", table, err)
 	}
-	report := newEmulator(t, "report", at("runs.jsonl"))
+	report := newEmulator(t, "report", pathOf("runs.jsonl"))
 	if err := report.Run(); err != nil || !bytes.Equal(report.stdout.Bytes(), table) {
 		t.Errorf("report printed another table: %v, %s", err, report.stdout.String())
 	}
--- a/cmd/emulator/sweep.go
+++ b/cmd/emulator/sweep.go
@@ -56,11 +56,11 @@
 		return err
 	}
 	var runs []*result.Run
-	for number := range s.plays {
+	for playIndex := range s.plays {
 		for _, size := range s.sizes {
-			options.Play = number + 1
-			options.Seed = s.seed + uint64(number)
-			options.Size = s.size(size)
+			options.Play = playIndex + 1
+			options.Seed = s.seed + uint64(playIndex)
+			options.Size = s.fleetSize(size)
 			run, err := play.Run(ctx, options)
 			if err := cmp.Or(err, s.record(run)); err != nil {
 				return err
@@ -72,21 +72,21 @@
 	return s.writeFiles(runs)
 }
 
-// size returns the size of a fleet with as many endpoints as sidecars.
-func (s *sweep) size(sidecars int) spec.Size {
+// fleetSize returns the fleetSize of a fleet with as many endpoints as sidecars.
+func (s *sweep) fleetSize(sidecars int) spec.Size {
 	return spec.Size{Sidecars: sidecars, Endpoints: sidecars, Real: s.real}
 }
 
 // validate returns an error for bad input, before the first play.
 func (s *sweep) validate(options play.Options) error {
 	if s.plays < 1 || s.plays > maxPlays {
-		return spec.Invalid("plays: %d is out of range, 1 to %d", s.plays, maxPlays)
+		return spec.InputErrorf("plays: %d is out of range, 1 to %d", s.plays, maxPlays)
 	}
 	if len(s.sizes) == 0 {
-		return spec.Invalid("sizes: none given")
+		return spec.InputErrorf("sizes: none given")
 	}
 	for _, size := range s.sizes {
-		options.Size = s.size(size)
+		options.Size = s.fleetSize(size)
 		if err := options.Validate(); err != nil {
 			return err
 		}
--- a/internal/emulator/fleet/fleet_test.go
+++ b/internal/emulator/fleet/fleet_test.go
@@ -49,8 +49,8 @@
 	file := readShippedFile(t)
 	layout := New(file, spec.Size{Sidecars: 12, Endpoints: 12})
 	c := &Configurations{File: file, Layout: layout, Discovery: "127.0.0.1:1", Seed: 7}
-	parse := func(number, version int) *config.Config {
-		text, err := c.Encode(c.Layout.Sidecars[number], "127.0.0.1:0", version)
+	parse := func(position, version int) *config.Config {
+		text, err := c.Encode(c.Layout.Sidecars[position], "127.0.0.1:0", version)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -60,16 +60,16 @@
 		}
 		return cfg
 	}
-	first, other, next := parse(0, 1), parse(5, 1), parse(0, 2)
-	s := first.Settings
+	base, otherSidecar, nextVersion := parse(0, 1), parse(5, 1), parse(0, 2)
+	s := base.Settings
 	if s.Balancers != 12 || !s.SubscribeToDiscovery || !s.Limits.Probes || len(s.Classes) != 3 ||
 		len(s.Tenants) != 4 || len(s.ReportFields) != 1 {
 		t.Errorf("settings %+v", s)
 	}
-	if first.Hash() != other.Hash() {
+	if base.Hash() != otherSidecar.Hash() {
 		t.Error("two sidecars have configurations with different hashes")
 	}
-	if first.Hash() == next.Hash() {
+	if base.Hash() == nextVersion.Hash() {
 		t.Error("two versions have the same hash")
 	}
 }
--- a/internal/emulator/fleet/layout.go
+++ b/internal/emulator/fleet/layout.go
@@ -54,43 +54,44 @@
 		}
 	}
 	for i := range size.Endpoints {
-		l.Endpoints = append(l.Endpoints, l.endpoint(i, file.Fleet))
+		l.Endpoints = append(l.Endpoints, l.newEndpoint(i, file.Fleet))
 	}
 	for i := range size.Sidecars {
-		l.Sidecars = append(l.Sidecars, l.sidecar(i, size))
+		l.Sidecars = append(l.Sidecars, l.newSidecar(i, size))
 	}
 	return l
 }
 
-func (l *Layout) endpoint(i int, options spec.Fleet) Endpoint {
-	zone, inZone := i%len(l.Zones), i/len(l.Zones)
-	service := inZone % options.Services
+func (l *Layout) newEndpoint(i int, options spec.Fleet) Endpoint {
+	zone, indexInZone := i%len(l.Zones), i/len(l.Zones)
+	service := indexInZone % options.Services
 	return Endpoint{
 		Name:        fmt.Sprintf("service-%02d-%s-%04d", service+1, l.Zones[zone], i),
 		Zone:        zone,
-		MachineKind: l.MachineKinds[inZone%len(l.MachineKinds)],
-		Cell:        uint16(inZone/options.CellSize*len(l.Zones) + zone),
-		Address:     fmt.Sprintf("127.%d.%d.%d:0", firstZoneOctet+zone, inZone/hostsPerOctet, 1+inZone%hostsPerOctet),
+		MachineKind: l.MachineKinds[indexInZone%len(l.MachineKinds)],
+		Cell:        uint16(indexInZone/options.CellSize*len(l.Zones) + zone),
+		Address:     fmt.Sprintf("127.%d.%d.%d:0", firstZoneOctet+zone,
+			indexInZone/hostsPerOctet, 1+indexInZone%hostsPerOctet),
 	}
 }
 
-func (l *Layout) sidecar(i int, size spec.Size) Sidecar {
+func (l *Layout) newSidecar(i int, size spec.Size) Sidecar {
 	zones := len(l.Zones)
-	zone, inZone := i%zones, i/zones
+	zone, indexInZone := i%zones, i/zones
 	total, realCount := zoneCount(size.Sidecars, zones, zone), zoneCount(size.Real, zones, zone)
 	return Sidecar{
 		Name:     fmt.Sprintf("sidecar-%04d", i),
 		Position: i,
 		Zone:     zone,
-		Real:     (inZone+1)*realCount/total > inZone*realCount/total,
+		Real:     (indexInZone+1)*realCount/total > indexInZone*realCount/total,
 	}
 }
 
 // zoneCount returns how many of count items a zone gets when items are assigned to zones round-robin.
 func zoneCount(count, zones, zone int) int { return (count + zones - 1 - zone) / zones }
 
-// Config returns the configuration of an endpoint.
-func (l *Layout) Config(e Endpoint, file *spec.File) endpoint.Config {
+// EndpointConfig returns the configuration of an endpoint.
+func (l *Layout) EndpointConfig(e Endpoint, file *spec.File) endpoint.Config {
 	return endpoint.Config{
 		Name:         e.Name,
 		Address:      e.Address,
--- a/internal/emulator/play/changes.go
+++ b/internal/emulator/play/changes.go
@@ -7,34 +7,36 @@
 	"oakproxy/internal/emulator/result"
 )
 
-// playChanges rolls out changes of the configuration one by one, then a burst of them.
-func playChanges(ctx context.Context, r *runner) error {
-	if err := r.measureLoaded(ctx); err != nil {
+// playConfigChanges measures the load alone, then configuration changes that are rolled out one by one, and at last
+// a burst of changes unless the scenario's burst is 0.
+func playConfigChanges(ctx context.Context, r *runner) error {
+	if err := r.measureLoadedPhase(ctx); err != nil {
 		return err
 	}
-	if err := r.measure(ctx, phasePlan{name: "changes", loaded: true, action: r.rollOutSequentially}); err != nil {
+	if err := r.measurePhase(ctx, phasePlan{name: "changes", withLoad: true, action: r.rollOutSequentially}); err != nil {
 		return err
 	}
 	if r.options.Scenario.Burst == 0 {
 		return nil
 	}
-	return r.measure(ctx, phasePlan{name: "burst", duration: r.options.Scenario.Loaded.Std() / 2, loaded: true,
+	return r.measurePhase(ctx, phasePlan{name: "burst", duration: r.options.Scenario.Loaded.Std() / 2, withLoad: true,
 		action: r.rollOutBurst})
 }
 
-// rollOutSequentially rolls out one change after the other at the scenario's interval, each no earlier than
-// the one before has been applied.
+// rollOutSequentially rolls out the scenario's number of changes at its interval. Each change waits until the previous
+// one is in force at every sidecar or reloadTimeout has passed. If a change comes into force at no sidecar, the
+// remaining changes are not made and the phase gets a note.
 func (r *runner) rollOutSequentially(ctx context.Context, phase *result.Phase) error {
 	scenario := r.options.Scenario
-	var fromFile, fromFirst []time.Duration
-	missing := 0
-	next := time.Now()
+	var delaysFromOwnReplacement, delaysFromFirstReplacement []time.Duration
+	missingCount := 0
+	nextRolloutAt := time.Now()
 	for range scenario.Events {
-		if err := pause(ctx, time.Until(next)); err != nil {
+		if err := pause(ctx, time.Until(nextRolloutAt)); err != nil {
 			return err
 		}
-		next = next.Add(scenario.Interval())
-		change, err := r.rollOut(ctx, phase)
+		nextRolloutAt = nextRolloutAt.Add(scenario.Interval())
+		change, err := r.rollOutNextVersion(ctx, phase)
 		if err != nil {
 			return err
 		}
@@ -42,51 +44,55 @@
 		if err != nil {
 			return err
 		}
-		for name, at := range applied.at {
-			fromFile = append(fromFile, at.Sub(change.replacedAt[name]))
-			fromFirst = append(fromFirst, at.Sub(change.startedAt))
+		for name, at := range applied.byName {
+			delaysFromOwnReplacement = append(delaysFromOwnReplacement, at.Sub(change.replacedAt[name]))
+			delaysFromFirstReplacement = append(delaysFromFirstReplacement, at.Sub(change.startedAt))
 		}
-		if missing += applied.missing; len(applied.at) == 0 {
-			phase.Notes = append(phase.Notes, "the change came into force at no sidecar: no other was made")
+		if missingCount += applied.missing; len(applied.byName) == 0 {
+			phase.Notes = append(phase.Notes, "no sidecar applied the change in time; the remaining changes were not made")
 			break
 		}
 	}
 	phase.Distributions = append(phase.Distributions,
-		result.NewDistribution("from a file's replacement to its being in force there", len(fromFile)+missing, fromFile),
+		result.NewDistribution("from a file's replacement to its being in force there",
+			len(delaysFromOwnReplacement)+missingCount, delaysFromOwnReplacement),
 		result.NewDistribution("from the first file's replacement to a change's being in force",
-			len(fromFirst)+missing, fromFirst))
+			len(delaysFromFirstReplacement)+missingCount, delaysFromFirstReplacement))
 	return nil
 }
 
-// rollOutBurst rolls out many changes without a pause and waits until the last is applied.
+// rollOutBurst rolls out the scenario's burst of changes without a pause, and waits until the last change is in force
+// at every sidecar or reloadTimeout has passed.
 func (r *runner) rollOutBurst(ctx context.Context, phase *result.Phase) error {
-	var first time.Time
-	var last *rollout
+	var firstStartedAt time.Time
+	var lastRollout *rollout
 	for i := range r.options.Scenario.Burst {
 		if ctx.Err() != nil {
 			return context.Cause(ctx)
 		}
-		change, err := r.rollOut(ctx, phase)
+		change, err := r.rollOutNextVersion(ctx, phase)
 		if err != nil {
 			return err
 		}
 		if i == 0 {
-			first = change.startedAt
+			firstStartedAt = change.startedAt
 		}
-		last = change
+		lastRollout = change
 	}
 	applied, err := r.awaitConfig(ctx)
 	if err != nil {
 		return err
 	}
-	var fromFirst, fromLast []time.Duration
-	for name, at := range applied.at {
-		fromFirst = append(fromFirst, at.Sub(first))
-		fromLast = append(fromLast, at.Sub(last.replacedAt[name]))
+	var delaysFromFirstReplacement, delaysFromLastReplacement []time.Duration
+	for name, at := range applied.byName {
+		delaysFromFirstReplacement = append(delaysFromFirstReplacement, at.Sub(firstStartedAt))
+		delaysFromLastReplacement = append(delaysFromLastReplacement, at.Sub(lastRollout.replacedAt[name]))
 	}
-	total := len(applied.at) + applied.missing
+	total := len(applied.byName) + applied.missing
 	phase.Distributions = append(phase.Distributions,
-		result.NewDistribution("from the first of all replacements to the last change's being in force", total, fromFirst),
-		result.NewDistribution("from a file's last replacement to its being in force there", total, fromLast))
+		result.NewDistribution("from the first of all replacements to the last change's being in force", total,
+			delaysFromFirstReplacement),
+		result.NewDistribution("from a file's last replacement to its being in force there", total,
+			delaysFromLastReplacement))
 	return nil
 }
--- a/internal/emulator/play/endpoints.go
+++ b/internal/emulator/play/endpoints.go
@@ -8,7 +8,8 @@
 	"oakproxy/internal/emulator/worker"
 )
 
-// startEndpoints starts the endpoints and lists them in discovery.
+// startEndpoints starts the workers that host endpoints, starts all endpoints in them, and sets discovery's endpoint
+// list.
 func (r *runner) startEndpoints(ctx context.Context) error {
 	requests := r.assignEndpoints()
 	var err error
@@ -21,33 +22,35 @@
 	}
 	r.recordIncarnations(started)
 	list := worker.Instances{Instances: r.instances(r.layout.Endpoints, registry.Ready)}
-	return r.registry.Call(ctx, worker.SetInstances, list, nil)
+	return r.registryWorker.Call(ctx, worker.SetInstances, list, nil)
 }
 
-// assignEndpoints assigns the endpoints to workers, and returns what each worker has to start.
+// assignEndpoints assigns the endpoints to workers round-robin, and returns the configurations of the endpoints that
+// each worker has to start.
 func (r *runner) assignEndpoints() []worker.EndpointConfigs {
-	perWorker := r.spec().Fleet.EndpointsPerWorker
+	perWorker := r.scenarioFile().Fleet.EndpointsPerWorker
 	requests := make([]worker.EndpointConfigs, (len(r.layout.Endpoints)+perWorker-1)/perWorker)
 	for i, e := range r.layout.Endpoints {
 		index := i % len(requests)
-		r.endpointWorkerOf[e.Name] = index
-		requests[index].Configs = append(requests[index].Configs, r.layout.Config(e, r.spec()))
+		r.endpointWorkerIndex[e.Name] = index
+		requests[index].Configs = append(requests[index].Configs, r.layout.EndpointConfig(e, r.scenarioFile()))
 	}
 	return requests
 }
 
-// recordIncarnations records where endpoints are reached.
-func (r *runner) recordIncarnations(all []worker.Incarnations) {
+// recordIncarnations records the addresses and start times of endpoints that workers have reported.
+func (r *runner) recordIncarnations(responses []worker.Incarnations) {
 	r.incarnationsMu.Lock()
 	defer r.incarnationsMu.Unlock()
-	for _, one := range all {
-		for _, incarnation := range one.Endpoints {
+	for _, response := range responses {
+		for _, incarnation := range response.Endpoints {
 			r.incarnations[incarnation.Name] = incarnation
 		}
 	}
 }
 
-// instances returns the entries of endpoints in discovery's list.
+// instances returns entries for discovery's endpoint list: the given endpoints with their current addresses and this
+// health.
 func (r *runner) instances(endpoints []fleet.Endpoint, health string) []registry.Instance {
 	r.incarnationsMu.Lock()
 	defer r.incarnationsMu.Unlock()
@@ -59,11 +62,12 @@
 	return list
 }
 
-// applyAction applies an action to endpoints, and records their new incarnations.
+// applyAction makes the workers of the given endpoints apply an action to them, and records the addresses and start
+// times of the endpoints after it.
 func (r *runner) applyAction(ctx context.Context, action worker.Action, endpoints []fleet.Endpoint) error {
 	namesByWorker := make([][]string, len(r.endpointWorkers))
 	for _, e := range endpoints {
-		index := r.endpointWorkerOf[e.Name]
+		index := r.endpointWorkerIndex[e.Name]
 		namesByWorker[index] = append(namesByWorker[index], e.Name)
 	}
 	var workers []*workerProcess
@@ -79,23 +83,24 @@
 	return err
 }
 
-// announce updates endpoints in discovery's list, and returns the version with the update.
+// announce updates the entries of endpoints in discovery's endpoint list with this health, and returns the version of
+// the list that contains the update.
 func (r *runner) announce(ctx context.Context, endpoints []fleet.Endpoint, health string) (worker.ListVersion, error) {
 	var version worker.ListVersion
 	update := worker.Instances{Instances: r.instances(endpoints, health)}
-	err := r.registry.Call(ctx, worker.UpdateInstances, update, &version)
+	err := r.registryWorker.Call(ctx, worker.UpdateInstances, update, &version)
 	return version, err
 }
 
-// addresses returns the addresses of the endpoints that get load.
-func (r *runner) addresses() []string {
+// directTargets returns the addresses of the endpoints that receive direct load: all but those excluded from load.
+func (r *runner) directTargets() []string {
 	r.incarnationsMu.Lock()
 	defer r.incarnationsMu.Unlock()
-	var all []string
+	var targets []string
 	for _, e := range r.layout.Endpoints {
-		if !r.excluded[e.Name] {
-			all = append(all, r.incarnations[e.Name].Address)
+		if !r.excludedFromLoad[e.Name] {
+			targets = append(targets, r.incarnations[e.Name].Address)
 		}
 	}
-	return all
+	return targets
 }
--- a/internal/emulator/play/loadplan.go
+++ b/internal/emulator/play/loadplan.go
@@ -11,94 +11,99 @@
 	"oakproxy/internal/emulator/worker"
 )
 
-// loadResult is the result of the load of a phase.
+// loadResult is the outcome of the load of one phase.
 type loadResult struct {
 	reports worker.LoadReports
 	err     error
 }
 
-// startLoad starts sending requests through the real sidecars and directly to endpoints. It returns nil for a
-// phase without load.
-func (r *runner) startLoad(ctx context.Context, loaded bool) <-chan loadResult {
+// startLoad starts sending requests through the real sidecars and directly to endpoints. The channel that it returns
+// delivers the result when sending has ended. It returns nil, and sends nothing, for a phase without load or if no real
+// sidecar gets load.
+func (r *runner) startLoad(ctx context.Context, withLoad bool) <-chan loadResult {
 	plans := worker.LoadPlans{Proxied: r.proxiedPlan(), Direct: r.directPlan()}
-	if !loaded || len(plans.Proxied.Targets) == 0 {
+	if !withLoad || len(plans.Proxied.Targets) == 0 {
 		return nil
 	}
 	done := make(chan loadResult, 1)
 	go func() {
-		var sent loadResult
-		sent.err = r.generators[0].Call(ctx, worker.SendLoad, plans, &sent.reports)
-		done <- sent
+		var outcome loadResult
+		outcome.err = r.loadWorkers[0].Call(ctx, worker.SendLoad, plans, &outcome.reports)
+		done <- outcome
 	}()
 	return done
 }
 
-// stopLoad stops the load of a phase and returns its result.
-func (r *runner) stopLoad(ctx context.Context, sending <-chan loadResult) (worker.LoadReports, error) {
-	if sending == nil {
+// stopLoad stops the load of a phase, waits for its result and returns that. It adds the requests that were planned to
+// those of the run. A nil loadDone means that no load was started.
+func (r *runner) stopLoad(ctx context.Context, loadDone <-chan loadResult) (worker.LoadReports, error) {
+	if loadDone == nil {
 		return worker.LoadReports{}, nil
 	}
-	if err := r.generators[0].Call(ctx, worker.StopLoad, control.Empty{}, nil); err != nil {
+	if err := r.loadWorkers[0].Call(ctx, worker.StopLoad, control.Empty{}, nil); err != nil {
 		return worker.LoadReports{}, err
 	}
-	sent := <-sending
-	for _, report := range []*load.Report{sent.reports.Proxied, sent.reports.Direct} {
+	outcome := <-loadDone
+	for _, report := range []*load.Report{outcome.reports.Proxied, outcome.reports.Direct} {
 		if report != nil {
-			r.requests += int(report.Counts.Planned)
+			r.plannedRequests += int(report.Counts.Planned)
 		}
 	}
-	return sent.reports, sent.err
+	return outcome.reports, outcome.err
 }
 
-// proxiedPlan returns the load on the real sidecars.
+// proxiedPlan returns the plan of the load through the real sidecars that are not excluded from load.
 func (r *runner) proxiedPlan() load.Plan {
 	var targets []string
 	for _, s := range r.real {
-		if !r.excluded[s.Name] {
-			targets = append(targets, s.listen)
+		if !r.excludedFromLoad[s.Name] {
+			targets = append(targets, s.listenAddress)
 		}
 	}
-	return r.newPlan(targets, r.spec().Load.CallsPerSecond*float64(len(targets)), false)
+	return r.newPlan(targets, r.scenarioFile().Load.CallsPerSecond*float64(len(targets)), false)
 }
 
-// directPlan returns the load directly on endpoints, for comparison.
+// directPlan returns the plan of the load that is sent directly to endpoints, for comparison. It is empty if
+// load.direct_calls_per_second is 0.
 func (r *runner) directPlan() load.Plan {
-	rate := r.spec().Load.DirectCallsPerSecond
+	rate := r.scenarioFile().Load.DirectCallsPerSecond
 	if rate <= 0 {
 		return load.Plan{}
 	}
-	return r.newPlan(r.addresses(), rate, true)
+	return r.newPlan(r.directTargets(), rate, true)
 }
 
-// newPlan returns a plan of this rate over all targets, in requests a second.
+// newPlan returns a load plan for the given targets. The rate is the total over all targets, in requests per second.
 func (r *runner) newPlan(targets []string, rate float64, direct bool) load.Plan {
 	plan := load.Plan{
 		Targets:     targets,
 		Rate:        rate,
-		Duration:    r.spec().Limits.Duration.Std(),
+		Duration:    r.scenarioFile().Limits.Duration.Std(),
 		MaxRequests: r.requestBudget(rate),
-		MaxInFlight: r.spec().Load.MaxInFlight,
+		MaxInFlight: r.scenarioFile().Load.MaxInFlight,
 		Seed:        r.loadSeed(direct),
 		Tenants:     r.configurations.Tenants(),
 		Direct:      direct,
 	}
-	for _, class := range r.spec().Load.Classes {
+	for _, class := range r.scenarioFile().Load.Classes {
 		plan.Classes = append(plan.Classes, loadClass(class))
 	}
 	return plan
 }
 
-// loadSeed returns a seed that no other plan of the run has: requests must not share their IDs.
+// loadSeed returns a seed that differs between all load plans of a run, because requests of different plans must not
+// have equal IDs. Each phase has two plans, a proxied and a direct one. Runs with different seeds share no load seed as
+// long as a run has at most plansPerRun/2 phases.
 func (r *runner) loadSeed(direct bool) uint64 {
-	const maxPlans = 16
-	plan := uint64(2 * len(r.run.Phases))
+	const plansPerRun = 16
+	planNumber := uint64(2 * len(r.run.Phases))
 	if direct {
-		plan++
+		planNumber++
 	}
-	return r.options.Seed*maxPlans + plan
+	return r.options.Seed*plansPerRun + planNumber
 }
 
-// loadClass returns a class of the scenario file as the load generator's.
+// loadClass converts a request class of the scenario file to one of the load generator.
 func loadClass(class spec.Class) load.Class {
 	converted := load.Class{
 		Name:              class.Name,
@@ -112,10 +117,12 @@
 	return converted
 }
 
-// requestBudget returns a plan's part, by its rate, of the requests that remain of limits.requests.
+// requestBudget returns how many requests a plan may send, at least 1. The requests that remain of limits.requests are
+// divided between the plans in proportion to their rates: remaining * rate / totalRate, where totalRate is the rate of
+// the direct load and of the load through all real sidecars, including those excluded from load.
 func (r *runner) requestBudget(rate float64) int {
-	loads := r.spec().Load
-	totalRate := loads.CallsPerSecond*float64(len(r.real)) + loads.DirectCallsPerSecond
-	remaining := float64(r.spec().Limits.Requests - r.requests)
+	loadOptions := r.scenarioFile().Load
+	totalRate := loadOptions.CallsPerSecond*float64(len(r.real)) + loadOptions.DirectCallsPerSecond
+	remaining := float64(r.scenarioFile().Limits.Requests - r.plannedRequests)
 	return max(1, int(math.Floor(remaining*rate/totalRate)))
 }
--- a/internal/emulator/play/measure.go
+++ b/internal/emulator/play/measure.go
@@ -8,28 +8,29 @@
 	"oakproxy/internal/emulator/result"
 )
 
-// action is what happens in a phase in addition to the load. It records its results in the phase.
+// action plays the events of a phase, such as restarts, while load is sent. It records its results in the phase.
 type action func(ctx context.Context, phase *result.Phase) error
 
 // phasePlan describes a phase to measure.
 type phasePlan struct {
 	name     string
-	duration time.Duration // at least; the action may take longer
-	loaded   bool          // requests are sent
-	action   action        // nil: none
+	duration time.Duration // minimum duration; the phase lasts longer if the action does
+	withLoad bool          // whether requests are sent during the phase
+	action   action        // nil if nothing but load happens in the phase
 }
 
-// measure plays a phase: for its duration, and until its action is done.
-func (r *runner) measure(ctx context.Context, plan phasePlan) error {
+// measurePhase plays a phase and appends it to the run's phases. The phase lasts for the plan's duration, and until the
+// plan's action is done. The results are the difference between a snapshot before it and one after it.
+func (r *runner) measurePhase(ctx context.Context, plan phasePlan) error {
 	r.setPhase(plan.name)
 	phase := result.Phase{Name: plan.name}
 	before, err := r.takeSnapshot(ctx)
 	if err != nil {
 		return err
 	}
-	sending := r.startLoad(ctx, plan.loaded)
+	loadDone := r.startLoad(ctx, plan.withLoad)
 	err = plan.run(ctx, &phase)
-	reports, loadErr := r.stopLoad(ctx, sending)
+	reports, loadErr := r.stopLoad(ctx, loadDone)
 	if err := errors.Join(err, loadErr); err != nil {
 		return err
 	}
@@ -38,12 +39,12 @@
 		return err
 	}
 	phase.Proxied, phase.Direct = result.NewRequests(reports.Proxied), result.NewRequests(reports.Direct)
-	after.since(before, &phase)
+	after.recordSince(before, &phase)
 	r.run.Phases = append(r.run.Phases, phase)
 	return nil
 }
 
-// run runs the plan's action and waits until the duration is over.
+// run runs the plan's action, if there is one, and waits until the plan's duration has passed since the start of run.
 func (p phasePlan) run(ctx context.Context, phase *result.Phase) error {
 	end := time.Now().Add(p.duration)
 	if p.action != nil {
--- a/internal/emulator/play/monitor.go
+++ b/internal/emulator/play/monitor.go
@@ -10,16 +10,17 @@
 )
 
 const (
-	monitorInterval  = 500 * time.Millisecond
-	progressInterval = 2 * time.Second
+	monitorInterval  = 500 * time.Millisecond // between two readings of the memory
+	progressInterval = 2 * time.Second        // between two progress lines
 )
 
-// monitor ends a run that exceeds its memory limit, and reports progress, until ctx is done.
+// monitor records the peak memory, ends the run if its processes exceed limits.memory_mb, and writes progress lines. It
+// returns when ctx is done or the limit is exceeded.
 func (r *runner) monitor(ctx context.Context) {
 	tick := time.NewTicker(monitorInterval)
 	defer tick.Stop()
 	start, reportedAt := time.Now(), time.Now()
-	cpu, _ := process.ReadMachineCPU() // without it, the progress line tells less
+	previousCPU, _ := process.ReadMachineCPU() // on an error, only the progress line is inaccurate
 	for {
 		select {
 		case <-tick.C:
@@ -28,25 +29,25 @@
 		}
 		residentKB := r.residentKB()
 		r.peakKB.Store(max(r.peakKB.Load(), residentKB))
-		if residentKB > int64(r.spec().Limits.MemoryMB)*kbPerMB {
+		if residentKB > int64(r.scenarioFile().Limits.MemoryMB)*kbPerMB {
 			r.cancel(errMemory)
 			return
 		}
 		if time.Since(reportedAt) >= progressInterval {
-			now, _ := process.ReadMachineCPU()
-			r.reportProgress(time.Since(start), residentKB, now.BusyShare(cpu))
-			reportedAt, cpu = time.Now(), now
+			currentCPU, _ := process.ReadMachineCPU()
+			r.reportProgress(time.Since(start), residentKB, currentCPU.BusyShare(previousCPU))
+			reportedAt, previousCPU = time.Now(), currentCPU
 		}
 	}
 }
 
-// residentKB returns the resident memory of the emulator and its children.
+// residentKB returns the resident memory of the emulator and its child processes, in KiB.
 func (r *runner) residentKB() int64 {
-	own, _ := process.ResidentKB(os.Getpid()) // without it, the children count alone
-	return own + r.group.ResidentKB()
+	own, _ := process.ResidentKB(os.Getpid()) // on an error, only the children are counted
+	return own + r.processes.ResidentKB()
 }
 
-// reportProgress writes a progress line.
+// reportProgress writes a progress line, unless the run's options have no writer for it.
 func (r *runner) reportProgress(elapsed time.Duration, residentKB int64, busyShare float64) {
 	if r.options.Progress == nil {
 		return
@@ -54,6 +55,6 @@
 	size := r.options.Size
 	fmt.Fprintf(r.options.Progress,
 		"%s %d sidecars (%d real), %d endpoints, play %d: %3.0f s, %s; %d processes, %d MB, machine %.0f%% busy\n",
-		r.options.Name, size.Sidecars, size.Real, size.Endpoints, r.options.Play, elapsed.Seconds(), *r.phase.Load(),
-		len(r.group.Children()), residentKB/kbPerMB, busyShare*100)
+		r.options.Name, size.Sidecars, size.Real, size.Endpoints, r.options.Play, elapsed.Seconds(), *r.currentPhase.Load(),
+		len(r.processes.Children()), residentKB/kbPerMB, busyShare*100)
 }
--- a/internal/emulator/play/options.go
+++ b/internal/emulator/play/options.go
@@ -1,9 +1,9 @@
 // Package play plays a scenario and measures it.
 //
 // It starts a fleet of worker processes and sidecars on the loopback interface, injects the scenario's changes
-// and faults, sends load, reads counters at the ends of each phase, and stops all that it started, however the
-// run ends. The limits of the scenario file bound a run's time, memory and requests. It neither stores nor
-// interprets the results: package result does.
+// and faults, sends load, and reads counters before and after each phase. It stops every process that it
+// started, however the run ends. The limits of the scenario file bound a run's time, memory and requests.
+// Package result stores and interprets the results; this package does not.
 package play
 
 import (
@@ -18,40 +18,41 @@
 	"oakproxy/internal/emulator/spec"
 )
 
-// Options say what to play, and with which programs.
+// Options define one run: the scenario to play, the size of the fleet and the programs to start.
 type Options struct {
 	File     *spec.File
-	Name     string // of the scenario
+	Name     string // name of the scenario
 	Scenario spec.Scenario
 	Size     spec.Size
-	Play     int // number of this play among those of the same size, from 1
+	Play     int // number of this run among the runs of the same size, counted from 1
 	Seed     uint64
 	Commit   string
 
-	Emulator    Program // becomes a worker when run with a role as its last argument
-	Sidecar     Program
-	Progress    io.Writer // receives progress lines; nil: none
-	ScratchRoot string    // parent of the directory for configuration files; empty: the system's
+	Emulator    Program   // program of a worker, which gets its role as an additional last argument
+	Sidecar     Program   // program of a real sidecar
+	Progress    io.Writer // destination of progress lines; nil discards them
+	ScratchRoot string    // parent of the run's temporary directory; empty means the system's default
 }
 
-// Program is a program and the arguments and environment to run it with.
+// Program is an executable with its arguments, and variables to add to its environment.
 type Program struct {
 	Path        string
 	Arguments   []string
 	Environment []string
 }
 
-// Validate returns what keeps a scenario from being played, as a *spec.InputError where it is the user's input.
+// Validate returns an error if the scenario cannot be played. The error is a *spec.InputError if the user's input is at
+// fault. Among other things, limits.memory_mb must be less than half of this machine's memory.
 func (o Options) Validate() error {
 	if err := o.Size.Validate(); err != nil {
 		return err
 	}
 	if _, known := scenarios[o.Scenario.Kind]; !known {
-		return spec.Invalid("scenario %s: kind %q is not known", o.Name, o.Scenario.Kind)
+		return spec.InputErrorf("scenario %s: unknown kind %q", o.Name, o.Scenario.Kind)
 	}
 	for _, program := range []Program{o.Emulator, o.Sidecar} {
 		if _, err := exec.LookPath(program.Path); err != nil {
-			return spec.Invalid("program %s is missing; build it first", program.Path)
+			return spec.InputErrorf("program %s not found or not executable; build it first", program.Path)
 		}
 	}
 	memoryKB, err := process.MachineMemoryKB()
@@ -59,17 +60,17 @@
 		return err
 	}
 	if int64(o.File.Limits.MemoryMB)*kbPerMB*2 >= memoryKB {
-		return spec.Invalid("limits.memory_mb: %d is not under half of this machine's %d MB",
+		return spec.InputErrorf("limits.memory_mb: %d must be less than half of this machine's %d MB",
 			o.File.Limits.MemoryMB, memoryKB/kbPerMB)
 	}
 	return nil
 }
 
-const kbPerMB = 1024
+const kbPerMB = 1024 // KiB per MiB
 
-// machine returns a description of this machine.
-func machine() result.Machine {
-	memoryKB, _ := process.MachineMemoryKB() // Validate has read it before
+// describeMachine returns the size and the software versions of this machine, for the result file.
+func describeMachine() result.Machine {
+	memoryKB, _ := process.MachineMemoryKB() // Validate has already read it without an error
 	kernel, _ := os.ReadFile("/proc/sys/kernel/osrelease")
 	return result.Machine{
 		Cores:    runtime.NumCPU(),
--- a/internal/emulator/play/real.go
+++ b/internal/emulator/play/real.go
@@ -15,30 +15,30 @@
 )
 
 const (
-	readyPoll      = 20 * time.Millisecond
-	configVariable = "BALANCER_CONFIG" // environment variable with the path of the configuration file
+	readyPollInterval = 20 * time.Millisecond // between two readiness checks of a sidecar that starts
+	configVariable    = "BALANCER_CONFIG"     // environment variable that holds the path of the configuration file
 
-	// Real sidecars listen on 127.32.x.y, so that each has an address of its own and no outgoing
-	// connection of another process takes its port.
-	realOctet     = 32
-	hostsPerOctet = 250
+	// Real sidecars listen on 127.32.x.y. Each has an IP address of its own, so that no outgoing connection of
+	// another process can occupy its port.
+	realSidecarOctet = 32
+	hostsPerOctet    = 250
 )
 
-// realSidecar is a sidecar in a process of its own. Its child is nil while no process runs.
+// realSidecar is a sidecar in a process of its own.
 type realSidecar struct {
 	fleet.Sidecar
-	listen    string
-	path      string // of its configuration file
-	events    *sidecarlog.Events
-	child     *process.Child
-	started   time.Time
-	pastUsage process.Usage // of earlier processes
+	listenAddress string
+	configPath    string // path of the configuration file
+	events        *sidecarlog.Events
+	child         *process.Child // nil while no process of the sidecar runs
+	startedAt     time.Time
+	pastUsage     process.Usage // usage of the sidecar's processes that were killed
 }
 
-// freeAddress returns a free port of the real sidecar's own address. It does not reserve the
-// port: another process may take it.
-func freeAddress(number int) (string, error) {
-	address := fmt.Sprintf("127.%d.%d.%d:0", realOctet, number/hostsPerOctet, 1+number%hostsPerOctet)
+// freeAddress returns an address with a free port for the real sidecar of this index, on an IP address that only that
+// sidecar uses. It does not reserve the port: another process may take it before the sidecar does.
+func freeAddress(index int) (string, error) {
+	address := fmt.Sprintf("127.%d.%d.%d:0", realSidecarOctet, index/hostsPerOctet, 1+index%hostsPerOctet)
 	listener, err := net.Listen("tcp", address)
 	if err != nil {
 		return "", err
@@ -47,28 +47,29 @@
 	return listener.Addr().String(), nil
 }
 
-// startReal starts a real sidecar's process.
-func (r *runner) startReal(s *realSidecar) error {
+// startRealSidecar starts a real sidecar's process. An unexpected exit of the process ends the run.
+func (r *runner) startRealSidecar(s *realSidecar) error {
 	s.events = sidecarlog.New()
-	s.started = time.Now()
+	s.startedAt = time.Now()
 	program := r.options.Sidecar
-	child, err := r.group.Start(process.Program{
+	child, err := r.processes.Start(process.Program{
 		Name:        s.Name,
 		Path:        program.Path,
 		Arguments:   program.Arguments,
-		Environment: append([]string{configVariable + "=" + s.path}, program.Environment...),
+		Environment: append([]string{configVariable + "=" + s.configPath}, program.Environment...),
 		Stderr:      sidecarlog.NewWriter(s.events),
 	})
 	if err != nil {
 		return err
 	}
 	s.child = child
-	r.watch(child)
+	r.watchForExit(child)
 	return nil
 }
 
-// killReal kills a real sidecar's process, as the loss of its machine does.
-func (r *runner) killReal(s *realSidecar) error {
+// killRealSidecar kills a real sidecar's process with SIGKILL, as if its machine had failed, and keeps the process's
+// resource usage in pastUsage.
+func (r *runner) killRealSidecar(s *realSidecar) error {
 	usage, err := process.ReadUsage(s.child.PID())
 	if err != nil {
 		return err
@@ -83,17 +84,18 @@
 	return nil
 }
 
-// awaitReady waits until a real sidecar is ready, and returns the time from its start.
+// awaitReady waits until a real sidecar is ready, and returns the time since its start. It returns an error if ctx is
+// done first.
 func (s *realSidecar) awaitReady(ctx context.Context) (time.Duration, error) {
 	client := http.Client{Transport: &http.Transport{DisableKeepAlives: true}}
 	for {
-		if load.IsReady(ctx, &client, s.listen) {
-			return time.Since(s.started), nil
+		if load.IsReady(ctx, &client, s.listenAddress) {
+			return time.Since(s.startedAt), nil
 		}
 		select {
-		case <-time.After(readyPoll):
+		case <-time.After(readyPollInterval):
 		case <-ctx.Done():
-			return 0, fmt.Errorf("%s is not ready: %w", s.Name, context.Cause(ctx))
+			return 0, fmt.Errorf("%s did not become ready: %w", s.Name, context.Cause(ctx))
 		}
 	}
 }
--- a/internal/emulator/play/replace.go
+++ b/internal/emulator/play/replace.go
@@ -10,99 +10,103 @@
 	"oakproxy/internal/emulator/worker"
 )
 
-// replacement is an endpoint that restarts, and the simulated sidecar of the same application.
+// replacement is an endpoint to restart, together with the simulated sidecar of the same application.
 type replacement struct {
-	endpoint fleet.Endpoint
-	sidecar  fleet.Sidecar
-	worker   int // index of the sidecar's
+	endpoint    fleet.Endpoint
+	sidecar     fleet.Sidecar
+	workerIndex int // index of the worker that hosts the sidecar
 }
 
-// playReplace restarts endpoints and their sidecars one by one.
-func playReplace(ctx context.Context, r *runner) error {
+// playReplacements measures the load alone, then the restarts of endpoints and their sidecars, one after the other. The
+// endpoints that will restart get no direct load in any phase.
+func playReplacements(ctx context.Context, r *runner) error {
 	chosen := r.chooseReplacements(r.options.Scenario.Events)
 	for _, c := range chosen {
-		r.excluded[c.endpoint.Name] = true
+		r.excludedFromLoad[c.endpoint.Name] = true
 	}
-	if err := r.measureLoaded(ctx); err != nil {
+	if err := r.measureLoadedPhase(ctx); err != nil {
 		return err
 	}
-	return r.measure(ctx, phasePlan{name: "replace", loaded: true,
+	return r.measurePhase(ctx, phasePlan{name: "replace", withLoad: true,
 		action: func(ctx context.Context, phase *result.Phase) error { return r.replaceAll(ctx, phase, chosen) }})
 }
 
-// chooseReplacements chooses simulated sidecars that have an endpoint, evenly over the fleet.
+// chooseReplacements chooses at most count simulated sidecars that have an endpoint, evenly over the fleet.
 func (r *runner) chooseReplacements(count int) []replacement {
-	var all []replacement
-	for index, group := range r.simulated {
+	var candidates []replacement
+	for workerIndex, group := range r.simulatedSidecars {
 		for _, s := range group {
 			if s.Position < len(r.layout.Endpoints) {
-				all = append(all, replacement{endpoint: r.layout.Endpoints[s.Position], sidecar: s, worker: index})
+				candidates = append(candidates, replacement{endpoint: r.layout.Endpoints[s.Position], sidecar: s,
+					workerIndex: workerIndex})
 			}
 		}
 	}
-	count = min(count, len(all))
+	count = min(count, len(candidates))
 	chosen := make([]replacement, count)
 	for i := range chosen {
-		chosen[i] = all[i*len(all)/count]
+		chosen[i] = candidates[i*len(candidates)/count]
 	}
 	return chosen
 }
 
 // replacementResult is the outcome of one replacement.
 type replacementResult struct {
-	drain, ready propagation
-	startup      result.Distribution
-	err          error
+	drainPropagation, readyPropagation propagation
+	startup                            result.Distribution
+	err                                error
 }
 
-// replaceAll starts replacements at the scenario's interval. They overlap if draining takes longer than that.
+// replaceAll starts a replacement at each interval of the scenario and waits until all of them have ended. Replacements
+// overlap if one takes longer than the interval.
 func (r *runner) replaceAll(ctx context.Context, phase *result.Phase, chosen []replacement) error {
 	results := make(chan replacementResult, len(chosen))
-	next := time.Now()
-	started := 0
+	nextStart := time.Now()
+	startedCount := 0
 	for _, c := range chosen {
-		if err := pause(ctx, time.Until(next)); err != nil {
+		if err := pause(ctx, time.Until(nextStart)); err != nil {
 			break
 		}
-		next = next.Add(r.options.Scenario.Interval())
-		started++
+		nextStart = nextStart.Add(r.options.Scenario.Interval())
+		startedCount++
 		go func() { results <- r.replace(ctx, c) }()
 	}
 	var drained, ready propagation
 	var restarts []time.Duration
-	var failure error
-	for range started {
-		one := <-results
-		if one.err != nil {
-			failure = one.err
+	var lastErr error
+	for range startedCount {
+		outcome := <-results
+		if outcome.err != nil {
+			lastErr = outcome.err
 			continue
 		}
-		drained.add(one.drain)
-		ready.add(one.ready)
-		if one.startup.Missing == 0 {
-			restarts = append(restarts, time.Duration(one.startup.MaxMS*float64(time.Millisecond)))
+		drained.add(outcome.drainPropagation)
+		ready.add(outcome.readyPropagation)
+		if outcome.startup.Missing == 0 {
+			restarts = append(restarts, time.Duration(outcome.startup.MaxMS*float64(time.Millisecond)))
 		}
 	}
-	phase.Events = started
+	phase.Events = startedCount
 	phase.Distributions = append(phase.Distributions,
 		drained.distribution("from discovery's word of a drain to its being heard"),
 		ready.distribution("from discovery's word of a start to its being heard"),
-		result.NewDistribution("from a replaced sidecar's start to its being ready", started, restarts))
-	return failure
+		result.NewDistribution("from a replaced sidecar's start to its being ready", startedCount, restarts))
+	return lastErr
 }
 
-// replace drains an endpoint and its sidecar and restarts both.
-func (r *runner) replace(ctx context.Context, c replacement) (done replacementResult) {
-	done.err = r.drainOne(ctx, c, &done)
-	if done.err == nil {
-		done.err = r.restartOne(ctx, c, &done)
+// replace drains an endpoint, stops its sidecar and restarts both.
+func (r *runner) replace(ctx context.Context, c replacement) (outcome replacementResult) {
+	outcome.err = r.drainOne(ctx, c, &outcome)
+	if outcome.err == nil {
+		outcome.err = r.restartOne(ctx, c, &outcome)
 	}
-	return done
+	return outcome
 }
 
-// drainOne announces that an endpoint terminates, drains it and shuts its sidecar down.
-func (r *runner) drainOne(ctx context.Context, c replacement, done *replacementResult) error {
-	end := time.Now().Add(r.options.Scenario.Drain.Std())
+// drainOne announces that an endpoint terminates, drains the endpoint and shuts its sidecar down gracefully. It returns
+// when the scenario's drain time is over and the announcement has reached the simulated sidecars.
+func (r *runner) drainOne(ctx context.Context, c replacement, outcome *replacementResult) error {
+	end := time.Now().Add(r.options.Scenario.DrainDuration.Std())
 	version, err := r.announce(ctx, []fleet.Endpoint{c.endpoint}, registry.Terminating)
 	if err != nil {
 		return err
@@ -111,17 +115,18 @@
 		return err
 	}
 	names := worker.Names{Names: []string{c.sidecar.Name}}
-	if err := r.sidecarWorkers[c.worker].Call(ctx, worker.StopSidecars, names, nil); err != nil {
+	if err := r.simulatedSidecarWorkers[c.workerIndex].Call(ctx, worker.StopSidecars, names, nil); err != nil {
 		return err
 	}
-	if err := r.awaitList(ctx, version, &done.drain); err != nil {
+	if err := r.awaitList(ctx, version, &outcome.drainPropagation); err != nil {
 		return err
 	}
 	return pause(ctx, time.Until(end))
 }
 
-// restartOne restarts an endpoint and its sidecar, and announces the endpoint.
-func (r *runner) restartOne(ctx context.Context, c replacement, done *replacementResult) error {
+// restartOne restarts an endpoint, announces it as ready, starts its sidecar, and waits until the announcement has
+// reached the simulated sidecars.
+func (r *runner) restartOne(ctx context.Context, c replacement, outcome *replacementResult) error {
 	if err := r.applyAction(ctx, worker.Restart, []fleet.Endpoint{c.endpoint}); err != nil {
 		return err
 	}
@@ -129,10 +134,10 @@
 	if err != nil {
 		return err
 	}
-	byWorker := make([][]fleet.Sidecar, len(r.sidecarWorkers))
-	byWorker[c.worker] = []fleet.Sidecar{c.sidecar}
-	if done.startup, err = r.startSimulated(ctx, byWorker, 0); err != nil {
+	byWorker := make([][]fleet.Sidecar, len(r.simulatedSidecarWorkers))
+	byWorker[c.workerIndex] = []fleet.Sidecar{c.sidecar}
+	if outcome.startup, err = r.startSimulatedSidecars(ctx, byWorker, 0); err != nil {
 		return err
 	}
-	return r.awaitList(ctx, version, &done.ready)
+	return r.awaitList(ctx, version, &outcome.readyPropagation)
 }
--- a/internal/emulator/play/roles.go
+++ b/internal/emulator/play/roles.go
@@ -7,30 +7,30 @@
 	"oakproxy/internal/emulator/result"
 )
 
-// descriptorReserve sets when a process is near its limit of descriptors: when less than one in descriptorReserve
-// remains.
-const descriptorReserve = 20
+// descriptorReserveDivisor defines when a process is near its limit of file descriptors: when less than
+// limit / descriptorReserveDivisor of them are free.
+const descriptorReserveDivisor = 20
 
-// roleTotals is the resource usage of the processes of a role since their start.
+// roleTotals is the resource usage of all processes of a role, each since its start.
 type roleTotals struct {
-	role      result.Role
-	usage     process.Usage
-	processes int
-	units     int
-	nearLimit int // processes with nearly as many open descriptors as they may have
+	role               result.Role
+	usage              process.Usage
+	processes          int
+	units              int // number of sidecars, endpoints or other instances of the role
+	processesNearLimit int // processes near their limit of file descriptors
 }
 
-// readRoles reads the resource usage of each role.
+// readRoles reads the resource usage of each role, always in the same order.
 func (r *runner) readRoles() ([]roleTotals, error) {
 	byRole := []struct {
 		role    result.Role
 		workers []*workerProcess
 		units   int
 	}{
-		{result.SimulatedSidecar, r.sidecarWorkers, r.simulatedCount()},
+		{result.SimulatedSidecar, r.simulatedSidecarWorkers, r.simulatedCount()},
 		{result.Endpoint, r.endpointWorkers, len(r.layout.Endpoints)},
-		{result.Discovery, []*workerProcess{r.registry}, 1},
-		{result.Generator, r.generators, 1},
+		{result.Discovery, []*workerProcess{r.registryWorker}, 1},
+		{result.Generator, r.loadWorkers, 1},
 	}
 	var all []roleTotals
 	for _, group := range byRole {
@@ -42,19 +42,19 @@
 		}
 		all = append(all, totals)
 	}
-	realTotals, err := r.readReal()
+	realTotals, err := r.readRealSidecars()
 	if err != nil {
 		return nil, err
 	}
-	own := roleTotals{role: result.Configuration, units: 1}
-	if err := own.read(os.Getpid()); err != nil {
+	ownTotals := roleTotals{role: result.Configuration, units: 1}
+	if err := ownTotals.read(os.Getpid()); err != nil {
 		return nil, err
 	}
-	return append(all, realTotals, own), nil
+	return append(all, realTotals, ownTotals), nil
 }
 
-// readReal reads the resource usage of the real sidecars, including that of their earlier processes.
-func (r *runner) readReal() (roleTotals, error) {
+// readRealSidecars reads the resource usage of the real sidecars, including that of their processes that were killed.
+func (r *runner) readRealSidecars() (roleTotals, error) {
 	totals := roleTotals{role: result.RealSidecar, units: len(r.real)}
 	for _, s := range r.real {
 		totals.usage.Add(s.pastUsage)
@@ -68,7 +68,7 @@
 	return totals, nil
 }
 
-// read adds the resource usage of a process.
+// read reads the resource usage of a process and adds it to the totals.
 func (t *roleTotals) read(pid int) error {
 	usage, err := process.ReadUsage(pid)
 	if err != nil {
@@ -78,16 +78,17 @@
 	if err != nil {
 		return err
 	}
-	if usage.Descriptors*descriptorReserve > limit*(descriptorReserve-1) {
-		t.nearLimit++
+	if usage.Descriptors*descriptorReserveDivisor > limit*(descriptorReserveDivisor-1) {
+		t.processesNearLimit++
 	}
 	t.usage.Add(usage)
 	t.processes++
 	return nil
 }
 
-// since returns the resource usage of a role since an earlier reading.
-func (t roleTotals) since(earlier roleTotals) result.RoleUsage {
+// usageSince returns the usage of a role for the result file. Processor time and bytes are those since an earlier
+// reading; memory and descriptors are those of the current reading.
+func (t roleTotals) usageSince(earlier roleTotals) result.RoleUsage {
 	return result.RoleUsage{
 		Role:        t.role,
 		Processes:   t.processes,
--- a/internal/emulator/play/runner.go
+++ b/internal/emulator/play/runner.go
@@ -18,50 +18,51 @@
 )
 
 const (
-	stopGrace      = 8 * time.Second // for children to exit before they are killed
-	scratchPattern = "oakproxy-emulator-*"
+	stopGrace      = 8 * time.Second       // time that children have to exit before they are killed
+	scratchPattern = "oakproxy-emulator-*" // name pattern of a run's temporary directory
 )
 
-// Causes for which a run ends early.
+// Causes of a run's early end.
 var (
-	errDuration = errors.New("the run took longer than limits.duration")
-	errMemory   = errors.New("the run's processes held more than limits.memory_mb")
-	// errExitedCleanly is the cause where a child exits unexpectedly and without an error.
+	errDuration = errors.New("the run exceeded limits.duration")
+	errMemory   = errors.New("the run's processes exceeded limits.memory_mb")
+	// errExitedCleanly stands for the error of a child that exits unexpectedly with exit status 0.
 	errExitedCleanly = errors.New("exit status 0")
 )
 
-// runner plays one scenario. Its fields are for the goroutine that plays it unless a lock or an atomic guards them.
+// runner plays one scenario. Fields without a mutex, and that are not atomic, are used only by the goroutine that plays
+// the scenario and by goroutines that it waits for.
 type runner struct {
 	options        Options
 	layout         *fleet.Layout
 	configurations *fleet.Configurations
-	scratch        string // holds the configuration files
-	group          *process.Group
+	scratch        string         // temporary directory that holds the configuration files
+	processes      *process.Group // the child processes
 	run            *result.Run
-	cancel         context.CancelCauseFunc // ends the run for a reason
-
-	registry        *workerProcess
-	endpointWorkers []*workerProcess // that host endpoints
-	sidecarWorkers  []*workerProcess // that host simulated sidecars
-	generators      []*workerProcess // of load; exactly one
-
-	simulated        [][]fleet.Sidecar // by worker
-	endpointWorkerOf map[string]int    // index by endpoint name
-	real             []*realSidecar
-	incarnationsMu   sync.Mutex
-	incarnations     map[string]worker.Incarnation // by endpoint name
-	version          int                           // of the configuration
-	requests         int                           // sent so far
-	excluded         map[string]bool               // names of endpoints and real sidecars that get no load
-	peakKB           atomic.Int64
-	phase            atomic.Pointer[string] // for the progress line
-	stopping         atomic.Bool
-	expectedMu       sync.Mutex
-	expectedExits    map[*process.Child]bool
+	cancel         context.CancelCauseFunc // ends the run early, with the given cause
+
+	registryWorker          *workerProcess
+	endpointWorkers         []*workerProcess // workers that host endpoints
+	simulatedSidecarWorkers []*workerProcess // workers that host simulated sidecars
+	loadWorkers             []*workerProcess // load generators; exactly one
+
+	simulatedSidecars   [][]fleet.Sidecar // simulated sidecars of each worker, by index in simulatedSidecarWorkers
+	endpointWorkerIndex map[string]int    // index in endpointWorkers, by endpoint name
+	real                []*realSidecar
+	incarnationsMu      sync.Mutex                    // guards incarnations
+	incarnations        map[string]worker.Incarnation // current incarnation of each endpoint, by endpoint name
+	configVersion       int                           // version of the configuration, from 1
+	plannedRequests     int                           // requests of the earlier phases, by their load reports
+	excludedFromLoad    map[string]bool               // names of the endpoints and real sidecars that get no load
+	peakKB              atomic.Int64                  // peak resident memory of all processes, in KiB
+	currentPhase        atomic.Pointer[string]        // name of the current phase, for the progress line
+	stopping            atomic.Bool                   // set once all children are being stopped
+	expectedMu          sync.Mutex                    // guards expectedExits
+	expectedExits       map[*process.Child]bool       // children whose exit doesn't end the run
 }
 
-// Run plays a scenario. If the run ends early, it returns both what was measured by then and an error that
-// says why: the cause of ctx, an exceeded limit, or a failure.
+// Run plays a scenario. If the run ends early, Run returns both the results measured by then and an error with the
+// reason: the cause of ctx, an exceeded limit, or a failure. It returns a nil run if the options are not valid.
 func Run(ctx context.Context, options Options) (*result.Run, error) {
 	if err := options.Validate(); err != nil {
 		return nil, err
@@ -71,7 +72,7 @@
 	ctx, cancelTimeout := context.WithTimeoutCause(ctx, options.File.Limits.Duration.Std(), errDuration)
 	defer cancelTimeout()
 	r := newRunner(options, cancel)
-	started := time.Now()
+	startedAt := time.Now()
 	err := r.runScenario(ctx)
 	if cause := context.Cause(ctx); err != nil && cause != nil {
 		err = cause
@@ -79,7 +80,7 @@
 	if err != nil {
 		r.run.Stopped = err.Error()
 	}
-	r.run.Seconds = time.Since(started).Seconds()
+	r.run.Seconds = time.Since(startedAt).Seconds()
 	r.run.PeakMemoryMB = float64(r.peakKB.Load()) / kbPerMB
 	return r.run, err
 }
@@ -87,21 +88,21 @@
 func newRunner(options Options, cancel context.CancelCauseFunc) *runner {
 	layout := fleet.New(options.File, options.Size)
 	r := &runner{
-		options:          options,
-		layout:           layout,
-		configurations:   &fleet.Configurations{File: options.File, Layout: layout, Seed: options.Seed},
-		group:            process.NewGroup(),
-		cancel:           cancel,
-		endpointWorkerOf: map[string]int{},
-		incarnations:     map[string]worker.Incarnation{},
-		version:          1,
-		excluded:         map[string]bool{},
-		expectedExits:    map[*process.Child]bool{},
+		options:             options,
+		layout:              layout,
+		configurations:      &fleet.Configurations{File: options.File, Layout: layout, Seed: options.Seed},
+		processes:           process.NewGroup(),
+		cancel:              cancel,
+		endpointWorkerIndex: map[string]int{},
+		incarnations:        map[string]worker.Incarnation{},
+		configVersion:       1,
+		excludedFromLoad:    map[string]bool{},
+		expectedExits:       map[*process.Child]bool{},
 		run: &result.Run{
 			Version:         result.Version,
 			StartedAt:       time.Now().UTC(),
 			Commit:          options.Commit,
-			Machine:         machine(),
+			Machine:         describeMachine(),
 			Scenario:        options.Name,
 			Size:            options.Size,
 			Play:            options.Play,
@@ -114,23 +115,23 @@
 	return r
 }
 
-// runScenario starts the fleet, plays the scenario, and stops all that was started.
+// runScenario starts the fleet, plays the scenario, and stops every process that was started.
 func (r *runner) runScenario(ctx context.Context) (err error) {
 	if r.scratch, err = os.MkdirTemp(r.options.ScratchRoot, scratchPattern); err != nil {
 		return err
 	}
 	defer func() { err = errors.Join(err, os.RemoveAll(r.scratch)) }()
-	defer r.stop()
-	monitoring := make(chan struct{})
+	defer r.stopProcesses()
+	monitorDone := make(chan struct{})
 	go func() {
-		defer close(monitoring)
+		defer close(monitorDone)
 		r.monitor(ctx)
 	}()
 	defer func() {
 		r.cancel(nil)
-		<-monitoring
+		<-monitorDone
 	}()
-	if err := r.start(ctx); err != nil {
+	if err := r.startFleet(ctx); err != nil {
 		return err
 	}
 	r.setPhase("settle")
@@ -143,7 +144,8 @@
 	return r.finish(ctx)
 }
 
-// finish records the results of the complete run.
+// finish records the counts at the end of a complete run, and whether the run saturated the machine. It returns an
+// error if a simulated sidecar failed.
 func (r *runner) finish(ctx context.Context) error {
 	r.setPhase("end")
 	simulated, err := r.countSimulated(ctx)
@@ -152,25 +154,25 @@
 	}
 	r.run.End.Simulated = simulated
 	if simulated.Failed > 0 {
-		return fmt.Errorf("%d hollow sidecars failed, the first: %s", simulated.Failed, simulated.FirstFailure)
+		return fmt.Errorf("%d hollow sidecars failed; first failure: %s", simulated.Failed, simulated.FirstFailure)
 	}
 	for _, phase := range r.run.Phases {
-		r.run.Saturated = r.run.Saturated || phase.OutOfDescriptors || phase.MachineCPUShare > result.SaturationThreshold
+		r.run.Saturated = r.run.Saturated || phase.NearDescriptorLimit || phase.MachineCPUShare > result.SaturationThreshold
 	}
 	return nil
 }
 
-// stop stops all processes.
-func (r *runner) stop() {
+// stopProcesses stops all child processes and kills those that have not exited after stopGrace.
+func (r *runner) stopProcesses() {
 	r.setPhase("stop")
 	r.stopping.Store(true)
-	r.group.Stop(stopGrace)
+	r.processes.Stop(stopGrace)
 }
 
-// setPhase sets the phase for the progress line.
-func (r *runner) setPhase(phase string) { r.phase.Store(&phase) }
+// setPhase sets the phase that progress lines name.
+func (r *runner) setPhase(phase string) { r.currentPhase.Store(&phase) }
 
-// pause waits for a duration. It returns the cause of ctx if that is done by then.
+// pause waits for a duration. If ctx is done by the end, pause returns the cause of ctx.
 func pause(ctx context.Context, duration time.Duration) error {
 	system.Sleep(ctx, duration)
 	return context.Cause(ctx)
@@ -179,5 +181,5 @@
 // simulatedCount returns the number of simulated sidecars.
 func (r *runner) simulatedCount() int { return r.options.Size.Sidecars - len(r.real) }
 
-// spec returns the scenario file.
-func (r *runner) spec() *spec.File { return r.options.File }
+// scenarioFile returns the scenario file.
+func (r *runner) scenarioFile() *spec.File { return r.options.File }
--- a/internal/emulator/play/sidecars.go
+++ b/internal/emulator/play/sidecars.go
@@ -13,65 +13,66 @@
 	"oakproxy/internal/emulator/worker"
 )
 
-// prepareSidecars chooses the addresses of real sidecars and the workers of simulated ones, and writes all
+// prepareSidecars chooses the addresses of real sidecars, assigns simulated sidecars to workers, and writes all
 // configuration files.
 func (r *runner) prepareSidecars() error {
-	perWorker := r.spec().Fleet.SimulatedPerWorker
+	perWorker := r.scenarioFile().Fleet.SimulatedPerWorker
 	for _, s := range r.layout.Sidecars {
 		if s.Real {
 			listen, err := freeAddress(len(r.real))
 			if err != nil {
 				return err
 			}
-			r.real = append(r.real, &realSidecar{Sidecar: s, listen: listen, path: r.configPath(s)})
+			r.real = append(r.real, &realSidecar{Sidecar: s, listenAddress: listen, configPath: r.configPath(s)})
 			continue
 		}
-		if last := len(r.simulated) - 1; last < 0 || len(r.simulated[last]) == perWorker {
-			r.simulated = append(r.simulated, nil)
+		if last := len(r.simulatedSidecars) - 1; last < 0 || len(r.simulatedSidecars[last]) == perWorker {
+			r.simulatedSidecars = append(r.simulatedSidecars, nil)
 		}
-		last := len(r.simulated) - 1
-		r.simulated[last] = append(r.simulated[last], s)
+		last := len(r.simulatedSidecars) - 1
+		r.simulatedSidecars[last] = append(r.simulatedSidecars[last], s)
 	}
 	_, err := r.writeConfigs()
 	return err
 }
 
-// startSidecars starts all sidecars evenly over limits.start_spread, scaled by the size of the fleet, and
-// waits until they are ready.
+// startSidecars starts all sidecars and waits until they are ready. The starts are spread evenly over
+// limits.start_spread * sidecars / startSpreadFleetSize.
 func (r *runner) startSidecars(ctx context.Context) error {
 	var err error
-	if r.sidecarWorkers, err = r.startWorkers(worker.SidecarsRole, len(r.simulated)); err != nil {
+	if r.simulatedSidecarWorkers, err = r.startWorkers(worker.SidecarsRole, len(r.simulatedSidecars)); err != nil {
 		return err
 	}
 	var before, after registry.Counts
-	if err := r.registry.Call(ctx, worker.CountRegistry, control.Empty{}, &before); err != nil {
+	if err := r.registryWorker.Call(ctx, worker.CountRegistry, control.Empty{}, &before); err != nil {
 		return err
 	}
-	start := time.Now()
-	duration := r.spec().Limits.StartSpread.Std() * time.Duration(r.options.Size.Sidecars) / largestSize
-	startup, err := r.startSidecarSet(ctx, r.real, r.simulated, duration)
+	startedAt := time.Now()
+	startSpread := r.scenarioFile().Limits.StartSpread.Std() *
+		time.Duration(r.options.Size.Sidecars) / startSpreadFleetSize
+	startup, err := r.startSidecarSet(ctx, r.real, r.simulatedSidecars, startSpread)
 	if err != nil {
 		return err
 	}
-	elapsed := time.Since(start)
-	if err := r.registry.Call(ctx, worker.CountRegistry, control.Empty{}, &after); err != nil {
+	elapsed := time.Since(startedAt)
+	if err := r.registryWorker.Call(ctx, worker.CountRegistry, control.Empty{}, &after); err != nil {
 		return err
 	}
 	r.run.Startup = result.Startup{Seconds: elapsed.Seconds(), RealReady: startup.real, SimulatedReady: startup.simulated,
 		Discovery: after.Since(before)}
 	if startup.simulated.Missing > 0 {
-		return errors.New("not all hollow sidecars are ready within limits.ready")
+		return errors.New("not all hollow sidecars became ready within limits.ready")
 	}
 	return nil
 }
 
-// startupTimes are the times from the sidecars' starts to their being ready.
+// startupTimes are the distributions of the times from a sidecar's start until it is ready.
 type startupTimes struct{ real, simulated result.Distribution }
 
-// startSidecarSet starts real sidecars, and simulated ones by worker, each evenly over a duration, and waits
-// until they are ready.
+// startSidecarSet starts real sidecars and simulated sidecars at the same time, each group evenly over startSpread, and
+// waits until they are ready. byWorker holds the simulated sidecars of each worker.
 func (r *runner) startSidecarSet(
-	ctx context.Context, realSidecars []*realSidecar, byWorker [][]fleet.Sidecar, over time.Duration,
+	ctx context.Context, realSidecars []*realSidecar, byWorker [][]fleet.Sidecar, startSpread time.Duration,
 ) (startupTimes, error) {
 	var times startupTimes
 	var realErr, simulatedErr error
@@ -79,21 +80,22 @@
 	starting.Add(2)
 	go func() {
 		defer starting.Done()
-		times.real, realErr = r.startAllReal(ctx, realSidecars, over)
+		times.real, realErr = r.startRealSidecars(ctx, realSidecars, startSpread)
 	}()
 	go func() {
 		defer starting.Done()
-		times.simulated, simulatedErr = r.startSimulated(ctx, byWorker, over)
+		times.simulated, simulatedErr = r.startSimulatedSidecars(ctx, byWorker, startSpread)
 	}()
 	starting.Wait()
 	return times, errors.Join(realErr, simulatedErr)
 }
 
-// startAllReal starts real sidecars evenly over a duration, and waits until they are ready.
-func (r *runner) startAllReal(
-	ctx context.Context, sidecars []*realSidecar, over time.Duration,
+// startRealSidecars starts real sidecars evenly over startSpread, and waits until they are ready. It returns an error
+// if one is not ready when startSpread + limits.ready has passed.
+func (r *runner) startRealSidecars(
+	ctx context.Context, sidecars []*realSidecar, startSpread time.Duration,
 ) (result.Distribution, error) {
-	ctx, cancel := context.WithTimeout(ctx, over+r.spec().Limits.Ready.Std())
+	ctx, cancel := context.WithTimeout(ctx, startSpread+r.scenarioFile().Limits.ReadyTimeout.Std())
 	defer cancel()
 	times := make([]time.Duration, len(sidecars))
 	failures := make([]error, len(sidecars))
@@ -102,7 +104,7 @@
 		starting.Add(1)
 		go func() {
 			defer starting.Done()
-			times[i], failures[i] = r.startRealAfter(ctx, s, over*time.Duration(i)/time.Duration(len(sidecars)))
+			times[i], failures[i] = r.startRealSidecarAfter(ctx, s, startSpread*time.Duration(i)/time.Duration(len(sidecars)))
 		}()
 	}
 	starting.Wait()
@@ -110,43 +112,46 @@
 	return ready, errors.Join(failures...)
 }
 
-// startRealAfter starts a real sidecar after a delay, and returns how long it took to be ready.
-func (r *runner) startRealAfter(ctx context.Context, s *realSidecar, delay time.Duration) (time.Duration, error) {
+// startRealSidecarAfter starts a real sidecar after a delay, and returns the time from its start until it was ready.
+func (r *runner) startRealSidecarAfter(
+	ctx context.Context, s *realSidecar, delay time.Duration,
+) (time.Duration, error) {
 	if err := pause(ctx, delay); err != nil {
 		return 0, err
 	}
-	if err := r.startReal(s); err != nil {
+	if err := r.startRealSidecar(s); err != nil {
 		return 0, err
 	}
 	return s.awaitReady(ctx)
 }
 
-// startSimulated starts simulated sidecars, given by worker, and waits until they are ready.
-func (r *runner) startSimulated(
-	ctx context.Context, byWorker [][]fleet.Sidecar, over time.Duration,
+// startSimulatedSidecars starts simulated sidecars evenly over startSpread, and waits until they are ready. byWorker
+// holds the sidecars of each worker. Sidecars that are not ready within limits.ready count as missing.
+func (r *runner) startSimulatedSidecars(
+	ctx context.Context, byWorker [][]fleet.Sidecar, startSpread time.Duration,
 ) (result.Distribution, error) {
 	var workers []*workerProcess
-	var starts []worker.Sidecars
-	var awaits []worker.Await
+	var startRequests []worker.Sidecars
+	var awaitRequests []worker.Await
 	count := 0
 	for i, group := range byWorker {
 		if len(group) == 0 {
 			continue
 		}
-		start := worker.Sidecars{Over: over}
-		await := worker.Await{Timeout: r.spec().Limits.Ready.Std()}
+		startRequest := worker.Sidecars{Over: startSpread}
+		awaitRequest := worker.Await{Timeout: r.scenarioFile().Limits.ReadyTimeout.Std()}
 		for _, s := range group {
-			start.Files = append(start.Files, worker.SidecarFile{Name: s.Name, Path: r.configPath(s)})
-			await.Names = append(await.Names, s.Name)
+			startRequest.Files = append(startRequest.Files, worker.SidecarFile{Name: s.Name, Path: r.configPath(s)})
+			awaitRequest.Names = append(awaitRequest.Names, s.Name)
 		}
-		workers = append(workers, r.sidecarWorkers[i])
-		starts, awaits = append(starts, start), append(awaits, await)
+		workers = append(workers, r.simulatedSidecarWorkers[i])
+		startRequests, awaitRequests = append(startRequests, startRequest), append(awaitRequests, awaitRequest)
 		count += len(group)
 	}
-	if _, err := callEach[control.Empty](ctx, workers, worker.StartSidecars, starts); err != nil {
+	if _, err := callEach[control.Empty](ctx, workers, worker.StartSidecars, startRequests); err != nil {
 		return result.Distribution{}, err
 	}
-	ready, err := callEach[worker.Completions](ctx, workers, worker.AwaitReady, awaits)
+	ready, err := callEach[worker.Completions](ctx, workers, worker.AwaitReady, awaitRequests)
 	if err != nil {
 		return result.Distribution{}, err
 	}
--- a/internal/emulator/play/start.go
+++ b/internal/emulator/play/start.go
@@ -7,12 +7,14 @@
 )
 
 const (
-	largestSize     = 860 // sidecars; limits.start_spread is for this size
-	simulatedListen = "127.0.0.1:0"
+	// startSpreadFleetSize is the number of sidecars whose starts are spread over limits.start_spread. The spread is
+	// proportional to the number of sidecars.
+	startSpreadFleetSize   = 860
+	simulatedListenAddress = "127.0.0.1:0" // port 0 lets the system choose the port
 )
 
-// start starts the fleet: discovery, endpoints, then the sidecars.
-func (r *runner) start(ctx context.Context) error {
+// startFleet starts the discovery server, the endpoints, the load generator and then the sidecars.
+func (r *runner) startFleet(ctx context.Context) error {
 	if err := r.startRegistry(ctx); err != nil {
 		return err
 	}
@@ -23,21 +25,22 @@
 		return err
 	}
 	var err error
-	if r.generators, err = r.startWorkers(worker.LoadRole, 1); err != nil {
+	if r.loadWorkers, err = r.startWorkers(worker.LoadRole, 1); err != nil {
 		return err
 	}
 	r.setPhase("sidecars start")
 	return r.startSidecars(ctx)
 }
 
+// startRegistry starts the discovery server in a worker, and sets its address in the sidecars' configurations.
 func (r *runner) startRegistry(ctx context.Context) error {
 	var err error
-	if r.registry, err = r.startWorker(worker.RegistryRole); err != nil {
+	if r.registryWorker, err = r.startWorker(worker.RegistryRole); err != nil {
 		return err
 	}
-	options := r.spec().Registry
+	options := r.scenarioFile().Registry
 	var started worker.RegistryAddress
-	err = r.registry.Call(ctx, worker.StartRegistry, worker.RegistryOptions{
+	err = r.registryWorker.Call(ctx, worker.StartRegistry, worker.RegistryOptions{
 		CallsPerSecond: options.CallsPerSecond,
 		MaxQueueDelay:  options.MaxQueueDelay.Std(),
 		History:        options.History,
--- a/internal/emulator/play/worker.go
+++ b/internal/emulator/play/worker.go
@@ -10,16 +10,16 @@
 	"oakproxy/internal/emulator/worker"
 )
 
-// workerProcess is a worker process and the client for its requests.
+// workerProcess is a worker process and the client that sends requests to it.
 type workerProcess struct {
 	*control.Client
 	child *process.Child
 }
 
-// startWorker starts a worker of a role.
+// startWorker starts a worker process of a role. An unexpected exit of the process ends the run.
 func (r *runner) startWorker(role worker.Role) (*workerProcess, error) {
 	arguments := append(append([]string(nil), r.options.Emulator.Arguments...), string(role))
-	child, err := r.group.Start(process.Program{
+	child, err := r.processes.Start(process.Program{
 		Name:        string(role) + " worker",
 		Path:        r.options.Emulator.Path,
 		Arguments:   arguments,
@@ -29,11 +29,11 @@
 	if err != nil {
 		return nil, err
 	}
-	r.watch(child)
+	r.watchForExit(child)
 	return &workerProcess{control.NewClient(child.Output, child.Input), child}, nil
 }
 
-// startWorkers starts this many workers of a role.
+// startWorkers starts count worker processes of a role.
 func (r *runner) startWorkers(role worker.Role, count int) ([]*workerProcess, error) {
 	workers := make([]*workerProcess, count)
 	for i := range workers {
@@ -45,8 +45,8 @@
 	return workers, nil
 }
 
-// callEach calls several workers concurrently, each with a body of its own. Bodies and responses are in the
-// order of the workers; the error joins all failures.
+// callEach sends a request to several workers concurrently, with a different body for each. Bodies and responses are in
+// the order of the workers; the error joins all failures.
 func callEach[Response, Request any](
 	ctx context.Context, workers []*workerProcess, kind control.Kind, bodies []Request,
 ) ([]Response, error) {
@@ -64,7 +64,7 @@
 	return responses, errors.Join(failures...)
 }
 
-// callAll calls several workers concurrently with the same body.
+// callAll sends a request with the same body to several workers concurrently, as callEach does.
 func callAll[Response, Request any](
 	ctx context.Context, workers []*workerProcess, kind control.Kind, body Request,
 ) ([]Response, error) {
--- a/internal/emulator/play/zone.go
+++ b/internal/emulator/play/zone.go
@@ -10,43 +10,44 @@
 	"oakproxy/internal/emulator/worker"
 )
 
-// failedZone is the zone that fails.
+// failedZone is the number of the zone that fails.
 const failedZone = 0
 
-// zoneMembers are the members of a zone.
+// zoneMembers are the endpoints and sidecars of a zone.
 type zoneMembers struct {
 	endpoints []fleet.Endpoint
-	simulated [][]fleet.Sidecar // by worker
+	simulated [][]fleet.Sidecar // simulated sidecars of each worker, by index in simulatedSidecarWorkers
 	real      []*realSidecar
 }
 
-// playZone makes one zone fail and recover with endpoints that warm up. The zone's real sidecars get no load in any
-// phase, since their applications would have failed as well.
-func playZone(ctx context.Context, r *runner) error {
-	zone := r.membersOf(failedZone)
-	r.exclude(zone)
-	if err := r.measureLoaded(ctx); err != nil {
+// playZoneFailure measures the load alone, then the phase in which a zone is lost, then the phase after it has
+// recovered with endpoints that warm up. The zone's real sidecars get no load in any phase, since their applications
+// would have failed with the zone. Its endpoints get no direct load.
+func playZoneFailure(ctx context.Context, r *runner) error {
+	members := r.zoneMembersOf(failedZone)
+	r.excludeFromLoad(members)
+	if err := r.measureLoadedPhase(ctx); err != nil {
 		return err
 	}
 	scenario := r.options.Scenario
-	err := r.measure(ctx, phasePlan{name: "gone", duration: scenario.Outage.Std(), loaded: true,
-		action: func(ctx context.Context, phase *result.Phase) error { return r.failZone(ctx, phase, zone) }})
+	err := r.measurePhase(ctx, phasePlan{name: "gone", duration: scenario.Outage.Std(), withLoad: true,
+		action: func(ctx context.Context, phase *result.Phase) error { return r.failZone(ctx, phase, members) }})
 	if err != nil {
 		return err
 	}
-	return r.measure(ctx, phasePlan{name: "back", duration: scenario.Recovery.Std(), loaded: true,
-		action: func(ctx context.Context, phase *result.Phase) error { return r.recoverZone(ctx, phase, zone) }})
+	return r.measurePhase(ctx, phasePlan{name: "back", duration: scenario.Recovery.Std(), withLoad: true,
+		action: func(ctx context.Context, phase *result.Phase) error { return r.recoverZone(ctx, phase, members) }})
 }
 
-// membersOf returns the members of a zone.
-func (r *runner) membersOf(zone int) *zoneMembers {
-	members := &zoneMembers{simulated: make([][]fleet.Sidecar, len(r.simulated))}
+// zoneMembersOf returns the endpoints and sidecars of the zone with this number.
+func (r *runner) zoneMembersOf(zone int) *zoneMembers {
+	members := &zoneMembers{simulated: make([][]fleet.Sidecar, len(r.simulatedSidecars))}
 	for _, e := range r.layout.Endpoints {
 		if e.Zone == zone {
 			members.endpoints = append(members.endpoints, e)
 		}
 	}
-	for index, group := range r.simulated {
+	for index, group := range r.simulatedSidecars {
 		for _, s := range group {
 			if s.Zone == zone {
 				members.simulated[index] = append(members.simulated[index], s)
@@ -61,23 +62,24 @@
 	return members
 }
 
-// exclude keeps load from members of a zone that will fail.
-func (r *runner) exclude(members *zoneMembers) {
+// excludeFromLoad excludes the real sidecars of a zone from load, and its endpoints from direct load.
+func (r *runner) excludeFromLoad(members *zoneMembers) {
 	for _, e := range members.endpoints {
-		r.excluded[e.Name] = true
+		r.excludedFromLoad[e.Name] = true
 	}
 	for _, s := range members.real {
-		r.excluded[s.Name] = true
+		r.excludedFromLoad[s.Name] = true
 	}
 }
 
-// failZone disconnects a zone, and removes it from the endpoint list after the detection delay.
+// failZone disconnects the endpoints of a zone, stops its sidecars, and removes the endpoints from discovery's list
+// after the scenario's detection delay.
 func (r *runner) failZone(ctx context.Context, phase *result.Phase, members *zoneMembers) error {
 	if err := r.applyAction(ctx, worker.Disconnect, members.endpoints); err != nil {
 		return err
 	}
 	detectedAt := time.Now().Add(r.options.Scenario.DetectionDelay.Std())
-	if err := r.stopSidecars(ctx, members); err != nil {
+	if err := r.stopZoneSidecars(ctx, members); err != nil {
 		return err
 	}
 	if err := pause(ctx, time.Until(detectedAt)); err != nil {
@@ -90,11 +92,11 @@
 	return r.recordPropagation(ctx, phase, version, "from discovery's word of the loss to its being heard")
 }
 
-// stopSidecars stops the sidecars of a zone: it kills the real ones, and shuts the simulated ones down
-// gracefully, since they share processes with others.
-func (r *runner) stopSidecars(ctx context.Context, members *zoneMembers) error {
+// stopZoneSidecars stops the sidecars of a zone. It kills the real ones, and shuts the simulated ones down gracefully,
+// since they share processes with sidecars of other zones.
+func (r *runner) stopZoneSidecars(ctx context.Context, members *zoneMembers) error {
 	for _, s := range members.real {
-		if err := r.killReal(s); err != nil {
+		if err := r.killRealSidecar(s); err != nil {
 			return err
 		}
 	}
@@ -106,14 +108,15 @@
 		for _, s := range group {
 			names.Names = append(names.Names, s.Name)
 		}
-		if err := r.sidecarWorkers[index].Call(ctx, worker.StopSidecars, names, nil); err != nil {
+		if err := r.simulatedSidecarWorkers[index].Call(ctx, worker.StopSidecars, names, nil); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// recoverZone restarts a zone's endpoints, which warm up, and starts all of its sidecars at the same time.
+// recoverZone restarts the endpoints of a zone, which then warm up, announces them as ready, and starts all sidecars of
+// the zone at the same time.
 func (r *runner) recoverZone(ctx context.Context, phase *result.Phase, members *zoneMembers) error {
 	if err := r.applyAction(ctx, worker.Restart, members.endpoints); err != nil {
 		return err
@@ -134,16 +137,16 @@
 	return nil
 }
 
-// recordPropagation waits until the sidecars have received a version of the endpoint list, and records it as
-// the one event of a phase.
+// recordPropagation waits until the simulated sidecars have received a version of the endpoint list, and records the
+// distribution of the delays under a name. The version counts as the phase's only event.
 func (r *runner) recordPropagation(
-	ctx context.Context, phase *result.Phase, version worker.ListVersion, what string,
+	ctx context.Context, phase *result.Phase, version worker.ListVersion, name string,
 ) error {
 	var received propagation
 	if err := r.awaitList(ctx, version, &received); err != nil {
 		return err
 	}
 	phase.Events = 1
-	phase.Distributions = append(phase.Distributions, received.distribution(what))
+	phase.Distributions = append(phase.Distributions, received.distribution(name))
 	return nil
 }
--- a/internal/emulator/result/counts_test.go
+++ b/internal/emulator/result/counts_test.go
@@ -11,9 +11,9 @@
 )
 
 // setCounters sets every field of type uint64 or time.Duration, those of nested structs included.
-func setCounters(fields reflect.Value, value int) {
-	for i := range fields.NumField() {
-		switch field := fields.Field(i); field.Kind() {
+func setCounters(structValue reflect.Value, value int) {
+	for i := range structValue.NumField() {
+		switch field := structValue.Field(i); field.Kind() {
 		case reflect.Uint64:
 			field.SetUint(uint64(value))
 		case reflect.Int64:
--- a/internal/emulator/result/distribution.go
+++ b/internal/emulator/result/distribution.go
@@ -6,10 +6,10 @@
 )
 
 // NewDistribution summarizes times. Those that are missing from the total count as such.
-func NewDistribution(what string, total int, times []time.Duration) Distribution {
+func NewDistribution(name string, total int, times []time.Duration) Distribution {
 	sorted := slices.Sorted(slices.Values(times))
 	return Distribution{
-		What:     what,
+		Name:     name,
 		Total:    total,
 		Missing:  total - len(sorted),
 		MedianMS: Milliseconds(quantile(sorted, 0.5)),
--- a/internal/emulator/result/fit.go
+++ b/internal/emulator/result/fit.go
@@ -36,7 +36,7 @@
 	RSquared    float64   // coefficient of determination; 1 if all points are on the line
 	Residuals   []float64 // in the order of the points
 	MaxResidual float64   // the largest absolute residual
-	Deviation   float64   // root mean square of the residuals
+	RMSResidual float64   // root mean square of the residuals
 	PlayRange   float64   // largest difference between plays of one size
 }
 
@@ -75,13 +75,13 @@
 // fit returns the least-squares line through points; nil if they are too few.
 func fit(points []Point) *Fit {
 	bySize := valuesBySize(points)
-	enough := 0
+	sizesWithEnoughPlays := 0
 	for _, values := range bySize {
 		if len(values) >= minPlays {
-			enough++
+			sizesWithEnoughPlays++
 		}
 	}
-	if enough < minSizes {
+	if sizesWithEnoughPlays < minSizes {
 		return nil
 	}
 	sizes, values := make([]float64, len(points)), make([]float64, len(points))
@@ -95,7 +95,7 @@
 		f.Residuals = append(f.Residuals, values[i]-f.At(sizes[i]))
 	}
 	f.MaxResidual = floats.Norm(f.Residuals, math.Inf(1))
-	f.Deviation = floats.Norm(f.Residuals, 2) / math.Sqrt(float64(len(points)))
+	f.RMSResidual = floats.Norm(f.Residuals, 2) / math.Sqrt(float64(len(points)))
 	for _, values := range bySize {
 		f.PlayRange = max(f.PlayRange, slices.Max(values)-slices.Min(values))
 	}
--- a/internal/emulator/result/metrics.go
+++ b/internal/emulator/result/metrics.go
@@ -65,12 +65,12 @@
 		if usage.Processes == 0 || usage.Role == Generator {
 			continue
 		}
-		each := perUnit(usage, p.Seconds)
+		unit := perUnit(usage, p.Seconds)
 		metrics = append(metrics,
-			p.metric(each.cpuPercent, "% of a core", "%s, processor time", usage.Role),
-			p.metric(each.residentMB, "MB", "%s, memory", usage.Role),
-			p.metric(each.readBytes, "B/s", "%s, bytes read", usage.Role),
-			p.metric(each.writeBytes, "B/s", "%s, bytes written", usage.Role),
+			p.metric(unit.cpuPercent, "% of a core", "%s, processor time", usage.Role),
+			p.metric(unit.residentMB, "MB", "%s, memory", usage.Role),
+			p.metric(unit.readBytes, "B/s", "%s, bytes read", usage.Role),
+			p.metric(unit.writeBytes, "B/s", "%s, bytes written", usage.Role),
 			p.metric(float64(usage.Descriptors)/max(1, float64(usage.Units)), "", "%s, descriptors", usage.Role))
 	}
 	return metrics
@@ -126,17 +126,17 @@
 		return nil
 	}
 	var metrics []Metric
-	for _, each := range []struct {
+	for _, consumer := range []struct {
 		role     Role
 		requests uint64
 	}{{RealSidecar, p.Proxied.Counts.Served}, {Endpoint, p.Endpoints.Requests}} {
-		usage, baseline := p.Usage(each.role), idle.Usage(each.role)
-		if usage == nil || baseline == nil {
+		usage, idleUsage := p.Usage(consumer.role), idle.Usage(consumer.role)
+		if usage == nil || idleUsage == nil {
 			continue
 		}
-		beyond := usage.CPUSeconds - baseline.CPUSeconds/idle.Seconds*p.Seconds
-		cost := beyond * 1e6 / float64(each.requests)
-		metrics = append(metrics, p.metric(cost, "µs", "%s, processor time of a request", each.role))
+		extraCPUSeconds := usage.CPUSeconds - idleUsage.CPUSeconds/idle.Seconds*p.Seconds
+		cost := extraCPUSeconds * 1e6 / float64(consumer.requests)
+		metrics = append(metrics, p.metric(cost, "µs", "%s, processor time of a request", consumer.role))
 	}
 	return metrics
 }
@@ -148,10 +148,10 @@
 			continue
 		}
 		metrics = append(metrics,
-			p.metric(s.MedianMS, "ms", "%s, median", s.What),
-			p.metric(s.P99MS, "ms", "%s, p99", s.What),
-			p.metric(s.MaxMS, "ms", "%s, last", s.What),
-			p.metric(float64(s.Missing), "", "%s, missing", s.What))
+			p.metric(s.MedianMS, "ms", "%s, median", s.Name),
+			p.metric(s.P99MS, "ms", "%s, p99", s.Name),
+			p.metric(s.MaxMS, "ms", "%s, last", s.Name),
+			p.metric(float64(s.Missing), "", "%s, missing", s.Name))
 	}
 	return metrics
 }
@@ -164,12 +164,12 @@
 	}
 	var metrics []Metric
 	for _, usage := range p.Roles {
-		loaded := baseline.Usage(usage.Role)
-		if loaded == nil || usage.Processes == 0 || usage.Role == Generator {
+		baselineUsage := baseline.Usage(usage.Role)
+		if baselineUsage == nil || usage.Processes == 0 || usage.Role == Generator {
 			continue
 		}
-		beyond := usage.CPUSeconds - loaded.CPUSeconds/baseline.Seconds*p.Seconds
-		cost := beyond * 1000 / float64(p.Events) / max(1, float64(usage.Units))
+		extraCPUSeconds := usage.CPUSeconds - baselineUsage.CPUSeconds/baseline.Seconds*p.Seconds
+		cost := extraCPUSeconds * 1000 / float64(p.Events) / max(1, float64(usage.Units))
 		metrics = append(metrics, p.metric(cost, "ms", "%s, processor time of an event", usage.Role))
 	}
 	return metrics
--- a/internal/emulator/result/plot.go
+++ b/internal/emulator/result/plot.go
@@ -27,8 +27,8 @@
 	lineColour  = color.RGBA{R: 0xc0, G: 0x50, B: 0x1d, A: 0xff}
 )
 
-// DefaultPlotted are the metrics that a plot shows by default. Those that a sweep does not have are omitted.
-var DefaultPlotted = []string{
+// DefaultPlotMetrics are the metrics that a plot shows by default. Those that a sweep does not have are omitted.
+var DefaultPlotMetrics = []string{
 	"rest: hollow sidecar, processor time",
 	"rest: hollow sidecar, memory",
 	"rest: hollow sidecar, bytes read",
@@ -99,8 +99,8 @@
 func drawPanels(path string, panels [][]*plot.Plot) (err error) {
 	canvas := vgsvg.New(panelWidth, panelHeight*vg.Length(len(panels)))
 	tiles := draw.Tiles{Rows: len(panels), Cols: 1, PadY: panelGap}
-	for row, at := range plot.Align(panels, tiles, draw.New(canvas)) {
-		panels[row][0].Draw(at[0])
+	for row, rowCanvases := range plot.Align(panels, tiles, draw.New(canvas)) {
+		panels[row][0].Draw(rowCanvases[0])
 	}
 	file, err := os.Create(path)
 	if err != nil {
--- a/internal/emulator/result/result.go
+++ b/internal/emulator/result/result.go
@@ -66,7 +66,7 @@
 
 // Distribution is a distribution of times that events took to reach sidecars.
 type Distribution struct {
-	What     string  `json:"what,omitempty"`
+	Name     string  `json:"what,omitempty"`
 	Total    int     `json:"of"`      // times that were expected, missing ones included
 	Missing  int     `json:"missing"` // times that exceeded the timeout
 	MedianMS float64 `json:"median_ms"`
@@ -103,21 +103,21 @@
 
 // Phase is a part of a run.
 type Phase struct {
-	Name             string               `json:"name"`
-	Seconds          float64              `json:"seconds"`
-	MachineCPUShare  float64              `json:"machine_cpu_share"` // all processes of the machine included
-	OwnCPUShare      float64              `json:"own_cpu_share"`     // of the machine's, by the run's processes only
-	Roles            []RoleUsage          `json:"roles"`
-	Discovery        registry.Counts      `json:"discovery"` // within the phase, connections as at its end
-	Endpoints        endpoint.Counts      `json:"endpoints"` // the same, over all endpoints
-	Simulated        worker.SidecarCounts `json:"hollow"`    // the same; goroutines as at its end
-	Proxied          *Requests            `json:"through,omitempty"`
-	Direct           *Requests            `json:"direct,omitempty"`
-	Distributions    []Distribution       `json:"spreads,omitempty"`
-	Events           int                  `json:"events,omitempty"` // changes or restarts played
-	ConfigBytes      int64                `json:"handed_out_bytes,omitempty"`
-	OutOfDescriptors bool                 `json:"exhausted,omitempty"` // a process was near its limit of descriptors
-	Notes            []string             `json:"notes,omitempty"`
+	Name                string               `json:"name"`
+	Seconds             float64              `json:"seconds"`
+	MachineCPUShare     float64              `json:"machine_cpu_share"` // all processes of the machine included
+	OwnCPUShare         float64              `json:"own_cpu_share"`     // of the machine's, by the run's processes only
+	Roles               []RoleUsage          `json:"roles"`
+	Discovery           registry.Counts      `json:"discovery"` // within the phase, connections as at its end
+	Endpoints           endpoint.Counts      `json:"endpoints"` // the same, over all endpoints
+	Simulated           worker.SidecarCounts `json:"hollow"`    // the same; goroutines as at its end
+	Proxied             *Requests            `json:"through,omitempty"`
+	Direct              *Requests            `json:"direct,omitempty"`
+	Distributions       []Distribution       `json:"spreads,omitempty"`
+	Events              int                  `json:"events,omitempty"` // changes or restarts played
+	ConfigBytes         int64                `json:"handed_out_bytes,omitempty"`
+	NearDescriptorLimit bool                 `json:"exhausted,omitempty"` // a process was near its limit of descriptors
+	Notes               []string             `json:"notes,omitempty"`
 }
 
 // Requests are the results of a load generator. Latencies are measured from the intended start.
--- a/internal/emulator/result/result_test.go
+++ b/internal/emulator/result/result_test.go
@@ -14,8 +14,8 @@
 
 const startupMetric = "start: time to the last sidecar's being ready"
 
-// runsOf returns the runs of a sweep whose starts take as many seconds as given.
-func runsOf(sizes []int, plays int, seconds func(size, play int) float64) []*Run {
+// sweepRuns returns the runs of a sweep whose starts take as many seconds as given.
+func sweepRuns(sizes []int, plays int, seconds func(size, play int) float64) []*Run {
 	var runs []*Run
 	for play := 1; play <= plays; play++ {
 		for _, size := range sizes {
@@ -44,13 +44,13 @@
 	sizes := []int{10, 20, 40, 80}
 	// At each size one play is above and one below the line, by the same distance.
 	seconds := func(size, play int) float64 { return 3 + 0.5*float64(size) + float64(2*play-3) }
-	runs := runsOf(sizes, 2, seconds)
+	runs := sweepRuns(sizes, 2, seconds)
 	f := startupSeries(t, runs).Fit
 	if f == nil {
 		t.Fatal("got no fit")
 	}
 	if !almostEqual(f.Intercept, 3) || !almostEqual(f.Slope, 0.5) || !almostEqual(f.MaxResidual, 1) ||
-		!almostEqual(f.Deviation, 1) || !almostEqual(f.PlayRange, 2) {
+		!almostEqual(f.RMSResidual, 1) || !almostEqual(f.PlayRange, 2) {
 		t.Errorf("got %+v, want intercept 3, slope 0.5, residual and deviation 1, range 2", f)
 	}
 	if len(f.Residuals) != 8 || f.RSquared < 0.99 || f.RSquared >= 1 {
@@ -60,13 +60,13 @@
 
 func TestTooFewPointsHaveNoFit(t *testing.T) {
 	line := func(size, _ int) float64 { return float64(size) }
-	if startupSeries(t, runsOf([]int{10, 20, 40}, 2, line)).Fit != nil {
+	if startupSeries(t, sweepRuns([]int{10, 20, 40}, 2, line)).Fit != nil {
 		t.Error("three sizes have a fit")
 	}
-	if startupSeries(t, runsOf([]int{10, 20, 40, 80}, 1, line)).Fit != nil {
+	if startupSeries(t, sweepRuns([]int{10, 20, 40, 80}, 1, line)).Fit != nil {
 		t.Error("single plays of each size have a fit")
 	}
-	runs := runsOf([]int{10, 20, 40, 80}, 2, line)
+	runs := sweepRuns([]int{10, 20, 40, 80}, 2, line)
 	runs[0].Saturated, runs[1].Stopped = true, "interrupted"
 	if s := startupSeries(t, runs); s.Fit != nil || len(s.Points) != 6 {
 		t.Errorf("unusable runs count: %+v", s)
@@ -78,7 +78,7 @@
 	for i := 100; i > 0; i-- {
 		times = append(times, time.Duration(i)*time.Millisecond)
 	}
-	want := Distribution{What: "x", Total: 102, Missing: 2, MedianMS: 50, P99MS: 99, MaxMS: 100}
+	want := Distribution{Name: "x", Total: 102, Missing: 2, MedianMS: 50, P99MS: 99, MaxMS: 100}
 	if got := NewDistribution("x", 102, times); got != want {
 		t.Errorf("got %+v, want %+v", got, want)
 	}
@@ -111,7 +111,7 @@
 // storedSweep stores the runs of a sweep in a file and returns its path and the runs that were read from it.
 func storedSweep(t *testing.T) (path string, read []*Run) {
 	t.Helper()
-	runs := runsOf([]int{10, 20, 40, 80}, 2, func(size, _ int) float64 { return float64(size) })
+	runs := sweepRuns([]int{10, 20, 40, 80}, 2, func(size, _ int) float64 { return float64(size) })
 	path = filepath.Join(t.TempDir(), "runs.jsonl")
 	for _, run := range runs {
 		if err := Append(path, run); err != nil {
--- a/internal/emulator/result/summary.go
+++ b/internal/emulator/result/summary.go
@@ -11,7 +11,7 @@
 	table := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	fmt.Fprintf(table, "%s, %d sidecars (%d real), %d endpoints, play %d, commit %s: %.1f s, %.0f MB at most%s\n",
 		run.Scenario, run.Size.Sidecars, run.Size.Real, run.Size.Endpoints, run.Play, run.Commit, run.Seconds,
-		run.PeakMemoryMB, verdict(run))
+		run.PeakMemoryMB, unusableReason(run))
 	fmt.Fprintf(table, "start\t%.2f s; whole lists %d, bytes out %d\n", run.Startup.Seconds,
 		run.Startup.Discovery.CompleteResponses, run.Startup.Discovery.BytesOut)
 	writeDistributions(table, []Distribution{run.Startup.SimulatedReady, run.Startup.RealReady})
@@ -21,16 +21,16 @@
 	return table.Flush()
 }
 
-// verdict returns why a run's results are not usable; empty if they are.
-func verdict(run *Run) string {
-	text := ""
+// unusableReason returns why a run's results are not usable; empty if they are.
+func unusableReason(run *Run) string {
+	reason := ""
 	if run.Saturated {
-		text += "; SATURATED: the figures tell of the machine"
+		reason += "; SATURATED: the figures tell of the machine"
 	}
 	if run.Stopped != "" {
-		text += "; STOPPED: " + run.Stopped
+		reason += "; STOPPED: " + run.Stopped
 	}
-	return text
+	return reason
 }
 
 func writePhase(table io.Writer, phase *Phase) {
@@ -40,11 +40,11 @@
 		if usage.Processes == 0 {
 			continue
 		}
-		per := perUnit(usage, phase.Seconds)
+		unit := perUnit(usage, phase.Seconds)
 		fmt.Fprintf(table, "  %s\t%d in %d processes\t%.3f %% of a core each\t%.1f MB each\t"+
 			"%.0f B/s read, %.0f B/s written each\t%d descriptors\n",
-			usage.Role, usage.Units, usage.Processes, per.cpuPercent, per.residentMB,
-			per.readBytes, per.writeBytes, usage.Descriptors)
+			usage.Role, usage.Units, usage.Processes, unit.cpuPercent, unit.residentMB,
+			unit.readBytes, unit.writeBytes, usage.Descriptors)
 	}
 	d := phase.Discovery
 	fmt.Fprintf(table, "  discovery\t%.1f calls/s\t%d whole, %d changed, %d empty, %d unavailable\t"+
@@ -65,22 +65,22 @@
 	}
 }
 
-func writeRequests(table io.Writer, what string, r *Requests) {
+func writeRequests(table io.Writer, name string, r *Requests) {
 	if r == nil {
 		return
 	}
 	c := r.Counts
 	fmt.Fprintf(table, "  %s\t%.1f/s\tp50 %.2f, p99 %.2f, p99.9 %.2f, max %.1f ms\t"+
 		"served %d, refused %d, failed %d, lost %d, mismatched %d, unsent %d, cancelled %d\n",
-		what, float64(c.Planned)/max(r.Seconds, 1e-9), r.P50MS, r.P99MS, r.P999MS, r.MaxMS, c.Served, c.Rejected, c.Failed,
+		name, float64(c.Planned)/max(r.Seconds, 1e-9), r.P50MS, r.P99MS, r.P999MS, r.MaxMS, c.Served, c.Rejected, c.Failed,
 		c.Lost(), c.Mismatched, c.Unsent, c.Cancelled)
 }
 
-func writeDistributions(table io.Writer, spreads []Distribution) {
-	for _, s := range spreads {
+func writeDistributions(table io.Writer, distributions []Distribution) {
+	for _, s := range distributions {
 		if s.Total > 0 {
 			fmt.Fprintf(table, "  %s\t%d of %d\tmedian %.0f, p99 %.0f, last %.0f ms\n",
-				s.What, s.Total-s.Missing, s.Total, s.MedianMS, s.P99MS, s.MaxMS)
+				s.Name, s.Total-s.Missing, s.Total, s.MedianMS, s.P99MS, s.MaxMS)
 		}
 	}
 }
--- a/internal/emulator/result/table.go
+++ b/internal/emulator/result/table.go
@@ -96,12 +96,12 @@
 
 // formatNumber formats a number with at least three significant digits.
 func formatNumber(v float64) string {
-	switch size := math.Abs(v); {
+	switch magnitude := math.Abs(v); {
 	case math.IsNaN(v):
 		return "-"
-	case size >= 100 || v == 0:
+	case magnitude >= 100 || v == 0:
 		return fmt.Sprintf("%.0f", v)
-	case size >= 1:
+	case magnitude >= 1:
 		return fmt.Sprintf("%.2f", v)
 	}
 	return fmt.Sprintf("%.3g", v)
--- a/internal/emulator/spec/read.go
+++ b/internal/emulator/spec/read.go
@@ -30,8 +30,8 @@
 // Unwrap returns the error that Invalid wrapped with %w, together with its message.
 func (e *InputError) Unwrap() error { return e.err }
 
-// Invalid returns an InputError with a message formatted as by fmt.Errorf, %w included.
-func Invalid(format string, args ...any) error {
+// InputErrorf returns an InputError with a message formatted as by fmt.Errorf, %w included.
+func InputErrorf(format string, args ...any) error {
 	return &InputError{err: fmt.Errorf(format, args...)}
 }
 
@@ -40,13 +40,13 @@
 	var file File
 	meta, err := toml.DecodeFile(path, &file)
 	if err != nil {
-		return nil, Invalid("%s: %s", path, firstLine(err.Error()))
+		return nil, InputErrorf("%s: %s", path, firstLine(err.Error()))
 	}
 	if unknown := meta.Undecoded(); len(unknown) > 0 {
-		return nil, Invalid("%s: unknown key %s", path, unknown[0])
+		return nil, InputErrorf("%s: unknown key %s", path, unknown[0])
 	}
 	if err := file.validate(); err != nil {
-		return nil, Invalid("%s: %w", path, err)
+		return nil, InputErrorf("%s: %w", path, err)
 	}
 	return &file, nil
 }
@@ -63,7 +63,7 @@
 func (f *File) Scenario(name string) (Scenario, error) {
 	scenario, known := f.Scenarios[name]
 	if !known {
-		return Scenario{}, Invalid("unknown scenario %q; known are %s", name, strings.Join(f.Names(), ", "))
+		return Scenario{}, InputErrorf("unknown scenario %q; known are %s", name, strings.Join(f.Names(), ", "))
 	}
 	return scenario, nil
 }
@@ -72,11 +72,11 @@
 func (s Size) Validate() error {
 	switch {
 	case s.Sidecars < 1 || s.Sidecars > maxSidecars:
-		return Invalid("sidecars: %d is out of range, 1 to %d", s.Sidecars, maxSidecars)
+		return InputErrorf("sidecars: %d is out of range, 1 to %d", s.Sidecars, maxSidecars)
 	case s.Endpoints < 1 || s.Endpoints > maxEndpoints:
-		return Invalid("endpoints: %d is out of range, 1 to %d", s.Endpoints, maxEndpoints)
+		return InputErrorf("endpoints: %d is out of range, 1 to %d", s.Endpoints, maxEndpoints)
 	case s.Real < 0 || s.Real > min(maxReal, s.Sidecars):
-		return Invalid("real: %d is out of range, 0 to %d of %d sidecars", s.Real, min(maxReal, s.Sidecars), s.Sidecars)
+		return InputErrorf("real: %d is out of range, 0 to %d of %d sidecars", s.Real, min(maxReal, s.Sidecars), s.Sidecars)
 	}
 	return nil
 }
@@ -117,22 +117,22 @@
 		{"limits.duration", f.Limits.Duration.Std().Seconds(), 1, maxDuration.Seconds()},
 		{"limits.requests", float64(f.Limits.Requests), 1, maxRequests},
 		{"limits.start_spread", f.Limits.StartSpread.Std().Seconds(), 0, maxDuration.Seconds()},
-		{"limits.ready", f.Limits.Ready.Std().Seconds(), 1, maxDuration.Seconds()},
+		{"limits.ready", f.Limits.ReadyTimeout.Std().Seconds(), 1, maxDuration.Seconds()},
 	}
 	if err := validateRanges(ranges); err != nil {
 		return err
 	}
 	for i, class := range f.Load.Classes {
 		if !slices.Contains([]string{Idempotent, IdempotentWithKey, NonIdempotent}, class.Idempotency) {
-			return Invalid("load.classes[%d].repeat: %q is not known", i, class.Idempotency)
+			return InputErrorf("load.classes[%d].repeat: %q is not known", i, class.Idempotency)
 		}
 	}
 	if !slices.Contains([]string{DiscoverySubscribe, DiscoveryAutomatic}, f.Sidecar.Discovery) {
-		return Invalid("sidecar.discovery: %q is not known", f.Sidecar.Discovery)
+		return InputErrorf("sidecar.discovery: %q is not known", f.Sidecar.Discovery)
 	}
 	for _, name := range f.Names() {
 		if err := f.Scenarios[name].validate(); err != nil {
-			return Invalid("scenarios.%s.%w", name, err)
+			return InputErrorf("scenarios.%s.%w", name, err)
 		}
 	}
 	return nil
@@ -142,7 +142,7 @@
 func validateRanges(values []rangedValue) error {
 	for _, v := range values {
 		if !(v.value >= v.min && v.value <= v.max) {
-			return Invalid("%s: %v is out of range, %v to %v", v.key, v.value, v.min, v.max)
+			return InputErrorf("%s: %v is out of range, %v to %v", v.key, v.value, v.min, v.max)
 		}
 	}
 	return nil
@@ -150,30 +150,30 @@
 
 // validate returns an InputError for the first value of a scenario that is not allowed.
 func (s Scenario) validate() error {
-	phases := []rangedValue{
+	phaseRanges := []rangedValue{
 		{"settle", s.Settle.Std().Seconds(), 0, maxDuration.Seconds()},
 		{"rest", s.Idle.Std().Seconds(), 0, maxDuration.Seconds()},
 		{"loaded", s.Loaded.Std().Seconds(), 0, maxDuration.Seconds()},
 	}
-	events := []rangedValue{
+	eventRanges := []rangedValue{
 		{"per_day", float64(s.PerDay), 1, 1e6},
 		{"compression", s.Compression, 1, 1e6},
 		{"events", float64(s.Events), 1, maxEvents},
 		{"burst", float64(s.Burst), 0, maxEvents},
-		{"drain", s.Drain.Std().Seconds(), 0, maxDuration.Seconds()},
+		{"drain", s.DrainDuration.Std().Seconds(), 0, maxDuration.Seconds()},
 	}
-	outage := []rangedValue{
+	outageRanges := []rangedValue{
 		{"notice", s.DetectionDelay.Std().Seconds(), 0, maxDuration.Seconds()},
 		{"gone", s.Outage.Std().Seconds(), 0.1, maxDuration.Seconds()},
 		{"back", s.Recovery.Std().Seconds(), 0.1, maxDuration.Seconds()},
 	}
 	switch s.Kind {
 	case Steady:
-		return validateRanges(phases)
-	case Changes, Replace:
-		return validateRanges(append(phases, events...))
-	case Zone:
-		return validateRanges(append(phases, outage...))
+		return validateRanges(phaseRanges)
+	case ConfigChanges, Replacements:
+		return validateRanges(append(phaseRanges, eventRanges...))
+	case ZoneFailure:
+		return validateRanges(append(phaseRanges, outageRanges...))
 	}
-	return Invalid("kind: %q is not known", s.Kind)
+	return InputErrorf("kind: %q is not known", s.Kind)
 }
--- a/internal/emulator/spec/read_test.go
+++ b/internal/emulator/spec/read_test.go
@@ -16,8 +16,8 @@
 		t.Errorf("scenarios %v, want %v", file.Names(), want)
 	}
 	scenario, err := file.Scenario("changes")
-	if err != nil || scenario.Kind != Changes {
-		t.Fatalf("got scenario %+v, %v, want kind %s", scenario, err, Changes)
+	if err != nil || scenario.Kind != ConfigChanges {
+		t.Fatalf("got scenario %+v, %v, want kind %s", scenario, err, ConfigChanges)
 	}
 	// 1,300 changes a day, 66.5 times as fast, are one each 0.9994 s.
 	if interval := scenario.Interval().Round(time.Millisecond); interval != 999*time.Millisecond {
--- a/internal/emulator/spec/spec.go
+++ b/internal/emulator/spec/spec.go
@@ -94,11 +94,11 @@
 
 // Limits limit every run.
 type Limits struct {
-	MemoryMB    int      `toml:"memory_mb" json:"memory_mb"` // of all processes together
-	Duration    Duration `toml:"duration" json:"duration"`
-	Requests    int      `toml:"requests" json:"requests"`
-	StartSpread Duration `toml:"start_spread" json:"start_spread"` // time over which sidecars start, at the largest size
-	Ready       Duration `toml:"ready" json:"ready"`               // time within which the fleet has to be ready
+	MemoryMB     int      `toml:"memory_mb" json:"memory_mb"` // of all processes together
+	Duration     Duration `toml:"duration" json:"duration"`
+	Requests     int      `toml:"requests" json:"requests"`
+	StartSpread  Duration `toml:"start_spread" json:"start_spread"` // time over which sidecars start, at the largest size
+	ReadyTimeout Duration `toml:"ready" json:"ready"`               // time within which the fleet has to be ready
 }
 
 // Kind is the kind of a scenario.
@@ -106,10 +106,10 @@
 
 // The kinds of scenario.
 const (
-	Steady  Kind = "steady"
-	Changes Kind = "changes"
-	Replace Kind = "replace"
-	Zone    Kind = "zone"
+	Steady        Kind = "steady"
+	ConfigChanges Kind = "changes"
+	Replacements  Kind = "replace"
+	ZoneFailure   Kind = "zone"
 )
 
 // Scenario is a scenario of the file. Which values it needs depends on its kind.
@@ -125,7 +125,7 @@
 	Events      int     `toml:"events" json:"events,omitempty"`           // number of events to play
 	Burst       int     `toml:"burst" json:"burst,omitempty"`             // number of changes in the burst after them
 
-	Drain          Duration `toml:"drain" json:"drain,omitempty"`   // from the announcement of a restart to it
+	DrainDuration  Duration `toml:"drain" json:"drain,omitempty"`   // from the announcement of a restart to it
 	DetectionDelay Duration `toml:"notice" json:"notice,omitempty"` // from a zone's failure to its removal
 	Outage         Duration `toml:"gone" json:"gone,omitempty"`     // duration of a zone's failure
 	Recovery       Duration `toml:"back" json:"back,omitempty"`     // time that is measured from its recovery
--- a/internal/emulator/worker/registry.go
+++ b/internal/emulator/worker/registry.go
@@ -34,7 +34,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.server != nil {
-		return RegistryAddress{}, spec.Invalid("registry: already started")
+		return RegistryAddress{}, spec.InputErrorf("registry: already started")
 	}
 	s.scratch = options.Scratch
 	s.server = registry.New(registry.Options{
--- a/internal/emulator/worker/worker.go
+++ b/internal/emulator/worker/worker.go
@@ -37,7 +37,7 @@
 	case LoadRole:
 		return &loadService{}, nil
 	}
-	return nil, spec.Invalid("unknown role %q", role)
+	return nil, spec.InputErrorf("unknown role %q", role)
 }
 
 // matchesName says whether name is among names. No names match every name.
