--- a/cmd/emulator/commands.go
+++ b/cmd/emulator/commands.go
@@ -23,19 +23,19 @@
 	defaultReal     = 8
 	defaultSeed     = 1
 	unknownCommit   = "unknown"
-	modifiedSuffix  = "+" // suffix of the commit of a modified work tree
+	modifiedSuffix  = "+" // suffix of the commit if the work tree is modified
 )
 
-// rootCommand is the root of the command line.
+// rootCommand is the program's root command.
 type rootCommand struct {
 	*cobra.Command
-	parsed bool // the arguments have been parsed without error
+	parsed bool // whether the arguments have been parsed without an error
 }
 
 func newRootCommand() *rootCommand {
 	root := &rootCommand{Command: &cobra.Command{
 		Use:           "emulator",
-		Short:         "Plays a fleet of sidecars and endpoints on this machine and reports what each role spends",
+		Short:         "Run a fleet of sidecars and endpoints on this machine and report the resource usage of each role",
 		SilenceUsage:  true,
 		SilenceErrors: true,
 	}}
@@ -58,15 +58,16 @@
 func (c *commonFlags) register(command *cobra.Command) {
 	flags := command.Flags()
 	flags.StringVar(&c.file, "file", defaultFile, "scenario file")
-	flags.StringVar(&c.scenario, "scenario", "steady", "name of the scenario")
+	flags.StringVar(&c.scenario, "scenario", "steady", "name of the scenario to play")
 	flags.StringVar(&c.sidecar, "sidecar", "",
-		"program of a real sidecar (default: "+sidecarProgram+" beside this program)")
-	flags.StringVar(&c.out, "out", "", "result file that runs are added to, as JSON lines")
-	flags.StringVar(&c.commit, "commit", "", "commit that the results name (default: that of the work tree)")
+		"path of the sidecar program (default: "+sidecarProgram+" in the directory of this program)")
+	flags.StringVar(&c.out, "out", "", "result file to which each run is appended as a line of JSON (default: none)")
+	flags.StringVar(&c.commit, "commit", "", "commit to record in the results (default: the commit of the work tree)")
 	flags.Uint64Var(&c.seed, "seed", defaultSeed, "seed of all random choices")
 }
 
-// options reads the scenario file and locates the programs.
+// options reads the scenario file, determines the paths of the programs and the commit, and returns the options of a
+// run. The caller sets the size and the number of the play.
 func (c *commonFlags) options() (play.Options, error) {
 	file, err := spec.Read(c.file)
 	if err != nil {
@@ -100,7 +101,8 @@
 	}, nil
 }
 
-// workTreeCommit returns the commit of the work tree, with a suffix if that is modified.
+// workTreeCommit returns the short commit hash of the work tree, with modifiedSuffix if tracked files are modified or
+// their state is unknown. It returns unknownCommit if git reports no commit.
 func workTreeCommit() string {
 	head, err := exec.Command("git", "rev-parse", "--short", "HEAD").Output()
 	if err != nil {
@@ -118,7 +120,7 @@
 	var path string
 	command := &cobra.Command{
 		Use:   "list",
-		Short: "List the scenarios",
+		Short: "List the scenarios of the scenario file with their descriptions",
 		Args:  cobra.NoArgs,
 		RunE: func(*cobra.Command, []string) error {
 			file, err := spec.Read(path)
@@ -136,7 +138,7 @@
 	return command
 }
 
-// newWorkerCommand returns the hidden command by which the emulator starts its workers.
+// newWorkerCommand returns the hidden command that the emulator runs to start a worker process.
 func newWorkerCommand() *cobra.Command {
 	return &cobra.Command{
 		Use:    workerCommand + " ROLE",
--- a/cmd/emulator/harness_test.go
+++ b/cmd/emulator/harness_test.go
@@ -15,6 +15,7 @@
 	"oakproxy/internal/emulator/result"
 )
 
+// TestMain runs the program instead of the tests if runVariable is set in the environment.
 func TestMain(m *testing.M) {
 	if os.Getenv(runVariable) != "" {
 		main()
@@ -22,7 +23,7 @@
 	os.Exit(m.Run())
 }
 
-// sidecarPath builds the sidecar's program, once for all tests.
+// sidecarPath builds the sidecar program once for all tests, and returns its path.
 var sidecarPath = sync.OnceValues(func() (string, error) {
 	directory, err := os.MkdirTemp("", "emulator-test-*")
 	if err != nil {
@@ -36,13 +37,14 @@
 	return path, nil
 })
 
-// emulator is a run of the program with a directory of its own for temporary files.
+// emulator is one process of the program, with a directory of its own for temporary files.
 type emulator struct {
 	*exec.Cmd
 	scratch        string
 	stdout, stderr bytes.Buffer
 }
 
+// newEmulator returns a process of the program that has not been started yet.
 func newEmulator(t *testing.T, arguments ...string) *emulator {
 	t.Helper()
 	e := &emulator{Cmd: exec.Command(os.Args[0], arguments...), scratch: t.TempDir()}
@@ -51,7 +53,7 @@
 	return e
 }
 
-// newRun returns a run of a scenario at a small size.
+// newRun returns a process, not started yet, that plays a scenario at a small size.
 func newRun(t *testing.T, scenario string, extraArguments ...string) *emulator {
 	t.Helper()
 	sidecar, err := sidecarPath()
@@ -63,7 +65,8 @@
 	return newEmulator(t, append(arguments, extraArguments...)...)
 }
 
-// processes counts the processes that have this run's directory in their environment.
+// processes returns the number of processes that belong to this emulator, itself included. They have its temporary
+// directory in their environment.
 func (e *emulator) processes() int {
 	count := 0
 	paths, _ := filepath.Glob("/proc/[0-9]*/environ")
@@ -76,7 +79,7 @@
 	return count
 }
 
-// checkExitCode checks the exit code of a program that ended with an error.
+// checkExitCode checks the exit code of a program that returned this error.
 func checkExitCode(t *testing.T, err error, want int) {
 	t.Helper()
 	var exit *exec.ExitError
@@ -85,18 +88,19 @@
 	}
 }
 
-// checkNothingRemains checks that no process and no file of the run remain.
+// checkNothingRemains checks that no process and no temporary file of the emulator remain.
 func (e *emulator) checkNothingRemains(t *testing.T) {
 	t.Helper()
 	if n := e.processes(); n > 0 {
-		t.Errorf("%d processes remain", n)
+		t.Errorf("%d processes remain, want none", n)
 	}
 	files, err := os.ReadDir(e.scratch)
 	if err != nil || len(files) > 0 {
-		t.Errorf("files remain: %v, %v", files, err)
+		t.Errorf("temporary files %v remain, error %v, want none", files, err)
 	}
 }
 
+// await waits until a condition is met. It fails the test after awaitTimeout.
 func await(t *testing.T, what string, condition func() bool) {
 	t.Helper()
 	for deadline := time.Now().Add(awaitTimeout); !condition(); time.Sleep(5 * time.Millisecond) {
@@ -106,51 +110,53 @@
 	}
 }
 
-// playOnce plays a scenario to its end and returns what it measured.
+// playOnce plays a scenario to its end and returns the results.
 func playOnce(t *testing.T, scenario string) *result.Run {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "runs.jsonl")
 	e := newRun(t, scenario, "--out", path)
 	if err := e.Run(); err != nil {
-		t.Fatalf("%v, stderr %q", err, e.stderr.String())
+		t.Fatalf("got error %v, stderr %q, want success", err, e.stderr.String())
 	}
 	e.checkNothingRemains(t)
 	if !strings.Contains(e.stdout.String(), "phase "+loadedPhase) {
-		t.Errorf("the summary lacks the loaded phase: %q", e.stdout.String())
+		t.Errorf("the loaded phase is missing in the summary %q", e.stdout.String())
 	}
 	runs, err := result.Read(path)
 	if err != nil || len(runs) != 1 {
-		t.Fatalf("read %d runs, %v, want 1", len(runs), err)
+		t.Fatalf("read %d runs, error %v, want 1 run", len(runs), err)
 	}
 	return runs[0]
 }
 
-// checkPhase checks what holds for every phase, also on a busy machine.
+// checkPhase checks the properties that every phase has, even on a busy machine.
 func checkPhase(t *testing.T, phase *result.Phase) {
 	t.Helper()
 	if phase.Proxied != nil && phase.Proxied.Counts.Served == 0 {
-		t.Errorf("%s: no request was served, counts %+v", phase.Name, phase.Proxied.Counts)
+		t.Errorf("phase %s: no request was served, counts %+v", phase.Name, phase.Proxied.Counts)
 	}
 	if phase.Proxied == nil && phase.Name != "rest" {
-		t.Errorf("%s: no requests were sent", phase.Name)
+		t.Errorf("phase %s: no requests were sent", phase.Name)
 	}
 	if phase.Endpoints.Duplicates > phase.Endpoints.Requests/2 {
-		t.Errorf("%s: %d of %d requests are duplicates", phase.Name, phase.Endpoints.Duplicates, phase.Endpoints.Requests)
+		t.Errorf("phase %s: %d of %d requests are duplicates, want at most half",
+			phase.Name, phase.Endpoints.Duplicates, phase.Endpoints.Requests)
 	}
 	for _, role := range []result.Role{result.RealSidecar, result.SimulatedSidecar, result.Endpoint, result.Discovery} {
 		usage := phase.Usage(role)
 		if usage == nil || usage.Processes == 0 || usage.ResidentMB <= 0 || usage.Descriptors <= 0 {
-			t.Errorf("%s: usage of %s is incomplete: %+v", phase.Name, role, usage)
+			t.Errorf("phase %s: usage of role %s is missing or incomplete: %+v", phase.Name, role, usage)
 		}
 	}
 	for _, distribution := range phase.Distributions {
 		if distribution.Total == 0 || distribution.Missing > 0 {
-			t.Errorf("%s: distribution is incomplete: %+v", phase.Name, distribution)
+			t.Errorf("phase %s: distribution %+v has no or missing times", phase.Name, distribution)
 		}
 	}
 }
 
-// changedFile writes the small scenario file with one change.
+// changedFile writes a copy of the small scenario file in which the first occurrence of old is replaced. It returns the
+// copy's path.
 func changedFile(t *testing.T, old, replacement string) string {
 	t.Helper()
 	text, err := os.ReadFile(smallScenarioFile)
@@ -158,7 +164,7 @@
 		t.Fatal(err)
 	}
 	if !strings.Contains(string(text), old) {
-		t.Fatalf("%q is not in the file", old)
+		t.Fatalf("%q does not occur in %s", old, smallScenarioFile)
 	}
 	path := filepath.Join(t.TempDir(), "changed.toml")
 	if err := os.WriteFile(path, []byte(strings.Replace(string(text), old, replacement, 1)), 0o600); err != nil {
@@ -167,7 +173,7 @@
 	return path
 }
 
-// startRun starts a long run and waits until its sidecars run.
+// startRun starts a run of the steady scenario and waits until its real sidecars and workers run.
 func startRun(t *testing.T) *emulator {
 	t.Helper()
 	e := newRun(t, "steady")
@@ -175,7 +181,9 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { e.Process.Kill() })
-	const children = 2 + 3 + 3 + 1 // real sidecars, and workers for endpoints, simulated sidecars and discovery
+	// The children are 2 real sidecars, 3 workers with endpoints, 3 workers with simulated sidecars, and the discovery
+	// server. The load generator may not run yet.
+	const children = 2 + 3 + 3 + 1
 	await(t, "all child processes", func() bool { return e.processes() > children })
 	return e
 }
--- a/cmd/emulator/main.go
+++ b/cmd/emulator/main.go
@@ -1,7 +1,7 @@
-// Command emulator plays a fleet of sidecars and endpoints on the loopback interface of this machine and reports the
-// resource usage of each role.
+// Command emulator runs a fleet of sidecars and endpoints on the loopback interface of this machine and reports the
+// resource usage of each role, such as sidecars, endpoints and discovery.
 //
-// It exits with 1 when a run fails or is interrupted, and with 2 on bad input, before anything is started.
+// It exits with 1 if a run fails or is interrupted. It exits with 2 on invalid input, before it starts a process.
 package main
 
 import (
@@ -22,7 +22,7 @@
 	exitBadInput = 2
 )
 
-// errInterrupted is the cause of a run that ended by a signal.
+// errInterrupted is the cause of a run's end by a signal.
 var errInterrupted = errors.New("interrupted")
 
 func main() {
@@ -36,7 +36,7 @@
 	os.Exit(execute(ctx, os.Args[1:]))
 }
 
-// execute executes the command line and returns the exit code.
+// execute runs the command with these arguments, prints an error as one line and returns the exit code.
 func execute(ctx context.Context, arguments []string) int {
 	command := newRootCommand()
 	command.SetArgs(arguments)
--- a/cmd/emulator/main_test.go
+++ b/cmd/emulator/main_test.go
@@ -8,14 +8,14 @@
 )
 
 const (
-	runVariable       = "EMULATOR_TEST_RUN" // makes the test binary the program
+	runVariable       = "EMULATOR_TEST_RUN" // environment variable that makes the test binary run as the program
 	smallScenarioFile = "testdata/small.toml"
 	awaitTimeout      = 60 * time.Second
 )
 
 const loadedPhase = "loaded"
 
-// Invalid input is named in one line on stderr; the exit code is 2, and nothing is started.
+// The program names invalid input in one line on stderr, exits with code 2, and starts no process.
 func TestInvalidInputExitsWithCode2(t *testing.T) {
 	changed := func(old, replacement string) string { return changedFile(t, old, replacement) }
 	for name, test := range map[string]struct {
@@ -58,7 +58,7 @@
 	}
 	packages := strings.Fields(string(output))
 	if len(packages) < 4 {
-		t.Errorf("got only %v", packages)
+		t.Errorf("got %d packages %v, want at least 4", len(packages), packages)
 	}
 	for _, path := range packages {
 		if !strings.HasPrefix(path, "oakproxy/") || strings.HasPrefix(path, "oakproxy/internal/emulator") {
--- a/cmd/emulator/report.go
+++ b/cmd/emulator/report.go
@@ -11,9 +11,9 @@
 	"oakproxy/internal/emulator/spec"
 )
 
-const defaultMetricsNote = "(a choice for each scenario)"
+const defaultMetricsNote = "(default: a selection for each scenario)"
 
-// outputFlags are the flags for a sweep's table and plot.
+// outputFlags are the flags of the commands that write a table and a plot.
 type outputFlags struct {
 	table   string
 	plot    string
@@ -23,13 +23,13 @@
 // register adds the flags to a command.
 func (o *outputFlags) register(command *cobra.Command) {
 	flags := command.Flags()
-	flags.StringVar(&o.table, "table", "", "file for the Markdown table (default: standard output)")
-	flags.StringVar(&o.plot, "plot", "", "file for the SVG plot (default: none)")
+	flags.StringVar(&o.table, "table", "", "file to which the Markdown table is written (default: standard output)")
+	flags.StringVar(&o.plot, "plot", "", "file to which the SVG plot is written (default: none)")
 	flags.StringArrayVar(&o.metrics, "metric", nil,
-		"metric to plot, as the table names it; may be repeated "+defaultMetricsNote)
+		"metric to plot, by its name in the table; may be repeated "+defaultMetricsNote)
 }
 
-// writeFiles writes the table and the plot.
+// writeFiles writes the table, and the plot if there is a file for it.
 func (o *outputFlags) writeFiles(runs []*result.Run) error {
 	if err := o.writeTable(runs); err != nil {
 		return err
@@ -40,6 +40,7 @@
 	return o.writePlot(runs)
 }
 
+// writeTable writes the table to its file or to standard output.
 func (o *outputFlags) writeTable(runs []*result.Run) error {
 	table := os.Stdout
 	if o.table != "" {
@@ -53,6 +54,7 @@
 	return result.WriteTable(table, runs)
 }
 
+// writePlot writes the plot. If no run has any of the default metrics, it only prints a message.
 func (o *outputFlags) writePlot(runs []*result.Run) error {
 	metrics := o.metrics
 	if len(metrics) == 0 {
@@ -60,7 +62,7 @@
 	}
 	err := result.WritePlot(o.plot, runs, metrics)
 	if errors.Is(err, result.ErrNothingToPlot) && len(o.metrics) == 0 {
-		fmt.Fprintln(os.Stderr, err) // all runs may have been omitted: the table says so
+		fmt.Fprintln(os.Stderr, err) // not an error: no run may be usable, which the table shows
 		return nil
 	}
 	return err
@@ -70,7 +72,7 @@
 	var o outputFlags
 	command := &cobra.Command{
 		Use:   "report FILE...",
-		Short: "Make the table and the plot of result files again",
+		Short: "Write the table and the plot of the runs in result files",
 		Args:  cobra.MinimumNArgs(1),
 		RunE: func(_ *cobra.Command, paths []string) error {
 			var runs []*result.Run
@@ -82,7 +84,7 @@
 				runs = append(runs, fileRuns...)
 			}
 			if len(runs) == 0 {
-				return spec.InputErrorf("%s: no runs", fmt.Sprint(paths))
+				return spec.InputErrorf("%s: the result files contain no runs", fmt.Sprint(paths))
 			}
 			return o.writeFiles(runs)
 		},
--- a/cmd/emulator/run.go
+++ b/cmd/emulator/run.go
@@ -33,13 +33,14 @@
 	}
 	c.register(command)
 	flags := command.Flags()
-	flags.IntVar(&size.Sidecars, "sidecars", defaultSidecars, "number of sidecars, real ones included")
+	flags.IntVar(&size.Sidecars, "sidecars", defaultSidecars, "number of sidecars, including real ones")
 	flags.IntVar(&size.Endpoints, "endpoints", 0, "number of endpoints (default: as many as sidecars)")
-	flags.IntVar(&size.Real, "real", defaultReal, "number of sidecars with a process of their own")
+	flags.IntVar(&size.Real, "real", defaultReal, "number of real sidecars, which have a process of their own")
 	return command
 }
 
-// record prints a run and appends it to the result file. A nil run has nothing to record.
+// record prints the summary of a run and appends the run to the result file, if one is set. It does nothing for a nil
+// run.
 func (c *commonFlags) record(run *result.Run) error {
 	if run == nil {
 		return nil
--- a/cmd/emulator/sweep.go
+++ b/cmd/emulator/sweep.go
@@ -15,38 +15,40 @@
 const (
 	defaultPlays = 2
 	maxPlays     = 20
-	sweepPause   = 2 * time.Second // for the system to settle after a run
+	sweepPause   = 2 * time.Second // time for the system to settle after a run
 )
 
+// defaultSizes are the default numbers of sidecars of a sweep.
 var defaultSizes = []int{54, 108, 215, 430, 860}
 
-// sweep is the command that plays a scenario at several sizes.
+// sweep holds the flags of the command that plays a scenario at several sizes.
 type sweep struct {
 	commonFlags
 	outputFlags
-	sizes []int
-	plays int
-	real  int
+	sizes []int // numbers of sidecars
+	plays int   // number of plays of each size
+	real  int   // number of real sidecars at each size
 }
 
 func newSweepCommand() *cobra.Command {
 	var s sweep
 	command := &cobra.Command{
 		Use:   "sweep",
-		Short: "Play a scenario at several sizes, several times each, and fit lines",
+		Short: "Play a scenario several times at each of several sizes, and fit a line to each metric",
 		Args:  cobra.NoArgs,
 		RunE:  func(command *cobra.Command, _ []string) error { return s.run(command.Context()) },
 	}
 	s.commonFlags.register(command)
 	s.outputFlags.register(command)
 	flags := command.Flags()
-	flags.IntSliceVar(&s.sizes, "sizes", defaultSizes, "numbers of sidecars, with as many endpoints")
-	flags.IntVar(&s.plays, "plays", defaultPlays, "plays of each size")
-	flags.IntVar(&s.real, "real", defaultReal, "number of sidecars with a process of their own")
+	flags.IntSliceVar(&s.sizes, "sizes", defaultSizes, "numbers of sidecars, each with the same number of endpoints")
+	flags.IntVar(&s.plays, "plays", defaultPlays, "number of plays of each size")
+	flags.IntVar(&s.real, "real", defaultReal, "number of real sidecars, which have a process of their own")
 	return command
 }
 
-// run plays all sizes in order, and repeats that for each play.
+// run plays the scenario at all sizes in order, repeats this for each play, and writes the table and the plot. The seed
+// increases by 1 from play to play.
 func (s *sweep) run(ctx context.Context) error {
 	options, err := s.options()
 	if err != nil {
@@ -72,18 +74,18 @@
 	return s.writeFiles(runs)
 }
 
-// fleetSize returns the fleetSize of a fleet with as many endpoints as sidecars.
+// fleetSize returns the size of a fleet with as many endpoints as sidecars.
 func (s *sweep) fleetSize(sidecars int) spec.Size {
 	return spec.Size{Sidecars: sidecars, Endpoints: sidecars, Real: s.real}
 }
 
-// validate returns an error for bad input, before the first play.
+// validate returns an error if the number of plays or one of the sizes is invalid. It is called before the first play.
 func (s *sweep) validate(options play.Options) error {
 	if s.plays < 1 || s.plays > maxPlays {
 		return spec.InputErrorf("plays: %d is out of range, 1 to %d", s.plays, maxPlays)
 	}
 	if len(s.sizes) == 0 {
-		return spec.InputErrorf("sizes: none given")
+		return spec.InputErrorf("sizes: at least one size is required")
 	}
 	for _, size := range s.sizes {
 		options.Size = s.fleetSize(size)
--- a/cmd/emulator/termination_test.go
+++ b/cmd/emulator/termination_test.go
@@ -9,7 +9,7 @@
 	"oakproxy/internal/emulator/result"
 )
 
-// A run that exceeds a limit ends by itself, names the limit, and records what it measured.
+// A run that exceeds a limit ends early, names the limit, and records the results measured by then.
 func TestExceededLimitsEndTheRun(t *testing.T) {
 	for name, test := range map[string]struct{ old, replacement, want string }{
 		"memory":   {"memory_mb = 2048", "memory_mb = 64", "limits.memory_mb"},
@@ -25,7 +25,7 @@
 			e.checkNothingRemains(t)
 			runs, err := result.Read(out)
 			if err != nil || len(runs) != 1 || !strings.Contains(runs[0].Stopped, test.want) || runs[0].Usable() {
-				t.Errorf("recorded %d runs, %v, want one that is unusable and names the limit", len(runs), err)
+				t.Errorf("read %d runs, error %v, want one run that is unusable and names the limit", len(runs), err)
 			}
 		})
 	}
--- a/internal/emulator/fleet/config.go
+++ b/internal/emulator/fleet/config.go
@@ -7,11 +7,11 @@
 	"oakproxy/internal/emulator/spec"
 )
 
-// baseQuotaRate is the quota of a tenant for each sidecar, in requests a second. Each version of a configuration
-// raises the first tenant's quota by one, so that versions differ.
+// baseQuotaRate is a tenant's quota per sidecar of the fleet, in requests per second. Each new version of the
+// configuration raises the quota of the first tenant by 1 request per second, so that versions differ.
 const baseQuotaRate = 1000
 
-// Configuration is a sidecar's configuration file.
+// Configuration is the content of a sidecar's configuration file, which package config parses.
 type Configuration struct {
 	Name      string   `json:"name"`
 	Listen    string   `json:"listen"`
@@ -21,13 +21,15 @@
 	Settings  settings `json:"settings"`
 }
 
+// limits are the resource limits of a sidecar's process.
 type limits struct {
 	Cores    float64 `json:"cores"`
 	MemoryMB int     `json:"memory_mb"`
 	Sockets  int     `json:"sockets"`
 }
 
-// settings are the balancer's settings. Durations are in microseconds.
+// settings are the balancer's settings in a configuration file. Durations, here and in the types of the fields, are in
+// microseconds.
 type settings struct {
 	Zones        []string          `json:"areas"`
 	MachineKinds []string          `json:"skus"`
@@ -104,7 +106,7 @@
 	Fields []string `json:"fields"`
 }
 
-// Settings that no scenario varies. Durations are in microseconds.
+// Settings that are the same in all scenarios. Durations are in microseconds.
 const (
 	answerGrace         = 50_000
 	overloadFactor      = 3
@@ -116,15 +118,16 @@
 	lateFailurePrice    = 0.05
 )
 
-// Configurations encodes the configurations of a fleet's sidecars.
+// Configurations encodes the configuration files of the sidecars of a fleet.
 type Configurations struct {
 	File      *spec.File
 	Layout    *Layout
-	Discovery string // the registry's address
-	Seed      uint64
+	Discovery string // address of the discovery server
+	Seed      uint64 // seed of the sidecar at position 0; the one at position p gets Seed+p
 }
 
-// Encode returns a version of a sidecar's configuration file. Versions count from 1.
+// Encode returns the content of a sidecar's configuration file in the given version, counted from 1. The sidecar is to
+// listen on the address listen.
 func (c *Configurations) Encode(s Sidecar, listen string, version int) ([]byte, error) {
 	options := c.File.Sidecar
 	return json.Marshal(Configuration{
@@ -137,6 +140,7 @@
 	})
 }
 
+// settings returns the balancer's settings of a sidecar in the given version.
 func (c *Configurations) settings(s Sidecar, version int) settings {
 	options := c.File.Sidecar
 	return settings{
@@ -181,6 +185,7 @@
 	}
 }
 
+// classes returns the settings of the request classes.
 func (c *Configurations) classes() []classSettings {
 	var classes []classSettings
 	for _, class := range c.File.Load.Classes {
@@ -208,6 +213,7 @@
 	return names
 }
 
+// tenants returns the settings of the tenants in the given version.
 func (c *Configurations) tenants(version int) []tenantSettings {
 	var tenants []tenantSettings
 	for _, name := range c.Tenants() {
--- a/internal/emulator/fleet/fleet_test.go
+++ b/internal/emulator/fleet/fleet_test.go
@@ -7,6 +7,7 @@
 	"oakproxy/internal/emulator/spec"
 )
 
+// readShippedFile returns the scenario file that is part of the project.
 func readShippedFile(t *testing.T) *spec.File {
 	t.Helper()
 	file, err := spec.Read("../../../deploy/emulator.toml")
@@ -24,11 +25,12 @@
 		zones[e.Zone]++
 	}
 	if len(l.Zones) != 6 || len(names) != 860 || len(addresses) != 860 {
-		t.Errorf("%d zones, %d names, %d addresses, want 6, 860, 860", len(l.Zones), len(names), len(addresses))
+		t.Errorf("got %d zones, %d distinct names, %d distinct addresses, want 6, 860, 860",
+			len(l.Zones), len(names), len(addresses))
 	}
 	for zone, count := range zones {
 		if count < 143 || count > 144 {
-			t.Errorf("%d endpoints in zone %d, want 143 or 144", count, zone)
+			t.Errorf("got %d endpoints in zone %d, want 143 or 144", count, zone)
 		}
 	}
 	realZones := map[int]bool{}
@@ -40,11 +42,11 @@
 		}
 	}
 	if realCount != 16 || len(realZones) != 6 {
-		t.Errorf("%d real sidecars in %d zones, want 16 in 6", realCount, len(realZones))
+		t.Errorf("got %d real sidecars in %d zones, want 16 in 6", realCount, len(realZones))
 	}
 }
 
-// A sidecar can parse the configurations, and their hashes differ by version only.
+// A sidecar can parse the configuration files. Their hashes are equal for all sidecars, and differ between versions.
 func TestConfigurationsParseAndDifferByVersion(t *testing.T) {
 	file := readShippedFile(t)
 	layout := New(file, spec.Size{Sidecars: 12, Endpoints: 12})
@@ -64,12 +66,13 @@
 	s := base.Settings
 	if s.Balancers != 12 || !s.SubscribeToDiscovery || !s.Limits.Probes || len(s.Classes) != 3 ||
 		len(s.Tenants) != 4 || len(s.ReportFields) != 1 {
-		t.Errorf("settings %+v", s)
+		t.Errorf("got settings %+v, want 12 balancers, a subscription to discovery, probes, 3 classes, 4 tenants "+
+			"and 1 report field", s)
 	}
 	if base.Hash() != otherSidecar.Hash() {
-		t.Error("two sidecars have configurations with different hashes")
+		t.Errorf("got hashes %v and %v for two sidecars, want equal hashes", base.Hash(), otherSidecar.Hash())
 	}
 	if base.Hash() == nextVersion.Hash() {
-		t.Error("two versions have the same hash")
+		t.Errorf("got hash %v for two versions, want different hashes", base.Hash())
 	}
 }
--- a/internal/emulator/fleet/layout.go
+++ b/internal/emulator/fleet/layout.go
@@ -1,6 +1,7 @@
-// Package fleet lays a fleet out over services, zones and regions, and encodes the configuration of each sidecar.
+// Package fleet assigns the endpoints and sidecars of a fleet to services, zones and regions, and encodes the
+// configuration file of each sidecar.
 //
-// A layout depends only on the scenario file and the size; nothing in it is random. The package starts nothing
+// A layout depends only on the scenario file and the size; nothing in it is random. The package starts no process
 // and writes no file.
 package fleet
 
@@ -12,15 +13,15 @@
 	"oakproxy/internal/emulator/spec"
 )
 
-// Endpoints listen on 127.(firstZoneOctet+zone).x.y, so that each has a loopback address of its own.
+// Each endpoint listens on a loopback address of its own, 127.(firstZoneOctet+zone).x.y.
 const (
 	firstZoneOctet = 64
 	hostsPerOctet  = 250
 )
 
-// Layout is the plan of a fleet.
+// Layout lists the zones, machine kinds, endpoints and sidecars of a fleet.
 type Layout struct {
-	Zones        []string // names of a region and a number, such as north-1
+	Zones        []string // zone names, each of a region and a number, such as north-1
 	MachineKinds []string
 	Endpoints    []Endpoint
 	Sidecars     []Sidecar
@@ -29,23 +30,23 @@
 // Endpoint is one endpoint's place in the fleet.
 type Endpoint struct {
 	Name        string
-	Zone        int
+	Zone        int // index in Layout.Zones
 	MachineKind string
 	Cell        uint16
-	Address     string // to listen on, port 0
+	Address     string // address to listen on, with port 0
 }
 
-// Sidecar is one sidecar's place in the fleet. The sidecar at a position belongs to the same application as the
-// endpoint of that index.
+// Sidecar is one sidecar's place in the fleet. It belongs to the same application as the endpoint whose index in
+// Layout.Endpoints is the sidecar's position, if there is one.
 type Sidecar struct {
 	Name     string
-	Position int
-	Zone     int
-	Real     bool // has a process of its own
+	Position int  // index in Layout.Sidecars
+	Zone     int  // index in Layout.Zones
+	Real     bool // whether the sidecar runs in a process of its own
 }
 
-// New lays out a fleet. Endpoints and sidecars are assigned to zones round-robin, and real sidecars are spread
-// evenly among the sidecars of each zone.
+// New returns the layout of a fleet. Endpoints and sidecars are assigned to zones round-robin, and real sidecars are
+// spread evenly among the sidecars of each zone.
 func New(file *spec.File, size spec.Size) *Layout {
 	l := &Layout{MachineKinds: file.Fleet.MachineKinds}
 	for _, region := range file.Fleet.Regions {
@@ -62,6 +63,7 @@
 	return l
 }
 
+// newEndpoint returns the endpoint at index i.
 func (l *Layout) newEndpoint(i int, options spec.Fleet) Endpoint {
 	zone, indexInZone := i%len(l.Zones), i/len(l.Zones)
 	service := indexInZone % options.Services
@@ -70,11 +72,12 @@
 		Zone:        zone,
 		MachineKind: l.MachineKinds[indexInZone%len(l.MachineKinds)],
 		Cell:        uint16(indexInZone/options.CellSize*len(l.Zones) + zone),
-		Address:     fmt.Sprintf("127.%d.%d.%d:0", firstZoneOctet+zone,
+		Address: fmt.Sprintf("127.%d.%d.%d:0", firstZoneOctet+zone,
 			indexInZone/hostsPerOctet, 1+indexInZone%hostsPerOctet),
 	}
 }
 
+// newSidecar returns the sidecar at index i.
 func (l *Layout) newSidecar(i int, size spec.Size) Sidecar {
 	zones := len(l.Zones)
 	zone, indexInZone := i%zones, i/zones
@@ -87,10 +90,11 @@
 	}
 }
 
-// zoneCount returns how many of count items a zone gets when items are assigned to zones round-robin.
+// zoneCount returns how many of count items the given zone gets when items are assigned to zones round-robin, starting
+// with zone 0.
 func zoneCount(count, zones, zone int) int { return (count + zones - 1 - zone) / zones }
 
-// EndpointConfig returns the configuration of an endpoint.
+// EndpointConfig returns the configuration with which an endpoint is started.
 func (l *Layout) EndpointConfig(e Endpoint, file *spec.File) endpoint.Config {
 	return endpoint.Config{
 		Name:         e.Name,
@@ -109,7 +113,8 @@
 	}
 }
 
-// Instance returns the entry in discovery's list of an endpoint that listens on an address.
+// Instance returns the entry of an endpoint in discovery's endpoint list. The endpoint listens on the given address;
+// startedMS is the start time of its process.
 func (l *Layout) Instance(e Endpoint, address, health string, startedMS int64) registry.Instance {
 	return registry.Instance{Host: e.Name, Address: address, Zone: l.Zones[e.Zone], MachineKind: e.MachineKind,
 		Cell: e.Cell, Health: health, Weight: 1, StartedMS: startedMS}
--- a/internal/emulator/result/counts_test.go
+++ b/internal/emulator/result/counts_test.go
@@ -10,7 +10,7 @@
 	"oakproxy/internal/emulator/worker"
 )
 
-// setCounters sets every field of type uint64 or time.Duration, those of nested structs included.
+// setCounters sets every uint64 and time.Duration field of a struct to value, including those of nested structs.
 func setCounters(structValue reflect.Value, value int) {
 	for i := range structValue.NumField() {
 		switch field := structValue.Field(i); field.Kind() {
@@ -24,19 +24,20 @@
 	}
 }
 
-// filledCounts returns counts whose counters all have a value.
+// filledCounts returns counts in which every counter has the given value.
 func filledCounts[Counts any](value int) (counts Counts) {
 	setCounters(reflect.ValueOf(&counts).Elem(), value)
 	return counts
 }
 
+// checkSince checks that Since subtracts every counter of a type of counts.
 func checkSince[Counts interface {
 	comparable
 	Since(Counts) Counts
 }](t *testing.T) {
 	t.Helper()
 	if got, want := filledCounts[Counts](5).Since(filledCounts[Counts](2)), filledCounts[Counts](3); got != want {
-		t.Errorf("got %+v, want %+v", got, want)
+		t.Errorf("Since returned %+v, want %+v", got, want)
 	}
 }
 
@@ -50,17 +51,17 @@
 	endpoints := filledCounts[endpoint.Counts](2)
 	endpoints.Add(filledCounts[endpoint.Counts](3))
 	if want := filledCounts[endpoint.Counts](5); endpoints != want {
-		t.Errorf("got %+v, want %+v", endpoints, want)
+		t.Errorf("sum of endpoint counts: got %+v, want %+v", endpoints, want)
 	}
 	sidecars := filledCounts[worker.SidecarCounts](2)
 	sidecars.Add(filledCounts[worker.SidecarCounts](3))
 	if want := filledCounts[worker.SidecarCounts](5); sidecars != want {
-		t.Errorf("got %+v, want %+v", sidecars, want)
+		t.Errorf("sum of sidecar counts: got %+v, want %+v", sidecars, want)
 	}
 	first, second := load.NewReport(), load.NewReport()
 	first.Counts, second.Counts = filledCounts[load.Counts](2), filledCounts[load.Counts](3)
 	first.Merge(second)
 	if want := filledCounts[load.Counts](5); first.Counts != want {
-		t.Errorf("got %+v, want %+v", first.Counts, want)
+		t.Errorf("merged load counts: got %+v, want %+v", first.Counts, want)
 	}
 }
--- a/internal/emulator/result/distribution.go
+++ b/internal/emulator/result/distribution.go
@@ -5,7 +5,8 @@
 	"time"
 )
 
-// NewDistribution summarizes times. Those that are missing from the total count as such.
+// NewDistribution returns the distribution of the measured times under a name. Total is the number of times that were
+// expected; total - len(times) of them count as missing.
 func NewDistribution(name string, total int, times []time.Duration) Distribution {
 	sorted := slices.Sorted(slices.Values(times))
 	return Distribution{
@@ -18,8 +19,8 @@
 	}
 }
 
-// quantile returns the least of the sorted values that at least this fraction of them does not exceed; 0 if there is
-// none.
+// quantile returns the smallest of the sorted values such that at least the given fraction of the values, from 0 to 1,
+// is not greater than it. It returns 0 if there are no values.
 func quantile(sorted []time.Duration, fraction float64) time.Duration {
 	if len(sorted) == 0 {
 		return 0
--- a/internal/emulator/result/file.go
+++ b/internal/emulator/result/file.go
@@ -9,7 +9,7 @@
 	"os"
 )
 
-// Append appends a run to a result file, as a line. It creates the file if there is none.
+// Append appends a run to a result file as one line of JSON. It creates the file if it does not exist.
 func Append(path string, run *Run) error {
 	line, err := json.Marshal(run)
 	if err != nil {
@@ -23,7 +23,7 @@
 	return errors.Join(err, file.Close())
 }
 
-// Read reads all runs of a result file. Its errors name the file and the run.
+// Read reads all runs of a result file. An error names the file and, if a run is malformed, its number from 1.
 func Read(path string) ([]*Run, error) {
 	file, err := os.Open(path)
 	if err != nil {
--- a/internal/emulator/result/fit.go
+++ b/internal/emulator/result/fit.go
@@ -8,20 +8,20 @@
 	"gonum.org/v1/gonum/stat"
 )
 
-// Minimum data for a fit.
+// A fit needs at least minSizes sizes with at least minPlays runs each.
 const (
-	minSizes = 4 // with minPlays runs each
+	minSizes = 4
 	minPlays = 2
 )
 
 // Point is a metric's value in one run.
 type Point struct {
-	Size  int // sidecars
-	Play  int
+	Size  int // number of sidecars
+	Play  int // number of the run among those of this size, from 1
 	Value float64
 }
 
-// Series is a metric over the size of the fleet.
+// Series holds the values of one metric over the size of the fleet.
 type Series struct {
 	Name   string
 	Unit   string
@@ -29,24 +29,24 @@
 	Fit    *Fit // nil if there are too few points
 }
 
-// Fit is a least-squares line and the deviation of the points from it.
+// Fit is the least-squares line value = Intercept + Slope*size, and the deviation of the points from it.
 type Fit struct {
 	Intercept   float64
-	Slope       float64   // for each sidecar
-	RSquared    float64   // coefficient of determination; 1 if all points are on the line
-	Residuals   []float64 // in the order of the points
+	Slope       float64   // increase per sidecar
+	RSquared    float64   // coefficient of determination R²; 1 if all points are on the line
+	Residuals   []float64 // value minus the line's value, for each point in order
 	MaxResidual float64   // the largest absolute residual
 	RMSResidual float64   // root mean square of the residuals
-	PlayRange   float64   // largest difference between plays of one size
+	PlayRange   float64   // largest difference between two plays of the same size
 }
 
-// At returns the line's value at a size.
+// At returns the line's value at a number of sidecars.
 func (f *Fit) At(size float64) float64 { return f.Intercept + f.Slope*size }
 
-// Usable says whether a run may be part of a fit: it did not end early, and the machine was not saturated.
+// Usable reports whether a run may be part of a fit: it did not end early, and the machine was not saturated.
 func (r *Run) Usable() bool { return r.Stopped == "" && !r.Saturated }
 
-// AllSeries returns the series of all metrics of the usable runs, in the order of their first appearance.
+// AllSeries returns the series of all metrics of the usable runs, in the order in which the metrics first appear.
 func AllSeries(runs []*Run) []Series {
 	var names []string
 	byName := map[string]*Series{}
@@ -72,7 +72,7 @@
 	return all
 }
 
-// fit returns the least-squares line through points; nil if they are too few.
+// fit returns the least-squares line through the points. It returns nil if there are too few points; see minSizes.
 func fit(points []Point) *Fit {
 	bySize := valuesBySize(points)
 	sizesWithEnoughPlays := 0
@@ -102,6 +102,7 @@
 	return &f
 }
 
+// valuesBySize groups the values of the points by the number of sidecars.
 func valuesBySize(points []Point) map[int][]float64 {
 	bySize := map[int][]float64{}
 	for _, p := range points {
--- a/internal/emulator/result/frozen_test.go
+++ b/internal/emulator/result/frozen_test.go
@@ -9,11 +9,12 @@
 	"testing"
 )
 
-// Result files of earlier versions are read, and written again under the same keys.
+// Every recorded run can be read, and is written again with the same JSON keys and values. A renamed key would make
+// result files of earlier versions unreadable.
 func TestRecordedRunsKeepTheirJSONKeys(t *testing.T) {
 	files, err := filepath.Glob("../../../docs/capacity/*.jsonl")
 	if err != nil || len(files) == 0 {
-		t.Fatalf("files %q, %v", files, err)
+		t.Fatalf("found the result files %q, error %v, want at least one file", files, err)
 	}
 	for _, file := range files {
 		text, err := os.ReadFile(file)
@@ -33,10 +34,10 @@
 			}
 			var want, got any
 			if json.Unmarshal(line, &want) != nil || json.Unmarshal(again, &got) != nil {
-				t.Fatal("not JSON")
+				t.Fatalf("%s: a run is not valid JSON: read\n%s\nwritten as\n%s", file, line, again)
 			}
 			if !reflect.DeepEqual(got, want) {
-				t.Fatalf("%s: a run is written as\n%s\nwas\n%s", file, again, line)
+				t.Fatalf("%s: a run is written as\n%s\nwant\n%s", file, again, line)
 			}
 		}
 	}
--- a/internal/emulator/result/metrics.go
+++ b/internal/emulator/result/metrics.go
@@ -5,20 +5,20 @@
 	"time"
 )
 
-// Phases that are baselines of others.
+// Names of the phases that are baselines for other phases.
 const (
-	idlePhase   = "rest"   // nothing happens
-	loadedPhase = "loaded" // requests are sent, and nothing else happens
+	idlePhase   = "rest"   // idle phase: no requests and no events
+	loadedPhase = "loaded" // requests are sent, but there are no events
 )
 
-// Metric is a value that is compared over runs.
+// Metric is a named value of a run that is compared across runs.
 type Metric struct {
 	Name  string // unique within the run
 	Unit  string
 	Value float64
 }
 
-// Metrics returns the metrics of a run. Their names and units are stable.
+// Metrics returns the metrics of a run. Their names and units must not change, since tables and plots select by them.
 func (r *Run) Metrics() []Metric {
 	metrics := []Metric{
 		{"start: time to the last sidecar's being ready", "s", r.Startup.Seconds},
@@ -44,6 +44,7 @@
 	return metrics
 }
 
+// phase returns the run's phase of this name; nil if there is none.
 func (r *Run) phase(name string) *Phase {
 	for i := range r.Phases {
 		if r.Phases[i].Name == name {
@@ -53,12 +54,12 @@
 	return nil
 }
 
-// metric returns a metric of a phase, which is part of its name.
+// metric returns a metric whose name starts with the phase's name and goes on with the formatted text.
 func (p *Phase) metric(value float64, unit, format string, args ...any) Metric {
 	return Metric{Name: p.Name + ": " + fmt.Sprintf(format, args...), Unit: unit, Value: value}
 }
 
-// roleMetrics returns the resource usage of one unit of each role.
+// roleMetrics returns the average resource usage of one unit of each role, except the load generator.
 func (p *Phase) roleMetrics() []Metric {
 	var metrics []Metric
 	for _, usage := range p.Roles {
@@ -76,6 +77,7 @@
 	return metrics
 }
 
+// discoveryMetrics returns the rate and the cost of calls to the discovery server.
 func (p *Phase) discoveryMetrics() []Metric {
 	d := p.Discovery
 	calls := float64(d.ListCalls + d.WatchCalls)
@@ -90,6 +92,7 @@
 	return metrics
 }
 
+// endpointMetrics returns the probes and connections of sidecars, as counted by the endpoints.
 func (p *Phase) endpointMetrics(sidecars int) []Metric {
 	e := p.Endpoints
 	return []Metric{
@@ -99,7 +102,8 @@
 	}
 }
 
-// requestMetrics returns latencies, and what sidecars add to the latencies of direct calls.
+// requestMetrics returns the latencies of requests through sidecars, the share that was not served, and the latency
+// that sidecars add to that of direct calls.
 func (p *Phase) requestMetrics() []Metric {
 	if p.Proxied == nil || p.Proxied.Counts.Planned == 0 {
 		return nil
@@ -119,8 +123,8 @@
 		p.metric(p.Proxied.P99MS-p.Direct.P99MS, "ms", "added to direct calls, p99"))
 }
 
-// requestCosts returns the processor time of a request at a sidecar and at an endpoint, beyond what they spend in
-// the idle phase.
+// requestCosts returns the processor time of one request at a real sidecar and at an endpoint, without the processor
+// time that they spend in the idle phase: (cpu - idleCPU/idleSeconds*seconds) / requests.
 func (p *Phase) requestCosts(idle *Phase) []Metric {
 	if p.Proxied == nil || p.Proxied.Counts.Served == 0 || p.Endpoints.Requests == 0 {
 		return nil
@@ -141,6 +145,7 @@
 	return metrics
 }
 
+// distributionMetrics returns the quantiles and the number of missing times of each distribution.
 func (p *Phase) distributionMetrics() []Metric {
 	var metrics []Metric
 	for _, s := range p.Distributions {
@@ -156,8 +161,8 @@
 	return metrics
 }
 
-// eventMetrics returns the processor time that one event costs a unit of each role, in addition to its processor time
-// in the phase with load and nothing else.
+// eventMetrics returns the processor time that one event costs one unit of each role, without the processor time that
+// the role spends in the loaded phase, the baseline: (cpu - baselineCPU/baselineSeconds*seconds) / events / units.
 func (p *Phase) eventMetrics(baseline *Phase) []Metric {
 	if p.Events == 0 {
 		return nil
--- a/internal/emulator/result/plot.go
+++ b/internal/emulator/result/plot.go
@@ -13,7 +13,7 @@
 	"gonum.org/v1/plot/vg/vgsvg"
 )
 
-// Sizes of a panel of a plot.
+// Dimensions of a panel; a plot has one panel for each metric.
 const (
 	panelWidth  = 12 * vg.Centimeter
 	panelHeight = 7 * vg.Centimeter
@@ -21,13 +21,13 @@
 	pointRadius = 2.5
 )
 
-// Colours of a plot.
+// Colours of the points and of the fitted line.
 var (
 	pointColour = color.RGBA{R: 0x1f, G: 0x4e, B: 0x79, A: 0xff}
 	lineColour  = color.RGBA{R: 0xc0, G: 0x50, B: 0x1d, A: 0xff}
 )
 
-// DefaultPlotMetrics are the metrics that a plot shows by default. Those that a sweep does not have are omitted.
+// DefaultPlotMetrics are the metrics that a plot shows by default. A plot omits those that its runs do not have.
 var DefaultPlotMetrics = []string{
 	"rest: hollow sidecar, processor time",
 	"rest: hollow sidecar, memory",
@@ -47,11 +47,12 @@
 	"back: from a hollow sidecar's start to its being ready, last",
 }
 
-// ErrNothingToPlot is returned by WritePlot if no usable run has any of the metrics.
-var ErrNothingToPlot = errors.New("plot: no usable run has any of the metrics asked for")
+// ErrNothingToPlot is returned by WritePlot if no usable run has any of the requested metrics.
+var ErrNothingToPlot = errors.New("plot: no usable run has any of the requested metrics")
 
-// WritePlot writes an SVG file that plots metrics of a sweep over the size of the fleet: each run as a point, and the
-// fit as a line.
+// WritePlot writes an SVG file that plots the named metrics of usable runs over the size of the fleet: each run is a
+// point, and the fit is a line. It ignores names that no run has, and returns
+// ErrNothingToPlot if no name remains.
 func WritePlot(path string, runs []*Run, names []string) error {
 	var panels [][]*plot.Plot
 	for _, series := range AllSeries(runs) {
@@ -70,7 +71,7 @@
 	return drawPanels(path, panels)
 }
 
-// newPanel returns the plot of one metric.
+// newPanel returns the panel of one metric.
 func newPanel(series Series) (*plot.Plot, error) {
 	panel := plot.New()
 	panel.Title.Text = series.Name
@@ -95,7 +96,7 @@
 	return panel, nil
 }
 
-// drawPanels writes an SVG file of panels, one below the other.
+// drawPanels writes an SVG file with the panels, one below the other. Each row of panels has one element.
 func drawPanels(path string, panels [][]*plot.Plot) (err error) {
 	canvas := vgsvg.New(panelWidth, panelHeight*vg.Length(len(panels)))
 	tiles := draw.Tiles{Rows: len(panels), Cols: 1, PadY: panelGap}
--- a/internal/emulator/result/result.go
+++ b/internal/emulator/result/result.go
@@ -1,8 +1,9 @@
-// Package result holds what runs of the emulator measured: result files, metrics over the size of the fleet,
+// Package result stores and evaluates the results of emulator runs: result files, metrics over the size of the fleet,
 // linear fits, tables and plots.
 //
-// Result files are appended to and read by later versions: the JSON keys and the names of phases, roles, metrics
-// and distributions must not change. The package measures nothing itself.
+// Later versions of the emulator read result files and append to them, so the JSON keys and the names of phases, roles,
+// metrics and distributions must not change. Some of them differ from the names in the code: a simulated sidecar is
+// stored as "hollow". The package measures nothing itself.
 package result
 
 import (
@@ -18,11 +19,11 @@
 // Version is the version of the format of result files.
 const Version = 1
 
-// SaturationThreshold is the fraction of the machine's processor time above which a run measures the machine rather
-// than the fleet.
+// SaturationThreshold is the fraction of the machine's processor time, from 0 to 1, above which the machine limits the
+// results of a run, so that they do not describe the fleet.
 const SaturationThreshold = 0.85
 
-// Run is one play of a scenario, a line of a result file.
+// Run holds the results of one play of a scenario. It is one line of a result file.
 type Run struct {
 	Version         int           `json:"version"`
 	StartedAt       time.Time     `json:"started_at"`
@@ -34,16 +35,18 @@
 	Seed            uint64        `json:"seed"`
 	Options         spec.File     `json:"options"`
 	ScenarioOptions spec.Scenario `json:"scenario_options"`
-	Stopped         string        `json:"stopped,omitempty"` // why the run ended early; empty if it did not
-	Saturated       bool          `json:"saturated"`
-	Seconds         float64       `json:"seconds"`
-	PeakMemoryMB    float64       `json:"peak_memory_mb"` // resident, over all processes; shared pages count in each
-	Startup         Startup       `json:"startup"`
-	Phases          []Phase       `json:"phases"`
-	End             End           `json:"end"`
+	Stopped         string        `json:"stopped,omitempty"` // reason for which the run ended early; empty if it did not
+	// Saturated is set if a phase exceeded SaturationThreshold or has NearDescriptorLimit set.
+	Saturated bool    `json:"saturated"`
+	Seconds   float64 `json:"seconds"`
+	// PeakMemoryMB is the peak resident memory of all processes together. Shared pages count once per process.
+	PeakMemoryMB float64 `json:"peak_memory_mb"`
+	Startup      Startup `json:"startup"`
+	Phases       []Phase `json:"phases"`
+	End          End     `json:"end"`
 }
 
-// Machine is the machine that the run was played on.
+// Machine describes the machine that the run was played on.
 type Machine struct {
 	Cores    int    `json:"cores"`
 	MemoryMB int64  `json:"memory_mb"`
@@ -51,30 +54,30 @@
 	Go       string `json:"go"`
 }
 
-// Startup is the start of the fleet.
+// Startup holds the measurements of the fleet's start.
 type Startup struct {
-	Seconds        float64         `json:"seconds"` // from the first sidecar's start to the last one's being ready
+	Seconds        float64         `json:"seconds"` // time from the first sidecar's start until the last sidecar is ready
 	SimulatedReady Distribution    `json:"hollow_ready"`
-	RealReady      Distribution    `json:"real_ready"` // each from its process's start to 200 at /health/ready
+	RealReady      Distribution    `json:"real_ready"` // time from a process's start until /health/ready answers 200
 	Discovery      registry.Counts `json:"discovery"`
 }
 
-// End is what was counted over the complete run.
+// End holds the counts over the complete run.
 type End struct {
 	Simulated worker.SidecarCounts `json:"hollow"`
 }
 
-// Distribution is a distribution of times that events took to reach sidecars.
+// Distribution summarizes times, such as those that changes take to reach sidecars.
 type Distribution struct {
 	Name     string  `json:"what,omitempty"`
-	Total    int     `json:"of"`      // times that were expected, missing ones included
-	Missing  int     `json:"missing"` // times that exceeded the timeout
+	Total    int     `json:"of"`      // number of times that were expected, including missing ones
+	Missing  int     `json:"missing"` // number of times that were not measured before the timeout
 	MedianMS float64 `json:"median_ms"`
 	P99MS    float64 `json:"p99_ms"`
 	MaxMS    float64 `json:"last_ms"`
 }
 
-// Role names what processes of a run do. Metrics are named by it.
+// Role is what a process of a run does. The names of metrics contain it.
 type Role string
 
 // The roles.
@@ -87,40 +90,51 @@
 	Generator        Role = "load generator"
 )
 
-// RoleUsage is the resource usage of the processes of a role: processor time and bytes during a phase, memory and
-// descriptors at its end.
+// RoleUsage is the resource usage of all processes of a role: processor time and bytes during a phase, memory and open
+// descriptors at the end of the phase.
 type RoleUsage struct {
 	Role        Role    `json:"role"`
 	Processes   int     `json:"processes"`
-	Units       int     `json:"units"` // sidecars or endpoints in them
+	Units       int     `json:"units"` // number of sidecars, endpoints or other instances in the processes
 	CPUSeconds  float64 `json:"cpu_seconds"`
 	ResidentMB  float64 `json:"resident_mb"`
-	PeakMB      float64 `json:"peak_mb"` // since the start of each process
+	PeakMB      float64 `json:"peak_mb"` // peak resident memory since each process's start
 	Descriptors int     `json:"descriptors"`
-	ReadBytes   uint64  `json:"read_bytes"` // by system calls, sockets included
-	WriteBytes  uint64  `json:"write_bytes"`
+	ReadBytes   uint64  `json:"read_bytes"`  // bytes read by system calls, including those from sockets
+	WriteBytes  uint64  `json:"write_bytes"` // bytes written by system calls, including those to sockets
 }
 
-// Phase is a part of a run.
+// Phase holds the results of one phase of a run.
 type Phase struct {
-	Name                string               `json:"name"`
-	Seconds             float64              `json:"seconds"`
-	MachineCPUShare     float64              `json:"machine_cpu_share"` // all processes of the machine included
-	OwnCPUShare         float64              `json:"own_cpu_share"`     // of the machine's, by the run's processes only
-	Roles               []RoleUsage          `json:"roles"`
-	Discovery           registry.Counts      `json:"discovery"` // within the phase, connections as at its end
-	Endpoints           endpoint.Counts      `json:"endpoints"` // the same, over all endpoints
-	Simulated           worker.SidecarCounts `json:"hollow"`    // the same; goroutines as at its end
-	Proxied             *Requests            `json:"through,omitempty"`
-	Direct              *Requests            `json:"direct,omitempty"`
-	Distributions       []Distribution       `json:"spreads,omitempty"`
-	Events              int                  `json:"events,omitempty"` // changes or restarts played
-	ConfigBytes         int64                `json:"handed_out_bytes,omitempty"`
-	NearDescriptorLimit bool                 `json:"exhausted,omitempty"` // a process was near its limit of descriptors
-	Notes               []string             `json:"notes,omitempty"`
+	Name    string  `json:"name"`
+	Seconds float64 `json:"seconds"`
+	// MachineCPUShare is the fraction of the machine's processor time that all of its processes used.
+	MachineCPUShare float64 `json:"machine_cpu_share"`
+	// OwnCPUShare is the fraction of the machine's processor time that the run's processes used.
+	OwnCPUShare float64     `json:"own_cpu_share"`
+	Roles       []RoleUsage `json:"roles"`
+	// Discovery are the counts within the phase; open connections are those at its end.
+	Discovery registry.Counts `json:"discovery"`
+	// Endpoints are the sums of the counts of all endpoints within the phase; open connections are those at its end.
+	Endpoints endpoint.Counts `json:"endpoints"`
+	// Simulated are the counts of simulated sidecars within the phase; Running and Goroutines are those at its end.
+	Simulated worker.SidecarCounts `json:"hollow"`
+	// Proxied are the requests through real sidecars; nil if none were sent.
+	Proxied *Requests `json:"through,omitempty"`
+	// Direct are the requests sent directly to endpoints; nil if none were sent.
+	Direct        *Requests      `json:"direct,omitempty"`
+	Distributions []Distribution `json:"spreads,omitempty"`
+	// Events is the number of changes, restarts or zone events that were played.
+	Events int `json:"events,omitempty"`
+	// ConfigBytes is the total size of the configuration files that were written.
+	ConfigBytes int64 `json:"handed_out_bytes,omitempty"`
+	// NearDescriptorLimit is set if a process was near its limit of file descriptors.
+	NearDescriptorLimit bool     `json:"exhausted,omitempty"`
+	Notes               []string `json:"notes,omitempty"`
 }
 
-// Requests are the results of a load generator. Latencies are measured from the intended start.
+// Requests holds the results of the load generator. The latencies are those of the requests served, measured from the
+// intended start.
 type Requests struct {
 	Counts         load.Counts `json:"counts"`
 	Seconds        float64     `json:"seconds"`
@@ -128,11 +142,11 @@
 	P99MS          float64     `json:"p99_ms"`
 	P999MS         float64     `json:"p999_ms"`
 	MaxMS          float64     `json:"max_ms"`
-	SendDelayP99MS float64     `json:"late_p99_ms"` // from the intended start to the actual one
+	SendDelayP99MS float64     `json:"late_p99_ms"` // delay from the intended start to the actual one
 	CPUSeconds     float64     `json:"cpu_seconds"`
 }
 
-// NewRequests summarizes a report; nil for nil.
+// NewRequests summarizes a load report. It returns nil for a nil report.
 func NewRequests(report *load.Report) *Requests {
 	if report == nil {
 		return nil
@@ -152,7 +166,7 @@
 // Milliseconds returns a duration in milliseconds.
 func Milliseconds(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
 
-// Usage returns a role's usage in a phase; nil if there is none.
+// Usage returns the usage of a role in a phase. It returns nil if the phase has none.
 func (p *Phase) Usage(role Role) *RoleUsage {
 	for i := range p.Roles {
 		if p.Roles[i].Role == role {
--- a/internal/emulator/result/result_test.go
+++ b/internal/emulator/result/result_test.go
@@ -14,7 +14,7 @@
 
 const startupMetric = "start: time to the last sidecar's being ready"
 
-// sweepRuns returns the runs of a sweep whose starts take as many seconds as given.
+// sweepRuns returns the runs of a sweep. The seconds function gives the startup time of each run.
 func sweepRuns(sizes []int, plays int, seconds func(size, play int) float64) []*Run {
 	var runs []*Run
 	for play := 1; play <= plays; play++ {
@@ -27,6 +27,7 @@
 	return runs
 }
 
+// startupSeries returns the series of the startup time.
 func startupSeries(t *testing.T, runs []*Run) Series {
 	t.Helper()
 	for _, s := range AllSeries(runs) {
@@ -34,7 +35,7 @@
 			return s
 		}
 	}
-	t.Fatal("the metric is missing")
+	t.Fatalf("metric %q is missing", startupMetric)
 	return Series{}
 }
 
@@ -42,34 +43,34 @@
 
 func TestFitFindsTheLeastSquaresLine(t *testing.T) {
 	sizes := []int{10, 20, 40, 80}
-	// At each size one play is above and one below the line, by the same distance.
+	// At each size, the first play is 1 below the line 3 + size/2 and the second play is 1 above it.
 	seconds := func(size, play int) float64 { return 3 + 0.5*float64(size) + float64(2*play-3) }
 	runs := sweepRuns(sizes, 2, seconds)
 	f := startupSeries(t, runs).Fit
 	if f == nil {
-		t.Fatal("got no fit")
+		t.Fatal("got no fit, want one for 4 sizes with 2 plays each")
 	}
 	if !almostEqual(f.Intercept, 3) || !almostEqual(f.Slope, 0.5) || !almostEqual(f.MaxResidual, 1) ||
 		!almostEqual(f.RMSResidual, 1) || !almostEqual(f.PlayRange, 2) {
-		t.Errorf("got %+v, want intercept 3, slope 0.5, residual and deviation 1, range 2", f)
+		t.Errorf("got %+v, want intercept 3, slope 0.5, largest and RMS residual 1, play range 2", f)
 	}
 	if len(f.Residuals) != 8 || f.RSquared < 0.99 || f.RSquared >= 1 {
-		t.Errorf("got %+v, want 8 residuals and an R² from 0.99 to 1", f)
+		t.Errorf("got %+v, want 8 residuals and 0.99 <= R² < 1", f)
 	}
 }
 
 func TestTooFewPointsHaveNoFit(t *testing.T) {
 	line := func(size, _ int) float64 { return float64(size) }
 	if startupSeries(t, sweepRuns([]int{10, 20, 40}, 2, line)).Fit != nil {
-		t.Error("three sizes have a fit")
+		t.Error("got a fit for 3 sizes with 2 plays each, want none")
 	}
 	if startupSeries(t, sweepRuns([]int{10, 20, 40, 80}, 1, line)).Fit != nil {
-		t.Error("single plays of each size have a fit")
+		t.Error("got a fit for 4 sizes with 1 play each, want none")
 	}
 	runs := sweepRuns([]int{10, 20, 40, 80}, 2, line)
 	runs[0].Saturated, runs[1].Stopped = true, "interrupted"
 	if s := startupSeries(t, runs); s.Fit != nil || len(s.Points) != 6 {
-		t.Errorf("unusable runs count: %+v", s)
+		t.Errorf("two of eight runs are unusable: got %+v, want 6 points and no fit", s)
 	}
 }
 
@@ -83,11 +84,11 @@
 		t.Errorf("got %+v, want %+v", got, want)
 	}
 	if got := NewDistribution("none", 3, nil); got.Missing != 3 || got.MaxMS != 0 {
-		t.Errorf("got %+v, want 3 missing and no maximum", got)
+		t.Errorf("got %+v, want 3 missing and a maximum of 0", got)
 	}
 }
 
-// The cost of an event is what its phase spends beyond the loaded phase, scaled to the same duration.
+// The cost of an event is the processor time of its phase less that of the loaded phase, scaled to the same duration.
 func TestEventMetricsAreRelativeToTheLoadedPhase(t *testing.T) {
 	usage := func(cpu float64) []RoleUsage {
 		return []RoleUsage{{Role: SimulatedSidecar, Processes: 1, Units: 10, CPUSeconds: cpu}}
@@ -99,7 +100,7 @@
 	const name = "changes: hollow sidecar, processor time of an event"
 	for _, m := range run.Metrics() {
 		if m.Name == name {
-			if m.Unit != "ms" || !almostEqual(m.Value, 20) { // (3 - 2) s over 5 events and 10 sidecars
+			if m.Unit != "ms" || !almostEqual(m.Value, 20) { // (3 s - 1 s * 20/10) / 5 events / 10 sidecars
 				t.Errorf("got %+v, want 20 ms", m)
 			}
 			return
@@ -108,7 +109,7 @@
 	t.Errorf("metric %q is missing", name)
 }
 
-// storedSweep stores the runs of a sweep in a file and returns its path and the runs that were read from it.
+// storedSweep stores the runs of a sweep in a result file, and returns the file's path and the runs as read from it.
 func storedSweep(t *testing.T) (path string, read []*Run) {
 	t.Helper()
 	runs := sweepRuns([]int{10, 20, 40, 80}, 2, func(size, _ int) float64 { return float64(size) })
@@ -120,7 +121,7 @@
 	}
 	read, err := Read(path)
 	if err != nil || len(read) != len(runs) || read[3].Startup.Seconds != 80 {
-		t.Fatalf("read %d runs, %v, want %d", len(read), err, len(runs))
+		t.Fatalf("read %d runs, error %v, want %d runs and a startup time of 80 s in the fourth", len(read), err, len(runs))
 	}
 	return path, read
 }
@@ -131,7 +132,7 @@
 		t.Fatal(err)
 	}
 	if _, err := Read(path); err == nil {
-		t.Error("a malformed file was read")
+		t.Error("a malformed result file was read without an error")
 	}
 }
 
@@ -143,7 +144,7 @@
 	}
 	const want = "| start: time to the last sidecar's being ready | s | 10.00 | 20.00 | 40.00 | 80.00 |"
 	if !strings.Contains(table.String(), want) {
-		t.Errorf("the line %q is missing in\n%s", want, table.String())
+		t.Errorf("got the table\n%s\nwant the line %q in it", table.String(), want)
 	}
 }
 
@@ -154,9 +155,9 @@
 		t.Fatal(err)
 	}
 	if text, err := os.ReadFile(plot); err != nil || !bytes.Contains(text, []byte("<svg")) {
-		t.Errorf("the plot is not an SVG file: %v", err)
+		t.Errorf("got the plot %q, error %v, want an SVG file", text, err)
 	}
 	if err := WritePlot(plot, read, []string{"nonesuch"}); err == nil {
-		t.Error("an unknown metric was plotted")
+		t.Error("plotting an unknown metric returned no error")
 	}
 }
--- a/internal/emulator/result/summary.go
+++ b/internal/emulator/result/summary.go
@@ -21,11 +21,12 @@
 	return table.Flush()
 }
 
-// unusableReason returns why a run's results are not usable; empty if they are.
+// unusableReason returns the reasons for which a run's results are not usable, each with a leading separator. It
+// returns an empty string if they are usable.
 func unusableReason(run *Run) string {
 	reason := ""
 	if run.Saturated {
-		reason += "; SATURATED: the figures tell of the machine"
+		reason += "; SATURATED: the machine limited the results"
 	}
 	if run.Stopped != "" {
 		reason += "; STOPPED: " + run.Stopped
@@ -33,6 +34,7 @@
 	return reason
 }
 
+// writePhase writes the summary of a phase.
 func writePhase(table io.Writer, phase *Phase) {
 	fmt.Fprintf(table, "phase %s\t%.1f s, machine %.0f%% busy, %.0f%% by this run\n",
 		phase.Name, phase.Seconds, phase.MachineCPUShare*100, phase.OwnCPUShare*100)
@@ -65,6 +67,7 @@
 	}
 }
 
+// writeRequests writes a line with the results of requests, which may be nil.
 func writeRequests(table io.Writer, name string, r *Requests) {
 	if r == nil {
 		return
@@ -76,6 +79,7 @@
 		c.Lost(), c.Mismatched, c.Unsent, c.Cancelled)
 }
 
+// writeDistributions writes a line for each distribution that expected at least one time.
 func writeDistributions(table io.Writer, distributions []Distribution) {
 	for _, s := range distributions {
 		if s.Total > 0 {
@@ -85,10 +89,11 @@
 	}
 }
 
-// unitUsage is the resource usage of an average unit of a role: processor time and bytes per second, and memory.
+// unitUsage is the average resource usage of one unit of a role: processor time in percent of a core, resident memory,
+// and bytes read and written per second.
 type unitUsage struct{ cpuPercent, residentMB, readBytes, writeBytes float64 }
 
-// perUnit divides the usage of a role in a phase of this length by the number of its units.
+// perUnit returns the average usage of one unit of a role in a phase that lasted the given seconds.
 func perUnit(usage RoleUsage, seconds float64) unitUsage {
 	units := max(1, float64(usage.Units))
 	return unitUsage{
--- a/internal/emulator/result/table.go
+++ b/internal/emulator/result/table.go
@@ -8,8 +8,8 @@
 	"strings"
 )
 
-// WriteTable writes the metrics of a sweep as a Markdown table: the mean over the plays of each size, and the fit
-// over all sizes.
+// WriteTable writes the metrics of runs as a Markdown table. Each row has the mean over the plays of each size, and the
+// fit over all sizes. The table omits runs that are not usable.
 func WriteTable(out io.Writer, runs []*Run) error {
 	if len(runs) == 0 {
 		_, err := fmt.Fprintln(out, "No runs.")
@@ -26,7 +26,7 @@
 	return err
 }
 
-// writeHeader writes what the table is about, and how many runs are omitted.
+// writeHeader writes the scenario, the commits, the machine and the number of omitted runs.
 func writeHeader(text *strings.Builder, runs []*Run) {
 	first := runs[0]
 	omitted := 0
@@ -45,7 +45,7 @@
 	fmt.Fprintf(text, "Left out, as the machine was the limit or the run was ended early: %d.\n\n", omitted)
 }
 
-// sizesOf returns the distinct sizes of the usable runs, ascending.
+// sizesOf returns the distinct numbers of sidecars of the usable runs, in ascending order.
 func sizesOf(runs []*Run) []int {
 	var sizes []int
 	for _, run := range runs {
@@ -57,6 +57,7 @@
 	return slices.Compact(sizes)
 }
 
+// writeColumns writes the column titles of the table.
 func writeColumns(text *strings.Builder, sizes []int) {
 	text.WriteString("| metric | unit |")
 	for _, size := range sizes {
@@ -67,6 +68,7 @@
 	text.WriteString("\n")
 }
 
+// writeRow writes the row of one metric.
 func writeRow(text *strings.Builder, series Series, sizes []int) {
 	fmt.Fprintf(text, "| %s | %s |", series.Name, series.Unit)
 	bySize := valuesBySize(series.Points)
@@ -82,7 +84,7 @@
 	text.WriteString(" too few | | | | |\n")
 }
 
-// mean returns the formatted mean of values; empty if there is none.
+// mean returns the mean of the values, formatted. It returns an empty string if there are no values.
 func mean(values []float64) string {
 	if len(values) == 0 {
 		return ""
@@ -94,7 +96,7 @@
 	return formatNumber(sum / float64(len(values)))
 }
 
-// formatNumber formats a number with at least three significant digits.
+// formatNumber formats a number with at least three significant digits. NaN is formatted as a hyphen.
 func formatNumber(v float64) string {
 	switch magnitude := math.Abs(v); {
 	case math.IsNaN(v):
--- a/internal/emulator/spec/read.go
+++ b/internal/emulator/spec/read.go
@@ -10,7 +10,7 @@
 	"github.com/BurntSushi/toml"
 )
 
-// Limits of what a scenario file and the command line may ask for.
+// Upper limits of values in the scenario file and on the command line.
 const (
 	maxSidecars  = 2000
 	maxEndpoints = 2000
@@ -21,21 +21,21 @@
 	maxEvents    = 1000
 )
 
-// InputError is an error in the user's input: an option, the scenario file, or a program that is missing.
+// InputError is an error in the user's input: in a flag or the scenario file, or a program that does not exist.
 type InputError struct{ err error }
 
 // Error returns the message, which names the input at fault.
 func (e *InputError) Error() string { return e.err.Error() }
 
-// Unwrap returns the error that Invalid wrapped with %w, together with its message.
+// Unwrap returns the error that InputErrorf formatted. It has the same message, and wraps the operand of %w.
 func (e *InputError) Unwrap() error { return e.err }
 
-// InputErrorf returns an InputError with a message formatted as by fmt.Errorf, %w included.
+// InputErrorf returns an *InputError with a message formatted as by fmt.Errorf, including %w.
 func InputErrorf(format string, args ...any) error {
 	return &InputError{err: fmt.Errorf(format, args...)}
 }
 
-// Read reads and validates a scenario file. Every error is an *InputError; unknown keys are errors.
+// Read reads and validates a scenario file. A key that is unknown is an error. Every error is an *InputError.
 func Read(path string) (*File, error) {
 	var file File
 	meta, err := toml.DecodeFile(path, &file)
@@ -51,6 +51,7 @@
 	return &file, nil
 }
 
+// firstLine returns the first line of a text, without the line break.
 func firstLine(text string) string {
 	line, _, _ := strings.Cut(text, "\n")
 	return line
@@ -59,16 +60,16 @@
 // Names returns the names of the scenarios, sorted.
 func (f *File) Names() []string { return slices.Sorted(maps.Keys(f.Scenarios)) }
 
-// Scenario returns a scenario by its name. An unknown name is an *InputError.
+// Scenario returns the scenario of this name. If there is none, the error is an *InputError.
 func (f *File) Scenario(name string) (Scenario, error) {
 	scenario, known := f.Scenarios[name]
 	if !known {
-		return Scenario{}, InputErrorf("unknown scenario %q; known are %s", name, strings.Join(f.Names(), ", "))
+		return Scenario{}, InputErrorf("unknown scenario %q; the scenario file has %s", name, strings.Join(f.Names(), ", "))
 	}
 	return scenario, nil
 }
 
-// Validate returns an *InputError if a size is out of range.
+// Validate returns an *InputError if a number in the size is out of range.
 func (s Size) Validate() error {
 	switch {
 	case s.Sidecars < 1 || s.Sidecars > maxSidecars:
@@ -76,19 +77,19 @@
 	case s.Endpoints < 1 || s.Endpoints > maxEndpoints:
 		return InputErrorf("endpoints: %d is out of range, 1 to %d", s.Endpoints, maxEndpoints)
 	case s.Real < 0 || s.Real > min(maxReal, s.Sidecars):
-		return InputErrorf("real: %d is out of range, 0 to %d of %d sidecars", s.Real, min(maxReal, s.Sidecars), s.Sidecars)
+		return InputErrorf("real: %d is out of range, 0 to %d with %d sidecars", s.Real, min(maxReal, s.Sidecars), s.Sidecars)
 	}
 	return nil
 }
 
-// rangedValue is a value of the file and the closed range that it has to be in.
+// rangedValue is a value of the scenario file and its allowed range, with both ends included. Durations are in seconds.
 type rangedValue struct {
 	key      string
 	value    float64
 	min, max float64
 }
 
-// validate returns an InputError for the first value that is not allowed.
+// validate returns an *InputError for the first value that is not allowed. The error names the key.
 func (f *File) validate() error {
 	ranges := []rangedValue{
 		{"fleet.services", float64(f.Fleet.Services), 1, 100},
@@ -124,11 +125,11 @@
 	}
 	for i, class := range f.Load.Classes {
 		if !slices.Contains([]string{Idempotent, IdempotentWithKey, NonIdempotent}, class.Idempotency) {
-			return InputErrorf("load.classes[%d].repeat: %q is not known", i, class.Idempotency)
+			return InputErrorf("load.classes[%d].repeat: %q is not one of pure, token and side_effect", i, class.Idempotency)
 		}
 	}
 	if !slices.Contains([]string{DiscoverySubscribe, DiscoveryAutomatic}, f.Sidecar.Discovery) {
-		return InputErrorf("sidecar.discovery: %q is not known", f.Sidecar.Discovery)
+		return InputErrorf("sidecar.discovery: %q is neither subscribe nor automatic", f.Sidecar.Discovery)
 	}
 	for _, name := range f.Names() {
 		if err := f.Scenarios[name].validate(); err != nil {
@@ -138,7 +139,7 @@
 	return nil
 }
 
-// validateRanges returns an InputError for the first value that is out of its range.
+// validateRanges returns an *InputError for the first value that is out of its range. NaN is out of every range.
 func validateRanges(values []rangedValue) error {
 	for _, v := range values {
 		if !(v.value >= v.min && v.value <= v.max) {
@@ -148,7 +149,8 @@
 	return nil
 }
 
-// validate returns an InputError for the first value of a scenario that is not allowed.
+// validate returns an *InputError for the first value of a scenario that is not allowed. It ignores values that a
+// scenario of this kind does not use.
 func (s Scenario) validate() error {
 	phaseRanges := []rangedValue{
 		{"settle", s.Settle.Std().Seconds(), 0, maxDuration.Seconds()},
@@ -175,5 +177,5 @@
 	case ZoneFailure:
 		return validateRanges(append(phaseRanges, outageRanges...))
 	}
-	return InputErrorf("kind: %q is not known", s.Kind)
+	return InputErrorf("kind: %q is not one of steady, changes, replace and zone", s.Kind)
 }
