--- a/cmd/emulator/harness_test.go
+++ b/cmd/emulator/harness_test.go
@@ -150,7 +150,7 @@
 	}
 	for _, distribution := range phase.Distributions {
 		if distribution.Total == 0 || distribution.Missing > 0 {
-			t.Errorf("phase %s: distribution %+v has no or missing times", phase.Name, distribution)
+			t.Errorf("phase %s: got distribution %+v, want some times and none missing", phase.Name, distribution)
 		}
 	}
 }
