--- a/internal/emulator/spec/read.go
+++ b/internal/emulator/spec/read.go
@@ -10,7 +10,7 @@
 	"github.com/BurntSushi/toml"
 )
 
-// Limits of what a scenario file and the command line may ask for.
+// Upper limits of values in the scenario file and on the command line.
 const (
 	maxSidecars  = 2000
 	maxEndpoints = 2000
@@ -21,36 +21,37 @@
 	maxEvents    = 1000
 )
 
-// InputError is an error in the user's input: an option, the scenario file, or a program that is missing.
+// InputError is an error in the user's input: in a flag or the scenario file, or a program that does not exist.
 type InputError struct{ err error }
 
 // Error returns the message, which names the input at fault.
 func (e *InputError) Error() string { return e.err.Error() }
 
-// Unwrap returns the error that Invalid wrapped with %w, together with its message.
+// Unwrap returns the error that InputErrorf formatted. It has the same message, and wraps the operand of %w.
 func (e *InputError) Unwrap() error { return e.err }
 
-// Invalid returns an InputError with a message formatted as by fmt.Errorf, %w included.
-func Invalid(format string, args ...any) error {
+// InputErrorf returns an *InputError with a message formatted as by fmt.Errorf, including %w.
+func InputErrorf(format string, args ...any) error {
 	return &InputError{err: fmt.Errorf(format, args...)}
 }
 
-// Read reads and validates a scenario file. Every error is an *InputError; unknown keys are errors.
+// Read reads and validates a scenario file. A key that is unknown is an error. Every error is an *InputError.
 func Read(path string) (*File, error) {
 	var file File
 	meta, err := toml.DecodeFile(path, &file)
 	if err != nil {
-		return nil, Invalid("%s: %s", path, firstLine(err.Error()))
+		return nil, InputErrorf("%s: %s", path, firstLine(err.Error()))
 	}
 	if unknown := meta.Undecoded(); len(unknown) > 0 {
-		return nil, Invalid("%s: unknown key %s", path, unknown[0])
+		return nil, InputErrorf("%s: unknown key %s", path, unknown[0])
 	}
 	if err := file.validate(); err != nil {
-		return nil, Invalid("%s: %w", path, err)
+		return nil, InputErrorf("%s: %w", path, err)
 	}
 	return &file, nil
 }
 
+// firstLine returns the first line of a text, without the line break.
 func firstLine(text string) string {
 	line, _, _ := strings.Cut(text, "\n")
 	return line
@@ -59,36 +60,36 @@
 // Names returns the names of the scenarios, sorted.
 func (f *File) Names() []string { return slices.Sorted(maps.Keys(f.Scenarios)) }
 
-// Scenario returns a scenario by its name. An unknown name is an *InputError.
+// Scenario returns the scenario of this name. If there is none, the error is an *InputError.
 func (f *File) Scenario(name string) (Scenario, error) {
 	scenario, known := f.Scenarios[name]
 	if !known {
-		return Scenario{}, Invalid("unknown scenario %q; known are %s", name, strings.Join(f.Names(), ", "))
+		return Scenario{}, InputErrorf("unknown scenario %q; the scenario file has %s", name, strings.Join(f.Names(), ", "))
 	}
 	return scenario, nil
 }
 
-// Validate returns an *InputError if a size is out of range.
+// Validate returns an *InputError if a number in the size is out of range.
 func (s Size) Validate() error {
 	switch {
 	case s.Sidecars < 1 || s.Sidecars > maxSidecars:
-		return Invalid("sidecars: %d is out of range, 1 to %d", s.Sidecars, maxSidecars)
+		return InputErrorf("sidecars: %d is out of range, 1 to %d", s.Sidecars, maxSidecars)
 	case s.Endpoints < 1 || s.Endpoints > maxEndpoints:
-		return Invalid("endpoints: %d is out of range, 1 to %d", s.Endpoints, maxEndpoints)
+		return InputErrorf("endpoints: %d is out of range, 1 to %d", s.Endpoints, maxEndpoints)
 	case s.Real < 0 || s.Real > min(maxReal, s.Sidecars):
-		return Invalid("real: %d is out of range, 0 to %d of %d sidecars", s.Real, min(maxReal, s.Sidecars), s.Sidecars)
+		return InputErrorf("real: %d is out of range, 0 to %d with %d sidecars", s.Real, min(maxReal, s.Sidecars), s.Sidecars)
 	}
 	return nil
 }
 
-// rangedValue is a value of the file and the closed range that it has to be in.
+// rangedValue is a value of the scenario file and its allowed range, with both ends included. Durations are in seconds.
 type rangedValue struct {
 	key      string
 	value    float64
 	min, max float64
 }
 
-// validate returns an InputError for the first value that is not allowed.
+// validate returns an *InputError for the first value that is not allowed. The error names the key.
 func (f *File) validate() error {
 	ranges := []rangedValue{
 		{"fleet.services", float64(f.Fleet.Services), 1, 100},
@@ -117,63 +118,64 @@
 		{"limits.duration", f.Limits.Duration.Std().Seconds(), 1, maxDuration.Seconds()},
 		{"limits.requests", float64(f.Limits.Requests), 1, maxRequests},
 		{"limits.start_spread", f.Limits.StartSpread.Std().Seconds(), 0, maxDuration.Seconds()},
-		{"limits.ready", f.Limits.Ready.Std().Seconds(), 1, maxDuration.Seconds()},
+		{"limits.ready", f.Limits.ReadyTimeout.Std().Seconds(), 1, maxDuration.Seconds()},
 	}
 	if err := validateRanges(ranges); err != nil {
 		return err
 	}
 	for i, class := range f.Load.Classes {
 		if !slices.Contains([]string{Idempotent, IdempotentWithKey, NonIdempotent}, class.Idempotency) {
-			return Invalid("load.classes[%d].repeat: %q is not known", i, class.Idempotency)
+			return InputErrorf("load.classes[%d].repeat: %q is not one of pure, token and side_effect", i, class.Idempotency)
 		}
 	}
 	if !slices.Contains([]string{DiscoverySubscribe, DiscoveryAutomatic}, f.Sidecar.Discovery) {
-		return Invalid("sidecar.discovery: %q is not known", f.Sidecar.Discovery)
+		return InputErrorf("sidecar.discovery: %q is neither subscribe nor automatic", f.Sidecar.Discovery)
 	}
 	for _, name := range f.Names() {
 		if err := f.Scenarios[name].validate(); err != nil {
-			return Invalid("scenarios.%s.%w", name, err)
+			return InputErrorf("scenarios.%s.%w", name, err)
 		}
 	}
 	return nil
 }
 
-// validateRanges returns an InputError for the first value that is out of its range.
+// validateRanges returns an *InputError for the first value that is out of its range. NaN is out of every range.
 func validateRanges(values []rangedValue) error {
 	for _, v := range values {
 		if !(v.value >= v.min && v.value <= v.max) {
-			return Invalid("%s: %v is out of range, %v to %v", v.key, v.value, v.min, v.max)
+			return InputErrorf("%s: %v is out of range, %v to %v", v.key, v.value, v.min, v.max)
 		}
 	}
 	return nil
 }
 
-// validate returns an InputError for the first value of a scenario that is not allowed.
+// validate returns an *InputError for the first value of a scenario that is not allowed. It ignores values that a
+// scenario of this kind does not use.
 func (s Scenario) validate() error {
-	phases := []rangedValue{
+	phaseRanges := []rangedValue{
 		{"settle", s.Settle.Std().Seconds(), 0, maxDuration.Seconds()},
 		{"rest", s.Idle.Std().Seconds(), 0, maxDuration.Seconds()},
 		{"loaded", s.Loaded.Std().Seconds(), 0, maxDuration.Seconds()},
 	}
-	events := []rangedValue{
+	eventRanges := []rangedValue{
 		{"per_day", float64(s.PerDay), 1, 1e6},
 		{"compression", s.Compression, 1, 1e6},
 		{"events", float64(s.Events), 1, maxEvents},
 		{"burst", float64(s.Burst), 0, maxEvents},
-		{"drain", s.Drain.Std().Seconds(), 0, maxDuration.Seconds()},
+		{"drain", s.DrainDuration.Std().Seconds(), 0, maxDuration.Seconds()},
 	}
-	outage := []rangedValue{
+	outageRanges := []rangedValue{
 		{"notice", s.DetectionDelay.Std().Seconds(), 0, maxDuration.Seconds()},
 		{"gone", s.Outage.Std().Seconds(), 0.1, maxDuration.Seconds()},
 		{"back", s.Recovery.Std().Seconds(), 0.1, maxDuration.Seconds()},
 	}
 	switch s.Kind {
 	case Steady:
-		return validateRanges(phases)
-	case Changes, Replace:
-		return validateRanges(append(phases, events...))
-	case Zone:
-		return validateRanges(append(phases, outage...))
+		return validateRanges(phaseRanges)
+	case ConfigChanges, Replacements:
+		return validateRanges(append(phaseRanges, eventRanges...))
+	case ZoneFailure:
+		return validateRanges(append(phaseRanges, outageRanges...))
 	}
-	return Invalid("kind: %q is not known", s.Kind)
+	return InputErrorf("kind: %q is not one of steady, changes, replace and zone", s.Kind)
 }
