--- a/balancer/admission.go
+++ b/balancer/admission.go
@@ -4,7 +4,8 @@
 
 // Admission: whether a request is sent or rejected, and whether endpoints are probed for it first.
 
-// Bounds of requestsPerTrial, which starts at the minimum and doubles with each trial not served in time.
+// Bounds of requestsPerTrial. A trial is a request that is sent although it is predicted too late; see
+// tooLate. requestsPerTrial starts at the minimum and doubles with each trial that is not served in time.
 const (
 	minRequestsPerTrial = 10
 	maxRequestsPerTrial = 640
@@ -98,7 +99,7 @@
 	return true
 }
 
-// recordTrial updates requestsPerTrial by an outcome of r. inTime says whether r was served in time.
+// recordTrial updates requestsPerTrial after an outcome of r. inTime tells whether r was served in time.
 func (a *admission) recordTrial(r *request, inTime bool) {
 	if inTime {
 		a.requestsPerTrial = minRequestsPerTrial
--- a/balancer/admission_test.go
+++ b/balancer/admission_test.go
@@ -81,8 +81,8 @@
 	}
 }
 
-// If the sidecar itself is slow, all measured latencies grow. Rejecting requests for endpoints where none queues would
-// not relieve any endpoint, and would make clients retry.
+// If the sidecar itself is slow, all measured latencies grow. Rejecting requests although no request queues at the
+// endpoints would not relieve any endpoint, and would make clients retry.
 func TestSlowdownAloneRejectsNothing(t *testing.T) {
 	b, r := startBalancer(t, testSettings(), readyEndpoints(1))
 	b.estimates.trend, b.estimates.trendAt = maxTrendRatio, 1000
@@ -168,7 +168,7 @@
 	}
 }
 
-// On-call staff must see why requests are rejected: in one log line per second, not in thousands.
+// Operators must see why requests are rejected: in one log line per second, not in thousands.
 func TestRejectionsAreLoggedOnceASecond(t *testing.T) {
 	b, r := startBalancer(t, testSettings(), readyEndpoints(1))
 	b.HandleProbe(1000, 1, OK, 500, []float32{50})
--- a/balancer/balancer.go
+++ b/balancer/balancer.go
@@ -11,7 +11,7 @@
 //   - It is not safe for concurrent use: the host serializes the events.
 //   - Each request gets exactly one final answer, unless its client disconnects first.
 //   - Only the ledger enforces the rules (attempt limits, idempotency, deduplication, slow start). Every
-//     attempt, rejection and failure goes through it, so no policy can break a rule.
+//     attempt, rejection and failure goes through it, so no other component can break a rule.
 //
 // The balancer transfers no data, opens no connections and stores nothing. The host does all of that.
 //
@@ -30,8 +30,8 @@
 //
 //   - prober -> slowStart -> estimator -> prober: a probe is charged to the slow start budget, that budget
 //     depends on measured latencies, and the estimates depend on how recent the probes keep the load reports.
-//   - admission <-> retrier: an admitted attempt starts the timer that may hedge it, and a retry or hedged
-//     request is admitted like a first attempt.
+//   - admission <-> retrier: when admission sends an attempt, the retrier starts the timer after which the
+//     attempt may be hedged, and a retry or hedged request is admitted like a first attempt.
 //
 // Neither cycle leads to recursion: each call goes one step along the cycle.
 type Balancer struct {
@@ -162,7 +162,8 @@
 	}
 }
 
-// HandleRequest handles the arrival of a client's request. A request with the ID of a known one is ignored.
+// HandleRequest handles the arrival of a client's request. The request is ignored if the ledger already holds
+// one with the same ID.
 func (b *Balancer) HandleRequest(now Micros, in Request) {
 	if b.ledger.lookup(in.ID) != nil {
 		return
@@ -214,7 +215,7 @@
 	if r == nil {
 		return
 	}
-	b.membership.dropIfRemoved(a.endpoint) // not left to the next endpoint list, which may come much later
+	b.membership.dropIfRemoved(a.endpoint) // now, since the next endpoint list may come much later
 	b.retries.recordLoss(a, o.Status)
 	b.stats.countOutcome(a, o.Status, o.Latency)
 	b.breakers.recordOutcome(now, a, o.Status, o.Latency)
--- a/balancer/breaker.go
+++ b/balancer/breaker.go
@@ -139,8 +139,8 @@
 	return max(0, (requests-protectedRequests-allowed)/(requests+1))
 }
 
-// breakers decides by random draws what the circuit breakers of endpoints and the error throttle over all
-// endpoints drop.
+// breakers decides by random draws which requests are dropped by the circuit breakers of single endpoints and
+// by the error throttle over all endpoints.
 type breakers struct {
 	*environment
 	recentAttempts decayingRequestCounts // attempts that ended, and requests throttled
@@ -187,8 +187,8 @@
 	return true
 }
 
-// recordResult counts the end of an attempt for the throttle. inTime tells that it was answered within its
-// latency objective.
+// recordResult counts the end of an attempt for the throttle. inTime tells whether the attempt was answered
+// within the latency objective of its class.
 func (k *breakers) recordResult(now Micros, status Status, inTime bool) {
 	if status != Cancelled && status != NotSent {
 		k.recentAttempts.add(now, inTime)
--- a/balancer/demand.go
+++ b/balancer/demand.go
@@ -88,7 +88,7 @@
 // recentRejectedShare returns the recent share of requests rejected at arrival, 0 to 1.
 func (d *demand) recentRejectedShare() float64 { return d.rejectedShare.value }
 
-// referenceWork returns the mean work in microseconds of the first class: the unit where no request is given.
+// referenceWork returns the mean work of the first class, in microseconds. It stands for a typical request.
 func (d *demand) referenceWork() float64 { return d.classes[0].work.value }
 
 // recordArrival adds a request to the total rate and to the rates of its class and its tenant.
@@ -165,12 +165,12 @@
 	return nil
 }
 
-// priority returns the priority of a request of r's class and tenant, from 0 to 1. It is
+// priority returns the priority of r, from 0 to 1:
 //
-//	gain of r's class / largest gain of any class x tenantPriority
+//	(gain of r's class / largest gain of any class) x priority of r's tenant
 //
-// where the gain of a class is what one unit of its work adds to the goal. It grows with the priority weight
-// of the class, and the closer the class is to having the least share served in time.
+// The gain of a class is what one unit of its work adds to the goal. It grows with the priority weight of the
+// class. It is larger the less the class's share served in time exceeds the least such share of any class.
 func (d *demand) priority(now Micros, r *request) float64 {
 	var totalWork, totalWeight float64
 	minServedInTime := 1.0
--- a/balancer/discovery.go
+++ b/balancer/discovery.go
@@ -9,7 +9,7 @@
 // The delay before a call is drawn from 0.5 to 1.5 times the backoff.
 const minInitialBackoff = second / 20
 
-// discoveryPoller subscribes to changes of the endpoint list and retries failed calls of discovery.
+// discoveryPoller subscribes to changes of the endpoint list and retries failed calls to discovery.
 type discoveryPoller struct {
 	*environment
 	subscribed bool
@@ -49,7 +49,8 @@
 }
 
 // failed schedules the next call after a call that failed or a watch that broke. The delay grows
-// exponentially and has jitter, but leaves the next call time to return a change by NotificationDeadline.
+// exponentially and has jitter. It is limited so that the next call can still return a change within
+// NotificationDeadline.
 func (d *discoveryPoller) failed(now Micros) {
 	wasSubscribed := d.subscribed
 	d.subscribed = false
--- a/balancer/discovery_test.go
+++ b/balancer/discovery_test.go
@@ -5,9 +5,10 @@
 	"testing"
 )
 
-// By the protocol, the balancer may count as notified of a change that it missed because its subscription broke. The
-// first call after the break must therefore come early enough for its answer to arrive within the drain grace, whatever
-// that grace is. Later calls back off. Without an earlier subscription, the first call backs off, too.
+// By the protocol, a balancer may count as notified of a change even though it missed the change because its
+// subscription broke. The first call after the break must therefore come early enough for its answer to arrive within
+// the drain grace, whatever that grace is. Later calls back off. Without an earlier subscription, the first call backs
+// off, too.
 func TestBrokenSubscriptionIsRenewedWithinDrainGrace(t *testing.T) {
 	for _, grace := range []Micros{0, second / 5, second / 2, 2 * second, 30 * second} {
 		s := testSettings()
@@ -23,7 +24,7 @@
 				b.HandleEndpoints(0, ListFailed, nil)
 				i := slices.Index(r.timers, uint32(pollTimerToken))
 				if i < 0 {
-					t.Fatal("no timer was started for the next call of discovery")
+					t.Fatal("no timer was started for the next call to discovery")
 				}
 				return r.delays[i]
 			}
@@ -61,12 +62,12 @@
 				return
 			}
 		}
-		t.Fatal("no timer was started for the next call of discovery")
+		t.Fatal("no timer was started for the next call to discovery")
 	}
 	fireTimer()
 	for n := 1; n < 8; n++ {
 		if r.watches != n {
-			t.Fatalf("%d calls of discovery, want %d", r.watches, n)
+			t.Fatalf("%d calls to discovery, want %d", r.watches, n)
 		}
 		before := now
 		if n%2 == 0 {
@@ -84,6 +85,6 @@
 	n := r.watches
 	b.HandleTimer(now+100*second, pollTimerToken)
 	if r.watches != n {
-		t.Errorf("%d calls of discovery after subscribing, want none", r.watches-n)
+		t.Errorf("%d calls to discovery after subscribing, want none", r.watches-n)
 	}
 }
--- a/balancer/endpoint.go
+++ b/balancer/endpoint.go
@@ -20,10 +20,10 @@
 	Endpoint
 	listed       bool    // the endpoint is in the list that is being read
 	cordoned     bool    // operators have removed the endpoint from service
-	awaitsTrial  bool    // it is back in service, and operators wait for it to serve a request
+	awaitsTrial  bool    // operators have returned the endpoint to service and wait for it to serve a request
 	warming      bool    // result of the latest call of isWarming
 	warmingSince Micros  // start of the warm-up
-	warmingWork  float64 // microseconds of work that this balancer has charged to it during the warm-up
+	warmingWork  float64 // microseconds of work charged to the endpoint since then; begin sets a start value
 
 	inFlight           int    // own attempts without an outcome whose body was sent
 	uploading          int    // own attempts without an outcome whose body is still being sent
@@ -36,11 +36,11 @@
 	hasReport        bool
 	pooled           bool
 	reportedAt       Micros  // time of the latest load report; 0 if a probe failed since then
-	reportedLoad     float64 // requests of other balancers at reportedAt
+	reportedLoad     float64 // requests of other balancers at the endpoint, by the latest load report
 	inFlightAtReport int     // own requests in flight at reportedAt
 	meanReportedLoad ewma    // moving average of reportedLoad
 
-	serviceTimeRatio   ewma    // measured / predicted service time, as it is after the warm-up
+	serviceTimeRatio   ewma    // measured / predicted service time, without the slowdown by the warm-up
 	serviceTimeRatioAt Micros  // time of the latest sample of serviceTimeRatio
 	failureShare       float64 // share of failures at failureShareAt; see currentFailureShare
 	failureShareAt     Micros
@@ -67,8 +67,8 @@
 	return e.warming
 }
 
-// warmupFraction returns the guaranteed share of its capacity that e has at now. It is 1 for a warm endpoint
-// and grows linearly from SlowStartInitialFraction during the slow start.
+// warmupFraction returns the share of its full capacity that e is guaranteed to have at now. It is 1 for a
+// warm endpoint and grows linearly from SlowStartInitialFraction during the slow start.
 func (e *endpoint) warmupFraction(now Micros, c *Contract) float64 {
 	if !e.isWarming(now, c) {
 		return 1
--- a/balancer/environment.go
+++ b/balancer/environment.go
@@ -12,7 +12,7 @@
 	lastLogged map[string]Micros // instant of the latest line of each topic
 }
 
-// log writes a line for on-call staff. It writes at most one line per second and topic, since there may be
+// log writes a line for operators. It writes at most one line per second and topic, since there may be
 // thousands of rejections.
 func (env *environment) log(now Micros, topic, format string, args ...any) {
 	if at, ok := env.lastLogged[topic]; ok && now-at < second {
--- a/balancer/estimates.go
+++ b/balancer/estimates.go
@@ -14,7 +14,7 @@
 	TypicalLoad        float64 `json:"Usual"`     // mean of the requests of other balancers at a warm endpoint
 	TypicalWarmingLoad float64 `json:"UsualCold"` // the same at an endpoint that is warming up
 
-	WarmingSlowness float64 `json:"Chill"`  // measured part of the slowdown that the warm-up fraction implies
+	WarmingSlowness float64 `json:"Chill"`  // measured share of the slowdown that the warm-up fraction implies
 	WarmingSamples  int     `json:"Chills"` // number of samples in WarmingSlowness
 
 	ClassWork     []ClassWorkEstimate   `json:"Works"` // one entry per class
@@ -81,7 +81,7 @@
 	}
 }
 
-// restore takes over the estimator's fields of in.
+// restore sets what the estimator has learned to the figures of in.
 func (est *estimator) restore(in *Estimates) {
 	est.fleetServiceTimeRatio = newEWMA(in.ServiceTimeRatio)
 	est.warmingSlowness.value = clampShare(in.WarmingSlowness)
@@ -113,7 +113,7 @@
 	}
 }
 
-// restore takes over the work of the classes in force that in names.
+// restore sets the work of each class in force for which the estimates name a valid work.
 func (d *demand) restore(in *Estimates) {
 	for _, w := range in.ClassWork {
 		if c := d.classNamed(w.Class); c != nil && isPositiveFinite(w.Work) {
@@ -134,7 +134,7 @@
 	}
 }
 
-// restore keeps the endpoints of in until the endpoint list names them.
+// restore stores the endpoint estimates of in. Each is applied when the endpoint list names its endpoint.
 func (m *membership) restore(in *Estimates) {
 	m.restoredEstimates = map[uint64]EndpointEstimate{}
 	for _, e := range in.Endpoints {
--- a/balancer/ledger.go
+++ b/balancer/ledger.go
@@ -1,7 +1,7 @@
 package balancer
 
 // The request ledger. Every attempt, rejection and failure goes through send, reject and fail. Only these
-// enforce the rules, so no policy can bypass the rules.
+// methods enforce the rules, so no other component can bypass the rules.
 
 // servedInTimeWeight is the weight of the latest request in class.servedInTime, the moving average of the
 // share of requests served in time.
--- a/balancer/loadreport.go
+++ b/balancer/loadreport.go
@@ -13,8 +13,8 @@
 
 	// Sample weights: an average a with weight w becomes a + w (x - a) by its latest sample x.
 
-	typicalLoadSampleWeight       = 0.1  // weight in the typical load
-	sparseTypicalLoadSampleWeight = 0.03 // the same where reports are sparse: a single report must not move it
+	typicalLoadSampleWeight       = 0.1  // weight in the typical load, unless reports are sparse
+	sparseTypicalLoadSampleWeight = 0.03 // weight in the typical load if reports are sparse; see reportsSparse
 	meanLoadSampleWeight          = 0.1  // weight in the mean load of an endpoint
 	shareSampleWeight             = 0.02 // weight in the shares of queued probes, late reports and rejections
 
--- a/balancer/loadreport_test.go
+++ b/balancer/loadreport_test.go
@@ -52,7 +52,8 @@
 }
 
 // While reports are late, the mean of each endpoint's reports is its load: an endpoint under heavy load from other
-// balancers must still be told from an idle one, and the mean over the fleet must not raise any latency limit.
+// balancers must still show a higher load than an idle one, and the mean over the fleet must not raise any latency
+// limit.
 func TestDelayedReportsAreAveragedByEndpoint(t *testing.T) {
 	b, _ := startBalancer(t, testSettings(), readyEndpoints(2))
 	b.demand.classes[0].requestRate.add(0, 1)
--- a/balancer/membership.go
+++ b/balancer/membership.go
@@ -2,7 +2,7 @@
 
 import "slices"
 
-// Membership: the endpoints that discovery lists, and the names that operators cordoned.
+// Membership: the endpoints that discovery lists, and the names of the endpoints that operators cordoned.
 
 // membership holds the known endpoints.
 type membership struct {
@@ -10,9 +10,9 @@
 	endpoints         []*endpoint // in the order in which they were first listed
 	byID              map[uint32]*endpoint
 	cordoned          map[uint64]bool             // whether endpoints are cordoned, by their name
-	restoredEstimates map[uint64]EndpointEstimate // of an earlier process, by name, until the endpoint is listed
+	restoredEstimates map[uint64]EndpointEstimate // estimates from Restore by name, until the endpoint is listed
 	removedStartTimes map[uint64]Micros           // start times of removed endpoints, by name
-	listReceived      bool                        // a list arrived; a cached one counts if not subscribing
+	listReceived      bool                        // a list arrived; cached ones count if not subscribing
 	listReceivedAt    Micros                      // instant of the latest list that is not cached; 0 for none
 	maxWeight         float64                     // largest weight ever listed; random draws are scaled by it
 }
--- a/balancer/overload_test.go
+++ b/balancer/overload_test.go
@@ -19,7 +19,7 @@
 	inTime         []int  // number of these requests that were served within the latency objective
 }
 
-// clientHost is the host of one balancer, with the attempts that clients made there.
+// clientHost is the host of one balancer, with the attempts that clients sent to that balancer.
 type clientHost struct {
 	service         *service
 	balancer        *Balancer
@@ -33,7 +33,7 @@
 	attempts  int
 }
 
-// clientAttempt is one attempt of a client: one request for the balancer that gets it.
+// clientAttempt is one attempt of a client. The balancer that receives it handles it as a request of its own.
 type clientAttempt struct {
 	request  *clientRequest
 	id       uint64
--- a/balancer/pick.go
+++ b/balancer/pick.go
@@ -12,7 +12,7 @@
 	crossZonePriceWeight = 2.0  // weight of Prices.CrossZone: a price of 1 costs this many latency objectives
 	affinityChoices      = 2    // a key maps to this many endpoints of the own zone and this many of others
 	minEndpointWeight    = 0.01 // lower bound of Endpoint.Weight where it divides a rendezvous score
-	maxRejectedShare     = 0.5  // share of rejections in its failures from which ejection adds no cost
+	maxRejectedShare     = 0.5  // share of rejections among failures from which ejection adds no cost
 )
 
 // picker selects the endpoint of an attempt: the one of least cost among the candidates. Candidates are the
@@ -37,11 +37,19 @@
 //
 //	cost = L + (f + j + t) * objective + othersDelayWeight * w * s * n + crossZonePriceWeight * p * objective
 //
-// where L is the predicted latency, objective the latency objective of r's class, f the failure share of e, j
-// 1 if e is ejected and less than maxRejectedShare of its failures are rejections, t 1 if L exceeds the
-// latency limit, w the mean work of r's class, s the service time ratio of e, n the load at e, and p the
-// price of crossing zones if e is in another zone; j, t and p are otherwise 0. w * s * n stands for the delay
-// that r causes to the n requests at e.
+// where
+//
+//	L = predicted latency
+//	objective = latency objective of r's class
+//	f = failure share of e
+//	j = 1 if e is ejected and less than maxRejectedShare of its failures are rejections, otherwise 0
+//	t = 1 if L exceeds the latency limit, otherwise 0
+//	w = mean work of r's class
+//	s = service time ratio of e
+//	n = load at e
+//	p = price of crossing zones if e is in another zone, otherwise 0
+//
+// w * s * n stands for the delay that r causes to the n requests at e.
 func (p *picker) cost(now Micros, r *request, e *endpoint) float64 {
 	objective := float64(r.class.LatencyObjective)
 	expected := p.estimates.latency(now, e, r.work)
--- a/balancer/prediction.go
+++ b/balancer/prediction.go
@@ -19,13 +19,13 @@
 	trendSampleWeight                 = 0.1  // weight in the trend
 
 	minClassWorkShare   = 0.001 // lower bound of a class's work, as a share of its latency objective
-	minRequestWorkShare = 0.1   // lower bound of the work that divides a latency, as a share of its class's work
+	minRequestWorkShare = 0.1   // lower bound of the divisor of measuredRatio, as a share of the class's work
 
 	maxTrendRatio    = 5.0 // upper bound of a trend sample: one outlier must not make the fleet look slow
 	minSlowdownTrend = 1.5 // trend above which the fleet counts as slow; divides the trend in slowdown
 
 	initialWorkHintExponent = 0.5   // exponent before any outcome
-	workHintLearningRate    = 0.005 // step of the exponent where hint / mean work and measured / predicted are e
+	workHintLearningRate    = 0.005 // exponent step / (ln(hint / mean work) * ln(measured / predicted))
 
 	// Shares of a request's headroom (see latencyLimit) that it may spend queueing. The rest of the headroom is
 	// a margin for the variance of latencies.
@@ -49,7 +49,7 @@
 	workHintExponent      float64          // actual work grows with this power of its hint; 0 to 1
 	trend                 float64          // mean of latency / prediction over all endpoints, as of trendAt
 	trendAt               Micros           // instant of the latest sample of trend
-	warmingSlowness       ewma             // measured part of the slowdown that the warm-up fraction implies
+	warmingSlowness       ewma             // measured share of the slowdown that the warm-up fraction implies
 	warmingSamples        int              // number of samples in warmingSlowness
 }
 
@@ -124,7 +124,7 @@
 
 // likelyWarmupFraction returns the expected share of its full capacity that e has by now:
 // min(m*f, max(f, 1/W)), where f is the warm-up fraction, a lower bound of that share, W is warmingSlowdown,
-// m = 1 + maxExtraFraction * min(1, n/fullExtraSamples) and n is the number of samples in warmingSlowness.
+// m = 1 + maxExtraFraction * min(1, n/samplesForMaxExtraFraction) and n is warmingSamples.
 func (est *estimator) likelyWarmupFraction(now Micros, e *endpoint) float64 {
 	maxMultiple := 1 + maxExtraFraction*min(1, float64(est.warmingSamples)/samplesForMaxExtraFraction)
 	minFraction := e.warmupFraction(now, &est.settings.Contract)
--- a/balancer/probing.go
+++ b/balancer/probing.go
@@ -7,19 +7,19 @@
 	maxProbesPerRound = 3           // endpoints probed in one round, at most
 	lostProbeTimeout  = 5 * second  // an unanswered probe prevents another of the same endpoint for this time
 
-	// Probes have a price, Prices.Probe, each. These are the shares of the result that may be spent on probes,
-	// per request: in rounds, and with requests, where a fresh report is worth more. Divided by the price, they
-	// give the number of probes per request.
+	// Limits on the cost of the probes per request. Each probe costs Prices.Probe, so limit / Prices.Probe is
+	// the permitted number of probes per request. The first limit applies if endpoints are probed in rounds, the
+	// second if probes are sent when a request arrives: the reports are then fresher, and worth more.
 	maxRoundProbeCost   = 0.005
 	maxRequestProbeCost = 0.02
 
 	maxProbesPerRequest     = 4.0
 	minProbedRequestShare   = 0.3  // share of requests that probes are sent for, at least, despite rejections
 	maxProbeWaitShare       = 0.1  // share of its latency objective that a request waits for its probes, at most
-	reportTTLObjectiveShare = 0.25 // age limit of a report, as a share of the latency objective, if withRequests
+	reportTTLObjectiveShare = 0.25 // age limit of a report as a share of the latency objective, if withRequests
 
-	// If endpoints are probed in rounds, a report is fresh for the longer of minReportTTL and the time in which
-	// as many probes are sent as reportTTLRounds times the complete list has endpoints.
+	// If endpoints are probed in rounds, a report is fresh for the time in which reportTTLRounds probes per
+	// listed endpoint are sent, and for minReportTTL at least.
 	minReportTTL    = second
 	reportTTLRounds = 3
 
@@ -100,8 +100,8 @@
 }
 
 // reportsSparse reports whether probing the complete list once takes longer than reportTTLRounds times
-// minReportTTL. The typical load of the fleet then decides on nearly all requests, and a few outliers must
-// not change it.
+// minReportTTL. The typical load of the fleet then stands in for the load of nearly all endpoints, and a few
+// outliers must not change it.
 func (p *prober) reportsSparse(now Micros) bool {
 	return p.settings.Limits.Probes && len(p.settings.ReportFields) > 0 &&
 		float64(len(p.membership.list()))/p.rate(now) > reportTTLRounds*float64(minReportTTL)/float64(second)
--- a/balancer/retries.go
+++ b/balancer/retries.go
@@ -102,7 +102,9 @@
 	}
 }
 
-// recordLoss updates the loss rate with an attempt that has ended.
+// recordLoss updates the loss rate with an attempt that has ended. The attempt was lost if it was declared
+// lost and then cancelled. It was also lost if it timed out and its endpoint has answered a later attempt, or
+// has responded to nothing since the attempt was sent.
 func (t *retrier) recordLoss(a *attempt, status Status) {
 	e := a.endpoint
 	lost := a.declaredLost && status == Cancelled ||
@@ -111,8 +113,8 @@
 }
 
 // retry sends r again after a failed attempt. If it can't, it rejects r, unless another attempt is in flight.
-// The retry is charged to the budget only if the failed attempt may have executed; otherwise that attempt has
-// cost no work.
+// The retry is charged to the budget only if the failed attempt may have executed; otherwise the endpoint did
+// no work for that attempt.
 func (t *retrier) retry(now Micros, r *request, failed *attempt) {
 	cost := budget(indicator(failed.mayHaveExecuted))
 	if t.retryBudget >= cost && t.admission.startAttempt(now, r) {
--- a/balancer/retries_test.go
+++ b/balancer/retries_test.go
@@ -16,9 +16,9 @@
 	}
 }
 
-// If endpoints lose some requests and answer the others in time, an overdue attempt is lost if the endpoint has
-// answered a later attempt. It is hedged if its class permits that. The first answer ends the request and cancels its
-// other attempts.
+// If endpoints lose some requests and answer the others in time, an overdue attempt counts as lost once its endpoint
+// has answered a later attempt. It is then hedged if the request's class permits that. The first answer ends the
+// request and cancels its other attempts.
 func TestLostAttemptsAreHedged(t *testing.T) {
 	for class, wantHedges := range []int{1, 1, 1, 1, 0} {
 		b, r := startBalancer(t, testSettings(), readyEndpoints(4))
@@ -81,7 +81,7 @@
 				b.estimates.zoneLatencies[e.Zone].add(roundTrip)
 			}
 			b.HandleRequest(10_000, testRequest(1, c.class, 10_000))
-			b.HandleTimer(20_000, r.timers[len(r.timers)-1]) // in case it waits for probes
+			b.HandleTimer(20_000, r.timers[len(r.timers)-1]) // in case the request waits for probes
 			if len(r.sends) != 1 || r.latestStarts[0] != 0 {
 				t.Fatalf("got attempts %v with latest starts %v, want one attempt without a latest start",
 					r.sends, r.latestStarts)
--- a/balancer/rules.go
+++ b/balancer/rules.go
@@ -18,8 +18,8 @@
 			r.class.DeduplicationScope.covers(first, e)
 }
 
-// covers reports whether e is in the scope that belongs to the endpoint of the first possibly executed
-// attempt, so that e drops a duplicate of that attempt.
+// covers reports whether e drops a duplicate of the first possibly executed attempt: e must be in the same
+// zone or cell as the endpoint of that attempt, or anywhere, as the scope says.
 func (scope DeduplicationScope) covers(first *attempt, e *endpoint) bool {
 	return scope == ScopeAll || scope == ScopeZone && e.Zone == first.zone ||
 		scope == ScopeCell && e.Cell == first.cell
--- a/balancer/rules_test.go
+++ b/balancer/rules_test.go
@@ -67,7 +67,8 @@
 		c.recordViolation("request %d has ended, but an attempt was sent", id)
 	}
 	if !known || e.State != Ready {
-		c.recordViolation("attempt sent to endpoint %d in state %d, want a listed endpoint in state 0", endpoint, e.State)
+		c.recordViolation("attempt sent to endpoint %d in state %d, want a listed endpoint in state Ready",
+			endpoint, e.State)
 	}
 	if len(r.attempts) >= c.settings.Limits.MaxAttempts {
 		c.recordViolation("attempt with index %d of request %d exceeds MaxAttempts", len(r.attempts), id)
--- a/balancer/settings.go
+++ b/balancer/settings.go
@@ -122,8 +122,9 @@
 	AnswerGrace  Micros `json:"AnswerSlack"`
 }
 
-// Prices holds the deductions from the result that Goal weighs. Each price is multiplied by the number of its
-// events per request. No decision depends on WastedAttempt or LateFailure.
+// Prices holds the deductions from the users' score, whose criteria Goal weighs. Each price is multiplied by
+// the number of its events per request, such as the probes per request. No decision depends on WastedAttempt
+// or LateFailure.
 type Prices struct {
 	CrossZone     float64
 	Probe         float64
@@ -202,8 +203,8 @@
 }
 
 func (c *Class) validate(v *validator, path string) {
-	v.check(c.Idempotency <= NonIdempotent, path+"Idempotency", c.Idempotency, "not a known kind")
-	v.check(c.DeduplicationScope <= ScopeCell, path+"DeduplicationScope", c.DeduplicationScope, "not a known group")
+	v.check(c.Idempotency <= NonIdempotent, path+"Idempotency", c.Idempotency, "not a known idempotency")
+	v.check(c.DeduplicationScope <= ScopeCell, path+"DeduplicationScope", c.DeduplicationScope, "not a known scope")
 	notNegative(v, path+"DeduplicationWindow", c.DeduplicationWindow)
 	positive(v, path+"LatencyObjective", c.LatencyObjective)
 	positive(v, path+"ClientTimeout", c.ClientTimeout)
@@ -221,7 +222,7 @@
 func (c *Contract) validate(v *validator) {
 	notNegative(v, "Contract.DrainGrace", c.DrainGrace)
 	fraction := c.SlowStartInitialFraction
-	v.check(fraction > 0 && fraction <= 1, "Contract.SlowStartInitialFraction", fraction, "must be in 0..1, not 0")
+	v.check(fraction > 0 && fraction <= 1, "Contract.SlowStartInitialFraction", fraction, "must be in (0,1]")
 	notNegative(v, "Contract.SlowStartDuration", c.SlowStartDuration)
 	positive(v, "Contract.OverloadFactor", c.OverloadFactor)
 	notNegative(v, "Contract.OverloadWindow", c.OverloadWindow)
--- a/balancer/slowstart.go
+++ b/balancer/slowstart.go
@@ -28,7 +28,7 @@
 	// endpoint may get, as a share of a warm endpoint's load and per unit of warm-up fraction.
 	overloadFactorShare = 0.28
 
-	workChargeFactor = 1.15 // multiplies the work of a request: the tokens that it is charged
+	workChargeFactor = 1.15 // tokens charged for a request, as a multiple of its work
 	probeWorkShare   = 0.01 // work of a probe as a share of referenceWork, the mean work of a request
 
 	// The warm-up fraction that measured latencies show may exceed the least one, f, which the contract sets, by
@@ -84,9 +84,9 @@
 	}
 }
 
-// offerTrial draws at random whether this balancer is one of the few that may send to e, which is no longer
-// cordoned, at once. Operators wait until an endpoint that they uncordoned serves a request. A request from
-// every balancer could overload it.
+// offerTrial draws at random whether this balancer may send to e at once. It is called when e is uncordoned:
+// operators then wait until e serves a request. Only a few balancers may send at once, since a request from
+// every balancer could overload e.
 func (s *slowStart) offerTrial(e *endpoint) {
 	c, work := &s.settings.Contract, s.demand.referenceWork()
 	permittedRequests := c.OverloadFactor * c.SlowStartInitialFraction * float64(c.OverloadWindow) / work
@@ -129,7 +129,7 @@
 func (s *slowStart) refill(now Micros, work float64) {
 	var warmEndpoints, usableEndpoints float64          // numbers of endpoints
 	var fractionSum float64                             // sum of the warm-up fractions of warming endpoints
-	var nextWorkPerFraction, minWorkPerFraction float64 // work per warm-up fraction: of s.next; least
+	var nextWorkPerFraction, minWorkPerFraction float64 // work / warm-up fraction: for s.next, and the least
 	s.next = nil
 	contract := &s.settings.Contract
 	for _, e := range s.membership.list() {
--- a/balancer/slowstart_test.go
+++ b/balancer/slowstart_test.go
@@ -34,7 +34,8 @@
 			got := float64(i - first + 1)
 			if share := got / budget(n); share > worst {
 				worst = share
-				where = fmt.Sprintf("endpoint %d got %.0f by %.2f s, N is %.1f", id, got, float64(now)/1e6, n)
+				where = fmt.Sprintf("endpoint %d got %.0f requests in the window that ends at %.2f s, where %.1f are permitted",
+					id, got, float64(now)/1e6, n)
 			}
 		}
 	}
@@ -146,8 +147,8 @@
 			allowed++
 		}
 	}
-	// In 5 s, a warm endpoint gets half a request from each balancer. The warming endpoint gets 0.7 times its warm-up
-	// fraction, here 0.2 to 0.6, of that.
+	// In 5 s, a warm endpoint gets half a request from each balancer. A warming endpoint may get that half request times
+	// overloadFactorShare x OverloadFactor = 0.7 times its warm-up fraction, which rises here from 0.2 to 0.6.
 	if allowed < 5 || allowed > 60 {
 		t.Errorf("%d of %d balancers with little traffic may send to a warming endpoint within 5 s, want 5 to 60",
 			allowed, balancers)
--- a/balancer/stats.go
+++ b/balancer/stats.go
@@ -83,8 +83,8 @@
 	s.Slowdown, s.ReportsLate = est.slowdown(now), est.reportsLate
 }
 
-// Since formats the increase of the counts from old to s, and the state in s, as name=value pairs. Latencies
-// are means in milliseconds.
+// Since formats the increase of the counts from old to s, and the estimates of the state that s holds, as
+// name=value pairs. Latencies are means in milliseconds.
 func (s *Stats) Since(old *Stats) string {
 	meanMillis := func(sum Micros, n uint64) float64 { return float64(sum) / 1000 / float64(max(1, n)) }
 	formatStatuses := func(current, previous *[NotSent + 1]uint64) (text string) {
