--- a/cmd/simhost/main.go
+++ b/cmd/simhost/main.go
@@ -4,7 +4,8 @@
 // One process hosts any number of balancer instances. They share only the decoder, with its cache of endpoint lists,
 // and the reply buffer, so their decisions do not depend on how the simulator distributes them over processes. A
 // malformed frame ends the process, because the input after it cannot be decoded reliably. Invalid settings and panics
-// are reported in an exception record and end only the instance concerned.
+// are reported in an exception record. They stop only the instance concerned: the process and its other instances
+// continue.
 package main
 
 import (
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -57,8 +57,8 @@
 const adminAddressVariable = "BALANCER_ADMIN_ADDR"
 
 // Load reads a configuration file and applies the environment variables to it. If the file cannot be read for a
-// transient reason, Load retries for up to system.StartTimeout. The error is an *fs.PathError, or it names the invalid
-// key. For an invalid address in BALANCER_ADMIN_ADDR, that key is admin_addr, as for an address in the file.
+// transient reason, Load retries for up to system.StartTimeout. The error is an *fs.PathError, an error of Parse that
+// also names the file, or the error of CheckAdminAddress for the address in BALANCER_ADMIN_ADDR or in the file.
 func Load(path string) (*Config, error) {
 	var data []byte
 	err := system.RetryAtStart(context.Background(), func() (err error) {
@@ -83,7 +83,8 @@
 	return cfg, nil
 }
 
-// CheckAdminAddress returns an error unless address has the form host:port or is empty, which means no admin interface.
+// CheckAdminAddress returns an error that names the key admin_addr, unless address has the form host:port or is empty.
+// An empty address means that there is no admin interface.
 func CheckAdminAddress(address string) error {
 	if address == "" {
 		return nil
--- a/internal/config/parse.go
+++ b/internal/config/parse.go
@@ -33,7 +33,7 @@
 }
 
 // Parse parses the contents of a configuration file. It does not read environment variables and leaves Host at its zero
-// value. An error names the invalid key.
+// value. An error names the invalid key, unless data is not JSON.
 func Parse(data []byte) (*Config, error) {
 	var file configFile
 	if err := json.Unmarshal(data, &file); err != nil {
--- a/internal/config/snapshot_test.go
+++ b/internal/config/snapshot_test.go
@@ -17,7 +17,7 @@
 			got.Zones, got.Settings.Zone)
 	}
 	if fresh := NewSnapshot(next); NewSnapshot(current).Next(got, next.Hash()).FileHash != fresh.FileHash {
-		t.Errorf("got another hash after a reload than %s, the hash of a sidecar that starts with the file", fresh.FileHash)
+		t.Errorf("got a hash after the reload that is not %s, the hash after a start with the same file", fresh.FileHash)
 	}
 	next.Settings.Zone = 0
 	if got := current.Merge(next); got.Settings.Zone != 2 {
--- a/internal/discovery/client.go
+++ b/internal/discovery/client.go
@@ -29,7 +29,7 @@
 	VersionResetTimeout time.Duration // time without a list after which an older version is accepted
 
 	url         string        // URL of a call for the complete list
-	watchWait   time.Duration // how long calls of a watch wait for a change, before jitter
+	watchWait   time.Duration // longest time that a call of a watch waits for a change; jitter shortens it
 	callTimeout time.Duration // timeout of a call that does not wait for a change
 }
 
@@ -66,7 +66,7 @@
 
 // fetch makes one call. If after is nil, it requests the complete list. Otherwise, it requests the changes since
 // version *after, which may be 0, and asks discovery to wait up to wait for a change. The error is a *MalformedError if
-// an answer arrived but cannot be used.
+// an answer with status 200 arrived but cannot be used.
 func (c *Client) fetch(ctx context.Context, after *uint64, wait time.Duration) (List, error) {
 	timeout := c.callTimeout
 	if wait > 0 {
--- a/internal/discovery/timing.go
+++ b/internal/discovery/timing.go
@@ -25,9 +25,9 @@
 	// callTimeout is the timeout of a call that does not wait for a change, if lists are polled.
 	callTimeout = time.Duration(balancer.DiscoveryCallTimeout) * time.Microsecond
 
-	// notificationDelay is the time from the end of a call's wait until the protocol regards the sidecar as notified of a
-	// change that the call did not report (protocol page, section Figures). The list must not become older than
-	// PollInterval, so the wait of a call satisfies
+	// notificationDelay concerns changes that a call of a watch did not report: the protocol regards the sidecar as
+	// notified of such a change this long after the end of the call's wait (protocol page, section Figures). The list must
+	// not become older than PollInterval, so the wait of a call satisfies
 	//
 	//	wait + notificationDelay <= PollInterval, unless wait is minWatchWait.
 	notificationDelay = 2 * time.Second
@@ -56,8 +56,9 @@
 // Time limits for versions that decrease. A discovery service that has lost its state restarts its version numbers. A
 // single older version does not show whether that happened or the answer is outdated.
 const (
-	// versionResetPolls is the number of poll intervals without a list after which an older version is accepted. For the
-	// same number of poll intervals, the protocol lets a failed call count as a watch (wire page, contract.ask-within).
+	// versionResetPolls is the number of poll intervals without a list after which an older version is accepted. It equals
+	// the number of poll intervals for which the protocol counts a failed call as a watch (wire page,
+	// contract.ask-within).
 	versionResetPolls = 4
 
 	// VersionResetTimeoutAfterReload replaces versionResetPolls poll intervals after a reload. The reload may have changed
@@ -95,7 +96,8 @@
 	return max(minPushedRetryDelay, min(drainGrace/pushedRetryDelayDivisor, maxPushedRetryDelay))
 }
 
-// watchWait returns how long calls of a watch ask discovery to wait for a change, before jitter.
+// watchWait returns how long calls of a watch ask discovery to wait for a change. Client.Watch shortens each wait by a
+// random time.
 func watchWait(pollInterval time.Duration) time.Duration {
 	return max(minWatchWait, min(maxWatchWait, pollInterval-notificationDelay))
 }
--- a/internal/discovery/timing_test.go
+++ b/internal/discovery/timing_test.go
@@ -11,11 +11,11 @@
 func TestTimeLimitsSatisfyInequalities(t *testing.T) {
 	deadline := time.Duration(balancer.NotificationDeadline) * time.Microsecond
 	for name, limits := range map[string]struct{ used, allowed time.Duration }{
-		"a silent watch and a call":     {maxWatchWait + WatchGrace + callTimeout, deadline},
-		"two calls":                     {2 * callTimeout, deadline},
-		"the pause of a watch":          {watchPause, 200 * time.Millisecond},
-		"the grace of a moved version":  {VersionResetTimeoutAfterReload, deadline},
-		"two calls that were malformed": {2*callTimeout + malformedRetryDelay*3/2 + watchPause, deadline},
+		"an unanswered watch and a call":   {maxWatchWait + WatchGrace + callTimeout, deadline},
+		"two calls":                        {2 * callTimeout, deadline},
+		"the pause of a watch":             {watchPause, 200 * time.Millisecond},
+		"the version reset after a reload": {VersionResetTimeoutAfterReload, deadline},
+		"two calls that were malformed":    {2*callTimeout + malformedRetryDelay*3/2 + watchPause, deadline},
 	} {
 		if limits.used >= limits.allowed {
 			t.Errorf("%s: got %v, want less than %v", name, limits.used, limits.allowed)
--- a/internal/wire/config_text.go
+++ b/internal/wire/config_text.go
@@ -91,8 +91,8 @@
 	return parseValue(t, key, false, "true or false", strconv.ParseBool)
 }
 
-// enum returns the entry of meanings whose key is the value of key in t, or defaultValue if the key is absent from t.
-// It sets an error if meanings has no such entry.
+// enum returns the meaning of the value of a key, or defaultValue if the key is absent. meanings lists the valid values
+// of the key and their meanings. For any other value, enum sets an error and returns defaultValue.
 func enum[T any](t *settingsText, key string, defaultValue T, meanings map[string]T) T {
 	return parseValue(t, key, defaultValue, "one of the known values", func(name string) (T, error) {
 		if value, ok := meanings[name]; ok {
--- a/internal/wire/event.go
+++ b/internal/wire/event.go
@@ -17,8 +17,11 @@
 	Update    balancer.ListUpdate // Membership: kind of the notification
 	Endpoints []balancer.Endpoint // Membership: the endpoint list; nil if the discovery call failed
 
-	Request balancer.Request // Request
-	Outcome balancer.Outcome // Answer, Headers (ID, Attempt, Endpoint and Latency), CancelledByClient (ID)
+	Request balancer.Request // Request: the request that the client sent
+
+	// Outcome is set by Answer (all fields except BodyConsumed), Headers (ID, Attempt, Endpoint and Latency) and
+	// CancelledByClient (ID).
+	Outcome balancer.Outcome
 
 	TimerToken uint32 // TimeoutFired: token of the timer, as passed to Reply.Arm
 
--- a/internal/wire/reply.go
+++ b/internal/wire/reply.go
@@ -105,7 +105,8 @@
 // Trace adds a line to the simulation's report. A line over 65535 bytes is truncated.
 func (r *Reply) Trace(line string) { r.text(Trace, line) }
 
-// Exception reports a failure of the balancer's code, which ends the simulation. A line over 65535 bytes is truncated.
+// Exception reports that the balancer panicked or that its settings are invalid. The simulator then ends the
+// simulation. A line over 65535 bytes is truncated.
 func (r *Reply) Exception(line string) { r.text(Exception, line) }
 
 // Track subscribes to changes of the endpoint list, or ends the subscription if subscribe is false.
--- a/internal/wire/settings.go
+++ b/internal/wire/settings.go
@@ -38,8 +38,9 @@
 )
 
 // ParseSettings parses the settings text of a begin record. It ignores unknown keys. Times are in microseconds. An
-// error is a *balancer.SettingError that names the key in the text. ParseSettings does not check whether values are in
-// range or consistent with each other; Settings.Validate does.
+// error is a *balancer.SettingError that names the key in the text, or the number of a line that is not of the form
+// key=value. ParseSettings does not check whether values are in range or consistent with each other; Settings.Validate
+// does.
 func ParseSettings(text string) (balancer.Settings, error) {
 	t, err := splitSettingsText(text)
 	if err != nil {
