--- a/internal/upstream/exchange.go
+++ b/internal/upstream/exchange.go
@@ -14,7 +14,7 @@
 	body      []byte      // the complete body or, if stream is not nil, its buffered beginning
 	stream    *BodyStream // the remainder of the body; nil if body is complete
 	release   func()      // releases the memory reserved for body; nil if none was reserved
-	writtenAt time.Time   // when the request's last byte was written; with an upload, the last byte before it
+	writtenAt time.Time   // when the last byte of the request was written, or the last one before its upload
 	reusable  bool        // whether the connection may carry another request after the response
 }
 
--- a/internal/upstream/gate.go
+++ b/internal/upstream/gate.go
@@ -6,14 +6,14 @@
 	"time"
 )
 
-// Gate is the check that each attempt and probe passes immediately before it writes its first byte: the first attempt
-// and each retry, on an idle connection or a new one, however long the wait for the connection was. By then the
-// balancer's decision to start the attempt or probe may be out of date.
+// Gate is the check that each attempt and probe passes immediately before it writes its first byte. It is needed
+// because the balancer's decision to start the attempt or probe may be out of date after the wait for a connection. The
+// check applies to first attempts and to retries, on idle connections and on new ones, however short the wait was.
 //
 // The zero value is an open gate without conditions. A Gate serves one attempt or probe.
 type Gate struct {
-	// NotAfter is the time from which on a retry could run the request twice; the gate cannot be passed then. Zero means
-	// that there is no such time.
+	// NotAfter is the time from which a retry could run the request twice. From that time the gate cannot be passed. Zero
+	// means that there is no such time.
 	NotAfter time.Time
 	// ClientGone inspects the client's connection and reports whether the client has disconnected. It is nil if there
 	// is no client.
--- a/internal/upstream/pool_test.go
+++ b/internal/upstream/pool_test.go
@@ -121,8 +121,8 @@
 	}
 }
 
-// The memory of a closed connection is garbage-collected. This matters because, among many endpoints, most have had a
-// connection at some time.
+// The memory of a closed connection is garbage-collected. With a long endpoint list, most endpoints have had a
+// connection at some time, so closed connections that remain reachable would use much memory.
 func TestClosedConnectionsAreCollected(t *testing.T) {
 	const endpoints, maxOpen = 20, 4
 	for _, c := range []struct {
--- a/internal/upstream/request_test.go
+++ b/internal/upstream/request_test.go
@@ -33,7 +33,9 @@
 	body, _ := io.ReadAll(got.Body)
 	if got.Method != "POST" || got.RequestURI != "/pay/x%2Fy?q=1&r=%20" || got.Host != "api.internal" ||
 		string(body) != "body" || got.Header.Get("X-Correlation-Id") != "9b" || got.Header.Get("Idempotency-Key") != "5c" {
-		t.Errorf("the endpoint received %s %s, host %s, %v, body %q", got.Method, got.RequestURI, got.Host, got.Header, body)
+		t.Errorf("the endpoint received %s %s, host %s, header %v, body %q; want %s %s, host %s, the client's "+
+			"X-Correlation-Id and Idempotency-Key, body %q", got.Method, got.RequestURI, got.Host, got.Header, body,
+			request.Method, requestURL, request.Host, request.Body)
 	}
 	if got.Close || got.Header.Get("Expect") != "" {
 		t.Errorf("hop-by-hop headers were forwarded: %v", got.Header)
--- a/internal/upstream/upload.go
+++ b/internal/upstream/upload.go
@@ -22,7 +22,7 @@
 	LastDataAge() time.Duration
 	// ClientClosed reports whether the client has ended its side of the connection.
 	ClientClosed() bool
-	// Discard reads and discards the data that the client still sends, for at most maxDuration.
+	// Discard reads and discards the data that the client still sends. It begins no read after maxDuration.
 	Discard(maxDuration time.Duration)
 }
 
