--- a/internal/admin/admin_test.go
+++ b/internal/admin/admin_test.go
@@ -114,7 +114,7 @@
 		if status, text := makeCall(t, "POST", url+test.path, ""); status != http.StatusOK {
 			t.Fatalf("%s: got %d %q, want 200", test.path, status, text)
 		}
-		sidecartest.Await(t, test.path+" to apply", func() bool { // the store may apply the previous state again
+		sidecartest.Await(t, test.path+" to apply", func() bool { // Refresh may apply the previous state again
 			var state operatorstate.State
 			select {
 			case state = <-applied:
--- a/internal/downstream/body.go
+++ b/internal/downstream/body.go
@@ -63,12 +63,13 @@
 }
 
 // Discard reads and drops the remainder of the body of a client that is still writing after its response was sent. It
-// ends at the end of the body, when a read fails, or once limit has passed. Without it, the kernel would reset a
-// connection that is closed with unread bytes, and the client could get the reset instead of its response.
-func (b *Body) Discard(limit time.Duration) {
+// ends at the end of the body or when a read fails. It begins no read after maxDuration has passed, but does not
+// interrupt a read that is waiting. Without Discard, the kernel would reset a connection that is closed with unread
+// bytes, and the client could get the reset instead of its response.
+func (b *Body) Discard(maxDuration time.Duration) {
 	chunk := httpmsg.ChunkBuffers.Get().(*[httpmsg.ChunkBytes]byte)
 	defer httpmsg.ChunkBuffers.Put(chunk)
-	for end := time.Now().Add(limit); time.Now().Before(end); {
+	for end := time.Now().Add(maxDuration); time.Now().Before(end); {
 		if _, err := b.Read(chunk[:]); err != nil {
 			return
 		}
--- a/internal/downstream/conn.go
+++ b/internal/downstream/conn.go
@@ -38,15 +38,15 @@
 
 	// The request that is being read, and its response.
 	head             httpmsg.HeadScanner // scans what was read since the last complete request
-	requestStart     time.Time           // the accept, or the first byte of a later request; zero until that byte
+	requestStart     time.Time           // time of the accept or, for a later request, of its first byte; zero before it
 	responseWritten  bool                // something was written since the start of the request
 	awaitingResponse bool                // a complete request was read and its response has not begun
-	pipelined        bool                // further bytes followed that request; they are not served
+	pipelined        bool                // bytes were read after a complete request; they are not served
 	disconnected     chan struct{}       // closed on a disconnect after pipelined bytes; nil before NotifyDisconnect
 
 	// Whether the connection may be read, and how it is closed.
 	phase         readPhase // changed only by setPhase
-	readDeadline  time.Time // set last by net/http or Body; an expiry replaces it on the socket for a moment
+	readDeadline  time.Time // latest deadline set by net/http or Body; during an expiry, the socket has another
 	peerClosed    bool      // the client has closed its side, or the connection is broken
 	resetOnClose  bool      // the connection is closed with a reset
 	rejectPartial bool      // Close answers a partly received request with rejectionResponse
@@ -90,7 +90,7 @@
 	}
 	c.responseWritten = c.responseWritten && c.head.Size > 0
 	c.head.Scan(data)
-	if len(data) > 0 && c.phase == phaseExpiring { // the data arrived while the expiry was being set
+	if len(data) > 0 && c.phase == phaseExpiring { // the data arrived while the expiry began
 		c.setPhase(phaseOpen)
 		c.Conn.SetReadDeadline(c.readDeadline)
 	}
@@ -126,9 +126,9 @@
 	c.Conn.SetReadDeadline(deadline)
 }
 
-// limitSendBuffer limits how many bytes of a response the kernel holds that the client has not received yet. Writes
-// then block soon after a client stops reading, so that this is noticed in time. If the kernel refuses the limit, it is
-// noticed later.
+// limitSendBuffer limits how many bytes of a response the kernel holds that the client has not received yet. If a
+// client stops reading, a write then soon blocks and reaches its deadline. If the kernel refuses the limit, that
+// happens only after more bytes were written.
 func (c *Conn) limitSendBuffer(bytes int) {
 	if t, ok := c.Conn.(*net.TCPConn); ok {
 		_ = t.SetWriteBuffer(bytes)
--- a/internal/downstream/conn_close.go
+++ b/internal/downstream/conn_close.go
@@ -143,9 +143,9 @@
 	if c.phase != phaseExpiring {
 		return false // the deadline was not that of an expiry, or the connection was evicted or closed meanwhile
 	}
-	nothingCame := c.head.Size == 0 && !system.Readable(c.Conn)
+	nothingArrived := c.head.Size == 0 && !system.Readable(c.Conn)
 	pastDeadline := !c.readDeadline.IsZero() && !time.Now().Before(c.readDeadline)
-	if nothingCame || pastDeadline {
+	if nothingArrived || pastDeadline {
 		c.setPhase(phaseExpired)
 		return false
 	}
--- a/internal/downstream/conn_test.go
+++ b/internal/downstream/conn_test.go
@@ -97,8 +97,8 @@
 	return n, err
 }
 
-// Bytes that arrive while the expiry of an idle connection is being set cancel it. It stays cancelled while the request
-// is served.
+// Bytes that arrive while the expiry of an idle connection begins cancel the expiry. It stays cancelled while the
+// request is served.
 func TestBytesDuringExpiryCancelIt(t *testing.T) {
 	l := newTestListener(t, 2)
 	client, c := l.connect()
--- a/internal/downstream/listener.go
+++ b/internal/downstream/listener.go
@@ -33,9 +33,9 @@
 	// only SetLimits changes it, with mu held.
 	MaxUsed int
 
-	mu                 sync.Mutex // guards the fields below and some of Conn; taken before Conn.mu
-	open               int        // the number of counted connections
-	used               int        // the number of those on which a request has begun
+	mu                 sync.Mutex // guards the fields below and some fields of Conn; taken before Conn.mu
+	open               int        // the number of open connections, rejected and half-closed ones included
+	used               int        // the number of open connections on which a request has begun
 	waiting            list.List  // the *Conn in stateWaiting; the one without activity for longest is first
 	closing            list.List  // the *Conn in stateClosing; the one half-closed for longest is first
 	closeCounts        CloseCounts
@@ -80,7 +80,7 @@
 
 const (
 	accepted acceptDecision = iota
-	rejected                // the limit is reached: the connection gets a 503, and is counted until it is closed
+	rejected                // the limit is reached: the connection gets a 503, and counts as open until it is closed
 	dropped                 // MaxRejected is reached, too: the connection is closed at once and never counted as open
 )
 
--- a/internal/downstream/listener_test.go
+++ b/internal/downstream/listener_test.go
@@ -61,7 +61,7 @@
 	return l
 }
 
-// released reports whether a connection is no longer counted.
+// released reports whether a connection no longer counts as open.
 func (l *testListener) released(c *Conn) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -184,7 +184,7 @@
 	}
 	first.Close()
 	if n := l.Count(); n != 1 {
-		t.Errorf("%d connections are counted, want 1", n)
+		t.Errorf("%d connections count as open, want 1", n)
 	}
 }
 
--- a/internal/downstream/pipelining.go
+++ b/internal/downstream/pipelining.go
@@ -9,8 +9,8 @@
 const maxPipelinedBytes = 1 << 20
 
 // NotifyDisconnect marks that a complete request was read and awaits its response. nothingFollows is the result of
-// FinishRequestRead: no bytes after the request were read. The returned channel is closed if the client closes its side
-// before the response begins and had sent bytes after the request. Clients must send one request at a time, so those
+// FinishRequestRead: no bytes after the request were read. If the client sends bytes after the request and closes its
+// side before the response begins, the returned channel is closed. Clients must send one request at a time, so those
 // bytes are not served. net/http does not notice a disconnect after such bytes: while a handler runs, it reads only one
 // byte.
 func (c *Conn) NotifyDisconnect(nothingFollows bool) (disconnected <-chan struct{}) {
--- a/internal/downstream/state.go
+++ b/internal/downstream/state.go
@@ -6,17 +6,17 @@
 type connState uint8
 
 const (
-	stateNew       connState = iota // just accepted, and not counted yet
+	stateNew       connState = iota // just accepted, and not counted as open yet
 	stateWaiting                    // no request is open: the connection is idle, or its next request is being read
 	stateServing                    // a request is open: from BeginRequest to EndRequest or Close
 	stateRejecting                  // the connection limit is reached: the connection gets a 503 and is closed
 	stateClosing                    // half-closed, until the client closes its side
-	stateReleased                   // no longer counted: its file descriptor is released
+	stateReleased                   // no longer counted as open: its file descriptor is released
 	connStateCount
 )
 
 // connTransitions lists the valid transitions: connTransitions[from][to] is true if a connection may change from the
-// first state to the second.
+// first state to the second. The comment of each transition names the call or event that causes it.
 var connTransitions = [connStateCount][connStateCount]bool{
 	stateNew: {
 		stateWaiting:   true, // Accept, within the limit
@@ -72,9 +72,9 @@
 	return true
 }
 
-// readPhase says whether a connection may be read, and how it comes to be closed. Conn.mu guards it. It is separate
-// from connState, so that a read does not need Listener.mu to check it, and the start of a request does not need
-// Conn.mu.
+// readPhase says whether a connection may be read, and which way of closing it has begun. Conn.mu guards it. readPhase
+// and connState are separate so that each operation needs only one lock for its check: a read checks readPhase under
+// Conn.mu, and the start of a request checks connState under Listener.mu.
 type readPhase uint8
 
 const (
@@ -87,21 +87,21 @@
 )
 
 // phaseTransitions lists the valid transitions: phaseTransitions[from][to] is true if a connection may change from the
-// first phase to the second.
+// first phase to the second. The comment of each transition names the call or event that causes it.
 var phaseTransitions = [readPhaseCount][readPhaseCount]bool{
 	phaseOpen: {
 		phaseExpiring: true, // ExpireIdle or SetLimits, if nothing was read since the last complete request
-		phaseEvicted:  true, // Accept beyond the limit
+		phaseEvicted:  true, // eviction, by Accept at the connection limit
 		phaseClosed:   true, // Close
 	},
 	phaseExpiring: {
 		phaseOpen:    true, // bytes have arrived after all
 		phaseExpired: true, // nothing has arrived, or the deadline set by net/http or Body has passed
-		phaseEvicted: true, // Accept beyond the limit
+		phaseEvicted: true, // eviction, by Accept at the connection limit
 		phaseClosed:  true, // Close
 	},
 	phaseExpired: {
-		phaseEvicted: true, // Accept beyond the limit
+		phaseEvicted: true, // eviction, by Accept at the connection limit
 		phaseClosed:  true, // Close, by net/http once its read has failed
 	},
 	phaseEvicted: {
