--- a/cmd/sidecar/faults_test.go
+++ b/cmd/sidecar/faults_test.go
@@ -89,7 +89,7 @@
 	}
 }
 
-// adminCall repeats an admin call of the current process until it succeeds.
+// adminCall repeats an admin call to the current process until it succeeds.
 func (fleet *faultyFleet) adminCall(path string) {
 	fleet.t.Helper()
 	waitFor(fleet.t, path, func() bool {
@@ -117,7 +117,8 @@
 }
 
 // maxUnansweredWhenDrained limits the requests that stay unanswered because a drained sidecar closes an idle connection
-// while a request is on its way. Each client has one connection.
+// while a request is on its way. A client has at most one open connection and one request on it, so each closed
+// connection leaves at most one request unanswered.
 const maxUnansweredWhenDrained = 40
 
 var processFaults = map[string]processFault{
@@ -219,7 +220,8 @@
 
 // Guards against a fault or an operation that ends the process, loses or duplicates a response, or stops the service
 // for good. During each one the process must keep running, each forwarded request must get exactly one response, and
-// requests must be served afterwards. A connection may end with a request unanswered only while clients are drained.
+// requests must be served afterwards. A connection may end without a response to its request only while the sidecar is
+// drained or its process is replaced.
 func TestServesThroughFaults(t *testing.T) {
 	for name, fault := range processFaults {
 		t.Run(name, func(t *testing.T) {
--- a/cmd/sidecar/frozen_test.go
+++ b/cmd/sidecar/frozen_test.go
@@ -150,8 +150,9 @@
 			t.Errorf("%s: got %d, want %d", path, got, want)
 		}
 	}
+	// The loop above calls quiesce and resume in random order. This call ends the drain in either case.
 	callAdmin(t, http.MethodPost, "http://"+admin+"/admin/resume")
-	restored["drained"] = false // the other calls repeated settings that the file already held
+	restored["drained"] = false // the only change: the restored file already held both overrides that the loop sets
 	checkStateFile(t, socket.folder, restored)
 	checkLearnedFile(t, socket.folder, learned)
 	checkFileNames(t, socket.folder)
@@ -174,8 +175,8 @@
 	}
 }
 
-// checkLearnedFile waits until the program has stored the warm-start data again. It checks that the data equals
-// learned, apart from times, and that its keys are those of the earlier release.
+// checkLearnedFile waits until the program has stored its estimates (the warm-start data) again. It checks that they
+// equal learned, apart from times, and that the keys in the file are those of the earlier release.
 func checkLearnedFile(t *testing.T, folder string, learned map[string]any) {
 	t.Helper()
 	written := learned
@@ -197,8 +198,8 @@
 	}
 }
 
-// checkFileNames checks that the names of the files in folder are those of the earlier release. It ignores temporary
-// files of the warm-start data.
+// checkFileNames checks that the names of the files in folder are those of the earlier release. It ignores the
+// temporary files that the program writes before it replaces oakproxy-learned.json.
 func checkFileNames(t *testing.T, folder string) {
 	t.Helper()
 	var names []string
--- a/cmd/sidecar/largefleet_test.go
+++ b/cmd/sidecar/largefleet_test.go
@@ -24,12 +24,13 @@
 	largeFleetTenants   = 1024
 	largeFleetPeers     = 1024
 	largeFleetSidecars  = 350
-	minMemoryMB         = 32 // minMemoryMB and minSockets are the smallest limits that the platform documents
-	minSockets          = 256
+	minMemoryMB         = 32  // smallest setting limits.memory_mb that the platform documents
+	minSockets          = 256 // smallest setting limits.sockets that the platform documents
 )
 
-// endpointList returns an endpoint list as JSON. The endpoints of its first half are ready and have the address
-// firstAddress; those of its second half have the given health and the address secondAddress.
+// endpointList returns the given version of the endpoint list as JSON. If complete is false, the list states that it
+// contains only changed entries; it contains all endpoints in any case. The endpoints of the first half are ready and
+// have the address firstAddress; those of the second half have the given health and the address secondAddress.
 func endpointList(version int, complete bool, health, firstAddress, secondAddress string) []byte {
 	var entries []map[string]any
 	for i := range largeFleetEndpoints {
@@ -73,7 +74,7 @@
 	readyAddress       string           // address of ready
 	drainingAddress    string           // address of draining
 	drain              chan struct{}    // closed by the test to drain the second half
-	callAfterDrain     chan struct{}    // closed on the first discovery call that follows the answer with the drain
+	callAfterDrain     chan struct{}    // closed on the first discovery call after the drain was listed
 	callAfterDrainOnce sync.Once        // closes callAfterDrain only once
 }
 
@@ -90,7 +91,8 @@
 }
 
 // ServeHTTP answers discovery calls. A caller that has version 41 of the list gets version 42. A caller that has
-// version 42 gets version 43, in which the second half drains, once drain is closed. Later calls get no answer.
+// version 42 gets version 43, in which the second half drains, once drain is closed. Later calls get no answer; the
+// first of them closes callAfterDrain.
 func (f *largeFleet) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	switch {
 	case r.FormValue("after") == "41" && r.FormValue("wait_ms") == "0":
@@ -235,7 +237,7 @@
 			readyServed, drainingServed)
 	}
 	close(fleet.drain)
-	select { // the sidecar calls again once the balancer has the list
+	select { // the sidecar calls discovery again only when the balancer has version 43 of the list
 	case <-fleet.callAfterDrain:
 	case <-time.After(20 * time.Second):
 		t.Fatal("got no discovery call in 20 s after the drain was listed, want one")
--- a/cmd/sidecar/main.go
+++ b/cmd/sidecar/main.go
@@ -33,7 +33,7 @@
 	logFlushTimeout = 100 * time.Millisecond
 )
 
-// errNoConfig is the error of a start without the environment variable configVar.
+// errNoConfig is the error of a start if the environment variable configVar is not set or empty.
 var errNoConfig = errors.New("environment variable " + configVar + " is not set")
 
 func main() {
@@ -43,7 +43,8 @@
 	}
 }
 
-// logLevel returns the minimum level of log lines from the environment, or info if it is not set.
+// logLevel returns the minimum level of log lines. It reads the level from the environment variable logLevelVar, and
+// returns info if the variable is not set or empty.
 func logLevel() (level slog.Level, err error) {
 	text := os.Getenv(logLevelVar)
 	if text == "" {
@@ -58,8 +59,8 @@
 // run runs a sidecar until a signal shuts it down. adjustHost may replace fields of the config.Host before the sidecar
 // starts; tests use it to inject faults.
 func run(adjustHost func(*config.Host)) error {
-	// The default action of SIGHUP would end the process. Catch it before the file is read, so that a SIGHUP during the
-	// read makes the sidecar read the file again.
+	// The default action of SIGHUP would end the process. Catch the signal before the configuration file is read, so that
+	// a SIGHUP during the read makes the sidecar read the file again.
 	hangup := make(chan os.Signal, 1)
 	signal.Notify(hangup, syscall.SIGHUP)
 	path := os.Getenv(configVar)
--- a/cmd/sidecar/main_test.go
+++ b/cmd/sidecar/main_test.go
@@ -53,8 +53,8 @@
 	return response.StatusCode == http.StatusOK
 }
 
-// Guards against an invalid or missing configuration that lets the program start, or ends it without telling the
-// operator which key is wrong. The program must exit with code 1 and one line that names the key.
+// Guards against a program that starts in spite of an invalid or missing configuration, or that exits without telling
+// the operator which key is wrong. The program must exit with code 1 and one line that names the key.
 func TestInvalidConfigurationFailsWithOneLine(t *testing.T) {
 	valid := configJSON("127.0.0.1:0")
 	for name, c := range map[string]struct{ text, key string }{
--- a/cmd/sidecar/program_test.go
+++ b/cmd/sidecar/program_test.go
@@ -82,7 +82,7 @@
 	t.Helper()
 	for deadline := time.Now().Add(20 * time.Second); !condition(); time.Sleep(5 * time.Millisecond) {
 		if time.Now().After(deadline) {
-			t.Fatalf("waited 20 s for %s, want it earlier", what)
+			t.Fatalf("timed out after 20 s waiting for %s", what)
 		}
 	}
 }
@@ -133,7 +133,8 @@
 	return response.StatusCode
 }
 
-// readinessStatus returns the status of the readiness check for clients at an address; 0 means no response.
+// readinessStatus sends the readiness check that clients use to the program that listens at an address. It returns the
+// status of the response; 0 means no response.
 func readinessStatus(address string) int { return getStatus("http://" + address + "/health/ready") }
 
 // awaitReady waits until the program that listens at an address is ready.
@@ -191,7 +192,7 @@
 	log        *logBuffer
 }
 
-// launch starts a program. The end of the test kills it if it is still running.
+// launch starts a program. When the test ends, the program is killed if it is still running.
 func launch(t *testing.T, cmd *exec.Cmd) *program {
 	t.Helper()
 	p := &program{Cmd: cmd, t: t, log: &logBuffer{}}
--- a/cmd/sidecar/reload_test.go
+++ b/cmd/sidecar/reload_test.go
@@ -59,7 +59,7 @@
 	p.terminate()
 }
 
-// Guards against a process that misses a reload during a hand-over and serves clients by the previous configuration.
+// Guards against a process that misses a reload during a hand-over and serves clients with the previous configuration.
 // Both processes must reload the file.
 func TestSIGHUPDuringHandOver(t *testing.T) {
 	socket, text := newPassedSocket(t), withEndpoint(t, configJSON("127.0.0.1:1"))
--- a/cmd/sidecar/termination_test.go
+++ b/cmd/sidecar/termination_test.go
@@ -89,7 +89,7 @@
 func TestShutdownAnswersForwardedRequests(t *testing.T) {
 	const (
 		step     = 50 * time.Millisecond
-		maxDelay = 1400 * time.Millisecond // 1.4 s = 0.7 s, the longest deadline, + 0.7 s, after which SIGKILL follows
+		maxDelay = 1400 * time.Millisecond // time from SIGTERM to SIGKILL: 0.7 s plus the longest deadline, 0.7 s
 	)
 	endpoint, listen := newHangingEndpoint(t), freeAddress(t)
 	p := launch(t, command(t, terminationConfig(listen, endpoint.address, 100)))
--- a/cmd/sidecar/traffic_test.go
+++ b/cmd/sidecar/traffic_test.go
@@ -66,8 +66,8 @@
 	return listener.Addr().String()
 }
 
-// newEndpoint starts an endpoint that responds to a request within 40 ms, but never responds to one in thirty. The
-// response body is the id of the request.
+// newEndpoint starts an endpoint that never responds to about one in thirty requests, and responds to the others within
+// 40 ms. The response body is the id of the request.
 func newEndpoint(t *testing.T, recorder *requestRecorder) (address string) {
 	t.Helper()
 	return serveConnections(t, func(conn net.Conn) { serveEndpoint(conn, recorder) })
@@ -103,8 +103,8 @@
 	}
 }
 
-// newFaultProxy starts a proxy in front of the endpoint at the address to. The proxy delays, drops, resets, truncates
-// or splits into small chunks some of the connections.
+// newFaultProxy starts a proxy in front of the endpoint at the address to. The proxy injects a fault into most of its
+// connections: a delay, a truncated response, small chunks, no response, or a reset.
 func newFaultProxy(t *testing.T, to string) (address string) {
 	t.Helper()
 	proxy, err := faults.NewProxy(to, func(connection int) faults.ConnFault {
@@ -149,7 +149,8 @@
 const trafficTimeLeft = 700 * time.Millisecond
 
 // maxLateArrival limits the time from the moment when a client abandons a request to the request's arrival at an
-// endpoint. It allows 0.1 s until the attempt starts, 0.1 s on the slowest connection, and 0.3 s for a busy machine.
+// endpoint. It is the sum of 0.1 s until the sidecar starts an attempt, 0.1 s of delay in a fault proxy, and 0.3 s for
+// a busy machine.
 const maxLateArrival = 500 * time.Millisecond
 
 // startTraffic starts the given number of clients. Each keeps one connection open and sends one request after another.
@@ -274,7 +275,8 @@
 }
 
 // recordUnanswered records a request whose connection ended without a response. That is allowed if the sidecar closed
-// the idle connection while the request was on its way, but not if the sidecar forwarded the request.
+// the idle connection while the request was on its way. It is a violation if the client's read timed out; check also
+// fails the test if the sidecar had forwarded the request.
 func (tr *traffic) recordUnanswered(id string, err error) {
 	var netErr net.Error
 	if errors.As(err, &netErr) && netErr.Timeout() {
--- a/internal/faults/inject.go
+++ b/internal/faults/inject.go
@@ -66,7 +66,8 @@
 	host.Time.Wall = func() time.Time { return time.Now().Add(loadInjection(path).WallClockStep) }
 }
 
-// faultyFiles provides file operations, of which the injection in effect may make one fail.
+// faultyFiles provides the file operations of the operating system, except that the stored injection may make one of
+// them fail.
 type faultyFiles struct {
 	injection string         // path of the stored injection
 	native    system.FileOps // operations of the operating system
--- a/internal/faults/proxy.go
+++ b/internal/faults/proxy.go
@@ -18,7 +18,7 @@
 	ResetOnAccept bool          // the proxy resets the connection as soon as it has accepted it
 	TruncateAfter int           // response bytes after which the connection is reset; 0: no limit
 	CleanEnd      bool          // a truncated connection ends with a FIN instead of a reset
-	ChunkBytes    int           // maximum bytes per write of responses to the client; 0: no limit of its own
+	ChunkBytes    int           // maximum bytes of a response per write to the client; 0: 32 KiB
 }
 
 // Proxy is a TCP proxy on the loopback interface in front of one address. NewProxy starts it and Close stops it.
@@ -89,8 +89,8 @@
 	_ = conn.SetLinger(0) // fails only if conn is already closed
 }
 
-// relayResponses forwards the endpoint's bytes to the client until either side ends the connection, or until the fault
-// truncates it.
+// relayResponses forwards the endpoint's bytes to the client until either side ends the connection. If f.TruncateAfter
+// is not 0, it stops after that many bytes.
 func (f ConnFault) relayResponses(client, endpoint *net.TCPConn) {
 	forwarded, buffer := 0, make([]byte, 32<<10)
 	if f.ChunkBytes > 0 {
--- a/internal/handover/listen.go
+++ b/internal/handover/listen.go
@@ -13,7 +13,8 @@
 	"oakproxy/internal/system"
 )
 
-// The reasons why Listen rejects an inherited descriptor. Match them with errors.Is.
+// The reasons why Listen rejects an inherited descriptor. Match them with errors.Is. Each text ends a
+// message that begins with the descriptor.
 var (
 	ErrNotDescriptor = errors.New("is not a file descriptor number")
 	ErrNotSocket     = errors.New("is not a socket")
@@ -50,7 +51,8 @@
 	return listener, err
 }
 
-// inherit returns a listener on the socket whose descriptor number is passed. It takes ownership of that descriptor.
+// inherit returns a listener on the socket whose descriptor number is passed. If the descriptor is a listening socket,
+// inherit takes ownership of it.
 // Closing the listener closes only this process's descriptor: other processes continue to accept.
 func inherit(ctx context.Context, passed string) (net.Listener, error) {
 	fd, err := parseListeningDescriptor(passed)
--- a/internal/handover/slot.go
+++ b/internal/handover/slot.go
@@ -14,12 +14,14 @@
 )
 
 const (
-	// maxProcesses is the number of slots, and so of processes of one sidecar that can hold one at the same time.
+	// maxProcesses is the number of slots of a sidecar, and so the maximum number of its processes that hold a slot at
+	// the same time.
 	maxProcesses = 4
 	// slotFileFormat is the format of a slot's file name; its argument is the index of the slot. It must not change,
 	// because processes of other versions open the file too.
 	slotFileFormat = "oakproxy-process.%d"
-	// readyMarker is the content of a slot's file once its process is ready. It must not change for the same reason.
+	// readyMarker is the content of a slot's file once its process is ready. It must not change, because processes of
+	// other versions read it.
 	readyMarker = "ready"
 )
 
--- a/internal/operatorstate/file.go
+++ b/internal/operatorstate/file.go
@@ -16,7 +16,9 @@
 const FileName = "oakproxy-state.json"
 
 const (
-	temporarySuffix = ".new" // one temporary name is enough, because only the holder of the lock writes
+	// temporarySuffix is the suffix of the temporary file's name. All processes use the same name, because only the
+	// holder of the lock writes.
+	temporarySuffix = ".new"
 
 	maxStateBytes = 1 << 20 // limit on the bytes read from a state file
 
--- a/internal/operatorstate/state.go
+++ b/internal/operatorstate/state.go
@@ -50,7 +50,8 @@
 // errUnnamedEndpoint is the error for a stored override with an empty endpoint name.
 var errUnnamedEndpoint = errors.New("stored override without an endpoint name")
 
-// validate returns an error if st has another version, belongs to another sidecar, or names an endpoint "".
+// validate returns an error if st has another version, belongs to another sidecar, or contains an override whose
+// endpoint name is empty.
 func (st *State) validate(sidecar string) error {
 	switch {
 	case st.Version != stateVersion:
--- a/internal/warmstart/file.go
+++ b/internal/warmstart/file.go
@@ -46,8 +46,8 @@
 	return saved, age, nil
 }
 
-// shiftTo converts the times of the estimates to the clock of the present balancer. now is the time on that clock, and
-// age the time since the save. The clocks of two processes may differ by a constant offset.
+// shiftTo converts the times of the estimates to the clock of this process's balancer. now is the time on that clock,
+// and age is the time since the save. The clocks of two processes may differ by a constant offset.
 func (c *fileContents) shiftTo(now balancer.Micros, age time.Duration) {
 	if c.Clock <= 0 {
 		return // a file without the time of a balancer's clock has no times to convert
--- a/internal/warmstart/store.go
+++ b/internal/warmstart/store.go
@@ -22,7 +22,7 @@
 	files     system.FileOps
 	clock     system.Clock
 	log       *slog.Logger
-	pending   chan fileContents // holds at most one, which run writes
+	pending   chan fileContents // queue of at most one save; run writes it
 }
 
 // NewStore returns a Store for the estimates of the named sidecar, with its file in host.Directory. It removes the
@@ -58,7 +58,7 @@
 }
 
 // Save queues estimates to be written; now is the time on the balancer's clock, in microseconds. Save does not block:
-// if earlier estimates are still queued, it drops the new ones. The next call then saves newer ones.
+// if earlier estimates are still queued, it drops the new ones. A later call then saves newer estimates.
 func (s *Store) Save(now balancer.Micros, estimates balancer.Estimates) {
 	savedAt := s.clock.Now()
 	next := fileContents{Version: fileVersion, Sidecar: s.sidecar, SavedUnixMS: savedAt.UnixMS,
@@ -70,12 +70,12 @@
 }
 
 // Load returns the estimates that the previous process saved, with their times converted to the balancer's clock; now
-// is the time on that clock, in microseconds. Load returns nil if there are no usable estimates. If it could read the
-// file, it logs why they are unusable.
+// is the time on that clock, in microseconds. Load returns nil if there are no usable estimates. If the file could be
+// read but its estimates are unusable, Load logs the reason.
 func (s *Store) Load(now balancer.Micros) *balancer.Estimates {
 	text, _, err := s.files.ReadFile(s.path, maxFileBytes)
 	if err != nil {
-		return nil // most starts have no file; an unreadable one is not worth a retry
+		return nil // usually the file does not exist; a file that cannot be read is not worth a retry
 	}
 	saved, age, err := s.parse(text)
 	if err != nil {
--- a/internal/warmstart/store_test.go
+++ b/internal/warmstart/store_test.go
@@ -13,8 +13,8 @@
 	"oakproxy/internal/sidecartest"
 )
 
-// Guards against a process that starts without the saved estimates, or that uses ones which do not apply: those of an
-// old or damaged file, of another version or of another sidecar.
+// Guards against a process that starts without the saved estimates, or that uses estimates from a file that is old,
+// damaged, of another version or of another sidecar.
 func TestSavedEstimatesAreLoaded(t *testing.T) {
 	dir := t.TempDir()
 	store := NewStore(t.Context(), "n0", config.Host{Directory: dir}, slog.New(slog.DiscardHandler))
@@ -38,7 +38,7 @@
 		"old":             regexp.MustCompile(`"up_ms":[0-9]+`).ReplaceAllString(string(valid), `"up_ms":1`),
 		"old, no uptime": regexp.MustCompile(`"at_ms":1(.*)"up_ms":[0-9]+`).
 			ReplaceAllString(string(valid), `"at_ms":0$1"up_ms":0`),
-		"of a later start": regexp.MustCompile(`"up_ms":[0-9]+`).ReplaceAllString(string(valid), `"up_ms":9000000000000`),
+		"before a reboot": regexp.MustCompile(`"up_ms":[0-9]+`).ReplaceAllString(string(valid), `"up_ms":9000000000000`),
 	} {
 		if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 			t.Fatal(err)
