--- a/internal/sidecar/actions.go
+++ b/internal/sidecar/actions.go
@@ -13,15 +13,15 @@
 var _ balancer.Actions = (*loop)(nil)
 
 // Send starts an attempt.
-func (l *loop) Send(id uint64, endpoint uint32, latest balancer.Micros) {
+func (l *loop) Send(id uint64, endpoint uint32, latestSend balancer.Micros) {
 	r, target := l.requests.byID[id], l.endpoints.acquire(endpoint)
-	now, gate := l.clock.now(), &upstream.Gate{ClientGone: r.clientLeft}
-	if latest > 0 {
-		gate.NotAfter = l.clock.timeAt(latest)
+	startedAt, gate := l.clock.now(), &upstream.Gate{ClientGone: r.clientClosed}
+	if latestSend > 0 {
+		gate.NotAfter = l.clock.timeAt(latestSend)
 	}
 	ctx, cancel := context.WithDeadline(l.ctx, l.clock.timeAt(r.deadline))
-	o := balancer.Outcome{ID: id, Attempt: len(r.attempts), Endpoint: endpoint}
-	l.trace(r, "attempt started", "number", o.Attempt, "endpoint", endpoint, "known", target != nil)
+	outcome := balancer.Outcome{ID: id, Attempt: len(r.attempts), Endpoint: endpoint}
+	l.trace(r, "attempt started", "number", outcome.Attempt, "endpoint", endpoint, "known", target != nil)
 	if len(r.attempts) == 0 {
 		r.times.Sent = time.Now()
 	}
@@ -34,14 +34,14 @@
 		}
 		cancel()
 		l.events.post(func(at balancer.Micros) {
-			o.Status, o.Latency = result.Status, at-now
+			outcome.Status, outcome.Latency = result.Status, at-startedAt
 			if upload := r.message.Upload; upload != nil {
-				o.BodyConsumed = upload.BodyConsumed()
+				outcome.BodyConsumed = upload.BodyConsumed()
 				if !upload.WrittenAt.IsZero() {
-					o.Latency = time.Since(upload.WrittenAt).Microseconds()
+					outcome.Latency = time.Since(upload.WrittenAt).Microseconds()
 				}
 			}
-			l.handleOutcome(at, r, o, result)
+			l.handleOutcome(at, r, outcome, result)
 			l.endpoints.release(endpoint)
 		})
 	}()
--- a/internal/sidecar/admin.go
+++ b/internal/sidecar/admin.go
@@ -32,7 +32,7 @@
 }
 
 // Ready implements admin.Sidecar.
-func (s *server) Ready() bool { return !s.terminating.Load() && s.loop.endpointsKnown.Load() }
+func (s *server) Ready() bool { return !s.terminating.Load() && s.loop.hasReadyEndpoint.Load() }
 
 // KnowsEndpoint implements admin.Sidecar.
 func (s *server) KnowsEndpoint(name string) (known bool) {
--- a/internal/sidecar/admin_test.go
+++ b/internal/sidecar/admin_test.go
@@ -130,7 +130,7 @@
 func TestAdminHealthFollowsReadiness(t *testing.T) {
 	e := newServingEndpoint(t)
 	w := &harness{t: t, discovery: newFakeDiscovery(t)}
-	w.launch(configure(t, w.discovery.address, nil))
+	w.launch(newConfig(t, w.discovery.address, nil))
 	address := w.startAdmin(t.TempDir())
 	health := func() int { return callStatus(t, http.MethodGet, address, "/admin/health") }
 	if got := health(); got != http.StatusServiceUnavailable {
@@ -197,7 +197,7 @@
 	w.discovery.change(func() { w.discovery.list = completeList(1, restarted) })
 	w.await("the restarted endpoint", func() bool {
 		var started int64
-		w.runInLoop(func() { started = w.loop.endpoints.byID[w.loop.endpoints.ids["s-1"]].entry.StartUnixMS })
+		w.runInLoop(func() { started = w.loop.endpoints.byID[w.loop.endpoints.idByName["s-1"]].entry.StartUnixMS })
 		return started == restarted.StartUnixMS
 	})
 	if got := read(); got != 503 {
@@ -213,13 +213,13 @@
 	w.discovery.change(func() { w.discovery.list = completeList(4, restarted) })
 	w.await("the endpoint to be listed", func() bool {
 		var listed bool
-		w.runInLoop(func() { listed = w.loop.endpoints.ids["s-1"] != 0 })
+		w.runInLoop(func() { listed = w.loop.endpoints.idByName["s-1"] != 0 })
 		return listed
 	})
 	if got := read(); got != 503 {
 		t.Errorf("after it was removed and listed again: got %d, want 503", got)
 	}
-	if n, _ := e.Seen(); n != 1 {
+	if n, _ := e.Counts(); n != 1 {
 		t.Errorf("the cordoned endpoint got %d requests, want 1, from before the cordon", n)
 	}
 	if got := callStatus(t, "POST", address, "/admin/uncordon?name=s-1"); got != 200 {
@@ -242,7 +242,7 @@
 	}
 	first.await("the override in the other process", func() bool { return second.cordoned() })
 	third := &harness{t: t, discovery: first.discovery}
-	third.launch(configure(t, first.discovery.address, nil, ready("s-1", e.Address)))
+	third.launch(newConfig(t, first.discovery.address, nil, ready("s-1", e.Address)))
 	third.startAdmin(dir)
 	first.await("the override in the third process", func() bool { return third.cordoned() })
 	if got := callStatus(t, "POST", secondAdmin, "/admin/uncordon?name=s-1"); got != 200 {
@@ -261,7 +261,7 @@
 	if got := callStatus(t, "POST", w.startAdmin(dir), "/admin/cordon?name=s-1"); got != 200 {
 		t.Fatalf("got %d, want 200", got)
 	}
-	l, err := newLoop(t.Context(), configure(t, w.discovery.address, nil, ready("s-1", e.Address)), w.loop.log)
+	l, err := newLoop(t.Context(), newConfig(t, w.discovery.address, nil, ready("s-1", e.Address)), w.loop.log)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/sidecar/clients_test.go
+++ b/internal/sidecar/clients_test.go
@@ -74,7 +74,7 @@
 	if strings.Count(string(second), "HTTP/1.1") != 1 || !strings.HasPrefix(string(second), "HTTP/1.1 400") {
 		t.Errorf("after an empty line: got %q, want one 400", second)
 	}
-	if n, _ := e.Seen(); n != 1 {
+	if n, _ := e.Counts(); n != 1 {
 		t.Errorf("got %d requests at the endpoint, want the valid one", n)
 	}
 }
@@ -93,7 +93,7 @@
 			t.Errorf("%s: got %q, want one 200", name, got)
 		}
 	}
-	if n, _ := e.Seen(); n != 2 {
+	if n, _ := e.Counts(); n != 2 {
 		t.Errorf("got %d requests at the endpoint, want 2", n)
 	}
 	for i := range 2 {
@@ -129,7 +129,7 @@
 		})
 	}
 	t.Cleanup(func() {
-		if n, _ := e.Seen(); n != 0 {
+		if n, _ := e.Counts(); n != 0 {
 			t.Errorf("got %d requests at the endpoint, want none", n)
 		}
 	})
@@ -180,7 +180,7 @@
 			t.Errorf("%s: got %d bytes still reserved, want none", c.name, reserved-reservedBefore)
 		}
 	}
-	if n, _ := e.Seen(); n != 0 {
+	if n, _ := e.Counts(); n != 0 {
 		t.Errorf("got %d requests at the endpoint, want none", n)
 	}
 }
@@ -215,9 +215,9 @@
 func TestResponseLaterThanTheReadTimeout(t *testing.T) {
 	t.Parallel()
 	e := sidecartest.NewEndpoint(t, func(e *sidecartest.Endpoint, conn net.Conn, in *bufio.Reader) {
-		for e.Next(in) != nil {
+		for e.ReadRequest(in) != nil {
 			time.Sleep(readTimeout + 300*time.Millisecond)
-			io.WriteString(conn, sidecartest.Served)
+			io.WriteString(conn, sidecartest.ServedResponse)
 		}
 	})
 	w := start(t, nil, ready("s-1", e.Address))
@@ -331,7 +331,7 @@
 func TestIdleClientsDoNotStarveDiscovery(t *testing.T) {
 	first, second := newServingEndpoint(t), newServingEndpoint(t)
 	w := start(t, nil, ready("s-1", first.Address))
-	w.await("the watch", func() bool { return w.discovery.count() >= 2 })
+	w.await("the watch", func() bool { return w.discovery.callCount() >= 2 })
 	w.discovery.change(func() { w.discovery.down = true })
 	// Clients that reconnect as soon as their connection is closed.
 	stop, stopped := make(chan struct{}), make(chan struct{})
@@ -372,7 +372,7 @@
 	})
 	w.await("a request at the new endpoint", func() bool {
 		w.send(w.request("read", "", 3*time.Second))
-		requests, _ := second.Seen()
+		requests, _ := second.Counts()
 		return requests > 0
 	})
 	limit := w.loop.cfg.Limits.Sockets
--- a/internal/sidecar/discovery_test.go
+++ b/internal/sidecar/discovery_test.go
@@ -36,8 +36,8 @@
 // time and never wait.
 func TestWatchResumesFromTheKnownVersion(t *testing.T) {
 	e := newServingEndpoint(t)
-	w := startWith(t, nil, longWaits, ready("s-1", e.Address))
-	w.await("the waiting call", func() bool { return w.discovery.count() == 2 })
+	w := startWithConfig(t, nil, longWaits, ready("s-1", e.Address))
+	w.await("the waiting call", func() bool { return w.discovery.callCount() == 2 })
 	w.discovery.mu.Lock()
 	calls := slices.Clone(w.discovery.calls)
 	w.discovery.mu.Unlock()
@@ -49,12 +49,12 @@
 	w.discovery.change(func() {
 		w.discovery.list = completeList(7, ready("s-2", second.Address))
 	})
-	w.await("the call after the change", func() bool { return w.discovery.count() == 3 })
+	w.await("the call after the change", func() bool { return w.discovery.callCount() == 3 })
 	w.await("the change", func() bool { return w.recorder.count(balancer.ListFull) == 1 })
 	if got := w.send(w.request("pay", "x", 3*time.Second)); got.code != http.StatusOK {
 		t.Errorf("got %+v, want 200", got)
 	}
-	if n, _ := second.Seen(); n != 1 {
+	if n, _ := second.Counts(); n != 1 {
 		t.Errorf("the endpoint of the new list got %d requests, want 1", n)
 	}
 	w.discovery.mu.Lock()
@@ -80,7 +80,7 @@
 			t.Parallel()
 			e, second := newServingEndpoint(t), newServingEndpoint(t)
 			w := start(t, nil, ready("s-1", e.Address))
-			w.await("the watch", func() bool { return w.discovery.count() >= 2 })
+			w.await("the watch", func() bool { return w.discovery.callCount() >= 2 })
 			w.discovery.change(func() { w.discovery.down, w.discovery.malformed = malformed == "", malformed })
 			// The open call fails, and so do those after it.
 			w.await("two failures", func() bool { return w.recorder.count(balancer.ListFailed) >= 2 })
@@ -95,7 +95,7 @@
 			if got := w.send(w.request("pay", "x", 3*time.Second)); got.code != http.StatusOK {
 				t.Errorf("after recovery: got %+v, want 200", got)
 			}
-			if n, _ := second.Seen(); n != 1 {
+			if n, _ := second.Counts(); n != 1 {
 				t.Errorf("the endpoint of the new list got %d requests, want 1", n)
 			}
 		})
@@ -124,7 +124,7 @@
 		for _, complete := range []bool{false, true} {
 			t.Run(fmt.Sprintf("%s, complete %v", name, complete), func(t *testing.T) {
 				w := start(t, nil, ready("s-1", e.Address), ready("s-2", e.Address), ready("s-3", e.Address))
-				w.await("the watch", func() bool { return w.discovery.count() >= 2 })
+				w.await("the watch", func() bool { return w.discovery.callCount() >= 2 })
 				w.discovery.change(func() {
 					w.discovery.list.Version = 9
 					w.discovery.malformed = fmt.Sprintf(
@@ -135,7 +135,7 @@
 				w.await("the list", func() bool {
 					w.runInLoop(func() {
 						targets, version = nil, w.loop.watcher.position.CurrentVersion
-						for name, id := range w.loop.endpoints.ids {
+						for name, id := range w.loop.endpoints.idByName {
 							if w.loop.endpoints.byID[id].target != nil {
 								targets = append(targets, name)
 							}
@@ -171,7 +171,7 @@
 func TestPushedListsAreWatchedWithoutSubscription(t *testing.T) {
 	e, second := newServingEndpoint(t), newServingEndpoint(t)
 	w := start(t, func(s map[string]any) { s["discovery"] = "automatic" }, ready("s-1", e.Address))
-	w.await("the watch", func() bool { return w.discovery.count() >= 2 })
+	w.await("the watch", func() bool { return w.discovery.callCount() >= 2 })
 	w.discovery.change(func() { w.discovery.down = true })
 	w.await("the failure", func() bool { return w.recorder.count(balancer.ListFailed) >= 1 })
 	w.discovery.change(func() {
@@ -186,7 +186,7 @@
 	e := newServingEndpoint(t)
 	w := &harness{t: t, discovery: newFakeDiscovery(t)}
 	w.discovery.down = true
-	w.launch(configure(t, w.discovery.address, nil))
+	w.launch(newConfig(t, w.discovery.address, nil))
 	status := func() int {
 		response, err := http.Get(w.url + "/health/ready")
 		if err != nil {
@@ -229,7 +229,7 @@
 	}
 	got := make(chan []balancer.Endpoint, 1)
 	w.runInLoop(func() {
-		w.loop.balancer = &listRecorder{decider: w.recorder, got: got}
+		w.loop.balancer = &listRecorder{balancerAPI: w.recorder, got: got}
 		w.loop.updateEndpoints(
 			w.loop.clock.now(),
 			balancer.ListDelta,
@@ -270,13 +270,13 @@
 
 // listRecorder passes the entries that the balancer receives to a test.
 type listRecorder struct {
-	decider
+	balancerAPI
 	got chan []balancer.Endpoint
 }
 
 func (s *listRecorder) HandleEndpoints(now balancer.Micros, kind balancer.ListUpdate, entries []balancer.Endpoint) {
 	s.got <- slices.Clone(entries)
-	s.decider.HandleEndpoints(now, kind, entries)
+	s.balancerAPI.HandleEndpoints(now, kind, entries)
 }
 
 // A new configuration moves the watch: the new discovery is called for its complete list, and later responses of the
@@ -285,8 +285,8 @@
 	answer := make(chan struct{})
 	e := sidecartest.NewEndpoint(t, sidecartest.BlockAll(answer))
 	second := newServingEndpoint(t)
-	w := startWith(t, nil, longWaits, ready("s-1", e.Address))
-	w.await("the watch", func() bool { return w.discovery.count() == 2 })
+	w := startWithConfig(t, nil, longWaits, ready("s-1", e.Address))
+	w.await("the watch", func() bool { return w.discovery.callCount() == 2 })
 	pending := make(chan reply)
 	go func() { pending <- w.send(w.request("pay", "x", time.Minute)) }()
 	w.awaitRequests(e, 1)
@@ -304,8 +304,8 @@
 			t.Errorf("got first call %q, want one for the complete list", first)
 		}
 		moved.mu.Unlock()
-		w.await("the new watch", func() bool { return moved.count() == 2 })
-		w.await("the end of the old client's connections", func() bool { return old.conns.Load() == 0 })
+		w.await("the new watch", func() bool { return moved.callCount() == 2 })
+		w.await("the end of the old client's connections", func() bool { return old.openConns.Load() == 0 })
 		old = moved
 		w.runInLoop(func() {
 			watch := w.loop.watcher.client
@@ -317,7 +317,7 @@
 	if got := w.send(w.request("read", "", time.Minute)); got.code != http.StatusOK {
 		t.Errorf("by the new list: got %+v, want 200", got)
 	}
-	if n, _ := second.Seen(); n != 1 {
+	if n, _ := second.Counts(); n != 1 {
 		t.Errorf("the endpoint of the new list got %d requests, want 1", n)
 	}
 	close(answer)
@@ -353,9 +353,9 @@
 	update(false, gone)
 	w.runInLoop(func() {
 		endpoints := w.loop.endpoints
-		if len(endpoints.byID) != 1 || len(endpoints.ids) != 1 || endpoints.byID[1] == nil {
+		if len(endpoints.byID) != 1 || len(endpoints.idByName) != 1 || endpoints.byID[1] == nil {
 			t.Errorf("got %d endpoints and %d names, want the one with an attempt in flight",
-				len(endpoints.byID), len(endpoints.ids))
+				len(endpoints.byID), len(endpoints.idByName))
 		}
 	})
 	close(answer)
@@ -364,13 +364,13 @@
 	}
 	w.runInLoop(func() {
 		endpoints := w.loop.endpoints
-		if len(endpoints.byID) != 0 || len(endpoints.ids) != 0 {
-			t.Errorf("got %d endpoints and %d names, want none", len(endpoints.byID), len(endpoints.ids))
+		if len(endpoints.byID) != 0 || len(endpoints.idByName) != 0 {
+			t.Errorf("got %d endpoints and %d names, want none", len(endpoints.byID), len(endpoints.idByName))
 		}
 	})
 	update(true, ready("s-1", e.Address))
 	w.runInLoop(func() {
-		if id := w.loop.endpoints.ids["s-1"]; id != 52 {
+		if id := w.loop.endpoints.idByName["s-1"]; id != 52 {
 			t.Errorf("the endpoint that is listed again: got id %d, want a new one, 52", id)
 		}
 	})
--- a/internal/sidecar/endpoints.go
+++ b/internal/sidecar/endpoints.go
@@ -13,14 +13,14 @@
 // that a late outcome is not taken for another endpoint's. The loop's goroutine owns the table.
 type endpointTable struct {
 	byID      map[uint32]*endpoint
-	ids       map[string]uint32 // by host name
+	idByName  map[string]uint32 // by host name
 	lastID    uint32
 	overrides map[string]operatorstate.Override // what operators set, by host name
 	retire    func(*upstream.Endpoint)          // closes a target: an attempt not yet sent there is not sent
 }
 
 func newEndpointTable(retire func(*upstream.Endpoint)) endpointTable {
-	return endpointTable{byID: map[uint32]*endpoint{}, ids: map[string]uint32{},
+	return endpointTable{byID: map[uint32]*endpoint{}, idByName: map[string]uint32{},
 		overrides: map[string]operatorstate.Override{}, retire: retire}
 }
 
@@ -49,11 +49,11 @@
 
 // endpointUpdate is a list of discovery and how to read it.
 type endpointUpdate struct {
-	list  discovery.List
-	kind  balancer.ListUpdate
-	older bool // the list may be older than what is known: it undoes no drain
-	skew  balancer.Micros
-	cfg   *config.Config // names zones and kinds of machines
+	list       discovery.List
+	kind       balancer.ListUpdate
+	mayBeOlder bool // the list may be older than what is known: it undoes no drain
+	skew       balancer.Micros
+	cfg        *config.Config // names zones and kinds of machines
 }
 
 // update brings the table in line with a list. It returns what to tell the balancer, and whether any endpoint of the
@@ -62,7 +62,7 @@
 	entries = make([]balancer.Endpoint, 0, len(u.list.Entries))
 	listed := map[uint32]bool{}
 	for _, entry := range u.list.Entries {
-		id := t.ids[entry.Name]
+		id := t.idByName[entry.Name]
 		if id == 0 {
 			if discovery.HealthStates[entry.Health] == balancer.Removed {
 				continue
@@ -70,7 +70,7 @@
 			id = t.add(entry.Name)
 		}
 		e := t.byID[id]
-		if u.older && e.entry.Health == "Terminating" && e.entry.StartUnixMS == entry.StartUnixMS {
+		if u.mayBeOlder && e.entry.Health == "Terminating" && e.entry.StartUnixMS == entry.StartUnixMS {
 			entry.Health = e.entry.Health
 		}
 		listed[id] = true
@@ -94,7 +94,7 @@
 
 func (t *endpointTable) add(name string) (id uint32) {
 	t.lastID++
-	t.ids[name], t.byID[t.lastID] = t.lastID, &endpoint{name: name}
+	t.idByName[name], t.byID[t.lastID] = t.lastID, &endpoint{name: name}
 	return t.lastID
 }
 
@@ -119,20 +119,20 @@
 
 // knows reports whether operators may name this host: discovery lists it, or it is cordoned.
 func (t *endpointTable) knows(name string) bool {
-	return t.ids[name] != 0 || t.overrides[name].Cordoned
+	return t.idByName[name] != 0 || t.overrides[name].Cordoned
 }
 
 // setOverrides replaces what operators have set, and returns the overrides that are new or have changed. A cordon
 // that is missing was lifted: it becomes an override that lifts it from the present time on.
-func (t *endpointTable) setOverrides(set []operatorstate.Override, present func() system.Timestamp) (
+func (t *endpointTable) setOverrides(overrides []operatorstate.Override, now func() system.Timestamp) (
 	changed []operatorstate.Override) {
-	next := make(map[string]operatorstate.Override, len(set))
-	for _, o := range set {
+	next := make(map[string]operatorstate.Override, len(overrides))
+	for _, o := range overrides {
 		next[o.Name] = o
 	}
 	for name, o := range t.overrides {
 		if _, ok := next[name]; !ok && o.Cordoned {
-			at := present()
+			at := now()
 			next[name] = operatorstate.Override{Name: name, SetUnixMS: at.UnixMS, UptimeMS: at.UptimeMS}
 		}
 	}
@@ -147,7 +147,7 @@
 
 // retargetByName applies a changed override to the host's target, if discovery lists the host.
 func (t *endpointTable) retargetByName(name string) {
-	if id := t.ids[name]; id != 0 {
+	if id := t.idByName[name]; id != 0 {
 		t.retarget(id, t.byID[id].entry)
 	}
 }
@@ -173,7 +173,7 @@
 
 func (t *endpointTable) forgetIfUnused(id uint32) {
 	if e := t.byID[id]; e.removed && e.inFlight == 0 {
-		delete(t.ids, e.name)
+		delete(t.idByName, e.name)
 		delete(t.byID, id)
 	}
 }
--- a/internal/sidecar/extrabytes_test.go
+++ b/internal/sidecar/extrabytes_test.go
@@ -13,7 +13,7 @@
 // A client that sends extra bytes after its request and disconnects is noticed, however many they are, though net/http
 // reads one of them and no end.
 func TestClientThatLeavesAfterExtraBytesIsNoticed(t *testing.T) {
-	for name, c := range map[string]struct{ with, later string }{
+	for name, tc := range map[string]struct{ sameWrite, laterWrite string }{
 		"one byte with the request":  {"x", ""},
 		"a request with the request": {sidecartest.ReadHead + "X-Correlation-Id: 99\r\n\r\n", ""},
 		"50 kB with the request":     {strings.Repeat("x", 50<<10), ""},
@@ -23,18 +23,18 @@
 		t.Run(name, func(t *testing.T) {
 			e := newServingEndpoint(t)
 			w := start(t, nil, ready("s-1", e.Address))
-			dial := sidecartest.BlockDials(&w.loop.upstream.Dialer, e.Address)
+			blockedDials := sidecartest.BlockDials(&w.loop.upstream.Dialer, e.Address)
 			conn := w.dial()
 			var text strings.Builder
 			w.request("pay", "x", time.Minute).Write(&text)
-			io.WriteString(conn, text.String()+c.with)
-			<-dial.Started
-			io.WriteString(conn, c.later)
+			io.WriteString(conn, text.String()+tc.sameWrite)
+			<-blockedDials.Started
+			io.WriteString(conn, tc.laterWrite)
 			conn.Close()
 			w.awaitClientGone()
-			close(dial.Unblock)
+			close(blockedDials.Unblock)
 			w.awaitOutcome()
-			if n, _ := e.Seen(); n != 0 {
+			if n, _ := e.Counts(); n != 0 {
 				t.Errorf("the endpoint got %d requests, want none", n)
 			}
 		})
@@ -43,7 +43,7 @@
 
 // A client that sends extra bytes after its request and stays gets its response and the end of the connection. The
 // extra bytes are no request.
-func TestExtraBytesAfterARequestCostNoResponse(t *testing.T) {
+func TestExtraBytesAfterARequestAreIgnored(t *testing.T) {
 	e := newServingEndpoint(t)
 	w := start(t, nil, ready("s-1", e.Address))
 	for name, extra := range map[string]string{
@@ -59,7 +59,7 @@
 			t.Errorf("%s: got %q, want one complete 200", name, got)
 		}
 	}
-	if n, _ := e.Seen(); n != 3 {
+	if n, _ := e.Counts(); n != 3 {
 		t.Errorf("the endpoint got %d requests, want 3", n)
 	}
 	if got := w.send(w.request("read", "", time.Minute)); got.code != http.StatusOK {
--- a/internal/sidecar/fakediscovery_test.go
+++ b/internal/sidecar/fakediscovery_test.go
@@ -25,7 +25,7 @@
 	malformed string        // sent in place of the list, if set
 	calls     []string      // query strings
 	changed   chan struct{} // closed and replaced with every change
-	conns     atomic.Int32  // open connections
+	openConns atomic.Int32  // open connections
 }
 
 // newFakeDiscovery starts a discovery service with a complete list of version 0 until the test ends.
@@ -40,9 +40,9 @@
 	server := &http.Server{Handler: d, ConnState: func(_ net.Conn, state http.ConnState) {
 		switch state {
 		case http.StateNew:
-			d.conns.Add(1)
+			d.openConns.Add(1)
 		case http.StateClosed:
-			d.conns.Add(-1)
+			d.openConns.Add(-1)
 		}
 	}}
 	go server.Serve(listener)
@@ -54,9 +54,9 @@
 	d.mu.Lock()
 	d.calls = append(d.calls, r.URL.RawQuery)
 	after, wait, changed := r.FormValue("after"), r.FormValue("wait_ms"), d.changed
-	waits := after == fmt.Sprint(d.list.Version) && wait != "0" && !d.down && d.malformed == ""
+	awaitChange := after == fmt.Sprint(d.list.Version) && wait != "0" && !d.down && d.malformed == ""
 	d.mu.Unlock()
-	if waits {
+	if awaitChange {
 		ms, _ := strconv.Atoi(wait)
 		select {
 		case <-changed:
@@ -81,16 +81,16 @@
 }
 
 // change runs alter under the lock and answers the calls that wait for a change.
-func (d *fakeDiscovery) change(alter func()) {
+func (d *fakeDiscovery) change(edit func()) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	alter()
+	edit()
 	close(d.changed)
 	d.changed = make(chan struct{})
 }
 
-// count returns the number of calls received.
-func (d *fakeDiscovery) count() int {
+// callCount returns the number of calls received.
+func (d *fakeDiscovery) callCount() int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return len(d.calls)
--- a/internal/sidecar/faults_test.go
+++ b/internal/sidecar/faults_test.go
@@ -17,7 +17,7 @@
 // During a disk fault only admin calls fail: requests are served.
 func TestServesDespiteDiskFaults(t *testing.T) {
 	e, disk := newServingEndpoint(t), &sidecartest.FaultyDisk{}
-	w := startWith(t, nil, func(c *config.Config) { c.Host.Files = disk.FileOps() }, ready("s-1", e.Address))
+	w := startWithConfig(t, nil, func(c *config.Config) { c.Host.Files = disk.FileOps() }, ready("s-1", e.Address))
 	address := w.startAdmin(t.TempDir())
 	if got := callStatus(t, "POST", address, "/admin/quiesce"); got != http.StatusOK {
 		t.Fatal(got)
@@ -50,14 +50,14 @@
 		t.Fatal(err)
 	}
 	w.await("a slot", func() bool { return w.server.slot.Load() != nil })
-	other, err := handover.AcquireSlot(dir)
+	otherSlot, err := handover.AcquireSlot(dir)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := other.MarkReady(); err != nil {
+	if err := otherSlot.MarkReady(); err != nil {
 		t.Fatal(err)
 	}
-	w.await("the other process", w.server.replaced)
+	w.await("the other process", w.server.hasReadyPeer)
 	path := filepath.Join(dir, "oakproxy-process.1") // the slot after that of the sidecar itself
 	if err := os.Rename(path, path+".gone"); err != nil {
 		t.Fatal(err)
@@ -65,7 +65,7 @@
 	if err := os.Symlink(path, path); err != nil { // reading it fails with ELOOP
 		t.Fatal(err)
 	}
-	if !w.server.replaced() {
+	if !w.server.hasReadyPeer() {
 		t.Error("got no ready peer while its slot cannot be read, want one")
 	}
 }
@@ -74,26 +74,26 @@
 func TestEndpointStartTimesDespiteClockSkew(t *testing.T) {
 	e := newServingEndpoint(t)
 	for _, step := range []time.Duration{-time.Hour, 0, time.Hour} {
-		times := &sidecartest.SteppedClock{}
-		times.Step(step)
+		wallClock := &sidecartest.SteppedClock{}
+		wallClock.Step(step)
 		young, old := ready("s-1", e.Address), ready("s-2", e.Address)
 		young.StartUnixMS, old.StartUnixMS = time.Now().UnixMilli(), time.Now().Add(-2*time.Hour).UnixMilli()
 		w := &harness{t: t, discovery: newFakeDiscovery(t, young, old)}
-		cfg := configure(t, w.discovery.address, nil) // without a known list
-		cfg.Host.Time = times.Clock()
+		cfg := newConfig(t, w.discovery.address, nil) // without a known list
+		cfg.Host.Time = wallClock.Clock()
 		w.launch(cfg)
 		w.awaitReady()
 		var ages []time.Duration
 		w.runInLoop(func() {
 			for _, name := range []string{"s-1", "s-2"} {
-				startedAt := w.loop.endpoints.byID[w.loop.endpoints.ids[name]].startedAt
+				startedAt := w.loop.endpoints.byID[w.loop.endpoints.idByName[name]].startedAt
 				ages = append(ages, time.Duration(w.loop.clock.now()-startedAt)*time.Microsecond)
 			}
 		})
 		if ages[0] > sidecartest.WaitTimeout || ages[0] < -2*discovery.MinSkew {
 			t.Errorf("step %v: got age %v, want that of an endpoint that has just started", step, ages[0])
 		}
-		if off := ages[1] - 2*time.Hour; off > sidecartest.WaitTimeout || off < -2*discovery.MinSkew {
+		if excess := ages[1] - 2*time.Hour; excess > sidecartest.WaitTimeout || excess < -2*discovery.MinSkew {
 			t.Errorf("step %v: got age %v, want about 2 h", step, ages[1])
 		}
 	}
--- a/internal/sidecar/forward.go
+++ b/internal/sidecar/forward.go
@@ -12,36 +12,36 @@
 // forward passes a request to the loop and responds to it, once: with the final response of the loop, or by ending
 // the connection of a client that is gone or whose body fails.
 func (s *server) forward(x *exchange) {
-	open := newOpenRequest(x, s.loop.clock.timeAt(x.request.Deadline))
+	openReq := newOpenRequest(x, s.loop.clock.timeAt(x.request.Deadline))
 	var uploadFailed <-chan error
 	var admissionClosed <-chan struct{}
 	upload := x.message.Upload
 	if upload != nil {
 		uploadFailed, admissionClosed = upload.Failed, s.admission.closed
-		open.upload, open.timeLeft = true, upload.TimeLeft
+		openReq.isUpload, openReq.timeAfterBody = true, upload.TimeLeft
 	}
-	if !s.inFlight.add(open) {
+	if !s.inFlight.add(openReq) {
 		rejectInvalid(x.w, x.in,
 			downstream.NewRequestError(http.StatusConflict, "a request with this X-Correlation-Id is open"))
 		return
 	}
-	defer s.inFlight.remove(open)
+	defer s.inFlight.remove(openReq)
 	if upload != nil {
 		defer upload.Finish()
 	}
-	r := &request{response: make(chan finalResponse, 1), message: x.message, clientLeft: x.conn.ClientClosed, times: x.times}
+	r := &request{response: make(chan finalResponse, 1), message: x.message, clientClosed: x.conn.ClientClosed, times: x.times}
 	s.admit(r, x.request)
 	for {
 		select {
 		case response := <-r.response:
-			s.respond(x, r, open, response)
+			s.respond(x, r, openReq, response)
 			return
 		case <-admissionClosed:
 			admissionClosed = nil
 			if upload.Stop() { // else its last byte may be out, and the response is awaited
 				s.abandon(r)
 				rejectTerminating(x.w)
-				s.inFlight.remove(open)
+				s.inFlight.remove(openReq)
 				s.drainUpload(x.w, x.conn, upload)
 				return
 			}
@@ -70,15 +70,15 @@
 
 // abandon has the loop end a request whose final response nobody takes.
 func (s *server) abandon(r *request) {
-	s.loop.events.post(func(now balancer.Micros) { s.loop.clientGone(now, r) })
+	s.loop.events.post(func(now balancer.Micros) { s.loop.handleClientGone(now, r) })
 }
 
 // respond writes the final response. The request is in flight until its last byte is written.
-func (s *server) respond(x *exchange, r *request, open *openRequest, response finalResponse) {
+func (s *server) respond(x *exchange, r *request, openReq *openRequest, response finalResponse) {
 	defer response.close()
 	if upload := x.message.Upload; upload != nil {
 		defer s.drainUpload(x.w, x.conn, upload)
 	}
 	s.writeResponse(x.w, x.conn, r, response)
-	s.inFlight.remove(open)
+	s.inFlight.remove(openReq)
 }
--- a/internal/sidecar/harness_test.go
+++ b/internal/sidecar/harness_test.go
@@ -49,28 +49,28 @@
 	stop      context.CancelFunc // begins the shutdown, as SIGTERM does
 	ended     chan error         // receives the result of the sidecar when it ends
 
-	wrap func(net.Listener) net.Listener // wraps the clients' listener; may be nil
+	wrapListener func(net.Listener) net.Listener // wraps the clients' listener; may be nil
 }
 
-// configure returns a configuration whose known list has these entries. alter may change its settings; it may be nil.
-func configure(
+// newConfig returns a configuration whose known list has these entries. alter may change its settings; it may be nil.
+func newConfig(
 	t *testing.T,
 	discoveryAddress string,
-	alter func(settings map[string]any),
-	hosts ...discovery.Entry,
+	editSettings func(settings map[string]any),
+	entries ...discovery.Entry,
 ) *config.Config {
 	t.Helper()
 	var settings map[string]any
 	if err := json.Unmarshal([]byte(sidecartest.SettingsText), &settings); err != nil {
 		t.Fatal(err)
 	}
-	if alter != nil {
-		alter(settings)
+	if editSettings != nil {
+		editSettings(settings)
 	}
 	text, err := json.Marshal(map[string]any{
 		"name": "n0", "listen": "127.0.0.1:0", "discovery": discoveryAddress, "seed": "8c1f30d27a5be964",
 		"limits": map[string]any{"cores": 1.0, "memory_mb": 192, "sockets": 256},
-		"known":  discovery.List{Complete: true, Entries: hosts}, "settings": settings})
+		"known":  discovery.List{Complete: true, Entries: entries}, "settings": settings})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -82,23 +82,23 @@
 }
 
 // start runs a sidecar that knows these endpoints, and waits until it is ready.
-func start(t *testing.T, alter func(settings map[string]any), hosts ...discovery.Entry) *harness {
+func start(t *testing.T, editSettings func(settings map[string]any), entries ...discovery.Entry) *harness {
 	t.Helper()
-	return startWith(t, alter, nil, hosts...)
+	return startWithConfig(t, editSettings, nil, entries...)
 }
 
-// startWith is start with a configuration that change may change; it may be nil.
-func startWith(
+// startWithConfig is start with a configuration that change may change; it may be nil.
+func startWithConfig(
 	t *testing.T,
 	alter func(settings map[string]any),
-	change func(*config.Config),
+	editConfig func(*config.Config),
 	hosts ...discovery.Entry,
 ) *harness {
 	t.Helper()
 	w := &harness{t: t, discovery: newFakeDiscovery(t, hosts...)}
-	cfg := configure(t, w.discovery.address, alter, hosts...)
-	if change != nil {
-		change(cfg)
+	cfg := newConfig(t, w.discovery.address, alter, hosts...)
+	if editConfig != nil {
+		editConfig(cfg)
 	}
 	w.launch(cfg)
 	w.awaitReady()
@@ -106,10 +106,10 @@
 }
 
 // startWithListener is start with a wrapper for the clients' listener.
-func startWithListener(t *testing.T, wrap func(net.Listener) net.Listener, hosts ...discovery.Entry) *harness {
+func startWithListener(t *testing.T, wrapListener func(net.Listener) net.Listener, entries ...discovery.Entry) *harness {
 	t.Helper()
-	w := &harness{t: t, discovery: newFakeDiscovery(t, hosts...), wrap: wrap}
-	w.launch(configure(t, w.discovery.address, nil, hosts...))
+	w := &harness{t: t, discovery: newFakeDiscovery(t, entries...), wrapListener: wrapListener}
+	w.launch(newConfig(t, w.discovery.address, nil, entries...))
 	w.awaitReady()
 	return w
 }
@@ -134,8 +134,8 @@
 	if err != nil {
 		w.t.Fatal(err)
 	}
-	if w.wrap != nil {
-		listener = w.wrap(listener)
+	if w.wrapListener != nil {
+		listener = w.wrapListener(listener)
 	}
 	w.ended = make(chan error, 1)
 	w.url = "http://" + listener.Addr().String()
@@ -145,7 +145,7 @@
 		w.t.Fatal(err)
 	}
 	w.loop.upstream.ReuseDelay = 0 // many tests reuse a connection immediately
-	w.recorder = &balancerRecorder{decider: w.loop.balancer}
+	w.recorder = &balancerRecorder{balancerAPI: w.loop.balancer}
 	w.loop.balancer = w.recorder
 	w.server = newServer(w.loop)
 	ctx, stop := context.WithCancel(context.Background())
@@ -163,16 +163,16 @@
 }
 
 // await waits for a condition to hold.
-func (w *harness) await(what string, condition func() bool) {
+func (w *harness) await(description string, condition func() bool) {
 	w.t.Helper()
-	sidecartest.Await(w.t, what, condition)
+	sidecartest.Await(w.t, description, condition)
 }
 
 // awaitRequests waits until an endpoint has read as many complete requests.
 func (w *harness) awaitRequests(e *sidecartest.Endpoint, want int) {
 	w.t.Helper()
 	w.await(fmt.Sprintf("%d requests at the endpoint", want), func() bool {
-		requests, _ := e.Seen()
+		requests, _ := e.Counts()
 		return requests == want
 	})
 }
@@ -262,5 +262,5 @@
 // newServingEndpoint starts an endpoint that serves each request.
 func newServingEndpoint(t *testing.T) *sidecartest.Endpoint {
 	t.Helper()
-	return sidecartest.NewEndpoint(t, sidecartest.Always(sidecartest.Served))
+	return sidecartest.NewEndpoint(t, sidecartest.AlwaysRespond(sidecartest.ServedResponse))
 }
--- a/internal/sidecar/host_test.go
+++ b/internal/sidecar/host_test.go
@@ -20,8 +20,8 @@
 	debug.SetMemoryLimit(math.MaxInt64)
 
 	w := start(t, nil, ready("s-1", newServingEndpoint(t).Address))
-	shared := configure(t, w.discovery.address, nil)
-	runOnce(t, shared)
+	sharedProcess := newConfig(t, w.discovery.address, nil)
+	runUntilFirstList(t, sharedProcess)
 	if limit := debug.SetMemoryLimit(-1); limit != math.MaxInt64 {
 		t.Errorf("shared process: got memory limit %d, want it unchanged", limit)
 	}
@@ -29,16 +29,16 @@
 		t.Errorf("shared process: got files %v, %v, want none", files, err)
 	}
 
-	own := configure(t, w.discovery.address, nil)
-	own.Host = config.OwnProcessHost()
-	runOnce(t, own)
-	if limit, want := debug.SetMemoryLimit(-1), int64(own.Limits.MemoryMB)<<20/10*heapTenths; limit != want {
+	ownProcess := newConfig(t, w.discovery.address, nil)
+	ownProcess.Host = config.OwnProcessHost()
+	runUntilFirstList(t, ownProcess)
+	if limit, want := debug.SetMemoryLimit(-1), int64(ownProcess.Limits.MemoryMB)<<20/10*heapTenths; limit != want {
 		t.Errorf("own process: got memory limit %d, want %d", limit, want)
 	}
 }
 
-// runOnce runs a sidecar until it has received an endpoint list.
-func runOnce(t *testing.T, cfg *config.Config) {
+// runUntilFirstList runs a sidecar until it has received an endpoint list.
+func runUntilFirstList(t *testing.T, cfg *config.Config) {
 	t.Helper()
 	received, reloads := make(chan struct{}, 1), make(chan *config.Config)
 	close(reloads)
@@ -46,7 +46,7 @@
 	defer stop()
 	ended := make(chan error, 1)
 	go func() {
-		ended <- Run(ctx, cfg, reloads, slog.New(&messageHandler{slog.DiscardHandler, "endpoint list received", received}))
+		ended <- Run(ctx, cfg, reloads, slog.New(&messageWaiter{slog.DiscardHandler, "endpoint list received", received}))
 	}()
 	<-received
 	stop()
@@ -55,16 +55,16 @@
 	}
 }
 
-// messageHandler signals seen when a record with the message is logged.
-type messageHandler struct {
+// messageWaiter signals seen when a record with the message is logged.
+type messageWaiter struct {
 	slog.Handler
 	message string
 	seen    chan<- struct{}
 }
 
-func (h *messageHandler) Enabled(context.Context, slog.Level) bool { return true }
+func (h *messageWaiter) Enabled(context.Context, slog.Level) bool { return true }
 
-func (h *messageHandler) Handle(_ context.Context, record slog.Record) error {
+func (h *messageWaiter) Handle(_ context.Context, record slog.Record) error {
 	if record.Message == h.message {
 		select {
 		case h.seen <- struct{}{}:
--- a/internal/sidecar/inflight.go
+++ b/internal/sidecar/inflight.go
@@ -15,8 +15,8 @@
 	arrivedAt time.Time
 	deadline  time.Time // the client's; of an upload, when it is given up
 
-	upload   bool          // its body is streamed, and its client's time counts from the last byte
-	timeLeft time.Duration // of an upload, from then on
+	isUpload      bool          // its body is streamed, and its client's time counts from the last byte
+	timeAfterBody time.Duration // of an upload, from then on
 }
 
 func newOpenRequest(x *exchange, deadline time.Time) *openRequest {
@@ -74,11 +74,11 @@
 
 // latestDeadline returns the latest deadline of the open requests, and whether there is any. Uploads count as if
 // their last byte had come when admission closed: none that comes later is passed on.
-func (f *inFlightRequests) latestDeadline(admissionClosed time.Time) (latest time.Time, found bool) {
+func (f *inFlightRequests) latestDeadline(admissionClosedAt time.Time) (latest time.Time, found bool) {
 	for _, r := range f.all() {
 		deadline := r.deadline
-		if r.upload {
-			deadline = admissionClosed.Add(r.timeLeft)
+		if r.isUpload {
+			deadline = admissionClosedAt.Add(r.timeAfterBody)
 		}
 		if deadline.After(latest) {
 			latest = deadline
--- a/internal/sidecar/loop.go
+++ b/internal/sidecar/loop.go
@@ -23,8 +23,8 @@
 	statsInterval = 2 * time.Second
 )
 
-// decider is what the loop needs of a *balancer.Balancer. Tests put recorders in its place.
-type decider interface {
+// balancerAPI is what the loop needs of a *balancer.Balancer. Tests put recorders in its place.
+type balancerAPI interface {
 	Start(now balancer.Micros)
 	HandleEndpoints(now balancer.Micros, kind balancer.ListUpdate, entries []balancer.Endpoint)
 	HandleRequest(now balancer.Micros, in balancer.Request)
@@ -34,8 +34,8 @@
 	HandleTimer(now balancer.Micros, token uint32)
 	Reconfigure(s balancer.Settings) ([]balancer.AttemptID, error)
 	Estimates() balancer.Estimates
-	Restore(l *balancer.Estimates)
-	Cordon(now balancer.Micros, name uint64, out bool, since balancer.Micros)
+	Restore(estimates *balancer.Estimates)
+	Cordon(now balancer.Micros, nameHash uint64, cordoned bool, since balancer.Micros)
 	HandleProbe(now balancer.Micros, endpoint uint32, status balancer.Status, latency balancer.Micros, load []float32)
 	Stats(now balancer.Micros) balancer.Stats
 }
@@ -47,24 +47,24 @@
 // The fields of the first group may be used by any goroutine, those of the second are set before run and do not
 // change, and those of the third belong to the loop's goroutine.
 type loop struct {
-	log            *slog.Logger
-	clock          clock
-	operatorClock  system.Clock    // dates what outlives the process
-	ctx            context.Context // ends with the loop; the balancer's Actions carry no context of their own
-	upstream       *upstream.Client
-	events         eventQueue
-	endpointsKnown atomic.Bool                     // an endpoint can be reached
-	stages         stages.Recorder                 // of requests served
-	current        atomic.Pointer[config.Snapshot] // the configuration in force
+	log              *slog.Logger
+	clock            clock
+	operatorClock    system.Clock    // dates what outlives the process
+	ctx              context.Context // ends with the loop; the balancer's Actions carry no context of their own
+	upstream         *upstream.Client
+	events           eventQueue
+	hasReadyEndpoint atomic.Bool                     // an endpoint can be reached
+	stages           stages.Recorder                 // of requests served
+	current          atomic.Pointer[config.Snapshot] // the configuration in force
 
-	limitsChanged func()                                              // applies limits that a reload changed; may be nil
-	closeCounts   func() downstream.CloseCounts                       // counts clients' connections closed; may be nil
-	warmStart     *balancer.Estimates                                 // to start with; may be nil
-	saveEstimates func(now balancer.Micros, known balancer.Estimates) // called at each pruneInterval; may be nil
+	onLimitsChanged func()                                                  // applies limits that a reload changed; may be nil
+	closeCounts     func() downstream.CloseCounts                           // counts clients' connections closed; may be nil
+	warmStart       *balancer.Estimates                                     // to start with; may be nil
+	saveEstimates   func(now balancer.Micros, estimates balancer.Estimates) // called at each pruneInterval; may be nil
 
 	cfg             *config.Config // that of current
 	rejectedReloads int
-	balancer        decider
+	balancer        balancerAPI
 	requests        requestTable
 	endpoints       endpointTable
 	watcher         discoveryWatcher
@@ -140,12 +140,12 @@
 
 // logStats logs what was counted since the last call.
 func (l *loop) logStats(now balancer.Micros) {
-	c := counters{balancer: l.balancer.Stats(now), upstream: l.upstream.Counts(), calls: l.watcher.calls,
+	c := counters{balancer: l.balancer.Stats(now), upstream: l.upstream.Counts(), discoveryCalls: l.watcher.callCounts,
 		stages: l.stages.Totals()}
 	if l.closeCounts != nil {
 		c.closes = l.closeCounts()
 	}
-	l.stats.record(&c, gauges{listAgeMS: l.watcher.listAgeMS(now), listVersion: l.watcher.position.CurrentVersion,
+	l.stats.logAndRemember(&c, gauges{listAgeMS: l.watcher.listAgeMS(now), listVersion: l.watcher.position.CurrentVersion,
 		maxEventWait: l.events.takeMaxWait(), inForce: l.current.Load(), rejectedReloads: l.rejectedReloads})
 }
 
@@ -174,8 +174,8 @@
 	}
 }
 
-// clientGone ends a request whose client went away, and releases the response that it did not read.
-func (l *loop) clientGone(now balancer.Micros, r *request) {
+// handleClientGone ends a request whose client went away, and releases the response that it did not read.
+func (l *loop) handleClientGone(now balancer.Micros, r *request) {
 	if r.finished {
 		unread := <-r.response
 		unread.close()
@@ -189,17 +189,17 @@
 
 // handleOutcome takes the end of an attempt. It is called exactly once for each, also after the request's end: the
 // balancer still learns from it.
-func (l *loop) handleOutcome(now balancer.Micros, r *request, o balancer.Outcome, result upstream.Result) {
+func (l *loop) handleOutcome(now balancer.Micros, r *request, outcome balancer.Outcome, result upstream.Result) {
 	r.inFlight--
-	l.trace(r, "attempt finished", "number", o.Attempt, "status", o.Status, "error", result.Err,
-		"after_us", o.Latency, "over", r.finished)
+	l.trace(r, "attempt finished", "number", outcome.Attempt, "status", outcome.Status, "error", result.Err,
+		"after_us", outcome.Latency, "over", r.finished)
 	if result.Status == balancer.OK {
 		r.recordTimes(result.Times)
 		l.respond(r, finalResponse{code: http.StatusOK, header: result.Header, body: result.Body,
 			remainder: result.Stream, length: result.ContentLength, releaseBody: result.ReleaseBody})
 	}
-	o.Answered, o.LoadReport = r.finished, l.currentLoadReport(result)
-	l.balancer.HandleOutcome(now, o)
+	outcome.Answered, outcome.LoadReport = r.finished, l.currentLoadReport(result)
+	l.balancer.HandleOutcome(now, outcome)
 	l.requests.forgetIfDone(r)
 }
 
@@ -235,10 +235,10 @@
 
 // updateEndpoints brings the endpoint table in line with a list, and then the balancer.
 func (l *loop) updateEndpoints(now balancer.Micros, kind balancer.ListUpdate, list discovery.List) {
-	older := l.watcher.advance(l.clock.timeAt(now), &list)
-	entries, ready := l.endpoints.update(&endpointUpdate{list: list, kind: kind, older: older,
+	mayBeOlder := l.watcher.advancePosition(l.clock.timeAt(now), &list)
+	entries, ready := l.endpoints.update(&endpointUpdate{list: list, kind: kind, mayBeOlder: mayBeOlder,
 		skew: list.ClockSkew(now), cfg: l.cfg})
-	l.endpointsKnown.Store(ready)
+	l.hasReadyEndpoint.Store(ready)
 	l.balancer.HandleEndpoints(now, kind, entries)
 }
 
--- a/internal/sidecar/outage_test.go
+++ b/internal/sidecar/outage_test.go
@@ -184,7 +184,7 @@
 							}
 						})
 						synctest.Wait()
-						for !l.endpointsKnown.Load() {
+						for !l.hasReadyEndpoint.Load() {
 							if took := time.Since(began); took > c.want {
 								t.Fatalf("seed %d: not ready %v after the start, want %v", seed, took, c.want)
 							}
--- a/internal/sidecar/parse.go
+++ b/internal/sidecar/parse.go
@@ -39,14 +39,14 @@
 	if err := parseClass(in, inForce, &req); err != nil {
 		return req, err
 	}
-	left, err := strconv.ParseUint(h.Get("X-Time-Left-Ms"), 10, 63)
+	timeLeftMS, err := strconv.ParseUint(h.Get("X-Time-Left-Ms"), 10, 63)
 	if err != nil {
 		return req, downstream.NewBadRequest("X-Time-Left-Ms: %q is not a whole number of milliseconds",
 			h.Get("X-Time-Left-Ms"))
 	}
-	left = min(left, uint64(maxTimeLeft.Milliseconds()))
-	req.Deadline = arrived + int64(left)*1000 - responseMargin.Microseconds()
-	err = parseOptional(h, inForce, &req)
+	timeLeftMS = min(timeLeftMS, uint64(maxTimeLeft.Milliseconds()))
+	req.Deadline = arrived + int64(timeLeftMS)*1000 - responseMargin.Microseconds()
+	err = parseOptionalHeaders(h, inForce, &req)
 	return req, err
 }
 
@@ -57,30 +57,30 @@
 	if !ok {
 		return downstream.NewBadRequest("X-Service-Class: %q is not a known class", name)
 	}
-	if first, _, _ := strings.Cut(strings.TrimPrefix(in.URL.Path, "/"), "/"); first != name {
+	if firstSegment, _, _ := strings.Cut(strings.TrimPrefix(in.URL.Path, "/"), "/"); firstSegment != name {
 		return downstream.NewBadRequest("the path is not of X-Service-Class %q", name)
 	}
 	req.Class = class
-	method, hasKey := http.MethodPost, in.Header.Get("Idempotency-Key") != ""
+	wantMethod, hasKey := http.MethodPost, in.Header.Get("Idempotency-Key") != ""
 	switch inForce.Settings.Classes[class].Idempotency {
 	case balancer.Idempotent:
-		method = http.MethodGet
+		wantMethod = http.MethodGet
 	case balancer.IdempotentWithKey:
 		if !hasKey {
 			return downstream.NewBadRequest("Idempotency-Key is missing")
 		}
 	}
-	if in.Method != method {
-		return downstream.NewRequestError(http.StatusMethodNotAllowed, "requests of this class are %s", method)
+	if in.Method != wantMethod {
+		return downstream.NewRequestError(http.StatusMethodNotAllowed, "requests of this class are %s", wantMethod)
 	}
-	if method == http.MethodGet && in.ContentLength != 0 {
+	if wantMethod == http.MethodGet && in.ContentLength != 0 {
 		return downstream.NewBadRequest("a GET has no body")
 	}
 	return nil
 }
 
-// parseOptional sets what headers say of the request that not all clients send.
-func parseOptional(h http.Header, inForce *config.Snapshot, req *balancer.Request) error {
+// parseOptionalHeaders sets what headers say of the request that not all clients send.
+func parseOptionalHeaders(h http.Header, inForce *config.Snapshot, req *balancer.Request) error {
 	if len(inForce.Tenants) > 0 {
 		var ok bool
 		if req.Tenant, ok = inForce.Tenants[h.Get("X-Account")]; !ok {
@@ -91,11 +91,11 @@
 		req.Key = hashName(key)
 	}
 	if hint := h.Get("X-Weight-Hint"); hint != "" {
-		micros, err := strconv.ParseUint(hint, 10, 63)
+		workMicros, err := strconv.ParseUint(hint, 10, 63)
 		if err != nil {
 			return downstream.NewBadRequest("X-Weight-Hint: %q is not a whole number of microseconds", hint)
 		}
-		req.WorkHint, req.HasWorkHint = int64(micros), true
+		req.WorkHint, req.HasWorkHint = int64(workMicros), true
 	}
 	switch h.Get("X-Repeat") {
 	case "1":
--- a/internal/sidecar/read.go
+++ b/internal/sidecar/read.go
@@ -31,7 +31,7 @@
 
 // serveRequest reads a request and responds to it. A body that is longer than what is buffered is streamed.
 func (s *server) serveRequest(w http.ResponseWriter, in *http.Request) {
-	x := exchange{w: w, in: in, conn: connOf(in)}
+	x := exchange{w: w, in: in, conn: clientConn(in)}
 	age := system.LastDataAge(x.conn.Conn) // it may have waited for this process
 	arrived := s.loop.clock.now() - age.Microseconds()
 	x.times.Arrived = time.Now()
@@ -80,9 +80,9 @@
 	}
 	// The deadline for reading the request would otherwise end its context while the response is still awaited.
 	clearReadDeadline(x.conn)
-	alone := x.conn.RequestRead(x.in.ContentLength)
+	nothingFollows := x.conn.RequestRead(x.in.ContentLength)
 	if x.in.URL.Path == readyPath {
-		if !alone {
+		if !nothingFollows {
 			x.w.Header().Set("Connection", "close")
 		}
 		s.serveReady(x.w)
@@ -93,7 +93,7 @@
 		return
 	}
 	x.times.BodyRead = time.Now()
-	x.clientLeft = x.conn.AwaitResponse(alone)
+	x.clientLeft = x.conn.AwaitResponse(nothingFollows)
 	s.forward(x)
 }
 
@@ -108,9 +108,9 @@
 }
 
 // readHead checks a request's head and returns what the balancer must know of it.
-func (s *server) readHead(in *http.Request, c *downstream.Conn, arrived balancer.Micros) (
+func (s *server) readHead(in *http.Request, conn *downstream.Conn, arrived balancer.Micros) (
 	req balancer.Request, err error) {
-	if c.HasAmbiguousLength() {
+	if conn.HasAmbiguousLength() {
 		// What follows the head may hide another request: the connection ends here.
 		return req, downstream.NewBadRequest("Content-Length beside another, or beside Transfer-Encoding")
 	}
@@ -127,12 +127,12 @@
 
 // readBody reads a request's body up to limit bytes. Only io.EOF says that the body is complete: a chunked body that
 // is truncated ends with io.ErrUnexpectedEOF, which io.ReadFull would also return for a short body that is complete.
-func readBody(from io.Reader, limit, length int64) (body []byte, complete bool, err error) {
+func readBody(r io.Reader, limit, length int64) (body []byte, complete bool, err error) {
 	body = make([]byte, limit)
 	n := 0
 	for n < len(body) && err == nil {
 		var read int
-		read, err = from.Read(body[n:])
+		read, err = r.Read(body[n:])
 		n += read
 	}
 	var invalid *downstream.RequestError
@@ -149,4 +149,4 @@
 
 // clearReadDeadline lets a connection wait without limit. An error is not reported: it says that the connection is
 // closed, and so does the next read.
-func clearReadDeadline(c *downstream.Conn) { _ = c.SetReadDeadline(time.Time{}) }
+func clearReadDeadline(conn *downstream.Conn) { _ = conn.SetReadDeadline(time.Time{}) }
--- a/internal/sidecar/recorder_test.go
+++ b/internal/sidecar/recorder_test.go
@@ -8,7 +8,7 @@
 
 // balancerRecorder passes all events to the balancer and records them.
 type balancerRecorder struct {
-	decider
+	balancerAPI
 	mu       sync.Mutex
 	outcomes []balancer.Outcome
 	events   []string
@@ -16,7 +16,7 @@
 	probes   []balancer.Status
 	loads    [][]float32
 
-	beforeGone func() // called in the loop, ahead of the balancer; may be nil
+	beforeClientGone func() // called in the loop, ahead of the balancer; may be nil
 }
 
 func (s *balancerRecorder) HandleOutcome(now balancer.Micros, o balancer.Outcome) {
@@ -24,26 +24,26 @@
 		s.outcomes = append(s.outcomes, o)
 		s.events = append(s.events, "outcome")
 	})
-	s.decider.HandleOutcome(now, o)
+	s.balancerAPI.HandleOutcome(now, o)
 }
 
 func (s *balancerRecorder) HandleTimer(now balancer.Micros, token uint32) {
 	if token >= 1<<20 { // the token names a request
 		s.record(func() { s.events = append(s.events, "timer") })
 	}
-	s.decider.HandleTimer(now, token)
+	s.balancerAPI.HandleTimer(now, token)
 }
 
 func (s *balancerRecorder) HandleClientGone(now balancer.Micros, id uint64) {
 	s.record(func() { s.events = append(s.events, "gone") })
-	if s.beforeGone != nil {
-		s.beforeGone()
+	if s.beforeClientGone != nil {
+		s.beforeClientGone()
 	}
-	s.decider.HandleClientGone(now, id)
+	s.balancerAPI.HandleClientGone(now, id)
 }
 
 func (s *balancerRecorder) HandleEndpoints(now balancer.Micros, kind balancer.ListUpdate, entries []balancer.Endpoint) {
-	s.decider.HandleEndpoints(now, kind, entries)
+	s.balancerAPI.HandleEndpoints(now, kind, entries)
 	s.record(func() { s.lists = append(s.lists, kind) })
 }
 
@@ -55,7 +55,7 @@
 	load []float32,
 ) {
 	s.record(func() { s.probes, s.loads = append(s.probes, status), append(s.loads, load) })
-	s.decider.HandleProbe(now, id, status, latency, load)
+	s.balancerAPI.HandleProbe(now, id, status, latency, load)
 }
 
 // record runs f under the lock.
--- a/internal/sidecar/reload.go
+++ b/internal/sidecar/reload.go
@@ -9,9 +9,9 @@
 )
 
 // activate puts a configuration in force.
-func (l *loop) activate(s *config.Snapshot) {
-	l.cfg = s.Config
-	l.current.Store(s)
+func (l *loop) activate(snapshot *config.Snapshot) {
+	l.cfg = snapshot.Config
+	l.current.Store(snapshot)
 }
 
 // reload puts a new configuration in force in one step, or rejects it and changes nothing. Requests in flight, the
@@ -22,10 +22,10 @@
 		return
 	}
 	old, merged := l.cfg, l.cfg.Merge(next)
-	restart := old.RestartKeys(next)
+	restartKeys := old.RestartKeys(next)
 	if old.Equal(merged) {
-		if len(restart) > 0 {
-			l.log.Warn("configuration needs a restart", "needs_restart", restart)
+		if len(restartKeys) > 0 {
+			l.log.Warn("configuration needs a restart", "needs_restart", restartKeys)
 		}
 		return
 	}
@@ -37,13 +37,13 @@
 	l.activate(l.current.Load().Next(merged, next.Hash()))
 	l.cancelUnsent(withdrawn)
 	l.upstream.Configure(merged)
-	if old.Limits != merged.Limits && l.limitsChanged != nil {
-		l.limitsChanged()
+	if old.Limits != merged.Limits && l.onLimitsChanged != nil {
+		l.onLimitsChanged()
 	}
 	if old.ChangesDiscovery(merged) {
 		l.restartWatch()
 	}
-	l.logConfiguration(old.ChangedParts(merged), restart)
+	l.logConfiguration(old.ChangedParts(merged), restartKeys)
 }
 
 // rejectReload logs that a configuration can't be put in force.
@@ -55,14 +55,14 @@
 }
 
 // logConfiguration logs what is in force from now on, which parts have changed, and which keys need a restart.
-func (l *loop) logConfiguration(changed, restart []string) {
+func (l *loop) logConfiguration(changedParts, restartKeys []string) {
 	inForce := l.current.Load()
 	attributes := []any{"generation", inForce.Generation, "hash", inForce.FileHash, "discovery", inForce.DiscoveryAddress}
-	if len(changed) > 0 {
-		attributes = append(attributes, "changed", changed)
+	if len(changedParts) > 0 {
+		attributes = append(attributes, "changed", changedParts)
 	}
-	if len(restart) > 0 {
-		attributes = append(attributes, "needs_restart", restart)
+	if len(restartKeys) > 0 {
+		attributes = append(attributes, "needs_restart", restartKeys)
 	}
 	l.log.Info("configuration in force", attributes...)
 }
--- a/internal/sidecar/reload_test.go
+++ b/internal/sidecar/reload_test.go
@@ -54,7 +54,7 @@
 // reload applies changed settings to the sidecar and returns what it logs.
 func (w *harness) reload(alter func(settings map[string]any)) string {
 	w.t.Helper()
-	next := configure(w.t, w.discovery.address, alter)
+	next := newConfig(w.t, w.discovery.address, alter)
 	return w.captureLog(func() { w.loop.reload(next) })
 }
 
@@ -126,13 +126,13 @@
 			answer := make(chan struct{})
 			var seen atomic.Int32
 			serve := func(e *sidecartest.Endpoint, conn net.Conn, in *bufio.Reader) {
-				for e.Next(in) != nil {
+				for e.ReadRequest(in) != nil {
 					if seen.Add(1) > 1 {
-						io.WriteString(conn, sidecartest.Served)
+						io.WriteString(conn, sidecartest.ServedResponse)
 						continue
 					}
 					<-answer
-					io.WriteString(conn, sidecartest.Failing)
+					io.WriteString(conn, sidecartest.FailedResponse)
 				}
 			}
 			first, second := sidecartest.NewEndpoint(t, serve), sidecartest.NewEndpoint(t, serve)
@@ -146,7 +146,7 @@
 				t.Errorf("got %+v, want 200", got)
 			}
 			for _, e := range []*sidecartest.Endpoint{first, second} {
-				if n, _ := e.Seen(); n != 1 || e.Request(0).URL.Path != "/pay/x/y" {
+				if n, _ := e.Counts(); n != 1 || e.Request(0).URL.Path != "/pay/x/y" {
 					t.Errorf("an endpoint got %d requests, want 1 of class pay", n)
 				}
 			}
@@ -181,9 +181,9 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			e := sidecartest.NewEndpoint(t, sidecartest.FirstThen(sidecartest.Failing, sidecartest.Served))
+			e := sidecartest.NewEndpoint(t, sidecartest.RespondFirstThen(sidecartest.FailedResponse, sidecartest.ServedResponse))
 			w := start(t, nil, ready("s-1", e.Address), ready("s-2", e.Address))
-			next := configure(t, w.discovery.address, c.alter)
+			next := newConfig(t, w.discovery.address, c.alter)
 			busy := make(chan struct{})
 			w.loop.events.post(func(balancer.Micros) { <-busy })
 			pending := make(chan reply)
@@ -195,7 +195,7 @@
 			if got := <-pending; got.code != c.code {
 				t.Errorf("got %+v, want %d", got, c.code)
 			}
-			if n, _ := e.Seen(); n != c.attempts || w.loop.current.Load().Generation != 2 {
+			if n, _ := e.Counts(); n != c.attempts || w.loop.current.Load().Generation != 2 {
 				t.Errorf("got %d attempts in generation %d, want %d in 2", n, w.loop.current.Load().Generation, c.attempts)
 			}
 		})
@@ -213,12 +213,12 @@
 			t.Parallel()
 			var dials, seen atomic.Int32
 			serve := func(e *sidecartest.Endpoint, conn net.Conn, in *bufio.Reader) {
-				for e.Next(in) != nil {
+				for e.ReadRequest(in) != nil {
 					seen.Add(1)
 					if c.code == http.StatusOK {
-						io.WriteString(conn, sidecartest.Served)
+						io.WriteString(conn, sidecartest.ServedResponse)
 					} else {
-						io.WriteString(conn, sidecartest.Failing)
+						io.WriteString(conn, sidecartest.FailedResponse)
 					}
 				}
 			}
@@ -259,7 +259,7 @@
 		t.Errorf("got log %q and generation %d, want none and the first", log, w.loop.current.Load().Generation)
 	}
 	log := w.captureLog(func() {
-		next := *configure(t, w.discovery.address, nil)
+		next := *newConfig(t, w.discovery.address, nil)
 		next.Name, next.ListenAddress, next.Seed, next.Limits.MemoryMB = "n1", "127.0.0.1:1", 7, 64
 		w.loop.reload(&next)
 	})
@@ -355,8 +355,8 @@
 // again. Limits apply at once, also to connections.
 func TestReloadKeepsEndpointsAndAppliesLimits(t *testing.T) {
 	e := newServingEndpoint(t)
-	w := startWith(t, nil, longWaits, ready("s-1", e.Address), ready("s-2", e.Address))
-	w.await("the watch", func() bool { return w.discovery.count() == 2 })
+	w := startWithConfig(t, nil, longWaits, ready("s-1", e.Address), ready("s-2", e.Address))
+	w.await("the watch", func() bool { return w.discovery.callCount() == 2 })
 	var before, after map[uint32]endpoint
 	var watchBefore, watchAfter *discovery.Client
 	endpoints := func() map[uint32]endpoint {
@@ -373,7 +373,7 @@
 		w.loop.applyOverrides(now, []operatorstate.Override{{Name: "s-2", Cordoned: true}})
 		before, watchBefore = endpoints(), w.loop.watcher.client
 	})
-	next := *configure(t, w.discovery.address, func(s map[string]any) {
+	next := *newConfig(t, w.discovery.address, func(s map[string]any) {
 		limits := s["limits"].(map[string]any)
 		limits["dial-timeout"], limits["keepalive"], limits["most-held"] = 7000, 4000, 9
 		s["reporting"] = map[string]any{"how": "probe", "fields": []string{"pending"}}
@@ -396,7 +396,7 @@
 		!w.loop.endpoints.overrides["s-2"].Cordoned {
 		t.Errorf("got endpoints %+v, want %+v and s-2 cordoned", after, before)
 	}
-	if watchBefore != watchAfter || w.discovery.count() != 2 {
+	if watchBefore != watchAfter || w.discovery.callCount() != 2 {
 		t.Error("a change of settings calls discovery, want the same watch")
 	}
 	want := upstream.ConnectionLimits{
@@ -408,9 +408,9 @@
 		t.Errorf("got limits %+v, want %+v", got, want)
 	}
 	if connections, used := w.server.clients.Limits(); connections != maxConnections(&next) ||
-		used != 128/crowdedDivisor {
+		used != 128/usedConnectionsDivisor {
 		t.Errorf("got limits of %d client connections and %d used ones, want %d and %d",
-			connections, used, maxConnections(&next), 128/crowdedDivisor)
+			connections, used, maxConnections(&next), 128/usedConnectionsDivisor)
 	}
 }
 
@@ -418,14 +418,14 @@
 func TestReloadBeforeTheStartAndWhileDraining(t *testing.T) {
 	e := newServingEndpoint(t)
 	w := &harness{t: t, discovery: newFakeDiscovery(t, ready("s-1", e.Address))}
-	cfg := configure(t, w.discovery.address, nil, ready("s-1", e.Address))
+	cfg := newConfig(t, w.discovery.address, nil, ready("s-1", e.Address))
 	l, err := newLoop(t.Context(), cfg, slog.New(slog.DiscardHandler))
 	if err != nil {
 		t.Fatal(err)
 	}
 	reloaded := make(chan struct{})
 	go func() {
-		l.events.runUrgent(func(balancer.Micros) { l.reload(configure(t, w.discovery.address, withSearchClass)) })
+		l.events.runUrgent(func(balancer.Micros) { l.reload(newConfig(t, w.discovery.address, withSearchClass)) })
 		close(reloaded)
 	}()
 	sidecartest.Await(t, "the reload to wait", func() bool { return len(l.events.urgent) == 1 })
--- a/internal/sidecar/requests.go
+++ b/internal/sidecar/requests.go
@@ -35,15 +35,15 @@
 // request is an entry of the request table. Its handler makes it and reads response and times; all else is the
 // loop's once the request is admitted.
 type request struct {
-	id         uint64
-	message    *upstream.Request
-	deadline   balancer.Micros
-	response   chan finalResponse // takes the one final response
-	finished   bool               // the final response is given, or the client is gone
-	attempts   []attempt
-	inFlight   int         // attempts without outcome
-	clientLeft func() bool // looks at the client's connection
-	times      stages.RequestTimes
+	id           uint64
+	message      *upstream.Request
+	deadline     balancer.Micros
+	response     chan finalResponse // takes the one final response
+	finished     bool               // the final response is given, or the client is gone
+	attempts     []attempt
+	inFlight     int         // attempts without outcome
+	clientClosed func() bool // looks at the client's connection
+	times        stages.RequestTimes
 }
 
 // attempt is an attempt that was started.
--- a/internal/sidecar/response.go
+++ b/internal/sidecar/response.go
@@ -12,16 +12,16 @@
 )
 
 // writeResponse writes the final response, and relays what follows its buffered part.
-func (s *server) writeResponse(w http.ResponseWriter, c *downstream.Conn, r *request, response finalResponse) {
+func (s *server) writeResponse(w http.ResponseWriter, conn *downstream.Conn, r *request, response finalResponse) {
 	r.times.ResultReceived = time.Now()
-	// Clients send one request at a time. What came behind this one is not served as a request: nothing but the
+	// Clients send one request at a time. What came extraBytes this one is not served as a request: nothing but the
 	// client's own framing says that it is one.
-	behind := c.BeginResponse()
+	extraBytes := conn.BeginResponse()
 	bodyPending := false
 	if upload := r.message.Upload; upload != nil {
-		bodyPending = !upload.ReachedEOF.Load() || !c.RequestRead(upload.Length)
+		bodyPending = !upload.ReachedEOF.Load() || !conn.RequestRead(upload.Length)
 	}
-	if behind || bodyPending || s.clients.OverUsedLimit() || s.draining() {
+	if extraBytes || bodyPending || s.clients.OverUsedLimit() || s.draining() {
 		w.Header().Set("Connection", "close")
 	}
 	writeFinalResponse(w, response)
@@ -29,8 +29,8 @@
 		s.recordStages(r)
 		return
 	}
-	if err := downstream.Relay(w, c, response.remainder); err != nil {
-		c.ResetOnClose()
+	if err := downstream.Relay(w, conn, response.remainder); err != nil {
+		conn.ResetOnClose()
 		panic(http.ErrAbortHandler)
 	}
 }
@@ -45,9 +45,9 @@
 }
 
 // drainUpload lets a client that has its response send its body to the end.
-func (s *server) drainUpload(w http.ResponseWriter, c *downstream.Conn, upload *upstream.Upload) {
+func (s *server) drainUpload(w http.ResponseWriter, conn *downstream.Conn, upload *upstream.Upload) {
 	if upload.ReachedEOF.Load() {
-		clearReadDeadline(c)
+		clearReadDeadline(conn)
 		return
 	}
 	_ = http.NewResponseController(w).Flush() // of a client that is gone, Discard finds the end
@@ -66,7 +66,7 @@
 	if http.NewResponseController(w).Flush() != nil {
 		return // the client is gone
 	}
-	downstream.NewBody(connOf(in), in.Body).Discard(downstream.MaxLinger)
+	downstream.NewBody(clientConn(in), in.Body).Discard(downstream.MaxLinger)
 }
 
 // rejectInvalid responds to a request that breaks the protocol, with status 400 or that of a downstream.RequestError,
--- a/internal/sidecar/run.go
+++ b/internal/sidecar/run.go
@@ -31,16 +31,16 @@
 		defer adminListener.Close()
 	}
 	// The loop outlives ctx: requests in flight still need it.
-	loopCtx, stop := context.WithCancel(context.Background())
-	defer stop()
+	loopCtx, stopLoop := context.WithCancel(context.Background())
+	defer stopLoop()
 	l, err := newLoop(loopCtx, cfg, log)
 	if err != nil {
 		listener.Close()
 		return err
 	}
 	go func() {
-		for next := range reloads {
-			l.events.runUrgent(func(balancer.Micros) { l.reload(next) })
+		for cfg := range reloads {
+			l.events.runUrgent(func(balancer.Micros) { l.reload(cfg) })
 		}
 	}()
 	if cfg.InheritedSocket != "" { // another process may take over
@@ -48,7 +48,7 @@
 		l.warmStart, l.saveEstimates = store.Load(l.clock.now()), store.Save
 	}
 	s := newServer(l)
-	s.setProcesses(1)
+	s.setProcessCount(1)
 	if cfg.InheritedSocket != "" {
 		s.acquireSlot(ctx, cfg.Host.Directory)
 		go s.followPeers(loopCtx, cfg.Host.Directory)
@@ -56,9 +56,9 @@
 	if adminListener != nil {
 		store := s.newOperatorStore()
 		s.restoreOperatorState(loopCtx, store)
-		calls := admin.NewServer(s, store, log)
+		adminServer := admin.NewServer(s, store, log)
 		// The clients' side serves on without the calls, so why their listener ended changes nothing.
-		go func() { _ = calls.Serve(loopCtx, adminListener) }()
+		go func() { _ = adminServer.Serve(loopCtx, adminListener) }()
 	}
 	defer l.upstream.SetMaxConnections(0) // the process may live on: idle connections end with the sidecar
 	return s.serve(ctx, listener)
@@ -72,7 +72,7 @@
 	served := make(chan error, 1)
 	go func() {
 		// A process that takes over leaves clients to the other one until it can serve them.
-		for s.hasPeer() && !s.loop.endpointsKnown.Load() && ctx.Err() == nil {
+		for s.hasPeer() && !s.loop.hasReadyEndpoint.Load() && ctx.Err() == nil {
 			time.Sleep(sweepInterval)
 		}
 		if ctx.Err() == nil {
--- a/internal/sidecar/scripteddiscovery_test.go
+++ b/internal/sidecar/scripteddiscovery_test.go
@@ -19,37 +19,39 @@
 	"oakproxy/internal/system"
 )
 
-// pipes is a listener whose connections are pipes within the process.
-type pipes struct {
-	conns chan net.Conn
-	end   chan struct{}
-	once  sync.Once
+// pipeListener is a listener whose connections are pipeListener within the process.
+type pipeListener struct {
+	conns     chan net.Conn
+	closed    chan struct{}
+	closeOnce sync.Once
 }
 
-func newPipes() *pipes { return &pipes{conns: make(chan net.Conn), end: make(chan struct{})} }
+func newPipeListener() *pipeListener {
+	return &pipeListener{conns: make(chan net.Conn), closed: make(chan struct{})}
+}
 
-func (p *pipes) Accept() (net.Conn, error) {
+func (p *pipeListener) Accept() (net.Conn, error) {
 	select {
 	case c := <-p.conns:
 		return c, nil
-	case <-p.end:
+	case <-p.closed:
 		return nil, net.ErrClosed
 	}
 }
 
-func (p *pipes) Close() error {
-	p.once.Do(func() { close(p.end) })
+func (p *pipeListener) Close() error {
+	p.closeOnce.Do(func() { close(p.closed) })
 	return nil
 }
 
-func (p *pipes) Addr() net.Addr { return &net.TCPAddr{} }
+func (p *pipeListener) Addr() net.Addr { return &net.TCPAddr{} }
 
-func (p *pipes) dial(ctx context.Context, _, _ string) (net.Conn, error) {
+func (p *pipeListener) dial(ctx context.Context, _, _ string) (net.Conn, error) {
 	client, server := net.Pipe()
 	select {
 	case p.conns <- server:
 		return client, nil
-	case <-p.end:
+	case <-p.closed:
 		return nil, net.ErrClosed
 	case <-ctx.Done():
 		return nil, ctx.Err()
@@ -58,9 +60,9 @@
 
 // recordedCall is a call that a scriptedDiscovery received.
 type recordedCall struct {
-	at     time.Time
-	wait   time.Duration
-	silent bool // whether it is never answered
+	at       time.Time
+	wait     time.Duration
+	silenced bool // whether it is never answered
 }
 
 // scriptedDiscovery is a discovery service whose responses and faults a test controls.
@@ -68,9 +70,9 @@
 	mu               sync.Mutex
 	list             discovery.List
 	calls            []recordedCall
-	open             int           // calls that wait for a change and are not silenced
-	silencing        chan struct{} // closed: calls open then are never answered
-	resetting        chan struct{} // closed: connections of calls open then are reset
+	openCalls        int           // calls that wait for a change and are not silenced
+	silence          chan struct{} // closed: calls open then are never answered
+	reset            chan struct{} // closed: connections of calls open then are reset
 	changed          chan struct{} // closed: the list has changed
 	unresponsive     bool          // while it is set, new calls are never answered
 	queueDelay       time.Duration // time that a new call is queued
@@ -83,7 +85,7 @@
 	ms, _ := strconv.Atoi(r.FormValue("wait_ms"))
 	wait := time.Duration(ms) * time.Millisecond
 	s.mu.Lock()
-	call, signals := len(s.calls), callSignals{s.silencing, s.resetting, s.changed}
+	call, signals := len(s.calls), callSignals{s.silence, s.reset, s.changed}
 	s.calls = append(s.calls, recordedCall{at: time.Now(), wait: wait})
 	outdated := r.FormValue("after") != strconv.FormatUint(s.list.Version, 10)
 	unresponsive, down, queueDelay, malformed := s.unresponsive, s.down, s.queueDelay, ""
@@ -135,12 +137,12 @@
 	signals callSignals,
 ) (answer bool) {
 	s.addOpen(1)
-	var isDone, isReset, isSilenced bool
+	var isCancelled, isReset, isSilenced bool
 	select {
 	case <-time.After(wait):
 	case <-signals.changed:
 	case <-ctx.Done():
-		isDone = true
+		isCancelled = true
 	case <-signals.reset:
 		isReset = true
 	case <-signals.silenced:
@@ -148,13 +150,13 @@
 	}
 	s.addOpen(-1)
 	switch {
-	case isDone:
+	case isCancelled:
 		return false
 	case isReset:
 		panic(http.ErrAbortHandler)
 	case isSilenced:
 		s.mu.Lock()
-		s.calls[call].silent = true
+		s.calls[call].silenced = true
 		s.mu.Unlock()
 		<-ctx.Done()
 		return false
@@ -195,8 +197,8 @@
 // resetConnections ends the connections of all open calls.
 func (s *scriptedDiscovery) resetConnections() {
 	s.mu.Lock()
-	close(s.resetting)
-	s.resetting = make(chan struct{})
+	close(s.reset)
+	s.reset = make(chan struct{})
 	s.mu.Unlock()
 	synctest.Wait()
 }
@@ -205,7 +207,7 @@
 func (s *scriptedDiscovery) addOpen(n int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.open += n
+	s.openCalls += n
 }
 
 // awaitOpenCall waits until a call waits for a change.
@@ -213,7 +215,7 @@
 	for {
 		synctest.Wait()
 		s.mu.Lock()
-		waiting := s.open > 0
+		waiting := s.openCalls > 0
 		s.mu.Unlock()
 		if waiting {
 			return
@@ -225,8 +227,8 @@
 // silenceOpenCalls prevents all open calls from being answered and returns the last of them.
 func (s *scriptedDiscovery) silenceOpenCalls() recordedCall {
 	s.mu.Lock()
-	close(s.silencing)
-	s.silencing = make(chan struct{})
+	close(s.silence)
+	s.silence = make(chan struct{})
 	s.mu.Unlock()
 	synctest.Wait()
 	s.mu.Lock()
@@ -235,23 +237,23 @@
 }
 
 // newScriptedDiscovery starts a discovery that lists one endpoint, and returns how to dial it.
-func newScriptedDiscovery(t *testing.T) (*scriptedDiscovery, dialer) {
+func newScriptedDiscovery(t *testing.T) (*scriptedDiscovery, dialFunc) {
 	t.Helper()
-	listener := newPipes()
-	dir := &scriptedDiscovery{
-		list:      completeList(1, ready("s-1", "127.0.0.1:1")),
-		silencing: make(chan struct{}),
-		resetting: make(chan struct{}),
-		changed:   make(chan struct{}),
+	listener := newPipeListener()
+	service := &scriptedDiscovery{
+		list:    completeList(1, ready("s-1", "127.0.0.1:1")),
+		silence: make(chan struct{}),
+		reset:   make(chan struct{}),
+		changed: make(chan struct{}),
 	}
-	server := &http.Server{Handler: dir, ErrorLog: slog.NewLogLogger(slog.DiscardHandler, slog.LevelError)}
+	server := &http.Server{Handler: service, ErrorLog: slog.NewLogLogger(slog.DiscardHandler, slog.LevelError)}
 	go server.Serve(listener)
 	t.Cleanup(func() {
 		server.Close()
 		listener.Close()
 	})
-	return dir, listener.dial
+	return service, listener.dial
 }
 
-// dialer dials in place of net.Dialer.DialContext.
-type dialer = func(ctx context.Context, network, address string) (net.Conn, error)
+// dialFunc dials in place of net.Dialer.DialContext.
+type dialFunc = func(ctx context.Context, network, address string) (net.Conn, error)
--- a/internal/sidecar/sendgate_test.go
+++ b/internal/sidecar/sendgate_test.go
@@ -18,7 +18,7 @@
 	const window = 2 * time.Second // long enough to decide on the retry within it
 	reset := make(chan struct{})
 	broken := sidecartest.NewEndpoint(t, func(e *sidecartest.Endpoint, conn net.Conn, in *bufio.Reader) {
-		e.Next(in)
+		e.ReadRequest(in)
 		<-reset
 	})
 	slow := newServingEndpoint(t)
@@ -26,9 +26,9 @@
 		s["classes"].([]any)[1].(map[string]any)["window"] = window.Microseconds()
 		s["limits"].(map[string]any)["dial-timeout"] = sidecartest.WaitTimeout.Microseconds()
 	}, ready("s-1", broken.Address))
-	dial := sidecartest.BlockDials(&w.loop.upstream.Dialer, slow.Address)
-	answer := make(chan reply, 1)
-	go func() { answer <- w.send(w.request("pay", "x", time.Minute)) }()
+	blockedDials := sidecartest.BlockDials(&w.loop.upstream.Dialer, slow.Address)
+	response := make(chan reply, 1)
+	go func() { response <- w.send(w.request("pay", "x", time.Minute)) }()
 	w.awaitRequests(broken, 1)
 	w.discovery.change(func() {
 		w.discovery.list = completeList(1, ready("s-1", broken.Address), ready("s-2", slow.Address))
@@ -39,14 +39,14 @@
 		return n == 2
 	})
 	close(reset)
-	<-dial.Started
+	<-blockedDials.Started
 	dialStart := time.Now()
 	sidecartest.Await(t, "the end of the window", func() bool { return time.Since(dialStart) > window })
-	close(dial.Unblock)
-	if got := <-answer; got.code != http.StatusServiceUnavailable {
+	close(blockedDials.Unblock)
+	if got := <-response; got.code != http.StatusServiceUnavailable {
 		t.Errorf("got %+v, want 503", got)
 	}
-	if n, _ := slow.Seen(); n != 0 {
+	if n, _ := slow.Counts(); n != 0 {
 		t.Errorf("the second endpoint got %d requests after the window, want none", n)
 	}
 }
@@ -62,17 +62,17 @@
 				func(s map[string]any) { s["limits"].(map[string]any)["cancel"] = cancel },
 				ready("s-1", e.Address),
 			)
-			dial := sidecartest.BlockDials(&w.loop.upstream.Dialer, e.Address)
+			blockedDials := sidecartest.BlockDials(&w.loop.upstream.Dialer, e.Address)
 			conn := w.dial()
 			w.request("pay", "x", time.Minute).Write(conn)
-			<-dial.Started
+			<-blockedDials.Started
 			conn.Close()
-			close(dial.Unblock) // at once: the disconnect may not have been noticed yet
+			close(blockedDials.Unblock) // at once: the disconnect may not have been noticed yet
 			w.awaitOutcome()
 			if all := w.recorder.statuses(); !slices.Equal(all, []balancer.Status{balancer.NotSent}) {
 				t.Errorf("got outcomes %v, want not sent", all)
 			}
-			if n, _ := e.Seen(); n != 0 {
+			if n, _ := e.Counts(); n != 0 {
 				t.Errorf("the endpoint got %d requests, want none", n)
 			}
 		})
--- a/internal/sidecar/server.go
+++ b/internal/sidecar/server.go
@@ -39,11 +39,11 @@
 
 // Parts of what the platform grants a sidecar.
 const (
-	reservedSockets   = 32          // descriptors for discovery, admin calls, logs and the runtime
-	crowdedDivisor    = 6           // of the descriptors: beyond this part clients' connections end with each response
-	bodyMemoryDivisor = 8           // of the memory, for the bodies of requests and responses
-	busyRetryAfter    = time.Second // Retry-After while that memory is in use
-	minConnections    = 12          // of each of two processes, however few descriptors there are
+	reservedSockets        = 32          // descriptors for discovery, admin calls, logs and the runtime
+	usedConnectionsDivisor = 6           // of the descriptors: beyond this part clients' connections end with each response
+	bodyMemoryDivisor      = 8           // of the memory, for the bodies of requests and responses
+	busyRetryAfter         = time.Second // Retry-After while that memory is in use
+	minConnections         = 12          // of each of two processes, however few descriptors there are
 )
 
 // server takes the application's requests. Its handlers run in the goroutines of net/http, one for each connection,
@@ -60,23 +60,23 @@
 	drainedByOperator atomic.Bool
 	drainPeriod       time.Duration // from SIGTERM until admission closes
 
-	slot      atomic.Pointer[handover.Slot] // of this process; nil where there can be no other, and until acquired
-	limitsMu  sync.Mutex                    // held while limits are applied
-	processes int                           // of this sidecar, which share its limits; guarded by limitsMu
+	slot         atomic.Pointer[handover.Slot] // of this process; nil where there can be no other, and until acquired
+	limitsMu     sync.Mutex                    // held while limits are applied
+	processCount int                           // of this sidecar, which share its limits; guarded by limitsMu
 }
 
 // connContextKey finds the connection of a request in its context.
 type connContextKey struct{}
 
-func connOf(in *http.Request) *downstream.Conn {
+func clientConn(in *http.Request) *downstream.Conn {
 	return in.Context().Value(connContextKey{}).(*downstream.Conn)
 }
 
-func newServer(l *loop) *server {
-	s := &server{loop: l, log: l.log, processes: 1, admission: newRequestAdmission(), drainPeriod: defaultDrainPeriod,
-		clients: &downstream.Listener{Log: l.log, MaxConnections: maxConnections(l.cfg),
-			MaxUsed: l.cfg.Limits.Sockets / crowdedDivisor}}
-	l.limitsChanged, l.closeCounts = s.reapplyLimits, s.clients.CloseCounts
+func newServer(loop *loop) *server {
+	s := &server{loop: loop, log: loop.log, processCount: 1, admission: newRequestAdmission(), drainPeriod: defaultDrainPeriod,
+		clients: &downstream.Listener{Log: loop.log, MaxConnections: maxConnections(loop.cfg),
+			MaxUsed: loop.cfg.Limits.Sockets / usedConnectionsDivisor}}
+	loop.onLimitsChanged, loop.closeCounts = s.reapplyLimits, s.clients.CloseCounts
 	s.http = http.Server{
 		// Not a ServeMux: it would redirect paths that endpoints must see unchanged.
 		Handler:           http.HandlerFunc(s.serveRequest),
@@ -87,7 +87,7 @@
 				c.(*downstream.Conn).EndRequest()
 			}
 		},
-		ErrorLog: slog.NewLogLogger(l.log.Handler(), slog.LevelWarn),
+		ErrorLog: slog.NewLogLogger(loop.log.Handler(), slog.LevelWarn),
 		ConnContext: func(ctx context.Context, c net.Conn) context.Context {
 			return context.WithValue(ctx, connContextKey{}, c)
 		}}
@@ -98,7 +98,7 @@
 func (s *server) draining() bool { return s.terminating.Load() || s.drainedByOperator.Load() }
 
 // acceptsRequests reports whether clients should send requests here.
-func (s *server) acceptsRequests() bool { return !s.draining() && s.loop.endpointsKnown.Load() }
+func (s *server) acceptsRequests() bool { return !s.draining() && s.loop.hasReadyEndpoint.Load() }
 
 // closeIdleWhileDraining closes connections on which no request comes, whenever clients are to leave, until ctx ends.
 func (s *server) closeIdleWhileDraining(ctx context.Context) {
--- a/internal/sidecar/shutdown.go
+++ b/internal/sidecar/shutdown.go
@@ -23,11 +23,11 @@
 	// 0.7 s after it is owed a response.
 	defaultDrainPeriod = 600 * time.Millisecond
 
-	killAfter       = 700 * time.Millisecond // SIGKILL comes so long after SIGTERM and the longest client timeout
-	maxKillDeadline = 3 * time.Second        // the most that counts of that timeout
-	killMargin      = 150 * time.Millisecond // before SIGKILL, partial requests are rejected
-	responseGrace   = 500 * time.Millisecond // after its deadline, a request in flight may still be answered
-	endGrace        = 600 * time.Millisecond // with nothing in flight, for clients to close: more than half-closing takes
+	killDelay        = 700 * time.Millisecond // SIGKILL comes so long after SIGTERM and the longest client timeout
+	maxClientTimeout = 3 * time.Second        // the most that counts of that timeout
+	killMargin       = 150 * time.Millisecond // before SIGKILL, partial requests are rejected
+	responseGrace    = 500 * time.Millisecond // after its deadline, a request in flight may still be answered
+	closeGrace       = 600 * time.Millisecond // with nothing in flight, for clients to close: more than half-closing takes
 )
 
 // requestAdmission says whether requests are admitted. It closes once, at shutdown, and may be used by any goroutine.
@@ -58,15 +58,15 @@
 	s.terminating.Store(true)
 	started := time.Now()
 	s.logPhase("shutdown started", started)
-	drained := started.Add(s.drainPeriod)
-	if !s.replaced() {
-		time.Sleep(time.Until(drained))
+	drainEnd := started.Add(s.drainPeriod)
+	if !s.hasReadyPeer() {
+		time.Sleep(time.Until(drainEnd))
 	}
 	if err := s.clients.Listener.Close(); err != nil && !errors.Is(err, net.ErrClosed) {
 		s.log.Warn("closing the listener failed", "error", err) // what is in flight is owed its response all the same
 	}
 	s.logPhase("listener closed", started)
-	time.Sleep(time.Until(drained))
+	time.Sleep(time.Until(drainEnd))
 	s.admission.close()
 	s.logPhase("admission closed", started)
 	s.awaitInFlight(started, time.Now())
@@ -78,9 +78,9 @@
 
 // awaitInFlight waits until every request in flight has its response and every connection has ended. Requests that
 // are still partial are rejected shortly before SIGKILL may come, counted from started.
-func (s *server) awaitInFlight(started, admissionClosed time.Time) {
-	longestTimeout := min(s.loop.current.Load().LongestClientTimeout(), maxKillDeadline)
-	partialDeadline := started.Add(longestTimeout + killAfter - killMargin)
+func (s *server) awaitInFlight(started, admissionClosedAt time.Time) {
+	longestTimeout := min(s.loop.current.Load().LongestClientTimeout(), maxClientTimeout)
+	partialDeadline := started.Add(longestTimeout + killDelay - killMargin)
 	idleSince := time.Time{} // when nothing was left in flight; zero while something is
 	// The first wait is for a connection that is being accepted just now.
 	for time.Sleep(sweepInterval); s.clients.Count() > 0; time.Sleep(sweepInterval) {
@@ -89,7 +89,7 @@
 		if now.After(partialDeadline) {
 			s.clients.RejectPartial()
 		}
-		if latest, found := s.inFlight.latestDeadline(admissionClosed); found {
+		if latest, found := s.inFlight.latestDeadline(admissionClosedAt); found {
 			idleSince = time.Time{}
 			if now.After(latest.Add(responseGrace)) {
 				s.abortInFlight()
@@ -100,7 +100,7 @@
 		if idleSince.IsZero() {
 			idleSince = now
 		}
-		if now.Sub(idleSince) > endGrace && now.Sub(partialDeadline) > endGrace {
+		if now.Sub(idleSince) > closeGrace && now.Sub(partialDeadline) > closeGrace {
 			return
 		}
 	}
@@ -109,7 +109,7 @@
 // logPhase logs that a phase of shutdown begins, and what is open at that moment.
 func (s *server) logPhase(phase string, started time.Time) {
 	s.log.Info(phase, "after_ms", time.Since(started).Milliseconds(), "connections", s.clients.Count(),
-		"requests", s.inFlight.count(), "replaced", s.replaced())
+		"requests", s.inFlight.count(), "replaced", s.hasReadyPeer())
 }
 
 // abortInFlight logs each request that the end of the process leaves without its complete response. Its connection is
--- a/internal/sidecar/shutdown_test.go
+++ b/internal/sidecar/shutdown_test.go
@@ -74,7 +74,7 @@
 	for split := 1; split < len(text); split += 9 {
 		t.Run(fmt.Sprintf("after %d bytes", split), func(t *testing.T) {
 			t.Parallel()
-			w, e, closeAdmission := startTerminating(t, sidecartest.Always(sidecartest.Served), defaultClientTimeout)
+			w, e, closeAdmission := startTerminating(t, sidecartest.AlwaysRespond(sidecartest.ServedResponse), defaultClientTimeout)
 			conn := w.dial()
 			io.WriteString(conn, text[:split])
 			w.await("the bytes to be read", func() bool { return w.partialBytes() >= int64(split) })
@@ -83,7 +83,7 @@
 			requireLastResponse(t, conn, http.StatusServiceUnavailable)
 			conn.Close()
 			w.awaitEnd()
-			if n, _ := e.Seen(); n != 0 {
+			if n, _ := e.Counts(); n != 0 {
 				t.Errorf("the endpoint got %d requests, want none", n)
 			}
 		})
@@ -107,7 +107,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			w, e, closeAdmission := startTerminating(t, sidecartest.Always(sidecartest.Served), 100*time.Millisecond)
+			w, e, closeAdmission := startTerminating(t, sidecartest.AlwaysRespond(sidecartest.ServedResponse), 100*time.Millisecond)
 			idle, conn := w.dial(), w.dial()
 			io.WriteString(conn, c.text)
 			w.await("the bytes to be read", func() bool { return w.partialBytes() == int64(len(c.text)) })
@@ -119,7 +119,7 @@
 			requireLastResponse(t, conn, c.code)
 			conn.Close()
 			w.awaitEnd()
-			if n, _ := e.Seen(); n != 0 {
+			if n, _ := e.Counts(); n != 0 {
 				t.Errorf("the endpoint got %d requests, want none", n)
 			}
 		})
@@ -132,15 +132,15 @@
 	const size = 2 * httpmsg.MaxBufferedBytes
 	head := sidecartest.PayHead + fmt.Sprintf("X-Correlation-Id: 1\r\nContent-Length: %d\r\n\r\n", size)
 	t.Run("last byte missing", func(t *testing.T) {
-		w, e, closeAdmission := startTerminating(t, sidecartest.Always(sidecartest.Served), defaultClientTimeout)
+		w, e, closeAdmission := startTerminating(t, sidecartest.AlwaysRespond(sidecartest.ServedResponse), defaultClientTimeout)
 		conn := w.dial()
 		io.WriteString(conn, head+strings.Repeat("x", size-1))
-		w.await("the attempt", func() bool { _, conns := e.Seen(); return conns == 1 })
+		w.await("the attempt", func() bool { _, conns := e.Counts(); return conns == 1 })
 		closeAdmission()
 		requireLastResponse(t, conn, http.StatusServiceUnavailable)
 		conn.Close()
 		w.awaitEnd()
-		if n, _ := e.Seen(); n != 0 {
+		if n, _ := e.Counts(); n != 0 {
 			t.Errorf("the endpoint got %d complete requests, want none", n)
 		}
 	})
@@ -174,7 +174,7 @@
 	})
 	closeAdmission()
 	// The shortest deadline and the time of SIGKILL have passed; the request's deadline has not.
-	time.Sleep(killAfter + responseGrace + endGrace)
+	time.Sleep(killDelay + responseGrace + closeGrace)
 	close(answer)
 	if got := <-got; got.code != http.StatusOK {
 		t.Errorf("the request in flight: got %+v, want 200", got)
@@ -190,7 +190,7 @@
 		t.Error("got a deadline without requests, want none")
 	}
 	a := &openRequest{id: "a", deadline: now.Add(time.Second)}
-	b := &openRequest{id: "b", deadline: now.Add(time.Hour), upload: true, timeLeft: 3 * time.Second}
+	b := &openRequest{id: "b", deadline: now.Add(time.Hour), isUpload: true, timeAfterBody: 3 * time.Second}
 	if !requests.add(a) || !requests.add(b) || requests.add(&openRequest{id: "a"}) {
 		t.Fatal("add must accept two ids and reject a duplicate")
 	}
@@ -283,7 +283,7 @@
 			}
 			conn.Close()
 			w.awaitEnd()
-			if n, _ := e.Seen(); n != 1 {
+			if n, _ := e.Counts(); n != 1 {
 				t.Errorf("the endpoint got %d requests, want 1", n)
 			}
 		})
--- a/internal/sidecar/sidecar_test.go
+++ b/internal/sidecar/sidecar_test.go
@@ -31,7 +31,7 @@
 			t.Errorf("%s: got %+v, want 200", class, got)
 		}
 	}
-	if requests, conns := e.Seen(); requests != 4 || conns != 1 {
+	if requests, conns := e.Counts(); requests != 4 || conns != 1 {
 		t.Errorf("got %d requests on %d connections, want 4 on 1", requests, conns)
 	}
 }
@@ -40,15 +40,15 @@
 // response.
 func TestRetryLimits(t *testing.T) {
 	reset := func(e *sidecartest.Endpoint, conn net.Conn, in *bufio.Reader) {
-		for e.Next(in) != nil {
-			if n, _ := e.Seen(); n == 1 {
+		for e.ReadRequest(in) != nil {
+			if n, _ := e.Counts(); n == 1 {
 				return
 			}
-			io.WriteString(conn, sidecartest.Served)
+			io.WriteString(conn, sidecartest.ServedResponse)
 		}
 	}
-	failed := sidecartest.FirstThen(sidecartest.Failing, sidecartest.Served)
-	rejected := sidecartest.FirstThen(sidecartest.Rejected, sidecartest.Served)
+	failed := sidecartest.RespondFirstThen(sidecartest.FailedResponse, sidecartest.ServedResponse)
+	rejected := sidecartest.RespondFirstThen(sidecartest.RejectedResponse, sidecartest.ServedResponse)
 	otherCell := func(entry discovery.Entry) discovery.Entry {
 		entry.Cell = 2
 		return entry
@@ -80,7 +80,7 @@
 			}
 			w := start(t, nil, ready("s-1", e.Address), second)
 			got := w.send(w.request(c.class, "x", 3*time.Second))
-			if n, _ := e.Seen(); got.code != c.code || n != c.attempts || got.err != nil {
+			if n, _ := e.Counts(); got.code != c.code || n != c.attempts || got.err != nil {
 				t.Errorf("got %d (%v) after %d attempts, want %d after %d", got.code, got.err, n, c.code, c.attempts)
 			}
 			if got.code == http.StatusOK && got.body != "done" {
@@ -92,7 +92,7 @@
 
 // Each attempt has one outcome. The outcomes are reported in order, and the last is marked as answered.
 func TestOutcomesAreReportedOnceAndInOrder(t *testing.T) {
-	e := sidecartest.NewEndpoint(t, sidecartest.FirstThen(sidecartest.Rejected, sidecartest.Served))
+	e := sidecartest.NewEndpoint(t, sidecartest.RespondFirstThen(sidecartest.RejectedResponse, sidecartest.ServedResponse))
 	w := start(t, nil, ready("s-1", e.Address), ready("s-2", e.Address))
 	w.send(w.request("order", "x", 3*time.Second))
 	w.await("two outcomes", func() bool { return len(w.recorder.statuses()) >= 2 })
@@ -114,7 +114,7 @@
 func TestResponseBeforeTheClientDeadline(t *testing.T) {
 	for class, code := range map[string]int{"read": 503, "pay": 503, "close": 502, "order": 502} {
 		t.Run(class, func(t *testing.T) {
-			e := sidecartest.NewEndpoint(t, sidecartest.Silent)
+			e := sidecartest.NewEndpoint(t, sidecartest.NeverRespond)
 			w := start(t, nil, ready("s-1", e.Address))
 			const timeLeft = 400 * time.Millisecond
 			sent := w.loop.clock.now()
@@ -149,7 +149,7 @@
 
 // A request that the balancer rejects is answered at once, with Retry-After.
 func TestRejectedAtOnceWithRetryAfter(t *testing.T) {
-	e := sidecartest.NewEndpoint(t, sidecartest.Always(sidecartest.Rejected))
+	e := sidecartest.NewEndpoint(t, sidecartest.AlwaysRespond(sidecartest.RejectedResponse))
 	w := start(t, nil, ready("s-1", e.Address))
 	began := time.Now()
 	got := w.send(w.request("read", "", time.Minute))
@@ -166,7 +166,7 @@
 func TestClientDisconnectCancelsTheAttempt(t *testing.T) {
 	closed := make(chan struct{})
 	e := sidecartest.NewEndpoint(t, func(e *sidecartest.Endpoint, conn net.Conn, in *bufio.Reader) {
-		e.Next(in)
+		e.ReadRequest(in)
 		in.ReadByte() // until the sidecar closes the connection
 		close(closed)
 	})
@@ -194,7 +194,7 @@
 // A client that has only closed its sending side counts as disconnected, and must not read a complete response that no
 // endpoint sent.
 func TestHalfClosedClientGetsNoResponse(t *testing.T) {
-	e := sidecartest.NewEndpoint(t, sidecartest.Silent)
+	e := sidecartest.NewEndpoint(t, sidecartest.NeverRespond)
 	w := start(t, nil, ready("s-1", e.Address))
 	conn, err := net.Dial("tcp", strings.TrimPrefix(w.url, "http://"))
 	if err != nil {
@@ -214,9 +214,9 @@
 func TestLateOutcomeIsReportedAsAnswered(t *testing.T) {
 	answer := make(chan struct{})
 	e := sidecartest.NewEndpoint(t, func(e *sidecartest.Endpoint, conn net.Conn, in *bufio.Reader) {
-		e.Next(in)
+		e.ReadRequest(in)
 		<-answer
-		io.WriteString(conn, sidecartest.Served)
+		io.WriteString(conn, sidecartest.ServedResponse)
 	})
 	// An attempt that must not be cancelled outlives its request.
 	w := start(t, func(s map[string]any) { s["limits"].(map[string]any)["cancel"] = false }, ready("s-1", e.Address))
@@ -279,7 +279,7 @@
 			t.Errorf("%s: got %+v, want %d with %q", c.name, got, c.code, c.text)
 		}
 	}
-	if n, _ := e.Seen(); n != 0 {
+	if n, _ := e.Counts(); n != 0 {
 		t.Errorf("got %d requests at the endpoint, want none", n)
 	}
 	r := w.request("pay", strings.Repeat("x", httpmsg.MaxBufferedBytes), 3*time.Second)
@@ -319,7 +319,7 @@
 	if got := <-answer; got.code != http.StatusOK {
 		t.Errorf("got %+v, want 200", got)
 	}
-	if n, _ := first.Seen(); n != 0 {
+	if n, _ := first.Counts(); n != 0 {
 		t.Errorf("the draining endpoint got %d requests, want none", n)
 	}
 	if all := w.recorder.statuses(); !slices.Equal(all, []balancer.Status{balancer.NotSent, balancer.OK}) {
--- a/internal/sidecar/slot.go
+++ b/internal/sidecar/slot.go
@@ -32,7 +32,7 @@
 func (s *server) followPeers(ctx context.Context, dir string) {
 	tick := time.NewTicker(slotPollInterval)
 	defer tick.Stop()
-	markedReady, processes := false, 1
+	markedReady, processCount := false, 1
 	for {
 		if s.slot.Load() == nil {
 			if slot, err := handover.AcquireSlot(dir); err == nil {
@@ -40,12 +40,12 @@
 			}
 		}
 		if slot := s.slot.Load(); slot != nil {
-			if alive, _ := slot.Peers(); alive+1 != processes {
-				processes = alive + 1
-				s.setProcesses(processes)
-				s.log.Info("processes of this sidecar", "count", processes)
+			if alive, _ := slot.Peers(); alive+1 != processCount {
+				processCount = alive + 1
+				s.setProcessCount(processCount)
+				s.log.Info("processes of this sidecar", "count", processCount)
 			}
-			if !markedReady && s.loop.endpointsKnown.Load() {
+			if !markedReady && s.loop.hasReadyEndpoint.Load() {
 				markedReady = slot.MarkReady() == nil // a full disk may take it later
 			}
 		}
@@ -67,8 +67,8 @@
 	return alive > 0
 }
 
-// replaced reports whether another process serves the clients that come from now on.
-func (s *server) replaced() bool {
+// hasReadyPeer reports whether another process serves the clients that come from now on.
+func (s *server) hasReadyPeer() bool {
 	slot := s.slot.Load()
 	if slot == nil {
 		return false
@@ -77,11 +77,11 @@
 	return ready > 0
 }
 
-// setProcesses limits this process to one of n equal parts of the sidecar's limits.
-func (s *server) setProcesses(n int) {
+// setProcessCount limits this process to one of n equal parts of the sidecar's limits.
+func (s *server) setProcessCount(count int) {
 	s.limitsMu.Lock()
 	defer s.limitsMu.Unlock()
-	s.processes = n
+	s.processCount = count
 	s.applyLimits()
 }
 
@@ -94,12 +94,12 @@
 
 // applyLimits sets this process's part of the limits in force. The caller holds limitsMu.
 func (s *server) applyLimits() {
-	cfg, n := s.loop.current.Load(), s.processes
-	connections := max(minConnections, (cfg.Limits.Sockets/n-reservedSockets)/2)
-	s.clients.SetLimits(connections, cfg.Limits.Sockets/crowdedDivisor/n)
+	cfg, processCount := s.loop.current.Load(), s.processCount
+	connections := max(minConnections, (cfg.Limits.Sockets/processCount-reservedSockets)/2)
+	s.clients.SetLimits(connections, cfg.Limits.Sockets/usedConnectionsDivisor/processCount)
 	s.loop.upstream.SetMaxConnections(connections)
-	s.loop.upstream.BodyMemory.Limit.Store(int64(cfg.Limits.MemoryMB) << 20 / bodyMemoryDivisor / int64(n))
+	s.loop.upstream.BodyMemory.Limit.Store(int64(cfg.Limits.MemoryMB) << 20 / bodyMemoryDivisor / int64(processCount))
 	if limit := cfg.Host.LimitMemory; limit != nil {
-		limit(int64(cfg.Limits.MemoryMB) << 20 / 10 * heapTenths / int64(n))
+		limit(int64(cfg.Limits.MemoryMB) << 20 / 10 * heapTenths / int64(processCount))
 	}
 }
--- a/internal/sidecar/slot_test.go
+++ b/internal/sidecar/slot_test.go
@@ -12,37 +12,37 @@
 	e := newServingEndpoint(t)
 	w := start(t, nil, ready("s-1", e.Address))
 	w.await("other connections to end", func() bool { return w.server.clients.Count() == 0 })
-	connections, bodies := w.server.clients.MaxConnections, w.loop.upstream.BodyMemory.Limit.Load()
+	connections, bodyMemory := w.server.clients.MaxConnections, w.loop.upstream.BodyMemory.Limit.Load()
 	dir := t.TempDir()
-	own, err := handover.AcquireSlot(dir)
+	ownSlot, err := handover.AcquireSlot(dir)
 	if err != nil {
 		t.Fatal(err)
 	}
-	w.server.slot.Store(own)
+	w.server.slot.Store(ownSlot)
 	for range connections {
 		w.dial()
 	}
 	w.await("the limit of connections", func() bool { return w.server.clients.Count() == connections })
-	other, err := handover.AcquireSlot(dir)
+	otherSlot, err := handover.AcquireSlot(dir)
 	if err != nil {
 		t.Fatal(err)
 	}
 	go w.server.followPeers(t.Context(), dir)
-	half := (w.loop.cfg.Limits.Sockets/2 - reservedSockets) / 2
-	w.await("connections beyond the share to end", func() bool { return w.server.clients.Count() == half })
-	w.await("the share of body memory", func() bool { return w.loop.upstream.BodyMemory.Limit.Load() == bodies/2 })
-	if !w.server.hasPeer() || w.server.replaced() {
+	halfConnections := (w.loop.cfg.Limits.Sockets/2 - reservedSockets) / 2
+	w.await("connections beyond the share to end", func() bool { return w.server.clients.Count() == halfConnections })
+	w.await("the share of body memory", func() bool { return w.loop.upstream.BodyMemory.Limit.Load() == bodyMemory/2 })
+	if !w.server.hasPeer() || w.server.hasReadyPeer() {
 		t.Error("got no peer or a ready one, want one that is not ready")
 	}
-	if err := other.MarkReady(); err != nil {
+	if err := otherSlot.MarkReady(); err != nil {
 		t.Fatal(err)
 	}
-	if !w.server.replaced() {
+	if !w.server.hasReadyPeer() {
 		t.Error("got no ready peer, want one")
 	}
-	other.Release()
+	otherSlot.Release()
 	w.await("the full limits", func() bool {
 		limit, _ := w.server.clients.Limits()
-		return limit == connections && w.loop.upstream.BodyMemory.Limit.Load() == bodies
+		return limit == connections && w.loop.upstream.BodyMemory.Limit.Load() == bodyMemory
 	})
 }
--- a/internal/sidecar/stages_test.go
+++ b/internal/sidecar/stages_test.go
@@ -10,7 +10,7 @@
 // The stages of a request that its first attempt served are counted; those of one that took two attempts are not.
 func TestStagesOfServedRequests(t *testing.T) {
 	serving := newServingEndpoint(t)
-	rejecting := sidecartest.NewEndpoint(t, sidecartest.FirstThen(sidecartest.Rejected, sidecartest.Served))
+	rejecting := sidecartest.NewEndpoint(t, sidecartest.RespondFirstThen(sidecartest.RejectedResponse, sidecartest.ServedResponse))
 	for _, test := range []struct {
 		endpoint *sidecartest.Endpoint
 		counted  uint64
--- a/internal/sidecar/statistics.go
+++ b/internal/sidecar/statistics.go
@@ -13,11 +13,11 @@
 
 // counters are what the parts of the sidecar have counted since the start.
 type counters struct {
-	balancer balancer.Stats
-	upstream upstream.Counts
-	calls    callCounts // of discovery
-	stages   stages.Totals
-	closes   downstream.CloseCounts // of clients' connections
+	balancer       balancer.Stats
+	upstream       upstream.Counts
+	discoveryCalls discoveryCallCounts // of discovery
+	stages         stages.Totals
+	closes         downstream.CloseCounts // of clients' connections
 }
 
 // gauges are what the statistics say of the moment.
@@ -35,14 +35,14 @@
 	last counters
 }
 
-// record logs one line of statistics, unless there was no request.
-func (l *statsLogger) record(c *counters, g gauges) {
+// logAndRemember logs one line of statistics, unless there was no request.
+func (l *statsLogger) logAndRemember(c *counters, g gauges) {
 	last := &l.last
 	if c.balancer.Requests != last.balancer.Requests {
 		dials := c.upstream.Dials - last.upstream.Dials
 		l.log.Info("statistics",
 			"balancer", c.balancer.Since(&last.balancer),
-			"list_age_ms", g.listAgeMS, "list_seq", g.listVersion, "discovery_calls", c.calls.since(last.calls),
+			"list_age_ms", g.listAgeMS, "list_seq", g.listVersion, "discovery_calls", c.discoveryCalls.since(last.discoveryCalls),
 			"dials", dials,
 			"dial_ms", (c.upstream.DialTime-last.upstream.DialTime).Milliseconds()/int64(max(1, dials)),
 			"dial_failed", c.upstream.FailedDials-last.upstream.FailedDials,
--- a/internal/sidecar/stream_test.go
+++ b/internal/sidecar/stream_test.go
@@ -41,7 +41,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			e := sidecartest.NewEndpoint(t, func(e *sidecartest.Endpoint, conn net.Conn, in *bufio.Reader) {
-				for e.Next(in) != nil {
+				for e.ReadRequest(in) != nil {
 					if io.WriteString(conn, c.response); !c.reused {
 						return
 					}
@@ -59,7 +59,7 @@
 					return w.loop.upstream.Counts().Open == idle && (idle == 1) == c.reused
 				})
 			}
-			if _, conns := e.Seen(); (conns == 1) != c.reused {
+			if _, conns := e.Counts(); (conns == 1) != c.reused {
 				t.Errorf("got %d connections, reused %v, want reused %v", conns, conns == 1, c.reused)
 			}
 			w.awaitReleasedMemory()
@@ -73,7 +73,7 @@
 	const timeLeft = 500 * time.Millisecond
 	read := make(chan struct{})
 	e := sidecartest.NewEndpoint(t, func(e *sidecartest.Endpoint, conn net.Conn, in *bufio.Reader) {
-		e.Next(in)
+		e.ReadRequest(in)
 		fmt.Fprintf(conn, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", large, first)
 		<-read
 		time.Sleep(timeLeft)
@@ -114,7 +114,7 @@
 		t.Run(name, func(t *testing.T) {
 			relayed := make(chan struct{})
 			e := sidecartest.NewEndpoint(t, func(e *sidecartest.Endpoint, conn net.Conn, in *bufio.Reader) {
-				e.Next(in)
+				e.ReadRequest(in)
 				io.WriteString(conn, c.response)
 				if <-relayed; c.reset {
 					conn.(*net.TCPConn).SetLinger(0)
@@ -133,7 +133,7 @@
 			if n, err := io.Copy(io.Discard, response.Body); err == nil {
 				t.Errorf("got %d more bytes as a complete response, want an error", n)
 			}
-			if n, _ := e.Seen(); n != 1 {
+			if n, _ := e.Counts(); n != 1 {
 				t.Errorf("got %d requests at the endpoint, want 1", n)
 			}
 		})
@@ -161,7 +161,7 @@
 			if got.err == nil && got.code == http.StatusOK {
 				t.Errorf("got %d bytes as a complete response, want an error", len(got.body))
 			}
-			if n, _ := e.Seen(); n != 1 {
+			if n, _ := e.Counts(); n != 1 {
 				t.Errorf("got %d attempts of a request that is not idempotent, want 1", n)
 			}
 		})
@@ -171,7 +171,7 @@
 // resetAfter returns a Handler that writes the beginning of a response and resets the connection.
 func resetAfter(begin string) sidecartest.Handler {
 	return func(e *sidecartest.Endpoint, conn net.Conn, in *bufio.Reader) {
-		e.Next(in)
+		e.ReadRequest(in)
 		io.WriteString(conn, begin)
 		conn.(*net.TCPConn).SetLinger(0)
 	}
--- a/internal/sidecar/syscalls_test.go
+++ b/internal/sidecar/syscalls_test.go
@@ -20,11 +20,11 @@
 // The time that a request waits in the accept backlog counts against its deadline: its endpoint gets no more time than
 // its client has left.
 func TestTimeInTheAcceptBacklogCounts(t *testing.T) {
-	var arrived time.Time
+	var arrivedAt time.Time
 	e := sidecartest.NewEndpoint(t, func(e *sidecartest.Endpoint, conn net.Conn, in *bufio.Reader) {
-		for e.Next(in) != nil {
-			arrived = time.Now()
-			io.WriteString(conn, sidecartest.Served)
+		for e.ReadRequest(in) != nil {
+			arrivedAt = time.Now()
+			io.WriteString(conn, sidecartest.ServedResponse)
 		}
 	})
 	listener := &sidecartest.FaultyListener{}
@@ -38,15 +38,15 @@
 	w.dial() // the pending accept may still accept it
 	conn := w.dial()
 	fmt.Fprint(conn, sidecartest.ReadHead+"X-Correlation-Id: 1\r\n\r\n")
-	written := time.Now()
+	writtenAt := time.Now()
 	response, err := http.ReadResponse(bufio.NewReader(conn), nil)
 	if err != nil || response.StatusCode != http.StatusOK {
 		t.Fatalf("got %v, %v, want 200", response, err)
 	}
-	var ms int
-	fmt.Sscan(e.Request(0).Header.Get("X-Time-Left-Ms"), &ms)
-	waited := arrived.Sub(written)
-	forwarded, remaining := time.Duration(ms)*time.Millisecond, 3*time.Second-waited
+	var forwardedMS int
+	fmt.Sscan(e.Request(0).Header.Get("X-Time-Left-Ms"), &forwardedMS)
+	waited := arrivedAt.Sub(writtenAt)
+	forwarded, remaining := time.Duration(forwardedMS)*time.Millisecond, 3*time.Second-waited
 	if forwarded > remaining+deadlineSlack {
 		t.Errorf("got %v forwarded to the endpoint, want at most the client's %v", forwarded, remaining)
 	}
@@ -63,7 +63,7 @@
 func TestClientThatLeavesAfterItsBodyIsNoticed(t *testing.T) {
 	e := newServingEndpoint(t)
 	w := start(t, nil, ready("s-1", e.Address))
-	dial := sidecartest.BlockDials(&w.loop.upstream.Dialer, e.Address)
+	blockedDials := sidecartest.BlockDials(&w.loop.upstream.Dialer, e.Address)
 	conn := w.dial()
 	go func() {
 		const size = 2 * httpmsg.MaxBufferedBytes
@@ -71,7 +71,7 @@
 			sidecartest.PayHead, size, strings.Repeat("x", size))
 		conn.Close()
 	}()
-	<-dial.Started
+	<-blockedDials.Started
 	sidecartest.Await(t, "the disconnect to be noticed", func() bool {
 		for _, r := range w.server.inFlight.all() {
 			if r.conn.ClientClosed() {
@@ -80,9 +80,9 @@
 		}
 		return false
 	})
-	close(dial.Unblock)
+	close(blockedDials.Unblock)
 	w.awaitOutcome()
-	if n, conns := e.Seen(); n != 0 {
+	if n, conns := e.Counts(); n != 0 {
 		t.Errorf("the endpoint got %d requests on %d connections, want none", n, conns)
 	}
 }
--- a/internal/sidecar/upload_test.go
+++ b/internal/sidecar/upload_test.go
@@ -18,7 +18,7 @@
 
 // writeBodyLength is a Handler that answers each request with the length of its body.
 func writeBodyLength(e *sidecartest.Endpoint, conn net.Conn, in *bufio.Reader) {
-	for r := e.Next(in); r != nil; r = e.Next(in) {
+	for r := e.ReadRequest(in); r != nil; r = e.ReadRequest(in) {
 		body, _ := io.ReadAll(r.Body)
 		text := fmt.Sprint(len(body))
 		fmt.Fprintf(conn, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(text), text)
@@ -60,7 +60,7 @@
 			}
 		}
 	}
-	if n, conns := e.Seen(); n != 7 || conns != 1 {
+	if n, conns := e.Counts(); n != 7 || conns != 1 {
 		t.Errorf("got %d requests on %d connections, want 7 on 1", n, conns)
 	}
 	w.awaitReleasedMemory()
@@ -123,7 +123,7 @@
 				w.runInLoop(func() { n = len(w.loop.requests.byID) })
 				return n == 0
 			})
-			if n, _ := e.Seen(); n != 0 {
+			if n, _ := e.Counts(); n != 0 {
 				t.Errorf("the endpoint read %d complete requests, want none", n)
 			}
 		})
@@ -137,8 +137,8 @@
 	w := start(t, nil, ready("s-1", e.Address))
 	// The disconnect is reported as late as possible, when the request would have reached an endpoint.
 	w.runInLoop(func() {
-		w.recorder.beforeGone = func() {
-			sidecartest.Await(t, "the request at the endpoint", func() bool { n, _ := e.Seen(); return n > 0 })
+		w.recorder.beforeClientGone = func() {
+			sidecartest.Await(t, "the request at the endpoint", func() bool { n, _ := e.Counts(); return n > 0 })
 		}
 	})
 	framed := inChunks(strings.Repeat("x", 3000), 1000) + "0\r\n\r\n"
@@ -166,7 +166,7 @@
 			w.await("the end of the connection", func() bool { return w.server.clients.Count() == 0 })
 		}
 	}
-	if n, _ := e.Seen(); n != 0 {
+	if n, _ := e.Counts(); n != 0 {
 		t.Errorf("the endpoint read %d requests, one of %d bytes, want none", n, e.Request(0).ContentLength)
 	}
 }
@@ -174,7 +174,7 @@
 // An endpoint that rejects a large body after reading only its start has not run the request. The client is rejected at
 // once, and may finish sending before it reads the response.
 func TestEndpointRejectsALargeBody(t *testing.T) {
-	for name, response := range map[string]string{"with a response": sidecartest.Rejected, "by closing": ""} {
+	for name, response := range map[string]string{"with a response": sidecartest.RejectedResponse, "by closing": ""} {
 		t.Run(name, func(t *testing.T) {
 			e := sidecartest.NewEndpoint(t, func(_ *sidecartest.Endpoint, conn net.Conn, in *bufio.Reader) {
 				in.Discard(httpmsg.MaxBufferedBytes)
--- a/internal/sidecar/watch_test.go
+++ b/internal/sidecar/watch_test.go
@@ -35,7 +35,7 @@
 }
 
 // startWatching starts a loop that knows the endpoint as ready. It uses the last seed that is given, if any.
-func startWatching(t *testing.T, dial dialer, alter func(settings map[string]any), seed ...uint64) *loop {
+func startWatching(t *testing.T, dial dialFunc, alter func(settings map[string]any), seed ...uint64) *loop {
 	t.Helper()
 	return startWatchingWith(t, dial, func(cfg *config.Config) {
 		for _, last := range seed {
@@ -47,12 +47,12 @@
 // startWatchingWith is startWatching with a configuration that change may change.
 func startWatchingWith(
 	t *testing.T,
-	dial dialer,
+	dial dialFunc,
 	change func(*config.Config),
 	alter func(settings map[string]any),
 ) *loop {
 	t.Helper()
-	cfg := configure(t, "127.0.0.1:1", alter, ready("s-1", "127.0.0.1:1"))
+	cfg := newConfig(t, "127.0.0.1:1", alter, ready("s-1", "127.0.0.1:1"))
 	cfg.KnownEndpoints.Version, cfg.DiscoveryDial = 1, dial
 	change(cfg)
 	ctx, stop := context.WithCancel(context.Background())
@@ -73,7 +73,7 @@
 func unreachable(l *loop, name string) bool {
 	got := make(chan bool)
 	l.events.post(func(int64) {
-		id := l.endpoints.ids[name]
+		id := l.endpoints.idByName[name]
 		got <- id == 0 || l.endpoints.byID[id].target == nil
 	})
 	return <-got
@@ -119,7 +119,7 @@
 					time.Sleep(after)
 					dir.awaitOpenCall() // after a sleep there may be no open call that could fall silent
 					silenced, open := time.Now(), dir.silenceOpenCalls()
-					if !open.silent {
+					if !open.silenced {
 						t.Fatalf("got call %+v, want an open one", open)
 					}
 					dir.drainEndpoint()
@@ -286,8 +286,8 @@
 	}
 	requireDrained(t, l, notified)
 	l.events.post(func(int64) {
-		if l.watcher.calls.malformed == 0 {
-			t.Errorf("got calls %+v, want a malformed one", l.watcher.calls)
+		if l.watcher.callCounts.malformed == 0 {
+			t.Errorf("got calls %+v, want a malformed one", l.watcher.callCounts)
 		}
 	})
 	synctest.Wait()
--- a/internal/sidecar/watcher.go
+++ b/internal/sidecar/watcher.go
@@ -27,7 +27,7 @@
 	lastListAt    balancer.Micros // when discovery answered last, or the start of the loop
 	failing       bool            // the last call failed
 	lastWarningAt balancer.Micros // when a failure was logged last
-	calls         callCounts
+	callCounts    discoveryCallCounts
 }
 
 func newDiscoveryWatcher(cfg *config.Config, log *slog.Logger) discoveryWatcher {
@@ -63,17 +63,17 @@
 	go func() {
 		for ctx.Err() == nil {
 			err := client.Watch(ctx, position, onList, onMalformed)
-			next := make(chan discovery.Position, 1)
+			nextPosition := make(chan discovery.Position, 1)
 			post(func(now balancer.Micros) {
 				h.handleWatchEnded(now, err)
-				next <- w.position
+				nextPosition <- w.position
 			})
 			if !retry {
 				return
 			}
 			system.Sleep(ctx, discovery.Jitter(client.RetryDelay))
 			select {
-			case position = <-next:
+			case position = <-nextPosition:
 			case <-ctx.Done():
 			}
 		}
@@ -95,9 +95,9 @@
 		w.log.Info("discovery recovered", "list_age_ms", w.listAgeMS(now), "seq", list.Version)
 	}
 	w.failing, w.lastListAt = false, now
-	w.calls.answered++
+	w.callCounts.answered++
 	w.log.Debug("endpoint list received", "seq", list.Version, "whole", list.Complete, "hosts", len(list.Entries))
-	w.calls.unusableEntries += uint64(list.Unusable)
+	w.callCounts.unusableEntries += uint64(list.Unusable)
 }
 
 // recordFailure counts a call of discovery that failed.
@@ -105,11 +105,11 @@
 	var malformed *discovery.MalformedError
 	switch {
 	case errors.As(err, &malformed):
-		w.calls.malformed++
+		w.callCounts.malformed++
 	case errors.Is(err, context.DeadlineExceeded):
-		w.calls.timedOut++
+		w.callCounts.timedOut++
 	default:
-		w.calls.failed++
+		w.callCounts.failed++
 	}
 	if errors.Is(err, discovery.ErrOutdated) {
 		w.position.After = nil // versions were numbered anew: changes since the old one mean nothing
@@ -121,9 +121,9 @@
 	w.failing = true
 }
 
-// advance moves the position past a list, and reports whether the list may be older than one that came before.
-func (w *discoveryWatcher) advance(at time.Time, list *discovery.List) (older bool) {
-	older = list.Version < w.position.CurrentVersion
+// advancePosition moves the position past a list, and reports whether the list may be older than one that came before.
+func (w *discoveryWatcher) advancePosition(at time.Time, list *discovery.List) (mayBeOlder bool) {
+	mayBeOlder = list.Version < w.position.CurrentVersion
 	version := list.Version
 	w.position = discovery.Position{After: &version, CurrentVersion: version,
 		VersionResetAt: at.Add(w.client.VersionResetTimeout)}
@@ -131,7 +131,7 @@
 		w.log.Warn("unusable entries in the endpoint list",
 			"unusable", list.Unusable, "total", len(list.Entries), "first_error", list.FirstError)
 	}
-	return older
+	return mayBeOlder
 }
 
 // listAgeMS returns the milliseconds since discovery answered last.
@@ -139,11 +139,11 @@
 	return (now - w.lastListAt) / 1000
 }
 
-// callCounts counts calls of discovery by how they ended, and entries of lists that could not be used.
-type callCounts struct{ answered, timedOut, failed, malformed, unusableEntries uint64 }
+// discoveryCallCounts counts calls of discovery by how they ended, and entries of lists that could not be used.
+type discoveryCallCounts struct{ answered, timedOut, failed, malformed, unusableEntries uint64 }
 
 // since describes what was counted since an earlier state.
-func (c callCounts) since(old callCounts) string {
+func (c discoveryCallCounts) since(old discoveryCallCounts) string {
 	return fmt.Sprintf("[answered:%d timeout:%d failed:%d malformed:%d unusable_entries:%d]",
 		c.answered-old.answered, c.timedOut-old.timedOut, c.failed-old.failed, c.malformed-old.malformed,
 		c.unusableEntries-old.unusableEntries)
--- a/internal/sidecartest/await.go
+++ b/internal/sidecartest/await.go
@@ -14,11 +14,11 @@
 
 // Await returns once a condition holds. It fails the test, naming what it waited for, if that takes longer than
 // WaitTimeout.
-func Await(t *testing.T, what string, condition func() bool) {
+func Await(t *testing.T, description string, condition func() bool) {
 	t.Helper()
 	for deadline := time.Now().Add(WaitTimeout); !condition(); time.Sleep(pollInterval) {
 		if time.Now().After(deadline) {
-			t.Fatalf("timed out waiting for: %s", what)
+			t.Fatalf("timed out waiting for: %s", description)
 		}
 	}
 }
--- a/internal/sidecartest/dials.go
+++ b/internal/sidecartest/dials.go
@@ -13,16 +13,16 @@
 	Started chan struct{} // closed when the first dial has begun
 	Unblock chan struct{} // to be closed, or sent to once for each dial, by the test
 
-	begin sync.Once
+	startOnce sync.Once
 }
 
 // BlockDials makes the dialer's dials to an address wait. It replaces dialer.Control, and is called before the dialer
 // is used.
-func BlockDials(dialer *net.Dialer, blocked string) *BlockedDials {
+func BlockDials(dialer *net.Dialer, blockedAddress string) *BlockedDials {
 	dials := &BlockedDials{Started: make(chan struct{}), Unblock: make(chan struct{})}
 	dialer.Control = func(_, address string, _ syscall.RawConn) error {
-		if address == blocked {
-			dials.begin.Do(func() { close(dials.Started) })
+		if address == blockedAddress {
+			dials.startOnce.Do(func() { close(dials.Started) })
 			<-dials.Unblock
 		}
 		return nil
@@ -42,9 +42,9 @@
 	if err := syscall.Bind(fd, &syscall.SockaddrInet4{Addr: [4]byte{127, 0, 0, 1}}); err != nil {
 		t.Fatal(err)
 	}
-	name, err := syscall.Getsockname(fd)
+	bound, err := syscall.Getsockname(fd)
 	if err != nil {
 		t.Fatal(err)
 	}
-	return fmt.Sprintf("127.0.0.1:%d", name.(*syscall.SockaddrInet4).Port)
+	return fmt.Sprintf("127.0.0.1:%d", bound.(*syscall.SockaddrInet4).Port)
 }
--- a/internal/sidecartest/endpoint.go
+++ b/internal/sidecartest/endpoint.go
@@ -52,8 +52,8 @@
 	}
 }
 
-// Next reads a request with its body, and counts it. It returns nil if the connection ends before the request does.
-func (e *Endpoint) Next(in *bufio.Reader) *http.Request {
+// ReadRequest reads a request with its body, and counts it. It returns nil if the connection ends before the request does.
+func (e *Endpoint) ReadRequest(in *bufio.Reader) *http.Request {
 	r, err := http.ReadRequest(in)
 	if err != nil {
 		return nil
@@ -69,8 +69,8 @@
 	return r
 }
 
-// Seen returns the number of requests read, and of connections accepted.
-func (e *Endpoint) Seen() (requests, conns int) {
+// Counts returns the number of requests read, and of connections accepted.
+func (e *Endpoint) Counts() (requests, connections int) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return len(e.requests), e.connections
--- a/internal/sidecartest/handlers.go
+++ b/internal/sidecartest/handlers.go
@@ -9,32 +9,32 @@
 
 // Responses of endpoints, as bytes on the wire.
 const (
-	// Served is a response with the body "done".
-	Served = "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\ndone"
+	// ServedResponse is a response with the body "done".
+	ServedResponse = "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\ndone"
 
-	// Failing is a response to a request that failed, and may have run.
-	Failing = "HTTP/1.1 500 Internal Server Error\r\nContent-Length: 0\r\n\r\n"
+	// FailedResponse is a response to a request that failed, and may have run.
+	FailedResponse = "HTTP/1.1 500 Internal Server Error\r\nContent-Length: 0\r\n\r\n"
 
-	// Rejected is a response to a request that was rejected, and has not run.
-	Rejected = "HTTP/1.1 503 Service Unavailable\r\nX-Unprocessed: 1\r\nContent-Length: 0\r\n\r\n"
+	// RejectedResponse is a response to a request that was rejected, and has not run.
+	RejectedResponse = "HTTP/1.1 503 Service Unavailable\r\nX-Unprocessed: 1\r\nContent-Length: 0\r\n\r\n"
 )
 
-// Always returns a Handler that writes the same response to every request.
-func Always(response string) Handler {
+// AlwaysRespond returns a Handler that writes the same response to every request.
+func AlwaysRespond(response string) Handler {
 	return func(e *Endpoint, conn net.Conn, in *bufio.Reader) {
-		for e.Next(in) != nil {
+		for e.ReadRequest(in) != nil {
 			io.WriteString(conn, response)
 		}
 	}
 }
 
-// FirstThen returns a Handler that writes one response to the endpoint's first request, over all connections, and
+// RespondFirstThen returns a Handler that writes one response to the endpoint's first request, over all connections, and
 // another to the others.
-func FirstThen(first, others string) Handler {
+func RespondFirstThen(first, others string) Handler {
 	return func(e *Endpoint, conn net.Conn, in *bufio.Reader) {
-		for e.Next(in) != nil {
+		for e.ReadRequest(in) != nil {
 			response := others
-			if requests, _ := e.Seen(); requests == 1 {
+			if requests, _ := e.Counts(); requests == 1 {
 				response = first
 			}
 			io.WriteString(conn, response)
@@ -53,17 +53,17 @@
 // once.
 func blockPaths(prefix string, release <-chan struct{}) Handler {
 	return func(e *Endpoint, conn net.Conn, in *bufio.Reader) {
-		for r := e.Next(in); r != nil; r = e.Next(in) {
+		for r := e.ReadRequest(in); r != nil; r = e.ReadRequest(in) {
 			if strings.HasPrefix(r.RequestURI, prefix) {
 				<-release
 			}
-			io.WriteString(conn, Served)
+			io.WriteString(conn, ServedResponse)
 		}
 	}
 }
 
-// Silent is a Handler that reads requests and writes nothing.
-func Silent(e *Endpoint, _ net.Conn, in *bufio.Reader) {
-	for e.Next(in) != nil {
+// NeverRespond is a Handler that reads requests and writes nothing.
+func NeverRespond(e *Endpoint, _ net.Conn, in *bufio.Reader) {
+	for e.ReadRequest(in) != nil {
 	}
 }
--- a/internal/sidecartest/listener.go
+++ b/internal/sidecartest/listener.go
@@ -15,14 +15,14 @@
 }
 
 // Fail sets the errors of the next accepts.
-func (l *FaultyListener) Fail(errors []error) {
+func (l *FaultyListener) Fail(errs []error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.Errors = errors
+	l.Errors = errs
 }
 
-// next returns and removes the error of the next accept, or nil.
-func (l *FaultyListener) next() (err error) {
+// takeError returns and removes the error of the takeError accept, or nil.
+func (l *FaultyListener) takeError() (err error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if len(l.Errors) > 0 {
@@ -33,7 +33,7 @@
 
 // Accept fails with the next error, in the form of the net package, or accepts a connection.
 func (l *FaultyListener) Accept() (net.Conn, error) {
-	if err := l.next(); err != nil {
+	if err := l.takeError(); err != nil {
 		return nil, &net.OpError{Op: "accept", Net: "tcp", Addr: l.Addr(), Err: os.NewSyscallError("accept4", err)}
 	}
 	return l.Listener.Accept()
--- a/internal/upstream/client_test.go
+++ b/internal/upstream/client_test.go
@@ -45,9 +45,9 @@
 // with an Idempotency-Key, on a connection that had been idle.
 func TestAttemptIsNeverRepeated(t *testing.T) {
 	e := sidecartest.NewEndpoint(t, func(e *sidecartest.Endpoint, conn net.Conn, in *bufio.Reader) {
-		if e.Next(in) != nil {
-			io.WriteString(conn, sidecartest.Served)
-			e.Next(in) // and close without a response
+		if e.ReadRequest(in) != nil {
+			io.WriteString(conn, sidecartest.ServedResponse)
+			e.ReadRequest(in) // and close without a response
 		}
 	})
 	u, at := newTestClient(t, 4), &Endpoint{Address: e.Address}
@@ -57,7 +57,7 @@
 	if r := getOnce(context.Background(), u, at, "/2"); r.Status != balancer.Reset {
 		t.Errorf("second: status %v, want Reset", r.Status)
 	}
-	if requests, conns := e.Seen(); requests != 2 || conns != 1 {
+	if requests, conns := e.Counts(); requests != 2 || conns != 1 {
 		t.Errorf("%d requests on %d connections, want 2 on 1", requests, conns)
 	}
 }
@@ -82,7 +82,7 @@
 		{"rejected", "HTTP/1.1 503 x\r\nContent-Length: 0\r\n\r\n", balancer.EndpointError, nil},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			e := sidecartest.NewEndpoint(t, sidecartest.Always(c.response))
+			e := sidecartest.NewEndpoint(t, sidecartest.AlwaysRespond(c.response))
 			r := newTestClient(t, 1).Probe(context.Background(), &Endpoint{Address: e.Address})
 			for i, v := range r.Load {
 				if v != v {
--- a/internal/upstream/gate_test.go
+++ b/internal/upstream/gate_test.go
@@ -21,7 +21,7 @@
 		"attempt cancelled": func(_ *Client, _ *Endpoint, _ *Gate, cancel func()) { cancel() },
 	} {
 		t.Run(name, func(t *testing.T) {
-			e := sidecartest.NewEndpoint(t, sidecartest.Always(sidecartest.Served))
+			e := sidecartest.NewEndpoint(t, sidecartest.AlwaysRespond(sidecartest.ServedResponse))
 			u, at, g := newTestClient(t, 1), &Endpoint{Address: e.Address}, &Gate{}
 			dial := sidecartest.BlockDials(&u.Dialer, e.Address)
 			ctx, cancel := context.WithCancel(context.Background())
@@ -34,7 +34,7 @@
 			if r := <-done; r.Status != balancer.NotSent {
 				t.Errorf("status %v, want NotSent", r.Status)
 			}
-			if n, _ := e.Seen(); n != 0 {
+			if n, _ := e.Counts(); n != 0 {
 				t.Errorf("the endpoint received %d requests, want none", n)
 			}
 		})
@@ -43,7 +43,7 @@
 
 // An attempt that waited for its connection must not begin once its endpoint is draining. No later one begins either.
 func TestRetireDuringDialPreventsAttempt(t *testing.T) {
-	e := sidecartest.NewEndpoint(t, sidecartest.Always(sidecartest.Served))
+	e := sidecartest.NewEndpoint(t, sidecartest.AlwaysRespond(sidecartest.ServedResponse))
 	u, at := newTestClient(t, 1), &Endpoint{Address: e.Address}
 	dialling, unblock := make(chan struct{}), make(chan struct{})
 	u.Dialer.Control = func(_, _ string, _ syscall.RawConn) error {
@@ -59,7 +59,7 @@
 	if r := <-done; r.Status != balancer.NotSent {
 		t.Errorf("status %v, want NotSent", r.Status)
 	}
-	if n, _ := e.Seen(); n != 0 {
+	if n, _ := e.Counts(); n != 0 {
 		t.Errorf("the draining endpoint received %d requests, want none", n)
 	}
 	if r := getOnce(context.Background(), u, at, "/"); r.Status != balancer.NotSent || u.open != 0 {
--- a/internal/upstream/outcome_test.go
+++ b/internal/upstream/outcome_test.go
@@ -22,10 +22,10 @@
 // Each kind of response has its outcome, on a new connection.
 func TestAttemptReportsOutcomeOfEachResponse(t *testing.T) {
 	const ok = "HTTP/1.1 200 OK\r\n"
-	always := sidecartest.Always
+	always := sidecartest.AlwaysRespond
 	closeAfter := func(response string) func(*sidecartest.Endpoint, net.Conn, *bufio.Reader) {
 		return func(e *sidecartest.Endpoint, conn net.Conn, in *bufio.Reader) {
-			e.Next(in)
+			e.ReadRequest(in)
 			io.WriteString(conn, response)
 		}
 	}
@@ -34,11 +34,11 @@
 		serve func(*sidecartest.Endpoint, net.Conn, *bufio.Reader)
 		want  balancer.Status
 	}{
-		{"served", always(sidecartest.Served), balancer.OK},
+		{"served", always(sidecartest.ServedResponse), balancer.OK},
 		{"served after an interim response",
-			always("HTTP/1.1 103 Early Hints\r\n\r\n" + sidecartest.Served), balancer.OK},
+			always("HTTP/1.1 103 Early Hints\r\n\r\n" + sidecartest.ServedResponse), balancer.OK},
 		{"served in chunks", always(ok + "Transfer-Encoding: chunked\r\n\r\n4\r\ndone\r\n0\r\n\r\n"), balancer.OK},
-		{"served with a duplicate", always(sidecartest.Served + sidecartest.Served), balancer.OK},
+		{"served with a duplicate", always(sidecartest.ServedResponse + sidecartest.ServedResponse), balancer.OK},
 		{"length only by an unannounced close", closeAfter(ok + "\r\ndone"), balancer.Reset},
 		{"length stated in two ways",
 			always(ok + "Content-Length: 4\r\nTransfer-Encoding: chunked\r\n\r\n4\r\ndone\r\n0\r\n\r\n"), balancer.Reset},
@@ -55,9 +55,9 @@
 		{"a broken chunk", always(ok + "Transfer-Encoding: chunked\r\n\r\n4\r\ndone\r\nzz\r\n"), balancer.Reset},
 		{"a broken status line", always("HTTP/1.1 2x0 OK\r\nContent-Length: 4\r\n\r\ndone"), balancer.Reset},
 		{"another protocol", always("ICY 200 OK\r\nContent-Length: 4\r\n\r\ndone"), balancer.Reset},
-		{"error", always(sidecartest.Failing), balancer.EndpointError},
+		{"error", always(sidecartest.FailedResponse), balancer.EndpointError},
 		{"unexpected status", always("HTTP/1.1 404 Not Found\r\nContent-Length: 0\r\n\r\n"), balancer.EndpointError},
-		{"rejected with 503", always(sidecartest.Rejected), balancer.Rejected},
+		{"rejected with 503", always(sidecartest.RejectedResponse), balancer.Rejected},
 		{"rejected with 504",
 			always("HTTP/1.1 504 Gateway Timeout\r\nX-Unprocessed: 1\r\nContent-Length: 0\r\n\r\n"), balancer.Rejected},
 		{"503 without X-Unprocessed",
@@ -77,7 +77,7 @@
 		{"error body too large",
 			always("HTTP/1.1 500 x\r\nContent-Length: 65537\r\n\r\n" + strings.Repeat("x", 65537)), balancer.Reset},
 		{"head too large", always(ok + "X: " + strings.Repeat("x", 200<<10)), balancer.Reset},
-		{"silent", sidecartest.Silent, balancer.Timeout},
+		{"silent", sidecartest.NeverRespond, balancer.Timeout},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
@@ -159,7 +159,7 @@
 
 // A dial that fails for a shortage on this machine is retried for a while, and is never counted against the endpoint.
 func TestDialRetriesLocalResourceShortage(t *testing.T) {
-	e := sidecartest.NewEndpoint(t, sidecartest.Always(sidecartest.Served))
+	e := sidecartest.NewEndpoint(t, sidecartest.AlwaysRespond(sidecartest.ServedResponse))
 	for name, c := range map[string]struct {
 		errors []error
 		want   balancer.Status
--- a/internal/upstream/pool_test.go
+++ b/internal/upstream/pool_test.go
@@ -20,8 +20,8 @@
 func TestStaleIdleConnectionIsReplaced(t *testing.T) {
 	closed := make(chan struct{}, 2)
 	e := sidecartest.NewEndpoint(t, func(e *sidecartest.Endpoint, conn net.Conn, in *bufio.Reader) {
-		e.Next(in)
-		io.WriteString(conn, sidecartest.Served)
+		e.ReadRequest(in)
+		io.WriteString(conn, sidecartest.ServedResponse)
 		conn.Close()
 		closed <- struct{}{}
 	})
@@ -42,7 +42,7 @@
 // Idle connections are closed before the endpoint's own idle timeout, both when one is
 // requested and by Prune.
 func TestIdleConnectionsExpireBeforeEndpointClosesThem(t *testing.T) {
-	e := sidecartest.NewEndpoint(t, sidecartest.Always(sidecartest.Served))
+	e := sidecartest.NewEndpoint(t, sidecartest.AlwaysRespond(sidecartest.ServedResponse))
 	u, at := newTestClient(t, 4), &Endpoint{Address: e.Address}
 	if limit := 5 * time.Second; u.maxIdle > limit*4/5 {
 		t.Errorf("idle connections are used for %v of %v", u.maxIdle, limit)
@@ -56,7 +56,7 @@
 	mustSucceed()
 	u.idle[at][0].idleSince = time.Now().Add(-u.maxIdle)
 	mustSucceed()
-	if _, conns := e.Seen(); conns != 2 {
+	if _, conns := e.Counts(); conns != 2 {
 		t.Errorf("%d connections, want a second one after the idle timeout", conns)
 	}
 	u.Prune()
@@ -76,8 +76,8 @@
 
 // The number of connections is limited: an idle one is closed for another endpoint, one in use is not.
 func TestOpenConnectionsAreLimited(t *testing.T) {
-	quick := sidecartest.NewEndpoint(t, sidecartest.Always(sidecartest.Served))
-	slow := sidecartest.NewEndpoint(t, sidecartest.Silent)
+	quick := sidecartest.NewEndpoint(t, sidecartest.AlwaysRespond(sidecartest.ServedResponse))
+	slow := sidecartest.NewEndpoint(t, sidecartest.NeverRespond)
 	u := newTestClient(t, 1)
 	if r := getOnce(context.Background(), u, &Endpoint{Address: quick.Address}, "/"); r.Status != balancer.OK {
 		t.Fatalf("status %v", r.Status)
@@ -85,7 +85,7 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	busy := make(chan Result)
 	go func() { busy <- getOnce(ctx, u, &Endpoint{Address: slow.Address}, "/") }()
-	sidecartest.Await(t, "the slow endpoint's request", func() bool { n, _ := slow.Seen(); return n == 1 })
+	sidecartest.Await(t, "the slow endpoint's request", func() bool { n, _ := slow.Counts(); return n == 1 })
 	if r := getOnce(context.Background(), u, &Endpoint{Address: quick.Address}, "/"); r.Status != balancer.NotSent {
 		t.Errorf("beyond the limit: status %v, want NotSent", r.Status)
 	}
@@ -135,7 +135,7 @@
 		u := newTestClient(t, maxOpen)
 		var all []weak.Pointer[conn]
 		for range endpoints {
-			e := sidecartest.NewEndpoint(t, sidecartest.Always(sidecartest.Served))
+			e := sidecartest.NewEndpoint(t, sidecartest.AlwaysRespond(sidecartest.ServedResponse))
 			to := &Endpoint{Address: e.Address}
 			if r := getOnce(t.Context(), u, to, "/"); r.Status != balancer.OK {
 				t.Fatalf("%s: status %v", c.name, r.Status)
--- a/internal/upstream/request_test.go
+++ b/internal/upstream/request_test.go
@@ -18,7 +18,7 @@
 
 // An endpoint receives the client's end-to-end headers and body unchanged, with the remaining time of the attempt.
 func TestRequestIsForwardedWithTimeLeft(t *testing.T) {
-	e := sidecartest.NewEndpoint(t, sidecartest.Always(sidecartest.Served))
+	e := sidecartest.NewEndpoint(t, sidecartest.AlwaysRespond(sidecartest.ServedResponse))
 	at, _ := url.Parse("/pay/x%2Fy?q=1&r=%20")
 	m := &Request{Method: http.MethodPost, URL: at, Host: "api.internal", Body: []byte("body"),
 		Header: http.Header{"X-Correlation-Id": {"9b"}, "Idempotency-Key": {"5c"}, "X-Time-Left-Ms": {"99999"},
--- a/internal/upstream/response_test.go
+++ b/internal/upstream/response_test.go
@@ -18,10 +18,10 @@
 // than the stall timeout.
 func TestResponseInPiecesIsReadCompletely(t *testing.T) {
 	e := sidecartest.NewEndpoint(t, func(e *sidecartest.Endpoint, conn net.Conn, in *bufio.Reader) {
-		for e.Next(in) != nil {
-			for _, b := range []byte(sidecartest.Served) {
+		for e.ReadRequest(in) != nil {
+			for _, b := range []byte(sidecartest.ServedResponse) {
 				conn.Write([]byte{b})
-				time.Sleep(2 * responseStallTimeout / time.Duration(len(sidecartest.Served)))
+				time.Sleep(2 * responseStallTimeout / time.Duration(len(sidecartest.ServedResponse)))
 			}
 		}
 	})
@@ -42,10 +42,10 @@
 		"after an interim response": "HTTP/1.1 102 Processing\r\n\r\n",
 	} {
 		e := sidecartest.NewEndpoint(t, func(e *sidecartest.Endpoint, conn net.Conn, in *bufio.Reader) {
-			for e.Next(in) != nil {
+			for e.ReadRequest(in) != nil {
 				io.WriteString(conn, first)
 				time.Sleep(2 * responseStallTimeout)
-				io.WriteString(conn, sidecartest.Served)
+				io.WriteString(conn, sidecartest.ServedResponse)
 			}
 		})
 		u, at := newTestClient(t, 1), &Endpoint{Address: e.Address}
@@ -54,7 +54,7 @@
 				t.Errorf("%s: status %v, want OK", name, r.Status)
 			}
 		}
-		if _, conns := e.Seen(); conns != 1 {
+		if _, conns := e.Counts(); conns != 1 {
 			t.Errorf("%s: %d connections, want 1", name, conns)
 		}
 	}
@@ -62,7 +62,7 @@
 
 // A response that the memory budget does not admit is streamed.
 func TestResponseBeyondMemoryBudgetIsStreamed(t *testing.T) {
-	e := sidecartest.NewEndpoint(t, sidecartest.Always(sidecartest.Served))
+	e := sidecartest.NewEndpoint(t, sidecartest.AlwaysRespond(sidecartest.ServedResponse))
 	u := newTestClient(t, 4)
 	u.BodyMemory.Used.Store(u.BodyMemory.Limit.Load())
 	r := getOnce(t.Context(), u, &Endpoint{Address: e.Address}, "/")
@@ -85,13 +85,13 @@
 	t.Run("excess after the next request", func(t *testing.T) {
 		var begun atomic.Bool
 		e := sidecartest.NewEndpoint(t, func(e *sidecartest.Endpoint, conn net.Conn, in *bufio.Reader) {
-			for r := e.Next(in); r != nil; r = e.Next(in) {
+			for r := e.ReadRequest(in); r != nil; r = e.ReadRequest(in) {
 				if begun.CompareAndSwap(false, true) { // a duplicate, behind whatever request comes next
-					io.WriteString(conn, strings.Replace(sidecartest.Served, "done", "one.", 1))
-					e.Next(in)
-					io.WriteString(conn, strings.Replace(sidecartest.Served, "done", "one.", 1))
+					io.WriteString(conn, strings.Replace(sidecartest.ServedResponse, "done", "one.", 1))
+					e.ReadRequest(in)
+					io.WriteString(conn, strings.Replace(sidecartest.ServedResponse, "done", "one.", 1))
 				}
-				io.WriteString(conn, strings.Replace(sidecartest.Served, "done", r.URL.Path[1:5], 1))
+				io.WriteString(conn, strings.Replace(sidecartest.ServedResponse, "done", r.URL.Path[1:5], 1))
 			}
 		})
 		u, at := newTestClient(t, 4), &Endpoint{Address: e.Address}
@@ -111,8 +111,8 @@
 		t.Run(name, func(t *testing.T) {
 			sendExcess := make(chan struct{})
 			e := sidecartest.NewEndpoint(t, func(e *sidecartest.Endpoint, conn net.Conn, in *bufio.Reader) {
-				for r := e.Next(in); r != nil; r = e.Next(in) {
-					response := strings.Replace(sidecartest.Served, "done", r.URL.Path[1:5], 1)
+				for r := e.ReadRequest(in); r != nil; r = e.ReadRequest(in) {
+					response := strings.Replace(sidecartest.ServedResponse, "done", r.URL.Path[1:5], 1)
 					if !late {
 						response += response
 					}
@@ -134,7 +134,7 @@
 			if r := getOnce(context.Background(), u, at, "/two."); r.Status != balancer.OK || string(r.Body) != "two." {
 				t.Errorf("second: status %v, body %q", r.Status, r.Body)
 			}
-			if _, conns := e.Seen(); conns != 2 {
+			if _, conns := e.Counts(); conns != 2 {
 				t.Errorf("%d connections, want 2", conns)
 			}
 		})
