--- a/internal/sidecar/actions.go
+++ b/internal/sidecar/actions.go
@@ -12,7 +12,8 @@
 // The methods of this file implement balancer.Actions. The balancer calls them in the loop's goroutine.
 var _ balancer.Actions = (*loop)(nil)
 
-// Send starts an attempt.
+// Send starts an attempt to forward the request with this id to an endpoint. The attempt may not be sent after
+// latestSend; 0 means that there is no such limit.
 func (l *loop) Send(id uint64, endpoint uint32, latestSend balancer.Micros) {
 	r, target := l.requests.byID[id], l.endpoints.acquire(endpoint)
 	startedAt, gate := l.clock.now(), &upstream.Gate{ClientGone: r.clientClosed}
@@ -47,31 +48,32 @@
 	}()
 }
 
-// Reject answers that a retry is harmless, and after which time it is welcome.
+// Reject responds with status 503, which tells the client that a retry is harmless. If retryAfter is not 0, it tells
+// the client how long to wait before a retry.
 func (l *loop) Reject(id uint64, retryAfter balancer.Micros) {
 	l.respond(l.requests.byID[id], finalResponse{code: http.StatusServiceUnavailable, retryAfter: retryAfter})
 }
 
-// Fail answers that the request failed.
+// Fail responds with status 502, which tells the client that the request failed.
 func (l *loop) Fail(id uint64) {
 	l.respond(l.requests.byID[id], finalResponse{code: http.StatusBadGateway})
 }
 
-// Cancel closes an attempt's connection. Its outcome still comes.
+// Cancel closes the connection of an attempt. The attempt's outcome is still reported.
 func (l *loop) Cancel(id uint64, attempt int) {
 	if r := l.requests.byID[id]; r != nil && attempt >= 0 && attempt < len(r.attempts) {
 		r.attempts[attempt].cancel()
 	}
 }
 
-// StartTimer gives a token back to the balancer after a delay.
+// StartTimer passes the token back to the balancer after the delay.
 func (l *loop) StartTimer(delay balancer.Micros, token uint32) {
 	time.AfterFunc(time.Duration(delay)*time.Microsecond, func() {
 		l.events.post(func(now balancer.Micros) { l.balancer.HandleTimer(now, token) })
 	})
 }
 
-// Probe asks an endpoint for its load.
+// Probe requests a load report from an endpoint.
 func (l *loop) Probe(endpoint uint32) {
 	target := l.endpoints.acquire(endpoint)
 	go func() {
@@ -86,8 +88,8 @@
 	}()
 }
 
-// Watch begins to watch the endpoint list, from the last version on, or ends that. With the settings that subscribe,
-// the balancer decides when to begin again after a failure; without, the watch does so by itself.
+// Watch starts the watch of the endpoint list at the last version received, or stops it. After a failure, the watch
+// restarts by itself, unless the settings subscribe to discovery: then the balancer decides when to restart it.
 func (l *loop) Watch(on bool) {
 	if !on {
 		l.watcher.stop()
@@ -96,5 +98,5 @@
 	l.watcher.start(l.ctx, &l.events, l, !l.cfg.Settings.SubscribeToDiscovery)
 }
 
-// Log logs a line of the balancer's.
+// Log logs a line that the balancer has written.
 func (l *loop) Log(line string) { l.log.Info(line) }
--- a/internal/sidecar/doc.go
+++ b/internal/sidecar/doc.go
@@ -1,15 +1,16 @@
-// Package sidecar runs a balancer.Balancer on real sockets: an HTTP server for the application's requests,
-// connections to endpoints, and a watch of the endpoint list.
+// Package sidecar runs a balancer.Balancer on real sockets: it serves the application's HTTP requests, connects to
+// endpoints and watches the endpoint list.
 //
-// Every decision on where, when and how often to send is the balancer's. This package carries the decisions out and
-// reports what came of them. It does not interpret responses or load reports: upstream does; and it reads no
-// configuration files: config does.
+// The balancer decides where, when and how often to send each request. This package carries out these decisions and
+// reports their outcomes to the balancer. It does not interpret responses or load reports, which package upstream does,
+// and it does not read configuration files, which package config does.
 //
 // Invariants:
-//   - One goroutine, that of loop.run, owns the balancer and the tables of requests and endpoints. Others reach them
-//     through the event queue only.
-//   - Each admitted request gets exactly one final response, or its connection ends: the one that the loop gives.
-//   - Each attempt that was started has exactly one outcome, which the balancer is given also after the request's end.
-//   - No request is admitted once shutdown has closed admission, and none that is in flight is cut off before its
+//   - The goroutine that runs loop.run owns the balancer and the tables of requests and endpoints. Other goroutines
+//     access them only through the event queue.
+//   - Each admitted request either gets exactly one final response, the one that the loop chooses, or its client's
+//     connection is closed.
+//   - Each started attempt has exactly one outcome. It is reported to the balancer even if the request has ended.
+//   - No request is admitted after shutdown has closed admission, and no request in flight is cut off before its
 //     deadline.
 package sidecar
--- a/internal/sidecar/events.go
+++ b/internal/sidecar/events.go
@@ -11,16 +11,16 @@
 	maxQueuedUrgentEvents = 16
 )
 
-// event is work for the loop's goroutine. It is called with the time at which the loop takes it up.
+// event is a function for the loop's goroutine to call. Its argument is the time at which the loop calls it.
 type event func(now balancer.Micros)
 
-// eventQueue carries events from any goroutine to the loop's. The loop's goroutine owns maxWait and is the only
-// reader of the channels. It must not post: a full queue would block it for good.
+// eventQueue passes events from any goroutine to the loop's goroutine, which owns maxWait and is the only reader of the
+// channels. The loop's goroutine itself must not post events: if the queue were full, it would block forever.
 type eventQueue struct {
 	queued  chan event
 	urgent  chan event
-	ended   <-chan struct{} // closed when the loop ends: nothing is taken from then on
-	maxWait time.Duration   // the longest time an event was queued, since takeMaxWait
+	ended   <-chan struct{} // closed when the loop ends: events are no longer handled
+	maxWait time.Duration   // longest time in the queue of an event handled since the last call of takeMaxWait
 }
 
 func newEventQueue(ended <-chan struct{}) eventQueue {
@@ -31,7 +31,7 @@
 	}
 }
 
-// post queues an event. It waits while the queue is full, and drops the event if the loop ends.
+// post queues an event. It blocks while the queue is full, and drops the event if the loop ends.
 func (q *eventQueue) post(e event) {
 	posted := time.Now()
 	timed := func(now balancer.Micros) {
@@ -44,7 +44,8 @@
 	}
 }
 
-// runUrgent has the loop run an event ahead of all that are queued, and waits until it has run or the loop has ended.
+// runUrgent makes the loop run an event before all events that were posted, and waits until the event has run or the
+// loop has ended.
 func (q *eventQueue) runUrgent(e event) {
 	done := make(chan struct{})
 	select {
@@ -58,7 +59,7 @@
 	}
 }
 
-// takeMaxWait returns the longest wait of an event since the last call.
+// takeMaxWait returns the longest time in the queue of an event since the last call.
 func (q *eventQueue) takeMaxWait() time.Duration {
 	longest := q.maxWait
 	q.maxWait = 0
--- a/internal/sidecar/forward.go
+++ b/internal/sidecar/forward.go
@@ -9,8 +9,9 @@
 	"oakproxy/internal/downstream"
 )
 
-// forward passes a request to the loop and responds to it, once: with the final response of the loop, or by ending
-// the connection of a client that is gone or whose body fails.
+// forward passes a request to the loop and ends it in exactly one way: it writes the loop's final response, rejects the
+// request because its body cannot be read or admission has closed, or aborts the connection of a client that is gone or
+// too slow with its body.
 func (s *server) forward(x *exchange) {
 	openReq := newOpenRequest(x, s.loop.clock.timeAt(x.request.Deadline))
 	var uploadFailed <-chan error
@@ -29,7 +30,8 @@
 	if upload != nil {
 		defer upload.Finish()
 	}
-	r := &request{response: make(chan finalResponse, 1), message: x.message, clientClosed: x.conn.ClientClosed, times: x.times}
+	r := &request{response: make(chan finalResponse, 1), message: x.message,
+		clientClosed: x.conn.ClientClosed, times: x.times}
 	s.admit(r, x.request)
 	for {
 		select {
@@ -38,7 +40,7 @@
 			return
 		case <-admissionClosed:
 			admissionClosed = nil
-			if upload.Stop() { // else its last byte may be out, and the response is awaited
+			if upload.Stop() { // otherwise the last byte may have been sent, and the response is awaited
 				s.abandon(r)
 				rejectTerminating(x.w)
 				s.inFlight.remove(openReq)
@@ -57,23 +59,24 @@
 			panic(http.ErrAbortHandler)
 		case <-x.in.Context().Done():
 			s.abandon(r)
-			// A client that has only closed its sending side must not read a complete response that no endpoint gave.
+			// The client may have closed only its sending side. It must not read a complete response that no endpoint
+			// has sent.
 			panic(http.ErrAbortHandler)
 		}
 	}
 }
 
-// admit has the loop pass a request to the balancer.
+// admit makes the loop pass a request to the balancer.
 func (s *server) admit(r *request, in balancer.Request) {
 	s.loop.events.post(func(now balancer.Micros) { s.loop.admit(now, r, in) })
 }
 
-// abandon has the loop end a request whose final response nobody takes.
+// abandon makes the loop end a request whose handler no longer receives the final response.
 func (s *server) abandon(r *request) {
 	s.loop.events.post(func(now balancer.Micros) { s.loop.handleClientGone(now, r) })
 }
 
-// respond writes the final response. The request is in flight until its last byte is written.
+// respond writes the final response. The request counts as in flight until the last byte of the response is written.
 func (s *server) respond(x *exchange, r *request, openReq *openRequest, response finalResponse) {
 	defer response.close()
 	if upload := x.message.Upload; upload != nil {
--- a/internal/sidecar/loop.go
+++ b/internal/sidecar/loop.go
@@ -19,11 +19,11 @@
 )
 
 const (
-	pruneInterval = time.Second
-	statsInterval = 2 * time.Second
+	pruneInterval = time.Second     // between two prunings of connections, and two savings of the balancer's estimates
+	statsInterval = 2 * time.Second // between two log lines of statistics
 )
 
-// balancerAPI is what the loop needs of a *balancer.Balancer. Tests put recorders in its place.
+// balancerAPI is the set of methods of *balancer.Balancer that the loop calls. Tests replace it with recorders.
 type balancerAPI interface {
 	Start(now balancer.Micros)
 	HandleEndpoints(now balancer.Micros, kind balancer.ListUpdate, entries []balancer.Endpoint)
@@ -40,29 +40,33 @@
 	Stats(now balancer.Micros) balancer.Stats
 }
 
-// loop owns the balancer and the tables: one goroutine, that of run, passes the balancer every event and carries out
-// its Actions. It never waits for the network. What it starts runs in other goroutines, which report back through
-// the event queue.
+// loop owns the balancer and the tables. The goroutine that runs run passes every event to the balancer and carries out
+// the balancer's Actions. It never waits for the network: attempts, probes and the watch of the endpoint list run in
+// other goroutines, which report back through the event queue.
 //
-// The fields of the first group may be used by any goroutine, those of the second are set before run and do not
-// change, and those of the third belong to the loop's goroutine.
+// Any goroutine may use the fields of the first group. The fields of the second group are set before run is called and
+// do not change. The loop's goroutine owns the fields of the third group.
 type loop struct {
 	log              *slog.Logger
 	clock            clock
-	operatorClock    system.Clock    // dates what outlives the process
-	ctx              context.Context // ends with the loop; the balancer's Actions carry no context of their own
+	operatorClock    system.Clock    // for the times of operators' overrides, which outlive the process
+	ctx              context.Context // ends with the loop; the methods of balancer.Actions take no context
 	upstream         *upstream.Client
 	events           eventQueue
-	hasReadyEndpoint atomic.Bool                     // an endpoint can be reached
-	stages           stages.Recorder                 // of requests served
+	hasReadyEndpoint atomic.Bool                     // an endpoint of the table can be sent requests
+	stages           stages.Recorder                 // times of the stages of served requests
 	current          atomic.Pointer[config.Snapshot] // the configuration in force
 
-	onLimitsChanged func()                                                  // applies limits that a reload changed; may be nil
-	closeCounts     func() downstream.CloseCounts                           // counts clients' connections closed; may be nil
-	warmStart       *balancer.Estimates                                     // to start with; may be nil
-	saveEstimates   func(now balancer.Micros, estimates balancer.Estimates) // called at each pruneInterval; may be nil
+	// onLimitsChanged applies limits that a reload has changed; may be nil.
+	onLimitsChanged func()
+	// closeCounts returns the numbers of closed clients' connections; may be nil.
+	closeCounts func() downstream.CloseCounts
+	// warmStart has the estimates of an earlier process, for the balancer to start with; may be nil.
+	warmStart *balancer.Estimates
+	// saveEstimates is called once every pruneInterval; may be nil.
+	saveEstimates func(now balancer.Micros, estimates balancer.Estimates)
 
-	cfg             *config.Config // that of current
+	cfg             *config.Config // the configuration of current
 	rejectedReloads int
 	balancer        balancerAPI
 	requests        requestTable
@@ -71,7 +75,7 @@
 	stats           statsLogger
 }
 
-// newLoop returns a loop that ends with ctx. It does nothing until run is called.
+// newLoop returns a loop that ends when ctx ends. The loop does nothing until run is called.
 func newLoop(ctx context.Context, cfg *config.Config, log *slog.Logger) (*loop, error) {
 	times := cfg.Host.Time.OrSystem()
 	client := upstream.NewClient(cfg, maxConnections(cfg), httpmsg.NewMemoryBudget(bodyMemoryLimit(cfg)))
@@ -122,7 +126,8 @@
 	}
 }
 
-// start gives the balancer what is known at the start and begins the watch of discovery.
+// start passes the saved estimates and the endpoints of the configuration to the balancer, and starts the watch of the
+// endpoint list unless the balancer starts it.
 func (l *loop) start(now balancer.Micros) {
 	l.watcher.lastListAt = now
 	l.logConfiguration(nil, nil)
@@ -138,7 +143,7 @@
 	}
 }
 
-// logStats logs what was counted since the last call.
+// logStats logs the statistics since the previous call.
 func (l *loop) logStats(now balancer.Micros) {
 	c := counters{balancer: l.balancer.Stats(now), upstream: l.upstream.Counts(), discoveryCalls: l.watcher.callCounts,
 		stages: l.stages.Totals()}
@@ -155,7 +160,7 @@
 	in.ID, r.deadline = r.id, in.Deadline
 	r.times.Dequeued = time.Now()
 	if in.ReceivedUnder == &l.cfg.Settings {
-		in.ReceivedUnder = nil // nothing has changed since it was read
+		in.ReceivedUnder = nil // the settings have not changed since the request was read
 	}
 	if upload := r.message.Upload; upload != nil {
 		upload.OnWritten = func() {
@@ -166,7 +171,7 @@
 	l.requests.forgetIfDone(r)
 }
 
-// handleBodyWritten takes the end of a streamed body, from which the client's time counts.
+// handleBodyWritten handles the end of a streamed request body: the client's time counts from here.
 func (l *loop) handleBodyWritten(now balancer.Micros, r *request) {
 	if !r.finished {
 		r.deadline = now + time.Until(r.message.Upload.Deadline()).Microseconds()
@@ -174,7 +179,7 @@
 	}
 }
 
-// handleClientGone ends a request whose client went away, and releases the response that it did not read.
+// handleClientGone ends a request whose client has disconnected. If the request has a final response, it releases it.
 func (l *loop) handleClientGone(now balancer.Micros, r *request) {
 	if r.finished {
 		unread := <-r.response
@@ -187,8 +192,8 @@
 	l.requests.forgetIfDone(r)
 }
 
-// handleOutcome takes the end of an attempt. It is called exactly once for each, also after the request's end: the
-// balancer still learns from it.
+// handleOutcome handles the end of an attempt. It is called exactly once for each attempt, even after the request has
+// ended, because the balancer still learns from the outcome.
 func (l *loop) handleOutcome(now balancer.Micros, r *request, outcome balancer.Outcome, result upstream.Result) {
 	r.inFlight--
 	l.trace(r, "attempt finished", "number", outcome.Attempt, "status", outcome.Status, "error", result.Err,
@@ -203,18 +208,18 @@
 	l.requests.forgetIfDone(r)
 }
 
-// respond gives a request its final response, unless it is finished already or unknown.
+// respond passes a final response to the request's handler. If r is nil or already finished, it closes the response.
 func (l *loop) respond(r *request, response finalResponse) {
 	if r != nil && !r.finished {
 		l.trace(r, "final response", "code", response.code, "attempts", len(r.attempts))
 		r.finish()
-		r.response <- response // its buffer holds the one
+		r.response <- response // does not block: the channel has room for the only response
 		return
 	}
 	response.close()
 }
 
-// handleList takes an endpoint list that discovery sent.
+// handleList handles an endpoint list that discovery sent.
 func (l *loop) handleList(now balancer.Micros, list discovery.List) {
 	l.watcher.recordList(now, &list)
 	kind := balancer.ListDelta
@@ -224,16 +229,16 @@
 	l.updateEndpoints(now, kind, list)
 }
 
-// handleMalformedList takes the failure of one call of a watch that goes on.
+// handleMalformedList handles a malformed answer to one call of a watch that continues.
 func (l *loop) handleMalformedList(now balancer.Micros, err error) { l.watcher.recordFailure(now, err) }
 
-// handleWatchEnded takes the failure that ended a watch.
+// handleWatchEnded handles the failure that ended a watch.
 func (l *loop) handleWatchEnded(now balancer.Micros, err error) {
 	l.watcher.recordFailure(now, err)
 	l.balancer.HandleEndpoints(now, balancer.ListFailed, nil)
 }
 
-// updateEndpoints brings the endpoint table in line with a list, and then the balancer.
+// updateEndpoints applies a list to the endpoint table and then passes it to the balancer.
 func (l *loop) updateEndpoints(now balancer.Micros, kind balancer.ListUpdate, list discovery.List) {
 	mayBeOlder := l.watcher.advancePosition(l.clock.timeAt(now), &list)
 	entries, ready := l.endpoints.update(&endpointUpdate{list: list, kind: kind, mayBeOlder: mayBeOlder,
@@ -242,13 +247,13 @@
 	l.balancer.HandleEndpoints(now, kind, entries)
 }
 
-// applyOverrides puts in force what operators have set. A cordoned endpoint loses its target, so that an attempt on
-// its way there is not sent.
+// applyOverrides puts the operators' overrides in force. A cordoned endpoint loses its target, so that attempts that
+// are about to be sent to it are not sent.
 func (l *loop) applyOverrides(now balancer.Micros, overrides []operatorstate.Override) {
 	for _, o := range l.endpoints.setOverrides(overrides, l.operatorClock.Now) {
 		l.endpoints.retargetByName(o.Name)
 		l.log.Info("operator override", "host", o.Name, "cordoned", o.Cordoned)
-		since := now // if its age is unknown
+		since := now // used if the age of the override is unknown
 		if age, known := l.operatorClock.Age(o.SetAt()); known {
 			since = now - max(0, age.Microseconds())
 		}
@@ -256,7 +261,7 @@
 	}
 }
 
-// trace logs what becomes of one request, at level debug.
+// trace logs an event in the life of a request at level debug.
 func (l *loop) trace(r *request, message string, attributes ...any) {
 	if l.log.Enabled(l.ctx, slog.LevelDebug) {
 		l.log.Debug(message, append([]any{"id", r.message.Header.Get("X-Correlation-Id")}, attributes...)...)
--- a/internal/sidecar/requests.go
+++ b/internal/sidecar/requests.go
@@ -9,58 +9,58 @@
 	"oakproxy/internal/upstream"
 )
 
-// requestTable holds the requests that the balancer may still speak of: those without a final response, and those
-// with attempts in flight. The loop's goroutine owns it.
+// requestTable holds the requests that the balancer's actions may still refer to: those without a final response and
+// those with attempts in flight. The loop's goroutine owns it.
 type requestTable struct {
 	byID   map[uint64]*request
-	lastID uint64
+	lastID uint64 // id given last; ids count from 1
 }
 
 func newRequestTable() requestTable { return requestTable{byID: map[uint64]*request{}} }
 
-// add enters a request under a new id.
+// add gives a request a new id and adds it to the table.
 func (t *requestTable) add(r *request) {
 	t.lastID++
 	r.id = t.lastID
 	t.byID[r.id] = r
 }
 
-// forgetIfDone removes a request that is finished and has no attempt in flight.
+// forgetIfDone removes the request from the table if it is finished and has no attempt in flight.
 func (t *requestTable) forgetIfDone(r *request) {
 	if r.finished && r.inFlight == 0 {
 		delete(t.byID, r.id)
 	}
 }
 
-// request is an entry of the request table. Its handler makes it and reads response and times; all else is the
-// loop's once the request is admitted.
+// request is an entry of the request table. The request's HTTP handler creates it and reads response and times. The
+// loop's goroutine owns all other fields once the request is admitted.
 type request struct {
 	id           uint64
 	message      *upstream.Request
 	deadline     balancer.Micros
-	response     chan finalResponse // takes the one final response
-	finished     bool               // the final response is given, or the client is gone
+	response     chan finalResponse // receives the final response, exactly once; its buffer has one place
+	finished     bool               // the final response was sent to response, or the client is gone
 	attempts     []attempt
-	inFlight     int         // attempts without outcome
-	clientClosed func() bool // looks at the client's connection
+	inFlight     int         // attempts without an outcome
+	clientClosed func() bool // checks whether the client has closed its connection
 	times        stages.RequestTimes
 }
 
-// attempt is an attempt that was started.
+// attempt is a started attempt of a request.
 type attempt struct {
 	cancel context.CancelFunc
 	gate   *upstream.Gate
 }
 
-// cancelUnsent calls the attempt off unless its first byte may be out.
+// cancelUnsent cancels the attempt unless its first byte may already have been sent.
 func (a *attempt) cancelUnsent() {
 	if a.gate.Close() {
 		a.cancel()
 	}
 }
 
-// finish marks that nothing new may begin for the request. An attempt that is not sent yet is called off whether or
-// not the settings let one be cancelled: no endpoint knows of it.
+// finish marks the request as finished: nothing new may start for it. It cancels attempts that are not sent yet, even
+// if the settings do not allow cancelling attempts: no endpoint knows of such an attempt.
 func (r *request) finish() {
 	r.finished = true
 	for i := range r.attempts {
@@ -68,26 +68,27 @@
 	}
 }
 
-// recordTimes takes the times of the attempt that succeeded if the stages of the request are complete: it was the
-// first and only attempt, and no body was streamed.
+// recordTimes stores the times of the successful attempt if all stages of the request can be measured: it was the first
+// and only attempt, and the request's body was not streamed.
 func (r *request) recordTimes(times stages.AttemptTimes) {
 	if !r.finished && len(r.attempts) == 1 && r.message.Upload == nil {
 		r.times.Attempt = times
 	}
 }
 
-// finalResponse is the one response that a request's client gets. Whoever has it must call close.
+// finalResponse is the only response that a request's client gets. Its holder must call close.
 type finalResponse struct {
-	code        int
-	retryAfter  balancer.Micros // 0 for no Retry-After
+	code        int             // HTTP status code
+	retryAfter  balancer.Micros // value of Retry-After; 0 means that the header is not sent
 	header      http.Header
 	body        []byte
-	remainder   *upstream.BodyStream // what follows body, still arriving; nil if body is complete
-	length      int64                // of body and remainder together, -1 if unknown; unused without a remainder
-	releaseBody func()               // returns the memory reserved for body; may be nil
+	remainder   *upstream.BodyStream // rest of the body, which is still arriving; nil if body is complete
+	length      int64                // bytes of body and remainder together, -1 if unknown; unused without a remainder
+	releaseBody func()               // releases the memory reserved for body; may be nil
 }
 
-// close releases what the response holds. It must be called once for each, also for one that is never written.
+// close releases the resources of the response. It must be called exactly once for each response, even for one that is
+// never written to a client.
 func (f *finalResponse) close() {
 	if f.remainder != nil {
 		f.remainder.Close()
--- a/internal/sidecar/run.go
+++ b/internal/sidecar/run.go
@@ -14,9 +14,9 @@
 	"oakproxy/internal/warmstart"
 )
 
-// Run serves until ctx ends, then answers the requests that it has admitted and returns. Any number of new
-// configurations may come at any time; each is in force, or rejected, by the time that the next one is received. The
-// error says that an address could not be opened, that the configuration is invalid or that the listener failed.
+// Run serves requests until ctx ends. It then finishes the requests that it has admitted and returns. Each configuration
+// received from reloads is put in force or rejected before the next one is received. Run returns an error if an address
+// cannot be opened, the configuration is invalid or the clients' listener fails.
 func Run(ctx context.Context, cfg *config.Config, reloads <-chan *config.Config, log *slog.Logger) error {
 	listener, err := handover.Listen(ctx, cfg.ListenAddress, cfg.InheritedSocket)
 	if err != nil {
@@ -30,7 +30,7 @@
 		}
 		defer adminListener.Close()
 	}
-	// The loop outlives ctx: requests in flight still need it.
+	// The loop must outlive ctx because requests in flight still need it.
 	loopCtx, stopLoop := context.WithCancel(context.Background())
 	defer stopLoop()
 	l, err := newLoop(loopCtx, cfg, log)
@@ -43,7 +43,7 @@
 			l.events.runUrgent(func(balancer.Micros) { l.reload(cfg) })
 		}
 	}()
-	if cfg.InheritedSocket != "" { // another process may take over
+	if cfg.InheritedSocket != "" { // another process may take over from this one, or this one from another
 		store := warmstart.NewStore(loopCtx, cfg.Name, cfg.Host, log)
 		l.warmStart, l.saveEstimates = store.Load(l.clock.now()), store.Save
 	}
@@ -57,21 +57,21 @@
 		store := s.newOperatorStore()
 		s.restoreOperatorState(loopCtx, store)
 		adminServer := admin.NewServer(s, store, log)
-		// The clients' side serves on without the calls, so why their listener ended changes nothing.
+		// The error is ignored: if the admin listener fails, clients are still served.
 		go func() { _ = adminServer.Serve(loopCtx, adminListener) }()
 	}
-	defer l.upstream.SetMaxConnections(0) // the process may live on: idle connections end with the sidecar
+	defer l.upstream.SetMaxConnections(0) // closes idle connections, since the process may outlive the sidecar
 	return s.serve(ctx, listener)
 }
 
-// serve runs the loop and takes clients' connections until ctx ends, then shuts down.
+// serve starts the loop and accepts clients' connections until ctx ends. It then shuts the server down.
 func (s *server) serve(ctx context.Context, listener net.Listener) error {
 	s.clients.Listener = listener
 	go s.loop.run()
 	go s.closeIdleWhileDraining(s.loop.ctx)
 	served := make(chan error, 1)
 	go func() {
-		// A process that takes over leaves clients to the other one until it can serve them.
+		// A process that takes over accepts no clients until an endpoint is ready; the other process serves them.
 		for s.hasPeer() && !s.loop.hasReadyEndpoint.Load() && ctx.Err() == nil {
 			time.Sleep(sweepInterval)
 		}
@@ -83,7 +83,7 @@
 	case err := <-served:
 		s.log.Error("listener failed", "error", err)
 		s.terminate()
-		return fmt.Errorf("serve: %w", err)
+		return fmt.Errorf("serve clients' connections: %w", err)
 	case <-ctx.Done():
 	}
 	s.terminate()
--- a/internal/sidecar/server.go
+++ b/internal/sidecar/server.go
@@ -16,38 +16,43 @@
 
 // Limits of clients' connections and requests.
 const (
-	// responseMargin is the part of a client's time that is reserved for writing the final response. It is small
-	// because some clients have 40 ms in all.
+	// responseMargin is the part of a request's time that is reserved for writing the final response. It is small
+	// because some clients allow only 40 ms for the whole request.
 	responseMargin      = 2 * time.Millisecond
 	maxRequestHeadBytes = 32 << 10
-	maxTimeLeft         = time.Minute // the most time that a request gets, whatever its client asks for
-	maxIDLength         = 256         // characters of a correlation id; ids of the protocol have 16
+	maxTimeLeft         = time.Minute // upper limit of the time that a client grants a request in X-Time-Left-Ms
+	maxIDLength         = 256         // in bytes, of a correlation id; the ids that the protocol defines have 16
 
-	// A client that takes longer is silent, slow on purpose or dead. It may stay for 3 s at most.
-	readTimeout  = 2500 * time.Millisecond // for the head: one that comes slowly may take 2 s
-	idleTimeout  = 2100 * time.Millisecond // the protocol allows closing after 2 s without a request
-	writeTimeout = 2 * time.Second         // for the response: it fits into the socket's buffer of a client that reads
+	// A client that exceeds these timeouts is silent, deliberately slow or dead. It may stay connected for 3 s at most.
+	readTimeout  = 2500 * time.Millisecond // for reading a request's head: a slow client may take 2 s
+	idleTimeout  = 2100 * time.Millisecond // between requests: the protocol allows closing after 2 s
+	writeTimeout = 2 * time.Second         // for writing the response: the socket buffer holds it if the client reads
 )
 
-// While clients are to leave, connections without a request are closed after a pause. One that was used waits for
-// less: the application's clients use most connections soon after they open them.
+// While the sidecar drains, idle connections are closed after a minimum idle time. It is shorter for a connection that
+// has carried a request: the application's clients use most connections soon after they open them.
 const (
-	sweepInterval = 20 * time.Millisecond
-	minIdleUsed   = 200 * time.Millisecond // since the last request
-	minIdleUnused = time.Second            // since the connection was accepted
+	sweepInterval = 20 * time.Millisecond  // time between two checks for idle connections
+	minIdleUsed   = 200 * time.Millisecond // for a connection with requests: time since its last request
+	minIdleUnused = time.Second            // for a connection without requests: time since it was accepted
 )
 
-// Parts of what the platform grants a sidecar.
+// Shares of the configured limits of descriptors and memory.
 const (
-	reservedSockets        = 32          // descriptors for discovery, admin calls, logs and the runtime
-	usedConnectionsDivisor = 6           // of the descriptors: beyond this part clients' connections end with each response
-	bodyMemoryDivisor      = 8           // of the memory, for the bodies of requests and responses
-	busyRetryAfter         = time.Second // Retry-After while that memory is in use
-	minConnections         = 12          // of each of two processes, however few descriptors there are
+	// reservedSockets is the number of descriptors reserved for discovery, admin calls, logs and the runtime.
+	reservedSockets = 32
+
+	// If more than 1/usedConnectionsDivisor of the descriptors belong to clients' connections that have carried a
+	// request, each response ends its connection.
+	usedConnectionsDivisor = 6
+
+	bodyMemoryDivisor = 8           // 1/bodyMemoryDivisor of the memory is for the bodies of requests and responses
+	busyRetryAfter    = time.Second // Retry-After of a rejection because the memory for bodies is in use
+	minConnections    = 12          // least connection limit of each of two processes, however few descriptors there are
 )
 
-// server takes the application's requests. Its handlers run in the goroutines of net/http, one for each connection,
-// and pass requests to the loop.
+// server accepts the application's requests. Its handlers run in the goroutines of net/http, one for each connection,
+// and pass the requests to the loop.
 type server struct {
 	loop      *loop
 	log       *slog.Logger
@@ -56,29 +61,30 @@
 	admission *requestAdmission
 	inFlight  inFlightRequests
 
-	terminating       atomic.Bool
-	drainedByOperator atomic.Bool
-	drainPeriod       time.Duration // from SIGTERM until admission closes
+	terminating       atomic.Bool   // shutdown has started
+	drainedByOperator atomic.Bool   // an operator has drained the sidecar
+	drainPeriod       time.Duration // time from SIGTERM until admission closes
 
-	slot         atomic.Pointer[handover.Slot] // of this process; nil where there can be no other, and until acquired
-	limitsMu     sync.Mutex                    // held while limits are applied
-	processCount int                           // of this sidecar, which share its limits; guarded by limitsMu
+	slot         atomic.Pointer[handover.Slot] // this process's slot; nil until acquired, or if there is no other process
+	limitsMu     sync.Mutex                    // held while the limits are applied
+	processCount int                           // processes of this sidecar, which share its limits; guarded by limitsMu
 }
 
-// connContextKey finds the connection of a request in its context.
+// connContextKey is the key of the client's connection in the context of a request.
 type connContextKey struct{}
 
 func clientConn(in *http.Request) *downstream.Conn {
 	return in.Context().Value(connContextKey{}).(*downstream.Conn)
 }
 
-func newServer(loop *loop) *server {
-	s := &server{loop: loop, log: loop.log, processCount: 1, admission: newRequestAdmission(), drainPeriod: defaultDrainPeriod,
-		clients: &downstream.Listener{Log: loop.log, MaxConnections: maxConnections(loop.cfg),
-			MaxUsed: loop.cfg.Limits.Sockets / usedConnectionsDivisor}}
-	loop.onLimitsChanged, loop.closeCounts = s.reapplyLimits, s.clients.CloseCounts
+func newServer(l *loop) *server {
+	s := &server{loop: l, log: l.log, processCount: 1, admission: newRequestAdmission(),
+		drainPeriod: defaultDrainPeriod,
+		clients: &downstream.Listener{Log: l.log, MaxConnections: maxConnections(l.cfg),
+			MaxUsed: l.cfg.Limits.Sockets / usedConnectionsDivisor}}
+	l.onLimitsChanged, l.closeCounts = s.reapplyLimits, s.clients.CloseCounts
 	s.http = http.Server{
-		// Not a ServeMux: it would redirect paths that endpoints must see unchanged.
+		// The handler is not a ServeMux, which would redirect paths that endpoints must receive unchanged.
 		Handler:           http.HandlerFunc(s.serveRequest),
 		ReadHeaderTimeout: readTimeout, WriteTimeout: maxTimeLeft + writeTimeout, IdleTimeout: idleTimeout,
 		MaxHeaderBytes: maxRequestHeadBytes,
@@ -87,20 +93,20 @@
 				c.(*downstream.Conn).EndRequest()
 			}
 		},
-		ErrorLog: slog.NewLogLogger(loop.log.Handler(), slog.LevelWarn),
+		ErrorLog: slog.NewLogLogger(l.log.Handler(), slog.LevelWarn),
 		ConnContext: func(ctx context.Context, c net.Conn) context.Context {
 			return context.WithValue(ctx, connContextKey{}, c)
 		}}
 	return s
 }
 
-// draining reports whether clients are to leave: every response ends its connection.
+// draining reports whether clients should disconnect. While it does, every response ends its connection.
 func (s *server) draining() bool { return s.terminating.Load() || s.drainedByOperator.Load() }
 
-// acceptsRequests reports whether clients should send requests here.
+// acceptsRequests reports whether clients should send requests to this process.
 func (s *server) acceptsRequests() bool { return !s.draining() && s.loop.hasReadyEndpoint.Load() }
 
-// closeIdleWhileDraining closes connections on which no request comes, whenever clients are to leave, until ctx ends.
+// closeIdleWhileDraining closes clients' idle connections whenever the server is draining. It returns when ctx ends.
 func (s *server) closeIdleWhileDraining(ctx context.Context) {
 	tick := time.NewTicker(sweepInterval)
 	defer tick.Stop()
@@ -116,11 +122,11 @@
 	}
 }
 
-// maxConnections is how many connections clients may hold, and how many there may be to endpoints: each client's
-// request has one attempt at a time.
+// maxConnections returns the limit of clients' connections, which is also the limit of connections to endpoints: each
+// client's request has one attempt at a time.
 func maxConnections(cfg *config.Config) int { return (cfg.Limits.Sockets - reservedSockets) / 2 }
 
-// bodyMemoryLimit is the memory, in bytes, that a configuration grants to the bodies of requests and responses.
+// bodyMemoryLimit returns how many bytes a configuration grants to the bodies of requests and responses.
 func bodyMemoryLimit(cfg *config.Config) int64 {
 	return int64(cfg.Limits.MemoryMB) << 20 / bodyMemoryDivisor
 }
--- a/internal/sidecartest/await.go
+++ b/internal/sidecartest/await.go
@@ -5,15 +5,15 @@
 	"time"
 )
 
-// WaitTimeout is how long a test waits for a condition. It is much longer than any timeout of the sidecar, so that a
-// busy machine does not fail a test.
+// WaitTimeout is how long a test waits for a condition. It is much longer than any timeout of the sidecar, so that tests
+// pass on a busy machine.
 const WaitTimeout = 20 * time.Second
 
 // pollInterval is the time between two checks of a condition.
 const pollInterval = 2 * time.Millisecond
 
-// Await returns once a condition holds. It fails the test, naming what it waited for, if that takes longer than
-// WaitTimeout.
+// Await returns once condition returns true. If that takes longer than WaitTimeout, it fails the test with a message
+// that contains description.
 func Await(t *testing.T, description string, condition func() bool) {
 	t.Helper()
 	for deadline := time.Now().Add(WaitTimeout); !condition(); time.Sleep(pollInterval) {
--- a/internal/sidecartest/clock.go
+++ b/internal/sidecartest/clock.go
@@ -7,20 +7,21 @@
 	"oakproxy/internal/system"
 )
 
-// SteppedClock is a source of clocks whose wall clock a test steps. Their uptime is the machine's.
+// SteppedClock creates clocks whose wall-clock time a test can shift. Their uptime is that of the machine.
 type SteppedClock struct {
 	mu   sync.Mutex
-	step time.Duration
+	step time.Duration // offset of the wall clock from the machine's clock
 }
 
-// Step sets how far the wall clock is ahead of the machine's. It replaces the previous step; 0 ends it.
+// Step sets the offset of the wall clock from the machine's clock; a positive offset means that the wall clock is ahead.
+// It replaces the previous offset; 0 restores the machine's time.
 func (s *SteppedClock) Step(step time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.step = step
 }
 
-// Clock returns a clock that follows the steps. Its Uptime is not set.
+// Clock returns a clock whose wall-clock time always has the offset that Step set last. Its Uptime function is nil.
 func (s *SteppedClock) Clock() system.Clock {
 	return system.Clock{Wall: func() time.Time {
 		s.mu.Lock()
--- a/internal/sidecartest/dials.go
+++ b/internal/sidecartest/dials.go
@@ -8,16 +8,16 @@
 	"testing"
 )
 
-// BlockedDials are the dials to one address, which wait until the test unblocks them. Make them with BlockDials.
+// BlockedDials controls the dials to one address, which block until the test unblocks them. BlockDials creates it.
 type BlockedDials struct {
 	Started chan struct{} // closed when the first dial has begun
-	Unblock chan struct{} // to be closed, or sent to once for each dial, by the test
+	Unblock chan struct{} // the test closes it to unblock all dials, or sends one value to unblock one dial
 
 	startOnce sync.Once
 }
 
-// BlockDials makes the dialer's dials to an address wait. It replaces dialer.Control, and is called before the dialer
-// is used.
+// BlockDials makes the dialer's dials to blockedAddress block. It replaces dialer.Control, so it must be called before
+// the dialer is used.
 func BlockDials(dialer *net.Dialer, blockedAddress string) *BlockedDials {
 	dials := &BlockedDials{Started: make(chan struct{}), Unblock: make(chan struct{})}
 	dialer.Control = func(_, address string, _ syscall.RawConn) error {
@@ -30,8 +30,8 @@
 	return dials
 }
 
-// ClosedAddress returns an address that refuses connections. Its port stays bound until the test ends: a port that is
-// released might be bound by another test's listener, which would then get requests that are not its own.
+// ClosedAddress returns an address that refuses connections. Its port stays bound until the test ends: if it were
+// released, another test's listener might bind it and receive requests that are not meant for it.
 func ClosedAddress(t *testing.T) string {
 	t.Helper()
 	fd, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM|syscall.SOCK_CLOEXEC, 0)
--- a/internal/sidecartest/disk.go
+++ b/internal/sidecartest/disk.go
@@ -18,11 +18,11 @@
 	DiskRename DiskOperation = "rename"
 )
 
-// FaultyDisk is a source of file operations. A test can make one of them fail until it repairs the disk.
+// FaultyDisk provides file operations. A test can make one of them fail until it calls Repair.
 type FaultyDisk struct {
 	mu      sync.Mutex
-	failing DiskOperation
-	err     error // cause of the failure; nil if no operation fails
+	failing DiskOperation // the operation that fails; "" if none does
+	err     error         // cause of the failure; nil if no operation fails
 }
 
 // Fail makes an operation return an error that wraps err. It replaces the previous fault.
@@ -32,7 +32,7 @@
 	d.failing, d.err = operation, err
 }
 
-// Repair ends the fault.
+// Repair makes all operations succeed again.
 func (d *FaultyDisk) Repair() { d.Fail("", nil) }
 
 // fault returns the cause of an operation's failure, or nil if the operation succeeds.
@@ -45,7 +45,7 @@
 	return d.err
 }
 
-// FileOps returns the operations of this disk. A failing write writes the first half of its text.
+// FileOps returns the file operations of this disk. A failing write still writes the first half of its text.
 func (d *FaultyDisk) FileOps() system.FileOps {
 	native := system.FileOps{}.OrSystem()
 	return system.FileOps{
--- a/internal/sidecartest/doc.go
+++ b/internal/sidecartest/doc.go
@@ -1,6 +1,7 @@
-// Package sidecartest has fakes for tests of the sidecar's packages: endpoints whose responses a test writes, and
-// disks, clocks, listeners and dials that fail, step or block on request.
+// Package sidecartest provides fakes for the tests of the sidecar's packages: endpoints whose responses a test
+// chooses, and disks, clocks, listeners and dials that a test makes fail, jump or block.
 //
-// Fakes may be used by several goroutines unless they say otherwise. Those that own a resource take a testing.T and
-// release it at the end of the test. The package checks nothing by itself and is imported by tests only.
+// The fakes are safe for concurrent use unless their documentation says otherwise. Constructors of fakes that own a
+// resource take a testing.T and release the resource at the end of the test. The package contains no assertions of its
+// own except timeouts and setup errors. Only tests import it.
 package sidecartest
--- a/internal/sidecartest/endpoint.go
+++ b/internal/sidecartest/endpoint.go
@@ -12,17 +12,18 @@
 
 // Endpoint is an endpoint whose responses a test writes byte by byte.
 type Endpoint struct {
-	Address string // host:port at which it listens
+	Address string // host:port of its listener
 
 	mu          sync.Mutex
-	connections int
-	requests    []*http.Request // read by Next
+	connections int             // number of accepted connections
+	requests    []*http.Request // complete requests, in the order in which ReadRequest read them
 }
 
-// Handler serves one connection to an Endpoint, which is closed when it returns. It reads requests by e.Next(in).
+// Handler serves one connection to an Endpoint. It reads requests with e.ReadRequest(in). The connection is closed when
+// the handler returns.
 type Handler = func(e *Endpoint, conn net.Conn, in *bufio.Reader)
 
-// NewEndpoint starts an endpoint that runs handle for each connection, until the test ends.
+// NewEndpoint starts an endpoint that runs handle for each connection. It accepts connections until the test ends.
 func NewEndpoint(t *testing.T, handle Handler) *Endpoint {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -52,7 +53,8 @@
 	}
 }
 
-// ReadRequest reads a request with its body, and counts it. It returns nil if the connection ends before the request does.
+// ReadRequest reads a request with its body, counts it and returns it. It returns nil if the connection ends before the
+// request is complete.
 func (e *Endpoint) ReadRequest(in *bufio.Reader) *http.Request {
 	r, err := http.ReadRequest(in)
 	if err != nil {
@@ -69,14 +71,14 @@
 	return r
 }
 
-// Counts returns the number of requests read, and of connections accepted.
+// Counts returns the number of requests that ReadRequest has read, and the number of accepted connections.
 func (e *Endpoint) Counts() (requests, connections int) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return len(e.requests), e.connections
 }
 
-// Request returns the request that was read as number i, from 0.
+// Request returns the i-th request that ReadRequest has read, counted from 0 over all connections.
 func (e *Endpoint) Request(i int) *http.Request {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/internal/sidecartest/handlers.go
+++ b/internal/sidecartest/handlers.go
@@ -7,15 +7,15 @@
 	"strings"
 )
 
-// Responses of endpoints, as bytes on the wire.
+// Responses of endpoints, as they are sent on the wire.
 const (
 	// ServedResponse is a response with the body "done".
 	ServedResponse = "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\ndone"
 
-	// FailedResponse is a response to a request that failed, and may have run.
+	// FailedResponse is a response to a request that failed; the endpoint may have executed it.
 	FailedResponse = "HTTP/1.1 500 Internal Server Error\r\nContent-Length: 0\r\n\r\n"
 
-	// RejectedResponse is a response to a request that was rejected, and has not run.
+	// RejectedResponse is a response to a request that the endpoint rejected without executing it.
 	RejectedResponse = "HTTP/1.1 503 Service Unavailable\r\nX-Unprocessed: 1\r\nContent-Length: 0\r\n\r\n"
 )
 
@@ -28,8 +28,8 @@
 	}
 }
 
-// RespondFirstThen returns a Handler that writes one response to the endpoint's first request, over all connections, and
-// another to the others.
+// RespondFirstThen returns a Handler that writes the response first to the endpoint's first request, counted over all
+// connections, and the response others to all other requests.
 func RespondFirstThen(first, others string) Handler {
 	return func(e *Endpoint, conn net.Conn, in *bufio.Reader) {
 		for e.ReadRequest(in) != nil {
@@ -42,15 +42,15 @@
 	}
 }
 
-// BlockAll returns a Handler that serves each request after a receive from release.
+// BlockAll returns a Handler that serves each request only after it has received from release.
 func BlockAll(release <-chan struct{}) Handler { return blockPaths("", release) }
 
-// BlockPay returns a Handler that serves every request, but those whose path begins with /pay only after a receive from
-// release.
+// BlockPay returns a Handler that serves requests whose path begins with /pay only after it has received from release,
+// and all other requests immediately.
 func BlockPay(release <-chan struct{}) Handler { return blockPaths("/pay", release) }
 
-// blockPaths returns a Handler that serves requests whose path has a prefix after a receive from release, and others at
-// once.
+// blockPaths returns a Handler that serves requests whose path begins with prefix only after it has received from
+// release, and all other requests immediately.
 func blockPaths(prefix string, release <-chan struct{}) Handler {
 	return func(e *Endpoint, conn net.Conn, in *bufio.Reader) {
 		for r := e.ReadRequest(in); r != nil; r = e.ReadRequest(in) {
@@ -62,7 +62,7 @@
 	}
 }
 
-// NeverRespond is a Handler that reads requests and writes nothing.
+// NeverRespond is a Handler that reads requests and never responds.
 func NeverRespond(e *Endpoint, _ net.Conn, in *bufio.Reader) {
 	for e.ReadRequest(in) != nil {
 	}
--- a/internal/sidecartest/listener.go
+++ b/internal/sidecartest/listener.go
@@ -6,15 +6,16 @@
 	"sync"
 )
 
-// FaultyListener is a listener whose accepts fail with given errors, one after another, and then succeed.
+// FaultyListener is a listener whose next calls of Accept fail with given errors, one error for each call. Later calls
+// succeed.
 type FaultyListener struct {
 	net.Listener
 
 	mu     sync.Mutex
-	Errors []error // of the next accepts; set it before the listener is used, or use Fail
+	Errors []error // errors of the next calls of Accept; set it before the listener is used, or call Fail
 }
 
-// Fail sets the errors of the next accepts.
+// Fail sets the errors of the next calls of Accept. It replaces those that are left.
 func (l *FaultyListener) Fail(errs []error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -31,7 +32,7 @@
 	return err
 }
 
-// Accept fails with the next error, in the form of the net package, or accepts a connection.
+// Accept fails with the next error, wrapped as the net package wraps it. If no error is left, it accepts a connection.
 func (l *FaultyListener) Accept() (net.Conn, error) {
 	if err := l.takeError(); err != nil {
 		return nil, &net.OpError{Op: "accept", Net: "tcp", Addr: l.Addr(), Err: os.NewSyscallError("accept4", err)}
--- a/internal/sidecartest/texts.go
+++ b/internal/sidecartest/texts.go
@@ -1,7 +1,8 @@
 package sidecartest
 
-// SettingsText is the settings object of a configuration file: two zones, one machine kind, and a class of each
-// idempotency (read: idempotent; pay and close: with a key, for all endpoints and for a cell; order: not idempotent).
+// SettingsText is the settings object of a configuration file. It has two zones, one machine kind and four classes:
+// read is idempotent; pay is idempotent with a key at all endpoints; close is idempotent with a key within a cell; order
+// is not idempotent.
 const SettingsText = `{"areas":["a","b"],"skus":["m1"],"stages":["s"],"tenants":[],"discovery":"subscribe",
  "classes":[
  {"name":"read","repeat":"pure","target":600000,"give-up":3000000,"credit":1},
@@ -14,9 +15,9 @@
   "most-held":1000,"most-tries":3,"multiplex":1,"probes":false,"retry-after":true,"second-copies":true},
  "reporting":{"how":"probe","fields":["failed_ps","pending"]},"peers-total":1,"position":0,"zone":0}`
 
-// PayHead is the head of a request of class pay, without the empty line that ends it, so that a test may add headers.
+// PayHead is the head of a request of class pay. It lacks the final empty line, so that a test can add headers.
 const PayHead = "POST /pay HTTP/1.1\r\nHost: api\r\nX-Service-Class: pay\r\n" +
 	"X-Time-Left-Ms: 3000\r\nIdempotency-Key: k\r\n"
 
-// ReadHead is the head of a request of class read, without the empty line that ends it.
+// ReadHead is the head of a request of class read. It lacks the final empty line, so that a test can add headers.
 const ReadHead = "GET /read HTTP/1.1\r\nHost: api\r\nX-Service-Class: read\r\nX-Time-Left-Ms: 3000\r\n"
