--- a/internal/sidecar/endpoints.go
+++ b/internal/sidecar/endpoints.go
@@ -9,14 +9,14 @@
 	"oakproxy/internal/upstream"
 )
 
-// endpointTable maps host names and the balancer's ids to where endpoints are reached. An id is never given twice, so
-// that a late outcome is not taken for another endpoint's. The loop's goroutine owns the table.
+// endpointTable maps host names and the balancer's endpoint ids to the addresses of endpoints. An id is never reused, so
+// that a late outcome is not attributed to another endpoint. The loop's goroutine owns the table.
 type endpointTable struct {
 	byID      map[uint32]*endpoint
 	idByName  map[string]uint32 // by host name
 	lastID    uint32
-	overrides map[string]operatorstate.Override // what operators set, by host name
-	retire    func(*upstream.Endpoint)          // closes a target: an attempt not yet sent there is not sent
+	overrides map[string]operatorstate.Override // the operators' overrides, by host name
+	retire    func(*upstream.Endpoint)          // closes a target: attempts to it that are not yet sent will not be sent
 }
 
 func newEndpointTable(retire func(*upstream.Endpoint)) endpointTable {
@@ -24,19 +24,19 @@
 		overrides: map[string]operatorstate.Override{}, retire: retire}
 }
 
-// endpoint is an entry of the table. It stays until the endpoint is removed and nothing is in flight there: endpoints
-// come and go all day under new names, and the table must not grow with them.
+// endpoint is an entry of the table. It is deleted once discovery has removed the endpoint and nothing is in flight to
+// it: endpoints come and go all day under new names, and the table must not grow with each of them.
 type endpoint struct {
 	name      string
-	entry     discovery.Entry    // the latest of discovery
-	startedAt balancer.Micros    // start of its process, by the loop's clock; 0 for long ago
-	target    *upstream.Endpoint // nil unless ready and not cordoned
-	inFlight  int                // attempts and probes without outcome
-	removed   bool
+	entry     discovery.Entry    // the latest entry from discovery
+	startedAt balancer.Micros    // start of the endpoint's process by the loop's clock; 0 means long ago
+	target    *upstream.Endpoint // nil unless the endpoint is ready and not cordoned
+	inFlight  int                // attempts and probes without an outcome
+	removed   bool               // discovery has removed the endpoint
 }
 
-// updateStart returns when the endpoint's process started, by the loop's clock. It is computed once for each process:
-// the clock skew is estimated anew with each list, and a start must not move with it.
+// updateStart returns the start of the endpoint's process by the loop's clock. The start is computed only once for each
+// process: the clock skew is estimated anew for each list, and the start must not change with the estimate.
 func (e *endpoint) updateStart(entry discovery.Entry, skew balancer.Micros) balancer.Micros {
 	switch {
 	case entry.StartUnixMS <= 0:
@@ -47,17 +47,17 @@
 	return e.startedAt
 }
 
-// endpointUpdate is a list of discovery and how to read it.
+// endpointUpdate is a list from discovery with the information needed to interpret it.
 type endpointUpdate struct {
 	list       discovery.List
 	kind       balancer.ListUpdate
-	mayBeOlder bool // the list may be older than what is known: it undoes no drain
+	mayBeOlder bool // the list may be older than the table's state, so it must not undo a drain
 	skew       balancer.Micros
 	cfg        *config.Config // names zones and kinds of machines
 }
 
-// update brings the table in line with a list. It returns what to tell the balancer, and whether any endpoint of the
-// table can be reached.
+// update applies a list to the table. It returns the entries to pass to the balancer, and whether any endpoint of the
+// table is ready.
 func (t *endpointTable) update(u *endpointUpdate) (entries []balancer.Endpoint, ready bool) {
 	entries = make([]balancer.Endpoint, 0, len(u.list.Entries))
 	listed := map[uint32]bool{}
@@ -98,13 +98,13 @@
 	return t.lastID
 }
 
-// retarget points an endpoint's id at where it is reached now. The target of an endpoint that drains, is removed or
-// has restarted is retired, so that an attempt on its way there is not sent.
+// retarget sets the target of an endpoint according to its latest entry. If the endpoint is draining, removed or
+// restarted, its old target is retired, so that attempts that are about to be sent to it are not sent.
 func (t *endpointTable) retarget(id uint32, entry discovery.Entry) {
 	e, state := t.byID[id], discovery.HealthStates[entry.Health]
 	e.entry, e.removed = entry, state == balancer.Removed
 	if t.overrides[e.name].Cordoned {
-		state = balancer.Draining // nothing new goes to either
+		state = balancer.Draining // a cordoned endpoint gets no new attempts, like a draining one
 	}
 	if old := e.target; old != nil &&
 		(state != balancer.Ready || old.Address != entry.Address || old.StartedUnixMS != entry.StartUnixMS) {
@@ -117,13 +117,13 @@
 	t.forgetIfUnused(id)
 }
 
-// knows reports whether operators may name this host: discovery lists it, or it is cordoned.
+// knows reports whether operators may name this host in a call: it is in the table, or it is cordoned.
 func (t *endpointTable) knows(name string) bool {
 	return t.idByName[name] != 0 || t.overrides[name].Cordoned
 }
 
-// setOverrides replaces what operators have set, and returns the overrides that are new or have changed. A cordon
-// that is missing was lifted: it becomes an override that lifts it from the present time on.
+// setOverrides replaces the operators' overrides and returns those that are new or have changed. If a cordoned host has
+// no override any more, its cordon was lifted: the host gets an override that lifts it as of now.
 func (t *endpointTable) setOverrides(overrides []operatorstate.Override, now func() system.Timestamp) (
 	changed []operatorstate.Override) {
 	next := make(map[string]operatorstate.Override, len(overrides))
@@ -145,15 +145,15 @@
 	return changed
 }
 
-// retargetByName applies a changed override to the host's target, if discovery lists the host.
+// retargetByName applies a changed override to the host's target, if the host is in the table.
 func (t *endpointTable) retargetByName(name string) {
 	if id := t.idByName[name]; id != 0 {
 		t.retarget(id, t.byID[id].entry)
 	}
 }
 
-// acquire counts an attempt or probe as in flight and returns where the endpoint is reached, nil if nothing may be
-// sent there. The balancer may know an endpoint for a moment longer than the table does.
+// acquire counts an attempt or probe as in flight and returns the endpoint's target, or nil if nothing may be sent to
+// the endpoint. The endpoint may be missing from the table because the balancer can know it for a moment longer.
 func (t *endpointTable) acquire(id uint32) *upstream.Endpoint {
 	e := t.byID[id]
 	if e == nil {
@@ -163,7 +163,7 @@
 	return e.target
 }
 
-// release ends what acquire began.
+// release ends the attempt or probe that acquire counted as in flight.
 func (t *endpointTable) release(id uint32) {
 	if e := t.byID[id]; e != nil {
 		e.inFlight--
--- a/internal/sidecar/events.go
+++ b/internal/sidecar/events.go
@@ -44,7 +44,7 @@
 	}
 }
 
-// runUrgent makes the loop run an event before all events that were posted, and waits until the event has run or the
+// runUrgent makes the loop run an event ahead of all events queued by post. It waits until the event has run or the
 // loop has ended.
 func (q *eventQueue) runUrgent(e event) {
 	done := make(chan struct{})
--- a/internal/sidecar/inflight.go
+++ b/internal/sidecar/inflight.go
@@ -7,16 +7,16 @@
 	"oakproxy/internal/downstream"
 )
 
-// openRequest is a client's request from the moment it was read until the last byte of its response was written.
+// openRequest is a client's request from the time when it was read until the last byte of its response is written.
 type openRequest struct {
 	id        string // X-Correlation-Id
 	class     string
 	conn      *downstream.Conn
 	arrivedAt time.Time
-	deadline  time.Time // the client's; of an upload, when it is given up
+	deadline  time.Time // the client's deadline; for an upload, the time when reading its body is given up
 
-	isUpload      bool          // its body is streamed, and its client's time counts from the last byte
-	timeAfterBody time.Duration // of an upload, from then on
+	isUpload      bool          // the request's body is streamed, and the client's time counts from the last byte
+	timeAfterBody time.Duration // for an upload, the client's time from the last byte of the body
 }
 
 func newOpenRequest(x *exchange, deadline time.Time) *openRequest {
@@ -24,14 +24,14 @@
 		conn: x.conn, arrivedAt: x.times.Arrived, deadline: deadline}
 }
 
-// inFlightRequests is the set of open requests, by X-Correlation-Id: no two with one id are open at once. Any
-// goroutine may use it; the zero value is empty.
+// inFlightRequests is the set of open requests. It has at most one request for each X-Correlation-Id. It is safe for
+// concurrent use. The zero value is an empty set.
 type inFlightRequests struct {
 	mu   sync.Mutex
 	byID map[string]*openRequest
 }
 
-// add takes a request into the set and reports whether none with its id was there.
+// add adds a request to the set. If the set already has a request with its id, add changes nothing and returns false.
 func (f *inFlightRequests) add(r *openRequest) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -45,7 +45,7 @@
 	return true
 }
 
-// remove takes a request out of the set, if it is still there.
+// remove removes a request from the set if it is still in it.
 func (f *inFlightRequests) remove(r *openRequest) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -65,15 +65,16 @@
 	return list
 }
 
-// count returns how many requests are open.
+// count returns the number of open requests.
 func (f *inFlightRequests) count() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return len(f.byID)
 }
 
-// latestDeadline returns the latest deadline of the open requests, and whether there is any. Uploads count as if
-// their last byte had come when admission closed: none that comes later is passed on.
+// latestDeadline returns the latest deadline of the open requests, and whether there is an open request. The deadline
+// of an upload is computed as if its last byte had arrived at admissionClosedAt, because a last byte that arrives later
+// is not forwarded.
 func (f *inFlightRequests) latestDeadline(admissionClosedAt time.Time) (latest time.Time, found bool) {
 	for _, r := range f.all() {
 		deadline := r.deadline
--- a/internal/sidecar/loop.go
+++ b/internal/sidecar/loop.go
@@ -179,7 +179,8 @@
 	}
 }
 
-// handleClientGone ends a request whose client has disconnected. If the request has a final response, it releases it.
+// handleClientGone ends a request whose client has disconnected. If the request already has its final response, which
+// nobody will read, handleClientGone closes that response.
 func (l *loop) handleClientGone(now balancer.Micros, r *request) {
 	if r.finished {
 		unread := <-r.response
--- a/internal/sidecar/parse.go
+++ b/internal/sidecar/parse.go
@@ -11,19 +11,20 @@
 	"oakproxy/internal/downstream"
 )
 
-// singleValueHeaders may come once. Another parser on the way could go by the second value.
+// singleValueHeaders are the headers that a request may contain only once. With two values, another parser on the way
+// to the endpoint might use the second one.
 var singleValueHeaders = []string{"X-Correlation-Id", "X-Service-Class", "X-Account", "X-Session-Key",
 	"X-Time-Left-Ms", "X-Repeat", "X-Weight-Hint", "Idempotency-Key"}
 
-// hashName returns a number for a name, the same at every sidecar.
+// hashName returns a hash of a name. Every sidecar computes the same hash.
 func hashName(name string) uint64 {
 	hash := fnv.New64a()
 	hash.Write([]byte(name))
 	return hash.Sum64()
 }
 
-// parseRequest returns what the balancer must know of a request that arrived at a time of the loop's clock. Its errors
-// are downstream.RequestErrors.
+// parseRequest returns the balancer's description of a request. arrived is the time of its arrival by the loop's clock.
+// An error that it returns is a *downstream.RequestError.
 func (s *server) parseRequest(in *http.Request, arrived balancer.Micros) (balancer.Request, error) {
 	inForce := s.loop.current.Load()
 	req := balancer.Request{ReceivedUnder: &inForce.Settings}
@@ -50,7 +51,7 @@
 	return req, err
 }
 
-// parseClass sets the request's class, and checks that its path, method and body are as the class demands.
+// parseClass sets the request's class, and checks that the request's path, method and body are allowed for the class.
 func parseClass(in *http.Request, inForce *config.Snapshot, req *balancer.Request) error {
 	name := in.Header.Get("X-Service-Class")
 	class, ok := inForce.Classes[name]
@@ -79,7 +80,7 @@
 	return nil
 }
 
-// parseOptionalHeaders sets what headers say of the request that not all clients send.
+// parseOptionalHeaders sets the fields that come from headers that not every client sends.
 func parseOptionalHeaders(h http.Header, inForce *config.Snapshot, req *balancer.Request) error {
 	if len(inForce.Tenants) > 0 {
 		var ok bool
--- a/internal/sidecar/read.go
+++ b/internal/sidecar/read.go
@@ -14,11 +14,11 @@
 	"oakproxy/internal/upstream"
 )
 
-// readyPath is where the application asks whether it may send requests.
+// readyPath is the path on which the application asks whether it may send requests.
 const readyPath = "/health/ready"
 
-// exchange is a client's request on its way through the handler, and where its response goes. It stays within the
-// goroutine of the handler.
+// exchange is the state of a client's request in its handler: the request as received, its parsed forms, and the writer
+// of its response. Only the handler's goroutine uses it.
 type exchange struct {
 	w          http.ResponseWriter
 	in         *http.Request
@@ -26,13 +26,13 @@
 	request    balancer.Request
 	message    *upstream.Request
 	times      stages.RequestTimes
-	clientLeft <-chan struct{} // closed when the client leaves and net/http can't tell; may be nil
+	clientLeft <-chan struct{} // closed when the client disconnects and net/http cannot detect it; may be nil
 }
 
-// serveRequest reads a request and responds to it. A body that is longer than what is buffered is streamed.
+// serveRequest reads a request and responds to it. A body that does not fit into the buffer is streamed.
 func (s *server) serveRequest(w http.ResponseWriter, in *http.Request) {
 	x := exchange{w: w, in: in, conn: clientConn(in)}
-	age := system.LastDataAge(x.conn.Conn) // it may have waited for this process
+	age := system.LastDataAge(x.conn.Conn) // the request may have waited in the socket before this process read it
 	arrived := s.loop.clock.now() - age.Microseconds()
 	x.times.Arrived = time.Now()
 	var err error
@@ -58,7 +58,7 @@
 	case err != nil:
 		rejectInvalid(w, in, err)
 		return
-	case !x.conn.BeginRequest(): // the connection was just closed in favour of a new one
+	case !x.conn.BeginRequest(): // the connection was just closed to make room for a new one
 		panic(http.ErrAbortHandler)
 	}
 	x.message = &upstream.Request{Method: in.Method, URL: in.URL, Host: in.Host, Header: in.Header, Body: body}
@@ -73,12 +73,13 @@
 	s.forward(&x)
 }
 
-// serveComplete responds to a request whose body is complete.
+// serveComplete responds to a request whose body has been read completely. arrived is the time of the request's arrival
+// by the loop's clock.
 func (s *server) serveComplete(x *exchange, arrived balancer.Micros) {
-	if x.request.Deadline > 0 { // the client's time counts from the last byte
+	if x.request.Deadline > 0 { // the client's time counts from the last byte of the request
 		x.request.Deadline += max(0, s.loop.clock.now()-system.LastDataAge(x.conn.Conn).Microseconds()-arrived)
 	}
-	// The deadline for reading the request would otherwise end its context while the response is still awaited.
+	// Otherwise the read deadline would end the request's context while the response is still awaited.
 	clearReadDeadline(x.conn)
 	nothingFollows := x.conn.RequestRead(x.in.ContentLength)
 	if x.in.URL.Path == readyPath {
@@ -97,7 +98,7 @@
 	s.forward(x)
 }
 
-// serveReady tells the application whether it may send requests.
+// serveReady tells the application whether it may send requests: status 200 if so, 503 if not.
 func (s *server) serveReady(w http.ResponseWriter) {
 	if s.draining() {
 		w.Header().Set("Connection", "close")
@@ -107,11 +108,11 @@
 	}
 }
 
-// readHead checks a request's head and returns what the balancer must know of it.
+// readHead checks a request's head and returns the balancer's description of the request. It is empty for readyPath.
 func (s *server) readHead(in *http.Request, conn *downstream.Conn, arrived balancer.Micros) (
 	req balancer.Request, err error) {
 	if conn.HasAmbiguousLength() {
-		// What follows the head may hide another request: the connection ends here.
+		// What follows the head may hide another request, so the error makes the caller close the connection.
 		return req, downstream.NewBadRequest("Content-Length beside another, or beside Transfer-Encoding")
 	}
 	if in.URL.Path != readyPath {
@@ -125,8 +126,9 @@
 	return req, nil
 }
 
-// readBody reads a request's body up to limit bytes. Only io.EOF says that the body is complete: a chunked body that
-// is truncated ends with io.ErrUnexpectedEOF, which io.ReadFull would also return for a short body that is complete.
+// readBody reads at most limit bytes of a request's body. length is the request's Content-Length, -1 if unknown. Only
+// io.EOF means that the body is complete. io.ReadFull is not used because it returns io.ErrUnexpectedEOF both for a
+// truncated chunked body and for a complete body that is shorter than limit.
 func readBody(r io.Reader, limit, length int64) (body []byte, complete bool, err error) {
 	body = make([]byte, limit)
 	n := 0
@@ -147,6 +149,6 @@
 	return nil, false, downstream.NewBadRequest("the body could not be read")
 }
 
-// clearReadDeadline lets a connection wait without limit. An error is not reported: it says that the connection is
-// closed, and so does the next read.
+// clearReadDeadline removes the read deadline of a connection. It ignores the error, which means that the connection is
+// closed: the next read reports the same.
 func clearReadDeadline(conn *downstream.Conn) { _ = conn.SetReadDeadline(time.Time{}) }
--- a/internal/sidecar/requests.go
+++ b/internal/sidecar/requests.go
@@ -32,8 +32,8 @@
 	}
 }
 
-// request is an entry of the request table. The request's HTTP handler creates it and reads response and times. The
-// loop's goroutine owns all other fields once the request is admitted.
+// request is an entry of the request table. The request's HTTP handler creates it and, after its admission, only
+// receives from response and then uses times. The loop's goroutine owns everything else once the request is admitted.
 type request struct {
 	id           uint64
 	message      *upstream.Request
--- a/internal/sidecar/response.go
+++ b/internal/sidecar/response.go
@@ -11,7 +11,7 @@
 	"oakproxy/internal/upstream"
 )
 
-// writeResponse writes the final response, and relays what follows its buffered part.
+// writeResponse writes the final response, and relays the part of its body that is still arriving from the endpoint.
 func (s *server) writeResponse(w http.ResponseWriter, conn *downstream.Conn, r *request, response finalResponse) {
 	r.times.ResultReceived = time.Now()
 	// Clients send one request at a time. What came extraBytes this one is not served as a request: nothing but the
@@ -35,7 +35,7 @@
 	}
 }
 
-// recordStages counts the stages of a request that is answered, if the times of its attempt are known.
+// recordStages records the times of the stages of an answered request, if the times of its attempt are known.
 func (s *server) recordStages(r *request) {
 	if r.times.Attempt.Received.IsZero() {
 		return
@@ -44,13 +44,13 @@
 	s.loop.stages.Record(&r.times)
 }
 
-// drainUpload lets a client that has its response send its body to the end.
+// drainUpload discards the rest of a streamed body, so that a client that already has its response can finish sending.
 func (s *server) drainUpload(w http.ResponseWriter, conn *downstream.Conn, upload *upstream.Upload) {
 	if upload.ReachedEOF.Load() {
 		clearReadDeadline(conn)
 		return
 	}
-	_ = http.NewResponseController(w).Flush() // of a client that is gone, Discard finds the end
+	_ = http.NewResponseController(w).Flush() // the error is ignored: if the client is gone, Discard notices it
 	upload.Finish()
 	limit := upstream.MaxUploadTime
 	if s.terminating.Load() {
@@ -59,7 +59,7 @@
 	upload.Body.Discard(limit)
 }
 
-// rejectUnread responds to a request whose body may not be read yet, and ends its connection.
+// rejectUnread responds to a request whose body may be partly unread, and ends its connection.
 func rejectUnread(w http.ResponseWriter, in *http.Request, response finalResponse) {
 	w.Header().Set("Connection", "close")
 	writeFinalResponse(w, response)
@@ -69,8 +69,8 @@
 	downstream.NewBody(clientConn(in), in.Body).Discard(downstream.MaxLinger)
 }
 
-// rejectInvalid responds to a request that breaks the protocol, with status 400 or that of a downstream.RequestError,
-// and ends its connection: what else such a client sends is not worth reading.
+// rejectInvalid responds to a request that violates the protocol and ends its connection, because nothing else from
+// such a client needs to be read. The status is that of err if it is a *downstream.RequestError, and otherwise 400.
 func rejectInvalid(w http.ResponseWriter, in *http.Request, err error) {
 	code := http.StatusBadRequest
 	var invalid *downstream.RequestError
@@ -82,13 +82,13 @@
 		"Content-Type": {"text/plain; charset=utf-8"}, "X-Content-Type-Options": {"nosniff"}}})
 }
 
-// rejectTerminating responds to a request that was read once admission had closed, and ends its connection.
+// rejectTerminating rejects a request that was read after admission had closed, and ends its connection.
 func rejectTerminating(w http.ResponseWriter) {
 	w.Header().Set("Connection", "close")
 	writeFinalResponse(w, terminatingResponse)
 }
 
-// writeFinalResponse writes the head and the buffered part of the body.
+// writeFinalResponse writes the head of a response and the buffered part of its body.
 func writeFinalResponse(w http.ResponseWriter, response finalResponse) {
 	httpmsg.CopyEndToEnd(w.Header(), response.header)
 	if response.retryAfter > 0 {
@@ -100,7 +100,7 @@
 	if response.length >= 0 {
 		w.Header().Set("Content-Length", strconv.FormatInt(response.length, 10))
 	}
-	// net/http counts from the head of the request, which may be long ago.
+	// net/http counts its write timeout from the head of the request, which may have been read long ago.
 	http.NewResponseController(w).SetWriteDeadline(time.Now().Add(writeTimeout))
 	w.WriteHeader(response.code)
 	w.Write(response.body)
--- a/internal/sidecartest/await.go
+++ b/internal/sidecartest/await.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// WaitTimeout is how long a test waits for a condition. It is much longer than any timeout of the sidecar, so that tests
-// pass on a busy machine.
+// WaitTimeout is how long a test waits for a condition. It is much longer than any timeout of the sidecar, so that
+// tests pass on a busy machine.
 const WaitTimeout = 20 * time.Second
 
 // pollInterval is the time between two checks of a condition.
--- a/internal/sidecartest/clock.go
+++ b/internal/sidecartest/clock.go
@@ -13,8 +13,8 @@
 	step time.Duration // offset of the wall clock from the machine's clock
 }
 
-// Step sets the offset of the wall clock from the machine's clock; a positive offset means that the wall clock is ahead.
-// It replaces the previous offset; 0 restores the machine's time.
+// Step sets the offset of the wall clock from the machine's clock. A positive offset means that the wall clock is
+// ahead. The offset replaces the previous one; 0 restores the machine's time.
 func (s *SteppedClock) Step(step time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/sidecartest/texts.go
+++ b/internal/sidecartest/texts.go
@@ -1,8 +1,8 @@
 package sidecartest
 
 // SettingsText is the settings object of a configuration file. It has two zones, one machine kind and four classes:
-// read is idempotent; pay is idempotent with a key at all endpoints; close is idempotent with a key within a cell; order
-// is not idempotent.
+// read is idempotent; pay is idempotent with a key at all endpoints; close is idempotent with a key within a cell;
+// order is not idempotent.
 const SettingsText = `{"areas":["a","b"],"skus":["m1"],"stages":["s"],"tenants":[],"discovery":"subscribe",
  "classes":[
  {"name":"read","repeat":"pure","target":600000,"give-up":3000000,"credit":1},
