--- a/internal/sidecar/endpoints.go
+++ b/internal/sidecar/endpoints.go
@@ -9,12 +9,12 @@
 	"oakproxy/internal/upstream"
 )
 
-// endpointTable maps host names and the balancer's endpoint ids to the addresses of endpoints. An id is never reused, so
-// that a late outcome is not attributed to another endpoint. The loop's goroutine owns the table.
+// endpointTable maps host names and the balancer's endpoint ids to the addresses of endpoints. An id is never reused,
+// so that a late outcome is not attributed to another endpoint. The loop's goroutine owns the table.
 type endpointTable struct {
 	byID      map[uint32]*endpoint
-	idByName  map[string]uint32 // by host name
-	lastID    uint32
+	idByName  map[string]uint32                 // the balancer's ids, by host name
+	lastID    uint32                            // id given last; ids count from 1
 	overrides map[string]operatorstate.Override // the operators' overrides, by host name
 	retire    func(*upstream.Endpoint)          // closes a target: attempts to it that are not yet sent will not be sent
 }
@@ -51,9 +51,9 @@
 type endpointUpdate struct {
 	list       discovery.List
 	kind       balancer.ListUpdate
-	mayBeOlder bool // the list may be older than the table's state, so it must not undo a drain
-	skew       balancer.Micros
-	cfg        *config.Config // names zones and kinds of machines
+	mayBeOlder bool            // the list may be older than the table's state, so it must not undo a drain
+	skew       balancer.Micros // how far discovery's clock is ahead of this process's clock
+	cfg        *config.Config  // has the names of zones and machine kinds
 }
 
 // update applies a list to the table. It returns the entries to pass to the balancer, and whether any endpoint of the
--- a/internal/sidecar/extrabytes_test.go
+++ b/internal/sidecar/extrabytes_test.go
@@ -10,8 +10,8 @@
 	"oakproxy/internal/sidecartest"
 )
 
-// A client that sends extra bytes after its request and disconnects is noticed, however many they are, though net/http
-// reads one of them and no end.
+// Tests that the disconnect of a client is noticed if the client has sent extra bytes after its request, however many.
+// net/http itself does not notice it: it reads one of the extra bytes and never reaches the end of the stream.
 func TestClientThatLeavesAfterExtraBytesIsNoticed(t *testing.T) {
 	for name, tc := range map[string]struct{ sameWrite, laterWrite string }{
 		"one byte with the request":  {"x", ""},
@@ -41,8 +41,8 @@
 	}
 }
 
-// A client that sends extra bytes after its request and stays gets its response and the end of the connection. The
-// extra bytes are no request.
+// Tests that a client that sends extra bytes after its request and stays connected gets its response, after which the
+// connection is closed. The extra bytes are not treated as a request.
 func TestExtraBytesAfterARequestAreIgnored(t *testing.T) {
 	e := newServingEndpoint(t)
 	w := start(t, nil, ready("s-1", e.Address))
--- a/internal/sidecar/fakediscovery_test.go
+++ b/internal/sidecar/fakediscovery_test.go
@@ -15,20 +15,20 @@
 	"oakproxy/internal/discovery"
 )
 
-// fakeDiscovery is a discovery service that sends one list, which a test can change.
+// fakeDiscovery is a discovery service that sends a list. A test can change the list and the service's state.
 type fakeDiscovery struct {
 	address string
 
 	mu        sync.Mutex
 	list      discovery.List
 	down      bool
-	malformed string        // sent in place of the list, if set
-	calls     []string      // query strings
-	changed   chan struct{} // closed and replaced with every change
+	malformed string        // response in place of the list; "" means that the list is sent
+	calls     []string      // query strings of the calls received
+	changed   chan struct{} // closed and replaced at each change
 	openConns atomic.Int32  // open connections
 }
 
-// newFakeDiscovery starts a discovery service with a complete list of version 0 until the test ends.
+// newFakeDiscovery starts a discovery service with a complete list of version 0. It runs until the test ends.
 func newFakeDiscovery(t *testing.T, entries ...discovery.Entry) *fakeDiscovery {
 	t.Helper()
 	d := &fakeDiscovery{list: completeList(0, entries...), changed: make(chan struct{})}
--- a/internal/sidecar/faults_test.go
+++ b/internal/sidecar/faults_test.go
@@ -14,13 +14,13 @@
 	"oakproxy/internal/sidecartest"
 )
 
-// During a disk fault only admin calls fail: requests are served.
+// Tests that during a disk fault only admin calls fail, and requests are still served.
 func TestServesDespiteDiskFaults(t *testing.T) {
 	e, disk := newServingEndpoint(t), &sidecartest.FaultyDisk{}
 	w := startWithConfig(t, nil, func(c *config.Config) { c.Host.Files = disk.FileOps() }, ready("s-1", e.Address))
 	address := w.startAdmin(t.TempDir())
 	if got := callStatus(t, "POST", address, "/admin/quiesce"); got != http.StatusOK {
-		t.Fatal(got)
+		t.Fatal("the call before the fault: want status 200, got", got)
 	}
 	disk.Fail(sidecartest.DiskSync, syscall.EIO)
 	if got := callStatus(t, "POST", address, "/admin/resume"); got != http.StatusInternalServerError {
@@ -35,8 +35,8 @@
 	}
 }
 
-// A process slot is acquired once its directory exists. A peer that was found there counts as alive while its slot
-// cannot be read.
+// Tests that a process slot is acquired once its directory exists, and that a ready peer found there still counts as
+// alive and ready while its slot file cannot be read.
 func TestProcessSlotDespiteFaults(t *testing.T) {
 	e := newServingEndpoint(t)
 	w := start(t, nil, ready("s-1", e.Address))
@@ -58,7 +58,7 @@
 		t.Fatal(err)
 	}
 	w.await("the other process", w.server.hasReadyPeer)
-	path := filepath.Join(dir, "oakproxy-process.1") // the slot after that of the sidecar itself
+	path := filepath.Join(dir, "oakproxy-process.1") // the slot after the sidecar's own
 	if err := os.Rename(path, path+".gone"); err != nil {
 		t.Fatal(err)
 	}
@@ -70,7 +70,8 @@
 	}
 }
 
-// A process whose wall clock is wrong by an hour computes the ages of endpoints from the date of discovery's response.
+// Tests that a process whose wall clock is wrong by an hour still computes the right ages of endpoints, because it uses
+// the date of discovery's response.
 func TestEndpointStartTimesDespiteClockSkew(t *testing.T) {
 	e := newServingEndpoint(t)
 	for _, step := range []time.Duration{-time.Hour, 0, time.Hour} {
--- a/internal/sidecar/harness_test.go
+++ b/internal/sidecar/harness_test.go
@@ -21,19 +21,19 @@
 	"oakproxy/internal/sidecartest"
 )
 
-// ready is discovery's entry for an endpoint.
+// ready returns discovery's entry for an endpoint that is ready.
 func ready(name, address string) discovery.Entry {
 	return discovery.Entry{Name: name, Address: address, Zone: "a", MachineKind: "m1", Health: "Ready", Weight: 1}
 }
 
-// drainingEntry is discovery's entry for an endpoint that drains.
+// drainingEntry returns discovery's entry for an endpoint that is draining.
 func drainingEntry(name, address string) discovery.Entry {
 	entry := ready(name, address)
 	entry.Health = "Terminating"
 	return entry
 }
 
-// completeList is a list of discovery that names all endpoints.
+// completeList returns a list from discovery that contains all endpoints.
 func completeList(version uint64, entries ...discovery.Entry) discovery.List {
 	return discovery.List{Version: version, Complete: true, Entries: entries}
 }
@@ -52,7 +52,8 @@
 	wrapListener func(net.Listener) net.Listener // wraps the clients' listener; may be nil
 }
 
-// newConfig returns a configuration whose known list has these entries. alter may change its settings; it may be nil.
+// newConfig returns a configuration whose known list has these entries. editSettings changes the settings; it may be
+// nil.
 func newConfig(
 	t *testing.T,
 	discoveryAddress string,
@@ -81,13 +82,14 @@
 	return cfg
 }
 
-// start runs a sidecar that knows these endpoints, and waits until it is ready.
+// start runs a sidecar whose configuration and discovery service list these entries, and waits until it is ready.
+// editSettings changes its settings; it may be nil.
 func start(t *testing.T, editSettings func(settings map[string]any), entries ...discovery.Entry) *harness {
 	t.Helper()
 	return startWithConfig(t, editSettings, nil, entries...)
 }
 
-// startWithConfig is start with a configuration that change may change; it may be nil.
+// startWithConfig is like start, but editConfig changes the configuration before the sidecar starts; it may be nil.
 func startWithConfig(
 	t *testing.T,
 	alter func(settings map[string]any),
@@ -105,8 +107,12 @@
 	return w
 }
 
-// startWithListener is start with a wrapper for the clients' listener.
-func startWithListener(t *testing.T, wrapListener func(net.Listener) net.Listener, entries ...discovery.Entry) *harness {
+// startWithListener is like start, but the clients' listener is the result of wrapListener.
+func startWithListener(
+	t *testing.T,
+	wrapListener func(net.Listener) net.Listener,
+	entries ...discovery.Entry,
+) *harness {
 	t.Helper()
 	w := &harness{t: t, discovery: newFakeDiscovery(t, entries...), wrapListener: wrapListener}
 	w.launch(newConfig(t, w.discovery.address, nil, entries...))
@@ -127,7 +133,7 @@
 	})
 }
 
-// launch runs a sidecar until the test ends.
+// launch runs a sidecar with this configuration until the test ends.
 func (w *harness) launch(cfg *config.Config) {
 	w.t.Helper()
 	listener, err := net.Listen("tcp", cfg.ListenAddress)
@@ -144,7 +150,7 @@
 	if err != nil {
 		w.t.Fatal(err)
 	}
-	w.loop.upstream.ReuseDelay = 0 // many tests reuse a connection immediately
+	w.loop.upstream.ReuseDelay = 0 // lets tests reuse a connection immediately
 	w.recorder = &balancerRecorder{balancerAPI: w.loop.balancer}
 	w.loop.balancer = w.recorder
 	w.server = newServer(w.loop)
@@ -157,18 +163,18 @@
 	w.t.Cleanup(func() {
 		stop()
 		w.server.http.Close()
-		// A sidecar that drains would go on calling discovery, whose port may by then belong to another test.
+		// A sidecar that is draining would continue to call discovery, whose port might by then be used by another test.
 		stopLoop()
 	})
 }
 
-// await waits for a condition to hold.
+// await waits until condition returns true, as sidecartest.Await does.
 func (w *harness) await(description string, condition func() bool) {
 	w.t.Helper()
 	sidecartest.Await(w.t, description, condition)
 }
 
-// awaitRequests waits until an endpoint has read as many complete requests.
+// awaitRequests waits until the number of complete requests that an endpoint has read is want.
 func (w *harness) awaitRequests(e *sidecartest.Endpoint, want int) {
 	w.t.Helper()
 	w.await(fmt.Sprintf("%d requests at the endpoint", want), func() bool {
@@ -177,7 +183,7 @@
 	})
 }
 
-// awaitOutcome waits until the outcome of exactly one attempt was reported to the balancer.
+// awaitOutcome waits until exactly one outcome has been reported to the balancer.
 func (w *harness) awaitOutcome() {
 	w.t.Helper()
 	w.await("one outcome", func() bool { return len(w.recorder.statuses()) == 1 })
@@ -199,7 +205,7 @@
 	})
 }
 
-// runInLoop runs f in the loop and waits for it.
+// runInLoop runs f in the loop's goroutine and waits until it has returned.
 func (w *harness) runInLoop(f func()) {
 	w.t.Helper()
 	done := make(chan struct{})
@@ -210,10 +216,10 @@
 	<-done
 }
 
-// lastID is the number of requests that request has returned.
+// lastID numbers the requests of all tests: it is the number in the correlation id that request assigned last.
 var lastID atomic.Uint32
 
-// request returns a client's request of a class.
+// request returns a client's request of the class, with a new correlation id. The body is ignored for class read.
 func (w *harness) request(class, body string, timeLeft time.Duration) *http.Request {
 	w.t.Helper()
 	method := http.MethodPost
@@ -235,7 +241,7 @@
 
 // reply is a final response as a client sees it.
 type reply struct {
-	code   int // status; 0 means no response
+	code   int // status code; 0 means that there was no response
 	header http.Header
 	body   string
 	err    error
@@ -253,13 +259,13 @@
 	return reply{response.StatusCode, response.Header, string(body), err}
 }
 
-// timedOut reports whether a read or write ended by its deadline.
+// timedOut reports whether err means that the deadline of a read or write has passed.
 func timedOut(err error) bool {
 	var timeout net.Error
 	return errors.As(err, &timeout) && timeout.Timeout()
 }
 
-// newServingEndpoint starts an endpoint that serves each request.
+// newServingEndpoint starts an endpoint that responds to every request with sidecartest.ServedResponse.
 func newServingEndpoint(t *testing.T) *sidecartest.Endpoint {
 	t.Helper()
 	return sidecartest.NewEndpoint(t, sidecartest.AlwaysRespond(sidecartest.ServedResponse))
--- a/internal/sidecar/host_test.go
+++ b/internal/sidecar/host_test.go
@@ -11,8 +11,8 @@
 	"oakproxy/internal/config"
 )
 
-// A sidecar that shares its process changes neither that process's memory limit nor its files. One with a process of
-// its own sets the memory limit.
+// Tests that a sidecar that shares its process with others neither changes the process's memory limit nor writes files,
+// and that a sidecar with a process of its own sets the memory limit.
 func TestMemoryLimitDependsOnTheHost(t *testing.T) {
 	t.Setenv("TMPDIR", t.TempDir())
 	before := debug.SetMemoryLimit(-1)
@@ -37,7 +37,7 @@
 	}
 }
 
-// runUntilFirstList runs a sidecar until it has received an endpoint list.
+// runUntilFirstList runs a sidecar with this configuration until it has received an endpoint list.
 func runUntilFirstList(t *testing.T, cfg *config.Config) {
 	t.Helper()
 	received, reloads := make(chan struct{}, 1), make(chan *config.Config)
@@ -55,7 +55,7 @@
 	}
 }
 
-// messageWaiter signals seen when a record with the message is logged.
+// messageWaiter is a slog.Handler that sends to seen when a record with the message is logged.
 type messageWaiter struct {
 	slog.Handler
 	message string
--- a/internal/sidecar/loop.go
+++ b/internal/sidecar/loop.go
@@ -150,7 +150,7 @@
 	if l.closeCounts != nil {
 		c.closes = l.closeCounts()
 	}
-	l.stats.logAndRemember(&c, gauges{listAgeMS: l.watcher.listAgeMS(now), listVersion: l.watcher.position.CurrentVersion,
+	l.stats.logSinceLast(&c, gauges{listAgeMS: l.watcher.listAgeMS(now), listVersion: l.watcher.position.CurrentVersion,
 		maxEventWait: l.events.takeMaxWait(), inForce: l.current.Load(), rejectedReloads: l.rejectedReloads})
 }
 
--- a/internal/sidecar/recorder_test.go
+++ b/internal/sidecar/recorder_test.go
@@ -6,17 +6,17 @@
 	"oakproxy/balancer"
 )
 
-// balancerRecorder passes all events to the balancer and records them.
+// balancerRecorder passes all events to the balancer and records some of them for tests.
 type balancerRecorder struct {
 	balancerAPI
 	mu       sync.Mutex
 	outcomes []balancer.Outcome
-	events   []string
-	lists    []balancer.ListUpdate
-	probes   []balancer.Status
-	loads    [][]float32
+	events   []string              // "outcome", "timer" and "gone" in the order in which the loop reported them
+	lists    []balancer.ListUpdate // kinds of the endpoint lists
+	probes   []balancer.Status     // statuses of the probes
+	loads    [][]float32           // load reports of the probes
 
-	beforeClientGone func() // called in the loop, ahead of the balancer; may be nil
+	beforeClientGone func() // called in the loop's goroutine before the balancer's HandleClientGone; may be nil
 }
 
 func (s *balancerRecorder) HandleOutcome(now balancer.Micros, o balancer.Outcome) {
@@ -28,7 +28,7 @@
 }
 
 func (s *balancerRecorder) HandleTimer(now balancer.Micros, token uint32) {
-	if token >= 1<<20 { // the token names a request
+	if token >= 1<<20 { // the timer belongs to a request
 		s.record(func() { s.events = append(s.events, "timer") })
 	}
 	s.balancerAPI.HandleTimer(now, token)
@@ -58,7 +58,7 @@
 	s.balancerAPI.HandleProbe(now, id, status, latency, load)
 }
 
-// record runs f under the lock.
+// record runs f with the lock held.
 func (s *balancerRecorder) record(f func()) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/sidecar/reload.go
+++ b/internal/sidecar/reload.go
@@ -14,8 +14,8 @@
 	l.current.Store(snapshot)
 }
 
-// reload puts a new configuration in force in one step, or rejects it and changes nothing. Requests in flight, the
-// endpoint table and what is known of endpoints stay.
+// reload puts a new configuration in force as a whole, or rejects it and changes nothing. Requests in flight, the
+// endpoint table and the balancer's knowledge of endpoints are kept.
 func (l *loop) reload(next *config.Config) {
 	if next.Err != nil {
 		l.rejectReload(next.Err)
@@ -46,7 +46,7 @@
 	l.logConfiguration(old.ChangedParts(merged), restartKeys)
 }
 
-// rejectReload logs that a configuration can't be put in force.
+// rejectReload counts and logs a configuration that cannot be put in force.
 func (l *loop) rejectReload(err error) {
 	l.rejectedReloads++
 	inForce := l.current.Load()
@@ -54,7 +54,7 @@
 		"generation", inForce.Generation, "hash", inForce.FileHash)
 }
 
-// logConfiguration logs what is in force from now on, which parts have changed, and which keys need a restart.
+// logConfiguration logs the configuration now in force, the parts that have changed and the keys that need a restart.
 func (l *loop) logConfiguration(changedParts, restartKeys []string) {
 	inForce := l.current.Load()
 	attributes := []any{"generation", inForce.Generation, "hash", inForce.FileHash, "discovery", inForce.DiscoveryAddress}
@@ -67,21 +67,23 @@
 	l.log.Info("configuration in force", attributes...)
 }
 
-// cancelUnsent keeps attempts from being sent that the new configuration does not allow. Those already sent go on.
+// cancelUnsent cancels attempts that the new configuration does not allow, unless they have already been sent.
 func (l *loop) cancelUnsent(attempts []balancer.AttemptID) {
 	for _, a := range attempts {
 		l.requests.byID[a.Request].attempts[a.Attempt].cancelUnsent()
 	}
 }
 
-// restartWatch asks the discovery of the configuration in force for its complete list.
+// restartWatch restarts the watch with the discovery service of the configuration in force. The first call requests the
+// complete list.
 func (l *loop) restartWatch() {
 	old := l.watcher.replaceClient(l.cfg)
 	l.Watch(true)
 	old.HTTP.CloseIdleConnections()
 }
 
-// currentLoadReport returns the load report of a result, nil if it was read by an earlier configuration's rules.
+// currentLoadReport returns the load report of a result. It returns nil if the report was parsed according to an
+// earlier configuration.
 func (l *loop) currentLoadReport(result upstream.Result) []float32 {
 	if result.ReportFormat != l.upstream.Format.Load() {
 		return nil
@@ -89,7 +91,7 @@
 	return result.Load
 }
 
-// slowStartDuration is how long an endpoint takes to warm up.
+// slowStartDuration returns how long an endpoint takes to warm up.
 func (l *loop) slowStartDuration() time.Duration {
 	return time.Duration(l.current.Load().Settings.Contract.SlowStartDuration) * time.Microsecond
 }
--- a/internal/sidecar/requests.go
+++ b/internal/sidecar/requests.go
@@ -36,8 +36,8 @@
 // receives from response and then uses times. The loop's goroutine owns everything else once the request is admitted.
 type request struct {
 	id           uint64
-	message      *upstream.Request
-	deadline     balancer.Micros
+	message      *upstream.Request  // the request to forward
+	deadline     balancer.Micros    // time by which the final response is due
 	response     chan finalResponse // receives the final response, exactly once; its buffer has one place
 	finished     bool               // the final response was sent to response, or the client is gone
 	attempts     []attempt
--- a/internal/sidecar/response.go
+++ b/internal/sidecar/response.go
@@ -14,8 +14,8 @@
 // writeResponse writes the final response, and relays the part of its body that is still arriving from the endpoint.
 func (s *server) writeResponse(w http.ResponseWriter, conn *downstream.Conn, r *request, response finalResponse) {
 	r.times.ResultReceived = time.Now()
-	// Clients send one request at a time. What came extraBytes this one is not served as a request: nothing but the
-	// client's own framing says that it is one.
+	// Clients send one request at a time. Bytes that follow this request are not served as another one: only the
+	// client's own framing indicates that they are a request.
 	extraBytes := conn.BeginResponse()
 	bodyPending := false
 	if upload := r.message.Upload; upload != nil {
--- a/internal/sidecar/scripteddiscovery_test.go
+++ b/internal/sidecar/scripteddiscovery_test.go
@@ -19,7 +19,7 @@
 	"oakproxy/internal/system"
 )
 
-// pipeListener is a listener whose connections are pipeListener within the process.
+// pipeListener is a listener whose connections are in-process pipes, created by its dial method.
 type pipeListener struct {
 	conns     chan net.Conn
 	closed    chan struct{}
@@ -62,7 +62,7 @@
 type recordedCall struct {
 	at       time.Time
 	wait     time.Duration
-	silenced bool // whether it is never answered
+	silenced bool // the call is never answered
 }
 
 // scriptedDiscovery is a discovery service whose responses and faults a test controls.
@@ -70,13 +70,13 @@
 	mu               sync.Mutex
 	list             discovery.List
 	calls            []recordedCall
-	openCalls        int           // calls that wait for a change and are not silenced
-	silence          chan struct{} // closed: calls open then are never answered
-	reset            chan struct{} // closed: connections of calls open then are reset
-	changed          chan struct{} // closed: the list has changed
-	unresponsive     bool          // while it is set, new calls are never answered
-	queueDelay       time.Duration // time that a new call is queued
-	down             bool          // while it is set, new calls are answered 503
+	openCalls        int           // number of calls that wait for a change and are not silenced
+	silence          chan struct{} // closed to leave the calls that are open at that moment unanswered
+	reset            chan struct{} // closed to reset the connections of the calls that are open at that moment
+	changed          chan struct{} // closed when the list changes
+	unresponsive     bool          // while set, new calls are never answered
+	queueDelay       time.Duration // delay before a new call is handled
+	down             bool          // while set, new calls are answered with status 503
 	malformedReplies []string      // responses to the next calls, in place of the list
 	openReply        string        // response to the open call, in place of the list
 }
@@ -93,7 +93,8 @@
 		malformed, s.malformedReplies = s.malformedReplies[0], s.malformedReplies[1:]
 	}
 	s.mu.Unlock()
-	if queueDelay > 0 { // with -race, a timer of zero in a synctest bubble sometimes crashes the runtime of Go 1.26
+	// A delay of 0 is skipped: with -race, a zero timer in a synctest bubble sometimes crashes the runtime of Go 1.26.
+	if queueDelay > 0 {
 		system.Sleep(r.Context(), queueDelay)
 	}
 	if down {
@@ -125,11 +126,12 @@
 	json.NewEncoder(w).Encode(response)
 }
 
-// callSignals end the wait of an open call. They are taken when the call arrives.
+// callSignals are the channels that end the wait of an open call. They are read from the service when the call arrives.
 type callSignals struct{ silenced, reset, changed <-chan struct{} }
 
-// awaitChange keeps an open call waiting for a change of the list. It reports whether the call is to be answered. A
-// silenced call waits until its client gives up; the connection of a reset call is closed by a panic.
+// awaitChange makes a call wait until the list changes or the wait time has passed. It reports whether the call should
+// be answered. A silenced call waits until its client gives up. For a reset call, awaitChange panics, which closes the
+// connection.
 func (s *scriptedDiscovery) awaitChange(
 	ctx context.Context,
 	call int,
@@ -164,7 +166,7 @@
 	return true
 }
 
-// drainEndpoint has the endpoint drain, and answers the open calls with the change.
+// drainEndpoint changes the endpoint's health to draining, which answers the open calls.
 func (s *scriptedDiscovery) drainEndpoint() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -173,7 +175,7 @@
 	s.changed = make(chan struct{})
 }
 
-// setResponsive sets whether calls are answered from now on.
+// setResponsive sets whether calls that arrive from now on are answered.
 func (s *scriptedDiscovery) setResponsive(responsive bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -187,14 +189,15 @@
 	s.openReply = text
 }
 
-// pendingReplies returns a number that is 0 once all malformed replies and the open reply were sent.
+// pendingReplies returns the number of malformed replies that have not been sent, plus the length of the reply to the
+// open call if that has not been sent. It returns 0 once all have been sent.
 func (s *scriptedDiscovery) pendingReplies() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return len(s.malformedReplies) + len(s.openReply)
 }
 
-// resetConnections ends the connections of all open calls.
+// resetConnections resets the connections of all open calls.
 func (s *scriptedDiscovery) resetConnections() {
 	s.mu.Lock()
 	close(s.reset)
@@ -210,7 +213,7 @@
 	s.openCalls += n
 }
 
-// awaitOpenCall waits until a call waits for a change.
+// awaitOpenCall returns once at least one call waits for a change.
 func (s *scriptedDiscovery) awaitOpenCall() {
 	for {
 		synctest.Wait()
@@ -224,7 +227,7 @@
 	}
 }
 
-// silenceOpenCalls prevents all open calls from being answered and returns the last of them.
+// silenceOpenCalls leaves all open calls unanswered and returns the latest call received.
 func (s *scriptedDiscovery) silenceOpenCalls() recordedCall {
 	s.mu.Lock()
 	close(s.silence)
@@ -236,7 +239,8 @@
 	return s.calls[len(s.calls)-1]
 }
 
-// newScriptedDiscovery starts a discovery that lists one endpoint, and returns how to dial it.
+// newScriptedDiscovery starts a discovery service that lists one endpoint, and returns it with its dial function. The
+// service runs until the test ends.
 func newScriptedDiscovery(t *testing.T) (*scriptedDiscovery, dialFunc) {
 	t.Helper()
 	listener := newPipeListener()
@@ -255,5 +259,5 @@
 	return service, listener.dial
 }
 
-// dialFunc dials in place of net.Dialer.DialContext.
+// dialFunc is a replacement for net.Dialer.DialContext.
 type dialFunc = func(ctx context.Context, network, address string) (net.Conn, error)
--- a/internal/sidecar/sendgate_test.go
+++ b/internal/sidecar/sendgate_test.go
@@ -12,10 +12,10 @@
 	"oakproxy/internal/sidecartest"
 )
 
-// A retry of a request with an idempotency key is decided within the window and gets its connection after it: it is
-// not sent, and the client gets its response.
+// Tests that a retry of a request with an idempotency key is not sent if its connection is ready only after the class's
+// window, even though the balancer decided on the retry within the window. The client still gets a response.
 func TestRetryIsNotSentAfterItsWindow(t *testing.T) {
-	const window = 2 * time.Second // long enough to decide on the retry within it
+	const window = 2 * time.Second // long enough for the balancer to decide on the retry within the window
 	reset := make(chan struct{})
 	broken := sidecartest.NewEndpoint(t, func(e *sidecartest.Endpoint, conn net.Conn, in *bufio.Reader) {
 		e.ReadRequest(in)
@@ -51,8 +51,8 @@
 	}
 }
 
-// Nothing is sent for a client that disconnects while an attempt waits for its connection, whether or not the settings
-// let attempts be cancelled.
+// Tests that nothing is sent for a client that disconnects while an attempt waits for its connection, whether or not
+// the settings allow cancelling attempts.
 func TestNothingIsSentForADisconnectedClient(t *testing.T) {
 	for name, cancel := range map[string]bool{"may cancel": true, "may not cancel": false} {
 		t.Run(name, func(t *testing.T) {
--- a/internal/sidecar/server.go
+++ b/internal/sidecar/server.go
@@ -65,7 +65,7 @@
 	drainedByOperator atomic.Bool   // an operator has drained the sidecar
 	drainPeriod       time.Duration // time from SIGTERM until admission closes
 
-	slot         atomic.Pointer[handover.Slot] // this process's slot; nil until acquired, or if there is no other process
+	slot         atomic.Pointer[handover.Slot] // nil until acquired, and always if there can be no other process
 	limitsMu     sync.Mutex                    // held while the limits are applied
 	processCount int                           // processes of this sidecar, which share its limits; guarded by limitsMu
 }
@@ -100,7 +100,7 @@
 	return s
 }
 
-// draining reports whether clients should disconnect. While it does, every response ends its connection.
+// draining reports whether clients should disconnect. While it returns true, every response ends its connection.
 func (s *server) draining() bool { return s.terminating.Load() || s.drainedByOperator.Load() }
 
 // acceptsRequests reports whether clients should send requests to this process.
--- a/internal/sidecar/shutdown.go
+++ b/internal/sidecar/shutdown.go
@@ -8,29 +8,33 @@
 	"time"
 )
 
-// Shutdown ends the sidecar after SIGTERM in phases. None waits for another one's time limit: each request has its
-// response by its own deadline, and none is admitted that could not have it.
+// Shutdown after SIGTERM has the following phases. No request waits for the time limit of another: each gets its
+// response by its own deadline, and no request is admitted that could not get its response in time.
 //
-//	draining          from SIGTERM for the drain period: connections and requests are admitted as before; each
-//	                  response ends its connection, and so does a pause between requests
-//	admission closed  connections without a request end, a request that is read now is rejected before any attempt,
-//	                  and a body that is streamed is stopped short of its last byte
+//	draining          lasts for the drain period from SIGTERM: connections and requests are admitted as before, but
+//	                  each response and each pause between requests ends the connection
+//	admission closed  connections without a request are closed, requests read from now on are rejected before any
+//	                  attempt, and streamed bodies are stopped before their last byte is forwarded
 //	answering         requests in flight are answered by their deadlines
-//	ended             nothing is in flight: connections that remain are closed
+//	ended             nothing is in flight: the remaining connections are closed
 
 const (
-	// defaultDrainPeriod is the drain period. Clients go on connecting for 0.4 s after SIGTERM, and what comes up to
-	// 0.7 s after it is owed a response.
+	// defaultDrainPeriod is the drain period outside tests. Clients continue to connect for 0.4 s after SIGTERM, and
+	// requests that arrive up to 0.7 s after SIGTERM must get a response.
 	defaultDrainPeriod = 600 * time.Millisecond
 
-	killDelay        = 700 * time.Millisecond // SIGKILL comes so long after SIGTERM and the longest client timeout
-	maxClientTimeout = 3 * time.Second        // the most that counts of that timeout
-	killMargin       = 150 * time.Millisecond // before SIGKILL, partial requests are rejected
-	responseGrace    = 500 * time.Millisecond // after its deadline, a request in flight may still be answered
-	closeGrace       = 600 * time.Millisecond // with nothing in flight, for clients to close: more than half-closing takes
+	killDelay        = 700 * time.Millisecond // SIGKILL follows SIGTERM after the longest client timeout plus killDelay
+	maxClientTimeout = 3 * time.Second        // upper limit of the longest client timeout in that sum
+	killMargin       = 150 * time.Millisecond // partial requests are rejected this long before SIGKILL
+	responseGrace    = 500 * time.Millisecond // how long after its deadline a request in flight may still be answered
+
+	// closeGrace is the time for clients to close their connections once nothing is in flight. It is longer than
+	// half-closing a connection takes.
+	closeGrace = 600 * time.Millisecond
 )
 
-// requestAdmission says whether requests are admitted. It closes once, at shutdown, and may be used by any goroutine.
+// requestAdmission records whether requests are admitted. Admission closes once, at shutdown. It is safe for concurrent
+// use.
 type requestAdmission struct {
 	once   sync.Once
 	closed chan struct{}
@@ -49,11 +53,11 @@
 	}
 }
 
-// terminatingResponse answers what is read once admission is closed. Nothing of it was forwarded, and another process
-// can serve it at once.
+// terminatingResponse is the response to requests read after admission has closed. No part of such a request was
+// forwarded, so another process can serve it immediately.
 var terminatingResponse = finalResponse{code: http.StatusServiceUnavailable}
 
-// terminate shuts the server down without losing a request.
+// terminate shuts the server down in the phases described above, and returns when the server has ended.
 func (s *server) terminate() {
 	s.terminating.Store(true)
 	started := time.Now()
@@ -63,7 +67,7 @@
 		time.Sleep(time.Until(drainEnd))
 	}
 	if err := s.clients.Listener.Close(); err != nil && !errors.Is(err, net.ErrClosed) {
-		s.log.Warn("closing the listener failed", "error", err) // what is in flight is owed its response all the same
+		s.log.Warn("closing the listener failed", "error", err) // the shutdown goes on: requests in flight need responses
 	}
 	s.logPhase("listener closed", started)
 	time.Sleep(time.Until(drainEnd))
@@ -76,13 +80,14 @@
 	s.log.Info("stage latencies", "requests", requests, "median/p99_us", stages)
 }
 
-// awaitInFlight waits until every request in flight has its response and every connection has ended. Requests that
-// are still partial are rejected shortly before SIGKILL may come, counted from started.
+// awaitInFlight waits until every request in flight has its response and every connection is closed, within the time
+// limits above. Requests that are still incomplete shortly before SIGKILL is due are rejected; that time counts from
+// started.
 func (s *server) awaitInFlight(started, admissionClosedAt time.Time) {
 	longestTimeout := min(s.loop.current.Load().LongestClientTimeout(), maxClientTimeout)
 	partialDeadline := started.Add(longestTimeout + killDelay - killMargin)
-	idleSince := time.Time{} // when nothing was left in flight; zero while something is
-	// The first wait is for a connection that is being accepted just now.
+	idleSince := time.Time{} // start of the period with nothing in flight; zero while a request is in flight
+	// The loop starts with a pause because a connection may be in the process of being accepted.
 	for time.Sleep(sweepInterval); s.clients.Count() > 0; time.Sleep(sweepInterval) {
 		now := time.Now()
 		s.clients.ExpireIdle(0, 0)
@@ -106,14 +111,14 @@
 	}
 }
 
-// logPhase logs that a phase of shutdown begins, and what is open at that moment.
+// logPhase logs the start of a phase of shutdown, with the numbers of open connections and requests.
 func (s *server) logPhase(phase string, started time.Time) {
 	s.log.Info(phase, "after_ms", time.Since(started).Milliseconds(), "connections", s.clients.Count(),
 		"requests", s.inFlight.count(), "replaced", s.hasReadyPeer())
 }
 
-// abortInFlight logs each request that the end of the process leaves without its complete response. Its connection is
-// reset when it is closed, so that its client does not take a partial response for a complete one.
+// abortInFlight logs each request that has no complete response when the process ends. The request's connection will be
+// reset when it is closed, so that the client does not mistake a partial response for a complete one.
 func (s *server) abortInFlight() {
 	for _, r := range s.inFlight.all() {
 		r.conn.ResetOnClose()
--- a/internal/sidecar/shutdown_test.go
+++ b/internal/sidecar/shutdown_test.go
@@ -74,7 +74,8 @@
 	for split := 1; split < len(text); split += 9 {
 		t.Run(fmt.Sprintf("after %d bytes", split), func(t *testing.T) {
 			t.Parallel()
-			w, e, closeAdmission := startTerminating(t, sidecartest.AlwaysRespond(sidecartest.ServedResponse), defaultClientTimeout)
+			w, e, closeAdmission := startTerminating(t,
+				sidecartest.AlwaysRespond(sidecartest.ServedResponse), defaultClientTimeout)
 			conn := w.dial()
 			io.WriteString(conn, text[:split])
 			w.await("the bytes to be read", func() bool { return w.partialBytes() >= int64(split) })
@@ -107,7 +108,8 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			w, e, closeAdmission := startTerminating(t, sidecartest.AlwaysRespond(sidecartest.ServedResponse), 100*time.Millisecond)
+			w, e, closeAdmission := startTerminating(t,
+				sidecartest.AlwaysRespond(sidecartest.ServedResponse), 100*time.Millisecond)
 			idle, conn := w.dial(), w.dial()
 			io.WriteString(conn, c.text)
 			w.await("the bytes to be read", func() bool { return w.partialBytes() == int64(len(c.text)) })
@@ -132,7 +134,8 @@
 	const size = 2 * httpmsg.MaxBufferedBytes
 	head := sidecartest.PayHead + fmt.Sprintf("X-Correlation-Id: 1\r\nContent-Length: %d\r\n\r\n", size)
 	t.Run("last byte missing", func(t *testing.T) {
-		w, e, closeAdmission := startTerminating(t, sidecartest.AlwaysRespond(sidecartest.ServedResponse), defaultClientTimeout)
+		w, e, closeAdmission := startTerminating(t,
+			sidecartest.AlwaysRespond(sidecartest.ServedResponse), defaultClientTimeout)
 		conn := w.dial()
 		io.WriteString(conn, head+strings.Repeat("x", size-1))
 		w.await("the attempt", func() bool { _, conns := e.Counts(); return conns == 1 })
--- a/internal/sidecar/slot.go
+++ b/internal/sidecar/slot.go
@@ -10,10 +10,10 @@
 
 const (
 	slotPollInterval = 100 * time.Millisecond
-	heapTenths       = 8 // tenths of the memory limit for the Go heap: the runtime does not count all memory
+	heapTenths       = 8 // tenths of the memory limit that the Go heap may use; the runtime does not count all memory
 )
 
-// acquireSlot takes a slot among the processes of this sidecar. If none is to be had for now, followPeers retries.
+// acquireSlot acquires a slot among the processes of this sidecar. If that fails, followPeers retries.
 func (s *server) acquireSlot(ctx context.Context, dir string) {
 	var slot *handover.Slot
 	err := system.RetryAtStart(ctx, func() (err error) {
@@ -27,8 +27,8 @@
 	s.slot.Store(slot)
 }
 
-// followPeers watches the other processes of this sidecar until ctx ends. It shares the sidecar's limits with them,
-// and marks this process as ready once it knows an endpoint.
+// followPeers watches the other processes of this sidecar until ctx ends. It limits this process to its share of the
+// sidecar's limits, and marks this process as ready once an endpoint is ready.
 func (s *server) followPeers(ctx context.Context, dir string) {
 	tick := time.NewTicker(slotPollInterval)
 	defer tick.Stop()
@@ -46,7 +46,8 @@
 				s.log.Info("processes of this sidecar", "count", processCount)
 			}
 			if !markedReady && s.loop.hasReadyEndpoint.Load() {
-				markedReady = slot.MarkReady() == nil // a full disk may take it later
+				// If this fails, for example because the disk is full, the next round retries.
+				markedReady = slot.MarkReady() == nil
 			}
 		}
 		select {
@@ -57,7 +58,7 @@
 	}
 }
 
-// hasPeer reports whether another process of this sidecar runs.
+// hasPeer reports whether another process of this sidecar is running.
 func (s *server) hasPeer() bool {
 	slot := s.slot.Load()
 	if slot == nil {
@@ -67,7 +68,7 @@
 	return alive > 0
 }
 
-// hasReadyPeer reports whether another process serves the clients that come from now on.
+// hasReadyPeer reports whether another process of this sidecar is ready and thus serves new clients.
 func (s *server) hasReadyPeer() bool {
 	slot := s.slot.Load()
 	if slot == nil {
@@ -77,7 +78,7 @@
 	return ready > 0
 }
 
-// setProcessCount limits this process to one of n equal parts of the sidecar's limits.
+// setProcessCount limits this process to one of count equal parts of the sidecar's limits.
 func (s *server) setProcessCount(count int) {
 	s.limitsMu.Lock()
 	defer s.limitsMu.Unlock()
@@ -85,14 +86,14 @@
 	s.applyLimits()
 }
 
-// reapplyLimits applies limits that a new configuration has changed.
+// reapplyLimits applies the limits of a new configuration.
 func (s *server) reapplyLimits() {
 	s.limitsMu.Lock()
 	defer s.limitsMu.Unlock()
 	s.applyLimits()
 }
 
-// applyLimits sets this process's part of the limits in force. The caller holds limitsMu.
+// applyLimits limits this process to its part of the limits in force. The caller must hold limitsMu.
 func (s *server) applyLimits() {
 	cfg, processCount := s.loop.current.Load(), s.processCount
 	connections := max(minConnections, (cfg.Limits.Sockets/processCount-reservedSockets)/2)
--- a/internal/sidecar/slot_test.go
+++ b/internal/sidecar/slot_test.go
@@ -6,8 +6,8 @@
 	"oakproxy/internal/handover"
 )
 
-// Two processes share the limits of one sidecar. Idle connections beyond a process's share are closed, and the process
-// that remains gets the full limits again.
+// Tests that two processes share the limits of one sidecar: idle connections beyond a process's share are closed, and
+// the process that remains gets the full limits again.
 func TestProcessesShareLimits(t *testing.T) {
 	e := newServingEndpoint(t)
 	w := start(t, nil, ready("s-1", e.Address))
--- a/internal/sidecar/stages_test.go
+++ b/internal/sidecar/stages_test.go
@@ -7,10 +7,11 @@
 	"oakproxy/internal/sidecartest"
 )
 
-// The stages of a request that its first attempt served are counted; those of one that took two attempts are not.
+// Tests that the stages of a request are counted if its first attempt is successful, but not if it needs two attempts.
 func TestStagesOfServedRequests(t *testing.T) {
 	serving := newServingEndpoint(t)
-	rejecting := sidecartest.NewEndpoint(t, sidecartest.RespondFirstThen(sidecartest.RejectedResponse, sidecartest.ServedResponse))
+	rejecting := sidecartest.NewEndpoint(t,
+		sidecartest.RespondFirstThen(sidecartest.RejectedResponse, sidecartest.ServedResponse))
 	for _, test := range []struct {
 		endpoint *sidecartest.Endpoint
 		counted  uint64
--- a/internal/sidecar/statistics.go
+++ b/internal/sidecar/statistics.go
@@ -11,38 +11,40 @@
 	"oakproxy/internal/upstream"
 )
 
-// counters are what the parts of the sidecar have counted since the start.
+// counters are the counters of all parts of the sidecar, counted since the start.
 type counters struct {
 	balancer       balancer.Stats
 	upstream       upstream.Counts
-	discoveryCalls discoveryCallCounts // of discovery
+	discoveryCalls discoveryCallCounts // calls to discovery
 	stages         stages.Totals
-	closes         downstream.CloseCounts // of clients' connections
+	closes         downstream.CloseCounts // closed clients' connections, by cause
 }
 
-// gauges are what the statistics say of the moment.
+// gauges are the values of the statistics that describe the current state.
 type gauges struct {
-	listAgeMS       balancer.Micros
+	listAgeMS       balancer.Micros // in milliseconds
 	listVersion     uint64
-	maxEventWait    time.Duration // since the last line
+	maxEventWait    time.Duration // longest time of an event in the queue since the previous log line
 	inForce         *config.Snapshot
 	rejectedReloads int
 }
 
-// statsLogger logs what was counted since it was last called. The loop's goroutine owns it.
+// statsLogger logs the statistics since its previous log line. The loop's goroutine owns it.
 type statsLogger struct {
 	log  *slog.Logger
-	last counters
+	last counters // counters at the previous call of logSinceLast
 }
 
-// logAndRemember logs one line of statistics, unless there was no request.
-func (l *statsLogger) logAndRemember(c *counters, g gauges) {
+// logSinceLast logs one line of statistics if there was a request since the previous call, and remembers the counters
+// for the next call.
+func (l *statsLogger) logSinceLast(c *counters, g gauges) {
 	last := &l.last
 	if c.balancer.Requests != last.balancer.Requests {
 		dials := c.upstream.Dials - last.upstream.Dials
 		l.log.Info("statistics",
 			"balancer", c.balancer.Since(&last.balancer),
-			"list_age_ms", g.listAgeMS, "list_seq", g.listVersion, "discovery_calls", c.discoveryCalls.since(last.discoveryCalls),
+			"list_age_ms", g.listAgeMS, "list_seq", g.listVersion,
+			"discovery_calls", c.discoveryCalls.since(last.discoveryCalls),
 			"dials", dials,
 			"dial_ms", (c.upstream.DialTime-last.upstream.DialTime).Milliseconds()/int64(max(1, dials)),
 			"dial_failed", c.upstream.FailedDials-last.upstream.FailedDials,
--- a/internal/sidecar/syscalls_test.go
+++ b/internal/sidecar/syscalls_test.go
@@ -17,8 +17,8 @@
 	"oakproxy/internal/system"
 )
 
-// The time that a request waits in the accept backlog counts against its deadline: its endpoint gets no more time than
-// its client has left.
+// Tests that the time that a request waits in the accept backlog counts against its deadline: the endpoint is granted
+// no more time than the client has left.
 func TestTimeInTheAcceptBacklogCounts(t *testing.T) {
 	var arrivedAt time.Time
 	e := sidecartest.NewEndpoint(t, func(e *sidecartest.Endpoint, conn net.Conn, in *bufio.Reader) {
@@ -33,9 +33,9 @@
 		func(inner net.Listener) net.Listener { listener.Listener = inner; return listener },
 		ready("s-1", e.Address),
 	)
-	const failures = 100 // with system.AcceptRetryDelay after each, over 0.5 s
+	const failures = 100 // each is followed by system.AcceptRetryDelay, in all more than 0.5 s
 	listener.Fail(slices.Repeat([]error{syscall.ENFILE}, failures))
-	w.dial() // the pending accept may still accept it
+	w.dial() // the accept that is already pending may still accept this connection
 	conn := w.dial()
 	fmt.Fprint(conn, sidecartest.ReadHead+"X-Correlation-Id: 1\r\n\r\n")
 	writtenAt := time.Now()
@@ -55,11 +55,11 @@
 	}
 }
 
-// deadlineSlack is how much the time forwarded to an endpoint may exceed its client's remaining time.
+// deadlineSlack is how far the time forwarded to an endpoint may exceed the client's remaining time.
 const deadlineSlack = 150 * time.Millisecond
 
-// A client that disconnects after sending a large body is noticed although part of the body is unread: nothing is sent
-// for it.
+// Tests that the disconnect of a client that has sent a large body is noticed although part of the body is unread, so
+// that nothing is sent to the endpoint.
 func TestClientThatLeavesAfterItsBodyIsNoticed(t *testing.T) {
 	e := newServingEndpoint(t)
 	w := start(t, nil, ready("s-1", e.Address))
--- a/internal/sidecar/watcher.go
+++ b/internal/sidecar/watcher.go
@@ -13,20 +13,20 @@
 	"oakproxy/internal/system"
 )
 
-// failureLogInterval is the least time between two log lines on failures of discovery that follow each other.
+// failureLogInterval is the minimum time between log lines about consecutive failures of discovery calls.
 const failureLogInterval = time.Second
 
-// discoveryWatcher watches the endpoint list and counts the calls of discovery. The loop's goroutine owns it; the
-// goroutine of a watch that was started works on copies and reports back through the event queue.
+// discoveryWatcher watches the endpoint list and counts the calls to discovery. The loop's goroutine owns it. Each
+// watch runs in a goroutine of its own, which works on copies of the fields and reports back through the event queue.
 type discoveryWatcher struct {
 	log      *slog.Logger
 	client   *discovery.Client
-	position discovery.Position // to watch from
-	stop     context.CancelFunc // ends the watch that was started last
+	position discovery.Position // position at which the next watch starts
+	stop     context.CancelFunc // ends the latest watch
 
-	lastListAt    balancer.Micros // when discovery answered last, or the start of the loop
-	failing       bool            // the last call failed
-	lastWarningAt balancer.Micros // when a failure was logged last
+	lastListAt    balancer.Micros // time of discovery's latest valid answer, at first the start of the loop
+	failing       bool            // the latest call failed
+	lastWarningAt balancer.Micros // time of the latest log line about a failure
 	callCounts    discoveryCallCounts
 }
 
@@ -34,22 +34,22 @@
 	return discoveryWatcher{log: log, client: newDiscoveryClient(cfg), stop: func() {}}
 }
 
-// watchHandler takes what a watch reports, in the loop's goroutine.
+// watchHandler handles the results of a watch. Its methods are called in the loop's goroutine.
 type watchHandler interface {
 	handleList(now balancer.Micros, list discovery.List)
 	handleMalformedList(now balancer.Micros, err error)
 	handleWatchEnded(now balancer.Micros, err error)
 }
 
-// start ends the watch there is and begins one from the last version on, until ctx ends. If it fails with retry set,
-// it is begun again after a delay; else the handler decides when.
+// start ends the current watch and starts one at the current position, which runs until ctx ends. If the watch fails,
+// it is restarted after a delay if retry is set; otherwise the handler decides when to restart it.
 func (w *discoveryWatcher) start(ctx context.Context, events *eventQueue, h watchHandler, retry bool) {
 	w.stop()
 	ctx, w.stop = context.WithCancel(ctx)
 	position, client := w.position, w.client
 	post := func(e event) {
 		events.post(func(now balancer.Micros) {
-			if ctx.Err() == nil { // else the watch was ended meanwhile
+			if ctx.Err() == nil { // otherwise the watch has been ended in the meantime
 				e(now)
 			}
 		})
@@ -80,8 +80,8 @@
 	}()
 }
 
-// replaceClient has the next watch call the discovery of cfg for its complete list: versions may be those of another
-// service. It returns the client that was used so far.
+// replaceClient makes the next watch request the complete list from the discovery service that cfg names, because the
+// known version may be that of another service. It returns the previous client.
 func (w *discoveryWatcher) replaceClient(cfg *config.Config) (old *discovery.Client) {
 	old = w.client
 	w.client = newDiscoveryClient(cfg)
@@ -89,7 +89,7 @@
 	return old
 }
 
-// recordList counts a list that discovery answered with.
+// recordList counts a list that discovery has sent, and logs the end of an outage.
 func (w *discoveryWatcher) recordList(now balancer.Micros, list *discovery.List) {
 	if w.failing {
 		w.log.Info("discovery recovered", "list_age_ms", w.listAgeMS(now), "seq", list.Version)
@@ -100,7 +100,7 @@
 	w.callCounts.unusableEntries += uint64(list.Unusable)
 }
 
-// recordFailure counts a call of discovery that failed.
+// recordFailure counts a failed call to discovery and logs it, at most once in each failureLogInterval of an outage.
 func (w *discoveryWatcher) recordFailure(now balancer.Micros, err error) {
 	var malformed *discovery.MalformedError
 	switch {
@@ -112,7 +112,7 @@
 		w.callCounts.failed++
 	}
 	if errors.Is(err, discovery.ErrOutdated) {
-		w.position.After = nil // versions were numbered anew: changes since the old one mean nothing
+		w.position.After = nil // discovery restarted its version numbers, so changes since the old version mean nothing
 	}
 	if !w.failing || now-w.lastWarningAt >= failureLogInterval.Microseconds() {
 		w.lastWarningAt = now
@@ -121,7 +121,8 @@
 	w.failing = true
 }
 
-// advancePosition moves the position past a list, and reports whether the list may be older than one that came before.
+// advancePosition sets the position to the version of a list, and reports whether the list may be older than an earlier
+// one. It logs entries of the list that cannot be used.
 func (w *discoveryWatcher) advancePosition(at time.Time, list *discovery.List) (mayBeOlder bool) {
 	mayBeOlder = list.Version < w.position.CurrentVersion
 	version := list.Version
@@ -134,25 +135,26 @@
 	return mayBeOlder
 }
 
-// listAgeMS returns the milliseconds since discovery answered last.
+// listAgeMS returns the milliseconds since lastListAt.
 func (w *discoveryWatcher) listAgeMS(now balancer.Micros) balancer.Micros {
 	return (now - w.lastListAt) / 1000
 }
 
-// discoveryCallCounts counts calls of discovery by how they ended, and entries of lists that could not be used.
+// discoveryCallCounts counts the calls to discovery by result, and the entries of lists that could not be used.
 type discoveryCallCounts struct{ answered, timedOut, failed, malformed, unusableEntries uint64 }
 
-// since describes what was counted since an earlier state.
+// since formats the difference between c and old, an earlier state of the same counters.
 func (c discoveryCallCounts) since(old discoveryCallCounts) string {
 	return fmt.Sprintf("[answered:%d timeout:%d failed:%d malformed:%d unusable_entries:%d]",
 		c.answered-old.answered, c.timedOut-old.timedOut, c.failed-old.failed, c.malformed-old.malformed,
 		c.unusableEntries-old.unusableEntries)
 }
 
-// newDiscoveryClient returns the client of the discovery that a configuration names.
+// newDiscoveryClient returns a client of the discovery service that a configuration names.
 func newDiscoveryClient(cfg *config.Config) *discovery.Client {
 	c := &cfg.Settings.Contract
-	return discovery.NewClient(discovery.Options{Address: cfg.DiscoveryAddress, Wait: cfg.DiscoveryWait, Dial: cfg.DiscoveryDial,
+	return discovery.NewClient(discovery.Options{
+		Address: cfg.DiscoveryAddress, Wait: cfg.DiscoveryWait, Dial: cfg.DiscoveryDial,
 		Subscribe:    cfg.Settings.SubscribeToDiscovery,
 		PollInterval: time.Duration(c.PollInterval) * time.Microsecond,
 		DrainGrace:   time.Duration(c.DrainGrace) * time.Microsecond})
--- a/internal/sidecartest/listener.go
+++ b/internal/sidecartest/listener.go
@@ -22,7 +22,7 @@
 	l.Errors = errs
 }
 
-// takeError returns and removes the error of the takeError accept, or nil.
+// takeError removes the first of the remaining errors and returns it. It returns nil if none is left.
 func (l *FaultyListener) takeError() (err error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
