--- a/internal/sidecar/endpoints.go
+++ b/internal/sidecar/endpoints.go
@@ -16,7 +16,7 @@
 	idByName  map[string]uint32                 // the balancer's ids, by host name
 	lastID    uint32                            // id given last; ids count from 1
 	overrides map[string]operatorstate.Override // the operators' overrides, by host name
-	retire    func(*upstream.Endpoint)          // closes a target: attempts to it that are not yet sent will not be sent
+	retire    func(*upstream.Endpoint)          // function that closes a target, so that unsent attempts to it stay unsent
 }
 
 func newEndpointTable(retire func(*upstream.Endpoint)) endpointTable {
@@ -30,9 +30,9 @@
 	name      string
 	entry     discovery.Entry    // the latest entry from discovery
 	startedAt balancer.Micros    // start of the endpoint's process by the loop's clock; 0 means long ago
-	target    *upstream.Endpoint // nil unless the endpoint is ready and not cordoned
+	target    *upstream.Endpoint // target of attempts and probes; nil unless the endpoint is ready and not cordoned
 	inFlight  int                // attempts and probes without an outcome
-	removed   bool               // discovery has removed the endpoint
+	removed   bool               // whether discovery has removed the endpoint
 }
 
 // updateStart returns the start of the endpoint's process by the loop's clock. The start is computed only once for each
@@ -53,7 +53,7 @@
 	kind       balancer.ListUpdate
 	mayBeOlder bool            // the list may be older than the table's state, so it must not undo a drain
 	skew       balancer.Micros // how far discovery's clock is ahead of this process's clock
-	cfg        *config.Config  // has the names of zones and machine kinds
+	cfg        *config.Config  // configuration with the names of zones and machine kinds
 }
 
 // update applies a list to the table. It returns the entries to pass to the balancer, and whether any endpoint of the
@@ -124,10 +124,10 @@
 
 // setOverrides replaces the operators' overrides and returns those that are new or have changed. If a cordoned host has
 // no override any more, its cordon was lifted: the host gets an override that lifts it as of now.
-func (t *endpointTable) setOverrides(overrides []operatorstate.Override, now func() system.Timestamp) (
+func (t *endpointTable) setOverrides(newOverrides []operatorstate.Override, now func() system.Timestamp) (
 	changed []operatorstate.Override) {
-	next := make(map[string]operatorstate.Override, len(overrides))
-	for _, o := range overrides {
+	next := make(map[string]operatorstate.Override, len(newOverrides))
+	for _, o := range newOverrides {
 		next[o.Name] = o
 	}
 	for name, o := range t.overrides {
--- a/internal/sidecar/events.go
+++ b/internal/sidecar/events.go
@@ -19,7 +19,7 @@
 type eventQueue struct {
 	queued  chan event
 	urgent  chan event
-	ended   <-chan struct{} // closed when the loop ends: events are no longer handled
+	ended   <-chan struct{} // channel that is closed when the loop ends; no event is handled after that
 	maxWait time.Duration   // longest time in the queue of an event handled since the last call of takeMaxWait
 }
 
--- a/internal/sidecar/fakediscovery_test.go
+++ b/internal/sidecar/fakediscovery_test.go
@@ -21,11 +21,11 @@
 
 	mu        sync.Mutex
 	list      discovery.List
-	down      bool
+	down      bool          // whether calls are answered with status 503
 	malformed string        // response in place of the list; "" means that the list is sent
 	calls     []string      // query strings of the calls received
-	changed   chan struct{} // closed and replaced at each change
-	openConns atomic.Int32  // open connections
+	changed   chan struct{} // channel that is closed and replaced at each change
+	openConns atomic.Int32  // number of open connections
 }
 
 // newFakeDiscovery starts a discovery service with a complete list of version 0. It runs until the test ends.
@@ -70,7 +70,7 @@
 	switch {
 	case d.down:
 		w.WriteHeader(http.StatusServiceUnavailable)
-		json.NewEncoder(w).Encode(d.list) // must be ignored, because of the status
+		json.NewEncoder(w).Encode(d.list) // the client must ignore the list because of the status
 	case d.malformed != "":
 		io.WriteString(w, d.malformed)
 	case after == fmt.Sprint(d.list.Version):
@@ -80,7 +80,7 @@
 	}
 }
 
-// change runs alter under the lock and answers the calls that wait for a change.
+// change runs edit with the lock held, and ends the wait of the calls that wait for a change.
 func (d *fakeDiscovery) change(edit func()) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/internal/sidecar/harness_test.go
+++ b/internal/sidecar/harness_test.go
@@ -46,10 +46,10 @@
 	server    *server
 	recorder  *balancerRecorder
 	discovery *fakeDiscovery
-	stop      context.CancelFunc // begins the shutdown, as SIGTERM does
-	ended     chan error         // receives the result of the sidecar when it ends
+	stop      context.CancelFunc // function that begins the shutdown, as SIGTERM does
+	ended     chan error         // channel that receives the sidecar's result when it ends
 
-	wrapListener func(net.Listener) net.Listener // wraps the clients' listener; may be nil
+	wrapListener func(net.Listener) net.Listener // function that wraps the clients' listener; may be nil
 }
 
 // newConfig returns a configuration whose known list has these entries. editSettings changes the settings; it may be
@@ -150,7 +150,7 @@
 	if err != nil {
 		w.t.Fatal(err)
 	}
-	w.loop.upstream.ReuseDelay = 0 // lets tests reuse a connection immediately
+	w.loop.upstream.ReuseDelay = 0 // many tests reuse a connection immediately
 	w.recorder = &balancerRecorder{balancerAPI: w.loop.balancer}
 	w.loop.balancer = w.recorder
 	w.server = newServer(w.loop)
--- a/internal/sidecar/host_test.go
+++ b/internal/sidecar/host_test.go
@@ -37,7 +37,7 @@
 	}
 }
 
-// runUntilFirstList runs a sidecar with this configuration until it has received an endpoint list.
+// runUntilFirstList runs a sidecar with this configuration until it has received its first endpoint list.
 func runUntilFirstList(t *testing.T, cfg *config.Config) {
 	t.Helper()
 	received, reloads := make(chan struct{}, 1), make(chan *config.Config)
--- a/internal/sidecar/inflight.go
+++ b/internal/sidecar/inflight.go
@@ -15,7 +15,7 @@
 	arrivedAt time.Time
 	deadline  time.Time // the client's deadline; for an upload, the time when reading its body is given up
 
-	isUpload      bool          // the request's body is streamed, and the client's time counts from the last byte
+	isUpload      bool          // whether the body is streamed; if so, the client's time counts from its last byte
 	timeAfterBody time.Duration // for an upload, the client's time from the last byte of the body
 }
 
--- a/internal/sidecar/loop.go
+++ b/internal/sidecar/loop.go
@@ -19,8 +19,8 @@
 )
 
 const (
-	pruneInterval = time.Second     // between two prunings of connections, and two savings of the balancer's estimates
-	statsInterval = 2 * time.Second // between two log lines of statistics
+	pruneInterval = time.Second     // time between prunings of connections, and between saves of the estimates
+	statsInterval = 2 * time.Second // time between log lines of statistics
 )
 
 // balancerAPI is the set of methods of *balancer.Balancer that the loop calls. Tests replace it with recorders.
@@ -49,25 +49,25 @@
 type loop struct {
 	log              *slog.Logger
 	clock            clock
-	operatorClock    system.Clock    // for the times of operators' overrides, which outlive the process
-	ctx              context.Context // ends with the loop; the methods of balancer.Actions take no context
+	operatorClock    system.Clock    // clock for the times of operators' overrides, which outlive the process
+	ctx              context.Context // context that ends with the loop; the methods of balancer.Actions take none
 	upstream         *upstream.Client
 	events           eventQueue
-	hasReadyEndpoint atomic.Bool                     // an endpoint of the table can be sent requests
+	hasReadyEndpoint atomic.Bool                     // whether any endpoint of the table can be sent requests
 	stages           stages.Recorder                 // times of the stages of served requests
 	current          atomic.Pointer[config.Snapshot] // the configuration in force
 
 	// onLimitsChanged applies limits that a reload has changed; may be nil.
 	onLimitsChanged func()
-	// closeCounts returns the numbers of closed clients' connections; may be nil.
+	// closeCounts returns the numbers of clients' connections that were closed, by cause; may be nil.
 	closeCounts func() downstream.CloseCounts
 	// warmStart has the estimates of an earlier process, for the balancer to start with; may be nil.
 	warmStart *balancer.Estimates
-	// saveEstimates is called once every pruneInterval; may be nil.
+	// saveEstimates stores the balancer's estimates. It is called once every pruneInterval; may be nil.
 	saveEstimates func(now balancer.Micros, estimates balancer.Estimates)
 
 	cfg             *config.Config // the configuration of current
-	rejectedReloads int
+	rejectedReloads int            // number of configurations that reload has rejected
 	balancer        balancerAPI
 	requests        requestTable
 	endpoints       endpointTable
@@ -214,7 +214,7 @@
 	if r != nil && !r.finished {
 		l.trace(r, "final response", "code", response.code, "attempts", len(r.attempts))
 		r.finish()
-		r.response <- response // does not block: the channel has room for the only response
+		r.response <- response // the send does not block: the channel has room for the only response
 		return
 	}
 	response.close()
@@ -254,7 +254,7 @@
 	for _, o := range l.endpoints.setOverrides(overrides, l.operatorClock.Now) {
 		l.endpoints.retargetByName(o.Name)
 		l.log.Info("operator override", "host", o.Name, "cordoned", o.Cordoned)
-		since := now // used if the age of the override is unknown
+		since := now // default if the age of the override is unknown
 		if age, known := l.operatorClock.Age(o.SetAt()); known {
 			since = now - max(0, age.Microseconds())
 		}
--- a/internal/sidecar/read.go
+++ b/internal/sidecar/read.go
@@ -26,7 +26,7 @@
 	request    balancer.Request
 	message    *upstream.Request
 	times      stages.RequestTimes
-	clientLeft <-chan struct{} // closed when the client disconnects and net/http cannot detect it; may be nil
+	clientLeft <-chan struct{} // channel closed when the client disconnects and net/http cannot detect it; may be nil
 }
 
 // serveRequest reads a request and responds to it. A body that does not fit into the buffer is streamed.
--- a/internal/sidecar/recorder_test.go
+++ b/internal/sidecar/recorder_test.go
@@ -16,7 +16,7 @@
 	probes   []balancer.Status     // statuses of the probes
 	loads    [][]float32           // load reports of the probes
 
-	beforeClientGone func() // called in the loop's goroutine before the balancer's HandleClientGone; may be nil
+	beforeClientGone func() // function called in the loop's goroutine before the balancer's HandleClientGone; may be nil
 }
 
 func (s *balancerRecorder) HandleOutcome(now balancer.Micros, o balancer.Outcome) {
--- a/internal/sidecar/reload.go
+++ b/internal/sidecar/reload.go
@@ -16,13 +16,13 @@
 
 // reload puts a new configuration in force as a whole, or rejects it and changes nothing. Requests in flight, the
 // endpoint table and the balancer's knowledge of endpoints are kept.
-func (l *loop) reload(next *config.Config) {
-	if next.Err != nil {
-		l.rejectReload(next.Err)
+func (l *loop) reload(newCfg *config.Config) {
+	if newCfg.Err != nil {
+		l.rejectReload(newCfg.Err)
 		return
 	}
-	old, merged := l.cfg, l.cfg.Merge(next)
-	restartKeys := old.RestartKeys(next)
+	old, merged := l.cfg, l.cfg.Merge(newCfg)
+	restartKeys := old.RestartKeys(newCfg)
 	if old.Equal(merged) {
 		if len(restartKeys) > 0 {
 			l.log.Warn("configuration needs a restart", "needs_restart", restartKeys)
@@ -34,7 +34,7 @@
 		l.rejectReload(err)
 		return
 	}
-	l.activate(l.current.Load().Next(merged, next.Hash()))
+	l.activate(l.current.Load().Next(merged, newCfg.Hash()))
 	l.cancelUnsent(withdrawn)
 	l.upstream.Configure(merged)
 	if old.Limits != merged.Limits && l.onLimitsChanged != nil {
--- a/internal/sidecar/requests.go
+++ b/internal/sidecar/requests.go
@@ -38,11 +38,11 @@
 	id           uint64
 	message      *upstream.Request  // the request to forward
 	deadline     balancer.Micros    // time by which the final response is due
-	response     chan finalResponse // receives the final response, exactly once; its buffer has one place
-	finished     bool               // the final response was sent to response, or the client is gone
+	response     chan finalResponse // channel for the final response, with room for it; sent to at most once
+	finished     bool               // whether the final response was sent to the channel response, or the client is gone
 	attempts     []attempt
 	inFlight     int         // attempts without an outcome
-	clientClosed func() bool // checks whether the client has closed its connection
+	clientClosed func() bool // function that reports whether the client has closed its connection
 	times        stages.RequestTimes
 }
 
@@ -84,7 +84,7 @@
 	body        []byte
 	remainder   *upstream.BodyStream // rest of the body, which is still arriving; nil if body is complete
 	length      int64                // bytes of body and remainder together, -1 if unknown; unused without a remainder
-	releaseBody func()               // releases the memory reserved for body; may be nil
+	releaseBody func()               // function that releases the memory reserved for body; may be nil
 }
 
 // close releases the resources of the response. It must be called exactly once for each response, even for one that is
--- a/internal/sidecar/run.go
+++ b/internal/sidecar/run.go
@@ -39,8 +39,8 @@
 		return err
 	}
 	go func() {
-		for cfg := range reloads {
-			l.events.runUrgent(func(balancer.Micros) { l.reload(cfg) })
+		for newCfg := range reloads {
+			l.events.runUrgent(func(balancer.Micros) { l.reload(newCfg) })
 		}
 	}()
 	if cfg.InheritedSocket != "" { // another process may take over from this one, or this one from another
@@ -60,7 +60,7 @@
 		// The error is ignored: if the admin listener fails, clients are still served.
 		go func() { _ = adminServer.Serve(loopCtx, adminListener) }()
 	}
-	defer l.upstream.SetMaxConnections(0) // closes idle connections, since the process may outlive the sidecar
+	defer l.upstream.SetMaxConnections(0) // this closes idle connections, since the process may outlive the sidecar
 	return s.serve(ctx, listener)
 }
 
--- a/internal/sidecar/scripteddiscovery_test.go
+++ b/internal/sidecar/scripteddiscovery_test.go
@@ -60,9 +60,9 @@
 
 // recordedCall is a call that a scriptedDiscovery received.
 type recordedCall struct {
-	at       time.Time
-	wait     time.Duration
-	silenced bool // the call is never answered
+	at       time.Time     // time of arrival
+	wait     time.Duration // wait time that the caller asked for
+	silenced bool          // whether the call is never answered
 }
 
 // scriptedDiscovery is a discovery service whose responses and faults a test controls.
@@ -71,9 +71,9 @@
 	list             discovery.List
 	calls            []recordedCall
 	openCalls        int           // number of calls that wait for a change and are not silenced
-	silence          chan struct{} // closed to leave the calls that are open at that moment unanswered
-	reset            chan struct{} // closed to reset the connections of the calls that are open at that moment
-	changed          chan struct{} // closed when the list changes
+	silence          chan struct{} // channel closed to leave the calls that are open at that moment unanswered
+	reset            chan struct{} // channel closed to reset the connections of the calls that are open at that moment
+	changed          chan struct{} // channel closed when the list changes
 	unresponsive     bool          // while set, new calls are never answered
 	queueDelay       time.Duration // delay before a new call is handled
 	down             bool          // while set, new calls are answered with status 503
--- a/internal/sidecar/server.go
+++ b/internal/sidecar/server.go
@@ -21,20 +21,20 @@
 	responseMargin      = 2 * time.Millisecond
 	maxRequestHeadBytes = 32 << 10
 	maxTimeLeft         = time.Minute // upper limit of the time that a client grants a request in X-Time-Left-Ms
-	maxIDLength         = 256         // in bytes, of a correlation id; the ids that the protocol defines have 16
+	maxIDLength         = 256         // bytes of a correlation id; the ids that the protocol defines have 16
 
 	// A client that exceeds these timeouts is silent, deliberately slow or dead. It may stay connected for 3 s at most.
-	readTimeout  = 2500 * time.Millisecond // for reading a request's head: a slow client may take 2 s
-	idleTimeout  = 2100 * time.Millisecond // between requests: the protocol allows closing after 2 s
-	writeTimeout = 2 * time.Second         // for writing the response: the socket buffer holds it if the client reads
+	readTimeout  = 2500 * time.Millisecond // limit on reading a request's head; a slow client may take 2 s
+	idleTimeout  = 2100 * time.Millisecond // limit on the time between requests; the protocol allows closing after 2 s
+	writeTimeout = 2 * time.Second         // limit on writing the response; the socket buffer holds it if the client reads
 )
 
 // While the sidecar drains, idle connections are closed after a minimum idle time. It is shorter for a connection that
 // has carried a request: the application's clients use most connections soon after they open them.
 const (
 	sweepInterval = 20 * time.Millisecond  // time between two checks for idle connections
-	minIdleUsed   = 200 * time.Millisecond // for a connection with requests: time since its last request
-	minIdleUnused = time.Second            // for a connection without requests: time since it was accepted
+	minIdleUsed   = 200 * time.Millisecond // time since the last request of a connection that has carried one
+	minIdleUnused = time.Second            // time since the accept of a connection that has carried no request
 )
 
 // Shares of the configured limits of descriptors and memory.
@@ -61,13 +61,14 @@
 	admission *requestAdmission
 	inFlight  inFlightRequests
 
-	terminating       atomic.Bool   // shutdown has started
-	drainedByOperator atomic.Bool   // an operator has drained the sidecar
+	terminating       atomic.Bool   // whether shutdown has started
+	drainedByOperator atomic.Bool   // whether an operator has drained the sidecar
 	drainPeriod       time.Duration // time from SIGTERM until admission closes
 
-	slot         atomic.Pointer[handover.Slot] // nil until acquired, and always if there can be no other process
-	limitsMu     sync.Mutex                    // held while the limits are applied
-	processCount int                           // processes of this sidecar, which share its limits; guarded by limitsMu
+	// slot is this process's slot. It is nil until it is acquired, and always if there can be no other process.
+	slot         atomic.Pointer[handover.Slot]
+	limitsMu     sync.Mutex // mutex that is held while the limits are applied
+	processCount int        // processes of this sidecar, which share its limits; guarded by limitsMu
 }
 
 // connContextKey is the key of the client's connection in the context of a request.
--- a/internal/sidecar/statistics.go
+++ b/internal/sidecar/statistics.go
@@ -22,7 +22,7 @@
 
 // gauges are the values of the statistics that describe the current state.
 type gauges struct {
-	listAgeMS       balancer.Micros // in milliseconds
+	listAgeMS       balancer.Micros // milliseconds since discovery's latest valid answer
 	listVersion     uint64
 	maxEventWait    time.Duration // longest time of an event in the queue since the previous log line
 	inForce         *config.Snapshot
--- a/internal/sidecar/watcher.go
+++ b/internal/sidecar/watcher.go
@@ -22,10 +22,10 @@
 	log      *slog.Logger
 	client   *discovery.Client
 	position discovery.Position // position at which the next watch starts
-	stop     context.CancelFunc // ends the latest watch
+	stop     context.CancelFunc // function that ends the latest watch
 
 	lastListAt    balancer.Micros // time of discovery's latest valid answer, at first the start of the loop
-	failing       bool            // the latest call failed
+	failing       bool            // whether the latest call failed
 	lastWarningAt balancer.Micros // time of the latest log line about a failure
 	callCounts    discoveryCallCounts
 }
