--- a/internal/sidecar/fakediscovery_test.go
+++ b/internal/sidecar/fakediscovery_test.go
@@ -15,20 +15,20 @@
 	"oakproxy/internal/discovery"
 )
 
-// fakeDiscovery is a discovery service that sends one list, which a test can change.
+// fakeDiscovery is a discovery service that sends a list. A test can change the list and the service's state.
 type fakeDiscovery struct {
 	address string
 
 	mu        sync.Mutex
 	list      discovery.List
-	down      bool
-	malformed string        // sent in place of the list, if set
-	calls     []string      // query strings
-	changed   chan struct{} // closed and replaced with every change
-	conns     atomic.Int32  // open connections
+	down      bool          // whether calls are answered with status 503
+	malformed string        // response in place of the list; "" means that the list is sent
+	calls     []string      // query strings of the calls received
+	changed   chan struct{} // channel that is closed and replaced at each change
+	openConns atomic.Int32  // number of open connections
 }
 
-// newFakeDiscovery starts a discovery service with a complete list of version 0 until the test ends.
+// newFakeDiscovery starts a discovery service with a complete list of version 0. It runs until the test ends.
 func newFakeDiscovery(t *testing.T, entries ...discovery.Entry) *fakeDiscovery {
 	t.Helper()
 	d := &fakeDiscovery{list: completeList(0, entries...), changed: make(chan struct{})}
@@ -40,9 +40,9 @@
 	server := &http.Server{Handler: d, ConnState: func(_ net.Conn, state http.ConnState) {
 		switch state {
 		case http.StateNew:
-			d.conns.Add(1)
+			d.openConns.Add(1)
 		case http.StateClosed:
-			d.conns.Add(-1)
+			d.openConns.Add(-1)
 		}
 	}}
 	go server.Serve(listener)
@@ -54,9 +54,9 @@
 	d.mu.Lock()
 	d.calls = append(d.calls, r.URL.RawQuery)
 	after, wait, changed := r.FormValue("after"), r.FormValue("wait_ms"), d.changed
-	waits := after == fmt.Sprint(d.list.Version) && wait != "0" && !d.down && d.malformed == ""
+	awaitChange := after == fmt.Sprint(d.list.Version) && wait != "0" && !d.down && d.malformed == ""
 	d.mu.Unlock()
-	if waits {
+	if awaitChange {
 		ms, _ := strconv.Atoi(wait)
 		select {
 		case <-changed:
@@ -70,7 +70,7 @@
 	switch {
 	case d.down:
 		w.WriteHeader(http.StatusServiceUnavailable)
-		json.NewEncoder(w).Encode(d.list) // must be ignored, because of the status
+		json.NewEncoder(w).Encode(d.list) // the client must ignore the list because of the status
 	case d.malformed != "":
 		io.WriteString(w, d.malformed)
 	case after == fmt.Sprint(d.list.Version):
@@ -80,17 +80,17 @@
 	}
 }
 
-// change runs alter under the lock and answers the calls that wait for a change.
-func (d *fakeDiscovery) change(alter func()) {
+// change runs edit with the lock held, and ends the wait of the calls that wait for a change.
+func (d *fakeDiscovery) change(edit func()) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	alter()
+	edit()
 	close(d.changed)
 	d.changed = make(chan struct{})
 }
 
-// count returns the number of calls received.
-func (d *fakeDiscovery) count() int {
+// callCount returns the number of calls received.
+func (d *fakeDiscovery) callCount() int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return len(d.calls)
--- a/internal/sidecar/harness_test.go
+++ b/internal/sidecar/harness_test.go
@@ -21,19 +21,19 @@
 	"oakproxy/internal/sidecartest"
 )
 
-// ready is discovery's entry for an endpoint.
+// ready returns discovery's entry for an endpoint that is ready.
 func ready(name, address string) discovery.Entry {
 	return discovery.Entry{Name: name, Address: address, Zone: "a", MachineKind: "m1", Health: "Ready", Weight: 1}
 }
 
-// drainingEntry is discovery's entry for an endpoint that drains.
+// drainingEntry returns discovery's entry for an endpoint that is draining.
 func drainingEntry(name, address string) discovery.Entry {
 	entry := ready(name, address)
 	entry.Health = "Terminating"
 	return entry
 }
 
-// completeList is a list of discovery that names all endpoints.
+// completeList returns a list from discovery that contains all endpoints.
 func completeList(version uint64, entries ...discovery.Entry) discovery.List {
 	return discovery.List{Version: version, Complete: true, Entries: entries}
 }
@@ -46,31 +46,32 @@
 	server    *server
 	recorder  *balancerRecorder
 	discovery *fakeDiscovery
-	stop      context.CancelFunc // begins the shutdown, as SIGTERM does
-	ended     chan error         // receives the result of the sidecar when it ends
+	stop      context.CancelFunc // function that begins the shutdown, as SIGTERM does
+	ended     chan error         // channel that receives the sidecar's result when it ends
 
-	wrap func(net.Listener) net.Listener // wraps the clients' listener; may be nil
+	wrapListener func(net.Listener) net.Listener // function that wraps the clients' listener; may be nil
 }
 
-// configure returns a configuration whose known list has these entries. alter may change its settings; it may be nil.
-func configure(
+// newConfig returns a configuration whose known list has these entries. editSettings changes the settings; it may be
+// nil.
+func newConfig(
 	t *testing.T,
 	discoveryAddress string,
-	alter func(settings map[string]any),
-	hosts ...discovery.Entry,
+	editSettings func(settings map[string]any),
+	entries ...discovery.Entry,
 ) *config.Config {
 	t.Helper()
 	var settings map[string]any
 	if err := json.Unmarshal([]byte(sidecartest.SettingsText), &settings); err != nil {
 		t.Fatal(err)
 	}
-	if alter != nil {
-		alter(settings)
+	if editSettings != nil {
+		editSettings(settings)
 	}
 	text, err := json.Marshal(map[string]any{
 		"name": "n0", "listen": "127.0.0.1:0", "discovery": discoveryAddress, "seed": "8c1f30d27a5be964",
 		"limits": map[string]any{"cores": 1.0, "memory_mb": 192, "sockets": 256},
-		"known":  discovery.List{Complete: true, Entries: hosts}, "settings": settings})
+		"known":  discovery.List{Complete: true, Entries: entries}, "settings": settings})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -81,35 +82,40 @@
 	return cfg
 }
 
-// start runs a sidecar that knows these endpoints, and waits until it is ready.
-func start(t *testing.T, alter func(settings map[string]any), hosts ...discovery.Entry) *harness {
+// start runs a sidecar whose configuration and discovery service list these entries, and waits until it is ready.
+// editSettings changes its settings; it may be nil.
+func start(t *testing.T, editSettings func(settings map[string]any), entries ...discovery.Entry) *harness {
 	t.Helper()
-	return startWith(t, alter, nil, hosts...)
+	return startWithConfig(t, editSettings, nil, entries...)
 }
 
-// startWith is start with a configuration that change may change; it may be nil.
-func startWith(
+// startWithConfig is like start, but editConfig changes the configuration before the sidecar starts; it may be nil.
+func startWithConfig(
 	t *testing.T,
 	alter func(settings map[string]any),
-	change func(*config.Config),
+	editConfig func(*config.Config),
 	hosts ...discovery.Entry,
 ) *harness {
 	t.Helper()
 	w := &harness{t: t, discovery: newFakeDiscovery(t, hosts...)}
-	cfg := configure(t, w.discovery.address, alter, hosts...)
-	if change != nil {
-		change(cfg)
+	cfg := newConfig(t, w.discovery.address, alter, hosts...)
+	if editConfig != nil {
+		editConfig(cfg)
 	}
 	w.launch(cfg)
 	w.awaitReady()
 	return w
 }
 
-// startWithListener is start with a wrapper for the clients' listener.
-func startWithListener(t *testing.T, wrap func(net.Listener) net.Listener, hosts ...discovery.Entry) *harness {
+// startWithListener is like start, but the clients' listener is the result of wrapListener.
+func startWithListener(
+	t *testing.T,
+	wrapListener func(net.Listener) net.Listener,
+	entries ...discovery.Entry,
+) *harness {
 	t.Helper()
-	w := &harness{t: t, discovery: newFakeDiscovery(t, hosts...), wrap: wrap}
-	w.launch(configure(t, w.discovery.address, nil, hosts...))
+	w := &harness{t: t, discovery: newFakeDiscovery(t, entries...), wrapListener: wrapListener}
+	w.launch(newConfig(t, w.discovery.address, nil, entries...))
 	w.awaitReady()
 	return w
 }
@@ -127,15 +133,15 @@
 	})
 }
 
-// launch runs a sidecar until the test ends.
+// launch runs a sidecar with this configuration until the test ends.
 func (w *harness) launch(cfg *config.Config) {
 	w.t.Helper()
 	listener, err := net.Listen("tcp", cfg.ListenAddress)
 	if err != nil {
 		w.t.Fatal(err)
 	}
-	if w.wrap != nil {
-		listener = w.wrap(listener)
+	if w.wrapListener != nil {
+		listener = w.wrapListener(listener)
 	}
 	w.ended = make(chan error, 1)
 	w.url = "http://" + listener.Addr().String()
@@ -145,7 +151,7 @@
 		w.t.Fatal(err)
 	}
 	w.loop.upstream.ReuseDelay = 0 // many tests reuse a connection immediately
-	w.recorder = &balancerRecorder{decider: w.loop.balancer}
+	w.recorder = &balancerRecorder{balancerAPI: w.loop.balancer}
 	w.loop.balancer = w.recorder
 	w.server = newServer(w.loop)
 	ctx, stop := context.WithCancel(context.Background())
@@ -157,27 +163,27 @@
 	w.t.Cleanup(func() {
 		stop()
 		w.server.http.Close()
-		// A sidecar that drains would go on calling discovery, whose port may by then belong to another test.
+		// A sidecar that is draining would continue to call discovery, whose port might by then be used by another test.
 		stopLoop()
 	})
 }
 
-// await waits for a condition to hold.
-func (w *harness) await(what string, condition func() bool) {
+// await waits until condition returns true, as sidecartest.Await does.
+func (w *harness) await(description string, condition func() bool) {
 	w.t.Helper()
-	sidecartest.Await(w.t, what, condition)
+	sidecartest.Await(w.t, description, condition)
 }
 
-// awaitRequests waits until an endpoint has read as many complete requests.
+// awaitRequests waits until the number of complete requests that an endpoint has read is want.
 func (w *harness) awaitRequests(e *sidecartest.Endpoint, want int) {
 	w.t.Helper()
 	w.await(fmt.Sprintf("%d requests at the endpoint", want), func() bool {
-		requests, _ := e.Seen()
+		requests, _ := e.Counts()
 		return requests == want
 	})
 }
 
-// awaitOutcome waits until the outcome of exactly one attempt was reported to the balancer.
+// awaitOutcome waits until exactly one outcome has been reported to the balancer.
 func (w *harness) awaitOutcome() {
 	w.t.Helper()
 	w.await("one outcome", func() bool { return len(w.recorder.statuses()) == 1 })
@@ -199,7 +205,7 @@
 	})
 }
 
-// runInLoop runs f in the loop and waits for it.
+// runInLoop runs f in the loop's goroutine and waits until it has returned.
 func (w *harness) runInLoop(f func()) {
 	w.t.Helper()
 	done := make(chan struct{})
@@ -210,10 +216,10 @@
 	<-done
 }
 
-// lastID is the number of requests that request has returned.
+// lastID numbers the requests of all tests: it is the number in the correlation id that request assigned last.
 var lastID atomic.Uint32
 
-// request returns a client's request of a class.
+// request returns a client's request of the class, with a new correlation id. The body is ignored for class read.
 func (w *harness) request(class, body string, timeLeft time.Duration) *http.Request {
 	w.t.Helper()
 	method := http.MethodPost
@@ -235,7 +241,7 @@
 
 // reply is a final response as a client sees it.
 type reply struct {
-	code   int // status; 0 means no response
+	code   int // status code; 0 means that there was no response
 	header http.Header
 	body   string
 	err    error
@@ -253,14 +259,14 @@
 	return reply{response.StatusCode, response.Header, string(body), err}
 }
 
-// timedOut reports whether a read or write ended by its deadline.
+// timedOut reports whether err means that the deadline of a read or write has passed.
 func timedOut(err error) bool {
 	var timeout net.Error
 	return errors.As(err, &timeout) && timeout.Timeout()
 }
 
-// newServingEndpoint starts an endpoint that serves each request.
+// newServingEndpoint starts an endpoint that responds to every request with sidecartest.ServedResponse.
 func newServingEndpoint(t *testing.T) *sidecartest.Endpoint {
 	t.Helper()
-	return sidecartest.NewEndpoint(t, sidecartest.Always(sidecartest.Served))
+	return sidecartest.NewEndpoint(t, sidecartest.AlwaysRespond(sidecartest.ServedResponse))
 }
--- a/internal/sidecar/reload.go
+++ b/internal/sidecar/reload.go
@@ -9,23 +9,23 @@
 )
 
 // activate puts a configuration in force.
-func (l *loop) activate(s *config.Snapshot) {
-	l.cfg = s.Config
-	l.current.Store(s)
+func (l *loop) activate(snapshot *config.Snapshot) {
+	l.cfg = snapshot.Config
+	l.current.Store(snapshot)
 }
 
-// reload puts a new configuration in force in one step, or rejects it and changes nothing. Requests in flight, the
-// endpoint table and what is known of endpoints stay.
-func (l *loop) reload(next *config.Config) {
-	if next.Err != nil {
-		l.rejectReload(next.Err)
+// reload puts a new configuration in force as a whole, or rejects it and changes nothing. Requests in flight, the
+// endpoint table and the balancer's knowledge of endpoints are kept.
+func (l *loop) reload(newCfg *config.Config) {
+	if newCfg.Err != nil {
+		l.rejectReload(newCfg.Err)
 		return
 	}
-	old, merged := l.cfg, l.cfg.Merge(next)
-	restart := old.RestartKeys(next)
+	old, merged := l.cfg, l.cfg.Merge(newCfg)
+	restartKeys := old.RestartKeys(newCfg)
 	if old.Equal(merged) {
-		if len(restart) > 0 {
-			l.log.Warn("configuration needs a restart", "needs_restart", restart)
+		if len(restartKeys) > 0 {
+			l.log.Warn("configuration needs a restart", "needs_restart", restartKeys)
 		}
 		return
 	}
@@ -34,19 +34,19 @@
 		l.rejectReload(err)
 		return
 	}
-	l.activate(l.current.Load().Next(merged, next.Hash()))
+	l.activate(l.current.Load().Next(merged, newCfg.Hash()))
 	l.cancelUnsent(withdrawn)
 	l.upstream.Configure(merged)
-	if old.Limits != merged.Limits && l.limitsChanged != nil {
-		l.limitsChanged()
+	if old.Limits != merged.Limits && l.onLimitsChanged != nil {
+		l.onLimitsChanged()
 	}
 	if old.ChangesDiscovery(merged) {
 		l.restartWatch()
 	}
-	l.logConfiguration(old.ChangedParts(merged), restart)
+	l.logConfiguration(old.ChangedParts(merged), restartKeys)
 }
 
-// rejectReload logs that a configuration can't be put in force.
+// rejectReload counts and logs a configuration that cannot be put in force.
 func (l *loop) rejectReload(err error) {
 	l.rejectedReloads++
 	inForce := l.current.Load()
@@ -54,34 +54,36 @@
 		"generation", inForce.Generation, "hash", inForce.FileHash)
 }
 
-// logConfiguration logs what is in force from now on, which parts have changed, and which keys need a restart.
-func (l *loop) logConfiguration(changed, restart []string) {
+// logConfiguration logs the configuration now in force, the parts that have changed and the keys that need a restart.
+func (l *loop) logConfiguration(changedParts, restartKeys []string) {
 	inForce := l.current.Load()
 	attributes := []any{"generation", inForce.Generation, "hash", inForce.FileHash, "discovery", inForce.DiscoveryAddress}
-	if len(changed) > 0 {
-		attributes = append(attributes, "changed", changed)
+	if len(changedParts) > 0 {
+		attributes = append(attributes, "changed", changedParts)
 	}
-	if len(restart) > 0 {
-		attributes = append(attributes, "needs_restart", restart)
+	if len(restartKeys) > 0 {
+		attributes = append(attributes, "needs_restart", restartKeys)
 	}
 	l.log.Info("configuration in force", attributes...)
 }
 
-// cancelUnsent keeps attempts from being sent that the new configuration does not allow. Those already sent go on.
+// cancelUnsent cancels attempts that the new configuration does not allow, unless they have already been sent.
 func (l *loop) cancelUnsent(attempts []balancer.AttemptID) {
 	for _, a := range attempts {
 		l.requests.byID[a.Request].attempts[a.Attempt].cancelUnsent()
 	}
 }
 
-// restartWatch asks the discovery of the configuration in force for its complete list.
+// restartWatch restarts the watch with the discovery service of the configuration in force. The first call requests the
+// complete list.
 func (l *loop) restartWatch() {
 	old := l.watcher.replaceClient(l.cfg)
 	l.Watch(true)
 	old.HTTP.CloseIdleConnections()
 }
 
-// currentLoadReport returns the load report of a result, nil if it was read by an earlier configuration's rules.
+// currentLoadReport returns the load report of a result. It returns nil if the report was parsed according to an
+// earlier configuration.
 func (l *loop) currentLoadReport(result upstream.Result) []float32 {
 	if result.ReportFormat != l.upstream.CurrentFormat.Load() {
 		return nil
@@ -89,7 +91,7 @@
 	return result.Load
 }
 
-// slowStartDuration is how long an endpoint takes to warm up.
+// slowStartDuration returns how long an endpoint takes to warm up.
 func (l *loop) slowStartDuration() time.Duration {
 	return time.Duration(l.current.Load().Settings.Contract.SlowStartDuration) * time.Microsecond
 }
--- a/internal/sidecar/scripteddiscovery_test.go
+++ b/internal/sidecar/scripteddiscovery_test.go
@@ -19,37 +19,39 @@
 	"oakproxy/internal/system"
 )
 
-// pipes is a listener whose connections are pipes within the process.
-type pipes struct {
-	conns chan net.Conn
-	end   chan struct{}
-	once  sync.Once
+// pipeListener is a listener whose connections are in-process pipes, created by its dial method.
+type pipeListener struct {
+	conns     chan net.Conn
+	closed    chan struct{}
+	closeOnce sync.Once
 }
 
-func newPipes() *pipes { return &pipes{conns: make(chan net.Conn), end: make(chan struct{})} }
+func newPipeListener() *pipeListener {
+	return &pipeListener{conns: make(chan net.Conn), closed: make(chan struct{})}
+}
 
-func (p *pipes) Accept() (net.Conn, error) {
+func (p *pipeListener) Accept() (net.Conn, error) {
 	select {
 	case c := <-p.conns:
 		return c, nil
-	case <-p.end:
+	case <-p.closed:
 		return nil, net.ErrClosed
 	}
 }
 
-func (p *pipes) Close() error {
-	p.once.Do(func() { close(p.end) })
+func (p *pipeListener) Close() error {
+	p.closeOnce.Do(func() { close(p.closed) })
 	return nil
 }
 
-func (p *pipes) Addr() net.Addr { return &net.TCPAddr{} }
+func (p *pipeListener) Addr() net.Addr { return &net.TCPAddr{} }
 
-func (p *pipes) dial(ctx context.Context, _, _ string) (net.Conn, error) {
+func (p *pipeListener) dial(ctx context.Context, _, _ string) (net.Conn, error) {
 	client, server := net.Pipe()
 	select {
 	case p.conns <- server:
 		return client, nil
-	case <-p.end:
+	case <-p.closed:
 		return nil, net.ErrClosed
 	case <-ctx.Done():
 		return nil, ctx.Err()
@@ -58,9 +60,9 @@
 
 // recordedCall is a call that a scriptedDiscovery received.
 type recordedCall struct {
-	at     time.Time
-	wait   time.Duration
-	silent bool // whether it is never answered
+	at       time.Time     // time of arrival
+	wait     time.Duration // wait time that the caller asked for
+	silenced bool          // whether the call is never answered
 }
 
 // scriptedDiscovery is a discovery service whose responses and faults a test controls.
@@ -68,13 +70,13 @@
 	mu               sync.Mutex
 	list             discovery.List
 	calls            []recordedCall
-	open             int           // calls that wait for a change and are not silenced
-	silencing        chan struct{} // closed: calls open then are never answered
-	resetting        chan struct{} // closed: connections of calls open then are reset
-	changed          chan struct{} // closed: the list has changed
-	unresponsive     bool          // while it is set, new calls are never answered
-	queueDelay       time.Duration // time that a new call is queued
-	down             bool          // while it is set, new calls are answered 503
+	openCalls        int           // number of calls that wait for a change and are not silenced
+	silence          chan struct{} // channel closed to leave the calls that are open at that moment unanswered
+	reset            chan struct{} // channel closed to reset the connections of the calls that are open at that moment
+	changed          chan struct{} // channel closed when the list changes
+	unresponsive     bool          // while set, new calls are never answered
+	queueDelay       time.Duration // delay before a new call is handled
+	down             bool          // while set, new calls are answered with status 503
 	malformedReplies []string      // responses to the next calls, in place of the list
 	openReply        string        // response to the open call, in place of the list
 }
@@ -83,7 +85,7 @@
 	ms, _ := strconv.Atoi(r.FormValue("wait_ms"))
 	wait := time.Duration(ms) * time.Millisecond
 	s.mu.Lock()
-	call, signals := len(s.calls), callSignals{s.silencing, s.resetting, s.changed}
+	call, signals := len(s.calls), callSignals{s.silence, s.reset, s.changed}
 	s.calls = append(s.calls, recordedCall{at: time.Now(), wait: wait})
 	outdated := r.FormValue("after") != strconv.FormatUint(s.list.Version, 10)
 	unresponsive, down, queueDelay, malformed := s.unresponsive, s.down, s.queueDelay, ""
@@ -91,7 +93,8 @@
 		malformed, s.malformedReplies = s.malformedReplies[0], s.malformedReplies[1:]
 	}
 	s.mu.Unlock()
-	if queueDelay > 0 { // with -race, a timer of zero in a synctest bubble sometimes crashes the runtime of Go 1.26
+	// A delay of 0 is skipped: with -race, a zero timer in a synctest bubble sometimes crashes the runtime of Go 1.26.
+	if queueDelay > 0 {
 		system.Sleep(r.Context(), queueDelay)
 	}
 	if down {
@@ -123,11 +126,12 @@
 	json.NewEncoder(w).Encode(response)
 }
 
-// callSignals end the wait of an open call. They are taken when the call arrives.
+// callSignals are the channels that end the wait of an open call. They are read from the service when the call arrives.
 type callSignals struct{ silenced, reset, changed <-chan struct{} }
 
-// awaitChange keeps an open call waiting for a change of the list. It reports whether the call is to be answered. A
-// silenced call waits until its client gives up; the connection of a reset call is closed by a panic.
+// awaitChange makes a call wait until the list changes or the wait time has passed. It reports whether the call should
+// be answered. A silenced call waits until its client gives up. For a reset call, awaitChange panics, which closes the
+// connection.
 func (s *scriptedDiscovery) awaitChange(
 	ctx context.Context,
 	call int,
@@ -135,12 +139,12 @@
 	signals callSignals,
 ) (answer bool) {
 	s.addOpen(1)
-	var isDone, isReset, isSilenced bool
+	var isCancelled, isReset, isSilenced bool
 	select {
 	case <-time.After(wait):
 	case <-signals.changed:
 	case <-ctx.Done():
-		isDone = true
+		isCancelled = true
 	case <-signals.reset:
 		isReset = true
 	case <-signals.silenced:
@@ -148,13 +152,13 @@
 	}
 	s.addOpen(-1)
 	switch {
-	case isDone:
+	case isCancelled:
 		return false
 	case isReset:
 		panic(http.ErrAbortHandler)
 	case isSilenced:
 		s.mu.Lock()
-		s.calls[call].silent = true
+		s.calls[call].silenced = true
 		s.mu.Unlock()
 		<-ctx.Done()
 		return false
@@ -162,7 +166,7 @@
 	return true
 }
 
-// drainEndpoint has the endpoint drain, and answers the open calls with the change.
+// drainEndpoint changes the endpoint's health to draining, which answers the open calls.
 func (s *scriptedDiscovery) drainEndpoint() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -171,7 +175,7 @@
 	s.changed = make(chan struct{})
 }
 
-// setResponsive sets whether calls are answered from now on.
+// setResponsive sets whether calls that arrive from now on are answered.
 func (s *scriptedDiscovery) setResponsive(responsive bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -185,18 +189,19 @@
 	s.openReply = text
 }
 
-// pendingReplies returns a number that is 0 once all malformed replies and the open reply were sent.
+// pendingReplies returns the number of malformed replies that have not been sent, plus the length of the reply to the
+// open call if that has not been sent. It returns 0 once all have been sent.
 func (s *scriptedDiscovery) pendingReplies() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return len(s.malformedReplies) + len(s.openReply)
 }
 
-// resetConnections ends the connections of all open calls.
+// resetConnections resets the connections of all open calls.
 func (s *scriptedDiscovery) resetConnections() {
 	s.mu.Lock()
-	close(s.resetting)
-	s.resetting = make(chan struct{})
+	close(s.reset)
+	s.reset = make(chan struct{})
 	s.mu.Unlock()
 	synctest.Wait()
 }
@@ -205,15 +210,15 @@
 func (s *scriptedDiscovery) addOpen(n int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.open += n
+	s.openCalls += n
 }
 
-// awaitOpenCall waits until a call waits for a change.
+// awaitOpenCall returns once at least one call waits for a change.
 func (s *scriptedDiscovery) awaitOpenCall() {
 	for {
 		synctest.Wait()
 		s.mu.Lock()
-		waiting := s.open > 0
+		waiting := s.openCalls > 0
 		s.mu.Unlock()
 		if waiting {
 			return
@@ -222,11 +227,11 @@
 	}
 }
 
-// silenceOpenCalls prevents all open calls from being answered and returns the last of them.
+// silenceOpenCalls leaves all open calls unanswered and returns the latest call received.
 func (s *scriptedDiscovery) silenceOpenCalls() recordedCall {
 	s.mu.Lock()
-	close(s.silencing)
-	s.silencing = make(chan struct{})
+	close(s.silence)
+	s.silence = make(chan struct{})
 	s.mu.Unlock()
 	synctest.Wait()
 	s.mu.Lock()
@@ -234,24 +239,25 @@
 	return s.calls[len(s.calls)-1]
 }
 
-// newScriptedDiscovery starts a discovery that lists one endpoint, and returns how to dial it.
-func newScriptedDiscovery(t *testing.T) (*scriptedDiscovery, dialer) {
+// newScriptedDiscovery starts a discovery service that lists one endpoint, and returns it with its dial function. The
+// service runs until the test ends.
+func newScriptedDiscovery(t *testing.T) (*scriptedDiscovery, dialFunc) {
 	t.Helper()
-	listener := newPipes()
-	dir := &scriptedDiscovery{
-		list:      completeList(1, ready("s-1", "127.0.0.1:1")),
-		silencing: make(chan struct{}),
-		resetting: make(chan struct{}),
-		changed:   make(chan struct{}),
+	listener := newPipeListener()
+	service := &scriptedDiscovery{
+		list:    completeList(1, ready("s-1", "127.0.0.1:1")),
+		silence: make(chan struct{}),
+		reset:   make(chan struct{}),
+		changed: make(chan struct{}),
 	}
-	server := &http.Server{Handler: dir, ErrorLog: slog.NewLogLogger(slog.DiscardHandler, slog.LevelError)}
+	server := &http.Server{Handler: service, ErrorLog: slog.NewLogLogger(slog.DiscardHandler, slog.LevelError)}
 	go server.Serve(listener)
 	t.Cleanup(func() {
 		server.Close()
 		listener.Close()
 	})
-	return dir, listener.dial
+	return service, listener.dial
 }
 
-// dialer dials in place of net.Dialer.DialContext.
-type dialer = func(ctx context.Context, network, address string) (net.Conn, error)
+// dialFunc is a replacement for net.Dialer.DialContext.
+type dialFunc = func(ctx context.Context, network, address string) (net.Conn, error)
--- a/internal/sidecar/slot.go
+++ b/internal/sidecar/slot.go
@@ -10,10 +10,10 @@
 
 const (
 	slotPollInterval = 100 * time.Millisecond
-	heapTenths       = 8 // tenths of the memory limit for the Go heap: the runtime does not count all memory
+	heapTenths       = 8 // tenths of the memory limit that the Go heap may use; the runtime does not count all memory
 )
 
-// acquireSlot takes a slot among the processes of this sidecar. If none is to be had for now, followPeers retries.
+// acquireSlot acquires a slot among the processes of this sidecar. If that fails, followPeers retries.
 func (s *server) acquireSlot(ctx context.Context, dir string) {
 	var slot *handover.Slot
 	err := system.RetryAtStart(ctx, func() (err error) {
@@ -27,12 +27,12 @@
 	s.slot.Store(slot)
 }
 
-// followPeers watches the other processes of this sidecar until ctx ends. It shares the sidecar's limits with them,
-// and marks this process as ready once it knows an endpoint.
+// followPeers watches the other processes of this sidecar until ctx ends. It limits this process to its share of the
+// sidecar's limits, and marks this process as ready once an endpoint is ready.
 func (s *server) followPeers(ctx context.Context, dir string) {
 	tick := time.NewTicker(slotPollInterval)
 	defer tick.Stop()
-	markedReady, processes := false, 1
+	markedReady, processCount := false, 1
 	for {
 		if s.slot.Load() == nil {
 			if slot, err := handover.AcquireSlot(dir); err == nil {
@@ -40,13 +40,14 @@
 			}
 		}
 		if slot := s.slot.Load(); slot != nil {
-			if alive, _ := slot.Peers(); alive+1 != processes {
-				processes = alive + 1
-				s.setProcesses(processes)
-				s.log.Info("processes of this sidecar", "count", processes)
+			if alive, _ := slot.Peers(); alive+1 != processCount {
+				processCount = alive + 1
+				s.setProcessCount(processCount)
+				s.log.Info("processes of this sidecar", "count", processCount)
 			}
-			if !markedReady && s.loop.endpointsKnown.Load() {
-				markedReady = slot.MarkReady() == nil // a full disk may take it later
+			if !markedReady && s.loop.hasReadyEndpoint.Load() {
+				// If this fails, for example because the disk is full, the next round retries.
+				markedReady = slot.MarkReady() == nil
 			}
 		}
 		select {
@@ -57,7 +58,7 @@
 	}
 }
 
-// hasPeer reports whether another process of this sidecar runs.
+// hasPeer reports whether another process of this sidecar is running.
 func (s *server) hasPeer() bool {
 	slot := s.slot.Load()
 	if slot == nil {
@@ -67,8 +68,8 @@
 	return alive > 0
 }
 
-// replaced reports whether another process serves the clients that come from now on.
-func (s *server) replaced() bool {
+// hasReadyPeer reports whether another process of this sidecar is ready and thus serves new clients.
+func (s *server) hasReadyPeer() bool {
 	slot := s.slot.Load()
 	if slot == nil {
 		return false
@@ -77,29 +78,29 @@
 	return ready > 0
 }
 
-// setProcesses limits this process to one of n equal parts of the sidecar's limits.
-func (s *server) setProcesses(n int) {
+// setProcessCount limits this process to one of count equal parts of the sidecar's limits.
+func (s *server) setProcessCount(count int) {
 	s.limitsMu.Lock()
 	defer s.limitsMu.Unlock()
-	s.processes = n
+	s.processCount = count
 	s.applyLimits()
 }
 
-// reapplyLimits applies limits that a new configuration has changed.
+// reapplyLimits applies the limits of a new configuration.
 func (s *server) reapplyLimits() {
 	s.limitsMu.Lock()
 	defer s.limitsMu.Unlock()
 	s.applyLimits()
 }
 
-// applyLimits sets this process's part of the limits in force. The caller holds limitsMu.
+// applyLimits limits this process to its part of the limits in force. The caller must hold limitsMu.
 func (s *server) applyLimits() {
-	cfg, n := s.loop.current.Load(), s.processes
-	connections := max(minConnections, (cfg.Limits.Sockets/n-reservedSockets)/2)
-	s.clients.SetLimits(connections, cfg.Limits.Sockets/crowdedDivisor/n)
+	cfg, processCount := s.loop.current.Load(), s.processCount
+	connections := max(minConnections, (cfg.Limits.Sockets/processCount-reservedSockets)/2)
+	s.clients.SetLimits(connections, cfg.Limits.Sockets/usedConnectionsDivisor/processCount)
 	s.loop.upstream.SetMaxConnections(connections)
-	s.loop.upstream.BodyMemory.Limit.Store(int64(cfg.Limits.MemoryMB) << 20 / bodyMemoryDivisor / int64(n))
+	s.loop.upstream.BodyMemory.Limit.Store(int64(cfg.Limits.MemoryMB) << 20 / bodyMemoryDivisor / int64(processCount))
 	if limit := cfg.Host.LimitMemory; limit != nil {
-		limit(int64(cfg.Limits.MemoryMB) << 20 / 10 * heapTenths / int64(n))
+		limit(int64(cfg.Limits.MemoryMB) << 20 / 10 * heapTenths / int64(processCount))
 	}
 }
--- a/internal/sidecartest/handlers.go
+++ b/internal/sidecartest/handlers.go
@@ -7,34 +7,34 @@
 	"strings"
 )
 
-// Responses of endpoints, as bytes on the wire.
+// Responses of endpoints, as they are sent on the wire.
 const (
-	// Served is a response with the body "done".
-	Served = "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\ndone"
+	// ServedResponse is a response with the body "done".
+	ServedResponse = "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\ndone"
 
-	// Failing is a response to a request that failed, and may have run.
-	Failing = "HTTP/1.1 500 Internal Server Error\r\nContent-Length: 0\r\n\r\n"
+	// FailedResponse is a response to a request that failed; the endpoint may have executed it.
+	FailedResponse = "HTTP/1.1 500 Internal Server Error\r\nContent-Length: 0\r\n\r\n"
 
-	// Rejected is a response to a request that was rejected, and has not run.
-	Rejected = "HTTP/1.1 503 Service Unavailable\r\nX-Unprocessed: 1\r\nContent-Length: 0\r\n\r\n"
+	// RejectedResponse is a response to a request that the endpoint rejected without executing it.
+	RejectedResponse = "HTTP/1.1 503 Service Unavailable\r\nX-Unprocessed: 1\r\nContent-Length: 0\r\n\r\n"
 )
 
-// Always returns a Handler that writes the same response to every request.
-func Always(response string) Handler {
+// AlwaysRespond returns a Handler that writes the same response to every request.
+func AlwaysRespond(response string) Handler {
 	return func(e *Endpoint, conn net.Conn, in *bufio.Reader) {
-		for e.Next(in) != nil {
+		for e.ReadRequest(in) != nil {
 			io.WriteString(conn, response)
 		}
 	}
 }
 
-// FirstThen returns a Handler that writes one response to the endpoint's first request, over all connections, and
-// another to the others.
-func FirstThen(first, others string) Handler {
+// RespondFirstThen returns a Handler that writes the response first to the endpoint's first request, counted over all
+// connections, and the response others to all other requests.
+func RespondFirstThen(first, others string) Handler {
 	return func(e *Endpoint, conn net.Conn, in *bufio.Reader) {
-		for e.Next(in) != nil {
+		for e.ReadRequest(in) != nil {
 			response := others
-			if requests, _ := e.Seen(); requests == 1 {
+			if requests, _ := e.Counts(); requests == 1 {
 				response = first
 			}
 			io.WriteString(conn, response)
@@ -42,28 +42,28 @@
 	}
 }
 
-// BlockAll returns a Handler that serves each request after a receive from release.
+// BlockAll returns a Handler that serves each request only after it has received from release.
 func BlockAll(release <-chan struct{}) Handler { return blockPaths("", release) }
 
-// BlockPay returns a Handler that serves every request, but those whose path begins with /pay only after a receive from
-// release.
+// BlockPay returns a Handler that serves requests whose path begins with /pay only after it has received from release,
+// and all other requests immediately.
 func BlockPay(release <-chan struct{}) Handler { return blockPaths("/pay", release) }
 
-// blockPaths returns a Handler that serves requests whose path has a prefix after a receive from release, and others at
-// once.
+// blockPaths returns a Handler that serves requests whose path begins with prefix only after it has received from
+// release, and all other requests immediately.
 func blockPaths(prefix string, release <-chan struct{}) Handler {
 	return func(e *Endpoint, conn net.Conn, in *bufio.Reader) {
-		for r := e.Next(in); r != nil; r = e.Next(in) {
+		for r := e.ReadRequest(in); r != nil; r = e.ReadRequest(in) {
 			if strings.HasPrefix(r.RequestURI, prefix) {
 				<-release
 			}
-			io.WriteString(conn, Served)
+			io.WriteString(conn, ServedResponse)
 		}
 	}
 }
 
-// Silent is a Handler that reads requests and writes nothing.
-func Silent(e *Endpoint, _ net.Conn, in *bufio.Reader) {
-	for e.Next(in) != nil {
+// NeverRespond is a Handler that reads requests and never responds.
+func NeverRespond(e *Endpoint, _ net.Conn, in *bufio.Reader) {
+	for e.ReadRequest(in) != nil {
 	}
 }
--- a/internal/upstream/pool_test.go
+++ b/internal/upstream/pool_test.go
@@ -20,8 +20,8 @@
 func TestStaleIdleConnectionIsReplaced(t *testing.T) {
 	closed := make(chan struct{}, 2)
 	e := sidecartest.NewEndpoint(t, func(e *sidecartest.Endpoint, conn net.Conn, in *bufio.Reader) {
-		e.Next(in)
-		io.WriteString(conn, sidecartest.Served)
+		e.ReadRequest(in)
+		io.WriteString(conn, sidecartest.ServedResponse)
 		conn.Close()
 		closed <- struct{}{}
 	})
@@ -42,7 +42,7 @@
 // Idle connections are closed before the endpoint's own idle timeout, both by an attempt
 // that would use one and by Prune.
 func TestIdleConnectionsExpireBeforeEndpointClosesThem(t *testing.T) {
-	e := sidecartest.NewEndpoint(t, sidecartest.Always(sidecartest.Served))
+	e := sidecartest.NewEndpoint(t, sidecartest.AlwaysRespond(sidecartest.ServedResponse))
 	u, endpoint := newTestClient(t, 4), &Endpoint{Address: e.Address}
 	if limit := 5 * time.Second; u.maxIdleTime > limit*4/5 {
 		t.Errorf("the maximum idle time is %v, want at most 4/5 of the endpoint's %v", u.maxIdleTime, limit)
@@ -56,7 +56,7 @@
 	mustSucceed()
 	u.idle[endpoint][0].idleSince = time.Now().Add(-u.maxIdleTime)
 	mustSucceed()
-	if _, conns := e.Seen(); conns != 2 {
+	if _, conns := e.Counts(); conns != 2 {
 		t.Errorf("%d connections, want 2: a second one after the maximum idle time", conns)
 	}
 	u.Prune()
@@ -77,8 +77,8 @@
 // The number of open connections is limited. To open one to another endpoint, the pool closes an idle connection, but
 // not a connection that is in use.
 func TestOpenConnectionsAreLimited(t *testing.T) {
-	quick := sidecartest.NewEndpoint(t, sidecartest.Always(sidecartest.Served))
-	slow := sidecartest.NewEndpoint(t, sidecartest.Silent)
+	quick := sidecartest.NewEndpoint(t, sidecartest.AlwaysRespond(sidecartest.ServedResponse))
+	slow := sidecartest.NewEndpoint(t, sidecartest.NeverRespond)
 	u := newTestClient(t, 1)
 	if r := getOnce(context.Background(), u, &Endpoint{Address: quick.Address}, "/"); r.Status != balancer.OK {
 		t.Fatalf("first request: status %v, want OK", r.Status)
@@ -86,7 +86,7 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	slowResult := make(chan Result)
 	go func() { slowResult <- getOnce(ctx, u, &Endpoint{Address: slow.Address}, "/") }()
-	sidecartest.Await(t, "the slow endpoint's request", func() bool { n, _ := slow.Seen(); return n == 1 })
+	sidecartest.Await(t, "the slow endpoint's request", func() bool { n, _ := slow.Counts(); return n == 1 })
 	if r := getOnce(context.Background(), u, &Endpoint{Address: quick.Address}, "/"); r.Status != balancer.NotSent {
 		t.Errorf("request beyond the limit: status %v, want NotSent", r.Status)
 	}
@@ -137,7 +137,7 @@
 		u := newTestClient(t, maxOpen)
 		var all []weak.Pointer[conn]
 		for range endpoints {
-			e := sidecartest.NewEndpoint(t, sidecartest.Always(sidecartest.Served))
+			e := sidecartest.NewEndpoint(t, sidecartest.AlwaysRespond(sidecartest.ServedResponse))
 			endpoint := &Endpoint{Address: e.Address}
 			if r := getOnce(t.Context(), u, endpoint, "/"); r.Status != balancer.OK {
 				t.Fatalf("%s: status %v, want OK", c.name, r.Status)
