--- a/internal/sidecar/admin_test.go
+++ b/internal/sidecar/admin_test.go
@@ -18,28 +18,29 @@
 	"oakproxy/internal/sidecartest"
 )
 
-// startAdmin serves admin calls for a running sidecar, with its operators' state in dir. It returns the address.
-func (w *harness) startAdmin(dir string) string {
-	w.t.Helper()
-	listener, err := admin.Listen(w.t.Context(), "127.0.0.1:0")
+// startAdmin serves admin calls for a running sidecar, which keeps its operator state in dir. It returns the address
+// that it serves them on.
+func (h *harness) startAdmin(dir string) string {
+	h.t.Helper()
+	listener, err := admin.Listen(h.t.Context(), "127.0.0.1:0")
 	if err != nil {
-		w.t.Fatal(err)
+		h.t.Fatal(err)
 	}
-	w.t.Cleanup(func() { listener.Close() })
-	store := w.server.newOperatorStore()
+	h.t.Cleanup(func() { listener.Close() })
+	store := h.server.newOperatorStore()
 	store.Directory = dir
-	go admin.NewServer(w.server, store, w.server.log).Serve(w.loop.ctx, listener)
+	go admin.NewServer(h.server, store, h.server.log).Serve(h.loop.ctx, listener)
 	return listener.Addr().String()
 }
 
-// cordoned reports whether the endpoint s-1 is cordoned by operators.
-func (w *harness) cordoned() (cordoned bool) {
-	w.t.Helper()
-	w.runInLoop(func() { cordoned = w.loop.endpoints.overrides["s-1"].Cordoned })
+// cordoned reports whether an operator's override cordons the endpoint s-1.
+func (h *harness) cordoned() (cordoned bool) {
+	h.t.Helper()
+	h.runInLoop(func() { cordoned = h.loop.endpoints.overrides["s-1"].Cordoned })
 	return cordoned
 }
 
-// rawCall sends text to an address and returns all that it reads until the connection ends.
+// rawCall sends text to an address on a new connection and returns everything that it reads until the connection ends.
 func rawCall(t *testing.T, address, text string) string {
 	t.Helper()
 	conn, err := net.Dial("tcp", address)
@@ -51,12 +52,12 @@
 	io.WriteString(conn, text)
 	got, err := io.ReadAll(conn)
 	if timedOut(err) {
-		t.Errorf("got %q and no end of the connection", got)
+		t.Errorf("got %q and a timeout, want the end of the connection", got)
 	}
 	return string(got)
 }
 
-// callStatus makes one call and returns its status.
+// callStatus makes one HTTP call without a body and returns the status of the response.
 func callStatus(t *testing.T, method, address, path string) int {
 	t.Helper()
 	r, err := http.NewRequest(method, "http://"+address+path, nil)
@@ -73,11 +74,12 @@
 	return response.StatusCode
 }
 
-// An invalid call is rejected with the reason, and its connection carries one response.
+// An invalid admin call gets an error status. Its connection carries at most one response, even if another
+// call follows.
 func TestAdminRejectsInvalidCalls(t *testing.T) {
 	e := newServingEndpoint(t)
-	w := start(t, nil, ready("s-1", e.Address))
-	address := w.startAdmin(t.TempDir())
+	h := start(t, nil, ready("s-1", e.Address))
+	address := h.startAdmin(t.TempDir())
 	for name, c := range map[string]struct{ text, want string }{
 		"health":       {"GET /admin/health HTTP/1.1\r\nHost: a\r\n\r\n", "HTTP/1.1 200"},
 		"two calls":    {strings.Repeat("GET /admin/health HTTP/1.1\r\nHost: a\r\n\r\n", 2), "HTTP/1.1 200"},
@@ -95,21 +97,22 @@
 			t.Parallel()
 			got := rawCall(t, address, c.text)
 			if !strings.HasPrefix(got, c.want) && got != "" ||
-				strings.Count(got, "HTTP/1.1") > 1 { // a reset may discard the response
+				strings.Count(got, "HTTP/1.1") > 1 { // a reset may discard the response, so that nothing was read
 				t.Errorf("got %q, want %s", got, c.want)
 			}
 			if c.want == "HTTP/1.1 200" && got == "" {
-				t.Error("a valid call got no response")
+				t.Error("a valid call: got no response, want 200")
 			}
 		})
 	}
 }
 
-// Connections on which callers stay silent delay no other call: the one that has been silent longest is closed.
+// Callers that connect and send nothing must not delay other calls: beyond the connection limit, the connection that
+// has been silent longest is closed.
 func TestAdminAnswersDespiteSilentCallers(t *testing.T) {
 	e := newServingEndpoint(t)
-	w := start(t, nil, ready("s-1", e.Address))
-	address := w.startAdmin(t.TempDir())
+	h := start(t, nil, ready("s-1", e.Address))
+	address := h.startAdmin(t.TempDir())
 	for range 3 * admin.MaxConnections {
 		conn, err := net.Dial("tcp", address)
 		if err != nil {
@@ -126,24 +129,25 @@
 	}
 }
 
-// Health fails before the sidecar knows endpoints, and once it shuts down.
+// The health call gets 503 until the sidecar knows endpoints, and again once the sidecar shuts down.
 func TestAdminHealthFollowsReadiness(t *testing.T) {
 	e := newServingEndpoint(t)
-	w := &harness{t: t, discovery: newFakeDiscovery(t)}
-	w.launch(configure(t, w.discovery.address, nil))
-	address := w.startAdmin(t.TempDir())
+	h := &harness{t: t, discovery: newFakeDiscovery(t)}
+	h.launch(configure(t, h.discovery.address, nil))
+	address := h.startAdmin(t.TempDir())
 	health := func() int { return callStatus(t, http.MethodGet, address, "/admin/health") }
 	if got := health(); got != http.StatusServiceUnavailable {
 		t.Errorf("without endpoints: got %d, want 503", got)
 	}
-	w.discovery.change(func() {
-		w.discovery.list = completeList(1, ready("s-1", e.Address))
+	h.discovery.change(func() {
+		h.discovery.list = completeList(1, ready("s-1", e.Address))
 	})
-	w.await("health", func() bool { return health() == http.StatusOK })
-	w.stop()
-	w.await("unhealthy", func() bool { return health() == http.StatusServiceUnavailable })
+	h.await("the health call to get 200", func() bool { return health() == http.StatusOK })
+	h.stop()
+	h.await("the health call to get 503", func() bool { return health() == http.StatusServiceUnavailable })
 }
 
+// An admin address that is malformed or cannot be listened on is an error, which names the key admin_addr.
 func TestInvalidAdminAddressFailsTheStart(t *testing.T) {
 	for _, address := range []string{"9100", "127.0.0.1"} {
 		if err := config.CheckAdminAddress(address); err == nil || !strings.Contains(err.Error(), "admin_addr") {
@@ -156,14 +160,14 @@
 	}
 }
 
-// Once the call that cordons an endpoint is answered, the endpoint gets no request, whatever discovery lists, until it
-// is uncordoned.
-func TestCordonByAdminCalls(t *testing.T) {
+// Once the call that cordons an endpoint is answered, the endpoint gets no request until it is uncordoned, even if
+// discovery lists a restart of it, or removes it and lists it again.
+func TestCordonedEndpointGetsNoRequest(t *testing.T) {
 	e := newServingEndpoint(t)
-	w := start(t, nil, ready("s-1", e.Address))
+	h := start(t, nil, ready("s-1", e.Address))
 	dir := t.TempDir()
-	address := w.startAdmin(dir)
-	read := func() int { return w.send(w.request("read", "", time.Minute)).code }
+	address := h.startAdmin(dir)
+	read := func() int { return h.send(h.request("read", "", time.Minute)).code }
 	for _, c := range []struct {
 		method, path string
 		want         int
@@ -184,7 +188,7 @@
 	if got := read(); got != 200 {
 		t.Fatalf("before the cordon: got %d, want 200", got)
 	}
-	for range 2 { // the second changes nothing
+	for range 2 { // the second call changes nothing
 		if got := callStatus(t, "POST", address, "/admin/cordon?name=s-1"); got != 200 {
 			t.Fatalf("cordon: got %d, want 200", got)
 		}
@@ -194,10 +198,10 @@
 	}
 	restarted := ready("s-1", e.Address)
 	restarted.StartUnixMS = time.Now().UnixMilli()
-	w.discovery.change(func() { w.discovery.list = completeList(1, restarted) })
-	w.await("the restarted endpoint", func() bool {
+	h.discovery.change(func() { h.discovery.list = completeList(1, restarted) })
+	h.await("the restarted endpoint to be listed", func() bool {
 		var started int64
-		w.runInLoop(func() { started = w.loop.endpoints.byID[w.loop.endpoints.ids["s-1"]].entry.StartUnixMS })
+		h.runInLoop(func() { started = h.loop.endpoints.byID[h.loop.endpoints.ids["s-1"]].entry.StartUnixMS })
 		return started == restarted.StartUnixMS
 	})
 	if got := read(); got != 503 {
@@ -205,15 +209,15 @@
 	}
 	// Neither a list without the endpoint nor one that names it again ends the cordon.
 	for version, entries := range map[uint64][]discovery.Entry{2: {}, 3: {restarted}} {
-		w.discovery.change(func() { w.discovery.list = completeList(version, entries...) })
+		h.discovery.change(func() { h.discovery.list = completeList(version, entries...) })
 	}
 	if got := callStatus(t, "POST", address, "/admin/cordon?name=s-1"); got != 200 {
 		t.Errorf("cordon of an endpoint that may be removed: got %d, want 200", got)
 	}
-	w.discovery.change(func() { w.discovery.list = completeList(4, restarted) })
-	w.await("the endpoint to be listed", func() bool {
+	h.discovery.change(func() { h.discovery.list = completeList(4, restarted) })
+	h.await("the endpoint to be listed", func() bool {
 		var listed bool
-		w.runInLoop(func() { listed = w.loop.endpoints.ids["s-1"] != 0 })
+		h.runInLoop(func() { listed = h.loop.endpoints.ids["s-1"] != 0 })
 		return listed
 	})
 	if got := read(); got != 503 {
@@ -225,10 +229,11 @@
 	if got := callStatus(t, "POST", address, "/admin/uncordon?name=s-1"); got != 200 {
 		t.Errorf("uncordon: got %d, want 200", got)
 	}
-	w.await("a request to be served", func() bool { return read() == 200 })
+	h.await("a request to be served", func() bool { return read() == 200 })
 }
 
-// An override that is set in one process applies in the other, and in one that starts later.
+// An override that an operator sets in one process of the sidecar also applies in its other processes, and in one that
+// starts later.
 func TestOperatorStateIsSharedAndOutlivesAProcess(t *testing.T) {
 	e := newServingEndpoint(t)
 	dir := t.TempDir()
@@ -238,7 +243,7 @@
 		t.Fatalf("got %d, want 200", got)
 	}
 	if !first.cordoned() {
-		t.Error("the override does not apply in the process that answered the call")
+		t.Error("the cordon of s-1 does not apply in the process that answered the call")
 	}
 	first.await("the override in the other process", func() bool { return second.cordoned() })
 	third := &harness{t: t, discovery: first.discovery}
@@ -253,15 +258,15 @@
 	})
 }
 
-// Stored overrides apply before the first request.
+// Stored overrides apply before the first request. Otherwise a new process could send requests to a cordoned endpoint.
 func TestOperatorStateIsLoadedBeforeTheStart(t *testing.T) {
 	e := newServingEndpoint(t)
 	dir := t.TempDir()
-	w := start(t, nil, ready("s-1", e.Address))
-	if got := callStatus(t, "POST", w.startAdmin(dir), "/admin/cordon?name=s-1"); got != 200 {
+	h := start(t, nil, ready("s-1", e.Address))
+	if got := callStatus(t, "POST", h.startAdmin(dir), "/admin/cordon?name=s-1"); got != 200 {
 		t.Fatalf("got %d, want 200", got)
 	}
-	l, err := newLoop(t.Context(), configure(t, w.discovery.address, nil, ready("s-1", e.Address)), w.loop.log)
+	l, err := newLoop(t.Context(), configure(t, h.discovery.address, nil, ready("s-1", e.Address)), h.loop.log)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -270,20 +275,20 @@
 	store.Directory = dir
 	s.restoreOperatorState(t.Context(), store)
 	if !l.endpoints.overrides["s-1"].Cordoned {
-		t.Error("the stored override does not apply")
+		t.Error("the stored cordon of s-1 does not apply")
 	}
 }
 
-// A damaged state file is ignored, and the next call replaces it. If it cannot be written, the call fails and changes
-// nothing.
+// A damaged state file is ignored, and the next call replaces it. If the file cannot be written, the call fails with
+// 500 and changes nothing.
 func TestDamagedAndUnwritableOperatorState(t *testing.T) {
 	e := newServingEndpoint(t)
-	w := start(t, nil, ready("s-1", e.Address))
+	h := start(t, nil, ready("s-1", e.Address))
 	dir := t.TempDir()
 	path := filepath.Join(dir, operatorstate.FileName)
-	address := w.startAdmin(dir)
+	address := h.startAdmin(dir)
 	valid := `{"version":1,"sidecar":"n0","hosts":[{"host":"s-1","out":true}]}`
-	cordoned := func() bool { return w.cordoned() }
+	cordoned := func() bool { return h.cordoned() }
 	for name, text := range map[string]string{
 		"truncated":     valid[:30],
 		"empty":         "",
@@ -302,7 +307,7 @@
 	if err := os.WriteFile(path, []byte(valid), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	w.await("the override of a valid file", cordoned)
+	h.await("the override of a valid file", cordoned)
 	if err := os.WriteFile(path, []byte(valid[:30]), 0o600); err != nil {
 		t.Fatal(err)
 	}
@@ -310,21 +315,21 @@
 		t.Fatal(err)
 	}
 	if got := callStatus(t, "POST", address, "/admin/uncordon?name=s-1"); got != 500 || !cordoned() {
-		t.Errorf("without its directory: got %d, cordoned %v, want 500, true", got, cordoned())
+		t.Errorf("without the state directory: got %d, cordoned %v, want 500, true", got, cordoned())
 	}
 }
 
-// A drain by operators moves clients to other sidecars without losing a request, and resuming ends it. Repeated calls
-// change nothing.
-func TestOperatorDrain(t *testing.T) {
-	answer := make(chan struct{})
-	e := sidecartest.NewEndpoint(t, sidecartest.BlockPay(answer))
-	w := start(t, nil, ready("s-1", e.Address))
-	address := w.startAdmin(t.TempDir())
-	readiness := func() int { return callStatus(t, "GET", strings.TrimPrefix(w.url, "http://"), "/health/ready") }
-	exchange := func(conn net.Conn, in *bufio.Reader) *http.Response {
+// A drain by operators makes clients move to other sidecars without losing a request: the sidecar reports that it is
+// not ready, and ends connections. The resume call ends the drain. Repeated calls change nothing.
+func TestOperatorDrainLosesNoRequest(t *testing.T) {
+	release := make(chan struct{})
+	e := sidecartest.NewEndpoint(t, sidecartest.BlockPay(release))
+	h := start(t, nil, ready("s-1", e.Address))
+	address := h.startAdmin(t.TempDir())
+	readiness := func() int { return callStatus(t, "GET", strings.TrimPrefix(h.url, "http://"), "/health/ready") }
+	sendRead := func(conn net.Conn, in *bufio.Reader) *http.Response {
 		t.Helper()
-		w.request("read", "", time.Minute).Write(conn)
+		h.request("read", "", time.Minute).Write(conn)
 		response, err := http.ReadResponse(in, nil)
 		if err != nil || response.StatusCode != http.StatusOK {
 			t.Fatalf("got %v, %v, want 200", response, err)
@@ -332,14 +337,14 @@
 		io.Copy(io.Discard, response.Body)
 		return response
 	}
-	used, silent := w.dial(), w.dial()
+	used, silent := h.dial(), h.dial()
 	in := bufio.NewReader(used)
-	if exchange(used, in).Close {
+	if sendRead(used, in).Close {
 		t.Error("a response before the drain closes its connection")
 	}
 	pending := make(chan reply)
-	go func() { pending <- w.send(w.request("pay", "x", time.Minute)) }()
-	w.awaitRequests(e, 2)
+	go func() { pending <- h.send(h.request("pay", "x", time.Minute)) }()
+	h.awaitRequests(e, 2)
 	for range 2 {
 		if got := callStatus(t, "POST", address, "/admin/quiesce"); got != 200 {
 			t.Fatalf("quiesce: got %d, want 200", got)
@@ -352,16 +357,16 @@
 		}
 	}
 	// New connections are accepted, for one request each.
-	late := w.dial()
-	if !exchange(late, bufio.NewReader(late)).Close {
+	late := h.dial()
+	if !sendRead(late, bufio.NewReader(late)).Close {
 		t.Error("a response while drained keeps its connection open")
 	}
 	for name, c := range map[string]io.Reader{"used": in, "silent": silent} {
 		if _, err := c.Read(make([]byte, 1)); err != io.EOF {
-			t.Errorf("the %s connection: got %v, want its end", name, err)
+			t.Errorf("the %s connection: got %v, want io.EOF", name, err)
 		}
 	}
-	close(answer)
+	close(release)
 	if got := <-pending; got.code != 200 || got.body != "done" {
 		t.Errorf("the request in flight: got %+v, want 200", got)
 	}
@@ -373,10 +378,10 @@
 			t.Errorf("readiness after the drain: got %d, want 200", got)
 		}
 	}
-	resumed := w.dial()
+	resumed := h.dial()
 	in = bufio.NewReader(resumed)
 	for range 2 {
-		if exchange(resumed, in).Close {
+		if sendRead(resumed, in).Close {
 			t.Error("a response after the drain closes its connection")
 		}
 	}
--- a/internal/sidecar/clients_test.go
+++ b/internal/sidecar/clients_test.go
@@ -17,50 +17,51 @@
 	"oakproxy/internal/sidecartest"
 )
 
-// dial opens a connection to the sidecar that fails after WaitTimeout.
-func (w *harness) dial() net.Conn {
-	w.t.Helper()
-	conn, err := net.Dial("tcp", strings.TrimPrefix(w.url, "http://"))
+// dial opens a connection to the sidecar. Its reads and writes fail once WaitTimeout has passed.
+func (h *harness) dial() net.Conn {
+	h.t.Helper()
+	conn, err := net.Dial("tcp", strings.TrimPrefix(h.url, "http://"))
 	if err != nil {
-		w.t.Fatal(err)
+		h.t.Fatal(err)
 	}
-	w.t.Cleanup(func() { conn.Close() })
+	h.t.Cleanup(func() { conn.Close() })
 	conn.SetDeadline(time.Now().Add(sidecartest.WaitTimeout))
 	return conn
 }
 
-// raw sends text on a new connection and returns all that it reads until the connection ends.
-func (w *harness) raw(text string) string {
-	w.t.Helper()
-	conn := w.dial()
+// sendRaw sends text on a new connection and returns everything that it reads until the connection ends.
+func (h *harness) sendRaw(text string) string {
+	h.t.Helper()
+	conn := h.dial()
 	io.WriteString(conn, text)
 	got, err := io.ReadAll(conn)
 	if timedOut(err) {
-		w.t.Errorf("got %q and no end of the connection", got)
+		h.t.Errorf("got %q and a timeout, want the end of the connection", got)
 	}
 	return string(got)
 }
 
-// A request whose body is framed in two ways can smuggle another one. It is rejected by its head, and nothing after the
-// head is read as a request. net/http does not show the second framing to its handlers.
+// A request with both Content-Length and Transfer-Encoding can hide (smuggle) another request in its body. The sidecar
+// rejects it as soon as it has read the head, and reads nothing after the head as a request. A handler cannot detect
+// such a request by itself: net/http does not show it the second framing.
 func TestRequestSmuggledInABodyIsNotServed(t *testing.T) {
 	e := newServingEndpoint(t)
-	w := start(t, nil, ready("s-1", e.Address))
-	hidden := sidecartest.ReadHead + "X-Correlation-Id: 2\r\n\r\n"
-	body := "0\r\n\r\n" + hidden
+	h := start(t, nil, ready("s-1", e.Address))
+	smuggled := sidecartest.ReadHead + "X-Correlation-Id: 2\r\n\r\n"
+	body := "0\r\n\r\n" + smuggled
 	for name, head := range map[string]string{
 		"length first":  fmt.Sprintf("Content-Length: %d\r\nTransfer-Encoding: chunked\r\n", len(body)),
 		"coding first":  fmt.Sprintf("Transfer-Encoding: chunked\r\nContent-Length: %d\r\n", len(body)),
 		"in lower case": fmt.Sprintf("transfer-encoding:chunked\ncontent-length:%d\n", len(body)),
 	} {
-		got := w.raw(sidecartest.PayHead + "X-Correlation-Id: 1\r\n" + head + "\r\n" + body)
+		got := h.sendRaw(sidecartest.PayHead + "X-Correlation-Id: 1\r\n" + head + "\r\n" + body)
 		if strings.Count(got, "HTTP/1.1") != 1 || !strings.HasPrefix(got, "HTTP/1.1 400") ||
 			!strings.Contains(got, "Transfer-Encoding") {
 			t.Errorf("%s: got %q, want one 400 that names Transfer-Encoding", name, got)
 		}
 	}
-	// After a request net/http skips empty lines.
-	conn := w.dial()
+	// net/http skips empty lines between two requests, so such a request may also follow an empty line.
+	conn := h.dial()
 	in := bufio.NewReader(conn)
 	io.WriteString(conn, sidecartest.PayHead+"X-Correlation-Id: 3\r\nContent-Length: 2\r\n\r\nok")
 	if response, err := http.ReadResponse(in, nil); err != nil || response.StatusCode != http.StatusOK {
@@ -79,16 +80,17 @@
 	}
 }
 
-// A request with a chunked body is served. Its connection ends with the response, as does one with a pipelined request.
+// A request with a chunked body is served, and its connection ends with the response. If another request is pipelined
+// behind the first, only the first is served, and the connection ends, too.
 func TestChunkedAndPipelinedRequests(t *testing.T) {
 	e := newServingEndpoint(t)
-	w := start(t, nil, ready("s-1", e.Address))
+	h := start(t, nil, ready("s-1", e.Address))
 	for name, text := range map[string]string{
 		"chunked": sidecartest.PayHead + "X-Correlation-Id: 1\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nbody\r\n0\r\n\r\n",
 		"pipelined": sidecartest.PayHead + "X-Correlation-Id: 2\r\nContent-Length: 4\r\n\r\nbody" +
 			sidecartest.ReadHead + "X-Correlation-Id: 3\r\n\r\n",
 	} {
-		got := w.raw(text)
+		got := h.sendRaw(text)
 		if strings.Count(got, "HTTP/1.1") != 1 || !strings.HasPrefix(got, "HTTP/1.1 200") {
 			t.Errorf("%s: got %q, want one 200", name, got)
 		}
@@ -103,10 +105,10 @@
 	}
 }
 
-// An invalid request is rejected before its body is read, or its connection is closed.
+// An invalid request is rejected before its body is read, or its connection is closed. It reaches no endpoint.
 func TestInvalidRequestsAreRejected(t *testing.T) {
 	e := newServingEndpoint(t)
-	w := start(t, nil, ready("s-1", e.Address))
+	h := start(t, nil, ready("s-1", e.Address))
 	for name, c := range map[string]struct{ text, want string }{
 		"length beyond the limit": {sidecartest.PayHead + "X-Correlation-Id: 1\r\n" +
 			"Content-Length: 3000000000\r\n\r\n", "HTTP/1.1 413"},
@@ -123,7 +125,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			if got := w.raw(c.text); !strings.HasPrefix(got, c.want) && got != "" { // a reset may discard the response
+			if got := h.sendRaw(c.text); !strings.HasPrefix(got, c.want) && got != "" { // a reset may discard the response
 				t.Errorf("got %q, want %s", got, c.want)
 			}
 		})
@@ -135,15 +137,16 @@
 	})
 }
 
-// A client that is rejected while it sends its body can finish sending, within the limit, and then reads its response
-// rather than a reset, also if it sends Connection: close.
+// A client may be rejected while it is still sending its body. It can finish sending within downstream.MaxLinger and
+// then read its response, also if it sent Connection: close. If the sidecar closed the connection early, the remaining
+// body would cause a reset, and the response might be lost.
 func TestClientRejectedWhileSendingReadsItsResponse(t *testing.T) {
 	e := newServingEndpoint(t)
-	w := start(t, nil, ready("s-1", e.Address))
+	h := start(t, nil, ready("s-1", e.Address))
 	for _, c := range []struct {
 		name, head string
 		size, code int
-		noMemory   bool
+		noMemory   bool // the memory for bodies is used up
 	}{
 		{"too large", sidecartest.PayHead + "X-Correlation-Id: 1\r\n",
 			httpmsg.MaxBodyBytes + 1, http.StatusRequestEntityTooLarge, false},
@@ -152,11 +155,11 @@
 		{"no memory", sidecartest.PayHead + "X-Correlation-Id: 3\r\n",
 			httpmsg.MaxBufferedBytes, http.StatusServiceUnavailable, true},
 	} {
-		reservedBefore := w.loop.upstream.BodyMemory.Used.Load()
+		reservedBefore := h.loop.upstream.BodyMemory.Used.Load()
 		if c.noMemory {
-			w.loop.upstream.BodyMemory.Used.Add(int64(w.loop.cfg.Limits.MemoryMB) << 20)
+			h.loop.upstream.BodyMemory.Used.Add(int64(h.loop.cfg.Limits.MemoryMB) << 20)
 		}
-		conn := w.dial()
+		conn := h.dial()
 		in := bufio.NewReader(conn)
 		fmt.Fprintf(conn, "%sConnection: close\r\nContent-Length: %d\r\n\r\nx", c.head, c.size)
 		response, err := http.ReadResponse(in, nil)
@@ -164,7 +167,8 @@
 			t.Errorf("%s: got %v, %v, want %d", c.name, response, err, c.code)
 			continue
 		}
-		// A peer that has closed its connection resets it upon the first piece.
+		// If the sidecar had closed the connection, the first piece would cause a reset and the second write
+		// would fail.
 		for _, piece := range []int{1, c.size - 2} {
 			if _, err := io.WriteString(conn, strings.Repeat("x", piece)); err != nil {
 				t.Errorf("%s: sending the remaining body: %v", c.name, err)
@@ -174,10 +178,10 @@
 			t.Errorf("%s: reading to the end of the connection: %v", c.name, err)
 		}
 		if c.noMemory {
-			w.loop.upstream.BodyMemory.Used.Add(-int64(w.loop.cfg.Limits.MemoryMB) << 20)
+			h.loop.upstream.BodyMemory.Used.Add(-int64(h.loop.cfg.Limits.MemoryMB) << 20)
 		}
-		if reserved := w.loop.upstream.BodyMemory.Used.Load(); reserved != reservedBefore {
-			t.Errorf("%s: got %d bytes still reserved, want none", c.name, reserved-reservedBefore)
+		if reserved := h.loop.upstream.BodyMemory.Used.Load(); reserved != reservedBefore {
+			t.Errorf("%s: got %d bytes of body memory still reserved, want none", c.name, reserved-reservedBefore)
 		}
 	}
 	if n, _ := e.Seen(); n != 0 {
@@ -185,16 +189,16 @@
 	}
 }
 
-// Connections of clients that send nothing, send too slowly or stop sending are closed in time. They may stay open for
-// up to 3 s, so each limit must be at most 2.9 s.
+// Clients that send nothing, send too slowly or stop sending must not hold connections. Such a connection may stay open
+// for at most 3 s, so readTimeout and idleTimeout must not exceed 2.9 s.
 func TestIdleAndSlowClientsAreClosed(t *testing.T) {
 	for _, limit := range []time.Duration{readTimeout, idleTimeout} {
 		if limit < 2*time.Second || limit > 2900*time.Millisecond {
-			t.Errorf("got a limit of %v, want 2 s to 2.9 s", limit)
+			t.Errorf("got a timeout of %v, want 2 s to 2.9 s", limit)
 		}
 	}
 	e := newServingEndpoint(t)
-	w := start(t, nil, ready("s-1", e.Address))
+	h := start(t, nil, ready("s-1", e.Address))
 	for name, c := range map[string]struct{ text, want string }{
 		"nothing":     {"", ""},
 		"half a head": {sidecartest.PayHead, ""},
@@ -203,15 +207,15 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			if got := w.raw(c.text); !strings.HasPrefix(got, c.want) {
+			if got := h.sendRaw(c.text); !strings.HasPrefix(got, c.want) {
 				t.Errorf("got %q, want %q", got, c.want)
 			}
 		})
 	}
 }
 
-// The read deadline must be cleared once a request is read: net/http ends a request's context when it passes, as if the
-// client had disconnected.
+// The read deadline must be cleared once a request is read. Otherwise net/http cancels the request's context when the
+// deadline passes, as if the client had disconnected, and a later response is lost.
 func TestResponseLaterThanTheReadTimeout(t *testing.T) {
 	t.Parallel()
 	e := sidecartest.NewEndpoint(t, func(e *sidecartest.Endpoint, conn net.Conn, in *bufio.Reader) {
@@ -220,127 +224,127 @@
 			io.WriteString(conn, sidecartest.Served)
 		}
 	})
-	w := start(t, nil, ready("s-1", e.Address))
+	h := start(t, nil, ready("s-1", e.Address))
 	for class, body := range map[string]string{"read": "", "pay": "x"} {
-		if got := w.send(w.request(class, body, time.Minute)); got.code != http.StatusOK {
+		if got := h.send(h.request(class, body, time.Minute)); got.code != http.StatusOK {
 			t.Errorf("%s: got %+v, want 200", class, got)
 		}
 	}
 }
 
-// A request is rejected while another one with its correlation id is in flight.
+// A request is rejected with 409 while another one with the same X-Correlation-Id is in flight, and served afterwards.
 func TestDuplicateCorrelationIDIsRejected(t *testing.T) {
-	answer := make(chan struct{})
-	e := sidecartest.NewEndpoint(t, sidecartest.BlockAll(answer))
-	w := start(t, nil, ready("s-1", e.Address))
-	first, duplicate := make(chan reply), w.request("pay", "", time.Minute)
-	go func() { first <- w.send(duplicate.Clone(context.Background())) }()
-	w.awaitRequests(e, 1)
-	if got := w.send(duplicate.Clone(context.Background())); got.code != http.StatusConflict {
+	release := make(chan struct{})
+	e := sidecartest.NewEndpoint(t, sidecartest.BlockAll(release))
+	h := start(t, nil, ready("s-1", e.Address))
+	first, duplicate := make(chan reply), h.request("pay", "", time.Minute)
+	go func() { first <- h.send(duplicate.Clone(context.Background())) }()
+	h.awaitRequests(e, 1)
+	if got := h.send(duplicate.Clone(context.Background())); got.code != http.StatusConflict {
 		t.Errorf("the duplicate: got %+v, want 409", got)
 	}
-	close(answer)
+	close(release)
 	if got := <-first; got.code != http.StatusOK {
 		t.Errorf("the first request: got %+v, want 200", got)
 	}
-	if got := w.send(duplicate); got.code != http.StatusOK {
+	if got := h.send(duplicate); got.code != http.StatusOK {
 		t.Errorf("after the first request: got %+v, want 200", got)
 	}
 }
 
-// Silent connections must neither block new ones nor use up the descriptors that attempts need: beyond the limit the
-// one that has been silent longest is closed, but none with a request in flight.
+// Silent connections must neither block new ones nor use up the descriptors that attempts need. Beyond the connection
+// limit, the connection that has been silent longest is closed. One with a request in flight stays open.
 func TestClientConnectionsAreLimited(t *testing.T) {
-	answer := make(chan struct{})
-	e := sidecartest.NewEndpoint(t, sidecartest.BlockPay(answer))
-	w := start(t, nil, ready("s-1", e.Address))
+	release := make(chan struct{})
+	e := sidecartest.NewEndpoint(t, sidecartest.BlockPay(release))
+	h := start(t, nil, ready("s-1", e.Address))
 	first := make(chan reply)
-	go func() { first <- w.send(w.request("pay", "x", time.Minute)) }()
-	w.awaitRequests(e, 1)
-	w.await("other connections to end", func() bool { return w.server.clients.Count() == 1 })
-	oldest := w.dial()
-	w.await("the oldest connection", func() bool { return w.server.clients.Count() == 2 })
-	for range w.server.clients.MaxConnections - 2 {
-		w.dial()
+	go func() { first <- h.send(h.request("pay", "x", time.Minute)) }()
+	h.awaitRequests(e, 1)
+	h.await("other connections to end", func() bool { return h.server.clients.Count() == 1 })
+	oldest := h.dial()
+	h.await("the oldest connection to be accepted", func() bool { return h.server.clients.Count() == 2 })
+	for range h.server.clients.MaxConnections - 2 {
+		h.dial()
 	}
-	w.await("the limit of connections", func() bool {
-		return w.server.clients.Count() == w.server.clients.MaxConnections
+	h.await("the connection limit to be reached", func() bool {
+		return h.server.clients.Count() == h.server.clients.MaxConnections
 	})
-	if got := w.send(w.request("read", "", 3*time.Second)); got.code != http.StatusOK {
+	if got := h.send(h.request("read", "", 3*time.Second)); got.code != http.StatusOK {
 		t.Errorf("beyond the limit: got %+v, want 200", got)
 	}
 	if _, err := oldest.Read(make([]byte, 1)); err == nil {
-		t.Error("the longest silent connection has data, want its end")
+		t.Error("the connection that was silent longest: got data, want its end")
 	} else if timedOut(err) {
-		t.Error("the longest silent connection stays open")
+		t.Error("the connection that was silent longest is still open")
 	}
-	if n := w.server.clients.Count(); n > w.server.clients.MaxConnections {
-		t.Errorf("got %d connections, want at most %d", n, w.server.clients.MaxConnections)
+	if n := h.server.clients.Count(); n > h.server.clients.MaxConnections {
+		t.Errorf("got %d connections, want at most %d", n, h.server.clients.MaxConnections)
 	}
-	close(answer)
+	close(release)
 	if got := <-first; got.code != http.StatusOK {
 		t.Errorf("the request in flight: got %+v, want 200", got)
 	}
 }
 
-// Clients that send one request and keep the connection must not use up all connections: beyond a limit of used ones, a
-// response closes its connection.
+// Clients that send one request and keep the connection must not use up all connections. While more connections than
+// MaxUsed have carried a request, each response closes its connection.
 func TestResponsesCloseConnectionsWhenCrowded(t *testing.T) {
 	e := newServingEndpoint(t)
-	w := start(t, nil, ready("s-1", e.Address))
-	w.await("other connections to end", func() bool { return w.server.clients.Count() == 0 })
-	const maxUsed = 3 // low enough for all requests to arrive before a connection reaches its idle timeout
-	limit, _ := w.server.clients.Limits()
-	w.server.clients.SetLimits(limit, maxUsed)
+	h := start(t, nil, ready("s-1", e.Address))
+	h.await("other connections to end", func() bool { return h.server.clients.Count() == 0 })
+	const maxUsed = 3 // so low that all requests arrive before a connection reaches its idle timeout
+	limit, _ := h.server.clients.Limits()
+	h.server.clients.SetLimits(limit, maxUsed)
 	for i := range maxUsed + 3 {
-		conn := w.dial()
-		w.request("read", "", time.Minute).Write(conn)
+		conn := h.dial()
+		h.request("read", "", time.Minute).Write(conn)
 		response, err := http.ReadResponse(bufio.NewReader(conn), nil)
 		if err != nil || response.StatusCode != http.StatusOK {
 			t.Fatalf("request %d: got %v, %v, want 200", i, response, err)
 		}
-		if want := i >= w.server.clients.MaxUsed; response.Close != want {
+		if want := i >= h.server.clients.MaxUsed; response.Close != want {
 			t.Fatalf("request %d: got Connection: close %v, want %v", i, response.Close, want)
 		}
 		if response.Close {
-			w.await("the end of the connection", func() bool {
-				return w.server.clients.Count() == w.server.clients.MaxUsed
+			h.await("the connection to be closed", func() bool {
+				return h.server.clients.Count() == h.server.clients.MaxUsed
 			})
 		}
 	}
 }
 
-// The memory for bodies is limited: a request beyond it is rejected before its body is read.
+// The memory for bodies is limited. A request that does not fit in it is rejected before its body is read.
 func TestBodyMemoryIsLimited(t *testing.T) {
 	e := newServingEndpoint(t)
-	w := start(t, nil, ready("s-1", e.Address))
-	w.loop.upstream.BodyMemory.Used.Add(int64(w.loop.cfg.Limits.MemoryMB) << 20 / bodyMemoryDivisor)
-	if got := w.send(w.request("pay", "x", 3*time.Second)); got.code != http.StatusServiceUnavailable ||
+	h := start(t, nil, ready("s-1", e.Address))
+	h.loop.upstream.BodyMemory.Used.Add(int64(h.loop.cfg.Limits.MemoryMB) << 20 / bodyMemoryDivisor)
+	if got := h.send(h.request("pay", "x", 3*time.Second)); got.code != http.StatusServiceUnavailable ||
 		got.header.Get("Retry-After") == "" {
-		t.Errorf("beyond the limit: got %+v, want 503 with Retry-After", got)
+		t.Errorf("body memory used up: got %+v, want 503 with Retry-After", got)
 	}
-	w.loop.upstream.BodyMemory.Used.Store(0)
-	if got := w.send(w.request("pay", "x", 3*time.Second)); got.code != http.StatusOK {
-		t.Errorf("with memory: got %+v, want 200", got)
+	h.loop.upstream.BodyMemory.Used.Store(0)
+	if got := h.send(h.request("pay", "x", 3*time.Second)); got.code != http.StatusOK {
+		t.Errorf("body memory free: got %+v, want 200", got)
 	}
-	w.awaitReleasedMemory()
+	h.awaitReleasedMemory()
 }
 
-// Idle clients may use all client connections while discovery is down. Once it recovers, its list applies and requests
-// are sent to the endpoints in it.
+// Idle clients may hold all client connections while discovery is down. They must leave enough descriptors for the
+// calls of discovery: once it recovers, its list applies and requests are sent to the endpoints in it.
 func TestIdleClientsDoNotStarveDiscovery(t *testing.T) {
 	first, second := newServingEndpoint(t), newServingEndpoint(t)
-	w := start(t, nil, ready("s-1", first.Address))
-	w.await("the watch", func() bool { return w.discovery.count() >= 2 })
-	w.discovery.change(func() { w.discovery.down = true })
-	// Clients that reconnect as soon as their connection is closed.
+	h := start(t, nil, ready("s-1", first.Address))
+	h.await("the watch to begin", func() bool { return h.discovery.count() >= 2 })
+	h.discovery.change(func() { h.discovery.down = true })
+	// Each client reconnects soon after the sidecar has closed its connection.
 	stop, stopped := make(chan struct{}), make(chan struct{})
-	n := w.server.clients.MaxConnections + 2*downstream.MaxRejected
-	for range n {
+	clientCount := h.server.clients.MaxConnections + 2*downstream.MaxRejected
+	for range clientCount {
 		go func() {
 			defer func() { stopped <- struct{}{} }()
 			for {
-				conn, err := net.Dial("tcp", strings.TrimPrefix(w.url, "http://"))
+				conn, err := net.Dial("tcp", strings.TrimPrefix(h.url, "http://"))
 				if err != nil {
 					t.Error(err)
 					return
@@ -353,38 +357,39 @@
 					}
 					conn.Close()
 				}()
-				conn.Read(make([]byte, 1)) // until the sidecar closes it
+				conn.Read(make([]byte, 1)) // returns when the sidecar closes the connection
 				close(closed)
 				select {
 				case <-stop:
 					return
-				case <-time.After(10 * time.Millisecond): // limits the rate of all clients together
+				case <-time.After(10 * time.Millisecond): // limits the rate of new connections
 				}
 			}
 		}()
 	}
-	w.await("the limit of connections", func() bool {
-		return w.server.clients.Count() >= w.server.clients.MaxConnections
+	h.await("the connection limit to be reached", func() bool {
+		return h.server.clients.Count() >= h.server.clients.MaxConnections
 	})
-	w.discovery.change(func() {
-		w.discovery.down = false
-		w.discovery.list = completeList(1, ready("s-2", second.Address))
+	h.discovery.change(func() {
+		h.discovery.down = false
+		h.discovery.list = completeList(1, ready("s-2", second.Address))
 	})
-	w.await("a request at the new endpoint", func() bool {
-		w.send(w.request("read", "", 3*time.Second))
+	h.await("a request at the new endpoint", func() bool {
+		h.send(h.request("read", "", 3*time.Second))
 		requests, _ := second.Seen()
 		return requests > 0
 	})
-	limit := w.loop.cfg.Limits.Sockets
-	descriptors := 2*w.server.clients.MaxConnections + downstream.MaxRejected + admin.MaxConnections + 4
+	limit := h.loop.cfg.Limits.Sockets
+	descriptors := 2*h.server.clients.MaxConnections + downstream.MaxRejected + admin.MaxConnections + 4
 	if descriptors > limit {
-		t.Errorf("got limits that allow %d descriptors, want at most %d", descriptors, limit)
+		t.Errorf("the limits on connections allow %d descriptors, want at most %d, the limit on sockets",
+			descriptors, limit)
 	}
-	if open := w.server.clients.Count(); open > w.server.clients.MaxConnections+downstream.MaxRejected {
-		t.Errorf("got %d client connections, want at most %d", open, w.server.clients.MaxConnections+downstream.MaxRejected)
+	if open := h.server.clients.Count(); open > h.server.clients.MaxConnections+downstream.MaxRejected {
+		t.Errorf("got %d client connections, want at most %d", open, h.server.clients.MaxConnections+downstream.MaxRejected)
 	}
 	close(stop)
-	for range n {
+	for range clientCount {
 		<-stopped
 	}
 }
--- a/internal/sidecar/discovery_test.go
+++ b/internal/sidecar/discovery_test.go
@@ -17,8 +17,8 @@
 	"oakproxy/internal/upstream"
 )
 
-// count returns how many list updates of a kind the balancer has received.
-func (s *balancerRecorder) count(kind balancer.ListUpdate) (n int) {
+// countLists returns the number of list updates of a kind that the balancer has received.
+func (s *balancerRecorder) countLists(kind balancer.ListUpdate) (n int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, recorded := range s.lists {
@@ -29,43 +29,43 @@
 	return n
 }
 
-// longWaits makes calls to discovery wait longer than a test takes: 11 to 15 s.
-func longWaits(cfg *config.Config) { cfg.DiscoveryWait = 15 * time.Second }
+// withLongDiscoveryWait makes calls of discovery wait longer than a test takes: 11 to 15 s, because of the jitter.
+func withLongDiscoveryWait(cfg *config.Config) { cfg.DiscoveryWait = 15 * time.Second }
 
-// The watch resumes from the known version, 0 included: without a version, discovery would send the complete list each
-// time and never wait.
+// The watch resumes from the known version, even if that is 0. Discovery answers a call without a version with the
+// complete list at once, so the watch would never wait for a change.
 func TestWatchResumesFromTheKnownVersion(t *testing.T) {
 	e := newServingEndpoint(t)
-	w := startWith(t, nil, longWaits, ready("s-1", e.Address))
-	w.await("the waiting call", func() bool { return w.discovery.count() == 2 })
-	w.discovery.mu.Lock()
-	calls := slices.Clone(w.discovery.calls)
-	w.discovery.mu.Unlock()
+	h := startWith(t, nil, withLongDiscoveryWait, ready("s-1", e.Address))
+	h.await("the waiting call", func() bool { return h.discovery.count() == 2 })
+	h.discovery.mu.Lock()
+	calls := slices.Clone(h.discovery.calls)
+	h.discovery.mu.Unlock()
 	if calls[0] != "after=0&wait_ms=0" || !regexp.MustCompile(`^after=0&wait_ms=1[1-5]\d{3}$`).MatchString(calls[1]) {
-		t.Errorf("got calls %q, want one that does not wait and one that waits 11 to 15 s, after version 0", calls)
+		t.Errorf("got calls %q, want one with wait_ms=0 and one that waits 11 to 15 s, both after version 0", calls)
 	}
 	// A change reaches the balancer; the next call asks for newer versions.
 	second := newServingEndpoint(t)
-	w.discovery.change(func() {
-		w.discovery.list = completeList(7, ready("s-2", second.Address))
+	h.discovery.change(func() {
+		h.discovery.list = completeList(7, ready("s-2", second.Address))
 	})
-	w.await("the call after the change", func() bool { return w.discovery.count() == 3 })
-	w.await("the change", func() bool { return w.recorder.count(balancer.ListFull) == 1 })
-	if got := w.send(w.request("pay", "x", 3*time.Second)); got.code != http.StatusOK {
+	h.await("the call after the change", func() bool { return h.discovery.count() == 3 })
+	h.await("the changed list at the balancer", func() bool { return h.recorder.countLists(balancer.ListFull) == 1 })
+	if got := h.send(h.request("pay", "x", 3*time.Second)); got.code != http.StatusOK {
 		t.Errorf("got %+v, want 200", got)
 	}
 	if n, _ := second.Seen(); n != 1 {
 		t.Errorf("the endpoint of the new list got %d requests, want 1", n)
 	}
-	w.discovery.mu.Lock()
-	defer w.discovery.mu.Unlock()
-	if last := w.discovery.calls[2]; !strings.HasPrefix(last, "after=7&wait_ms=1") {
+	h.discovery.mu.Lock()
+	defer h.discovery.mu.Unlock()
+	if last := h.discovery.calls[2]; !strings.HasPrefix(last, "after=7&wait_ms=1") {
 		t.Errorf("the call after the change: got %q, want one after version 7", last)
 	}
 }
 
-// While discovery is down or sends malformed lists, the balancer is notified and the last list stays in use. Once
-// discovery recovers, its list replaces the last one.
+// While discovery is down or sends malformed lists, the balancer is notified of each failed call and the last list
+// stays in use. Once discovery recovers, its list replaces the last one.
 func TestDiscoveryOutageAndRecovery(t *testing.T) {
 	for name, malformed := range map[string]string{
 		"down":          "",
@@ -79,20 +79,20 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			e, second := newServingEndpoint(t), newServingEndpoint(t)
-			w := start(t, nil, ready("s-1", e.Address))
-			w.await("the watch", func() bool { return w.discovery.count() >= 2 })
-			w.discovery.change(func() { w.discovery.down, w.discovery.malformed = malformed == "", malformed })
-			// The open call fails, and so do those after it.
-			w.await("two failures", func() bool { return w.recorder.count(balancer.ListFailed) >= 2 })
-			if got := w.send(w.request("pay", "x", 3*time.Second)); got.code != http.StatusOK {
+			h := start(t, nil, ready("s-1", e.Address))
+			h.await("the watch to begin", func() bool { return h.discovery.count() >= 2 })
+			h.discovery.change(func() { h.discovery.down, h.discovery.malformed = malformed == "", malformed })
+			// The open call fails, and so do the calls after it.
+			h.await("two failures", func() bool { return h.recorder.countLists(balancer.ListFailed) >= 2 })
+			if got := h.send(h.request("pay", "x", 3*time.Second)); got.code != http.StatusOK {
 				t.Errorf("without discovery: got %+v, want 200", got)
 			}
-			w.discovery.change(func() {
-				w.discovery.down, w.discovery.malformed = false, ""
-				w.discovery.list = completeList(1, ready("s-2", second.Address))
+			h.discovery.change(func() {
+				h.discovery.down, h.discovery.malformed = false, ""
+				h.discovery.list = completeList(1, ready("s-2", second.Address))
 			})
-			w.await("the new list", func() bool { return w.recorder.count(balancer.ListFull) >= 1 })
-			if got := w.send(w.request("pay", "x", 3*time.Second)); got.code != http.StatusOK {
+			h.await("the new list", func() bool { return h.recorder.countLists(balancer.ListFull) >= 1 })
+			if got := h.send(h.request("pay", "x", 3*time.Second)); got.code != http.StatusOK {
 				t.Errorf("after recovery: got %+v, want 200", got)
 			}
 			if n, _ := second.Seen(); n != 1 {
@@ -102,41 +102,41 @@
 	}
 }
 
-// An unusable entry invalidates neither the other entries of its list nor the drains in it. Nothing more is sent to the
-// endpoint that it names, which may no longer be ready.
+// An unusable entry must not invalidate its list: the other entries, including drains, still apply. If the unusable
+// entry names an endpoint, no more requests are sent there, because the endpoint may no longer be ready.
 func TestUnusableEntryDoesNotInvalidateTheList(t *testing.T) {
 	e := newServingEndpoint(t)
-	readyEntry, draining := entry("s-1", "Ready", e.Address), entry("s-2", "Terminating", e.Address)
+	readyEntry, draining := entryJSON("s-1", "Ready", e.Address), entryJSON("s-2", "Terminating", e.Address)
 	for name, c := range map[string]struct {
 		text     string
 		unusable int
-		targets  string // names of endpoints that may get requests, of s-1, s-2 and s-3, all ready before
+		targets  string // names of s-1, s-2 and s-3 that keep a target, unless the list is complete
 	}{
-		"unknown state":      {entry("s-3", "Paused", e.Address), 1, "s-1"},
-		"no address":         {entry("s-3", "Ready", "nowhere"), 1, "s-1"},
+		"unknown state":      {entryJSON("s-3", "Paused", e.Address), 1, "s-1"},
+		"no address":         {entryJSON("s-3", "Ready", "nowhere"), 1, "s-1"},
 		"wrong type":         {`{"host":"s-3","dial":"` + e.Address + `","health":"Ready","born_ms":"noon"}`, 1, "s-1"},
 		"out of range":       {`{"host":"s-3","dial":"` + e.Address + `","health":"Ready","block":70000}`, 1, "s-1"},
 		"not an object":      {`"s-3"`, 1, "s-1 s-3"},
 		"no name":            {`{"dial":"` + e.Address + `","health":"Ready"}`, 1, "s-1 s-3"},
 		"name of wrong type": {`{"host":3,"dial":"` + e.Address + `","health":"Ready"}`, 1, "s-1 s-3"},
-		"two entries":        {entry("s-3", "Paused", "") + `,null`, 2, "s-1"},
+		"two entries":        {entryJSON("s-3", "Paused", "") + `,null`, 2, "s-1"},
 	} {
 		for _, complete := range []bool{false, true} {
 			t.Run(fmt.Sprintf("%s, complete %v", name, complete), func(t *testing.T) {
-				w := start(t, nil, ready("s-1", e.Address), ready("s-2", e.Address), ready("s-3", e.Address))
-				w.await("the watch", func() bool { return w.discovery.count() >= 2 })
-				w.discovery.change(func() {
-					w.discovery.list.Version = 9
-					w.discovery.malformed = fmt.Sprintf(
+				h := start(t, nil, ready("s-1", e.Address), ready("s-2", e.Address), ready("s-3", e.Address))
+				h.await("the watch to begin", func() bool { return h.discovery.count() >= 2 })
+				h.discovery.change(func() {
+					h.discovery.list.Version = 9
+					h.discovery.malformed = fmt.Sprintf(
 						`{"seq":9,"whole":%v,"hosts":[%s,%s,%s]}`, complete, readyEntry, c.text, draining)
 				})
 				var targets []string
 				var version uint64
-				w.await("the list", func() bool {
-					w.runInLoop(func() {
-						targets, version = nil, w.loop.watcher.position.CurrentVersion
-						for name, id := range w.loop.endpoints.ids {
-							if w.loop.endpoints.byID[id].target != nil {
+				h.await("version 9 of the list to apply", func() bool {
+					h.runInLoop(func() {
+						targets, version = nil, h.loop.watcher.position.CurrentVersion
+						for name, id := range h.loop.endpoints.ids {
+							if h.loop.endpoints.byID[id].target != nil {
 								targets = append(targets, name)
 							}
 						}
@@ -152,7 +152,7 @@
 					t.Errorf("got targets %q, want %q", got, want)
 				}
 				var list discovery.List
-				if err := json.Unmarshal([]byte(w.discovery.malformed), &list); err != nil || list.Unusable != c.unusable ||
+				if err := json.Unmarshal([]byte(h.discovery.malformed), &list); err != nil || list.Unusable != c.unusable ||
 					list.FirstError == nil {
 					t.Errorf("got %d unusable entries (%v, %v), want %d", list.Unusable, list.FirstError, err, c.unusable)
 				}
@@ -161,64 +161,64 @@
 	}
 }
 
-// entry returns the text of an entry.
-func entry(name, health, dial string) string {
-	return fmt.Sprintf(`{"host":%q,"dial":%q,"site":"a","class":"m1","health":%q,"share":1}`, name, dial, health)
+// entryJSON returns the JSON text of an entry of an endpoint list.
+func entryJSON(name, health, address string) string {
+	return fmt.Sprintf(`{"host":%q,"dial":%q,"site":"a","class":"m1","health":%q,"share":1}`, name, address, health)
 }
 
-// With pushed lists the balancer does not subscribe: the sidecar watches its agent by itself, and resumes after a
-// failure.
+// With pushed lists, the balancer does not subscribe to discovery. The sidecar watches its agent by itself, and resumes
+// the watch after a failure.
 func TestPushedListsAreWatchedWithoutSubscription(t *testing.T) {
 	e, second := newServingEndpoint(t), newServingEndpoint(t)
-	w := start(t, func(s map[string]any) { s["discovery"] = "automatic" }, ready("s-1", e.Address))
-	w.await("the watch", func() bool { return w.discovery.count() >= 2 })
-	w.discovery.change(func() { w.discovery.down = true })
-	w.await("the failure", func() bool { return w.recorder.count(balancer.ListFailed) >= 1 })
-	w.discovery.change(func() {
-		w.discovery.down = false
-		w.discovery.list = completeList(3, ready("s-2", second.Address))
+	h := start(t, func(s map[string]any) { s["discovery"] = "automatic" }, ready("s-1", e.Address))
+	h.await("the watch to begin", func() bool { return h.discovery.count() >= 2 })
+	h.discovery.change(func() { h.discovery.down = true })
+	h.await("a failed call of discovery", func() bool { return h.recorder.countLists(balancer.ListFailed) >= 1 })
+	h.discovery.change(func() {
+		h.discovery.down = false
+		h.discovery.list = completeList(3, ready("s-2", second.Address))
 	})
-	w.await("the new list", func() bool { return w.recorder.count(balancer.ListFull) >= 1 })
+	h.await("the new list", func() bool { return h.recorder.countLists(balancer.ListFull) >= 1 })
 }
 
 // A sidecar that knows no endpoint is not ready until discovery has listed one.
 func TestReadyWithTheFirstEndpointList(t *testing.T) {
 	e := newServingEndpoint(t)
-	w := &harness{t: t, discovery: newFakeDiscovery(t)}
-	w.discovery.down = true
-	w.launch(configure(t, w.discovery.address, nil))
+	h := &harness{t: t, discovery: newFakeDiscovery(t)}
+	h.discovery.down = true
+	h.launch(configure(t, h.discovery.address, nil))
 	status := func() int {
-		response, err := http.Get(w.url + "/health/ready")
+		response, err := http.Get(h.url + "/health/ready")
 		if err != nil {
 			return 0
 		}
 		response.Body.Close()
 		return response.StatusCode
 	}
-	w.await("a first response", func() bool { return status() != 0 })
+	h.await("a first response", func() bool { return status() != 0 })
 	if code := status(); code != http.StatusServiceUnavailable {
 		t.Errorf("without any list: got %d, want 503", code)
 	}
-	w.discovery.change(func() {
-		w.discovery.down = false
-		w.discovery.list = completeList(1, ready("s-1", e.Address))
+	h.discovery.change(func() {
+		h.discovery.down = false
+		h.discovery.list = completeList(1, ready("s-1", e.Address))
 	})
-	w.await("ready", func() bool { return status() == http.StatusOK })
-	if first := w.discovery.calls[0]; first != "" {
+	h.await("ready", func() bool { return status() == http.StatusOK })
+	if first := h.discovery.calls[0]; first != "" {
 		t.Errorf("without any list: got first call %q, want one for the complete list", first)
 	}
 }
 
-// The attributes that discovery lists reach the balancer, and an endpoint keeps its id across lists. An endpoint that
-// has restarted gets a new target.
+// The attributes that discovery lists reach the balancer. An endpoint keeps its id across lists. An endpoint that has
+// restarted keeps its id, too, but gets a new target.
 func TestEndpointKeepsItsIDAcrossLists(t *testing.T) {
 	e := newServingEndpoint(t)
-	w := start(t, nil, ready("s-1", e.Address))
+	h := start(t, nil, ready("s-1", e.Address))
 	var before, after *upstream.Endpoint
-	w.runInLoop(func() { before = w.loop.endpoints.byID[1].target })
-	started := time.Now().UnixMilli() - 500
+	h.runInLoop(func() { before = h.loop.endpoints.byID[1].target })
+	startUnixMS := time.Now().UnixMilli() - 500
 	restarted := ready("s-1", e.Address)
-	restarted.StartUnixMS = started
+	restarted.StartUnixMS = startUnixMS
 	unknown := discovery.Entry{
 		Name:        "s-9",
 		Address:     "127.0.0.1:1",
@@ -228,15 +228,15 @@
 		Health:      "Terminating",
 	}
 	got := make(chan []balancer.Endpoint, 1)
-	w.runInLoop(func() {
-		w.loop.balancer = &listRecorder{decider: w.recorder, got: got}
-		w.loop.updateEndpoints(
-			w.loop.clock.now(),
+	h.runInLoop(func() {
+		h.loop.balancer = &listRecorder{decider: h.recorder, got: got}
+		h.loop.updateEndpoints(
+			h.loop.clock.now(),
 			balancer.ListDelta,
 			discovery.List{Version: 2, Entries: []discovery.Entry{restarted, unknown}},
 		)
-		w.loop.balancer = w.recorder
-		after = w.loop.endpoints.byID[1].target
+		h.loop.balancer = h.recorder
+		after = h.loop.endpoints.byID[1].target
 	})
 	entries := <-got
 	want := []balancer.Endpoint{
@@ -247,7 +247,7 @@
 			MachineKind: 0,
 			State:       balancer.Ready,
 			Weight:      1,
-			StartTime:   started * 1000,
+			StartTime:   startUnixMS * 1000,
 		},
 		{
 			ID:          2,
@@ -260,15 +260,15 @@
 	if !slices.Equal(entries, want) {
 		t.Errorf("got entries %+v, want %+v", entries, want)
 	}
-	if before == after || !w.loop.upstream.Retired(before) || w.loop.upstream.Retired(after) {
+	if before == after || !h.loop.upstream.Retired(before) || h.loop.upstream.Retired(after) {
 		t.Error("the endpoint that restarted kept its old target, want a new one")
 	}
-	if now := w.loop.clock.now(); entries[0].StartTime > now || now-entries[0].StartTime > time.Minute.Microseconds() {
+	if now := h.loop.clock.now(); entries[0].StartTime > now || now-entries[0].StartTime > time.Minute.Microseconds() {
 		t.Errorf("got start time %d at %d, want it within the last minute", entries[0].StartTime, now)
 	}
 }
 
-// listRecorder passes the entries that the balancer receives to a test.
+// listRecorder sends the entries of each list update to got before it passes the update to the balancer.
 type listRecorder struct {
 	decider
 	got chan []balancer.Endpoint
@@ -279,69 +279,70 @@
 	s.decider.HandleEndpoints(now, kind, entries)
 }
 
-// A new configuration moves the watch: the new discovery is called for its complete list, and later responses of the
-// old one are ignored. A request in flight is served.
+// A reload with another address of discovery moves the watch. The new discovery is called for its complete list, and
+// later responses of the old one are ignored. A request in flight is served.
 func TestReloadMovesTheWatchToTheNewDiscovery(t *testing.T) {
-	answer := make(chan struct{})
-	e := sidecartest.NewEndpoint(t, sidecartest.BlockAll(answer))
+	release := make(chan struct{})
+	e := sidecartest.NewEndpoint(t, sidecartest.BlockAll(release))
 	second := newServingEndpoint(t)
-	w := startWith(t, nil, longWaits, ready("s-1", e.Address))
-	w.await("the watch", func() bool { return w.discovery.count() == 2 })
+	h := startWith(t, nil, withLongDiscoveryWait, ready("s-1", e.Address))
+	h.await("the watch to begin", func() bool { return h.discovery.count() == 2 })
 	pending := make(chan reply)
-	go func() { pending <- w.send(w.request("pay", "x", time.Minute)) }()
-	w.awaitRequests(e, 1)
+	go func() { pending <- h.send(h.request("pay", "x", time.Minute)) }()
+	h.awaitRequests(e, 1)
 
-	old := w.discovery
+	old := h.discovery
 	for range 2 { // the watch can move repeatedly
 		moved := newFakeDiscovery(t, ready("s-2", second.Address))
-		next := *w.loop.cfg
+		next := *h.loop.cfg
 		next.DiscoveryAddress = moved.address
-		lists := w.recorder.count(balancer.ListFull)
-		w.runInLoop(func() { w.loop.reload(&next) })
-		w.await("the new list", func() bool { return w.recorder.count(balancer.ListFull) > lists })
+		lists := h.recorder.countLists(balancer.ListFull)
+		h.runInLoop(func() { h.loop.reload(&next) })
+		h.await("the list of the new discovery", func() bool { return h.recorder.countLists(balancer.ListFull) > lists })
 		moved.mu.Lock()
 		if first := moved.calls[0]; first != "" {
 			t.Errorf("got first call %q, want one for the complete list", first)
 		}
 		moved.mu.Unlock()
-		w.await("the new watch", func() bool { return moved.count() == 2 })
-		w.await("the end of the old client's connections", func() bool { return old.conns.Load() == 0 })
+		h.await("the watch of the new discovery", func() bool { return moved.count() == 2 })
+		h.await("the end of the old client's connections", func() bool { return old.conns.Load() == 0 })
 		old = moved
-		w.runInLoop(func() {
-			watch := w.loop.watcher.client
-			if w.loop.reload(&next); w.loop.watcher.client != watch {
-				t.Error("an equal configuration begins a new watch, want the same one")
+		h.runInLoop(func() {
+			watch := h.loop.watcher.client
+			if h.loop.reload(&next); h.loop.watcher.client != watch {
+				t.Error("a reload of an equal configuration began a new watch, want the same one")
 			}
 		})
 	}
-	if got := w.send(w.request("read", "", time.Minute)); got.code != http.StatusOK {
-		t.Errorf("by the new list: got %+v, want 200", got)
+	if got := h.send(h.request("read", "", time.Minute)); got.code != http.StatusOK {
+		t.Errorf("with the new list: got %+v, want 200", got)
 	}
 	if n, _ := second.Seen(); n != 1 {
 		t.Errorf("the endpoint of the new list got %d requests, want 1", n)
 	}
-	close(answer)
+	close(release)
 	if got := <-pending; got.code != http.StatusOK {
 		t.Errorf("the request in flight: got %+v, want 200", got)
 	}
 }
 
-// Endpoints are added and removed under new names all day. One that is removed is forgotten once no attempt is in
-// flight there. Its id is never reused, so that a late outcome is not attributed to another endpoint.
+// Endpoints are added and removed under new names all day, so the endpoint table would grow without limit. A removed
+// endpoint leaves the table once no attempt is in flight there. Its id is never reused, so that a late outcome is not
+// attributed to another endpoint.
 func TestRemovedEndpointsAreForgotten(t *testing.T) {
-	answer := make(chan struct{})
-	e := sidecartest.NewEndpoint(t, sidecartest.BlockAll(answer))
-	w := start(t, nil, ready("s-1", e.Address))
+	release := make(chan struct{})
+	e := sidecartest.NewEndpoint(t, sidecartest.BlockAll(release))
+	h := start(t, nil, ready("s-1", e.Address))
 	pending := make(chan reply)
-	go func() { pending <- w.send(w.request("pay", "x", time.Minute)) }()
-	w.awaitRequests(e, 1)
+	go func() { pending <- h.send(h.request("pay", "x", time.Minute)) }()
+	h.awaitRequests(e, 1)
 	update := func(complete bool, entries ...discovery.Entry) {
-		w.runInLoop(func() {
+		h.runInLoop(func() {
 			kind := balancer.ListDelta
 			if complete {
 				kind = balancer.ListFull
 			}
-			w.loop.updateEndpoints(w.loop.clock.now(), kind, discovery.List{Complete: complete, Entries: entries})
+			h.loop.updateEndpoints(h.loop.clock.now(), kind, discovery.List{Complete: complete, Entries: entries})
 		})
 	}
 	for i := range 50 {
@@ -351,26 +352,26 @@
 	gone.Health = "Gone"
 	update(false, gone)
 	update(false, gone)
-	w.runInLoop(func() {
-		endpoints := w.loop.endpoints
+	h.runInLoop(func() {
+		endpoints := h.loop.endpoints
 		if len(endpoints.byID) != 1 || len(endpoints.ids) != 1 || endpoints.byID[1] == nil {
 			t.Errorf("got %d endpoints and %d names, want the one with an attempt in flight",
 				len(endpoints.byID), len(endpoints.ids))
 		}
 	})
-	close(answer)
+	close(release)
 	if got := <-pending; got.code != http.StatusOK {
 		t.Errorf("the request in flight: got %+v, want 200", got)
 	}
-	w.runInLoop(func() {
-		endpoints := w.loop.endpoints
+	h.runInLoop(func() {
+		endpoints := h.loop.endpoints
 		if len(endpoints.byID) != 0 || len(endpoints.ids) != 0 {
 			t.Errorf("got %d endpoints and %d names, want none", len(endpoints.byID), len(endpoints.ids))
 		}
 	})
 	update(true, ready("s-1", e.Address))
-	w.runInLoop(func() {
-		if id := w.loop.endpoints.ids["s-1"]; id != 52 {
+	h.runInLoop(func() {
+		if id := h.loop.endpoints.ids["s-1"]; id != 52 {
 			t.Errorf("the endpoint that is listed again: got id %d, want a new one, 52", id)
 		}
 	})
--- a/internal/sidecar/extrabytes_test.go
+++ b/internal/sidecar/extrabytes_test.go
@@ -51,7 +51,7 @@
 		"a request": sidecartest.ReadHead + "X-Correlation-Id: 99\r\n\r\n",
 		"200 kB":    strings.Repeat("x", 200<<10),
 	} {
-		got := w.raw(
+		got := w.sendRaw(
 			sidecartest.ReadHead + "X-Correlation-Id: " + strings.ReplaceAll(name, " ", "") + "\r\n\r\n" + extra,
 		)
 		if strings.Count(got, "HTTP/1.1") != 1 || !strings.HasPrefix(got, "HTTP/1.1 200") ||
--- a/internal/sidecar/outage_test.go
+++ b/internal/sidecar/outage_test.go
@@ -14,12 +14,12 @@
 
 // outage is a way in which discovery becomes unreachable and recovers.
 type outage struct {
-	begin, end func(dir *scriptedDiscovery)
-	queueDelay time.Duration // of calls after the recovery, where the sidecar subscribes
+	begin, end func(service *scriptedDiscovery)
+	queueDelay time.Duration // how long discovery queues each call after it has recovered, if the sidecar subscribes
 }
 
-// set runs change under the lock.
-func (s *scriptedDiscovery) set(change func()) {
+// withLock runs change while it holds the lock of s.
+func (s *scriptedDiscovery) withLock(change func()) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	change()
@@ -27,74 +27,79 @@
 
 // setDown sets whether new calls are answered 503.
 func (s *scriptedDiscovery) setDown(down bool) {
-	s.set(func() { s.down = down })
+	s.withLock(func() { s.down = down })
 }
 
-// Ways in which an outage begins and ends.
+// Ways in which an outage begins and ends. silenceOnce leaves the open calls without an answer, and resetOnce resets
+// their connections; later calls are answered. While discovery refuses, new calls get 503, with delayed refusing after
+// 1 s. While it hangs, new calls are never answered.
 var (
-	silenceOnce = func(dir *scriptedDiscovery) { dir.silenceOpenCalls() }
-	resetOnce   = func(dir *scriptedDiscovery) { dir.resetConnections() }
-	nothing     = func(*scriptedDiscovery) {}
+	silenceOnce = func(service *scriptedDiscovery) { service.silenceOpenCalls() }
+	resetOnce   = func(service *scriptedDiscovery) { service.resetConnections() }
+	doNothing   = func(*scriptedDiscovery) {}
 
-	beginRefusing = func(dir *scriptedDiscovery) { dir.setDown(true); dir.resetConnections() }
-	endRefusing   = func(dir *scriptedDiscovery) { dir.setDown(false) }
+	beginRefusing = func(service *scriptedDiscovery) { service.setDown(true); service.resetConnections() }
+	endRefusing   = func(service *scriptedDiscovery) { service.setDown(false) }
 
-	beginRefusingLate = func(dir *scriptedDiscovery) {
-		dir.set(func() { dir.down, dir.queueDelay = true, time.Second })
-		dir.resetConnections()
+	beginDelayedRefusing = func(service *scriptedDiscovery) {
+		service.withLock(func() { service.down, service.queueDelay = true, time.Second })
+		service.resetConnections()
 	}
-	endRefusingLate = func(dir *scriptedDiscovery) {
-		dir.set(func() { dir.down, dir.queueDelay = false, 0 })
+	endDelayedRefusing = func(service *scriptedDiscovery) {
+		service.withLock(func() { service.down, service.queueDelay = false, 0 })
 	}
 
-	beginHanging = func(dir *scriptedDiscovery) { dir.setResponsive(false); dir.resetConnections() }
-	endHanging   = func(dir *scriptedDiscovery) { dir.setResponsive(true) }
+	beginHanging = func(service *scriptedDiscovery) { service.setResponsive(false); service.resetConnections() }
+	endHanging   = func(service *scriptedDiscovery) { service.setResponsive(true) }
 )
 
+// outages are the outages under test, by name. In an overloaded one, discovery queues calls after it has recovered.
 var outages = map[string]outage{
-	"silent once":             {silenceOnce, nothing, 0},
-	"silent once, overloaded": {silenceOnce, nothing, 2 * time.Second},
-	"reset once":              {resetOnce, nothing, 0},
+	"silent once":             {silenceOnce, doNothing, 0},
+	"silent once, overloaded": {silenceOnce, doNothing, 2 * time.Second},
+	"reset once":              {resetOnce, doNothing, 0},
 	"refused":                 {beginRefusing, endRefusing, 0},
 	"refused, overloaded":     {beginRefusing, endRefusing, 2 * time.Second},
-	"refused late":            {beginRefusingLate, endRefusingLate, 0},
+	"refused late":            {beginDelayedRefusing, endDelayedRefusing, 0},
 	"hanging":                 {beginHanging, endHanging, 0},
 	"hanging, overloaded":     {beginHanging, endHanging, 2 * time.Second},
 }
 
-// After any outage, a change applies within 6 s of the time from which discovery has it and can be reached.
+// After an outage of any kind, a change applies within 6 s of the moment from which discovery can be reached and has
+// the change.
 func TestChangesApplyInTimeAfterAnOutage(t *testing.T) {
-	const within = 6 * time.Second
-	settings := map[string]func(map[string]any){}
-	for name, alter := range deployments {
-		settings[name] = alter
+	const maxDelay = 6 * time.Second
+	variants := map[string]func(map[string]any){}
+	for name, alter := range discoveryVariants {
+		variants[name] = alter
 	}
 	for name, us := range map[string]int{"1 s": 1_000_000, "60 s": 60_000_000} {
-		settings["subscribed, ask-within "+name] = func(s map[string]any) {
+		variants["subscribed, ask-within "+name] = func(s map[string]any) {
 			s["contract"].(map[string]any)["ask-within"] = us
 		}
 	}
 	for outageName, o := range outages {
-		for name, alter := range settings {
+		for name, alter := range variants {
 			t.Run(outageName+", "+name, func(t *testing.T) {
 				for seed := range uint64(12) {
 					synctest.Test(t, func(t *testing.T) {
-						dir, dial := newScriptedDiscovery(t)
+						service, dial := newScriptedDiscovery(t)
 						l := startWatching(t, dial, alter, seed)
-						dir.awaitOpenCall()
+						service.awaitOpenCall()
 						time.Sleep(time.Duration(seed) * 170 * time.Millisecond)
-						o.begin(dir)
-						// With the seeds, the outage ends in every phase of a call and of a backoff.
+						o.begin(service)
+						// The seeds vary the length of the outage, so that it ends in every phase of a call
+						// and of a backoff.
 						time.Sleep(time.Duration(seed%6) * (6*time.Second + 510*time.Millisecond))
 						if l.cfg.Settings.SubscribeToDiscovery {
-							dir.set(func() { dir.queueDelay = o.queueDelay })
+							service.withLock(func() { service.queueDelay = o.queueDelay })
 						}
-						dir.drainEndpoint()
-						o.end(dir)
+						service.drainEndpoint()
+						o.end(service)
 						recovered := time.Now()
-						for !unreachable(l, "s-1") {
-							if took := time.Since(recovered); took > within {
-								t.Fatalf("seed %d: got no change %v after recovery, want it within %v", seed, took, within)
+						for !hasNoTarget(l, "s-1") {
+							if took := time.Since(recovered); took > maxDelay {
+								t.Fatalf("seed %d: got no change %v after recovery, want it within %v", seed, took, maxDelay)
 							}
 							time.Sleep(20 * time.Millisecond)
 						}
@@ -105,99 +110,103 @@
 	}
 }
 
-// While discovery is down, the calls of a fleet that lost it simultaneously stay spread, and few enough for discovery
-// to answer all pending ones when it recovers.
+// While discovery is down, the calls of all sidecars that lost it at the same moment stay spread over time. They are so
+// few that discovery can answer all pending calls when it recovers.
 func TestDiscoveryCallsOfAFleetStaySpread(t *testing.T) {
 	const sidecars, span = 350, 20 * time.Second
 	synctest.Test(t, func(t *testing.T) {
-		dir, dial := newScriptedDiscovery(t)
+		service, dial := newScriptedDiscovery(t)
 		for seed := range uint64(sidecars) {
-			startWatching(t, dial, deployments["subscribed, grace 2 s"], seed)
+			startWatching(t, dial, discoveryVariants["subscribed, grace 2 s"], seed)
 		}
 		time.Sleep(5 * time.Second)
-		beginRefusing(dir)
+		beginRefusing(service)
 		time.Sleep(10 * time.Second)
-		dir.set(func() { dir.calls = nil })
+		service.withLock(func() { service.calls = nil })
 		time.Sleep(span)
-		dir.mu.Lock()
-		defer dir.mu.Unlock()
-		callsPerSlot := map[int64]int{} // in slots of 0.1 s
-		for _, c := range dir.calls {
-			callsPerSlot[c.at.UnixMilli()/100]++
+		service.mu.Lock()
+		defer service.mu.Unlock()
+		callsPerInterval := map[int64]int{} // number of calls by interval of 0.1 s
+		for _, c := range service.calls {
+			callsPerInterval[c.at.UnixMilli()/100]++
 		}
-		busiest := 0
-		for _, n := range callsPerSlot {
-			busiest = max(busiest, n)
+		maxCalls := 0
+		for _, n := range callsPerInterval {
+			maxCalls = max(maxCalls, n)
 		}
-		mean := float64(len(dir.calls)) / span.Seconds() / sidecars
-		if mean > 0.75 || float64(busiest) > 3*mean*sidecars/10 {
-			t.Errorf("got %.2f calls/s of each sidecar, want up to 0.75, and %d of all within 0.1 s, want up to %.0f",
-				mean, busiest, 3*mean*sidecars/10)
+		callRate := float64(len(service.calls)) / span.Seconds() / sidecars
+		if callRate > 0.75 || float64(maxCalls) > 3*callRate*sidecars/10 {
+			t.Errorf("got %.2f calls/s per sidecar, want at most 0.75, and %d of all sidecars in 0.1 s, want at most %.0f",
+				callRate, maxCalls, 3*callRate*sidecars/10)
 		}
-		if len(dir.calls) == 0 {
+		if len(service.calls) == 0 {
 			t.Error("got no calls, want some")
 		}
 	})
 }
 
-// A new process with a known list is ready at once, whatever the state of discovery. One without is ready soon after
-// discovery can be reached. Endpoints that have drained since the known list get nothing.
+// A new process that has a known list is ready at once, whatever the state of discovery. A process without one is ready
+// soon after discovery can be reached. Endpoints that have drained since the known list was written get no requests
+// once discovery has recovered.
 func TestReadyInTime(t *testing.T) {
-	const within = 10 * time.Second
-	hang := func(dir *scriptedDiscovery) { dir.setResponsive(false) }
-	refuse := func(dir *scriptedDiscovery) { dir.setDown(true) }
-	overload := func(dir *scriptedDiscovery) { dir.set(func() { dir.queueDelay = 2500 * time.Millisecond }) }
+	const readyLimit = 10 * time.Second
+	hang := func(service *scriptedDiscovery) { service.setResponsive(false) }
+	refuse := func(service *scriptedDiscovery) { service.setDown(true) }
+	overload := func(service *scriptedDiscovery) {
+		service.withLock(func() { service.queueDelay = 2500 * time.Millisecond })
+	}
 	for outageName, c := range map[string]struct {
-		known bool // whether the process knows a list
-		begin func(dir *scriptedDiscovery)
-		after time.Duration // from the start to the recovery of discovery
-		want  time.Duration // limit from the start to readiness
+		knowsList     bool // whether the configuration has a known list
+		begin         func(service *scriptedDiscovery)
+		recoveryDelay time.Duration // from the start to the recovery of discovery
+		readyWithin   time.Duration // limit from the start to readiness
 	}{
 		"known list, discovery hangs":         {true, hang, 30 * time.Second, 0},
 		"known list, discovery refuses":       {true, refuse, 30 * time.Second, 0},
-		"no list":                             {false, nothing, 0, within},
-		"no list, discovery overloaded":       {false, overload, 0, within},
-		"no list, discovery hangs for 3 s":    {false, hang, 3 * time.Second, within},
-		"no list, discovery refuses for 3 s":  {false, refuse, 3 * time.Second, within},
+		"no list":                             {false, doNothing, 0, readyLimit},
+		"no list, discovery overloaded":       {false, overload, 0, readyLimit},
+		"no list, discovery hangs for 3 s":    {false, hang, 3 * time.Second, readyLimit},
+		"no list, discovery refuses for 3 s":  {false, refuse, 3 * time.Second, readyLimit},
 		"no list, discovery hangs for 20 s":   {false, hang, 20 * time.Second, 26 * time.Second},
 		"no list, discovery refuses for 20 s": {false, refuse, 20 * time.Second, 26 * time.Second},
 	} {
-		for name, alter := range deployments {
+		for name, alter := range discoveryVariants {
 			t.Run(outageName+", "+name, func(t *testing.T) {
 				for seed := range uint64(8) {
 					synctest.Test(t, func(t *testing.T) {
-						dir, dial := newScriptedDiscovery(t)
-						c.begin(dir)
+						service, dial := newScriptedDiscovery(t)
+						c.begin(service)
 						if strings.HasPrefix(name, "pushed") {
-							dir.queueDelay = 0 // an agent does not queue calls
+							service.queueDelay = 0 // pushed lists come from an agent, which does not queue calls
 						}
 						began := time.Now()
 						l := startWatchingWith(t, dial, func(cfg *config.Config) {
-							if cfg.Seed = seed; !c.known {
+							if cfg.Seed = seed; !c.knowsList {
 								cfg.KnownEndpoints = discovery.List{}
 							}
 						}, alter)
-						time.AfterFunc(c.after, func() {
-							if c.after > 0 {
-								dir.setResponsive(true)
-								dir.setDown(false)
+						time.AfterFunc(c.recoveryDelay, func() {
+							if c.recoveryDelay > 0 {
+								service.setResponsive(true)
+								service.setDown(false)
 							}
 						})
 						synctest.Wait()
 						for !l.endpointsKnown.Load() {
-							if took := time.Since(began); took > c.want {
-								t.Fatalf("seed %d: not ready %v after the start, want %v", seed, took, c.want)
+							if took := time.Since(began); took > c.readyWithin {
+								t.Fatalf("seed %d: not ready %v after the start, want readiness within %v",
+									seed, took, c.readyWithin)
 							}
 							time.Sleep(50 * time.Millisecond)
 						}
-						if !c.known {
+						if !c.knowsList {
 							return
 						}
 						// Drains since the known list apply once discovery has recovered.
-						dir.drainEndpoint()
-						time.Sleep(time.Until(began.Add(c.after + 6*time.Second)))
-						if !unreachable(l, "s-1") {
-							t.Errorf("seed %d: the endpoint that drained during the outage is still a target", seed)
+						service.drainEndpoint()
+						time.Sleep(time.Until(began.Add(c.recoveryDelay + 6*time.Second)))
+						if !hasNoTarget(l, "s-1") {
+							t.Errorf("seed %d: s-1, which drained during the outage, still has a target", seed)
 						}
 					})
 				}
--- a/internal/sidecar/reload_test.go
+++ b/internal/sidecar/reload_test.go
@@ -38,7 +38,7 @@
 	return nil
 }
 
-// withoutClass returns a change that removes a class from the settings.
+// withoutClass returns a function that removes a class from the settings.
 func withoutClass(name string) func(settings map[string]any) {
 	return func(s map[string]any) {
 		s["classes"] = slices.DeleteFunc(classes(s), func(c any) bool { return c.(map[string]any)["name"] == name })
@@ -51,48 +51,48 @@
 	s["classes"] = append([]any{added}, classes(s)...)
 }
 
-// reload applies changed settings to the sidecar and returns what it logs.
-func (w *harness) reload(alter func(settings map[string]any)) string {
-	w.t.Helper()
-	next := configure(w.t, w.discovery.address, alter)
-	return w.captureLog(func() { w.loop.reload(next) })
+// reload puts the settings that alter has changed in force and returns what the loop logs meanwhile. alter may be nil.
+func (h *harness) reload(alter func(settings map[string]any)) string {
+	h.t.Helper()
+	next := configure(h.t, h.discovery.address, alter)
+	return h.captureLog(func() { h.loop.reload(next) })
 }
 
 // captureLog runs f in the loop and returns what the loop logs during f.
-func (w *harness) captureLog(f func()) string {
-	w.t.Helper()
+func (h *harness) captureLog(f func()) string {
+	h.t.Helper()
 	var text bytes.Buffer
-	w.runInLoop(func() {
-		previous, captured := w.loop.log, slog.New(slog.NewTextHandler(&text, nil))
-		w.loop.log, w.loop.watcher.log, w.loop.stats.log = captured, captured, captured
+	h.runInLoop(func() {
+		previous, captured := h.loop.log, slog.New(slog.NewTextHandler(&text, nil))
+		h.loop.log, h.loop.watcher.log, h.loop.stats.log = captured, captured, captured
 		f()
-		w.loop.log, w.loop.watcher.log, w.loop.stats.log = previous, previous, previous
+		h.loop.log, h.loop.watcher.log, h.loop.stats.log = previous, previous, previous
 	})
 	return text.String()
 }
 
-// A class is served once a reload has added it and rejected once one has removed it, and so are tenants. Other classes
-// keep their rules, whatever their position in the list.
-func TestReloadedClassesAndTenants(t *testing.T) {
+// Requests of a class are served once a reload has added the class, and rejected once a reload has removed it. The same
+// holds for tenants. The other classes keep their rules, even if their position in the list changes.
+func TestReloadAddsAndRemovesClassesAndTenants(t *testing.T) {
 	e := newServingEndpoint(t)
-	w := start(t, nil, ready("s-1", e.Address))
+	h := start(t, nil, ready("s-1", e.Address))
 	check := func(state string, want map[string]int) {
 		t.Helper()
 		for name, code := range want {
-			r := w.request(name, "x", time.Minute)
+			r := h.request(name, "x", time.Minute)
 			r.Header.Set("X-Account", "acme")
-			if got := w.send(r); got.code != code {
+			if got := h.send(r); got.code != code {
 				t.Errorf("%s: class %s: got %+v, want %d", state, name, got, code)
 			}
 		}
 	}
 	check("at startup", map[string]int{"search": 400, "read": 200, "pay": 200, "order": 200})
-	if log := w.reload(withSearchClass); !strings.Contains(log, `msg="configuration in force" generation=2 hash=`) ||
+	if log := h.reload(withSearchClass); !strings.Contains(log, `msg="configuration in force" generation=2 hash=`) ||
 		!strings.Contains(log, "changed=[classes]") || strings.Count(log, "\n") != 1 {
-		t.Errorf("got log %q, want one line on generation 2 with changed classes", log)
+		t.Errorf("got log %q, want one line with generation 2 and changed=[classes]", log)
 	}
 	check("with an added class", map[string]int{"search": 200, "read": 200, "pay": 200, "order": 200})
-	w.reload(func(s map[string]any) { withoutClass("pay")(s); slices.Reverse(classes(s)) })
+	h.reload(func(s map[string]any) { withoutClass("pay")(s); slices.Reverse(classes(s)) })
 	check(
 		"without two classes, the others reversed",
 		map[string]int{"search": 400, "read": 200, "pay": 400, "close": 200, "order": 200},
@@ -106,14 +106,14 @@
 			s["tenants"] = list
 		}
 	}
-	w.reload(tenants("other"))
+	h.reload(tenants("other"))
 	check("without the tenant", map[string]int{"read": 400})
-	w.reload(tenants("other", "acme"))
+	h.reload(tenants("other", "acme"))
 	check("with the tenant", map[string]int{"read": 200})
 }
 
-// A request in flight keeps the class that it started with while a reload moves, changes or removes that class: its
-// retry is sent, and its late outcome is reported.
+// A request in flight keeps the class that it started with if a reload moves, changes or removes that class: its retry
+// is still sent, and its late outcome is reported, so that the loop holds no request in the end.
 func TestRequestStartedBeforeAReloadIsServed(t *testing.T) {
 	for name, alter := range map[string]func(map[string]any){
 		"class moved":     func(s map[string]any) { slices.Reverse(classes(s)) },
@@ -123,7 +123,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			answer := make(chan struct{})
+			release := make(chan struct{})
 			var seen atomic.Int32
 			serve := func(e *sidecartest.Endpoint, conn net.Conn, in *bufio.Reader) {
 				for e.Next(in) != nil {
@@ -131,37 +131,38 @@
 						io.WriteString(conn, sidecartest.Served)
 						continue
 					}
-					<-answer
+					<-release
 					io.WriteString(conn, sidecartest.Failing)
 				}
 			}
 			first, second := sidecartest.NewEndpoint(t, serve), sidecartest.NewEndpoint(t, serve)
-			w := start(t, nil, ready("s-1", first.Address), ready("s-2", second.Address))
+			h := start(t, nil, ready("s-1", first.Address), ready("s-2", second.Address))
 			pending := make(chan reply)
-			go func() { pending <- w.send(w.request("pay", "x", time.Minute)) }()
-			w.await("the request in flight", func() bool { return seen.Load() == 1 })
-			w.reload(alter)
-			close(answer)
+			go func() { pending <- h.send(h.request("pay", "x", time.Minute)) }()
+			h.await("the request in flight", func() bool { return seen.Load() == 1 })
+			h.reload(alter)
+			close(release)
 			if got := <-pending; got.code != http.StatusOK || got.body != "done" {
 				t.Errorf("got %+v, want 200", got)
 			}
 			for _, e := range []*sidecartest.Endpoint{first, second} {
 				if n, _ := e.Seen(); n != 1 || e.Request(0).URL.Path != "/pay/x/y" {
-					t.Errorf("an endpoint got %d requests, want 1 of class pay", n)
+					t.Errorf("an endpoint got %d requests, want 1 with the path /pay/x/y", n)
 				}
 			}
-			w.await("no request in flight", func() (none bool) {
-				w.runInLoop(func() { none = len(w.loop.requests.byID) == 0 })
+			h.await("no request in flight", func() (none bool) {
+				h.runInLoop(func() { none = len(h.loop.requests.byID) == 0 })
 				return none
 			})
 		})
 	}
 }
 
-// A request that is read before a reload and reaches the loop after it keeps the class that it was read with: it is
-// retried by the rules of that class, not of the one that is now at its position, which is not idempotent.
+// A request may be read before a reload and reach the loop after it. It keeps the class that it was read with: it is
+// retried by the rules of that class, not by those of the class that is now at the same position in the list and is not
+// idempotent. If a reload makes its class non-idempotent, it is not retried.
 func TestRequestReadBeforeAReloadKeepsItsClass(t *testing.T) {
-	order := func(names ...string) func(map[string]any) {
+	withClasses := func(names ...string) func(map[string]any) {
 		return func(s map[string]any) {
 			var list []any
 			for _, name := range names {
@@ -175,38 +176,38 @@
 		code     int
 		attempts int
 	}{
-		"class moved":    {order("read", "order", "close", "pay"), http.StatusOK, 2},
-		"class removed":  {order("read", "order", "close"), http.StatusOK, 2},
+		"class moved":    {withClasses("read", "order", "close", "pay"), http.StatusOK, 2},
+		"class removed":  {withClasses("read", "order", "close"), http.StatusOK, 2},
 		"not idempotent": {func(s map[string]any) { class(s, "pay")["repeat"] = "side_effect" }, http.StatusBadGateway, 1},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			e := sidecartest.NewEndpoint(t, sidecartest.FirstThen(sidecartest.Failing, sidecartest.Served))
-			w := start(t, nil, ready("s-1", e.Address), ready("s-2", e.Address))
-			next := configure(t, w.discovery.address, c.alter)
-			busy := make(chan struct{})
-			w.loop.events.post(func(balancer.Micros) { <-busy })
+			h := start(t, nil, ready("s-1", e.Address), ready("s-2", e.Address))
+			next := configure(t, h.discovery.address, c.alter)
+			unblockLoop := make(chan struct{})
+			h.loop.events.post(func(balancer.Micros) { <-unblockLoop })
 			pending := make(chan reply)
-			go func() { pending <- w.send(w.request("pay", "x", time.Minute)) }()
-			w.await("the request to be read", func() bool { return w.server.inFlight.count() == 1 })
-			go w.loop.events.runUrgent(func(balancer.Micros) { w.loop.reload(next) })
-			w.await("the reload to wait", func() bool { return len(w.loop.events.urgent) == 1 })
-			close(busy)
+			go func() { pending <- h.send(h.request("pay", "x", time.Minute)) }()
+			h.await("the request to be read", func() bool { return h.server.inFlight.count() == 1 })
+			go h.loop.events.runUrgent(func(balancer.Micros) { h.loop.reload(next) })
+			h.await("the reload to wait", func() bool { return len(h.loop.events.urgent) == 1 })
+			close(unblockLoop)
 			if got := <-pending; got.code != c.code {
 				t.Errorf("got %+v, want %d", got, c.code)
 			}
-			if n, _ := e.Seen(); n != c.attempts || w.loop.current.Load().Generation != 2 {
-				t.Errorf("got %d attempts in generation %d, want %d in 2", n, w.loop.current.Load().Generation, c.attempts)
+			if n, _ := e.Seen(); n != c.attempts || h.loop.current.Load().Generation != 2 {
+				t.Errorf("got %d attempts in generation %d, want %d in 2", n, h.loop.current.Load().Generation, c.attempts)
 			}
 		})
 	}
 }
 
-// A retry that waits for its connection is not sent if its class is no longer idempotent, and the client is not told
-// that the request has not run. A first attempt is sent.
-func TestReloadToUnsafeClassAppliesToUnsentAttempts(t *testing.T) {
+// A retry may wait for its connection while a reload makes its class non-idempotent. The retry is not sent. The client
+// gets 502, which does not claim that the request has not run. A first attempt is sent in the same case.
+func TestReloadToNonIdempotentClassAppliesToUnsentAttempts(t *testing.T) {
 	for name, c := range map[string]struct {
-		blocked int32 // number of the dial that waits, from 1
+		blocked int32 // which dial waits for the reload; 1 is the first
 		code    int
 	}{"retry": {2, http.StatusBadGateway}, "first attempt": {1, http.StatusOK}} {
 		t.Run(name, func(t *testing.T) {
@@ -223,10 +224,10 @@
 				}
 			}
 			first, second := sidecartest.NewEndpoint(t, serve), sidecartest.NewEndpoint(t, serve)
-			w := start(t, nil, ready("s-1", first.Address), ready("s-2", second.Address))
+			h := start(t, nil, ready("s-1", first.Address), ready("s-2", second.Address))
 			dialing, unblock := make(chan struct{}), make(chan struct{})
-			w.runInLoop(func() {
-				w.loop.upstream.Dialer.Control = func(string, string, syscall.RawConn) error {
+			h.runInLoop(func() {
+				h.loop.upstream.Dialer.Control = func(string, string, syscall.RawConn) error {
 					if dials.Add(1) == c.blocked {
 						close(dialing)
 						<-unblock
@@ -235,9 +236,9 @@
 				}
 			})
 			answer := make(chan reply)
-			go func() { answer <- w.send(w.request("read", "", time.Minute)) }()
+			go func() { answer <- h.send(h.request("read", "", time.Minute)) }()
 			<-dialing
-			w.reload(func(s map[string]any) { class(s, "read")["repeat"] = "side_effect" })
+			h.reload(func(s map[string]any) { class(s, "read")["repeat"] = "side_effect" })
 			close(unblock)
 			if got := <-answer; got.code != c.code {
 				t.Errorf("got %+v, want %d", got, c.code)
@@ -249,22 +250,23 @@
 	}
 }
 
-// The hash depends on the settings, not on the format of the file or on the sidecar that reads it. A file with equal
-// settings changes nothing; changed keys that need a restart are logged.
+// A reload of a file with equal settings changes nothing. Changed keys that need a restart are logged. The
+// configuration's hash depends on the settings, not on the format of the file or on the sidecar that reads it.
 func TestEqualConfigurationChangesNothing(t *testing.T) {
 	e := newServingEndpoint(t)
-	w := start(t, nil, ready("s-1", e.Address))
-	first := w.loop.current.Load()
-	if log := w.reload(nil); log != "" || w.loop.current.Load() != first {
-		t.Errorf("got log %q and generation %d, want none and the first", log, w.loop.current.Load().Generation)
+	h := start(t, nil, ready("s-1", e.Address))
+	first := h.loop.current.Load()
+	if log := h.reload(nil); log != "" || h.loop.current.Load() != first {
+		t.Errorf("got log %q and generation %d, want no log and the first generation",
+			log, h.loop.current.Load().Generation)
 	}
-	log := w.captureLog(func() {
-		next := *configure(t, w.discovery.address, nil)
+	log := h.captureLog(func() {
+		next := *configure(t, h.discovery.address, nil)
 		next.Name, next.ListenAddress, next.Seed, next.Limits.MemoryMB = "n1", "127.0.0.1:1", 7, 64
-		w.loop.reload(&next)
+		h.loop.reload(&next)
 	})
 	if !strings.Contains(log, `needs_restart="[name listen seed limits.memory_mb]"`) ||
-		w.loop.current.Load() != first ||
+		h.loop.current.Load() != first ||
 		strings.Count(log, "\n") != 1 {
 		t.Errorf("got log %q, want one line with the keys that need a restart", log)
 	}
@@ -290,18 +292,18 @@
 	}
 }
 
-// An invalid configuration changes nothing: one log line names the key, and the rejection is counted.
+// An invalid configuration changes nothing. One log line names the key at fault, and the rejection is counted.
 func TestInvalidConfigurationChangesNothing(t *testing.T) {
 	e := newServingEndpoint(t)
-	w := start(t, nil, ready("s-1", e.Address))
-	first := w.loop.current.Load()
+	h := start(t, nil, ready("s-1", e.Address))
+	first := h.loop.current.Load()
 	path := filepath.Join(t.TempDir(), "config.json")
 	signals := make(chan os.Signal, 1)
 	t.Cleanup(func() { close(signals) })
 	configs := config.ReloadOnSignal(path, signals)
-	valid := `{"name":"n0","listen":"127.0.0.1:0","discovery":"` + w.discovery.address + `","seed":"8c1f30d27a5be964",` +
+	valid := `{"name":"n0","listen":"127.0.0.1:0","discovery":"` + h.discovery.address + `","seed":"8c1f30d27a5be964",` +
 		`"limits":{"memory_mb":192,"sockets":256},"settings":` + sidecartest.SettingsText + `}`
-	reloads := 0
+	rejectedReloads := 0
 	for _, c := range []struct{ old, new, key string }{
 		{valid, "", "config.json"},
 		{valid, valid[:200], "JSON"},
@@ -331,124 +333,126 @@
 		}
 		signals <- syscall.SIGHUP
 		next := <-configs
-		reloads++
-		log := w.captureLog(func() { w.loop.reload(next) })
+		rejectedReloads++
+		log := h.captureLog(func() { h.loop.reload(next) })
 		if strings.Count(log, "\n") != 1 || !strings.Contains(log, `msg="configuration not reloaded"`) ||
-			!strings.Contains(log, c.key) || !strings.Contains(log, fmt.Sprintf("reloads_rejected=%d", reloads)) {
-			t.Errorf("%s: got log %q, want one line with %q and the count %d", c.new, log, c.key, reloads)
+			!strings.Contains(log, c.key) || !strings.Contains(log, fmt.Sprintf("reloads_rejected=%d", rejectedReloads)) {
+			t.Errorf("%s: got log %q, want one line with %q and the count %d", c.new, log, c.key, rejectedReloads)
 		}
 	}
-	if now := w.loop.current.Load(); now != first || w.loop.cfg != first.Config {
-		t.Errorf("got generation %d, want the first", now.Generation)
+	if inForce := h.loop.current.Load(); inForce != first || h.loop.cfg != first.Config {
+		t.Errorf("got generation %d, want the first with its configuration", inForce.Generation)
 	}
-	if got := w.send(w.request("pay", "x", time.Minute)); got.code != http.StatusOK {
+	if got := h.send(h.request("pay", "x", time.Minute)); got.code != http.StatusOK {
 		t.Errorf("got %+v, want 200", got)
 	}
-	counts := w.captureLog(func() { w.loop.logStats(w.loop.clock.now()) })
-	want := fmt.Sprintf("generation=1 hash=%s reloads=0 reloads_rejected=%d", first.FileHash, reloads)
+	counts := h.captureLog(func() { h.loop.logStats(h.loop.clock.now()) })
+	want := fmt.Sprintf("generation=1 hash=%s reloads=0 reloads_rejected=%d", first.FileHash, rejectedReloads)
 	if !strings.Contains(counts, want) {
 		t.Errorf("got counts %q, want %q", counts, want)
 	}
 }
 
-// Overrides by operators and attributes from discovery survive a change of settings, which does not call discovery
-// again. Limits apply at once, also to connections.
+// Overrides by operators and attributes from discovery survive a reload that changes settings. Such a reload does not
+// call discovery again. Changed limits apply at once, including those on connections.
 func TestReloadKeepsEndpointsAndAppliesLimits(t *testing.T) {
 	e := newServingEndpoint(t)
-	w := startWith(t, nil, longWaits, ready("s-1", e.Address), ready("s-2", e.Address))
-	w.await("the watch", func() bool { return w.discovery.count() == 2 })
+	h := startWith(t, nil, withLongDiscoveryWait, ready("s-1", e.Address), ready("s-2", e.Address))
+	h.await("the watch to begin", func() bool { return h.discovery.count() == 2 })
 	var before, after map[uint32]endpoint
 	var watchBefore, watchAfter *discovery.Client
-	endpoints := func() map[uint32]endpoint {
+	copyEndpoints := func() map[uint32]endpoint {
 		all := map[uint32]endpoint{}
-		for id, m := range w.loop.endpoints.byID {
+		for id, m := range h.loop.endpoints.byID {
 			all[id] = *m
 		}
 		return all
 	}
-	w.runInLoop(func() {
-		now := w.loop.clock.now()
+	h.runInLoop(func() {
+		now := h.loop.clock.now()
 		drained := discovery.List{Entries: []discovery.Entry{drainingEntry("s-1", e.Address)}}
-		w.loop.updateEndpoints(now, balancer.ListDelta, drained)
-		w.loop.applyOverrides(now, []operatorstate.Override{{Name: "s-2", Cordoned: true}})
-		before, watchBefore = endpoints(), w.loop.watcher.client
+		h.loop.updateEndpoints(now, balancer.ListDelta, drained)
+		h.loop.applyOverrides(now, []operatorstate.Override{{Name: "s-2", Cordoned: true}})
+		before, watchBefore = copyEndpoints(), h.loop.watcher.client
 	})
-	next := *configure(t, w.discovery.address, func(s map[string]any) {
+	next := *configure(t, h.discovery.address, func(s map[string]any) {
 		limits := s["limits"].(map[string]any)
 		limits["dial-timeout"], limits["keepalive"], limits["most-held"] = 7000, 4000, 9
 		s["reporting"] = map[string]any{"how": "probe", "fields": []string{"pending"}}
 	})
 	next.Limits.Sockets = 128
-	var previous, current upstream.Result
-	previous.Load, previous.ReportFormat = w.loop.upstream.ParseLoadReport("failed_ps=1,pending=2")
-	w.runInLoop(func() {
-		w.loop.reload(&next)
-		after, watchAfter = endpoints(), w.loop.watcher.client
-		current.Load, current.ReportFormat = w.loop.upstream.ParseLoadReport("failed_ps=1,pending=2")
-		if load := w.loop.currentLoadReport(current); len(load) != 1 || load[0] != 2 {
-			t.Errorf("a report that was parsed by the new fields: got %v, want [2]", load)
+	var previousResult, currentResult upstream.Result
+	previousResult.Load, previousResult.ReportFormat = h.loop.upstream.ParseLoadReport("failed_ps=1,pending=2")
+	h.runInLoop(func() {
+		h.loop.reload(&next)
+		after, watchAfter = copyEndpoints(), h.loop.watcher.client
+		currentResult.Load, currentResult.ReportFormat = h.loop.upstream.ParseLoadReport("failed_ps=1,pending=2")
+		if load := h.loop.currentLoadReport(currentResult); len(load) != 1 || load[0] != 2 {
+			t.Errorf("a load report parsed with the new fields: got %v, want [2]", load)
 		}
-		if load := w.loop.currentLoadReport(previous); load != nil {
-			t.Errorf("a report that was parsed by the previous fields: got %v, want none", load)
+		if load := h.loop.currentLoadReport(previousResult); load != nil {
+			t.Errorf("a load report parsed with the previous fields: got %v, want none", load)
 		}
 	})
 	if len(before) != 2 || before[1] != after[1] || before[2] != after[2] ||
-		!w.loop.endpoints.overrides["s-2"].Cordoned {
+		!h.loop.endpoints.overrides["s-2"].Cordoned {
 		t.Errorf("got endpoints %+v, want %+v and s-2 cordoned", after, before)
 	}
-	if watchBefore != watchAfter || w.discovery.count() != 2 {
-		t.Error("a change of settings calls discovery, want the same watch")
+	if watchBefore != watchAfter || h.discovery.count() != 2 {
+		t.Error("a reload with changed settings began a new watch or called discovery, want neither")
 	}
 	want := upstream.ConnectionLimits{
 		DialTimeout:    7 * time.Millisecond,
 		MaxIdle:        3 * time.Millisecond,
 		MaxConnections: maxConnections(&next),
 	}
-	if got := w.loop.upstream.Limits(); got != want {
+	if got := h.loop.upstream.Limits(); got != want {
 		t.Errorf("got limits %+v, want %+v", got, want)
 	}
-	if connections, used := w.server.clients.Limits(); connections != maxConnections(&next) ||
+	if connections, used := h.server.clients.Limits(); connections != maxConnections(&next) ||
 		used != 128/crowdedDivisor {
 		t.Errorf("got limits of %d client connections and %d used ones, want %d and %d",
 			connections, used, maxConnections(&next), 128/crowdedDivisor)
 	}
 }
 
-// A reload before the first event, during a drain by operators or after SIGTERM applies as at any other time.
+// A reload may come before the loop handles its first event, during a drain by operators or after SIGTERM. It applies
+// as at any other time.
 func TestReloadBeforeTheStartAndWhileDraining(t *testing.T) {
 	e := newServingEndpoint(t)
-	w := &harness{t: t, discovery: newFakeDiscovery(t, ready("s-1", e.Address))}
-	cfg := configure(t, w.discovery.address, nil, ready("s-1", e.Address))
+	h := &harness{t: t, discovery: newFakeDiscovery(t, ready("s-1", e.Address))}
+	cfg := configure(t, h.discovery.address, nil, ready("s-1", e.Address))
 	l, err := newLoop(t.Context(), cfg, slog.New(slog.DiscardHandler))
 	if err != nil {
 		t.Fatal(err)
 	}
 	reloaded := make(chan struct{})
 	go func() {
-		l.events.runUrgent(func(balancer.Micros) { l.reload(configure(t, w.discovery.address, withSearchClass)) })
+		l.events.runUrgent(func(balancer.Micros) { l.reload(configure(t, h.discovery.address, withSearchClass)) })
 		close(reloaded)
 	}()
 	sidecartest.Await(t, "the reload to wait", func() bool { return len(l.events.urgent) == 1 })
 	go l.run()
 	<-reloaded
-	if now := l.current.Load(); now.Generation != 2 || len(now.Classes) != 5 {
-		t.Errorf("during startup: got generation %d and classes %v, want 2 and 5 classes", now.Generation, now.Classes)
+	if inForce := l.current.Load(); inForce.Generation != 2 || len(inForce.Classes) != 5 {
+		t.Errorf("during startup: got generation %d and classes %v, want 2 and 5 classes",
+			inForce.Generation, inForce.Classes)
 	}
 
-	w = start(t, nil, ready("s-1", e.Address))
-	w.server.drainPeriod = sidecartest.WaitTimeout
-	w.server.drainedByOperator.Store(true)
-	w.reload(withSearchClass)
-	got := w.send(w.request("search", "x", time.Minute))
-	if got.code != http.StatusOK || w.server.acceptsRequests() {
+	h = start(t, nil, ready("s-1", e.Address))
+	h.server.drainPeriod = sidecartest.WaitTimeout
+	h.server.drainedByOperator.Store(true)
+	h.reload(withSearchClass)
+	got := h.send(h.request("search", "x", time.Minute))
+	if got.code != http.StatusOK || h.server.acceptsRequests() {
 		t.Errorf("during a drain by operators: got %+v, want 200 and the drain to last", got)
 	}
-	w.stop()
-	w.await("the end of service", w.server.draining)
-	w.reload(func(s map[string]any) {
+	h.stop()
+	h.await("the drain period to begin", h.server.draining)
+	h.reload(func(s map[string]any) {
 		s["classes"] = []any{map[string]any{"name": "find", "repeat": "side_effect", "target": 1, "give-up": 1}}
 	})
-	if got := w.send(w.request("find", "x", time.Minute)); got.code != http.StatusOK {
+	if got := h.send(h.request("find", "x", time.Minute)); got.code != http.StatusOK {
 		t.Errorf("after SIGTERM: got %+v, want 200", got)
 	}
 }
--- a/internal/sidecar/shutdown_test.go
+++ b/internal/sidecar/shutdown_test.go
@@ -16,44 +16,45 @@
 	"oakproxy/internal/sidecartest"
 )
 
-// defaultClientTimeout is the client timeout of tests that do not wait for it.
+// defaultClientTimeout is the client timeout (give-up) in tests that do not depend on its length.
 const defaultClientTimeout = 3 * time.Second
 
-// startTerminating starts a sidecar with one endpoint, whose classes have the given client timeout. closeAdmission
-// begins the shutdown and waits until admission is closed.
-func startTerminating(
+// startForShutdown starts a sidecar with one endpoint, without a drain period, whose classes all have the given client
+// timeout. closeAdmission begins the shutdown and waits until admission is closed.
+func startForShutdown(
 	t *testing.T,
 	serve sidecartest.Handler,
 	clientTimeout time.Duration,
-) (w *harness, e *sidecartest.Endpoint, closeAdmission func()) {
+) (h *harness, e *sidecartest.Endpoint, closeAdmission func()) {
 	t.Helper()
 	e = sidecartest.NewEndpoint(t, serve)
-	w = start(t, func(s map[string]any) {
+	h = start(t, func(s map[string]any) {
 		for _, c := range classes(s) {
 			c.(map[string]any)["give-up"] = clientTimeout.Microseconds()
 		}
 	}, ready("s-1", e.Address))
-	w.server.drainPeriod = 0
-	return w, e, func() {
-		w.stop()
-		w.await("admission to be closed", w.server.admission.isClosed)
+	h.server.drainPeriod = 0
+	return h, e, func() {
+		h.stop()
+		h.await("admission to be closed", h.server.admission.isClosed)
 	}
 }
 
-// awaitEnd waits for the sidecar to end without error.
-func (w *harness) awaitEnd() {
-	w.t.Helper()
+// awaitEnd waits for the sidecar to end. It reports an error if the sidecar ends with one.
+func (h *harness) awaitEnd() {
+	h.t.Helper()
 	select {
-	case err := <-w.ended:
+	case err := <-h.ended:
 		if err != nil {
-			w.t.Errorf("the sidecar ended with %v, want no error", err)
+			h.t.Errorf("the sidecar ended with %v, want no error", err)
 		}
 	case <-time.After(sidecartest.WaitTimeout):
-		w.t.Error("the sidecar does not end")
+		h.t.Error("the sidecar does not end")
 	}
 }
 
-// requireLastResponse reads one response with this status and the end of the connection.
+// requireLastResponse reads one response and the end of the connection. It fails the test unless the response has the
+// status code and Connection: close.
 func requireLastResponse(t *testing.T, conn net.Conn, code int) {
 	t.Helper()
 	in := bufio.NewReader(conn)
@@ -63,26 +64,27 @@
 	}
 	io.Copy(io.Discard, response.Body)
 	if _, err := in.ReadByte(); err != io.EOF {
-		t.Errorf("after the response: got %v, want the end of the connection", err)
+		t.Errorf("after the response: got %v, want io.EOF", err)
 	}
 }
 
-// A request that is not complete when admission closes is rejected before any attempt, however much of it has arrived.
+// A request that is not complete when admission closes is rejected before any attempt, however many of its bytes have
+// arrived by then.
 func TestRequestsAreRejectedOnceAdmissionIsClosed(t *testing.T) {
 	body := "0123456789"
 	text := sidecartest.PayHead + fmt.Sprintf("X-Correlation-Id: 1\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
 	for split := 1; split < len(text); split += 9 {
 		t.Run(fmt.Sprintf("after %d bytes", split), func(t *testing.T) {
 			t.Parallel()
-			w, e, closeAdmission := startTerminating(t, sidecartest.Always(sidecartest.Served), defaultClientTimeout)
-			conn := w.dial()
+			h, e, closeAdmission := startForShutdown(t, sidecartest.Always(sidecartest.Served), defaultClientTimeout)
+			conn := h.dial()
 			io.WriteString(conn, text[:split])
-			w.await("the bytes to be read", func() bool { return w.partialBytes() >= int64(split) })
+			h.await("the bytes to be read", func() bool { return h.partialBytes() >= int64(split) })
 			closeAdmission()
 			io.WriteString(conn, text[split:])
 			requireLastResponse(t, conn, http.StatusServiceUnavailable)
 			conn.Close()
-			w.awaitEnd()
+			h.awaitEnd()
 			if n, _ := e.Seen(); n != 0 {
 				t.Errorf("the endpoint got %d requests, want none", n)
 			}
@@ -90,35 +92,36 @@
 	}
 }
 
-// partialBytes counts the bytes of requests that are being read.
-func (w *harness) partialBytes() (bytes int64) { return w.server.clients.PartialBytes() }
+// partialBytes returns the number of bytes read of requests that are not complete yet.
+func (h *harness) partialBytes() (bytes int64) { return h.server.clients.PartialBytes() }
 
-// A request that stays partial is rejected, too, before SIGKILL. A connection that has sent nothing is closed.
+// A request that never becomes complete is rejected shortly before SIGKILL is due. A connection on which nothing was
+// sent is closed.
 func TestPartialRequestIsRejectedAfterAdmissionCloses(t *testing.T) {
 	const rejected = http.StatusServiceUnavailable
 	for name, c := range map[string]struct {
 		text string
 		code int
 	}{
-		"half a line":    {"GET /re", http.StatusBadRequest}, // from net/http itself
+		"half a line":    {"GET /re", http.StatusBadRequest}, // net/http itself rejects an incomplete request line
 		"half a head":    {sidecartest.ReadHead, rejected},
 		"a head, no end": {sidecartest.ReadHead + "X-Correlation-Id: 1\r\n", rejected},
 		"half a body":    {sidecartest.PayHead + "X-Correlation-Id: 1\r\nContent-Length: 10\r\n\r\n01234", rejected},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			w, e, closeAdmission := startTerminating(t, sidecartest.Always(sidecartest.Served), 100*time.Millisecond)
-			idle, conn := w.dial(), w.dial()
+			h, e, closeAdmission := startForShutdown(t, sidecartest.Always(sidecartest.Served), 100*time.Millisecond)
+			idle, conn := h.dial(), h.dial()
 			io.WriteString(conn, c.text)
-			w.await("the bytes to be read", func() bool { return w.partialBytes() == int64(len(c.text)) })
+			h.await("the bytes to be read", func() bool { return h.partialBytes() == int64(len(c.text)) })
 			closeAdmission()
 			if got, err := io.ReadAll(idle); err != nil || len(got) > 0 {
-				t.Errorf("the idle connection: got %q, %v, want its end", got, err)
+				t.Errorf("the idle connection: got %q, %v, want no data and no error", got, err)
 			}
 			idle.Close()
 			requireLastResponse(t, conn, c.code)
 			conn.Close()
-			w.awaitEnd()
+			h.awaitEnd()
 			if n, _ := e.Seen(); n != 0 {
 				t.Errorf("the endpoint got %d requests, want none", n)
 			}
@@ -126,63 +129,66 @@
 	}
 }
 
-// A body that is being streamed when admission closes is stopped short of its last byte, and its client is rejected.
-// A client whose last byte was forwarded earlier gets its response.
+// If a body is being streamed when admission closes, the sidecar does not forward its last byte, so that the endpoint
+// never reads a complete request, and rejects the client. A client whose last byte was forwarded earlier gets its
+// response.
 func TestUploadsDuringShutdown(t *testing.T) {
 	const size = 2 * httpmsg.MaxBufferedBytes
 	head := sidecartest.PayHead + fmt.Sprintf("X-Correlation-Id: 1\r\nContent-Length: %d\r\n\r\n", size)
 	t.Run("last byte missing", func(t *testing.T) {
-		w, e, closeAdmission := startTerminating(t, sidecartest.Always(sidecartest.Served), defaultClientTimeout)
-		conn := w.dial()
+		h, e, closeAdmission := startForShutdown(t, sidecartest.Always(sidecartest.Served), defaultClientTimeout)
+		conn := h.dial()
 		io.WriteString(conn, head+strings.Repeat("x", size-1))
-		w.await("the attempt", func() bool { _, conns := e.Seen(); return conns == 1 })
+		h.await("the attempt's connection", func() bool { _, conns := e.Seen(); return conns == 1 })
 		closeAdmission()
 		requireLastResponse(t, conn, http.StatusServiceUnavailable)
 		conn.Close()
-		w.awaitEnd()
+		h.awaitEnd()
 		if n, _ := e.Seen(); n != 0 {
 			t.Errorf("the endpoint got %d complete requests, want none", n)
 		}
 	})
 	t.Run("completely forwarded", func(t *testing.T) {
-		answer := make(chan struct{})
-		w, e, closeAdmission := startTerminating(t, sidecartest.BlockPay(answer), defaultClientTimeout)
-		conn := w.dial()
+		release := make(chan struct{})
+		h, e, closeAdmission := startForShutdown(t, sidecartest.BlockPay(release), defaultClientTimeout)
+		conn := h.dial()
 		io.WriteString(conn, head+strings.Repeat("x", size))
-		w.awaitRequests(e, 1)
+		h.awaitRequests(e, 1)
 		closeAdmission()
-		close(answer)
+		close(release)
 		response, err := http.ReadResponse(bufio.NewReader(conn), nil)
 		if err != nil || response.StatusCode != http.StatusOK {
 			t.Fatalf("got %v, %v, want 200", response, err)
 		}
 		conn.Close()
-		w.awaitEnd()
+		h.awaitEnd()
 	})
 }
 
-// A request in flight keeps the deadline that it arrived with: neither a new configuration with shorter timeouts nor
+// A request in flight keeps the deadline that it had on arrival. Neither a reload with shorter client timeouts nor
 // shutdown shortens it.
 func TestInFlightRequestKeepsItsDeadlineAtTermination(t *testing.T) {
-	answer := make(chan struct{})
-	w, e, closeAdmission := startTerminating(t, sidecartest.BlockPay(answer), defaultClientTimeout)
-	got := make(chan reply)
-	go func() { got <- w.send(w.request("pay", "x", time.Minute)) }()
-	w.awaitRequests(e, 1)
-	w.reload(func(s map[string]any) {
+	release := make(chan struct{})
+	h, e, closeAdmission := startForShutdown(t, sidecartest.BlockPay(release), defaultClientTimeout)
+	pending := make(chan reply)
+	go func() { pending <- h.send(h.request("pay", "x", time.Minute)) }()
+	h.awaitRequests(e, 1)
+	h.reload(func(s map[string]any) {
 		s["classes"] = []any{map[string]any{"name": "find", "repeat": "side_effect", "target": 1, "give-up": 1}}
 	})
 	closeAdmission()
-	// The shortest deadline and the time of SIGKILL have passed; the request's deadline has not.
+	// The reloaded client timeout of 1 µs and the time of SIGKILL that follows from it will have passed; the request's
+	// own deadline will not.
 	time.Sleep(killAfter + responseGrace + endGrace)
-	close(answer)
-	if got := <-got; got.code != http.StatusOK {
+	close(release)
+	if got := <-pending; got.code != http.StatusOK {
 		t.Errorf("the request in flight: got %+v, want 200", got)
 	}
-	w.awaitEnd()
+	h.awaitEnd()
 }
 
-// Shutdown waits for the latest deadline of the requests in flight.
+// Shutdown waits for the latest deadline of the requests in flight. The deadline of an upload is its time left from the
+// moment at which admission closed.
 func TestLatestDeadlineOnceAdmissionIsClosed(t *testing.T) {
 	var requests inFlightRequests
 	now := time.Now()
@@ -192,41 +198,42 @@
 	a := &openRequest{id: "a", deadline: now.Add(time.Second)}
 	b := &openRequest{id: "b", deadline: now.Add(time.Hour), upload: true, timeLeft: 3 * time.Second}
 	if !requests.add(a) || !requests.add(b) || requests.add(&openRequest{id: "a"}) {
-		t.Fatal("add must accept two ids and reject a duplicate")
+		t.Fatal("add did not accept two ids and reject a duplicate of the first")
 	}
-	if due, found := requests.latestDeadline(now); !found || !due.Equal(now.Add(3*time.Second)) {
-		t.Errorf("got a deadline in %v (found: %v), want in 3 s", due.Sub(now), found)
+	if latest, found := requests.latestDeadline(now); !found || !latest.Equal(now.Add(3*time.Second)) {
+		t.Errorf("got a deadline in %v (found: %v), want in 3 s", latest.Sub(now), found)
 	}
 	requests.remove(b)
-	requests.remove(&openRequest{id: "a"}) // another request with the same id
-	if due, found := requests.latestDeadline(now); !found || !due.Equal(now.Add(time.Second)) {
-		t.Errorf("got a deadline in %v (found: %v), want in 1 s", due.Sub(now), found)
+	requests.remove(&openRequest{id: "a"}) // another request with the same id, which must not remove a
+	if latest, found := requests.latestDeadline(now); !found || !latest.Equal(now.Add(time.Second)) {
+		t.Errorf("got a deadline in %v (found: %v), want in 1 s", latest.Sub(now), found)
 	}
 }
 
-// A permanent failure of the listener ends the sidecar, after requests in flight have their responses.
+// A permanent failure of the listener ends the sidecar with that error, but only after the requests in flight have
+// their responses.
 func TestBrokenListenerStillAnswersInFlightRequests(t *testing.T) {
-	answer := make(chan struct{})
-	e := sidecartest.NewEndpoint(t, sidecartest.BlockPay(answer))
+	release := make(chan struct{})
+	e := sidecartest.NewEndpoint(t, sidecartest.BlockPay(release))
 	listener := &sidecartest.FaultyListener{}
-	w := startWithListener(
+	h := startWithListener(
 		t,
 		func(inner net.Listener) net.Listener { listener.Listener = inner; return listener },
 		ready("s-1", e.Address),
 	)
-	w.server.drainPeriod = 0
-	got := make(chan reply)
-	go func() { got <- w.send(w.request("pay", "x", time.Minute)) }()
-	w.awaitRequests(e, 1)
+	h.server.drainPeriod = 0
+	pending := make(chan reply)
+	go func() { pending <- h.send(h.request("pay", "x", time.Minute)) }()
+	h.awaitRequests(e, 1)
 	listener.Fail([]error{syscall.EBADF})
-	w.dial() // ends the accept that is under way
-	w.await("admission to be closed", w.server.admission.isClosed)
-	close(answer)
-	if got := <-got; got.code != http.StatusOK {
+	h.dial() // completes the pending Accept, so that the next one fails
+	h.await("admission to be closed", h.server.admission.isClosed)
+	close(release)
+	if got := <-pending; got.code != http.StatusOK {
 		t.Errorf("the request in flight: got %+v, want 200", got)
 	}
 	select {
-	case err := <-w.ended:
+	case err := <-h.ended:
 		if !errors.Is(err, syscall.EBADF) {
 			t.Errorf("the sidecar ended with %v, want %v", err, syscall.EBADF)
 		}
@@ -235,8 +242,8 @@
 	}
 }
 
-// At SIGTERM a request may be in flight, partial or not yet begun on an open connection, and a reload may follow. The
-// request gets its response, which ends its connection, and the sidecar ends after that.
+// At SIGTERM, a request may be in flight, partly sent, or not yet begun on an open connection, and a reload may follow.
+// The request is served, its response ends its connection, and the sidecar ends after that.
 func TestTerminationAnswersOpenRequests(t *testing.T) {
 	head := sidecartest.PayHead + "Content-Length: 10\r\nX-Correlation-Id: "
 	for name, split := range map[string]int{
@@ -252,21 +259,21 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			e := newServingEndpoint(t)
-			w := start(t, nil, ready("s-1", e.Address))
-			w.server.drainPeriod = 3 * time.Second // a busy machine may be slow to connect
-			dial := sidecartest.BlockDials(&w.loop.upstream.Dialer, e.Address)
+			h := start(t, nil, ready("s-1", e.Address))
+			h.server.drainPeriod = 3 * time.Second // long enough to connect on a busy machine
+			dial := sidecartest.BlockDials(&h.loop.upstream.Dialer, e.Address)
 			text := head + "1\r\n\r\n0123456789"
-			conn := w.dial()
+			conn := h.dial()
 			io.WriteString(conn, text[:split])
-			w.await("the connection", func() bool { return w.server.clients.Count() > 0 })
+			h.await("the connection to be accepted", func() bool { return h.server.clients.Count() > 0 })
 			if split == len(text) {
 				<-dial.Started
 			}
-			w.stop()
-			w.await("the end of service", w.server.draining)
+			h.stop()
+			h.await("the drain period to begin", h.server.draining)
 			if name == "half a head, reload" {
-				next := *w.loop.cfg
-				w.runInLoop(func() { w.loop.reload(&next) })
+				next := *h.loop.cfg
+				h.runInLoop(func() { h.loop.reload(&next) })
 			}
 			io.WriteString(conn, text[split:])
 			close(dial.Unblock)
@@ -279,10 +286,10 @@
 				t.Errorf("got body %q, %v, want %q", got, err, "done")
 			}
 			if _, err := in.ReadByte(); err != io.EOF {
-				t.Errorf("after the response: got %v, want the end of the connection", err)
+				t.Errorf("after the response: got %v, want io.EOF", err)
 			}
 			conn.Close()
-			w.awaitEnd()
+			h.awaitEnd()
 			if n, _ := e.Seen(); n != 1 {
 				t.Errorf("the endpoint got %d requests, want 1", n)
 			}
--- a/internal/sidecar/sidecar_test.go
+++ b/internal/sidecar/sidecar_test.go
@@ -19,15 +19,16 @@
 	"oakproxy/internal/sidecartest"
 )
 
+// Requests of every class are served, all over one connection to the endpoint.
 func TestServesAndReusesConnections(t *testing.T) {
 	e := newServingEndpoint(t)
-	w := start(t, nil, ready("s-1", e.Address))
+	h := start(t, nil, ready("s-1", e.Address))
 	for _, class := range []string{"read", "pay", "close", "order"} {
 		body := "body of " + class
 		if class == "read" {
 			body = ""
 		}
-		if got := w.send(w.request(class, body, 3*time.Second)); got.code != http.StatusOK || got.body != "done" {
+		if got := h.send(h.request(class, body, 3*time.Second)); got.code != http.StatusOK || got.body != "done" {
 			t.Errorf("%s: got %+v, want 200", class, got)
 		}
 	}
@@ -36,10 +37,11 @@
 	}
 }
 
-// The class of a request and the result of its previous attempt decide whether it is retried. Its client gets one final
-// response.
-func TestRetryLimits(t *testing.T) {
-	reset := func(e *sidecartest.Endpoint, conn net.Conn, in *bufio.Reader) {
+// A retry may run a request twice. It is sent only if the class is idempotent, if the other endpoint deduplicates the
+// idempotency key (those of another cell do not, for class close), or if the first attempt was rejected before it ran.
+// The client gets one final response in each case.
+func TestRetryDependsOnClassAndResult(t *testing.T) {
+	closeFirst := func(e *sidecartest.Endpoint, conn net.Conn, in *bufio.Reader) {
 		for e.Next(in) != nil {
 			if n, _ := e.Seen(); n == 1 {
 				return
@@ -47,8 +49,8 @@
 			io.WriteString(conn, sidecartest.Served)
 		}
 	}
-	failed := sidecartest.FirstThen(sidecartest.Failing, sidecartest.Served)
-	rejected := sidecartest.FirstThen(sidecartest.Rejected, sidecartest.Served)
+	failFirst := sidecartest.FirstThen(sidecartest.Failing, sidecartest.Served)
+	rejectFirst := sidecartest.FirstThen(sidecartest.Rejected, sidecartest.Served)
 	otherCell := func(entry discovery.Entry) discovery.Entry {
 		entry.Cell = 2
 		return entry
@@ -56,30 +58,31 @@
 	for _, c := range []struct {
 		name, class string
 		serve       sidecartest.Handler
-		alterSecond func(discovery.Entry) discovery.Entry // may be nil
-		code        int
-		attempts    int
+		alterSecond func(discovery.Entry) discovery.Entry // alters the second endpoint's entry; nil: no change
+		code        int                                   // expected status of the response
+		attempts    int                                   // expected number of attempts
 	}{
-		{"idempotent, reset", "read", reset, nil, 200, 2},
-		{"idempotent, failed", "read", failed, nil, 200, 2},
-		{"idempotency key, reset", "pay", reset, nil, 200, 2},
-		{"idempotency key, reset, same cell", "close", reset, nil, 200, 2},
-		{"idempotency key, reset, other cell", "close", reset, otherCell, 502, 1},
-		{"idempotency key, rejected, other cell", "close", rejected, otherCell, 200, 2},
-		{"not idempotent, reset", "order", reset, nil, 502, 1},
-		{"not idempotent, failed", "order", failed, nil, 502, 1},
-		{"not idempotent, rejected", "order", rejected, nil, 200, 2},
+		{"idempotent, reset", "read", closeFirst, nil, 200, 2},
+		{"idempotent, failed", "read", failFirst, nil, 200, 2},
+		{"idempotency key, reset", "pay", closeFirst, nil, 200, 2},
+		{"idempotency key, reset, same cell", "close", closeFirst, nil, 200, 2},
+		{"idempotency key, reset, other cell", "close", closeFirst, otherCell, 502, 1},
+		{"idempotency key, rejected, other cell", "close", rejectFirst, otherCell, 200, 2},
+		{"not idempotent, reset", "order", closeFirst, nil, 502, 1},
+		{"not idempotent, failed", "order", failFirst, nil, 502, 1},
+		{"not idempotent, rejected", "order", rejectFirst, nil, 200, 2},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
-			// Both names have the same address: the first attempt ends as scripted, whichever name is picked.
+			// Both entries have the same address, so that the handler gets the first attempt whichever entry the
+			// balancer picks.
 			e := sidecartest.NewEndpoint(t, c.serve)
 			second := ready("s-2", e.Address)
 			if c.alterSecond != nil {
 				second = c.alterSecond(second)
 			}
-			w := start(t, nil, ready("s-1", e.Address), second)
-			got := w.send(w.request(c.class, "x", 3*time.Second))
+			h := start(t, nil, ready("s-1", e.Address), second)
+			got := h.send(h.request(c.class, "x", 3*time.Second))
 			if n, _ := e.Seen(); got.code != c.code || n != c.attempts || got.err != nil {
 				t.Errorf("got %d (%v) after %d attempts, want %d after %d", got.code, got.err, n, c.code, c.attempts)
 			}
@@ -90,69 +93,72 @@
 	}
 }
 
-// Each attempt has one outcome. The outcomes are reported in order, and the last is marked as answered.
+// Each attempt has exactly one outcome. The balancer gets the outcomes in the order of the attempts. Only the last has
+// Answered set: the request then has its final response.
 func TestOutcomesAreReportedOnceAndInOrder(t *testing.T) {
 	e := sidecartest.NewEndpoint(t, sidecartest.FirstThen(sidecartest.Rejected, sidecartest.Served))
-	w := start(t, nil, ready("s-1", e.Address), ready("s-2", e.Address))
-	w.send(w.request("order", "x", 3*time.Second))
-	w.await("two outcomes", func() bool { return len(w.recorder.statuses()) >= 2 })
-	w.recorder.mu.Lock()
-	defer w.recorder.mu.Unlock()
-	if len(w.recorder.outcomes) != 2 {
-		t.Fatalf("got %d outcomes, want 2", len(w.recorder.outcomes))
+	h := start(t, nil, ready("s-1", e.Address), ready("s-2", e.Address))
+	h.send(h.request("order", "x", 3*time.Second))
+	h.await("two outcomes", func() bool { return len(h.recorder.statuses()) >= 2 })
+	h.recorder.mu.Lock()
+	defer h.recorder.mu.Unlock()
+	if len(h.recorder.outcomes) != 2 {
+		t.Fatalf("got %d outcomes, want 2", len(h.recorder.outcomes))
 	}
-	first, second := w.recorder.outcomes[0], w.recorder.outcomes[1]
+	first, second := h.recorder.outcomes[0], h.recorder.outcomes[1]
 	if first.Attempt != 0 || first.Status != balancer.Rejected || first.Answered ||
 		second.Attempt != 1 || second.Status != balancer.OK || !second.Answered ||
 		first.ID != second.ID || first.Endpoint == second.Endpoint {
-		t.Errorf("got outcomes %+v, want a rejected attempt and a served one elsewhere", w.recorder.outcomes)
+		t.Errorf("got outcomes %+v, want a rejected attempt and one served by the other endpoint", h.recorder.outcomes)
 	}
 }
 
-// The final response to a request whose endpoint stays silent comes before the client's deadline. The timeout is
-// reported to the balancer, even if the balancer's own timer for the same instant cancels the attempt first.
+// If the endpoint never responds, the client gets its final response before its deadline. The outcome of the attempt is
+// Timeout, even if the balancer's own timer, which is set for the same time, cancels the attempt first.
 func TestResponseBeforeTheClientDeadline(t *testing.T) {
 	for class, code := range map[string]int{"read": 503, "pay": 503, "close": 502, "order": 502} {
 		t.Run(class, func(t *testing.T) {
 			e := sidecartest.NewEndpoint(t, sidecartest.Silent)
-			w := start(t, nil, ready("s-1", e.Address))
+			h := start(t, nil, ready("s-1", e.Address))
 			const timeLeft = 400 * time.Millisecond
-			sent := w.loop.clock.now()
-			got := w.send(w.request(class, "x", timeLeft))
+			sent := h.loop.clock.now()
+			got := h.send(h.request(class, "x", timeLeft))
 			if got.code != code {
 				t.Errorf("got %d (%v), want %d", got.code, got.err, code)
 			}
-			w.await("the outcome", func() bool { return len(w.recorder.statuses()) > 0 })
-			if all := w.recorder.statuses(); !slices.Equal(all, []balancer.Status{balancer.Timeout}) {
+			h.await("the outcome of the attempt", func() bool { return len(h.recorder.statuses()) > 0 })
+			if all := h.recorder.statuses(); !slices.Equal(all, []balancer.Status{balancer.Timeout}) {
 				t.Errorf("got outcomes %v, want one timeout", all)
 			}
-			w.await("the timer", func() bool {
-				w.recorder.mu.Lock()
-				defer w.recorder.mu.Unlock()
-				return slices.Contains(w.recorder.events, "timer")
+			h.await("the balancer's timer", func() bool {
+				h.recorder.mu.Lock()
+				defer h.recorder.mu.Unlock()
+				return slices.Contains(h.recorder.events, "timer")
 			})
-			w.runInLoop(func() {
-				if len(w.loop.requests.byID) != 0 {
+			h.runInLoop(func() {
+				if len(h.loop.requests.byID) != 0 {
 					t.Error("got a request in flight, want none")
 				}
 			})
 			forwarded, _ := strconv.ParseInt(e.Request(0).Header.Get("X-Time-Left-Ms"), 10, 64)
 			if limit := timeLeft - responseMargin; forwarded <= 0 || forwarded > limit.Milliseconds() {
-				t.Errorf("got %d ms of %v forwarded to the endpoint, want at most %v", forwarded, timeLeft, limit)
+				t.Errorf("got X-Time-Left-Ms %d at the endpoint, of %v at the client, want more than 0 and at most %v",
+					forwarded, timeLeft, limit)
 			}
-			if took := time.Duration(w.loop.clock.now()-sent) * time.Microsecond; took < timeLeft/2 {
-				t.Errorf("got the response after %v of %v, want it after half of that at the earliest", took, timeLeft)
+			if took := time.Duration(h.loop.clock.now()-sent) * time.Microsecond; took < timeLeft/2 {
+				t.Errorf("got the response %v after sending with %v left, want it after at least half of that",
+					took, timeLeft)
 			}
 		})
 	}
 }
 
-// A request that the balancer rejects is answered at once, with Retry-After.
+// A request that the balancer rejects gets 503 with Retry-After at once, not only at its deadline.
 func TestRejectedAtOnceWithRetryAfter(t *testing.T) {
 	e := sidecartest.NewEndpoint(t, sidecartest.Always(sidecartest.Rejected))
-	w := start(t, nil, ready("s-1", e.Address))
+	h := start(t, nil, ready("s-1", e.Address))
 	began := time.Now()
-	got := w.send(w.request("read", "", time.Minute))
+	got := h.send(h.request("read", "", time.Minute))
 	after, err := strconv.ParseFloat(got.header.Get("Retry-After"), 64)
 	if got.code != http.StatusServiceUnavailable || err != nil || after <= 0 || after > 1.5 {
 		t.Errorf("got %d with Retry-After %q, want 503 with up to 1.5 s", got.code, got.header.Get("Retry-After"))
@@ -162,7 +168,8 @@
 	}
 }
 
-// The attempt of a client that disconnects is cancelled by closing its connection. Its outcome is reported as answered.
+// When a client disconnects, the sidecar cancels its attempt by closing the attempt's connection. The balancer is first
+// notified of the disconnect and then gets the outcome Cancelled, with Answered set.
 func TestClientDisconnectCancelsTheAttempt(t *testing.T) {
 	closed := make(chan struct{})
 	e := sidecartest.NewEndpoint(t, func(e *sidecartest.Endpoint, conn net.Conn, in *bufio.Reader) {
@@ -170,39 +177,39 @@
 		in.ReadByte() // until the sidecar closes the connection
 		close(closed)
 	})
-	w := start(t, nil, ready("s-1", e.Address))
+	h := start(t, nil, ready("s-1", e.Address))
 	ctx, cancel := context.WithCancel(context.Background())
-	go w.send(w.request("pay", "x", time.Minute).WithContext(ctx))
-	w.awaitRequests(e, 1)
+	go h.send(h.request("pay", "x", time.Minute).WithContext(ctx))
+	h.awaitRequests(e, 1)
 	cancel()
 	select {
 	case <-closed:
 	case <-time.After(sidecartest.WaitTimeout):
-		t.Fatal("the attempt's connection stays open")
+		t.Fatal("the attempt's connection is still open after its client has disconnected")
 	}
-	w.awaitOutcome()
-	w.recorder.mu.Lock()
-	defer w.recorder.mu.Unlock()
-	if o := w.recorder.outcomes[0]; o.Status != balancer.Cancelled || !o.Answered {
-		t.Errorf("got outcome %+v, want cancelled and answered", o)
+	h.awaitOutcome()
+	h.recorder.mu.Lock()
+	defer h.recorder.mu.Unlock()
+	if o := h.recorder.outcomes[0]; o.Status != balancer.Cancelled || !o.Answered {
+		t.Errorf("got outcome %+v, want status Cancelled with Answered set", o)
 	}
-	if w.recorder.events[0] != "gone" {
-		t.Errorf("got events %v, want the disconnect first", w.recorder.events)
+	if h.recorder.events[0] != "gone" {
+		t.Errorf("got events %v, want the disconnect first", h.recorder.events)
 	}
 }
 
-// A client that has only closed its sending side counts as disconnected, and must not read a complete response that no
-// endpoint sent.
+// A client that has closed only its sending side counts as disconnected. It must not read a response that looks
+// complete although no endpoint sent one.
 func TestHalfClosedClientGetsNoResponse(t *testing.T) {
 	e := sidecartest.NewEndpoint(t, sidecartest.Silent)
-	w := start(t, nil, ready("s-1", e.Address))
-	conn, err := net.Dial("tcp", strings.TrimPrefix(w.url, "http://"))
+	h := start(t, nil, ready("s-1", e.Address))
+	conn, err := net.Dial("tcp", strings.TrimPrefix(h.url, "http://"))
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { conn.Close() })
-	w.request("pay", "x", time.Minute).Write(conn)
-	w.awaitRequests(e, 1)
+	h.request("pay", "x", time.Minute).Write(conn)
+	h.awaitRequests(e, 1)
 	conn.(*net.TCPConn).CloseWrite()
 	conn.SetReadDeadline(time.Now().Add(sidecartest.WaitTimeout))
 	if got, err := io.ReadAll(conn); len(got) > 0 {
@@ -210,34 +217,35 @@
 	}
 }
 
-// The outcome of an attempt whose request has ended is reported as answered, and its response is discarded.
+// An endpoint may respond after the request has ended. The response is discarded, and the outcome has Answered set.
 func TestLateOutcomeIsReportedAsAnswered(t *testing.T) {
-	answer := make(chan struct{})
+	release := make(chan struct{})
 	e := sidecartest.NewEndpoint(t, func(e *sidecartest.Endpoint, conn net.Conn, in *bufio.Reader) {
 		e.Next(in)
-		<-answer
+		<-release
 		io.WriteString(conn, sidecartest.Served)
 	})
-	// An attempt that must not be cancelled outlives its request.
-	w := start(t, func(s map[string]any) { s["limits"].(map[string]any)["cancel"] = false }, ready("s-1", e.Address))
+	// While the settings do not allow cancelling attempts, an attempt outlives its request.
+	h := start(t, func(s map[string]any) { s["limits"].(map[string]any)["cancel"] = false }, ready("s-1", e.Address))
 	ctx, cancel := context.WithCancel(context.Background())
-	go w.send(w.request("pay", "x", time.Minute).WithContext(ctx))
-	w.awaitRequests(e, 1)
+	go h.send(h.request("pay", "x", time.Minute).WithContext(ctx))
+	h.awaitRequests(e, 1)
 	cancel()
-	w.awaitClientGone()
-	close(answer)
-	w.awaitOutcome()
-	w.recorder.mu.Lock()
-	defer w.recorder.mu.Unlock()
-	if o := w.recorder.outcomes[0]; o.Status != balancer.OK || !o.Answered {
-		t.Errorf("got outcome %+v, want served and answered", o)
+	h.awaitClientGone()
+	close(release)
+	h.awaitOutcome()
+	h.recorder.mu.Lock()
+	defer h.recorder.mu.Unlock()
+	if o := h.recorder.outcomes[0]; o.Status != balancer.OK || !o.Answered {
+		t.Errorf("got outcome %+v, want status OK with Answered set", o)
 	}
 }
 
-// Malformed requests are rejected with the reason, and reach no endpoint.
-func TestMalformedRequests(t *testing.T) {
+// A malformed request is rejected with a body that names the fault, and reaches no endpoint. A well-formed request with
+// the same optional headers is served.
+func TestMalformedRequestsReachNoEndpoint(t *testing.T) {
 	e := newServingEndpoint(t)
-	w := start(t, func(s map[string]any) {
+	h := start(t, func(s map[string]any) {
 		s["tenants"] = []any{map[string]any{"name": "acme", "share": 1, "allowance-per-s": 10}}
 	}, ready("s-1", e.Address))
 	for _, c := range []struct {
@@ -272,32 +280,32 @@
 		{"bad hint", func(r *http.Request) { r.Header.Set("X-Weight-Hint", "heavy") }, 400, "heavy"},
 		{"unknown tenant", func(r *http.Request) { r.Header.Set("X-Account", "nobody") }, 400, "nobody"},
 	} {
-		r := w.request("pay", "x", 3*time.Second)
+		r := h.request("pay", "x", 3*time.Second)
 		r.Header.Set("X-Account", "acme")
 		c.alter(r)
-		if got := w.send(r); got.code != c.code || !strings.Contains(got.body, c.text) {
+		if got := h.send(r); got.code != c.code || !strings.Contains(got.body, c.text) {
 			t.Errorf("%s: got %+v, want %d with %q", c.name, got, c.code, c.text)
 		}
 	}
 	if n, _ := e.Seen(); n != 0 {
 		t.Errorf("got %d requests at the endpoint, want none", n)
 	}
-	r := w.request("pay", strings.Repeat("x", httpmsg.MaxBufferedBytes), 3*time.Second)
+	r := h.request("pay", strings.Repeat("x", httpmsg.MaxBufferedBytes), 3*time.Second)
 	r.Header.Set("X-Account", "acme")
 	r.Header.Set("X-Weight-Hint", "90000")
 	r.Header.Set("X-Session-Key", "7f3a9c21e0b4d655")
-	if got := w.send(r); got.code != http.StatusOK {
+	if got := h.send(r); got.code != http.StatusOK {
 		t.Errorf("a well-formed request with the largest buffered body: got %+v, want 200", got)
 	}
 }
 
-// An endpoint that begins to drain while an attempt waits for its connection gets nothing, and the request is retried
-// elsewhere.
+// An endpoint may begin to drain while an attempt waits for a connection to it. The attempt is not sent, and the
+// request is retried at another endpoint.
 func TestDrainDuringDialRetriesElsewhere(t *testing.T) {
 	first, second := newServingEndpoint(t), newServingEndpoint(t)
-	w := start(t, nil, ready("s-1", first.Address))
+	h := start(t, nil, ready("s-1", first.Address))
 	dialing, proceed := make(chan struct{}), make(chan struct{})
-	w.loop.upstream.Dialer.Control = func(_, address string, _ syscall.RawConn) error {
+	h.loop.upstream.Dialer.Control = func(_, address string, _ syscall.RawConn) error {
 		if address == first.Address {
 			close(dialing)
 			<-proceed
@@ -305,14 +313,14 @@
 		return nil
 	}
 	answer := make(chan reply)
-	go func() { answer <- w.send(w.request("order", "x", time.Minute)) }()
+	go func() { answer <- h.send(h.request("order", "x", time.Minute)) }()
 	<-dialing
-	w.discovery.change(func() {
-		w.discovery.list = completeList(1, drainingEntry("s-1", first.Address), ready("s-2", second.Address))
+	h.discovery.change(func() {
+		h.discovery.list = completeList(1, drainingEntry("s-1", first.Address), ready("s-2", second.Address))
 	})
-	w.await("the change", func() bool {
+	h.await("the list with the draining endpoint to apply", func() bool {
 		applied := false
-		w.runInLoop(func() { applied = w.loop.endpoints.byID[1].target == nil && w.loop.endpoints.byID[2] != nil })
+		h.runInLoop(func() { applied = h.loop.endpoints.byID[1].target == nil && h.loop.endpoints.byID[2] != nil })
 		return applied
 	})
 	close(proceed)
@@ -322,24 +330,24 @@
 	if n, _ := first.Seen(); n != 0 {
 		t.Errorf("the draining endpoint got %d requests, want none", n)
 	}
-	if all := w.recorder.statuses(); !slices.Equal(all, []balancer.Status{balancer.NotSent, balancer.OK}) {
-		t.Errorf("got outcomes %v, want not sent and served", all)
+	if all := h.recorder.statuses(); !slices.Equal(all, []balancer.Status{balancer.NotSent, balancer.OK}) {
+		t.Errorf("got outcomes %v, want NotSent and OK", all)
 	}
 }
 
-// After SIGTERM, requests in flight are served, idle connections are closed, new connections are accepted for a while,
-// and the sidecar ends without error.
+// After SIGTERM, requests in flight are served, idle connections are closed, new connections are accepted for the drain
+// period, and the sidecar ends without error.
 func TestGracefulTermination(t *testing.T) {
-	answer := make(chan struct{})
-	e := sidecartest.NewEndpoint(t, sidecartest.BlockPay(answer))
-	w := start(t, nil, ready("s-1", e.Address))
-	w.server.drainPeriod = 3 * time.Second // a busy machine may be slow to connect
-	idle, err := net.Dial("tcp", strings.TrimPrefix(w.url, "http://"))
+	release := make(chan struct{})
+	e := sidecartest.NewEndpoint(t, sidecartest.BlockPay(release))
+	h := start(t, nil, ready("s-1", e.Address))
+	h.server.drainPeriod = 3 * time.Second // long enough to connect on a busy machine
+	idle, err := net.Dial("tcp", strings.TrimPrefix(h.url, "http://"))
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { idle.Close() })
-	w.request("read", "", time.Minute).Write(idle)
+	h.request("read", "", time.Minute).Write(idle)
 	in := bufio.NewReader(idle)
 	response, err := http.ReadResponse(in, nil)
 	if err != nil {
@@ -348,34 +356,34 @@
 	io.Copy(io.Discard, response.Body)
 
 	pending := make(chan reply)
-	go func() { pending <- w.send(w.request("pay", "x", time.Minute)) }()
-	w.awaitRequests(e, 2)
-	w.stop()
+	go func() { pending <- h.send(h.request("pay", "x", time.Minute)) }()
+	h.awaitRequests(e, 2)
+	h.stop()
 	idle.SetReadDeadline(time.Now().Add(sidecartest.WaitTimeout))
 	if _, err := in.ReadByte(); err != io.EOF {
-		t.Errorf("the idle connection: got %v, want its end", err)
+		t.Errorf("the idle connection: got %v, want io.EOF", err)
 	}
 	// New connections are still served, one request each.
-	conn, err := net.Dial("tcp", strings.TrimPrefix(w.url, "http://"))
+	conn, err := net.Dial("tcp", strings.TrimPrefix(h.url, "http://"))
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { conn.Close() })
-	w.request("read", "", time.Minute).Write(conn)
+	h.request("read", "", time.Minute).Write(conn)
 	conn.SetReadDeadline(time.Now().Add(sidecartest.WaitTimeout))
 	if late, err := http.ReadResponse(bufio.NewReader(conn), nil); err != nil || late.StatusCode != 200 || !late.Close {
 		t.Errorf("a request after SIGTERM: got %v, %v, want 200 and Connection: close", late, err)
 	}
-	w.await("the end of accepting", func() bool {
-		conn, err := net.Dial("tcp", strings.TrimPrefix(w.url, "http://"))
+	h.await("new connections to be refused", func() bool {
+		conn, err := net.Dial("tcp", strings.TrimPrefix(h.url, "http://"))
 		if err == nil {
 			conn.Close()
 		}
 		return err != nil
 	})
-	close(answer)
+	close(release)
 	if got := <-pending; got.code != http.StatusOK || got.body != "done" {
 		t.Errorf("the request in flight: got %+v, want 200", got)
 	}
-	w.awaitEnd()
+	h.awaitEnd()
 }
--- a/internal/sidecar/stream_test.go
+++ b/internal/sidecar/stream_test.go
@@ -14,11 +14,12 @@
 	"oakproxy/internal/sidecartest"
 )
 
-// large is the size in bytes of a body that exceeds all buffers, those of sockets included.
-const large = 3 << 20
+// largeBodyBytes is the size of a body that exceeds all buffers, including those of sockets.
+const largeBodyBytes = 3 << 20
 
-// inChunks returns a body in chunks of a size, without the last chunk.
-func inChunks(body string, size int) string {
+// encodeChunks returns body in chunked coding, in chunks of size bytes. It omits the last chunk, of length 0, so that a
+// test may continue or truncate the body.
+func encodeChunks(body string, size int) string {
 	var b strings.Builder
 	for ; len(body) > 0; body = body[min(size, len(body)):] {
 		fmt.Fprintf(&b, "%x\r\n%s\r\n", min(size, len(body)), body[:min(size, len(body))])
@@ -26,17 +27,17 @@
 	return b.String()
 }
 
-// A large response reaches the client complete, whatever its framing. The endpoint's connection is reused unless its
-// end delimits the response.
+// A large response reaches the client complete, whether a length, chunks or the end of the connection delimit it. The
+// endpoint's connection is reused unless its end delimits the response.
 func TestLargeResponsesAreStreamed(t *testing.T) {
-	body := strings.Repeat("0123456789abcdef", large/16)
+	body := strings.Repeat("0123456789abcdef", largeBodyBytes/16)
 	for name, c := range map[string]struct {
 		response string
 		reused   bool
 	}{
 		"by length": {fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body), true},
 		"in chunks": {"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" +
-			inChunks(body, 10_000) + "0\r\nX-Sum: 1\r\n\r\n", true},
+			encodeChunks(body, 10_000) + "0\r\nX-Sum: 1\r\n\r\n", true},
 		"until the end": {"HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n" + body, false},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -47,60 +48,62 @@
 					}
 				}
 			})
-			w := start(t, nil, ready("s-1", e.Address))
+			h := start(t, nil, ready("s-1", e.Address))
 			for range 2 {
-				if got := w.send(w.request("read", "", time.Minute)); got.code != 200 || got.body != body ||
+				if got := h.send(h.request("read", "", time.Minute)); got.code != 200 || got.body != body ||
 					got.err != nil {
 					t.Errorf("got %d with %d bytes, %v, want 200 with %d", got.code, len(got.body), got.err, len(body))
 				}
 				// The client may read the last byte before the endpoint's connection returns to the pool.
-				w.await("the connection in the pool", func() bool {
-					idle := w.loop.upstream.IdleConnections()
-					return w.loop.upstream.Counts().Open == idle && (idle == 1) == c.reused
+				h.await("the endpoint's connection to be closed or back in the pool", func() bool {
+					idle := h.loop.upstream.IdleConnections()
+					return h.loop.upstream.Counts().Open == idle && (idle == 1) == c.reused
 				})
 			}
 			if _, conns := e.Seen(); (conns == 1) != c.reused {
 				t.Errorf("got %d connections, reused %v, want reused %v", conns, conns == 1, c.reused)
 			}
-			w.awaitReleasedMemory()
+			h.awaitReleasedMemory()
 		})
 	}
 }
 
-// Parts of a large response are relayed as they arrive. The request's deadline no longer applies to them.
-func TestLargeResponseIsStreamedAtOnce(t *testing.T) {
-	const first = "the first bytes"
+// Parts of a large response are relayed as they arrive. Once the first part is relayed, the request's deadline no
+// longer applies.
+func TestLargeResponseIsRelayedAsItArrives(t *testing.T) {
+	const firstPart = "the first bytes"
 	const timeLeft = 500 * time.Millisecond
-	read := make(chan struct{})
+	firstPartRead := make(chan struct{})
 	e := sidecartest.NewEndpoint(t, func(e *sidecartest.Endpoint, conn net.Conn, in *bufio.Reader) {
 		e.Next(in)
-		fmt.Fprintf(conn, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", large, first)
-		<-read
+		fmt.Fprintf(conn, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", largeBodyBytes, firstPart)
+		<-firstPartRead
 		time.Sleep(timeLeft)
-		io.WriteString(conn, strings.Repeat("x", large-len(first)))
+		io.WriteString(conn, strings.Repeat("x", largeBodyBytes-len(firstPart)))
 	})
-	w := start(t, nil, ready("s-1", e.Address))
-	conn := w.dial()
-	w.request("read", "", timeLeft).Write(conn)
+	h := start(t, nil, ready("s-1", e.Address))
+	conn := h.dial()
+	h.request("read", "", timeLeft).Write(conn)
 	response, err := http.ReadResponse(bufio.NewReader(conn), nil)
 	if err != nil {
 		t.Fatal(err)
 	}
-	got := make([]byte, len(first))
-	if _, err := io.ReadFull(response.Body, got); err != nil || string(got) != first {
-		t.Fatalf("got %q, %v, want %q", got, err, first)
+	got := make([]byte, len(firstPart))
+	if _, err := io.ReadFull(response.Body, got); err != nil || string(got) != firstPart {
+		t.Fatalf("got %q, %v, want %q", got, err, firstPart)
 	}
-	close(read)
-	if n, err := io.Copy(io.Discard, response.Body); err != nil || n != large-int64(len(first)) {
-		t.Errorf("got %d more bytes, %v, want %d", n, err, large-len(first))
+	close(firstPartRead)
+	if n, err := io.Copy(io.Discard, response.Body); err != nil || n != largeBodyBytes-int64(len(firstPart)) {
+		t.Errorf("got %d more bytes, %v, want %d", n, err, largeBodyBytes-len(firstPart))
 	}
 }
 
-// A response that is truncated after relaying began looks truncated to the client, and the request is not retried.
+// A response may break off after a part of it was relayed. The client must see a truncated response, not a complete
+// one, and the request is not retried.
 func TestBrokenLargeResponseLooksTruncated(t *testing.T) {
 	part := strings.Repeat("x", 200<<10)
-	byLength := fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", large, part)
-	chunked := "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + inChunks(part, 1000)
+	byLength := fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", largeBodyBytes, part)
+	chunked := "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + encodeChunks(part, 1000)
 	for name, c := range map[string]struct {
 		response, version string
 		reset             bool
@@ -120,8 +123,8 @@
 					conn.(*net.TCPConn).SetLinger(0)
 				}
 			})
-			w := start(t, nil, ready("s-1", e.Address))
-			conn := w.dial()
+			h := start(t, nil, ready("s-1", e.Address))
+			conn := h.dial()
 			fmt.Fprintf(conn, "GET /read HTTP/%s\r\nHost: a\r\nX-Service-Class: read\r\n"+
 				"X-Time-Left-Ms: 9000\r\nX-Correlation-Id: 1\r\n\r\n", c.version)
 			response, err := http.ReadResponse(bufio.NewReader(conn), nil)
@@ -140,10 +143,10 @@
 	}
 }
 
-// A response that is reset without a length, or short of its length, never reaches the client as complete: the client
-// gets an error before relaying has begun, and a truncated response afterwards.
+// An endpoint may reset its connection before its response has ended. The client must never take the part that arrived
+// for a complete response: it gets an error status if relaying has not begun, and a truncated response otherwise.
 func TestTruncatedResponseIsNeverComplete(t *testing.T) {
-	for name, begin := range map[string]string{
+	for name, beginning := range map[string]string{
 		"without a length":   "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\npart",
 		"of HTTP/1.0":        "HTTP/1.0 200 OK\r\n\r\npart",
 		"half a status line": "HTTP/1.1 200 O",
@@ -155,9 +158,9 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			e := sidecartest.NewEndpoint(t, resetAfter(begin))
-			w := start(t, nil, ready("s-1", e.Address))
-			got := w.send(w.request("order", "x", 3*time.Second))
+			e := sidecartest.NewEndpoint(t, resetAfter(beginning))
+			h := start(t, nil, ready("s-1", e.Address))
+			got := h.send(h.request("order", "x", 3*time.Second))
 			if got.err == nil && got.code == http.StatusOK {
 				t.Errorf("got %d bytes as a complete response, want an error", len(got.body))
 			}
@@ -168,11 +171,11 @@
 	}
 }
 
-// resetAfter returns a Handler that writes the beginning of a response and resets the connection.
-func resetAfter(begin string) sidecartest.Handler {
+// resetAfter returns a Handler that reads a request, writes the beginning of a response and resets the connection.
+func resetAfter(beginning string) sidecartest.Handler {
 	return func(e *sidecartest.Endpoint, conn net.Conn, in *bufio.Reader) {
 		e.Next(in)
-		io.WriteString(conn, begin)
+		io.WriteString(conn, beginning)
 		conn.(*net.TCPConn).SetLinger(0)
 	}
 }
--- a/internal/sidecar/upload_test.go
+++ b/internal/sidecar/upload_test.go
@@ -16,7 +16,7 @@
 	"oakproxy/internal/sidecartest"
 )
 
-// writeBodyLength is a Handler that answers each request with the length of its body.
+// writeBodyLength is a Handler whose response to each request is the length of the request's body, in decimal.
 func writeBodyLength(e *sidecartest.Endpoint, conn net.Conn, in *bufio.Reader) {
 	for r := e.Next(in); r != nil; r = e.Next(in) {
 		body, _ := io.ReadAll(r.Body)
@@ -25,19 +25,19 @@
 	}
 }
 
-// A large body reaches the endpoint complete, with a length or in chunks, on a new connection and on a reused one. The
-// client's connection can be reused unless the body is chunked.
+// A large body reaches the endpoint complete, whether a length or chunks delimit it, on a new connection and on a
+// reused one. The client can reuse its connection unless the body is chunked.
 func TestLargeBodiesAreStreamed(t *testing.T) {
-	body := strings.Repeat("0123456789abcdef", large/16)
+	body := strings.Repeat("0123456789abcdef", largeBodyBytes/16)
 	e := sidecartest.NewEndpoint(t, writeBodyLength)
-	w := start(t, nil, ready("s-1", e.Address))
+	h := start(t, nil, ready("s-1", e.Address))
 	for name, framed := range map[string]string{
 		"by length": fmt.Sprintf("Content-Length: %d\r\n\r\n%s", len(body), body),
-		"in chunks": "Transfer-Encoding: chunked\r\n\r\n" + inChunks(body, 10_000) + "0\r\n\r\n",
+		"in chunks": "Transfer-Encoding: chunked\r\n\r\n" + encodeChunks(body, 10_000) + "0\r\n\r\n",
 		"buffered":  fmt.Sprintf("Content-Length: %d\r\n\r\n%s", httpmsg.MaxBufferedBytes, body[:httpmsg.MaxBufferedBytes]),
 		"expected":  "Expect: 100-continue\r\n" + fmt.Sprintf("Content-Length: %d\r\n\r\n%s", len(body), body),
 	} {
-		conn := w.dial()
+		conn := h.dial()
 		in := bufio.NewReader(conn)
 		for i := range 2 {
 			want, size := "200 OK", len(body)
@@ -63,23 +63,24 @@
 	if n, conns := e.Seen(); n != 7 || conns != 1 {
 		t.Errorf("got %d requests on %d connections, want 7 on 1", n, conns)
 	}
-	w.awaitReleasedMemory()
+	h.awaitReleasedMemory()
 }
 
-// A client may send slowly: its deadline is measured from the last byte.
+// A client may take longer to send its body than X-Time-Left-Ms allows for the response: that time counts from the last
+// byte of the body.
 func TestSlowBodyIsAwaited(t *testing.T) {
 	t.Parallel()
 	e := sidecartest.NewEndpoint(t, writeBodyLength)
-	w := start(t, nil, ready("s-1", e.Address))
-	const piece = 8 << 10 // an eighth of a second each: 64 kB a second, or a few bytes in all of 2 s
+	h := start(t, nil, ready("s-1", e.Address))
+	const pieceBytes = 8 << 10 // sent every 1/8 s: 64 KiB/s; the tiny body is sent byte by byte, in 2 s
 	for name, size := range map[string]int{"tiny": 16, "buffered": 48 << 10, "streamed": 192 << 10} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			conn := w.dial()
+			conn := h.dial()
 			fmt.Fprintf(conn, "%sX-Correlation-Id: %d\r\nContent-Length: %d\r\n\r\n",
 				strings.Replace(sidecartest.PayHead, "3000", "600", 1), size, size)
 			for remaining := size; remaining > 0; {
-				n := min(piece, max(1, size/piece*piece))
+				n := min(pieceBytes, max(1, size/pieceBytes*pieceBytes))
 				time.Sleep(time.Second / 8)
 				io.WriteString(conn, strings.Repeat("x", n))
 				remaining -= n
@@ -95,32 +96,32 @@
 	}
 }
 
-// A body that stalls or is malformed ends in an error response or a close. The endpoint never reads a complete request,
-// and no memory stays reserved.
-func TestBrokenBodies(t *testing.T) {
+// A body may stall or be malformed. Its client gets an error response or its connection is closed, the endpoint never
+// reads a complete request, and no memory stays reserved.
+func TestBrokenBodiesReachNoEndpoint(t *testing.T) {
 	const part = 200 << 10
 	for name, c := range map[string]struct{ framed, want string }{
-		"stalls":         {fmt.Sprintf("Content-Length: %d\r\n\r\n%s", large, strings.Repeat("x", part)), ""},
-		"stalls at once": {fmt.Sprintf("Content-Length: %d\r\n\r\n", large), "HTTP/1.1 400"},
+		"stalls":         {fmt.Sprintf("Content-Length: %d\r\n\r\n%s", largeBodyBytes, strings.Repeat("x", part)), ""},
+		"stalls at once": {fmt.Sprintf("Content-Length: %d\r\n\r\n", largeBodyBytes), "HTTP/1.1 400"},
 		"malformed chunk": {"Transfer-Encoding: chunked\r\n\r\n" +
-			inChunks(strings.Repeat("x", part), 1000) + "zz\r\n", "HTTP/1.1 400"},
+			encodeChunks(strings.Repeat("x", part), 1000) + "zz\r\n", "HTTP/1.1 400"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			e := sidecartest.NewEndpoint(t, writeBodyLength)
-			w := start(t, nil, ready("s-1", e.Address))
+			h := start(t, nil, ready("s-1", e.Address))
 			began := time.Now()
-			got := w.raw(sidecartest.PayHead + "X-Correlation-Id: 1\r\n" + c.framed)
+			got := h.sendRaw(sidecartest.PayHead + "X-Correlation-Id: 1\r\n" + c.framed)
 			if !strings.HasPrefix(got, c.want) || strings.Contains(got, " 200 ") {
 				t.Errorf("got %q, want %q and no 200", got, c.want)
 			}
 			if took := time.Since(began); took > sidecartest.WaitTimeout/2 {
 				t.Errorf("the response took %v, want at most %v", took, sidecartest.WaitTimeout/2)
 			}
-			w.awaitReleasedMemory()
-			w.await("the request to be forgotten", func() bool {
+			h.awaitReleasedMemory()
+			h.await("the loop to hold no request", func() bool {
 				var n int
-				w.runInLoop(func() { n = len(w.loop.requests.byID) })
+				h.runInLoop(func() { n = len(h.loop.requests.byID) })
 				return n == 0
 			})
 			if n, _ := e.Seen(); n != 0 {
@@ -130,18 +131,19 @@
 	}
 }
 
-// A client that disconnects within its chunked body has sent no complete request: the part that arrived must not reach
-// an endpoint as a complete request, however small it is.
+// A client may disconnect before it has sent all of its chunked body. The part that arrived must not reach an endpoint
+// as a complete request, however small it is.
 func TestTruncatedChunkedBodyIsNoRequest(t *testing.T) {
 	e := sidecartest.NewEndpoint(t, writeBodyLength)
-	w := start(t, nil, ready("s-1", e.Address))
-	// The disconnect is reported as late as possible, when the request would have reached an endpoint.
-	w.runInLoop(func() {
-		w.recorder.beforeGone = func() {
+	h := start(t, nil, ready("s-1", e.Address))
+	// If the sidecar forwards a truncated request all the same, the balancer learns of the disconnect only after the
+	// endpoint has read that request: an earlier cancellation would hide the fault.
+	h.runInLoop(func() {
+		h.recorder.beforeGone = func() {
 			sidecartest.Await(t, "the request at the endpoint", func() bool { n, _ := e.Seen(); return n > 0 })
 		}
 	})
-	framed := inChunks(strings.Repeat("x", 3000), 1000) + "0\r\n\r\n"
+	framed := encodeChunks(strings.Repeat("x", 3000), 1000) + "0\r\n\r\n"
 	id := 0
 	for position, part := range map[string]string{
 		"before the first chunk":  "",
@@ -156,14 +158,14 @@
 			"resets":      func(c *net.TCPConn) { c.SetLinger(0); c.Close() },
 		} {
 			id++
-			conn := w.dial().(*net.TCPConn)
+			conn := h.dial().(*net.TCPConn)
 			fmt.Fprintf(conn, "%sX-Correlation-Id: %d\r\nTransfer-Encoding: chunked\r\n\r\n%s",
 				sidecartest.PayHead, id, part)
 			disconnect(conn)
 			if got, _ := io.ReadAll(conn); len(got) > 0 && !strings.HasPrefix(string(got), "HTTP/1.1 400") {
 				t.Errorf("a client that %s %s: got %q, want nothing or 400", end, position, got)
 			}
-			w.await("the end of the connection", func() bool { return w.server.clients.Count() == 0 })
+			h.await("the connection to be closed", func() bool { return h.server.clients.Count() == 0 })
 		}
 	}
 	if n, _ := e.Seen(); n != 0 {
@@ -171,8 +173,8 @@
 	}
 }
 
-// An endpoint that rejects a large body after reading only its start has not run the request. The client is rejected at
-// once, and may finish sending before it reads the response.
+// An endpoint may reject a large body after it has read only the beginning: it has not run the request. The client is
+// rejected at once with 503, and may finish sending before it reads the response.
 func TestEndpointRejectsALargeBody(t *testing.T) {
 	for name, response := range map[string]string{"with a response": sidecartest.Rejected, "by closing": ""} {
 		t.Run(name, func(t *testing.T) {
@@ -183,41 +185,43 @@
 					io.Copy(io.Discard, in)
 				}
 			})
-			w := start(t, nil, ready("s-1", e.Address))
-			conn := w.dial()
+			h := start(t, nil, ready("s-1", e.Address))
+			conn := h.dial()
 			fmt.Fprintf(conn, "%sX-Correlation-Id: 1\r\nContent-Length: %d\r\n\r\n%s",
-				sidecartest.PayHead, large, strings.Repeat("x", 2*httpmsg.MaxBufferedBytes))
+				sidecartest.PayHead, largeBodyBytes, strings.Repeat("x", 2*httpmsg.MaxBufferedBytes))
 			in := bufio.NewReader(conn)
 			response, err := http.ReadResponse(in, nil)
 			if err != nil || response.StatusCode != 503 || response.Header.Get("Retry-After") == "" || !response.Close {
 				t.Fatalf("got %v, %v, want 503 with Retry-After and Connection: close", response, err)
 			}
-			if _, err := io.WriteString(conn, strings.Repeat("x", large-2*httpmsg.MaxBufferedBytes)); err != nil {
+			if _, err := io.WriteString(conn, strings.Repeat("x", largeBodyBytes-2*httpmsg.MaxBufferedBytes)); err != nil {
 				t.Errorf("sending the remaining body: %v", err)
 			}
 			if _, err := io.Copy(io.Discard, in); err != nil {
 				t.Errorf("reading to the end of the connection: %v", err)
 			}
-			if all := w.recorder.statuses(); len(all) != 1 || all[0] != balancer.ConnectFailed {
+			if all := h.recorder.statuses(); len(all) != 1 || all[0] != balancer.ConnectFailed {
 				t.Errorf("got outcomes %v, want one %v", all, balancer.ConnectFailed)
 			}
 		})
 	}
 }
 
-// While only the buffered part of a body was read, the request is retried at another endpoint.
+// As long as only the buffered part of a large body was read from the client, the request can be retried at another
+// endpoint, here after a failed connection.
 func TestLargeBodyIsRetriedElsewhere(t *testing.T) {
 	e := sidecartest.NewEndpoint(t, writeBodyLength)
-	w := start(t, nil, ready("s-1", sidecartest.ClosedAddress(t)), ready("s-2", e.Address))
-	body := strings.Repeat("x", large)
-	connectFailed := func() bool { return slices.Contains(w.recorder.statuses(), balancer.ConnectFailed) }
+	h := start(t, nil, ready("s-1", sidecartest.ClosedAddress(t)), ready("s-2", e.Address))
+	body := strings.Repeat("x", largeBodyBytes)
+	connectFailed := func() bool { return slices.Contains(h.recorder.statuses(), balancer.ConnectFailed) }
 	const minRequests = 8
-	// The first endpoint is picked at random: requests are sent until one was retried after a failed connection.
+	// The balancer picks the endpoint of the first attempt at random. The test sends at least minRequests requests, and
+	// goes on until one of them was retried after a failed connection.
 	for sent, deadline := 0, time.Now().Add(sidecartest.WaitTimeout); sent < minRequests || !connectFailed(); sent++ {
 		if time.Now().After(deadline) {
 			t.Fatal("got no failed connection, want one")
 		}
-		if got := w.send(w.request("order", body, time.Minute)); got.code != 200 || got.body != fmt.Sprint(large) {
+		if got := h.send(h.request("order", body, time.Minute)); got.code != 200 || got.body != fmt.Sprint(largeBodyBytes) {
 			t.Fatalf("got %+v, want 200", got)
 		}
 	}
--- a/internal/sidecar/watch_test.go
+++ b/internal/sidecar/watch_test.go
@@ -18,23 +18,26 @@
 	"oakproxy/internal/discovery"
 )
 
-// The tests in this file run on a fake clock, with pipes in place of sockets.
+// The tests in this file run on the fake clock of testing/synctest, with in-process pipes in place of sockets.
 
-// A change counts as notified at the later of two limits after the watch fell silent.
+// If the watch has fallen silent, the sidecar counts as notified of a change at the later of two times: silenceLimit
+// after the silence began, and waitEndLimit after the wait that the open call had asked for would have ended.
 const (
-	silentLimit = 6 * time.Second       // from the silence
-	waitedLimit = 2 * time.Second       // from the end of the wait of the call
-	slack       = 50 * time.Millisecond // added to each limit, as on sockets
+	silenceLimit    = 6 * time.Second       // from the beginning of the silence
+	waitEndLimit    = 2 * time.Second       // from the end of the open call's wait
+	timingTolerance = 50 * time.Millisecond // allowed beyond each limit, as in tests with sockets
 )
 
-// startScripted starts a loop that knows one endpoint and watches a scripted discovery.
-func startScripted(t *testing.T, alter func(settings map[string]any)) (*loop, *scriptedDiscovery) {
+// startWithScriptedDiscovery starts a loop that knows the endpoint s-1 and watches a scripted discovery service. It
+// returns both.
+func startWithScriptedDiscovery(t *testing.T, alter func(settings map[string]any)) (*loop, *scriptedDiscovery) {
 	t.Helper()
-	dir, dial := newScriptedDiscovery(t)
-	return startWatching(t, dial, alter), dir
+	service, dial := newScriptedDiscovery(t)
+	return startWatching(t, dial, alter), service
 }
 
-// startWatching starts a loop that knows the endpoint as ready. It uses the last seed that is given, if any.
+// startWatching starts a loop that knows the endpoint s-1 as ready and dials discovery by dial. seed, if given,
+// replaces the seed of the configuration; the last value counts.
 func startWatching(t *testing.T, dial dialer, alter func(settings map[string]any), seed ...uint64) *loop {
 	t.Helper()
 	return startWatchingWith(t, dial, func(cfg *config.Config) {
@@ -44,7 +47,7 @@
 	}, alter)
 }
 
-// startWatchingWith is startWatching with a configuration that change may change.
+// startWatchingWith is startWatching with a function that may change any part of the configuration.
 func startWatchingWith(
 	t *testing.T,
 	dial dialer,
@@ -69,8 +72,9 @@
 	return l
 }
 
-// unreachable reports whether an endpoint has no target, so that an attempt that is decided now is not sent.
-func unreachable(l *loop, name string) bool {
+// hasNoTarget reports whether the endpoint of this name has no target. An attempt that the balancer decides on now is
+// then not sent there.
+func hasNoTarget(l *loop, name string) bool {
 	got := make(chan bool)
 	l.events.post(func(int64) {
 		id := l.endpoints.ids[name]
@@ -79,54 +83,55 @@
 	return <-got
 }
 
-// deployments are settings that differ in discovery and in the grace for drains.
-var deployments = map[string]func(map[string]any){
-	"subscribed, grace 2 s":   func(s map[string]any) { contract(s)["drain-grace"] = 2_000_000 },
-	"subscribed, grace 0.5 s": func(s map[string]any) { contract(s)["drain-grace"] = 500_000 },
+// discoveryVariants are changes of the settings, by name. They differ in the mode of discovery (the sidecar subscribes,
+// or an agent pushes the lists) and in the grace for drains (drain-grace).
+var discoveryVariants = map[string]func(map[string]any){
+	"subscribed, grace 2 s":   func(s map[string]any) { contractWithPollInterval10s(s)["drain-grace"] = 2_000_000 },
+	"subscribed, grace 0.5 s": func(s map[string]any) { contractWithPollInterval10s(s)["drain-grace"] = 500_000 },
 	"pushed, grace 0.5 s": func(s map[string]any) {
 		s["discovery"] = "automatic"
-		contract(s)["drain-grace"] = 500_000
+		contractWithPollInterval10s(s)["drain-grace"] = 500_000
 	},
 }
 
-// contract returns the contract of the settings, with ask-within at 10 s.
-func contract(s map[string]any) map[string]any {
+// contractWithPollInterval10s sets ask-within in the contract of the settings to 10 s, and returns the contract.
+func contractWithPollInterval10s(s map[string]any) map[string]any {
 	c := s["contract"].(map[string]any)
 	c["ask-within"] = 10_000_000
 	return c
 }
 
-// requireDrained fails the test if the endpoint is still a target at the end of the grace for a change that counts as
-// notified at the given time.
+// requireDrained waits until the grace for a drain that counts as notified at the given time is over, and
+// timingTolerance has passed. It fails the test if the endpoint s-1 still has a target then.
 func requireDrained(t *testing.T, l *loop, notified time.Time) {
 	t.Helper()
 	grace := time.Duration(l.cfg.Settings.Contract.DrainGrace) * time.Microsecond
-	time.Sleep(time.Until(notified.Add(grace + slack)))
-	if !unreachable(l, "s-1") {
-		t.Errorf("the endpoint is a target %v after its drain counts as notified, want none", time.Since(notified))
+	time.Sleep(time.Until(notified.Add(grace + timingTolerance)))
+	if !hasNoTarget(l, "s-1") {
+		t.Errorf("s-1 has a target %v after its drain counts as notified, want none", time.Since(notified))
 	}
 }
 
-// An open watch falls silent, then an endpoint begins to drain and keeps running. Nothing is sent there once the change
-// counts as notified and the grace is over.
+// An open watch falls silent, then an endpoint begins to drain and keeps running. The sidecar must not wait for the
+// silent call: nothing is sent to the endpoint once the change counts as notified and the grace is over.
 func TestSilentWatchIsReopenedInTime(t *testing.T) {
-	for name, alter := range deployments {
-		for _, after := range []time.Duration{0, 3 * time.Second, 11 * time.Second} { // of the watch
-			t.Run(name+", silent after "+after.String(), func(t *testing.T) {
+	for name, alter := range discoveryVariants {
+		for _, silentAfter := range []time.Duration{0, 3 * time.Second, 11 * time.Second} { // from the start of the watch
+			t.Run(name+", silent after "+silentAfter.String(), func(t *testing.T) {
 				synctest.Test(t, func(t *testing.T) {
-					l, dir := startScripted(t, alter)
-					dir.awaitOpenCall()
-					time.Sleep(after)
-					dir.awaitOpenCall() // after a sleep there may be no open call that could fall silent
-					silenced, open := time.Now(), dir.silenceOpenCalls()
-					if !open.silent {
-						t.Fatalf("got call %+v, want an open one", open)
+					l, service := startWithScriptedDiscovery(t, alter)
+					service.awaitOpenCall()
+					time.Sleep(silentAfter)
+					service.awaitOpenCall() // the sleep may have ended between two calls, when none is open
+					silenced, openCall := time.Now(), service.silenceOpenCalls()
+					if !openCall.silent {
+						t.Fatalf("got call %+v, want an open one", openCall)
 					}
-					dir.drainEndpoint()
-					if unreachable(l, "s-1") {
-						t.Fatal("the endpoint is no target before the change arrived, want one")
+					service.drainEndpoint()
+					if hasNoTarget(l, "s-1") {
+						t.Fatal("s-1 has no target before its drain has arrived, want one")
 					}
-					limits := []time.Time{silenced.Add(silentLimit), open.at.Add(open.wait + waitedLimit)}
+					limits := []time.Time{silenced.Add(silenceLimit), openCall.at.Add(openCall.wait + waitEndLimit)}
 					requireDrained(t, l, slices.MaxFunc(limits, time.Time.Compare))
 				})
 			})
@@ -134,23 +139,25 @@
 	}
 }
 
-// An idle sidecar makes one call after another. Each waits as long as lets a change apply in time after a silence, with
-// jitter against other sidecars. Its list is never older than ask-within.
+// An idle sidecar makes one call after another. Each call waits as long as it can while a change still applies in time
+// if the call falls silent. Jitter in the waits keeps the calls of several sidecars apart. The list is never older than
+// ask-within.
 func TestIdleWatchCallsRarely(t *testing.T) {
-	for name, alter := range deployments {
+	for name, alter := range discoveryVariants {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				l, dir := startScripted(t, alter)
+				l, service := startWithScriptedDiscovery(t, alter)
 				maxAge := time.Duration(l.cfg.Settings.Contract.PollInterval) * time.Microsecond
 				time.Sleep(20 * maxAge)
 				waits := map[time.Duration]bool{}
-				dir.mu.Lock()
-				calls := slices.Clone(dir.calls)
-				dir.mu.Unlock()
+				service.mu.Lock()
+				calls := slices.Clone(service.calls)
+				service.mu.Unlock()
 				for _, c := range calls[1:] {
 					if waits[c.wait] = true; c.wait < 1500*time.Millisecond || c.wait > 2*time.Second ||
 						c.wait+discovery.WatchGrace > maxAge {
-						t.Errorf("got a call that waits %v, want 1.5 s to 2 s, with lists up to %v old", c.wait, maxAge)
+						t.Errorf("got a call that waits %v, want 1.5 s to 2 s and a list that is at most %v old",
+							c.wait, maxAge)
 					}
 				}
 				if n := len(calls); n < 100 || n > 120 || len(waits) < 50 {
@@ -162,81 +169,84 @@
 	}
 }
 
-// With pushed lists, a change that the agent has counts as notified, whether or not a watch is open.
+// With pushed lists, a change counts as notified as soon as the agent has it, whether or not a watch is open. The drain
+// applies within the grace after a reset of the watch, and in a new process.
 func TestPushedDrainsApplyWithoutAWatch(t *testing.T) {
 	for name, grace := range map[string]int{"grace 2 s": 2_000_000, "grace 0.5 s": 500_000} {
-		pushed := func(s map[string]any) { s["discovery"], contract(s)["drain-grace"] = "automatic", grace }
+		pushed := func(s map[string]any) {
+			s["discovery"], contractWithPollInterval10s(s)["drain-grace"] = "automatic", grace
+		}
 		run := func(event string, f func(t *testing.T)) {
 			t.Run(event+", "+name, func(t *testing.T) { synctest.Test(t, f) })
 		}
 		run("reset", func(t *testing.T) {
-			l, dir := startScripted(t, pushed)
-			dir.awaitOpenCall()
-			dir.resetConnections()
-			dir.drainEndpoint()
+			l, service := startWithScriptedDiscovery(t, pushed)
+			service.awaitOpenCall()
+			service.resetConnections()
+			service.drainEndpoint()
 			requireDrained(t, l, time.Now())
 		})
 		for _, after := range []time.Duration{0, 300 * time.Millisecond, 900 * time.Millisecond, 3700 * time.Millisecond} {
 			run("new process, agent recovers after "+after.String(), func(t *testing.T) {
-				dir, dial := newScriptedDiscovery(t)
-				dir.setResponsive(false)
+				service, dial := newScriptedDiscovery(t)
+				service.setResponsive(false)
 				l := startWatching(t, dial, pushed)
 				time.Sleep(after)
 				synctest.Wait()
-				dir.setResponsive(true)
-				dir.drainEndpoint()
+				service.setResponsive(true)
+				service.drainEndpoint()
 				requireDrained(t, l, time.Now())
 			})
 		}
 		run("new process", func(t *testing.T) {
-			dir, dial := newScriptedDiscovery(t)
-			dir.drainEndpoint()
+			service, dial := newScriptedDiscovery(t)
+			service.drainEndpoint()
 			requireDrained(t, startWatching(t, dial, pushed), time.Now())
 		})
 	}
 }
 
-// A change that the new discovery has counts as notified 4 s after SIGHUP, also if the first call to it is never
-// answered and other calls are queued there.
+// After a reload that moves discovery to another address, a change that the new discovery has counts as notified 4 s
+// after SIGHUP. This holds even if the first call there is never answered and other calls are queued there.
 func TestReloadedDiscoveryIsWatchedInTime(t *testing.T) {
-	for name, alter := range deployments {
+	for name, alter := range discoveryVariants {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				dir, dial := newScriptedDiscovery(t)
-				next, dialNext := newScriptedDiscovery(t)
-				next.drainEndpoint()
-				next.setResponsive(false)
+				oldService, dialOld := newScriptedDiscovery(t)
+				newService, dialNew := newScriptedDiscovery(t)
+				newService.drainEndpoint()
+				newService.setResponsive(false)
 				l := startWatching(t, func(ctx context.Context, network, address string) (net.Conn, error) {
 					if address == "127.0.0.1:2" {
-						return dialNext(ctx, network, address)
+						return dialNew(ctx, network, address)
 					}
-					return dial(ctx, network, address)
+					return dialOld(ctx, network, address)
 				}, alter)
 				if l.cfg.Settings.SubscribeToDiscovery {
-					next.queueDelay = 500 * time.Millisecond
+					newService.queueDelay = 500 * time.Millisecond
 				}
-				dir.awaitOpenCall()
+				oldService.awaitOpenCall()
 				signaled := time.Now()
 				moved := *l.cfg
 				moved.DiscoveryAddress = "127.0.0.1:2"
 				l.events.post(func(int64) { l.reload(&moved) })
 				synctest.Wait()
-				next.mu.Lock()
-				calls := len(next.calls)
-				next.mu.Unlock()
+				newService.mu.Lock()
+				calls := len(newService.calls)
+				newService.mu.Unlock()
 				if calls != 1 {
 					t.Fatalf("got %d immediate calls to the new address, want 1", calls)
 				}
 				time.Sleep(10 * time.Millisecond)
-				next.setResponsive(true)
+				newService.setResponsive(true)
 				requireDrained(t, l, signaled.Add(4*time.Second))
 			})
 		})
 	}
 }
 
-// A drain in a malformed list counts as notified when the list is sent, although the list cannot be read: the call is
-// repeated within the grace.
+// A drain in a malformed list counts as notified when the list is sent, although the sidecar cannot read the list. The
+// sidecar must repeat the call so soon that the drain still applies within the grace.
 func TestMalformedListIsRequestedAgainInTime(t *testing.T) {
 	for fault, text := range map[string]string{
 		"truncated": `{"seq":2,"whole":true,"hosts":[{"host":"s-1","hea`,
@@ -247,14 +257,14 @@
 		"older":     `{"seq":0,"whole":true,"hosts":[]}`,
 		"too large": `{"seq":2,"whole":true,"hosts":[],"` + strings.Repeat("x", discovery.MaxListBytes) + `":1}`,
 	} {
-		for name, alter := range deployments {
+		for name, alter := range discoveryVariants {
 			t.Run(fault+", "+name, func(t *testing.T) {
 				synctest.Test(t, func(t *testing.T) {
-					l, dir := startScripted(t, alter)
-					dir.awaitOpenCall()
-					dir.replyToOpenCall(text)
-					dir.drainEndpoint() // answers the open call with the malformed list
-					requireMalformedListIsRepeated(t, l, dir)
+					l, service := startWithScriptedDiscovery(t, alter)
+					service.awaitOpenCall()
+					service.replyToOpenCall(text)
+					service.drainEndpoint() // ends the wait of the open call, which is answered with the malformed list
+					requireMalformedListIsRepeated(t, l, service)
 				})
 			})
 		}
@@ -262,72 +272,72 @@
 	for seed := range uint64(10) {
 		t.Run(fmt.Sprintf("first call, seed %d", seed), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				dir, dial := newScriptedDiscovery(t)
-				dir.malformedReplies = []string{`{"seq":2`}
-				dir.drainEndpoint()
-				l := startWatching(t, dial, deployments["subscribed, grace 0.5 s"], seed)
-				requireMalformedListIsRepeated(t, l, dir)
+				service, dial := newScriptedDiscovery(t)
+				service.malformedReplies = []string{`{"seq":2`}
+				service.drainEndpoint()
+				l := startWatching(t, dial, discoveryVariants["subscribed, grace 0.5 s"], seed)
+				requireMalformedListIsRepeated(t, l, service)
 			})
 		})
 	}
 }
 
-// requireMalformedListIsRepeated waits until the malformed list is sent. It fails the test if the list was usable, if
-// its drain does not apply in time, or if no malformed list is counted.
-func requireMalformedListIsRepeated(t *testing.T, l *loop, dir *scriptedDiscovery) {
+// requireMalformedListIsRepeated waits until discovery has sent the malformed list. It fails the test if the list was
+// applied, if the drain of s-1 does not apply in time, or if no malformed list is counted.
+func requireMalformedListIsRepeated(t *testing.T, l *loop, service *scriptedDiscovery) {
 	t.Helper()
-	for dir.pendingReplies() > 0 {
+	for service.pendingReplies() > 0 {
 		time.Sleep(time.Millisecond)
 	}
 	notified := time.Now()
 	synctest.Wait()
-	if unreachable(l, "s-1") {
-		t.Fatal("the endpoint is no target: the malformed list was used")
+	if hasNoTarget(l, "s-1") {
+		t.Fatal("s-1 has no target: the malformed list was applied")
 	}
 	requireDrained(t, l, notified)
 	l.events.post(func(int64) {
 		if l.watcher.calls.malformed == 0 {
-			t.Errorf("got calls %+v, want a malformed one", l.watcher.calls)
+			t.Errorf("got call counts %+v, want a malformed answer among them", l.watcher.calls)
 		}
 	})
 	synctest.Wait()
 }
 
-// An older list does not undo a drain of a newer one, and counts as a failed call. A discovery that restarts its
-// version numbers is accepted after a while; earlier drains persist.
+// A list with a lower version does not undo a drain of a newer list, and its call counts as failed. Discovery may
+// restart its version numbers: its lists are accepted after a while, and earlier drains persist.
 func TestOlderListsDoNotUndoDrains(t *testing.T) {
-	const older = `{"seq":1,"whole":true,"hosts":[` +
+	const olderList = `{"seq":1,"whole":true,"hosts":[` +
 		`{"host":"s-1","dial":"127.0.0.1:1","health":"Ready"},{"host":"s-2","dial":"127.0.0.1:1","health":"Ready"}]}`
-	for name, alter := range deployments {
+	for name, alter := range discoveryVariants {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				l, dir := startScripted(t, alter)
-				dir.awaitOpenCall()
-				dir.drainEndpoint()
+				l, service := startWithScriptedDiscovery(t, alter)
+				service.awaitOpenCall()
+				service.drainEndpoint()
 				time.Sleep(time.Second)
-				if !unreachable(l, "s-1") {
-					t.Fatal("the drain did not arrive")
+				if !hasNoTarget(l, "s-1") {
+					t.Fatal("s-1 still has a target 1 s after its drain")
 				}
-				reset := time.Now()
-				dir.mu.Lock()
-				dir.list.Version = 0
-				if err := json.Unmarshal([]byte(older), &dir.list); err != nil {
+				restarted := time.Now()
+				service.mu.Lock()
+				service.list.Version = 0
+				if err := json.Unmarshal([]byte(olderList), &service.list); err != nil {
 					t.Error(err)
 				}
-				dir.mu.Unlock()
-				dir.resetConnections()
-				for time.Since(reset) < 30*time.Second { // less than four times ask-within
+				service.mu.Unlock()
+				service.resetConnections()
+				for time.Since(restarted) < 30*time.Second { // less than four times ask-within, which is 10 s
 					time.Sleep(50 * time.Millisecond)
-					if !unreachable(l, "s-1") || !unreachable(l, "s-2") {
-						t.Fatalf("an older list was applied after %v", time.Since(reset))
+					if !hasNoTarget(l, "s-1") || !hasNoTarget(l, "s-2") {
+						t.Fatalf("an older list was applied after %v", time.Since(restarted))
 					}
 				}
-				for unreachable(l, "s-2") && time.Since(reset) < time.Minute {
+				for hasNoTarget(l, "s-2") && time.Since(restarted) < time.Minute {
 					time.Sleep(50 * time.Millisecond)
 				}
-				if unreachable(l, "s-2") || !unreachable(l, "s-1") {
-					t.Errorf("%v after the version numbers restarted: got new endpoint used %v, drained one unused %v, want both",
-						time.Since(reset), !unreachable(l, "s-2"), unreachable(l, "s-1"))
+				if hasNoTarget(l, "s-2") || !hasNoTarget(l, "s-1") {
+					t.Errorf("%v after the version restart: got s-2 with target: %v, s-1 without: %v, want both true",
+						time.Since(restarted), !hasNoTarget(l, "s-2"), hasNoTarget(l, "s-1"))
 				}
 			})
 		})
