--- a/internal/sidecar/extrabytes_test.go
+++ b/internal/sidecar/extrabytes_test.go
@@ -22,18 +22,18 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			e := newServingEndpoint(t)
-			w := start(t, nil, ready("s-1", e.Address))
-			blockedDials := sidecartest.BlockDials(&w.loop.upstream.Dialer, e.Address)
-			conn := w.dial()
+			h := start(t, nil, ready("s-1", e.Address))
+			blockedDials := sidecartest.BlockDials(&h.loop.upstream.Dialer, e.Address)
+			conn := h.dial()
 			var text strings.Builder
-			w.request("pay", "x", time.Minute).Write(&text)
+			h.request("pay", "x", time.Minute).Write(&text)
 			io.WriteString(conn, text.String()+tc.sameWrite)
 			<-blockedDials.Started
 			io.WriteString(conn, tc.laterWrite)
 			conn.Close()
-			w.awaitClientGone()
+			h.awaitClientGone()
 			close(blockedDials.Unblock)
-			w.awaitOutcome()
+			h.awaitOutcome()
 			if n, _ := e.Counts(); n != 0 {
 				t.Errorf("the endpoint got %d requests, want none", n)
 			}
@@ -45,13 +45,13 @@
 // connection is closed. The extra bytes are not treated as a request.
 func TestExtraBytesAfterARequestAreIgnored(t *testing.T) {
 	e := newServingEndpoint(t)
-	w := start(t, nil, ready("s-1", e.Address))
+	h := start(t, nil, ready("s-1", e.Address))
 	for name, extra := range map[string]string{
 		"a byte":    "x",
 		"a request": sidecartest.ReadHead + "X-Correlation-Id: 99\r\n\r\n",
 		"200 kB":    strings.Repeat("x", 200<<10),
 	} {
-		got := w.sendRaw(
+		got := h.sendRaw(
 			sidecartest.ReadHead + "X-Correlation-Id: " + strings.ReplaceAll(name, " ", "") + "\r\n\r\n" + extra,
 		)
 		if strings.Count(got, "HTTP/1.1") != 1 || !strings.HasPrefix(got, "HTTP/1.1 200") ||
@@ -62,7 +62,7 @@
 	if n, _ := e.Counts(); n != 3 {
 		t.Errorf("the endpoint got %d requests, want 3", n)
 	}
-	if got := w.send(w.request("read", "", time.Minute)); got.code != http.StatusOK {
+	if got := h.send(h.request("read", "", time.Minute)); got.code != http.StatusOK {
 		t.Errorf("another client: got %+v, want 200", got)
 	}
 }
--- a/internal/sidecar/faults_test.go
+++ b/internal/sidecar/faults_test.go
@@ -17,8 +17,8 @@
 // Tests that during a disk fault only admin calls fail, and requests are still served.
 func TestServesDespiteDiskFaults(t *testing.T) {
 	e, disk := newServingEndpoint(t), &sidecartest.FaultyDisk{}
-	w := startWithConfig(t, nil, func(c *config.Config) { c.Host.Files = disk.FileOps() }, ready("s-1", e.Address))
-	address := w.startAdmin(t.TempDir())
+	h := startWithConfig(t, nil, func(c *config.Config) { c.Host.Files = disk.FileOps() }, ready("s-1", e.Address))
+	address := h.startAdmin(t.TempDir())
 	if got := callStatus(t, "POST", address, "/admin/quiesce"); got != http.StatusOK {
 		t.Fatal("the call before the fault: want status 200, got", got)
 	}
@@ -26,11 +26,11 @@
 	if got := callStatus(t, "POST", address, "/admin/resume"); got != http.StatusInternalServerError {
 		t.Errorf("a call that cannot be stored: got %d, want 500", got)
 	}
-	if got := w.send(w.request("read", "", time.Minute)); got.code != http.StatusOK || w.server.acceptsRequests() {
+	if got := h.send(h.request("read", "", time.Minute)); got.code != http.StatusOK || h.server.acceptsRequests() {
 		t.Errorf("a request during the fault: got %+v, want 200 and a drained sidecar", got)
 	}
 	disk.Repair()
-	if got := callStatus(t, "POST", address, "/admin/resume"); got != http.StatusOK || !w.server.acceptsRequests() {
+	if got := callStatus(t, "POST", address, "/admin/resume"); got != http.StatusOK || !h.server.acceptsRequests() {
 		t.Errorf("the call after the repair: got %d, want 200 and a resumed sidecar", got)
 	}
 }
@@ -39,17 +39,17 @@
 // alive and ready while its slot file cannot be read.
 func TestProcessSlotDespiteFaults(t *testing.T) {
 	e := newServingEndpoint(t)
-	w := start(t, nil, ready("s-1", e.Address))
+	h := start(t, nil, ready("s-1", e.Address))
 	dir := filepath.Join(t.TempDir(), "created-later")
-	w.server.acquireSlot(t.Context(), dir)
-	if w.server.slot.Load() != nil {
+	h.server.acquireSlot(t.Context(), dir)
+	if h.server.slot.Load() != nil {
 		t.Fatal("got a slot in a directory that does not exist, want none")
 	}
-	go w.server.followPeers(t.Context(), dir)
+	go h.server.followPeers(t.Context(), dir)
 	if err := os.Mkdir(dir, 0o700); err != nil {
 		t.Fatal(err)
 	}
-	w.await("a slot", func() bool { return w.server.slot.Load() != nil })
+	h.await("a slot", func() bool { return h.server.slot.Load() != nil })
 	otherSlot, err := handover.AcquireSlot(dir)
 	if err != nil {
 		t.Fatal(err)
@@ -57,7 +57,7 @@
 	if err := otherSlot.MarkReady(); err != nil {
 		t.Fatal(err)
 	}
-	w.await("the other process", w.server.hasReadyPeer)
+	h.await("the other process", h.server.hasReadyPeer)
 	path := filepath.Join(dir, "oakproxy-process.1") // the slot after the sidecar's own
 	if err := os.Rename(path, path+".gone"); err != nil {
 		t.Fatal(err)
@@ -65,7 +65,7 @@
 	if err := os.Symlink(path, path); err != nil { // reading it fails with ELOOP
 		t.Fatal(err)
 	}
-	if !w.server.hasReadyPeer() {
+	if !h.server.hasReadyPeer() {
 		t.Error("got no ready peer while its slot cannot be read, want one")
 	}
 }
@@ -79,16 +79,16 @@
 		wallClock.Step(step)
 		young, old := ready("s-1", e.Address), ready("s-2", e.Address)
 		young.StartUnixMS, old.StartUnixMS = time.Now().UnixMilli(), time.Now().Add(-2*time.Hour).UnixMilli()
-		w := &harness{t: t, discovery: newFakeDiscovery(t, young, old)}
-		cfg := newConfig(t, w.discovery.address, nil) // without a known list
+		h := &harness{t: t, discovery: newFakeDiscovery(t, young, old)}
+		cfg := newConfig(t, h.discovery.address, nil) // without a known list
 		cfg.Host.Time = wallClock.Clock()
-		w.launch(cfg)
-		w.awaitReady()
+		h.launch(cfg)
+		h.awaitReady()
 		var ages []time.Duration
-		w.runInLoop(func() {
+		h.runInLoop(func() {
 			for _, name := range []string{"s-1", "s-2"} {
-				startedAt := w.loop.endpoints.byID[w.loop.endpoints.idByName[name]].startedAt
-				ages = append(ages, time.Duration(w.loop.clock.now()-startedAt)*time.Microsecond)
+				startedAt := h.loop.endpoints.byID[h.loop.endpoints.idByName[name]].startedAt
+				ages = append(ages, time.Duration(h.loop.clock.now()-startedAt)*time.Microsecond)
 			}
 		})
 		if ages[0] > sidecartest.WaitTimeout || ages[0] < -2*discovery.MinSkew {
--- a/internal/sidecar/harness_test.go
+++ b/internal/sidecar/harness_test.go
@@ -97,14 +97,14 @@
 	hosts ...discovery.Entry,
 ) *harness {
 	t.Helper()
-	w := &harness{t: t, discovery: newFakeDiscovery(t, hosts...)}
-	cfg := newConfig(t, w.discovery.address, alter, hosts...)
+	h := &harness{t: t, discovery: newFakeDiscovery(t, hosts...)}
+	cfg := newConfig(t, h.discovery.address, alter, hosts...)
 	if editConfig != nil {
 		editConfig(cfg)
 	}
-	w.launch(cfg)
-	w.awaitReady()
-	return w
+	h.launch(cfg)
+	h.awaitReady()
+	return h
 }
 
 // startWithListener is like start, but the clients' listener is the result of wrapListener.
@@ -114,17 +114,17 @@
 	entries ...discovery.Entry,
 ) *harness {
 	t.Helper()
-	w := &harness{t: t, discovery: newFakeDiscovery(t, entries...), wrapListener: wrapListener}
-	w.launch(newConfig(t, w.discovery.address, nil, entries...))
-	w.awaitReady()
-	return w
+	h := &harness{t: t, discovery: newFakeDiscovery(t, entries...), wrapListener: wrapListener}
+	h.launch(newConfig(t, h.discovery.address, nil, entries...))
+	h.awaitReady()
+	return h
 }
 
 // awaitReady waits until the sidecar reports that it is ready.
-func (w *harness) awaitReady() {
-	w.t.Helper()
-	w.await("ready", func() bool {
-		response, err := http.Get(w.url + "/health/ready")
+func (h *harness) awaitReady() {
+	h.t.Helper()
+	h.await("ready", func() bool {
+		response, err := http.Get(h.url + "/health/ready")
 		if err != nil {
 			return false
 		}
@@ -134,82 +134,82 @@
 }
 
 // launch runs a sidecar with this configuration until the test ends.
-func (w *harness) launch(cfg *config.Config) {
-	w.t.Helper()
+func (h *harness) launch(cfg *config.Config) {
+	h.t.Helper()
 	listener, err := net.Listen("tcp", cfg.ListenAddress)
 	if err != nil {
-		w.t.Fatal(err)
+		h.t.Fatal(err)
 	}
-	if w.wrapListener != nil {
-		listener = w.wrapListener(listener)
+	if h.wrapListener != nil {
+		listener = h.wrapListener(listener)
 	}
-	w.ended = make(chan error, 1)
-	w.url = "http://" + listener.Addr().String()
+	h.ended = make(chan error, 1)
+	h.url = "http://" + listener.Addr().String()
 	loopCtx, stopLoop := context.WithCancel(context.Background())
-	w.loop, err = newLoop(loopCtx, cfg, slog.New(slog.DiscardHandler))
+	h.loop, err = newLoop(loopCtx, cfg, slog.New(slog.DiscardHandler))
 	if err != nil {
-		w.t.Fatal(err)
+		h.t.Fatal(err)
 	}
-	w.loop.upstream.ReuseDelay = 0 // many tests reuse a connection immediately
-	w.recorder = &balancerRecorder{balancerAPI: w.loop.balancer}
-	w.loop.balancer = w.recorder
-	w.server = newServer(w.loop)
+	h.loop.upstream.ReuseDelay = 0 // many tests reuse a connection immediately
+	h.recorder = &balancerRecorder{balancerAPI: h.loop.balancer}
+	h.loop.balancer = h.recorder
+	h.server = newServer(h.loop)
 	ctx, stop := context.WithCancel(context.Background())
-	w.stop = stop
+	h.stop = stop
 	go func() {
-		w.ended <- w.server.serve(ctx, listener)
+		h.ended <- h.server.serve(ctx, listener)
 		stopLoop()
 	}()
-	w.t.Cleanup(func() {
+	h.t.Cleanup(func() {
 		stop()
-		w.server.http.Close()
+		h.server.http.Close()
 		// A sidecar that is draining would continue to call discovery, whose port might by then be used by another test.
 		stopLoop()
 	})
 }
 
 // await waits until condition returns true, as sidecartest.Await does.
-func (w *harness) await(description string, condition func() bool) {
-	w.t.Helper()
-	sidecartest.Await(w.t, description, condition)
+func (h *harness) await(description string, condition func() bool) {
+	h.t.Helper()
+	sidecartest.Await(h.t, description, condition)
 }
 
 // awaitRequests waits until the number of complete requests that an endpoint has read is want.
-func (w *harness) awaitRequests(e *sidecartest.Endpoint, want int) {
-	w.t.Helper()
-	w.await(fmt.Sprintf("%d requests at the endpoint", want), func() bool {
+func (h *harness) awaitRequests(e *sidecartest.Endpoint, want int) {
+	h.t.Helper()
+	h.await(fmt.Sprintf("%d requests at the endpoint", want), func() bool {
 		requests, _ := e.Counts()
 		return requests == want
 	})
 }
 
 // awaitOutcome waits until exactly one outcome has been reported to the balancer.
-func (w *harness) awaitOutcome() {
-	w.t.Helper()
-	w.await("one outcome", func() bool { return len(w.recorder.statuses()) == 1 })
+func (h *harness) awaitOutcome() {
+	h.t.Helper()
+	h.await("one outcome", func() bool { return len(h.recorder.statuses()) == 1 })
 }
 
 // awaitReleasedMemory waits until no memory is reserved for bodies.
-func (w *harness) awaitReleasedMemory() {
-	w.t.Helper()
-	w.await("the body memory to be released", func() bool { return w.loop.upstream.BodyMemory.Used.Load() == 0 })
+func (h *harness) awaitReleasedMemory() {
+	h.t.Helper()
+	h.await("the body memory to be released", func() bool { return h.loop.upstream.BodyMemory.Used.Load() == 0 })
 }
 
 // awaitClientGone waits until the balancer is notified that a client disconnected.
-func (w *harness) awaitClientGone() {
-	w.t.Helper()
-	w.await("the client to be gone", func() bool {
-		w.recorder.mu.Lock()
-		defer w.recorder.mu.Unlock()
-		return slices.Contains(w.recorder.events, "gone")
+func (h *harness) awaitClientGone() {
+	h.t.Helper()
+	h.await("the client to be gone", func() bool {
+		h.recorder.mu.Lock()
+		defer h.recorder.mu.Unlock()
+		return slices.Contains(h.recorder.events, "gone")
 	})
 }
 
 // runInLoop runs f in the loop's goroutine and waits until it has returned.
-func (w *harness) runInLoop(f func()) {
-	w.t.Helper()
+func (h *harness) runInLoop(f func()) {
+	h.t.Helper()
 	done := make(chan struct{})
-	w.loop.events.post(func(balancer.Micros) {
+	h.loop.events.post(func(balancer.Micros) {
 		f()
 		close(done)
 	})
@@ -220,15 +220,15 @@
 var lastID atomic.Uint32
 
 // request returns a client's request of the class, with a new correlation id. The body is ignored for class read.
-func (w *harness) request(class, body string, timeLeft time.Duration) *http.Request {
-	w.t.Helper()
+func (h *harness) request(class, body string, timeLeft time.Duration) *http.Request {
+	h.t.Helper()
 	method := http.MethodPost
 	if class == "read" {
 		method, body = http.MethodGet, ""
 	}
-	r, err := http.NewRequest(method, w.url+"/"+class+"/x%2Fy?q=1", strings.NewReader(body))
+	r, err := http.NewRequest(method, h.url+"/"+class+"/x%2Fy?q=1", strings.NewReader(body))
 	if err != nil {
-		w.t.Fatal(err)
+		h.t.Fatal(err)
 	}
 	r.Header.Set("X-Correlation-Id", fmt.Sprintf("9b1f03aa%08x", lastID.Add(1)))
 	r.Header.Set("X-Service-Class", class)
@@ -248,7 +248,7 @@
 }
 
 // send sends a request on a connection of its own and reads its response.
-func (w *harness) send(r *http.Request) reply {
+func (h *harness) send(r *http.Request) reply {
 	transport := &http.Transport{DisableKeepAlives: true}
 	response, err := (&http.Client{Transport: transport, Timeout: sidecartest.WaitTimeout}).Do(r)
 	if err != nil {
--- a/internal/sidecar/host_test.go
+++ b/internal/sidecar/host_test.go
@@ -19,8 +19,8 @@
 	t.Cleanup(func() { debug.SetMemoryLimit(before) })
 	debug.SetMemoryLimit(math.MaxInt64)
 
-	w := start(t, nil, ready("s-1", newServingEndpoint(t).Address))
-	sharedProcess := newConfig(t, w.discovery.address, nil)
+	h := start(t, nil, ready("s-1", newServingEndpoint(t).Address))
+	sharedProcess := newConfig(t, h.discovery.address, nil)
 	runUntilFirstList(t, sharedProcess)
 	if limit := debug.SetMemoryLimit(-1); limit != math.MaxInt64 {
 		t.Errorf("shared process: got memory limit %d, want it unchanged", limit)
@@ -29,7 +29,7 @@
 		t.Errorf("shared process: got files %v, %v, want none", files, err)
 	}
 
-	ownProcess := newConfig(t, w.discovery.address, nil)
+	ownProcess := newConfig(t, h.discovery.address, nil)
 	ownProcess.Host = config.OwnProcessHost()
 	runUntilFirstList(t, ownProcess)
 	if limit, want := debug.SetMemoryLimit(-1), int64(ownProcess.Limits.MemoryMB)<<20/10*heapTenths; limit != want {
--- a/internal/sidecar/sendgate_test.go
+++ b/internal/sidecar/sendgate_test.go
@@ -22,20 +22,20 @@
 		<-reset
 	})
 	slow := newServingEndpoint(t)
-	w := start(t, func(s map[string]any) {
+	h := start(t, func(s map[string]any) {
 		s["classes"].([]any)[1].(map[string]any)["window"] = window.Microseconds()
 		s["limits"].(map[string]any)["dial-timeout"] = sidecartest.WaitTimeout.Microseconds()
 	}, ready("s-1", broken.Address))
-	blockedDials := sidecartest.BlockDials(&w.loop.upstream.Dialer, slow.Address)
+	blockedDials := sidecartest.BlockDials(&h.loop.upstream.Dialer, slow.Address)
 	response := make(chan reply, 1)
-	go func() { response <- w.send(w.request("pay", "x", time.Minute)) }()
-	w.awaitRequests(broken, 1)
-	w.discovery.change(func() {
-		w.discovery.list = completeList(1, ready("s-1", broken.Address), ready("s-2", slow.Address))
+	go func() { response <- h.send(h.request("pay", "x", time.Minute)) }()
+	h.awaitRequests(broken, 1)
+	h.discovery.change(func() {
+		h.discovery.list = completeList(1, ready("s-1", broken.Address), ready("s-2", slow.Address))
 	})
-	w.await("the second endpoint", func() bool {
+	h.await("the second endpoint", func() bool {
 		var n int
-		w.runInLoop(func() { n = len(w.loop.endpoints.byID) })
+		h.runInLoop(func() { n = len(h.loop.endpoints.byID) })
 		return n == 2
 	})
 	close(reset)
@@ -57,19 +57,19 @@
 	for name, cancel := range map[string]bool{"may cancel": true, "may not cancel": false} {
 		t.Run(name, func(t *testing.T) {
 			e := newServingEndpoint(t)
-			w := start(
+			h := start(
 				t,
 				func(s map[string]any) { s["limits"].(map[string]any)["cancel"] = cancel },
 				ready("s-1", e.Address),
 			)
-			blockedDials := sidecartest.BlockDials(&w.loop.upstream.Dialer, e.Address)
-			conn := w.dial()
-			w.request("pay", "x", time.Minute).Write(conn)
+			blockedDials := sidecartest.BlockDials(&h.loop.upstream.Dialer, e.Address)
+			conn := h.dial()
+			h.request("pay", "x", time.Minute).Write(conn)
 			<-blockedDials.Started
 			conn.Close()
 			close(blockedDials.Unblock) // at once: the disconnect may not have been noticed yet
-			w.awaitOutcome()
-			if all := w.recorder.statuses(); !slices.Equal(all, []balancer.Status{balancer.NotSent}) {
+			h.awaitOutcome()
+			if all := h.recorder.statuses(); !slices.Equal(all, []balancer.Status{balancer.NotSent}) {
 				t.Errorf("got outcomes %v, want not sent", all)
 			}
 			if n, _ := e.Counts(); n != 0 {
--- a/internal/sidecar/stages_test.go
+++ b/internal/sidecar/stages_test.go
@@ -16,15 +16,15 @@
 		endpoint *sidecartest.Endpoint
 		counted  uint64
 	}{{serving, 1}, {rejecting, 0}} {
-		w := start(t, nil, ready("e0", test.endpoint.Address), ready("e1", test.endpoint.Address))
-		if got := w.send(w.request("read", "", sidecartest.WaitTimeout)); got.code != http.StatusOK {
+		h := start(t, nil, ready("e0", test.endpoint.Address), ready("e1", test.endpoint.Address))
+		if got := h.send(h.request("read", "", sidecartest.WaitTimeout)); got.code != http.StatusOK {
 			t.Fatalf("got %d (%v), want 200", got.code, got.err)
 		}
-		w.stop()
-		if err := <-w.ended; err != nil { // the handler has returned by then
+		h.stop()
+		if err := <-h.ended; err != nil { // the handler has returned by then
 			t.Fatal(err)
 		}
-		if requests, text := w.loop.stages.Summary(); requests != test.counted {
+		if requests, text := h.loop.stages.Summary(); requests != test.counted {
 			t.Errorf("got %d requests counted (%s), want %d", requests, text, test.counted)
 		}
 	}
--- a/internal/sidecar/syscalls_test.go
+++ b/internal/sidecar/syscalls_test.go
@@ -28,15 +28,15 @@
 		}
 	})
 	listener := &sidecartest.FaultyListener{}
-	w := startWithListener(
+	h := startWithListener(
 		t,
 		func(inner net.Listener) net.Listener { listener.Listener = inner; return listener },
 		ready("s-1", e.Address),
 	)
 	const failures = 100 // each is followed by system.AcceptRetryDelay, in all more than 0.5 s
 	listener.Fail(slices.Repeat([]error{syscall.ENFILE}, failures))
-	w.dial() // the accept that is already pending may still accept this connection
-	conn := w.dial()
+	h.dial() // the accept that is already pending may still accept this connection
+	conn := h.dial()
 	fmt.Fprint(conn, sidecartest.ReadHead+"X-Correlation-Id: 1\r\n\r\n")
 	writtenAt := time.Now()
 	response, err := http.ReadResponse(bufio.NewReader(conn), nil)
@@ -62,9 +62,9 @@
 // that nothing is sent to the endpoint.
 func TestClientThatLeavesAfterItsBodyIsNoticed(t *testing.T) {
 	e := newServingEndpoint(t)
-	w := start(t, nil, ready("s-1", e.Address))
-	blockedDials := sidecartest.BlockDials(&w.loop.upstream.Dialer, e.Address)
-	conn := w.dial()
+	h := start(t, nil, ready("s-1", e.Address))
+	blockedDials := sidecartest.BlockDials(&h.loop.upstream.Dialer, e.Address)
+	conn := h.dial()
 	go func() {
 		const size = 2 * httpmsg.MaxBufferedBytes
 		fmt.Fprintf(conn, "%sX-Correlation-Id: 1\r\nContent-Length: %d\r\n\r\n%s",
@@ -73,7 +73,7 @@
 	}()
 	<-blockedDials.Started
 	sidecartest.Await(t, "the disconnect to be noticed", func() bool {
-		for _, r := range w.server.inFlight.all() {
+		for _, r := range h.server.inFlight.all() {
 			if r.conn.ClientClosed() {
 				return true
 			}
@@ -81,7 +81,7 @@
 		return false
 	})
 	close(blockedDials.Unblock)
-	w.awaitOutcome()
+	h.awaitOutcome()
 	if n, conns := e.Counts(); n != 0 {
 		t.Errorf("the endpoint got %d requests on %d connections, want none", n, conns)
 	}
