--- a/internal/sidecar/actions.go
+++ b/internal/sidecar/actions.go
@@ -59,7 +59,7 @@
 	l.respond(l.requests.byID[id], finalResponse{code: http.StatusBadGateway})
 }
 
-// Cancel closes the connection of an attempt. The attempt's outcome is still reported.
+// Cancel ends an attempt by closing its connection. The attempt's outcome is still reported.
 func (l *loop) Cancel(id uint64, attempt int) {
 	if r := l.requests.byID[id]; r != nil && attempt >= 0 && attempt < len(r.attempts) {
 		r.attempts[attempt].cancel()
@@ -88,8 +88,8 @@
 	}()
 }
 
-// Watch starts the watch of the endpoint list at the last version received, or stops it. After a failure, the watch
-// restarts by itself, unless the settings subscribe to discovery: then the balancer decides when to restart it.
+// Watch starts the watch of the endpoint list at the last version received, or stops it. If the settings subscribe to
+// discovery, the balancer decides when to restart the watch after a failure. Otherwise the watch restarts by itself.
 func (l *loop) Watch(on bool) {
 	if !on {
 		l.watcher.stop()
--- a/internal/sidecar/clients_test.go
+++ b/internal/sidecar/clients_test.go
@@ -146,7 +146,7 @@
 	for _, c := range []struct {
 		name, head string
 		size, code int
-		noMemory   bool // the memory for bodies is used up
+		noMemory   bool // whether the memory for bodies is used up
 	}{
 		{"too large", sidecartest.PayHead + "X-Correlation-Id: 1\r\n",
 			httpmsg.MaxBodyBytes + 1, http.StatusRequestEntityTooLarge, false},
--- a/internal/sidecar/discovery_test.go
+++ b/internal/sidecar/discovery_test.go
@@ -32,8 +32,8 @@
 // withLongDiscoveryWait makes calls of discovery wait longer than a test takes: 11 to 15 s, because of the jitter.
 func withLongDiscoveryWait(cfg *config.Config) { cfg.DiscoveryWait = 15 * time.Second }
 
-// The watch resumes from the known version, even if that is 0. Discovery answers a call without a version with the
-// complete list at once, so the watch would never wait for a change.
+// The watch resumes from the known version, even if that is 0. If it left out the version, discovery would answer each
+// call at once with the complete list, and the watch would never wait for a change.
 func TestWatchResumesFromTheKnownVersion(t *testing.T) {
 	e := newServingEndpoint(t)
 	h := startWithConfig(t, nil, withLongDiscoveryWait, ready("s-1", e.Address))
@@ -110,7 +110,7 @@
 	for name, c := range map[string]struct {
 		text     string
 		unusable int
-		targets  string // names of s-1, s-2 and s-3 that keep a target, unless the list is complete
+		targets  string // names of the endpoints that keep a target if the list is not complete
 	}{
 		"unknown state":      {entryJSON("s-3", "Paused", e.Address), 1, "s-1"},
 		"no address":         {entryJSON("s-3", "Ready", "nowhere"), 1, "s-1"},
@@ -166,8 +166,8 @@
 	return fmt.Sprintf(`{"host":%q,"dial":%q,"site":"a","class":"m1","health":%q,"share":1}`, name, address, health)
 }
 
-// With pushed lists, the balancer does not subscribe to discovery. The sidecar watches its agent by itself, and resumes
-// the watch after a failure.
+// If lists are pushed to an agent on the machine, the balancer does not subscribe to discovery. The sidecar then
+// watches the agent without being asked by the balancer, and resumes the watch after a failure.
 func TestPushedListsAreWatchedWithoutSubscription(t *testing.T) {
 	e, second := newServingEndpoint(t), newServingEndpoint(t)
 	h := start(t, func(s map[string]any) { s["discovery"] = "automatic" }, ready("s-1", e.Address))
@@ -203,7 +203,7 @@
 		h.discovery.down = false
 		h.discovery.list = completeList(1, ready("s-1", e.Address))
 	})
-	h.await("ready", func() bool { return status() == http.StatusOK })
+	h.await("the sidecar to be ready", func() bool { return status() == http.StatusOK })
 	if first := h.discovery.calls[0]; first != "" {
 		t.Errorf("without any list: got first call %q, want one for the complete list", first)
 	}
@@ -326,9 +326,9 @@
 	}
 }
 
-// Endpoints are added and removed under new names all day, so the endpoint table would grow without limit. A removed
-// endpoint leaves the table once no attempt is in flight there. Its id is never reused, so that a late outcome is not
-// attributed to another endpoint.
+// Endpoints come and go all day under new names. So that the endpoint table does not grow without limit, a removed
+// endpoint is deleted from it once no attempt to the endpoint is in flight. The endpoint's id is never reused, so that
+// a late outcome is not attributed to another endpoint.
 func TestRemovedEndpointsAreForgotten(t *testing.T) {
 	release := make(chan struct{})
 	e := sidecartest.NewEndpoint(t, sidecartest.BlockAll(release))
--- a/internal/sidecar/doc.go
+++ b/internal/sidecar/doc.go
@@ -2,8 +2,8 @@
 // endpoints and watches the endpoint list.
 //
 // The balancer decides where, when and how often to send each request. This package carries out these decisions and
-// reports their outcomes to the balancer. It does not interpret responses or load reports, which package upstream does,
-// and it does not read configuration files, which package config does.
+// reports their outcomes to the balancer. Package upstream interprets responses and load reports, and package config
+// reads configuration files.
 //
 // Invariants:
 //   - The goroutine that runs loop.run owns the balancer and the tables of requests and endpoints. Other goroutines
--- a/internal/sidecar/endpoints.go
+++ b/internal/sidecar/endpoints.go
@@ -16,7 +16,7 @@
 	idByName  map[string]uint32                 // the balancer's ids, by host name
 	lastID    uint32                            // id given last; ids count from 1
 	overrides map[string]operatorstate.Override // the operators' overrides, by host name
-	retire    func(*upstream.Endpoint)          // function that closes a target, so that unsent attempts to it stay unsent
+	retire    func(*upstream.Endpoint)          // function that closes a target: no attempt is sent to it any more
 }
 
 func newEndpointTable(retire func(*upstream.Endpoint)) endpointTable {
@@ -35,8 +35,8 @@
 	removed   bool               // whether discovery has removed the endpoint
 }
 
-// updateStart returns the start of the endpoint's process by the loop's clock. The start is computed only once for each
-// process: the clock skew is estimated anew for each list, and the start must not change with the estimate.
+// updateStart updates startedAt from the latest entry and returns it. The start is computed only once for each process
+// of the endpoint: the clock skew is estimated anew for each list, and the start must not change with the estimate.
 func (e *endpoint) updateStart(entry discovery.Entry, skew balancer.Micros) balancer.Micros {
 	switch {
 	case entry.StartUnixMS <= 0:
@@ -47,17 +47,18 @@
 	return e.startedAt
 }
 
-// endpointUpdate is a list from discovery with the information needed to interpret it.
+// endpointUpdate is an endpoint list with the information needed to interpret it. The list comes from discovery or, at
+// the start, from the configuration.
 type endpointUpdate struct {
 	list       discovery.List
 	kind       balancer.ListUpdate
-	mayBeOlder bool            // the list may be older than the table's state, so it must not undo a drain
+	mayBeOlder bool            // whether the list may be older than the table's state; if so, it must not undo a drain
 	skew       balancer.Micros // how far discovery's clock is ahead of this process's clock
 	cfg        *config.Config  // configuration with the names of zones and machine kinds
 }
 
 // update applies a list to the table. It returns the entries to pass to the balancer, and whether any endpoint of the
-// table is ready.
+// table can be sent requests.
 func (t *endpointTable) update(u *endpointUpdate) (entries []balancer.Endpoint, ready bool) {
 	entries = make([]balancer.Endpoint, 0, len(u.list.Entries))
 	listed := map[uint32]bool{}
@@ -98,8 +99,9 @@
 	return t.lastID
 }
 
-// retarget sets the target of an endpoint according to its latest entry. If the endpoint is draining, removed or
-// restarted, its old target is retired, so that attempts that are about to be sent to it are not sent.
+// retarget sets the target of an endpoint according to its latest entry and the operators' overrides. If the endpoint
+// is draining, cordoned, removed or restarted, or has a new address, its old target is retired. Attempts that are about
+// to be sent to a retired target are not sent.
 func (t *endpointTable) retarget(id uint32, entry discovery.Entry) {
 	e, state := t.byID[id], discovery.HealthStates[entry.Health]
 	e.entry, e.removed = entry, state == balancer.Removed
@@ -153,7 +155,7 @@
 }
 
 // acquire counts an attempt or probe as in flight and returns the endpoint's target, or nil if nothing may be sent to
-// the endpoint. The endpoint may be missing from the table because the balancer can know it for a moment longer.
+// the endpoint. The endpoint may be missing from the table: the balancer may still know one that was just deleted.
 func (t *endpointTable) acquire(id uint32) *upstream.Endpoint {
 	e := t.byID[id]
 	if e == nil {
@@ -171,6 +173,7 @@
 	}
 }
 
+// forgetIfUnused deletes an endpoint from the table if discovery has removed it and nothing is in flight to it.
 func (t *endpointTable) forgetIfUnused(id uint32) {
 	if e := t.byID[id]; e.removed && e.inFlight == 0 {
 		delete(t.idByName, e.name)
--- a/internal/sidecar/extrabytes_test.go
+++ b/internal/sidecar/extrabytes_test.go
@@ -11,7 +11,8 @@
 )
 
 // Tests that the disconnect of a client is noticed if the client has sent extra bytes after its request, however many.
-// net/http itself does not notice it: it reads one of the extra bytes and never reaches the end of the stream.
+// net/http itself does not notice the disconnect: it reads only one of the extra bytes, so that it never reaches the
+// end of the stream.
 func TestClientThatLeavesAfterExtraBytesIsNoticed(t *testing.T) {
 	for name, tc := range map[string]struct{ sameWrite, laterWrite string }{
 		"one byte with the request":  {"x", ""},
--- a/internal/sidecar/faults_test.go
+++ b/internal/sidecar/faults_test.go
@@ -80,7 +80,7 @@
 		young, old := ready("s-1", e.Address), ready("s-2", e.Address)
 		young.StartUnixMS, old.StartUnixMS = time.Now().UnixMilli(), time.Now().Add(-2*time.Hour).UnixMilli()
 		h := &harness{t: t, discovery: newFakeDiscovery(t, young, old)}
-		cfg := newConfig(t, h.discovery.address, nil) // without a known list
+		cfg := newConfig(t, h.discovery.address, nil) // the configuration has no known list
 		cfg.Host.Time = wallClock.Clock()
 		h.launch(cfg)
 		h.awaitReady()
--- a/internal/sidecar/forward.go
+++ b/internal/sidecar/forward.go
@@ -40,7 +40,7 @@
 			return
 		case <-admissionClosed:
 			admissionClosed = nil
-			if upload.Stop() { // otherwise the last byte may have been sent, and the response is awaited
+			if upload.Stop() { // if not, the last byte may have been sent, so the request still awaits its response
 				s.abandon(r)
 				rejectTerminating(x.w)
 				s.inFlight.remove(openReq)
@@ -59,8 +59,8 @@
 			panic(http.ErrAbortHandler)
 		case <-x.in.Context().Done():
 			s.abandon(r)
-			// The client may have closed only its sending side. It must not read a complete response that no endpoint
-			// has sent.
+			// The client may have closed only its sending side and may still be reading. The panic closes the connection,
+			// so that the client cannot read a complete response that no endpoint has sent.
 			panic(http.ErrAbortHandler)
 		}
 	}
--- a/internal/sidecar/harness_test.go
+++ b/internal/sidecar/harness_test.go
@@ -41,7 +41,7 @@
 // harness is a running sidecar with its discovery service.
 type harness struct {
 	t         *testing.T
-	url       string
+	url       string // http://host:port of the clients' listener
 	loop      *loop
 	server    *server
 	recorder  *balancerRecorder
@@ -92,13 +92,13 @@
 // startWithConfig is like start, but editConfig changes the configuration before the sidecar starts; it may be nil.
 func startWithConfig(
 	t *testing.T,
-	alter func(settings map[string]any),
+	editSettings func(settings map[string]any),
 	editConfig func(*config.Config),
-	hosts ...discovery.Entry,
+	entries ...discovery.Entry,
 ) *harness {
 	t.Helper()
-	h := &harness{t: t, discovery: newFakeDiscovery(t, hosts...)}
-	cfg := newConfig(t, h.discovery.address, alter, hosts...)
+	h := &harness{t: t, discovery: newFakeDiscovery(t, entries...)}
+	cfg := newConfig(t, h.discovery.address, editSettings, entries...)
 	if editConfig != nil {
 		editConfig(cfg)
 	}
@@ -123,7 +123,7 @@
 // awaitReady waits until the sidecar reports that it is ready.
 func (h *harness) awaitReady() {
 	h.t.Helper()
-	h.await("ready", func() bool {
+	h.await("the sidecar to be ready", func() bool {
 		response, err := http.Get(h.url + "/health/ready")
 		if err != nil {
 			return false
@@ -174,7 +174,7 @@
 	sidecartest.Await(h.t, description, condition)
 }
 
-// awaitRequests waits until the number of complete requests that an endpoint has read is want.
+// awaitRequests waits until an endpoint has read exactly want complete requests.
 func (h *harness) awaitRequests(e *sidecartest.Endpoint, want int) {
 	h.t.Helper()
 	h.await(fmt.Sprintf("%d requests at the endpoint", want), func() bool {
@@ -216,7 +216,7 @@
 	<-done
 }
 
-// lastID numbers the requests of all tests: it is the number in the correlation id that request assigned last.
+// lastID is the number in the latest correlation id that harness.request assigned. All tests share it.
 var lastID atomic.Uint32
 
 // request returns a client's request of the class, with a new correlation id. The body is ignored for class read.
--- a/internal/sidecar/inflight.go
+++ b/internal/sidecar/inflight.go
@@ -15,8 +15,8 @@
 	arrivedAt time.Time
 	deadline  time.Time // the client's deadline; for an upload, the time when reading its body is given up
 
-	isUpload      bool          // whether the body is streamed; if so, the client's time counts from its last byte
-	timeAfterBody time.Duration // for an upload, the client's time from the last byte of the body
+	isUpload      bool          // whether the body is streamed; the response is then due timeAfterBody after its last byte
+	timeAfterBody time.Duration // for an upload, the time that the client grants from the last byte of the body
 }
 
 func newOpenRequest(x *exchange, deadline time.Time) *openRequest {
--- a/internal/sidecar/loop.go
+++ b/internal/sidecar/loop.go
@@ -19,7 +19,7 @@
 )
 
 const (
-	pruneInterval = time.Second     // time between prunings of connections, and between saves of the estimates
+	pruneInterval = time.Second     // time between closings of long-idle connections, and between saves of the estimates
 	statsInterval = 2 * time.Second // time between log lines of statistics
 )
 
@@ -50,7 +50,7 @@
 	log              *slog.Logger
 	clock            clock
 	operatorClock    system.Clock    // clock for the times of operators' overrides, which outlive the process
-	ctx              context.Context // context that ends with the loop; the methods of balancer.Actions take none
+	ctx              context.Context // context whose end stops the loop; a field because balancer.Actions passes none
 	upstream         *upstream.Client
 	events           eventQueue
 	hasReadyEndpoint atomic.Bool                     // whether any endpoint of the table can be sent requests
@@ -171,7 +171,8 @@
 	l.requests.forgetIfDone(r)
 }
 
-// handleBodyWritten handles the end of a streamed request body: the client's time counts from here.
+// handleBodyWritten handles the end of a streamed request body. The time that the client grants for the response counts
+// from the body's last byte.
 func (l *loop) handleBodyWritten(now balancer.Micros, r *request) {
 	if !r.finished {
 		r.deadline = now + time.Until(r.message.Upload.Deadline()).Microseconds()
--- a/internal/sidecar/outage_test.go
+++ b/internal/sidecar/outage_test.go
@@ -25,14 +25,14 @@
 	change()
 }
 
-// setDown sets whether new calls are answered 503.
+// setDown sets whether new calls are answered with status 503.
 func (s *scriptedDiscovery) setDown(down bool) {
 	s.withLock(func() { s.down = down })
 }
 
 // Ways in which an outage begins and ends. silenceOnce leaves the open calls without an answer, and resetOnce resets
-// their connections; later calls are answered. While discovery refuses, new calls get 503, with delayed refusing after
-// 1 s. While it hangs, new calls are never answered.
+// their connections; later calls are answered. While discovery refuses, new calls get status 503. While it refuses with
+// a delay, they get it after 1 s. While it hangs, new calls are never answered.
 var (
 	silenceOnce = func(service *scriptedDiscovery) { service.silenceOpenCalls() }
 	resetOnce   = func(service *scriptedDiscovery) { service.resetConnections() }
@@ -65,8 +65,8 @@
 	"hanging, overloaded":     {beginHanging, endHanging, 2 * time.Second},
 }
 
-// After an outage of any kind, a change applies within 6 s of the moment from which discovery can be reached and has
-// the change.
+// After an outage of any kind, a change applies within 6 s of the moment at which discovery has the change and can be
+// reached again.
 func TestChangesApplyInTimeAfterAnOutage(t *testing.T) {
 	const maxDelay = 6 * time.Second
 	variants := map[string]func(map[string]any){}
@@ -110,8 +110,8 @@
 	}
 }
 
-// While discovery is down, the calls of all sidecars that lost it at the same moment stay spread over time. They are so
-// few that discovery can answer all pending calls when it recovers.
+// If all sidecars lose discovery at the same moment, their calls stay spread over time while it is down. The calls are
+// so few that discovery can answer all pending ones when it recovers.
 func TestDiscoveryCallsOfAFleetStaySpread(t *testing.T) {
 	const sidecars, span = 350, 20 * time.Second
 	synctest.Test(t, func(t *testing.T) {
--- a/internal/sidecar/parse.go
+++ b/internal/sidecar/parse.go
@@ -16,7 +16,7 @@
 var singleValueHeaders = []string{"X-Correlation-Id", "X-Service-Class", "X-Account", "X-Session-Key",
 	"X-Time-Left-Ms", "X-Repeat", "X-Weight-Hint", "Idempotency-Key"}
 
-// hashName returns a hash of a name. Every sidecar computes the same hash.
+// hashName returns a hash of a name. All sidecars compute the same hash of the same name.
 func hashName(name string) uint64 {
 	hash := fnv.New64a()
 	hash.Write([]byte(name))
--- a/internal/sidecar/read.go
+++ b/internal/sidecar/read.go
@@ -76,7 +76,7 @@
 // serveComplete responds to a request whose body has been read completely. arrived is the time of the request's arrival
 // by the loop's clock.
 func (s *server) serveComplete(x *exchange, arrived balancer.Micros) {
-	if x.request.Deadline > 0 { // the client's time counts from the last byte of the request
+	if x.request.Deadline > 0 { // 0 for readyPath; the time that the client grants counts from the request's last byte
 		x.request.Deadline += max(0, s.loop.clock.now()-system.LastDataAge(x.conn.Conn).Microseconds()-arrived)
 	}
 	// Otherwise the read deadline would end the request's context while the response is still awaited.
@@ -108,7 +108,7 @@
 	}
 }
 
-// readHead checks a request's head and returns the balancer's description of the request. It is empty for readyPath.
+// readHead checks a request's head and returns the balancer's description of the request, which is empty for readyPath.
 func (s *server) readHead(in *http.Request, conn *downstream.Conn, arrived balancer.Micros) (
 	req balancer.Request, err error) {
 	if conn.HasAmbiguousLength() {
@@ -126,9 +126,10 @@
 	return req, nil
 }
 
-// readBody reads at most limit bytes of a request's body. length is the request's Content-Length, -1 if unknown. Only
-// io.EOF means that the body is complete. io.ReadFull is not used because it returns io.ErrUnexpectedEOF both for a
-// truncated chunked body and for a complete body that is shorter than limit.
+// readBody reads at most limit bytes of a request's body, and reports whether they are the complete body. length is the
+// request's Content-Length, -1 if unknown. A body is complete if it has the known length, or if its length is unknown
+// and its end was read as io.EOF. io.ReadFull is not used because it returns io.ErrUnexpectedEOF both for a truncated
+// chunked body and for a complete body that is shorter than limit.
 func readBody(r io.Reader, limit, length int64) (body []byte, complete bool, err error) {
 	body = make([]byte, limit)
 	n := 0
@@ -149,6 +150,6 @@
 	return nil, false, downstream.NewBadRequest("the body could not be read")
 }
 
-// clearReadDeadline removes the read deadline of a connection. It ignores the error, which means that the connection is
-// closed: the next read reports the same.
+// clearReadDeadline removes the read deadline of a connection. It ignores an error, which means that the connection is
+// closed: the next read reports that, too.
 func clearReadDeadline(conn *downstream.Conn) { _ = conn.SetReadDeadline(time.Time{}) }
--- a/internal/sidecar/recorder_test.go
+++ b/internal/sidecar/recorder_test.go
@@ -28,7 +28,7 @@
 }
 
 func (s *balancerRecorder) HandleTimer(now balancer.Micros, token uint32) {
-	if token >= 1<<20 { // the timer belongs to a request
+	if token >= 1<<20 { // a token of a request; those of the balancer's own timers are smaller
 		s.record(func() { s.events = append(s.events, "timer") })
 	}
 	s.balancerAPI.HandleTimer(now, token)
--- a/internal/sidecar/reload_test.go
+++ b/internal/sidecar/reload_test.go
@@ -51,7 +51,8 @@
 	s["classes"] = append([]any{added}, classes(s)...)
 }
 
-// reload puts the settings that alter has changed in force and returns what the loop logs meanwhile. alter may be nil.
+// reload reloads the configuration with the changes that alter makes to the settings, and returns what the loop logs
+// meanwhile. alter may be nil.
 func (h *harness) reload(alter func(settings map[string]any)) string {
 	h.t.Helper()
 	next := newConfig(h.t, h.discovery.address, alter)
@@ -158,9 +159,10 @@
 	}
 }
 
-// A request may be read before a reload and reach the loop after it. It keeps the class that it was read with: it is
-// retried by the rules of that class, not by those of the class that is now at the same position in the list and is not
-// idempotent. If a reload makes its class non-idempotent, it is not retried.
+// A request may be read before a reload and reach the loop after it. It keeps the class that it was read with and is
+// retried by the rules of that class. In the reloaded list of classes, another class, which is not idempotent, is at
+// the same position; its rules do not apply. If the reload makes the request's own class non-idempotent, the request is
+// not retried.
 func TestRequestReadBeforeAReloadKeepsItsClass(t *testing.T) {
 	withClasses := func(names ...string) func(map[string]any) {
 		return func(s map[string]any) {
@@ -204,10 +206,10 @@
 }
 
 // A retry may wait for its connection while a reload makes its class non-idempotent. The retry is not sent. The client
-// gets 502, which does not claim that the request has not run. A first attempt is sent in the same case.
+// gets 502 and not 503, which would claim that the request has not run. A first attempt that waits is still sent.
 func TestReloadToNonIdempotentClassAppliesToUnsentAttempts(t *testing.T) {
 	for name, c := range map[string]struct {
-		blocked int32 // which dial waits for the reload; 1 is the first
+		blocked int32 // number of the dial that waits for the reload, counted from 1
 		code    int
 	}{"retry": {2, http.StatusBadGateway}, "first attempt": {1, http.StatusOK}} {
 		t.Run(name, func(t *testing.T) {
@@ -363,8 +365,8 @@
 	var watchBefore, watchAfter *discovery.Client
 	copyEndpoints := func() map[uint32]endpoint {
 		all := map[uint32]endpoint{}
-		for id, m := range h.loop.endpoints.byID {
-			all[id] = *m
+		for id, entry := range h.loop.endpoints.byID {
+			all[id] = *entry
 		}
 		return all
 	}
--- a/internal/sidecar/requests.go
+++ b/internal/sidecar/requests.go
@@ -32,8 +32,9 @@
 	}
 }
 
-// request is an entry of the request table. The request's HTTP handler creates it and, after its admission, only
-// receives from response and then uses times. The loop's goroutine owns everything else once the request is admitted.
+// request is an entry of the request table. The request's HTTP handler creates it and passes it to the loop. From then
+// on, the loop's goroutine owns it. The handler only receives the final response from the channel response, and after
+// that uses the field times.
 type request struct {
 	id           uint64
 	message      *upstream.Request  // the request to forward
@@ -59,8 +60,8 @@
 	}
 }
 
-// finish marks the request as finished: nothing new may start for it. It cancels attempts that are not sent yet, even
-// if the settings do not allow cancelling attempts: no endpoint knows of such an attempt.
+// finish marks the request as finished, after which it gets no new attempt. It cancels attempts that are not sent yet,
+// even if the settings do not allow cancelling attempts: no endpoint knows of such an attempt.
 func (r *request) finish() {
 	r.finished = true
 	for i := range r.attempts {
--- a/internal/sidecar/response.go
+++ b/internal/sidecar/response.go
@@ -14,8 +14,9 @@
 // writeResponse writes the final response, and relays the part of its body that is still arriving from the endpoint.
 func (s *server) writeResponse(w http.ResponseWriter, conn *downstream.Conn, r *request, response finalResponse) {
 	r.times.ResultReceived = time.Now()
-	// Clients send one request at a time. Bytes that follow this request are not served as another one: only the
-	// client's own framing indicates that they are a request.
+	// Clients must send one request at a time. Bytes that follow this request are not served as another one, and the
+	// connection is closed after the response: only the client's framing of this request indicates that they do not
+	// belong to it.
 	extraBytes := conn.BeginResponse()
 	bodyPending := false
 	if upload := r.message.Upload; upload != nil {
--- a/internal/sidecar/run.go
+++ b/internal/sidecar/run.go
@@ -43,7 +43,7 @@
 			l.events.runUrgent(func(balancer.Micros) { l.reload(newCfg) })
 		}
 	}()
-	if cfg.InheritedSocket != "" { // another process may take over from this one, or this one from another
+	if cfg.InheritedSocket != "" { // processes of this sidecar share the socket and may take over from each other
 		store := warmstart.NewStore(loopCtx, cfg.Name, cfg.Host, log)
 		l.warmStart, l.saveEstimates = store.Load(l.clock.now()), store.Save
 	}
@@ -60,7 +60,7 @@
 		// The error is ignored: if the admin listener fails, clients are still served.
 		go func() { _ = adminServer.Serve(loopCtx, adminListener) }()
 	}
-	defer l.upstream.SetMaxConnections(0) // this closes idle connections, since the process may outlive the sidecar
+	defer l.upstream.SetMaxConnections(0) // closes idle connections: the process may outlive the sidecar
 	return s.serve(ctx, listener)
 }
 
@@ -71,7 +71,7 @@
 	go s.closeIdleWhileDraining(s.loop.ctx)
 	served := make(chan error, 1)
 	go func() {
-		// A process that takes over accepts no clients until an endpoint is ready; the other process serves them.
+		// A process that takes over accepts no clients until an endpoint is ready. Until then the old process serves them.
 		for s.hasPeer() && !s.loop.hasReadyEndpoint.Load() && ctx.Err() == nil {
 			time.Sleep(sweepInterval)
 		}
--- a/internal/sidecar/scripteddiscovery_test.go
+++ b/internal/sidecar/scripteddiscovery_test.go
@@ -71,9 +71,9 @@
 	list             discovery.List
 	calls            []recordedCall
 	openCalls        int           // number of calls that wait for a change and are not silenced
-	silence          chan struct{} // channel closed to leave the calls that are open at that moment unanswered
-	reset            chan struct{} // channel closed to reset the connections of the calls that are open at that moment
-	changed          chan struct{} // channel closed when the list changes
+	silence          chan struct{} // channel closed and replaced to leave the calls then open unanswered
+	reset            chan struct{} // channel closed and replaced to reset the connections of the calls then open
+	changed          chan struct{} // channel closed and replaced when the list changes
 	unresponsive     bool          // while set, new calls are never answered
 	queueDelay       time.Duration // delay before a new call is handled
 	down             bool          // while set, new calls are answered with status 503
@@ -126,7 +126,7 @@
 	json.NewEncoder(w).Encode(response)
 }
 
-// callSignals are the channels that end the wait of an open call. They are read from the service when the call arrives.
+// callSignals are the channels that end the wait of an open call. The call copies them from the service on its arrival.
 type callSignals struct{ silenced, reset, changed <-chan struct{} }
 
 // awaitChange makes a call wait until the list changes or the wait time has passed. It reports whether the call should
@@ -206,7 +206,7 @@
 	synctest.Wait()
 }
 
-// addOpen counts a call that begins (1) or ends (-1) to wait for a change.
+// addOpen adds n to the number of open calls: 1 when a call begins to wait for a change, -1 when its wait ends.
 func (s *scriptedDiscovery) addOpen(n int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/sidecar/sendgate_test.go
+++ b/internal/sidecar/sendgate_test.go
@@ -67,7 +67,7 @@
 			h.request("pay", "x", time.Minute).Write(conn)
 			<-blockedDials.Started
 			conn.Close()
-			close(blockedDials.Unblock) // at once: the disconnect may not have been noticed yet
+			close(blockedDials.Unblock) // the sidecar may not have noticed the disconnect yet
 			h.awaitOutcome()
 			if all := h.recorder.statuses(); !slices.Equal(all, []balancer.Status{balancer.NotSent}) {
 				t.Errorf("got outcomes %v, want not sent", all)
--- a/internal/sidecar/server.go
+++ b/internal/sidecar/server.go
@@ -33,11 +33,11 @@
 // has carried a request: the application's clients use most connections soon after they open them.
 const (
 	sweepInterval = 20 * time.Millisecond  // time between two checks for idle connections
-	minIdleUsed   = 200 * time.Millisecond // time since the last request of a connection that has carried one
-	minIdleUnused = time.Second            // time since the accept of a connection that has carried no request
+	minIdleUsed   = 200 * time.Millisecond // minimum idle time of a connection that has carried a request
+	minIdleUnused = time.Second            // minimum idle time of a connection that has carried no request yet
 )
 
-// Shares of the configured limits of descriptors and memory.
+// How the configured limits of descriptors and memory are divided.
 const (
 	// reservedSockets is the number of descriptors reserved for discovery, admin calls, logs and the runtime.
 	reservedSockets = 32
@@ -48,7 +48,7 @@
 
 	bodyMemoryDivisor = 8           // 1/bodyMemoryDivisor of the memory is for the bodies of requests and responses
 	busyRetryAfter    = time.Second // Retry-After of a rejection because the memory for bodies is in use
-	minConnections    = 12          // least connection limit of each of two processes, however few descriptors there are
+	minConnections    = 12          // lowest connection limit of a process that shares the descriptors with another one
 )
 
 // server accepts the application's requests. Its handlers run in the goroutines of net/http, one for each connection,
@@ -123,8 +123,8 @@
 	}
 }
 
-// maxConnections returns the limit of clients' connections, which is also the limit of connections to endpoints: each
-// client's request has one attempt at a time.
+// maxConnections returns the limit of clients' connections. The limit of connections to endpoints is the same, because
+// a request usually has only one attempt in flight.
 func maxConnections(cfg *config.Config) int { return (cfg.Limits.Sockets - reservedSockets) / 2 }
 
 // bodyMemoryLimit returns how many bytes a configuration grants to the bodies of requests and responses.
--- a/internal/sidecar/shutdown.go
+++ b/internal/sidecar/shutdown.go
@@ -11,8 +11,9 @@
 // Shutdown after SIGTERM has the following phases. No request waits for the time limit of another: each gets its
 // response by its own deadline, and no request is admitted that could not get its response in time.
 //
-//	draining          lasts for the drain period from SIGTERM: connections and requests are admitted as before, but
-//	                  each response and each pause between requests ends the connection
+//	draining          lasts for the drain period from SIGTERM: requests are admitted as before, but each response
+//	                  and each pause between requests ends the connection; new connections are accepted as before,
+//	                  unless another process of the sidecar is ready, which then accepts them
 //	admission closed  connections without a request are closed, requests read from now on are rejected before any
 //	                  attempt, and streamed bodies are stopped before their last byte is forwarded
 //	answering         requests in flight are answered by their deadlines
@@ -57,7 +58,7 @@
 // forwarded, so another process can serve it immediately.
 var terminatingResponse = finalResponse{code: http.StatusServiceUnavailable}
 
-// terminate shuts the server down in the phases described above, and returns when the server has ended.
+// terminate shuts the server down in the phases described above. It returns when the last phase has ended.
 func (s *server) terminate() {
 	s.terminating.Store(true)
 	started := time.Now()
--- a/internal/sidecar/shutdown_test.go
+++ b/internal/sidecar/shutdown_test.go
@@ -190,8 +190,8 @@
 	h.awaitEnd()
 }
 
-// Shutdown waits for the latest deadline of the requests in flight. The deadline of an upload is its time left from the
-// moment at which admission closed.
+// Shutdown waits for the latest deadline of the requests in flight. For an upload, the deadline is computed as if the
+// last byte of its body had arrived when admission closed.
 func TestLatestDeadlineOnceAdmissionIsClosed(t *testing.T) {
 	var requests inFlightRequests
 	now := time.Now()
--- a/internal/sidecar/sidecar_test.go
+++ b/internal/sidecar/sidecar_test.go
@@ -37,9 +37,9 @@
 	}
 }
 
-// A retry may run a request twice. It is sent only if the class is idempotent, if the other endpoint deduplicates the
-// idempotency key (those of another cell do not, for class close), or if the first attempt was rejected before it ran.
-// The client gets one final response in each case.
+// A retry may run a request twice. It is therefore sent only if the class is idempotent, if the other endpoint
+// deduplicates by the idempotency key, or if the first attempt was rejected before it ran. For class close, endpoints
+// deduplicate only within their cell. The client gets one final response in each case.
 func TestRetryDependsOnClassAndResult(t *testing.T) {
 	closeFirst := func(e *sidecartest.Endpoint, conn net.Conn, in *bufio.Reader) {
 		for e.ReadRequest(in) != nil {
@@ -58,7 +58,7 @@
 	for _, c := range []struct {
 		name, class string
 		serve       sidecartest.Handler
-		alterSecond func(discovery.Entry) discovery.Entry // alters the second endpoint's entry; nil: no change
+		alterSecond func(discovery.Entry) discovery.Entry // function that alters the second endpoint's entry; may be nil
 		code        int                                   // expected status of the response
 		attempts    int                                   // expected number of attempts
 	}{
@@ -174,7 +174,7 @@
 	closed := make(chan struct{})
 	e := sidecartest.NewEndpoint(t, func(e *sidecartest.Endpoint, conn net.Conn, in *bufio.Reader) {
 		e.ReadRequest(in)
-		in.ReadByte() // until the sidecar closes the connection
+		in.ReadByte() // returns when the sidecar closes the connection
 		close(closed)
 	})
 	h := start(t, nil, ready("s-1", e.Address))
--- a/internal/sidecar/slot.go
+++ b/internal/sidecar/slot.go
@@ -10,10 +10,11 @@
 
 const (
 	slotPollInterval = 100 * time.Millisecond
-	heapTenths       = 8 // tenths of the memory limit that the Go heap may use; the runtime does not count all memory
+	heapTenths       = 8 // tenths of the memory limit that the Go runtime may use; it does not count all memory
 )
 
-// acquireSlot acquires a slot among the processes of this sidecar. If that fails, followPeers retries.
+// acquireSlot acquires a slot for this process, by which the sidecar's other processes notice it. If that fails,
+// followPeers retries.
 func (s *server) acquireSlot(ctx context.Context, dir string) {
 	var slot *handover.Slot
 	err := system.RetryAtStart(ctx, func() (err error) {
--- a/internal/sidecar/slot_test.go
+++ b/internal/sidecar/slot_test.go
@@ -22,7 +22,7 @@
 	for range connections {
 		h.dial()
 	}
-	h.await("the limit of connections", func() bool { return h.server.clients.Count() == connections })
+	h.await("the connection limit to be reached", func() bool { return h.server.clients.Count() == connections })
 	otherSlot, err := handover.AcquireSlot(dir)
 	if err != nil {
 		t.Fatal(err)
@@ -30,7 +30,9 @@
 	go h.server.followPeers(t.Context(), dir)
 	halfConnections := (h.loop.cfg.Limits.Sockets/2 - reservedSockets) / 2
 	h.await("connections beyond the share to end", func() bool { return h.server.clients.Count() == halfConnections })
-	h.await("the share of body memory", func() bool { return h.loop.upstream.BodyMemory.Limit.Load() == bodyMemory/2 })
+	h.await("the limit of body memory to be halved", func() bool {
+		return h.loop.upstream.BodyMemory.Limit.Load() == bodyMemory/2
+	})
 	if !h.server.hasPeer() || h.server.hasReadyPeer() {
 		t.Error("got no peer or a ready one, want one that is not ready")
 	}
@@ -41,7 +43,7 @@
 		t.Error("got no ready peer, want one")
 	}
 	otherSlot.Release()
-	h.await("the full limits", func() bool {
+	h.await("the full limits to apply again", func() bool {
 		limit, _ := h.server.clients.Limits()
 		return limit == connections && h.loop.upstream.BodyMemory.Limit.Load() == bodyMemory
 	})
--- a/internal/sidecar/statistics.go
+++ b/internal/sidecar/statistics.go
@@ -24,12 +24,13 @@
 type gauges struct {
 	listAgeMS       balancer.Micros // milliseconds since discovery's latest valid answer
 	listVersion     uint64
-	maxEventWait    time.Duration // longest time of an event in the queue since the previous log line
+	maxEventWait    time.Duration // longest time that an event has waited in the queue since the previous call of logStats
 	inForce         *config.Snapshot
 	rejectedReloads int
 }
 
-// statsLogger logs the statistics since its previous log line. The loop's goroutine owns it.
+// statsLogger logs the changes of the counters since the previous call of logSinceLast, with the gauges. The loop's
+// goroutine owns it.
 type statsLogger struct {
 	log  *slog.Logger
 	last counters // counters at the previous call of logSinceLast
--- a/internal/sidecar/syscalls_test.go
+++ b/internal/sidecar/syscalls_test.go
@@ -33,7 +33,7 @@
 		func(inner net.Listener) net.Listener { listener.Listener = inner; return listener },
 		ready("s-1", e.Address),
 	)
-	const failures = 100 // each is followed by system.AcceptRetryDelay, in all more than 0.5 s
+	const failures = 100 // a delay of system.AcceptRetryDelay follows each, in all more than 0.5 s
 	listener.Fail(slices.Repeat([]error{syscall.ENFILE}, failures))
 	h.dial() // the accept that is already pending may still accept this connection
 	conn := h.dial()
--- a/internal/sidecar/upload_test.go
+++ b/internal/sidecar/upload_test.go
@@ -72,7 +72,7 @@
 	t.Parallel()
 	e := sidecartest.NewEndpoint(t, writeBodyLength)
 	h := start(t, nil, ready("s-1", e.Address))
-	const pieceBytes = 8 << 10 // sent every 1/8 s: 64 KiB/s; the tiny body is sent byte by byte, in 2 s
+	const pieceBytes = 8 << 10 // one piece every 1/8 s is 64 KiB/s; the tiny body is sent byte by byte, in 2 s
 	for name, size := range map[string]int{"tiny": 16, "buffered": 48 << 10, "streamed": 192 << 10} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -96,8 +96,8 @@
 	}
 }
 
-// A body may stall or be malformed. Its client gets an error response or its connection is closed, the endpoint never
-// reads a complete request, and no memory stays reserved.
+// A body may stall or be malformed. The client then gets an error response or its connection is closed, the endpoint
+// never reads a complete request, and no memory stays reserved.
 func TestBrokenBodiesReachNoEndpoint(t *testing.T) {
 	const part = 200 << 10
 	for name, c := range map[string]struct{ framed, want string }{
@@ -136,8 +136,8 @@
 func TestTruncatedChunkedBodyIsNoRequest(t *testing.T) {
 	e := sidecartest.NewEndpoint(t, writeBodyLength)
 	h := start(t, nil, ready("s-1", e.Address))
-	// If the sidecar forwards a truncated request all the same, the balancer learns of the disconnect only after the
-	// endpoint has read that request: an earlier cancellation would hide the fault.
+	// If the sidecar forwards a truncated request, which is the fault that this test looks for, the balancer must learn
+	// of the disconnect only after the endpoint has read that request. An earlier cancellation would hide the fault.
 	h.runInLoop(func() {
 		h.recorder.beforeClientGone = func() {
 			sidecartest.Await(t, "the request at the endpoint", func() bool { n, _ := e.Counts(); return n > 0 })
@@ -173,8 +173,8 @@
 	}
 }
 
-// An endpoint may reject a large body after it has read only the beginning: it has not run the request. The client is
-// rejected at once with 503, and may finish sending before it reads the response.
+// An endpoint may reject a large body after it has read only the beginning, so it has not run the request. The client
+// gets 503 at once, and may finish sending before it reads the response.
 func TestEndpointRejectsALargeBody(t *testing.T) {
 	for name, response := range map[string]string{"with a response": sidecartest.RejectedResponse, "by closing": ""} {
 		t.Run(name, func(t *testing.T) {
--- a/internal/sidecar/watch_test.go
+++ b/internal/sidecar/watch_test.go
@@ -20,12 +20,14 @@
 
 // The tests in this file run on the fake clock of testing/synctest, with in-process pipes in place of sockets.
 
-// If the watch has fallen silent, the sidecar counts as notified of a change at the later of two times: silenceLimit
-// after the silence began, and waitEndLimit after the wait that the open call had asked for would have ended.
+// A watch is silent if discovery does not answer its open call. The sidecar then counts as notified of a change at the
+// later of two times: silenceLimit after the silence began, and waitEndLimit after the end of the wait that the open
+// call had asked for. From the notification of a drain, the sidecar may send requests to the endpoint only for the
+// drain grace, which is the setting drain-grace.
 const (
-	silenceLimit    = 6 * time.Second       // from the beginning of the silence
-	waitEndLimit    = 2 * time.Second       // from the end of the open call's wait
-	timingTolerance = 50 * time.Millisecond // allowed beyond each limit, as in tests with sockets
+	silenceLimit    = 6 * time.Second       // time from the beginning of the silence to the notification
+	waitEndLimit    = 2 * time.Second       // time from the end of the open call's wait to the notification
+	timingTolerance = 50 * time.Millisecond // time by which a limit may be exceeded, as in tests with sockets
 )
 
 // startWithScriptedDiscovery starts a loop that knows the endpoint s-1 and watches a scripted discovery service. It
@@ -36,8 +38,8 @@
 	return startWatching(t, dial, alter), service
 }
 
-// startWatching starts a loop that knows the endpoint s-1 as ready and dials discovery by dial. seed, if given,
-// replaces the seed of the configuration; the last value counts.
+// startWatching starts a loop that knows the endpoint s-1 as ready and dials discovery with dial. seed, if given,
+// replaces the seed of the configuration; of several values, the last one counts.
 func startWatching(t *testing.T, dial dialFunc, alter func(settings map[string]any), seed ...uint64) *loop {
 	t.Helper()
 	return startWatchingWith(t, dial, func(cfg *config.Config) {
@@ -47,7 +49,7 @@
 	}, alter)
 }
 
-// startWatchingWith is startWatching with a function that may change any part of the configuration.
+// startWatchingWith is like startWatching, but calls change, which may change any part of the configuration.
 func startWatchingWith(
 	t *testing.T,
 	dial dialFunc,
@@ -72,8 +74,8 @@
 	return l
 }
 
-// hasNoTarget reports whether the endpoint of this name has no target. An attempt that the balancer decides on now is
-// then not sent there.
+// hasNoTarget reports whether the endpoint of this name has no target. If so, an attempt that the balancer decides on
+// now is not sent to the endpoint.
 func hasNoTarget(l *loop, name string) bool {
 	got := make(chan bool)
 	l.events.post(func(int64) {
@@ -84,7 +86,7 @@
 }
 
 // discoveryVariants are changes of the settings, by name. They differ in the mode of discovery (the sidecar subscribes,
-// or an agent pushes the lists) and in the grace for drains (drain-grace).
+// or lists are pushed to an agent on the machine) and in the drain grace.
 var discoveryVariants = map[string]func(map[string]any){
 	"subscribed, grace 2 s":   func(s map[string]any) { contractWithPollInterval10s(s)["drain-grace"] = 2_000_000 },
 	"subscribed, grace 0.5 s": func(s map[string]any) { contractWithPollInterval10s(s)["drain-grace"] = 500_000 },
@@ -101,22 +103,22 @@
 	return c
 }
 
-// requireDrained waits until the grace for a drain that counts as notified at the given time is over, and
-// timingTolerance has passed. It fails the test if the endpoint s-1 still has a target then.
+// requireDrained waits for the drain grace and timingTolerance, counted from notified, the time at which the sidecar
+// counts as notified of the drain of s-1. It fails the test if the endpoint s-1 still has a target then.
 func requireDrained(t *testing.T, l *loop, notified time.Time) {
 	t.Helper()
 	grace := time.Duration(l.cfg.Settings.Contract.DrainGrace) * time.Microsecond
 	time.Sleep(time.Until(notified.Add(grace + timingTolerance)))
 	if !hasNoTarget(l, "s-1") {
-		t.Errorf("s-1 has a target %v after its drain counts as notified, want none", time.Since(notified))
+		t.Errorf("s-1 has a target %v after the sidecar counts as notified of its drain, want none", time.Since(notified))
 	}
 }
 
 // An open watch falls silent, then an endpoint begins to drain and keeps running. The sidecar must not wait for the
-// silent call: nothing is sent to the endpoint once the change counts as notified and the grace is over.
+// silent call: nothing may be sent to the endpoint after the drain grace, counted from the notification.
 func TestSilentWatchIsReopenedInTime(t *testing.T) {
 	for name, alter := range discoveryVariants {
-		for _, silentAfter := range []time.Duration{0, 3 * time.Second, 11 * time.Second} { // from the start of the watch
+		for _, silentAfter := range []time.Duration{0, 3 * time.Second, 11 * time.Second} { // from the watch's start
 			t.Run(name+", silent after "+silentAfter.String(), func(t *testing.T) {
 				synctest.Test(t, func(t *testing.T) {
 					l, service := startWithScriptedDiscovery(t, alter)
@@ -139,9 +141,9 @@
 	}
 }
 
-// An idle sidecar makes one call after another. Each call waits as long as it can while a change still applies in time
-// if the call falls silent. Jitter in the waits keeps the calls of several sidecars apart. The list is never older than
-// ask-within.
+// An idle sidecar makes one call after another. Each call waits as long as possible, but not so long that a change
+// would apply too late if the call fell silent. Jitter in the waits keeps the calls of several sidecars apart. The list
+// is never older than ask-within.
 func TestIdleWatchCallsRarely(t *testing.T) {
 	for name, alter := range discoveryVariants {
 		t.Run(name, func(t *testing.T) {
@@ -169,8 +171,8 @@
 	}
 }
 
-// With pushed lists, a change counts as notified as soon as the agent has it, whether or not a watch is open. The drain
-// applies within the grace after a reset of the watch, and in a new process.
+// With pushed lists, the sidecar counts as notified of a change as soon as the agent has it, whether or not a watch is
+// open. A drain applies within the drain grace even if the watch was reset or the process is new.
 func TestPushedDrainsApplyWithoutAWatch(t *testing.T) {
 	for name, grace := range map[string]int{"grace 2 s": 2_000_000, "grace 0.5 s": 500_000} {
 		pushed := func(s map[string]any) {
@@ -206,8 +208,8 @@
 	}
 }
 
-// After a reload that moves discovery to another address, a change that the new discovery has counts as notified 4 s
-// after SIGHUP. This holds even if the first call there is never answered and other calls are queued there.
+// A reload may move discovery to another address. The sidecar counts as notified of a change that the new discovery
+// service has 4 s after SIGHUP, even if the first call there is never answered and later calls are queued.
 func TestReloadedDiscoveryIsWatchedInTime(t *testing.T) {
 	for name, alter := range discoveryVariants {
 		t.Run(name, func(t *testing.T) {
@@ -245,8 +247,8 @@
 	}
 }
 
-// A drain in a malformed list counts as notified when the list is sent, although the sidecar cannot read the list. The
-// sidecar must repeat the call so soon that the drain still applies within the grace.
+// The sidecar counts as notified of a drain when discovery sends the list with it, even if the list is malformed. The
+// sidecar must therefore repeat the call so soon that the drain still applies within the drain grace.
 func TestMalformedListIsRequestedAgainInTime(t *testing.T) {
 	for fault, text := range map[string]string{
 		"truncated": `{"seq":2,"whole":true,"hosts":[{"host":"s-1","hea`,
@@ -303,8 +305,8 @@
 	synctest.Wait()
 }
 
-// A list with a lower version does not undo a drain of a newer list, and its call counts as failed. Discovery may
-// restart its version numbers: its lists are accepted after a while, and earlier drains persist.
+// A list with a lower version does not undo a drain of a newer list, and its call counts as failed. If discovery has
+// restarted its version numbers, its lists are accepted after a while, and earlier drains persist.
 func TestOlderListsDoNotUndoDrains(t *testing.T) {
 	const olderList = `{"seq":1,"whole":true,"hosts":[` +
 		`{"host":"s-1","dial":"127.0.0.1:1","health":"Ready"},{"host":"s-2","dial":"127.0.0.1:1","health":"Ready"}]}`
--- a/internal/sidecartest/clock.go
+++ b/internal/sidecartest/clock.go
@@ -21,7 +21,8 @@
 	s.step = step
 }
 
-// Clock returns a clock whose wall-clock time always has the offset that Step set last. Its Uptime function is nil.
+// Clock returns a clock whose wall-clock time always has the offset that Step set last. Its Uptime function is nil,
+// which stands for the machine's uptime: see system.Clock.WithDefaults.
 func (s *SteppedClock) Clock() system.Clock {
 	return system.Clock{Wall: func() time.Time {
 		s.mu.Lock()
