--- a/internal/sidecar/extrabytes_test.go
+++ b/internal/sidecar/extrabytes_test.go
@@ -10,10 +10,11 @@
 	"oakproxy/internal/sidecartest"
 )
 
-// A client that sends extra bytes after its request and disconnects is noticed, however many they are, though net/http
-// reads one of them and no end.
+// Tests that the disconnect of a client is noticed if the client has sent extra bytes after its request, however many.
+// net/http itself does not notice the disconnect: it reads only one of the extra bytes, so that it never reaches the
+// end of the stream.
 func TestClientThatLeavesAfterExtraBytesIsNoticed(t *testing.T) {
-	for name, c := range map[string]struct{ with, later string }{
+	for name, tc := range map[string]struct{ sameWrite, laterWrite string }{
 		"one byte with the request":  {"x", ""},
 		"a request with the request": {sidecartest.ReadHead + "X-Correlation-Id: 99\r\n\r\n", ""},
 		"50 kB with the request":     {strings.Repeat("x", 50<<10), ""},
@@ -22,36 +23,36 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			e := newServingEndpoint(t)
-			w := start(t, nil, ready("s-1", e.Address))
-			dial := sidecartest.BlockDials(&w.loop.upstream.Dialer, e.Address)
-			conn := w.dial()
+			h := start(t, nil, ready("s-1", e.Address))
+			blockedDials := sidecartest.BlockDials(&h.loop.upstream.Dialer, e.Address)
+			conn := h.dial()
 			var text strings.Builder
-			w.request("pay", "x", time.Minute).Write(&text)
-			io.WriteString(conn, text.String()+c.with)
-			<-dial.Started
-			io.WriteString(conn, c.later)
+			h.request("pay", "x", time.Minute).Write(&text)
+			io.WriteString(conn, text.String()+tc.sameWrite)
+			<-blockedDials.Started
+			io.WriteString(conn, tc.laterWrite)
 			conn.Close()
-			w.awaitClientGone()
-			close(dial.Unblock)
-			w.awaitOutcome()
-			if n, _ := e.Seen(); n != 0 {
+			h.awaitClientGone()
+			close(blockedDials.Unblock)
+			h.awaitOutcome()
+			if n, _ := e.Counts(); n != 0 {
 				t.Errorf("the endpoint got %d requests, want none", n)
 			}
 		})
 	}
 }
 
-// A client that sends extra bytes after its request and stays gets its response and the end of the connection. The
-// extra bytes are no request.
-func TestExtraBytesAfterARequestCostNoResponse(t *testing.T) {
+// Tests that a client that sends extra bytes after its request and stays connected gets its response, after which the
+// connection is closed. The extra bytes are not treated as a request.
+func TestExtraBytesAfterARequestAreIgnored(t *testing.T) {
 	e := newServingEndpoint(t)
-	w := start(t, nil, ready("s-1", e.Address))
+	h := start(t, nil, ready("s-1", e.Address))
 	for name, extra := range map[string]string{
 		"a byte":    "x",
 		"a request": sidecartest.ReadHead + "X-Correlation-Id: 99\r\n\r\n",
 		"200 kB":    strings.Repeat("x", 200<<10),
 	} {
-		got := w.raw(
+		got := h.sendRaw(
 			sidecartest.ReadHead + "X-Correlation-Id: " + strings.ReplaceAll(name, " ", "") + "\r\n\r\n" + extra,
 		)
 		if strings.Count(got, "HTTP/1.1") != 1 || !strings.HasPrefix(got, "HTTP/1.1 200") ||
@@ -59,10 +60,10 @@
 			t.Errorf("%s: got %q, want one complete 200", name, got)
 		}
 	}
-	if n, _ := e.Seen(); n != 3 {
+	if n, _ := e.Counts(); n != 3 {
 		t.Errorf("the endpoint got %d requests, want 3", n)
 	}
-	if got := w.send(w.request("read", "", time.Minute)); got.code != http.StatusOK {
+	if got := h.send(h.request("read", "", time.Minute)); got.code != http.StatusOK {
 		t.Errorf("another client: got %+v, want 200", got)
 	}
 }
--- a/internal/sidecar/forward.go
+++ b/internal/sidecar/forward.go
@@ -9,39 +9,41 @@
 	"oakproxy/internal/downstream"
 )
 
-// forward passes a request to the loop and responds to it, once: with the final response of the loop, or by ending
-// the connection of a client that is gone or whose body fails.
+// forward passes a request to the loop and ends it in exactly one way: it writes the loop's final response, rejects the
+// request because its body cannot be read or admission has closed, or aborts the connection of a client that is gone or
+// too slow with its body.
 func (s *server) forward(x *exchange) {
-	open := newOpenRequest(x, s.loop.clock.timeAt(x.request.Deadline))
+	openReq := newOpenRequest(x, s.loop.clock.timeAt(x.request.Deadline))
 	var uploadFailed <-chan error
 	var admissionClosed <-chan struct{}
 	upload := x.message.Upload
 	if upload != nil {
 		uploadFailed, admissionClosed = upload.ClientFailure, s.admission.closed
-		open.upload, open.timeLeft = true, upload.TimeLeft
+		openReq.isUpload, openReq.timeAfterBody = true, upload.TimeLeft
 	}
-	if !s.inFlight.add(open) {
+	if !s.inFlight.add(openReq) {
 		rejectInvalid(x.w, x.in,
 			downstream.NewRequestError(http.StatusConflict, "a request with this X-Correlation-Id is open"))
 		return
 	}
-	defer s.inFlight.remove(open)
+	defer s.inFlight.remove(openReq)
 	if upload != nil {
 		defer upload.Finish()
 	}
-	r := &request{response: make(chan finalResponse, 1), message: x.message, clientLeft: x.conn.ClientClosed, times: x.times}
+	r := &request{response: make(chan finalResponse, 1), message: x.message,
+		clientClosed: x.conn.ClientClosed, times: x.times}
 	s.admit(r, x.request)
 	for {
 		select {
 		case response := <-r.response:
-			s.respond(x, r, open, response)
+			s.respond(x, r, openReq, response)
 			return
 		case <-admissionClosed:
 			admissionClosed = nil
-			if upload.Stop() { // else its last byte may be out, and the response is awaited
+			if upload.Stop() { // if not, the last byte may have been sent, so the request still awaits its response
 				s.abandon(r)
 				rejectTerminating(x.w)
-				s.inFlight.remove(open)
+				s.inFlight.remove(openReq)
 				s.drainUpload(x.w, x.conn, upload)
 				return
 			}
@@ -57,28 +59,29 @@
 			panic(http.ErrAbortHandler)
 		case <-x.in.Context().Done():
 			s.abandon(r)
-			// A client that has only closed its sending side must not read a complete response that no endpoint gave.
+			// The client may have closed only its sending side and may still be reading. The panic closes the connection,
+			// so that the client cannot read a complete response that no endpoint has sent.
 			panic(http.ErrAbortHandler)
 		}
 	}
 }
 
-// admit has the loop pass a request to the balancer.
+// admit makes the loop pass a request to the balancer.
 func (s *server) admit(r *request, in balancer.Request) {
 	s.loop.events.post(func(now balancer.Micros) { s.loop.admit(now, r, in) })
 }
 
-// abandon has the loop end a request whose final response nobody takes.
+// abandon makes the loop end a request whose handler no longer receives the final response.
 func (s *server) abandon(r *request) {
-	s.loop.events.post(func(now balancer.Micros) { s.loop.clientGone(now, r) })
+	s.loop.events.post(func(now balancer.Micros) { s.loop.handleClientGone(now, r) })
 }
 
-// respond writes the final response. The request is in flight until its last byte is written.
-func (s *server) respond(x *exchange, r *request, open *openRequest, response finalResponse) {
+// respond writes the final response. The request counts as in flight until the last byte of the response is written.
+func (s *server) respond(x *exchange, r *request, openReq *openRequest, response finalResponse) {
 	defer response.close()
 	if upload := x.message.Upload; upload != nil {
 		defer s.drainUpload(x.w, x.conn, upload)
 	}
 	s.writeResponse(x.w, x.conn, r, response)
-	s.inFlight.remove(open)
+	s.inFlight.remove(openReq)
 }
--- a/internal/sidecar/loop.go
+++ b/internal/sidecar/loop.go
@@ -19,12 +19,12 @@
 )
 
 const (
-	pruneInterval = time.Second
-	statsInterval = 2 * time.Second
+	pruneInterval = time.Second     // time between closings of long-idle connections, and between saves of the estimates
+	statsInterval = 2 * time.Second // time between log lines of statistics
 )
 
-// decider is what the loop needs of a *balancer.Balancer. Tests put recorders in its place.
-type decider interface {
+// balancerAPI is the set of methods of *balancer.Balancer that the loop calls. Tests replace it with recorders.
+type balancerAPI interface {
 	Start(now balancer.Micros)
 	HandleEndpoints(now balancer.Micros, kind balancer.ListUpdate, entries []balancer.Endpoint)
 	HandleRequest(now balancer.Micros, in balancer.Request)
@@ -34,44 +34,48 @@
 	HandleTimer(now balancer.Micros, token uint32)
 	Reconfigure(s balancer.Settings) ([]balancer.AttemptID, error)
 	Estimates() balancer.Estimates
-	Restore(l *balancer.Estimates)
-	Cordon(now balancer.Micros, name uint64, out bool, since balancer.Micros)
+	Restore(estimates *balancer.Estimates)
+	Cordon(now balancer.Micros, nameHash uint64, cordoned bool, since balancer.Micros)
 	HandleProbe(now balancer.Micros, endpoint uint32, status balancer.Status, latency balancer.Micros, load []float32)
 	Stats(now balancer.Micros) balancer.Stats
 }
 
-// loop owns the balancer and the tables: one goroutine, that of run, passes the balancer every event and carries out
-// its Actions. It never waits for the network. What it starts runs in other goroutines, which report back through
-// the event queue.
+// loop owns the balancer and the tables. The goroutine that runs run passes every event to the balancer and carries out
+// the balancer's Actions. It never waits for the network: attempts, probes and the watch of the endpoint list run in
+// other goroutines, which report back through the event queue.
 //
-// The fields of the first group may be used by any goroutine, those of the second are set before run and do not
-// change, and those of the third belong to the loop's goroutine.
+// Any goroutine may use the fields of the first group. The fields of the second group are set before run is called and
+// do not change. The loop's goroutine owns the fields of the third group.
 type loop struct {
-	log            *slog.Logger
-	clock          clock
-	operatorClock  system.Clock    // dates what outlives the process
-	ctx            context.Context // ends with the loop; the balancer's Actions carry no context of their own
-	upstream       *upstream.Client
-	events         eventQueue
-	endpointsKnown atomic.Bool                     // an endpoint can be reached
-	stages         stages.Recorder                 // of requests served
-	current        atomic.Pointer[config.Snapshot] // the configuration in force
+	log              *slog.Logger
+	clock            clock
+	operatorClock    system.Clock    // clock for the times of operators' overrides, which outlive the process
+	ctx              context.Context // context whose end stops the loop; a field because balancer.Actions passes none
+	upstream         *upstream.Client
+	events           eventQueue
+	hasReadyEndpoint atomic.Bool                     // whether any endpoint of the table can be sent requests
+	stages           stages.Recorder                 // times of the stages of served requests
+	current          atomic.Pointer[config.Snapshot] // the configuration in force
 
-	limitsChanged func()                                              // applies limits that a reload changed; may be nil
-	closeCounts   func() downstream.CloseCounts                       // counts clients' connections closed; may be nil
-	warmStart     *balancer.Estimates                                 // to start with; may be nil
-	saveEstimates func(now balancer.Micros, known balancer.Estimates) // called at each pruneInterval; may be nil
+	// onLimitsChanged applies limits that a reload has changed; may be nil.
+	onLimitsChanged func()
+	// closeCounts returns the numbers of clients' connections that were closed, by cause; may be nil.
+	closeCounts func() downstream.CloseCounts
+	// warmStart has the estimates of an earlier process, for the balancer to start with; may be nil.
+	warmStart *balancer.Estimates
+	// saveEstimates stores the balancer's estimates. It is called once every pruneInterval; may be nil.
+	saveEstimates func(now balancer.Micros, estimates balancer.Estimates)
 
-	cfg             *config.Config // that of current
-	rejectedReloads int
-	balancer        decider
+	cfg             *config.Config // the configuration of current
+	rejectedReloads int            // number of configurations that reload has rejected
+	balancer        balancerAPI
 	requests        requestTable
 	endpoints       endpointTable
 	watcher         discoveryWatcher
 	stats           statsLogger
 }
 
-// newLoop returns a loop that ends with ctx. It does nothing until run is called.
+// newLoop returns a loop that ends when ctx ends. The loop does nothing until run is called.
 func newLoop(ctx context.Context, cfg *config.Config, log *slog.Logger) (*loop, error) {
 	times := cfg.Host.Time.WithDefaults()
 	client := upstream.NewClient(cfg, maxConnections(cfg), httpmsg.NewMemoryBudget(bodyMemoryLimit(cfg)))
@@ -122,7 +126,8 @@
 	}
 }
 
-// start gives the balancer what is known at the start and begins the watch of discovery.
+// start passes the saved estimates and the endpoints of the configuration to the balancer, and starts the watch of the
+// endpoint list unless the balancer starts it.
 func (l *loop) start(now balancer.Micros) {
 	l.watcher.lastListAt = now
 	l.logConfiguration(nil, nil)
@@ -138,14 +143,14 @@
 	}
 }
 
-// logStats logs what was counted since the last call.
+// logStats logs the statistics since the previous call.
 func (l *loop) logStats(now balancer.Micros) {
-	c := counters{balancer: l.balancer.Stats(now), upstream: l.upstream.Counts(), calls: l.watcher.calls,
+	c := counters{balancer: l.balancer.Stats(now), upstream: l.upstream.Counts(), discoveryCalls: l.watcher.callCounts,
 		stages: l.stages.Totals()}
 	if l.closeCounts != nil {
 		c.closes = l.closeCounts()
 	}
-	l.stats.record(&c, gauges{listAgeMS: l.watcher.listAgeMS(now), listVersion: l.watcher.position.CurrentVersion,
+	l.stats.logSinceLast(&c, gauges{listAgeMS: l.watcher.listAgeMS(now), listVersion: l.watcher.position.CurrentVersion,
 		maxEventWait: l.events.takeMaxWait(), inForce: l.current.Load(), rejectedReloads: l.rejectedReloads})
 }
 
@@ -155,7 +160,7 @@
 	in.ID, r.deadline = r.id, in.Deadline
 	r.times.Dequeued = time.Now()
 	if in.ReceivedUnder == &l.cfg.Settings {
-		in.ReceivedUnder = nil // nothing has changed since it was read
+		in.ReceivedUnder = nil // the settings have not changed since the request was read
 	}
 	if upload := r.message.Upload; upload != nil {
 		upload.OnWritten = func() {
@@ -166,7 +171,8 @@
 	l.requests.forgetIfDone(r)
 }
 
-// handleBodyWritten takes the end of a streamed body, from which the client's time counts.
+// handleBodyWritten handles the end of a streamed request body. The time that the client grants for the response counts
+// from the body's last byte.
 func (l *loop) handleBodyWritten(now balancer.Micros, r *request) {
 	if !r.finished {
 		r.deadline = now + time.Until(r.message.Upload.Deadline()).Microseconds()
@@ -174,8 +180,9 @@
 	}
 }
 
-// clientGone ends a request whose client went away, and releases the response that it did not read.
-func (l *loop) clientGone(now balancer.Micros, r *request) {
+// handleClientGone ends a request whose client has disconnected. If the request already has its final response, which
+// nobody will read, handleClientGone closes that response.
+func (l *loop) handleClientGone(now balancer.Micros, r *request) {
 	if r.finished {
 		unread := <-r.response
 		unread.close()
@@ -187,34 +194,34 @@
 	l.requests.forgetIfDone(r)
 }
 
-// handleOutcome takes the end of an attempt. It is called exactly once for each, also after the request's end: the
-// balancer still learns from it.
-func (l *loop) handleOutcome(now balancer.Micros, r *request, o balancer.Outcome, result upstream.Result) {
+// handleOutcome handles the end of an attempt. It is called exactly once for each attempt, even after the request has
+// ended, because the balancer still learns from the outcome.
+func (l *loop) handleOutcome(now balancer.Micros, r *request, outcome balancer.Outcome, result upstream.Result) {
 	r.inFlight--
-	l.trace(r, "attempt finished", "number", o.Attempt, "status", o.Status, "error", result.Err,
-		"after_us", o.Latency, "over", r.finished)
+	l.trace(r, "attempt finished", "number", outcome.Attempt, "status", outcome.Status, "error", result.Err,
+		"after_us", outcome.Latency, "over", r.finished)
 	if result.Status == balancer.OK {
 		r.recordTimes(result.Times)
 		l.respond(r, finalResponse{code: http.StatusOK, header: result.Header, body: result.Body,
 			remainder: result.Stream, length: result.ContentLength, releaseBody: result.ReleaseBody})
 	}
-	o.Answered, o.LoadReport = r.finished, l.currentLoadReport(result)
-	l.balancer.HandleOutcome(now, o)
+	outcome.Answered, outcome.LoadReport = r.finished, l.currentLoadReport(result)
+	l.balancer.HandleOutcome(now, outcome)
 	l.requests.forgetIfDone(r)
 }
 
-// respond gives a request its final response, unless it is finished already or unknown.
+// respond passes a final response to the request's handler. If r is nil or already finished, it closes the response.
 func (l *loop) respond(r *request, response finalResponse) {
 	if r != nil && !r.finished {
 		l.trace(r, "final response", "code", response.code, "attempts", len(r.attempts))
 		r.finish()
-		r.response <- response // its buffer holds the one
+		r.response <- response // the send does not block: the channel has room for the only response
 		return
 	}
 	response.close()
 }
 
-// handleList takes an endpoint list that discovery sent.
+// handleList handles an endpoint list that discovery sent.
 func (l *loop) handleList(now balancer.Micros, list discovery.List) {
 	l.watcher.recordList(now, &list)
 	kind := balancer.ListDelta
@@ -224,31 +231,31 @@
 	l.updateEndpoints(now, kind, list)
 }
 
-// handleMalformedList takes the failure of one call of a watch that goes on.
+// handleMalformedList handles a malformed answer to one call of a watch that continues.
 func (l *loop) handleMalformedList(now balancer.Micros, err error) { l.watcher.recordFailure(now, err) }
 
-// handleWatchEnded takes the failure that ended a watch.
+// handleWatchEnded handles the failure that ended a watch.
 func (l *loop) handleWatchEnded(now balancer.Micros, err error) {
 	l.watcher.recordFailure(now, err)
 	l.balancer.HandleEndpoints(now, balancer.ListFailed, nil)
 }
 
-// updateEndpoints brings the endpoint table in line with a list, and then the balancer.
+// updateEndpoints applies a list to the endpoint table and then passes it to the balancer.
 func (l *loop) updateEndpoints(now balancer.Micros, kind balancer.ListUpdate, list discovery.List) {
-	older := l.watcher.advance(l.clock.timeAt(now), &list)
-	entries, ready := l.endpoints.update(&endpointUpdate{list: list, kind: kind, older: older,
+	mayBeOlder := l.watcher.advancePosition(l.clock.timeAt(now), &list)
+	entries, ready := l.endpoints.update(&endpointUpdate{list: list, kind: kind, mayBeOlder: mayBeOlder,
 		skew: list.ClockSkew(now), cfg: l.cfg})
-	l.endpointsKnown.Store(ready)
+	l.hasReadyEndpoint.Store(ready)
 	l.balancer.HandleEndpoints(now, kind, entries)
 }
 
-// applyOverrides puts in force what operators have set. A cordoned endpoint loses its target, so that an attempt on
-// its way there is not sent.
+// applyOverrides puts the operators' overrides in force. A cordoned endpoint loses its target, so that attempts that
+// are about to be sent to it are not sent.
 func (l *loop) applyOverrides(now balancer.Micros, overrides []operatorstate.Override) {
 	for _, o := range l.endpoints.setOverrides(overrides, l.operatorClock.Now) {
 		l.endpoints.retargetByName(o.Name)
 		l.log.Info("operator override", "host", o.Name, "cordoned", o.Cordoned)
-		since := now // if its age is unknown
+		since := now // default if the age of the override is unknown
 		if age, known := l.operatorClock.Age(o.SetAt()); known {
 			since = now - max(0, age.Microseconds())
 		}
@@ -256,7 +263,7 @@
 	}
 }
 
-// trace logs what becomes of one request, at level debug.
+// trace logs an event in the life of a request at level debug.
 func (l *loop) trace(r *request, message string, attributes ...any) {
 	if l.log.Enabled(l.ctx, slog.LevelDebug) {
 		l.log.Debug(message, append([]any{"id", r.message.Header.Get("X-Correlation-Id")}, attributes...)...)
--- a/internal/sidecar/parse.go
+++ b/internal/sidecar/parse.go
@@ -11,19 +11,20 @@
 	"oakproxy/internal/downstream"
 )
 
-// singleValueHeaders may come once. Another parser on the way could go by the second value.
+// singleValueHeaders are the headers that a request may contain only once. With two values, another parser on the way
+// to the endpoint might use the second one.
 var singleValueHeaders = []string{"X-Correlation-Id", "X-Service-Class", "X-Account", "X-Session-Key",
 	"X-Time-Left-Ms", "X-Repeat", "X-Weight-Hint", "Idempotency-Key"}
 
-// hashName returns a number for a name, the same at every sidecar.
+// hashName returns a hash of a name. All sidecars compute the same hash of the same name.
 func hashName(name string) uint64 {
 	hash := fnv.New64a()
 	hash.Write([]byte(name))
 	return hash.Sum64()
 }
 
-// parseRequest returns what the balancer must know of a request that arrived at a time of the loop's clock. Its errors
-// are downstream.RequestErrors.
+// parseRequest returns the balancer's description of a request. arrived is the time of its arrival by the loop's clock.
+// An error that it returns is a *downstream.RequestError.
 func (s *server) parseRequest(in *http.Request, arrived balancer.Micros) (balancer.Request, error) {
 	inForce := s.loop.current.Load()
 	req := balancer.Request{ReceivedUnder: &inForce.Settings}
@@ -39,48 +40,48 @@
 	if err := parseClass(in, inForce, &req); err != nil {
 		return req, err
 	}
-	left, err := strconv.ParseUint(h.Get("X-Time-Left-Ms"), 10, 63)
+	timeLeftMS, err := strconv.ParseUint(h.Get("X-Time-Left-Ms"), 10, 63)
 	if err != nil {
 		return req, downstream.NewBadRequest("X-Time-Left-Ms: %q is not a whole number of milliseconds",
 			h.Get("X-Time-Left-Ms"))
 	}
-	left = min(left, uint64(maxTimeLeft.Milliseconds()))
-	req.Deadline = arrived + int64(left)*1000 - responseMargin.Microseconds()
-	err = parseOptional(h, inForce, &req)
+	timeLeftMS = min(timeLeftMS, uint64(maxTimeLeft.Milliseconds()))
+	req.Deadline = arrived + int64(timeLeftMS)*1000 - responseMargin.Microseconds()
+	err = parseOptionalHeaders(h, inForce, &req)
 	return req, err
 }
 
-// parseClass sets the request's class, and checks that its path, method and body are as the class demands.
+// parseClass sets the request's class, and checks that the request's path, method and body are allowed for the class.
 func parseClass(in *http.Request, inForce *config.Snapshot, req *balancer.Request) error {
 	name := in.Header.Get("X-Service-Class")
 	class, ok := inForce.Classes[name]
 	if !ok {
 		return downstream.NewBadRequest("X-Service-Class: %q is not a known class", name)
 	}
-	if first, _, _ := strings.Cut(strings.TrimPrefix(in.URL.Path, "/"), "/"); first != name {
+	if firstSegment, _, _ := strings.Cut(strings.TrimPrefix(in.URL.Path, "/"), "/"); firstSegment != name {
 		return downstream.NewBadRequest("the path is not of X-Service-Class %q", name)
 	}
 	req.Class = class
-	method, hasKey := http.MethodPost, in.Header.Get("Idempotency-Key") != ""
+	wantMethod, hasKey := http.MethodPost, in.Header.Get("Idempotency-Key") != ""
 	switch inForce.Settings.Classes[class].Idempotency {
 	case balancer.Idempotent:
-		method = http.MethodGet
+		wantMethod = http.MethodGet
 	case balancer.IdempotentWithKey:
 		if !hasKey {
 			return downstream.NewBadRequest("Idempotency-Key is missing")
 		}
 	}
-	if in.Method != method {
-		return downstream.NewRequestError(http.StatusMethodNotAllowed, "requests of this class are %s", method)
+	if in.Method != wantMethod {
+		return downstream.NewRequestError(http.StatusMethodNotAllowed, "requests of this class are %s", wantMethod)
 	}
-	if method == http.MethodGet && in.ContentLength != 0 {
+	if wantMethod == http.MethodGet && in.ContentLength != 0 {
 		return downstream.NewBadRequest("a GET has no body")
 	}
 	return nil
 }
 
-// parseOptional sets what headers say of the request that not all clients send.
-func parseOptional(h http.Header, inForce *config.Snapshot, req *balancer.Request) error {
+// parseOptionalHeaders sets the fields that come from headers that not every client sends.
+func parseOptionalHeaders(h http.Header, inForce *config.Snapshot, req *balancer.Request) error {
 	if len(inForce.Tenants) > 0 {
 		var ok bool
 		if req.Tenant, ok = inForce.Tenants[h.Get("X-Account")]; !ok {
@@ -91,11 +92,11 @@
 		req.Key = hashName(key)
 	}
 	if hint := h.Get("X-Weight-Hint"); hint != "" {
-		micros, err := strconv.ParseUint(hint, 10, 63)
+		workMicros, err := strconv.ParseUint(hint, 10, 63)
 		if err != nil {
 			return downstream.NewBadRequest("X-Weight-Hint: %q is not a whole number of microseconds", hint)
 		}
-		req.WorkHint, req.HasWorkHint = int64(micros), true
+		req.WorkHint, req.HasWorkHint = int64(workMicros), true
 	}
 	switch h.Get("X-Repeat") {
 	case "1":
--- a/internal/sidecar/run.go
+++ b/internal/sidecar/run.go
@@ -14,9 +14,9 @@
 	"oakproxy/internal/warmstart"
 )
 
-// Run serves until ctx ends, then answers the requests that it has admitted and returns. Any number of new
-// configurations may come at any time; each is in force, or rejected, by the time that the next one is received. The
-// error says that an address could not be opened, that the configuration is invalid or that the listener failed.
+// Run serves requests until ctx ends. It then finishes the requests that it has admitted and returns. Each
+// configuration received from reloads is put in force or rejected before the next one is received. Run returns an error
+// if an address cannot be opened, the configuration is invalid or the clients' listener fails.
 func Run(ctx context.Context, cfg *config.Config, reloads <-chan *config.Config, log *slog.Logger) error {
 	listener, err := handover.Listen(ctx, cfg.ListenAddress, cfg.InheritedSocket)
 	if err != nil {
@@ -30,25 +30,25 @@
 		}
 		defer adminListener.Close()
 	}
-	// The loop outlives ctx: requests in flight still need it.
-	loopCtx, stop := context.WithCancel(context.Background())
-	defer stop()
+	// The loop must outlive ctx because requests in flight still need it.
+	loopCtx, stopLoop := context.WithCancel(context.Background())
+	defer stopLoop()
 	l, err := newLoop(loopCtx, cfg, log)
 	if err != nil {
 		listener.Close()
 		return err
 	}
 	go func() {
-		for next := range reloads {
-			l.events.runUrgent(func(balancer.Micros) { l.reload(next) })
+		for newCfg := range reloads {
+			l.events.runUrgent(func(balancer.Micros) { l.reload(newCfg) })
 		}
 	}()
-	if cfg.InheritedSocket != "" { // another process may take over
+	if cfg.InheritedSocket != "" { // processes of this sidecar share the socket and may take over from each other
 		store := warmstart.NewStore(loopCtx, cfg.Name, cfg.Host, log)
 		l.warmStart, l.saveEstimates = store.Load(l.clock.now()), store.Save
 	}
 	s := newServer(l)
-	s.setProcesses(1)
+	s.setProcessCount(1)
 	if cfg.InheritedSocket != "" {
 		s.acquireSlot(ctx, cfg.Host.Directory)
 		go s.followPeers(loopCtx, cfg.Host.Directory)
@@ -56,23 +56,23 @@
 	if adminListener != nil {
 		store := s.newOperatorStore()
 		s.restoreOperatorState(loopCtx, store)
-		calls := admin.NewServer(s, store, log)
-		// The clients' side serves on without the calls, so why their listener ended changes nothing.
-		go func() { _ = calls.Serve(loopCtx, adminListener) }()
+		adminServer := admin.NewServer(s, store, log)
+		// The error is ignored: if the admin listener fails, clients are still served.
+		go func() { _ = adminServer.Serve(loopCtx, adminListener) }()
 	}
-	defer l.upstream.SetMaxConnections(0) // the process may live on: idle connections end with the sidecar
+	defer l.upstream.SetMaxConnections(0) // closes idle connections: the process may outlive the sidecar
 	return s.serve(ctx, listener)
 }
 
-// serve runs the loop and takes clients' connections until ctx ends, then shuts down.
+// serve starts the loop and accepts clients' connections until ctx ends. It then shuts the server down.
 func (s *server) serve(ctx context.Context, listener net.Listener) error {
 	s.clients.Listener = listener
 	go s.loop.run()
 	go s.closeIdleWhileDraining(s.loop.ctx)
 	served := make(chan error, 1)
 	go func() {
-		// A process that takes over leaves clients to the other one until it can serve them.
-		for s.hasPeer() && !s.loop.endpointsKnown.Load() && ctx.Err() == nil {
+		// A process that takes over accepts no clients until an endpoint is ready. Until then the old process serves them.
+		for s.hasPeer() && !s.loop.hasReadyEndpoint.Load() && ctx.Err() == nil {
 			time.Sleep(sweepInterval)
 		}
 		if ctx.Err() == nil {
@@ -83,7 +83,7 @@
 	case err := <-served:
 		s.log.Error("listener failed", "error", err)
 		s.terminate()
-		return fmt.Errorf("serve: %w", err)
+		return fmt.Errorf("serve clients' connections: %w", err)
 	case <-ctx.Done():
 	}
 	s.terminate()
--- a/internal/sidecar/slot_test.go
+++ b/internal/sidecar/slot_test.go
@@ -6,43 +6,45 @@
 	"oakproxy/internal/handover"
 )
 
-// Two processes share the limits of one sidecar. Idle connections beyond a process's share are closed, and the process
-// that remains gets the full limits again.
+// Tests that two processes share the limits of one sidecar: idle connections beyond a process's share are closed, and
+// the process that remains gets the full limits again.
 func TestProcessesShareLimits(t *testing.T) {
 	e := newServingEndpoint(t)
-	w := start(t, nil, ready("s-1", e.Address))
-	w.await("other connections to end", func() bool { return w.server.clients.Count() == 0 })
-	connections, bodies := w.server.clients.MaxConnections, w.loop.upstream.BodyMemory.Limit.Load()
+	h := start(t, nil, ready("s-1", e.Address))
+	h.await("other connections to end", func() bool { return h.server.clients.Count() == 0 })
+	connections, bodyMemory := h.server.clients.MaxConnections, h.loop.upstream.BodyMemory.Limit.Load()
 	dir := t.TempDir()
-	own, err := handover.AcquireSlot(dir)
+	ownSlot, err := handover.AcquireSlot(dir)
 	if err != nil {
 		t.Fatal(err)
 	}
-	w.server.slot.Store(own)
+	h.server.slot.Store(ownSlot)
 	for range connections {
-		w.dial()
+		h.dial()
 	}
-	w.await("the limit of connections", func() bool { return w.server.clients.Count() == connections })
-	other, err := handover.AcquireSlot(dir)
+	h.await("the connection limit to be reached", func() bool { return h.server.clients.Count() == connections })
+	otherSlot, err := handover.AcquireSlot(dir)
 	if err != nil {
 		t.Fatal(err)
 	}
-	go w.server.followPeers(t.Context(), dir)
-	half := (w.loop.cfg.Limits.Sockets/2 - reservedSockets) / 2
-	w.await("connections beyond the share to end", func() bool { return w.server.clients.Count() == half })
-	w.await("the share of body memory", func() bool { return w.loop.upstream.BodyMemory.Limit.Load() == bodies/2 })
-	if !w.server.hasPeer() || w.server.replaced() {
+	go h.server.followPeers(t.Context(), dir)
+	halfConnections := (h.loop.cfg.Limits.Sockets/2 - reservedSockets) / 2
+	h.await("connections beyond the share to end", func() bool { return h.server.clients.Count() == halfConnections })
+	h.await("the limit of body memory to be halved", func() bool {
+		return h.loop.upstream.BodyMemory.Limit.Load() == bodyMemory/2
+	})
+	if !h.server.hasPeer() || h.server.hasReadyPeer() {
 		t.Error("got no peer or a ready one, want one that is not ready")
 	}
-	if err := other.MarkReady(); err != nil {
+	if err := otherSlot.MarkReady(); err != nil {
 		t.Fatal(err)
 	}
-	if !w.server.replaced() {
+	if !h.server.hasReadyPeer() {
 		t.Error("got no ready peer, want one")
 	}
-	other.Release()
-	w.await("the full limits", func() bool {
-		limit, _ := w.server.clients.Limits()
-		return limit == connections && w.loop.upstream.BodyMemory.Limit.Load() == bodies
+	otherSlot.Release()
+	h.await("the full limits to apply again", func() bool {
+		limit, _ := h.server.clients.Limits()
+		return limit == connections && h.loop.upstream.BodyMemory.Limit.Load() == bodyMemory
 	})
 }
--- a/internal/sidecar/syscalls_test.go
+++ b/internal/sidecar/syscalls_test.go
@@ -17,36 +17,36 @@
 	"oakproxy/internal/system"
 )
 
-// The time that a request waits in the accept backlog counts against its deadline: its endpoint gets no more time than
-// its client has left.
+// Tests that the time that a request waits in the accept backlog counts against its deadline: the endpoint is granted
+// no more time than the client has left.
 func TestTimeInTheAcceptBacklogCounts(t *testing.T) {
-	var arrived time.Time
+	var arrivedAt time.Time
 	e := sidecartest.NewEndpoint(t, func(e *sidecartest.Endpoint, conn net.Conn, in *bufio.Reader) {
-		for e.Next(in) != nil {
-			arrived = time.Now()
-			io.WriteString(conn, sidecartest.Served)
+		for e.ReadRequest(in) != nil {
+			arrivedAt = time.Now()
+			io.WriteString(conn, sidecartest.ServedResponse)
 		}
 	})
 	listener := &sidecartest.FaultyListener{}
-	w := startWithListener(
+	h := startWithListener(
 		t,
 		func(inner net.Listener) net.Listener { listener.Listener = inner; return listener },
 		ready("s-1", e.Address),
 	)
-	const failures = 100 // with system.AcceptRetryDelay after each, over 0.5 s
+	const failures = 100 // a delay of system.AcceptRetryDelay follows each, in all more than 0.5 s
 	listener.Fail(slices.Repeat([]error{syscall.ENFILE}, failures))
-	w.dial() // the pending accept may still accept it
-	conn := w.dial()
+	h.dial() // the accept that is already pending may still accept this connection
+	conn := h.dial()
 	fmt.Fprint(conn, sidecartest.ReadHead+"X-Correlation-Id: 1\r\n\r\n")
-	written := time.Now()
+	writtenAt := time.Now()
 	response, err := http.ReadResponse(bufio.NewReader(conn), nil)
 	if err != nil || response.StatusCode != http.StatusOK {
 		t.Fatalf("got %v, %v, want 200", response, err)
 	}
-	var ms int
-	fmt.Sscan(e.Request(0).Header.Get("X-Time-Left-Ms"), &ms)
-	waited := arrived.Sub(written)
-	forwarded, remaining := time.Duration(ms)*time.Millisecond, 3*time.Second-waited
+	var forwardedMS int
+	fmt.Sscan(e.Request(0).Header.Get("X-Time-Left-Ms"), &forwardedMS)
+	waited := arrivedAt.Sub(writtenAt)
+	forwarded, remaining := time.Duration(forwardedMS)*time.Millisecond, 3*time.Second-waited
 	if forwarded > remaining+deadlineSlack {
 		t.Errorf("got %v forwarded to the endpoint, want at most the client's %v", forwarded, remaining)
 	}
@@ -55,34 +55,34 @@
 	}
 }
 
-// deadlineSlack is how much the time forwarded to an endpoint may exceed its client's remaining time.
+// deadlineSlack is how far the time forwarded to an endpoint may exceed the client's remaining time.
 const deadlineSlack = 150 * time.Millisecond
 
-// A client that disconnects after sending a large body is noticed although part of the body is unread: nothing is sent
-// for it.
+// Tests that the disconnect of a client that has sent a large body is noticed although part of the body is unread, so
+// that nothing is sent to the endpoint.
 func TestClientThatLeavesAfterItsBodyIsNoticed(t *testing.T) {
 	e := newServingEndpoint(t)
-	w := start(t, nil, ready("s-1", e.Address))
-	dial := sidecartest.BlockDials(&w.loop.upstream.Dialer, e.Address)
-	conn := w.dial()
+	h := start(t, nil, ready("s-1", e.Address))
+	blockedDials := sidecartest.BlockDials(&h.loop.upstream.Dialer, e.Address)
+	conn := h.dial()
 	go func() {
 		const size = 2 * httpmsg.MaxBufferedBytes
 		fmt.Fprintf(conn, "%sX-Correlation-Id: 1\r\nContent-Length: %d\r\n\r\n%s",
 			sidecartest.PayHead, size, strings.Repeat("x", size))
 		conn.Close()
 	}()
-	<-dial.Started
+	<-blockedDials.Started
 	sidecartest.Await(t, "the disconnect to be noticed", func() bool {
-		for _, r := range w.server.inFlight.all() {
+		for _, r := range h.server.inFlight.all() {
 			if r.conn.ClientClosed() {
 				return true
 			}
 		}
 		return false
 	})
-	close(dial.Unblock)
-	w.awaitOutcome()
-	if n, conns := e.Seen(); n != 0 {
+	close(blockedDials.Unblock)
+	h.awaitOutcome()
+	if n, conns := e.Counts(); n != 0 {
 		t.Errorf("the endpoint got %d requests on %d connections, want none", n, conns)
 	}
 }
--- a/internal/sidecartest/dials.go
+++ b/internal/sidecartest/dials.go
@@ -8,21 +8,21 @@
 	"testing"
 )
 
-// BlockedDials are the dials to one address, which wait until the test unblocks them. Make them with BlockDials.
+// BlockedDials controls the dials to one address, which block until the test unblocks them. BlockDials creates it.
 type BlockedDials struct {
-	Started chan struct{} // closed when the first dial has begun
-	Unblock chan struct{} // to be closed, or sent to once for each dial, by the test
+	Started chan struct{} // channel that is closed when the first dial has begun
+	Unblock chan struct{} // the test closes it to unblock all dials, or sends one value to unblock one dial
 
-	begin sync.Once
+	startOnce sync.Once
 }
 
-// BlockDials makes the dialer's dials to an address wait. It replaces dialer.Control, and is called before the dialer
-// is used.
-func BlockDials(dialer *net.Dialer, blocked string) *BlockedDials {
+// BlockDials makes the dialer's dials to blockedAddress block. It replaces dialer.Control, so it must be called before
+// the dialer is used.
+func BlockDials(dialer *net.Dialer, blockedAddress string) *BlockedDials {
 	dials := &BlockedDials{Started: make(chan struct{}), Unblock: make(chan struct{})}
 	dialer.Control = func(_, address string, _ syscall.RawConn) error {
-		if address == blocked {
-			dials.begin.Do(func() { close(dials.Started) })
+		if address == blockedAddress {
+			dials.startOnce.Do(func() { close(dials.Started) })
 			<-dials.Unblock
 		}
 		return nil
@@ -30,8 +30,8 @@
 	return dials
 }
 
-// ClosedAddress returns an address that refuses connections. Its port stays bound until the test ends: a port that is
-// released might be bound by another test's listener, which would then get requests that are not its own.
+// ClosedAddress returns an address that refuses connections. Its port stays bound until the test ends: if it were
+// released, another test's listener might bind it and receive requests that are not meant for it.
 func ClosedAddress(t *testing.T) string {
 	t.Helper()
 	fd, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM|syscall.SOCK_CLOEXEC, 0)
@@ -42,9 +42,9 @@
 	if err := syscall.Bind(fd, &syscall.SockaddrInet4{Addr: [4]byte{127, 0, 0, 1}}); err != nil {
 		t.Fatal(err)
 	}
-	name, err := syscall.Getsockname(fd)
+	bound, err := syscall.Getsockname(fd)
 	if err != nil {
 		t.Fatal(err)
 	}
-	return fmt.Sprintf("127.0.0.1:%d", name.(*syscall.SockaddrInet4).Port)
+	return fmt.Sprintf("127.0.0.1:%d", bound.(*syscall.SockaddrInet4).Port)
 }
--- a/internal/sidecartest/listener.go
+++ b/internal/sidecartest/listener.go
@@ -6,23 +6,24 @@
 	"sync"
 )
 
-// FaultyListener is a listener whose accepts fail with given errors, one after another, and then succeed.
+// FaultyListener is a listener whose next calls of Accept fail with given errors, one error for each call. Later calls
+// succeed.
 type FaultyListener struct {
 	net.Listener
 
 	mu     sync.Mutex
-	Errors []error // of the next accepts; set it before the listener is used, or use Fail
+	Errors []error // errors of the next calls of Accept; set it before the listener is used, or call Fail
 }
 
-// Fail sets the errors of the next accepts.
-func (l *FaultyListener) Fail(errors []error) {
+// Fail sets the errors of the next calls of Accept. It replaces those that are left.
+func (l *FaultyListener) Fail(errs []error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.Errors = errors
+	l.Errors = errs
 }
 
-// next returns and removes the error of the next accept, or nil.
-func (l *FaultyListener) next() (err error) {
+// takeError removes the first of the remaining errors and returns it. It returns nil if none is left.
+func (l *FaultyListener) takeError() (err error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if len(l.Errors) > 0 {
@@ -31,9 +32,9 @@
 	return err
 }
 
-// Accept fails with the next error, in the form of the net package, or accepts a connection.
+// Accept fails with the next error, wrapped as the net package wraps it. If no error is left, it accepts a connection.
 func (l *FaultyListener) Accept() (net.Conn, error) {
-	if err := l.next(); err != nil {
+	if err := l.takeError(); err != nil {
 		return nil, &net.OpError{Op: "accept", Net: "tcp", Addr: l.Addr(), Err: os.NewSyscallError("accept4", err)}
 	}
 	return l.Listener.Accept()
--- a/internal/upstream/request_test.go
+++ b/internal/upstream/request_test.go
@@ -19,7 +19,7 @@
 // An endpoint receives the client's end-to-end headers and body unchanged, and the remaining time of the attempt in
 // X-Time-Left-Ms.
 func TestRequestIsForwardedWithTimeLeft(t *testing.T) {
-	e := sidecartest.NewEndpoint(t, sidecartest.Always(sidecartest.Served))
+	e := sidecartest.NewEndpoint(t, sidecartest.AlwaysRespond(sidecartest.ServedResponse))
 	requestURL, _ := url.Parse("/pay/x%2Fy?q=1&r=%20")
 	request := &Request{Method: http.MethodPost, URL: requestURL, Host: "api.internal", Body: []byte("body"),
 		Header: http.Header{"X-Correlation-Id": {"9b"}, "Idempotency-Key": {"5c"}, "X-Time-Left-Ms": {"99999"},
