--- a/internal/emulator/control/control.go
+++ b/internal/emulator/control/control.go
@@ -1,5 +1,5 @@
-// Package control transports typed requests and responses between the emulator and its worker processes. Each is a line
-// of JSON on the standard input or output of the worker.
+// Package control transports typed requests and responses between the emulator and its worker processes. A request is a
+// line of JSON on the standard input of the worker, a response one on its standard output.
 //
 // Calls may be concurrent: responses arrive in any order and are matched to requests by ID. The package starts no
 // processes and sets no time limits; callers limit the time of a call by its context.
--- a/internal/emulator/endpoint/queue.go
+++ b/internal/emulator/endpoint/queue.go
@@ -18,8 +18,8 @@
 	done                     // finish has removed the task
 )
 
-// task is a request in a queue. The connection of the task is woken when its service time is over or when it has
-// expired.
+// task is a request in a queue. The connection of the task is woken when the task's service time is over or its
+// deadline has passed.
 type task struct {
 	conn     *httpconn.Conn
 	deadline time.Time // zero if the request has no deadline
--- a/internal/emulator/httpconn/conn.go
+++ b/internal/emulator/httpconn/conn.go
@@ -1,8 +1,8 @@
 // Package httpconn reads requests and writes responses on HTTP/1.1 connections that are idle most of the time.
 //
-// A connection holds no buffer between requests. A single goroutine serves it: while it waits for the time of the
-// response, it also notices when the client disconnects. The package neither accepts connections nor routes requests,
-// and it does not support pipelining.
+// A connection holds no buffer between requests. A single goroutine serves it: while the goroutine waits until the
+// response is due, it also notices when the client disconnects. The package neither accepts connections nor routes
+// requests, and it does not support pipelining.
 package httpconn
 
 import (
--- a/internal/emulator/httpconn/set.go
+++ b/internal/emulator/httpconn/set.go
@@ -11,7 +11,7 @@
 	maxOpen  int
 }
 
-// SetCounts holds the counts of a Set.
+// SetCounts holds the numbers of connections that a Set counts.
 type SetCounts struct {
 	Accepted uint64 // number of connections added so far
 	Open     int    // number of connections that are open now
--- a/internal/emulator/load/client.go
+++ b/internal/emulator/load/client.go
@@ -26,8 +26,8 @@
 	errTooLarge        = errors.New("load: response body exceeds 64 KiB")
 )
 
-// connection is a connection to a target that carries one request at a time. It counts its bytes in those of its
-// client.
+// connection is a connection to a target that carries one request at a time. It adds the bytes that it reads and writes
+// to the byte counters of its client.
 type connection struct {
 	net.Conn
 	client *client
@@ -53,7 +53,7 @@
 type response struct {
 	status   int
 	body     []byte
-	reusable bool // whether the target keeps the connection open for another request
+	reusable bool // whether the connection can carry another request
 }
 
 // connectionSource says which connections may carry a request.
@@ -79,7 +79,7 @@
 
 // do sends a request and reads its response. It gives up at the deadline. It returns errStaleConnection if it used an
 // idle connection that failed before the first byte of a response, since the target may have closed it while it was
-// idle. A connection from the source fresh is never stale.
+// idle. With the source fresh, do never returns errStaleConnection.
 func (c *client) do(ctx context.Context, r *request, deadline time.Time, source connectionSource) (*response, error) {
 	ctx, cancel := context.WithDeadline(ctx, deadline)
 	defer cancel()
--- a/internal/emulator/process/group.go
+++ b/internal/emulator/process/group.go
@@ -67,7 +67,7 @@
 	stopped  bool
 }
 
-// ErrStopped is the cause of the error that Group.Start returns after Stop.
+// ErrStopped is wrapped by the error that Group.Start returns after Stop.
 var ErrStopped = errors.New("process: group has been stopped")
 
 // NewGroup returns an empty Group. Stop must be called to end the thread of the group.
--- a/internal/emulator/registry/call.go
+++ b/internal/emulator/registry/call.go
@@ -49,7 +49,7 @@
 	}
 }
 
-// countCPU runs step and adds the processor time that its thread used to handlingCPU. step must not block.
+// countCPU runs step and adds to handlingCPU the processor time that the thread spends on it. step must not block.
 func (s *Server) countCPU(step func()) {
 	runtime.LockOSThread()
 	defer runtime.UnlockOSThread()
--- a/internal/emulator/registry/list.go
+++ b/internal/emulator/registry/list.go
@@ -23,7 +23,7 @@
 	Cell        uint16  `json:"block"`
 	Health      string  `json:"health"`
 	Weight      float32 `json:"share"`
-	StartedMS   int64   `json:"born_ms"`
+	StartedMS   int64   `json:"born_ms"` // Unix time of the start in milliseconds; 0 if the endpoint started warm
 }
 
 // responseBody is the JSON body of a 200 response.
--- a/internal/emulator/registry/registry_test.go
+++ b/internal/emulator/registry/registry_test.go
@@ -19,8 +19,8 @@
 	r.expect(r.call(""), 3, true, "y=Ready", "z=Ready")
 	r.expect(r.call("?after=2"), 3, false, "x=Gone", "z=Ready")
 	r.expect(r.call("?after=1"), 3, false, "x=Gone", "z=Ready")
-	r.expect(r.call("?after=0"), 3, true, "y=Ready", "z=Ready") // older than the history
-	r.expect(r.call("?after=9"), 3, true, "y=Ready", "z=Ready") // newer than the list, so of another numbering
+	r.expect(r.call("?after=0"), 3, true, "y=Ready", "z=Ready") // older than the changes in the history
+	r.expect(r.call("?after=9"), 3, true, "y=Ready", "z=Ready") // newer than the list, so not a version of this list
 	r.expect(r.call("?after=3&wait_ms=1"), 3, false)
 	if got := r.Counts(); got.ListCalls != 1 || got.WatchCalls != 5 || got.CompleteResponses != 3 ||
 		got.DeltaResponses != 2 || got.EmptyResponses != 1 || got.BytesOut == 0 || got.BytesIn == 0 ||
--- a/internal/emulator/registry/server.go
+++ b/internal/emulator/registry/server.go
@@ -49,7 +49,7 @@
 	traffic   httpconn.Traffic
 	counters  counters
 	startCPU  time.Duration  // processor time of the process at New
-	moveGrace time.Duration  // time after Move until the connections of earlier addresses are closed
+	moveGrace time.Duration  // time after Move until the connections accepted at earlier addresses are closed
 	serving   sync.WaitGroup // goroutines that accept or serve connections
 
 	mu          sync.Mutex
--- a/internal/emulator/sidecarlog/events.go
+++ b/internal/emulator/sidecarlog/events.go
@@ -31,7 +31,7 @@
 type Events struct {
 	mu      sync.Mutex
 	changed chan struct{}   // closed and replaced with every event
-	readyAt time.Time       // time of the first list with an endpoint; zero before
+	readyAt time.Time       // time of the first list with an endpoint; zero until then
 	lists   []endpointList  // received lists; consecutive lists of the same version are stored once
 	applied []appliedConfig // applied configurations, the latest last
 	counts  Counts
--- a/internal/emulator/worker/messages.go
+++ b/internal/emulator/worker/messages.go
@@ -19,10 +19,10 @@
 
 // The roles.
 const (
-	RegistryRole  Role = "registry"
-	EndpointsRole Role = "endpoints"
-	SidecarsRole  Role = "hollow"
-	LoadRole      Role = "load"
+	RegistryRole  Role = "registry"  // hosts the discovery server
+	EndpointsRole Role = "endpoints" // hosts endpoints
+	SidecarsRole  Role = "hollow"    // hosts simulated sidecars, which are called hollow in stored and printed texts
+	LoadRole      Role = "load"      // sends requests
 )
 
 // Kinds of requests to a worker with the registry role, each with the types of the request and the response.
@@ -89,14 +89,14 @@
 // Incarnations holds the incarnations of the endpoints of a request, after the request has taken effect.
 type Incarnations struct{ Endpoints []Incarnation }
 
-// Kinds of requests to a worker with the role SidecarsRole, each with the types of the request and the response.
+// Kinds of requests to a worker with the role hollow, each with the types of the request and the response.
 const (
 	StartSidecars  control.Kind = "start sidecars"  // Sidecars, Empty
-	StopSidecars   control.Kind = "stop sidecars"   // Names, Empty
-	ReloadSidecars control.Kind = "reload sidecars" // Names, Empty
-	AwaitReady     control.Kind = "await ready"     // Await, Completions
-	AwaitList      control.Kind = "await heard"     // Await, Completions
-	AwaitConfig    control.Kind = "await in force"  // Await, Completions
+	StopSidecars   control.Kind = "stop sidecars"   // SidecarNames, Empty
+	ReloadSidecars control.Kind = "reload sidecars" // SidecarNames, Empty
+	AwaitReady     control.Kind = "await ready"     // AwaitRequest, Completions
+	AwaitList      control.Kind = "await heard"     // AwaitRequest, Completions
+	AwaitConfig    control.Kind = "await in force"  // AwaitRequest, Completions
 	CountSidecars  control.Kind = "count sidecars"  // Empty, SidecarCounts
 )
 
--- a/internal/emulator/worker/sidecars.go
+++ b/internal/emulator/worker/sidecars.go
@@ -17,7 +17,7 @@
 // errAlreadyRunning is returned for a request to start a sidecar that is running.
 var errAlreadyRunning = errors.New("sidecar is already running")
 
-// sidecarService implements the role SidecarsRole: it hosts simulated sidecars. They run the same code as a sidecar
+// sidecarService implements the role hollow: it hosts simulated sidecars. They run the same code as a sidecar
 // that has a process of its own, but many of them share the worker process, and they have no application.
 type sidecarService struct {
 	mu         sync.Mutex
@@ -128,6 +128,7 @@
 	return s.await(ctx, request, func(sidecar *simulatedSidecar) sidecarlog.Condition {
 		cfg, err := readConfig(sidecar.file.Path)
 		if err != nil {
+			// No configuration can match an unreadable file, so the sidecar counts as missing.
 			return func(*sidecarlog.Events) (time.Time, bool) { return time.Time{}, false }
 		}
 		return sidecarlog.ConfigApplied(cfg.Hash())
@@ -166,7 +167,7 @@
 }
 
 // close tells the sidecars to stop, but does not wait for their graceful shutdown: the worker process ends right after
-// it.
+// close.
 func (s *sidecarService) close() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
