--- a/cmd/emulator/harness_test.go
+++ b/cmd/emulator/harness_test.go
@@ -101,11 +101,11 @@
 }
 
 // await waits until a condition is met. It fails the test after awaitTimeout.
-func await(t *testing.T, what string, condition func() bool) {
+func await(t *testing.T, description string, condition func() bool) {
 	t.Helper()
 	for deadline := time.Now().Add(awaitTimeout); !condition(); time.Sleep(5 * time.Millisecond) {
 		if time.Now().After(deadline) {
-			t.Fatalf("timed out waiting for %s", what)
+			t.Fatalf("timed out waiting for %s", description)
 		}
 	}
 }
--- a/internal/emulator/fleet/layout.go
+++ b/internal/emulator/fleet/layout.go
@@ -13,7 +13,8 @@
 	"oakproxy/internal/emulator/spec"
 )
 
-// Each endpoint listens on a loopback address of its own, 127.(firstZoneOctet+zone).x.y.
+// Each endpoint listens on a loopback address of its own: 127.(firstZoneOctet+zone).x.y, where x = i / hostsPerOctet
+// and y = 1 + i % hostsPerOctet for endpoint i of its zone, counted from 0.
 const (
 	firstZoneOctet = 64
 	hostsPerOctet  = 250
@@ -86,7 +87,8 @@
 		Name:     fmt.Sprintf("sidecar-%04d", i),
 		Position: i,
 		Zone:     zone,
-		Real:     (indexInZone+1)*realCount/total > indexInZone*realCount/total,
+		// indexInZone*realCount/total, rounded down, grows by 1 after each real sidecar.
+		Real: (indexInZone+1)*realCount/total > indexInZone*realCount/total,
 	}
 }
 
--- a/internal/emulator/play/changes.go
+++ b/internal/emulator/play/changes.go
@@ -7,8 +7,8 @@
 	"oakproxy/internal/emulator/result"
 )
 
-// playConfigChanges measures the load alone, then configuration changes that are rolled out one by one, and at last
-// a burst of changes unless the scenario's burst is 0.
+// playConfigChanges measures load without events, then load while configuration changes are rolled out one by one, and
+// last load during a burst of changes, unless the scenario's burst is 0.
 func playConfigChanges(ctx context.Context, r *runner) error {
 	if err := r.measureLoadedPhase(ctx); err != nil {
 		return err
@@ -23,9 +23,9 @@
 		action: r.rollOutBurst})
 }
 
-// rollOutSequentially rolls out the scenario's number of changes at its interval. Each change waits until the previous
-// one is in force at every sidecar or reloadTimeout has passed. If a change comes into force at no sidecar, the
-// remaining changes are not made and the phase gets a note.
+// rollOutSequentially rolls out the scenario's number of changes at its interval. Each change waits until every sidecar
+// has applied the previous one or reloadTimeout has passed. If no sidecar applies a change in time, the remaining
+// changes are not made and the phase gets a note.
 func (r *runner) rollOutSequentially(ctx context.Context, phase *result.Phase) error {
 	scenario := r.options.Scenario
 	var delaysFromOwnReplacement, delaysFromFirstReplacement []time.Duration
@@ -61,8 +61,8 @@
 	return nil
 }
 
-// rollOutBurst rolls out the scenario's burst of changes without a pause, and waits until the last change is in force
-// at every sidecar or reloadTimeout has passed.
+// rollOutBurst rolls out the scenario's burst of changes without a pause, and waits until every sidecar has applied the
+// last change or reloadTimeout has passed.
 func (r *runner) rollOutBurst(ctx context.Context, phase *result.Phase) error {
 	var firstStartedAt time.Time
 	var lastRollout *rollout
--- a/internal/emulator/play/exits.go
+++ b/internal/emulator/play/exits.go
@@ -7,7 +7,7 @@
 	"oakproxy/internal/emulator/process"
 )
 
-// watchForExit ends the run if a child exits, unless its exit has been expected or the run is stopping.
+// watchForExit ends the run if a child exits, unless expectExit has been called for the child or the run is stopping.
 func (r *runner) watchForExit(child *process.Child) {
 	go func() {
 		<-child.Ended()
--- a/internal/emulator/play/loadplan.go
+++ b/internal/emulator/play/loadplan.go
@@ -34,8 +34,8 @@
 	return done
 }
 
-// stopLoad stops the load of a phase, waits for its result and returns that. It adds the requests that were planned to
-// those of the run. A nil loadDone means that no load was started.
+// stopLoad stops the load of a phase, waits for its reports and returns them. It adds the planned requests in the
+// reports to r.plannedRequests. A nil loadDone means that no load was started.
 func (r *runner) stopLoad(ctx context.Context, loadDone <-chan loadResult) (worker.LoadReports, error) {
 	if loadDone == nil {
 		return worker.LoadReports{}, nil
--- a/internal/emulator/play/monitor.go
+++ b/internal/emulator/play/monitor.go
@@ -10,8 +10,8 @@
 )
 
 const (
-	monitorInterval  = 500 * time.Millisecond // between two readings of the memory
-	progressInterval = 2 * time.Second        // between two progress lines
+	monitorInterval  = 500 * time.Millisecond // interval between readings of the resident memory
+	progressInterval = 2 * time.Second        // minimum time between progress lines
 )
 
 // monitor records the peak memory, ends the run if its processes exceed limits.memory_mb, and writes progress lines. It
--- a/internal/emulator/play/real.go
+++ b/internal/emulator/play/real.go
@@ -15,11 +15,12 @@
 )
 
 const (
-	readyPollInterval = 20 * time.Millisecond // between two readiness checks of a sidecar that starts
+	readyPollInterval = 20 * time.Millisecond // interval between readiness checks of a sidecar that starts
 	configVariable    = "BALANCER_CONFIG"     // environment variable that holds the path of the configuration file
 
-	// Real sidecars listen on 127.32.x.y. Each has an IP address of its own, so that no outgoing connection of
-	// another process can occupy its port.
+	// Real sidecars listen on 127.realSidecarOctet.x.y, where x = index / hostsPerOctet and
+	// y = 1 + index % hostsPerOctet. Each has an IP address of its own, so that no outgoing connection of another
+	// process can occupy its port.
 	realSidecarOctet = 32
 	hostsPerOctet    = 250
 )
@@ -32,7 +33,7 @@
 	events        *sidecarlog.Events
 	child         *process.Child // nil while no process of the sidecar runs
 	startedAt     time.Time
-	pastUsage     process.Usage // usage of the sidecar's processes that were killed
+	pastUsage     process.Usage // processor time and bytes of the sidecar's processes that were killed
 }
 
 // freeAddress returns an address with a free port for the real sidecar of this index, on an IP address that only that
@@ -67,8 +68,8 @@
 	return nil
 }
 
-// killRealSidecar kills a real sidecar's process with SIGKILL, as if its machine had failed, and keeps the process's
-// resource usage in pastUsage.
+// killRealSidecar kills a real sidecar's process with SIGKILL, as if its machine had failed, and adds the process's
+// processor time and bytes to pastUsage.
 func (r *runner) killRealSidecar(s *realSidecar) error {
 	usage, err := process.ReadUsage(s.child.PID())
 	if err != nil {
--- a/internal/emulator/play/replace.go
+++ b/internal/emulator/play/replace.go
@@ -17,8 +17,8 @@
 	workerIndex int // index of the worker that hosts the sidecar
 }
 
-// playReplacements measures the load alone, then the restarts of endpoints and their sidecars, one after the other. The
-// endpoints that will restart get no direct load in any phase.
+// playReplacements measures load without events, then load while endpoints and their sidecars restart, a pair at each
+// interval of the scenario. The endpoints that will restart get no direct load in any phase.
 func playReplacements(ctx context.Context, r *runner) error {
 	chosen := r.chooseReplacements(r.options.Scenario.Events)
 	for _, c := range chosen {
@@ -31,7 +31,8 @@
 		action: func(ctx context.Context, phase *result.Phase) error { return r.replaceAll(ctx, phase, chosen) }})
 }
 
-// chooseReplacements chooses at most count simulated sidecars that have an endpoint, evenly over the fleet.
+// chooseReplacements chooses at most count simulated sidecars whose application also has an endpoint, evenly over the
+// fleet, and returns them with these endpoints.
 func (r *runner) chooseReplacements(count int) []replacement {
 	var candidates []replacement
 	for workerIndex, group := range r.simulatedSidecars {
--- a/internal/emulator/play/roles.go
+++ b/internal/emulator/play/roles.go
@@ -11,7 +11,8 @@
 // limit / descriptorReserveDivisor of them are free.
 const descriptorReserveDivisor = 20
 
-// roleTotals is the resource usage of all processes of a role, each since its start.
+// roleTotals is the resource usage of all processes of a role. Processor time and bytes are counted from the start of
+// each process.
 type roleTotals struct {
 	role               result.Role
 	usage              process.Usage
--- a/internal/emulator/play/rollout.go
+++ b/internal/emulator/play/rollout.go
@@ -28,8 +28,8 @@
 
 // appliedTimes holds the times at which sidecars applied the configuration in their files.
 type appliedTimes struct {
-	byName  map[string]time.Time // time at which each sidecar did, by sidecar name
-	missing int                  // number of sidecars that did not within reloadTimeout
+	byName  map[string]time.Time // time at which each sidecar applied it, by sidecar name
+	missing int                  // number of sidecars that had not applied it after reloadTimeout
 }
 
 // rollOutNextVersion increments the configuration's version, replaces all configuration files and makes all sidecars
--- a/internal/emulator/play/runner.go
+++ b/internal/emulator/play/runner.go
@@ -30,8 +30,8 @@
 	errExitedCleanly = errors.New("exit status 0")
 )
 
-// runner plays one scenario. Fields without a mutex, and that are not atomic, are used only by the goroutine that plays
-// the scenario and by goroutines that it waits for.
+// runner plays one scenario. Fields that are neither atomic nor guarded by a mutex are used only by the goroutine that
+// plays the scenario and by goroutines that it waits for.
 type runner struct {
 	options        Options
 	layout         *fleet.Layout
@@ -44,7 +44,7 @@
 	registryWorker          *workerProcess
 	endpointWorkers         []*workerProcess // workers that host endpoints
 	simulatedSidecarWorkers []*workerProcess // workers that host simulated sidecars
-	loadWorkers             []*workerProcess // load generators; exactly one
+	loadWorkers             []*workerProcess // workers that generate load; exactly one
 
 	simulatedSidecars   [][]fleet.Sidecar // simulated sidecars of each worker, by index in simulatedSidecarWorkers
 	endpointWorkerIndex map[string]int    // index in endpointWorkers, by endpoint name
@@ -52,7 +52,7 @@
 	incarnationsMu      sync.Mutex                    // guards incarnations
 	incarnations        map[string]worker.Incarnation // current incarnation of each endpoint, by endpoint name
 	configVersion       int                           // version of the configuration, from 1
-	plannedRequests     int                           // requests of the earlier phases, by their load reports
+	plannedRequests     int                           // sum of Counts.Planned in the load reports of earlier phases
 	excludedFromLoad    map[string]bool               // names of the endpoints and real sidecars that get no load
 	peakKB              atomic.Int64                  // peak resident memory of all processes, in KiB
 	currentPhase        atomic.Pointer[string]        // name of the current phase, for the progress line
--- a/internal/emulator/play/zone.go
+++ b/internal/emulator/play/zone.go
@@ -20,9 +20,9 @@
 	real      []*realSidecar
 }
 
-// playZoneFailure measures the load alone, then the phase in which a zone is lost, then the phase after it has
-// recovered with endpoints that warm up. The zone's real sidecars get no load in any phase, since their applications
-// would have failed with the zone. Its endpoints get no direct load.
+// playZoneFailure measures load without events, then load while a zone is lost, then load after the zone has recovered,
+// while its endpoints warm up. The zone's real sidecars get no load in any phase, since their applications would have
+// failed with the zone. Its endpoints get no direct load.
 func playZoneFailure(ctx context.Context, r *runner) error {
 	members := r.zoneMembersOf(failedZone)
 	r.excludeFromLoad(members)
--- a/internal/emulator/result/distribution.go
+++ b/internal/emulator/result/distribution.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// NewDistribution returns the distribution of the measured times under a name. Total is the number of times that were
-// expected; total - len(times) of them count as missing.
+// NewDistribution returns the distribution of the measured durations in times, with the given name. total is the number
+// of durations that were expected; total - len(times) of them count as missing.
 func NewDistribution(name string, total int, times []time.Duration) Distribution {
 	sorted := slices.Sorted(slices.Values(times))
 	return Distribution{
--- a/internal/emulator/result/fit.go
+++ b/internal/emulator/result/fit.go
@@ -8,7 +8,7 @@
 	"gonum.org/v1/gonum/stat"
 )
 
-// A fit needs at least minSizes sizes with at least minPlays runs each.
+// A fit needs at least minSizes fleet sizes with at least minPlays runs each.
 const (
 	minSizes = 4
 	minPlays = 2
@@ -21,7 +21,7 @@
 	Value float64
 }
 
-// Series holds the values of one metric over the size of the fleet.
+// Series holds the values of one metric at each size of the fleet.
 type Series struct {
 	Name   string
 	Unit   string
--- a/internal/emulator/result/metrics.go
+++ b/internal/emulator/result/metrics.go
@@ -124,7 +124,8 @@
 }
 
 // requestCosts returns the processor time of one request at a real sidecar and at an endpoint, without the processor
-// time that they spend in the idle phase: (cpu - idleCPU/idleSeconds*seconds) / requests.
+// time that they use while idle: (cpu - idleCPU/idleSeconds*seconds) / requests, where idleCPU and idleSeconds are
+// those of the idle phase.
 func (p *Phase) requestCosts(idle *Phase) []Metric {
 	if p.Proxied == nil || p.Proxied.Counts.Served == 0 || p.Endpoints.Requests == 0 {
 		return nil
@@ -162,7 +163,8 @@
 }
 
 // eventMetrics returns the processor time that one event costs one unit of each role, without the processor time that
-// the role spends in the loaded phase, the baseline: (cpu - baselineCPU/baselineSeconds*seconds) / events / units.
+// the role uses for load alone: (cpu - baselineCPU/baselineSeconds*seconds) / events / units, where baselineCPU and
+// baselineSeconds are those of the loaded phase.
 func (p *Phase) eventMetrics(baseline *Phase) []Metric {
 	if p.Events == 0 {
 		return nil
--- a/internal/emulator/result/plot.go
+++ b/internal/emulator/result/plot.go
@@ -51,8 +51,7 @@
 var ErrNothingToPlot = errors.New("plot: no usable run has any of the requested metrics")
 
 // WritePlot writes an SVG file that plots the named metrics of usable runs over the size of the fleet: each run is a
-// point, and the fit is a line. It ignores names that no run has, and returns
-// ErrNothingToPlot if no name remains.
+// point, and the fit is a line. It ignores names that no run has, and returns ErrNothingToPlot if no name remains.
 func WritePlot(path string, runs []*Run, names []string) error {
 	var panels [][]*plot.Plot
 	for _, series := range AllSeries(runs) {
--- a/internal/emulator/result/result.go
+++ b/internal/emulator/result/result.go
@@ -56,9 +56,9 @@
 
 // Startup holds the measurements of the fleet's start.
 type Startup struct {
-	Seconds        float64         `json:"seconds"` // time from the first sidecar's start until the last sidecar is ready
-	SimulatedReady Distribution    `json:"hollow_ready"`
-	RealReady      Distribution    `json:"real_ready"` // time from a process's start until /health/ready answers 200
+	Seconds        float64         `json:"seconds"`      // time from the first sidecar's start until the last one is ready
+	SimulatedReady Distribution    `json:"hollow_ready"` // from a sidecar's start to its first non-empty endpoint list
+	RealReady      Distribution    `json:"real_ready"`   // from a process's start until /health/ready responds with 200
 	Discovery      registry.Counts `json:"discovery"`
 }
 
@@ -67,11 +67,11 @@
 	Simulated worker.SidecarCounts `json:"hollow"`
 }
 
-// Distribution summarizes times, such as those that changes take to reach sidecars.
+// Distribution summarizes durations, such as the time that each sidecar took to receive a change.
 type Distribution struct {
 	Name     string  `json:"what,omitempty"`
-	Total    int     `json:"of"`      // number of times that were expected, including missing ones
-	Missing  int     `json:"missing"` // number of times that were not measured before the timeout
+	Total    int     `json:"of"`      // number of durations expected, including the missing ones
+	Missing  int     `json:"missing"` // number of durations that had not ended at the timeout
 	MedianMS float64 `json:"median_ms"`
 	P99MS    float64 `json:"p99_ms"`
 	MaxMS    float64 `json:"last_ms"`
@@ -113,15 +113,15 @@
 	// OwnCPUShare is the fraction of the machine's processor time that the run's processes used.
 	OwnCPUShare float64     `json:"own_cpu_share"`
 	Roles       []RoleUsage `json:"roles"`
-	// Discovery are the counts within the phase; open connections are those at its end.
+	// Discovery holds the counts of the discovery server within the phase; open connections are those at its end.
 	Discovery registry.Counts `json:"discovery"`
-	// Endpoints are the sums of the counts of all endpoints within the phase; open connections are those at its end.
+	// Endpoints holds the sums of the counts of all endpoints within the phase; open connections are those at its end.
 	Endpoints endpoint.Counts `json:"endpoints"`
-	// Simulated are the counts of simulated sidecars within the phase; Running and Goroutines are those at its end.
+	// Simulated holds the counts of simulated sidecars within the phase; Running and Goroutines are those at its end.
 	Simulated worker.SidecarCounts `json:"hollow"`
-	// Proxied are the requests through real sidecars; nil if none were sent.
+	// Proxied holds the results of the requests through real sidecars; nil if none were sent.
 	Proxied *Requests `json:"through,omitempty"`
-	// Direct are the requests sent directly to endpoints; nil if none were sent.
+	// Direct holds the results of the requests sent directly to endpoints; nil if none were sent.
 	Direct        *Requests      `json:"direct,omitempty"`
 	Distributions []Distribution `json:"spreads,omitempty"`
 	// Events is the number of changes, restarts or zone events that were played.
--- a/internal/emulator/spec/spec.go
+++ b/internal/emulator/spec/spec.go
@@ -92,8 +92,8 @@
 
 // The values of Sidecar.Discovery.
 const (
-	DiscoverySubscribe = "subscribe"
-	DiscoveryAutomatic = "automatic"
+	DiscoverySubscribe = "subscribe" // a balancer requests the endpoint list and a watch of its changes
+	DiscoveryAutomatic = "automatic" // a balancer gets the endpoint list without a request; the sidecar starts the watch
 )
 
 // Limits holds the limits of every run.
@@ -101,8 +101,8 @@
 	MemoryMB int      `toml:"memory_mb" json:"memory_mb"` // resident memory of all processes together
 	Duration Duration `toml:"duration" json:"duration"`
 	Requests int      `toml:"requests" json:"requests"`
-	// StartSpread is the time over which the starts of 860 sidecars are spread, a full-size fleet. For other fleets it
-	// is scaled by the number of sidecars.
+	// StartSpread is the time over which the starts of the 860 sidecars of a full-size fleet are spread. For a fleet of
+	// another size, the time is proportional to the number of sidecars.
 	StartSpread  Duration `toml:"start_spread" json:"start_spread"`
 	ReadyTimeout Duration `toml:"ready" json:"ready"` // time within which the sidecars must be ready
 }
@@ -128,7 +128,7 @@
 
 	// PerDay is the number of events per day, changes or restarts, in the system that the scenario represents.
 	PerDay int `toml:"per_day" json:"per_day,omitempty"`
-	// Compression is the factor by which the events are played faster than in that system.
+	// Compression is how many times as fast as in the system that the scenario represents the events are played.
 	Compression float64 `toml:"compression" json:"compression,omitempty"`
 	Events      int     `toml:"events" json:"events,omitempty"` // number of events to play
 	// Burst is the number of changes in the burst that follows the events. 0 omits the burst.
