--- a/internal/config/doc.go
+++ b/internal/config/doc.go
@@ -1,9 +1,10 @@
 // Package config reads the configuration of a sidecar from its file and the environment, compares configurations, and
 // counts the generations of the configuration in force.
 //
-// The deployment and protocol pages describe the format of the file. It contains addresses, limits, the endpoints known
-// at the start, and the settings object, which contains the same settings that the simulator sends to its instances.
-// Package wire parses the settings, both here and in the simulator's adapter, cmd/simhost.
+// The deployment and protocol pages, which are not part of this repository, describe the format of the file. It
+// contains addresses, limits, the endpoints known at the start, and the settings object, which contains the same
+// settings that the simulator sends to its instances. Package wire parses the settings, both here and in the
+// simulator's adapter, cmd/simhost.
 //
 // These invariants hold:
 //
--- a/internal/discovery/doc.go
+++ b/internal/discovery/doc.go
@@ -1,9 +1,10 @@
 // Package discovery calls the service that lists endpoints and reads its lists.
 //
-// The protocol page, section Discovery, describes the interface of the service. GET /registry/instances returns the
-// complete list. With the query after=VERSION&wait_ms=N, it returns the changes since VERSION; if there are none, it
-// waits up to N milliseconds for a change. A watch is a sequence of such calls, one after another. A Client makes the
-// calls of a watch and passes each usable list to its caller.
+// The protocol page, section Discovery, describes the interface of the service. That page and the wire page are not
+// part of this repository. GET /registry/instances returns the complete list. With the query after=VERSION&wait_ms=N,
+// it returns the changes since VERSION; if there are none, it waits up to N milliseconds for a change. A watch is a
+// sequence of such calls, one after another. A Client makes the calls of a watch and passes each usable list to its
+// caller.
 //
 // These invariants hold:
 //
--- a/internal/downstream/body.go
+++ b/internal/downstream/body.go
@@ -12,7 +12,8 @@
 	// smallRequestTimeout is the time, from the start of a request, within which its body may arrive at any rate.
 	// minBodyRate applies only to bodies that take longer.
 	smallRequestTimeout = 2600 * time.Millisecond
-	// maxBodyLag is how far, in time, a body that takes longer than smallRequestTimeout may fall behind minBodyRate.
+	// maxBodyLag limits the lag of a body that takes longer than smallRequestTimeout: how much later the body arrives
+	// than at minBodyRate.
 	maxBodyLag = 900 * time.Millisecond
 	// minBodyRate is the lowest rate of a large body, in bytes per second. Slow clients write at twice this rate.
 	minBodyRate = 32 << 10
@@ -21,13 +22,14 @@
 )
 
 // Body reads the body of a client's request and limits its size and duration. The body may arrive at any rate until
-// smallRequestTimeout after the start of the request. After that it may fall at most maxBodyLag behind minBodyRate,
-// where only the time that Read waits for the client counts. A Body must not be used by several goroutines at once.
+// smallRequestTimeout after the start of the request. After that it may fall at most maxBodyLag behind minBodyRate.
+// Only the time that Read spends waiting for the client counts as lag. A Body must not be used by several goroutines at
+// once.
 type Body struct {
 	conn           *Conn
 	body           io.Reader
 	smallDeadline  time.Time     // smallRequestTimeout after the start of the request
-	remainingLag   time.Duration // how much further, in time, the body may fall behind minBodyRate
+	remainingLag   time.Duration // maxBodyLag less the current lag behind minBodyRate
 	remainingBytes int64         // httpmsg.MaxBodyBytes less the bytes read so far
 }
 
--- a/internal/downstream/conn.go
+++ b/internal/downstream/conn.go
@@ -38,7 +38,7 @@
 
 	// The request that is being read, and its response.
 	head             httpmsg.HeadScanner // scans what was read since the last complete request
-	requestStart     time.Time           // time of the accept or, for a later request, of its first byte; zero before it
+	requestStart     time.Time           // time of the accept; for later requests: of the first byte, zero until then
 	responseWritten  bool                // something was written since the start of the request
 	awaitingResponse bool                // a complete request was read and its response has not begun
 	pipelined        bool                // bytes were read after a complete request; they are not served
@@ -46,7 +46,7 @@
 
 	// Whether the connection may be read, and how it is closed.
 	phase         readPhase // changed only by setPhase
-	readDeadline  time.Time // latest deadline set by net/http or Body; during an expiry, the socket has another
+	readDeadline  time.Time // latest deadline set by net/http or Body; expireIfIdle sets only that of the socket
 	peerClosed    bool      // the client has closed its side, or the connection is broken
 	resetOnClose  bool      // the connection is closed with a reset
 	rejectPartial bool      // Close answers a partly received request with rejectionResponse
--- a/internal/downstream/conn_close.go
+++ b/internal/downstream/conn_close.go
@@ -22,7 +22,8 @@
 // expiredDeadline is a deadline in the past. Setting it as the read deadline wakes a read that is waiting.
 var expiredDeadline = time.Unix(1, 0)
 
-// Close closes the connection. All connections that Accept returns are closed by it, except for evicted ones.
+// Close closes the connection. Every connection that Accept returns is closed by a call of Close, unless the listener
+// has evicted it.
 //
 // The kernel resets a connection that is closed with unread bytes, and a response that the client has not read yet is
 // lost then. Therefore Close closes the sidecar's side first, and a goroutine closes the socket once the client has
--- a/internal/downstream/conn_test.go
+++ b/internal/downstream/conn_test.go
@@ -119,8 +119,8 @@
 	}
 }
 
-// net/http sets a read deadline of its own when a request ends, which may overwrite that of an expiry. The next call of
-// ExpireIdle still expires the connection.
+// When a request ends, net/http sets a read deadline of its own, which may overwrite the deadline in the past that
+// ExpireIdle has set. The next call of ExpireIdle still expires the connection.
 func TestExpirySurvivesDeadlineSetByNetHTTP(t *testing.T) {
 	l := newTestListener(t, 1)
 	_, c := l.connect()
--- a/internal/downstream/listener.go
+++ b/internal/downstream/listener.go
@@ -129,9 +129,9 @@
 	return l.setState(c, stateClosing)
 }
 
-// SetLimits sets MaxConnections and MaxUsed. If maxConnections is below the number of open connections, it expires as
-// many connections as there are too many: of those without an open request, the ones that have been silent for longest.
-// A connection among these that has received a part of a request is not expired.
+// SetLimits sets MaxConnections and MaxUsed. If n more connections than maxConnections are open, it selects the n
+// connections without an open request that have been silent for longest, and starts the expiry of those among them that
+// have received no part of a request.
 func (l *Listener) SetLimits(maxConnections, maxUsed int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/httpmsg/budget.go
+++ b/internal/httpmsg/budget.go
@@ -29,5 +29,5 @@
 	return true
 }
 
-// Release returns n bytes that Reserve has reserved to the budget.
+// Release returns to the budget n bytes that Reserve has reserved.
 func (b *MemoryBudget) Release(n int64) { b.Used.Add(-n) }
--- a/internal/stages/stages.go
+++ b/internal/stages/stages.go
@@ -5,8 +5,8 @@
 // stage is a part of a request's way through the sidecar.
 type stage uint8
 
-// The stages of a request that its first attempt served, in chronological order. stageOverhead is not a stage but the
-// sum of all stages except stageEndpoint.
+// The stages of a request with a single attempt, in chronological order. Requests with several attempts are not
+// recorded. stageOverhead is not a stage but the sum of all stages except stageEndpoint.
 const (
 	stageRead      stage = iota // reading the request's body, after its head
 	stageQueue                  // waiting until the event loop takes the request from its queue
--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -37,7 +37,7 @@
 
 	mu          sync.Mutex            // guards Dialer.Timeout, Endpoint.closed and the fields below
 	maxIdleTime time.Duration         // a connection that has been idle for this long is not used again
-	maxOpen     int                   // limit on the field open
+	maxOpen     int                   // maximum number of connections counted in open
 	open        int                   // number of connections that are not closed, including those being dialled
 	idle        map[*Endpoint][]*conn // idle connections by endpoint, the most recently used last
 
@@ -51,8 +51,8 @@
 	return &pool{ReuseDelay: defaultReuseDelay, maxOpen: maxOpen, idle: map[*Endpoint][]*conn{}}
 }
 
-// setTimeouts sets the dial timeout, and the maximum idle time of a connection from idle, which is the idle timeout of
-// endpoints.
+// setTimeouts sets the dial timeout, and derives the maximum idle time of a connection. idle is the time after which
+// endpoints may close an idle connection.
 func (p *pool) setTimeouts(dial, idle time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -252,7 +252,7 @@
 }
 
 // closeAnyIdle closes one idle connection, if there is one, so that another connection can be opened. It takes an
-// arbitrary endpoint and closes its longest idle connection. The caller must hold p.mu.
+// arbitrary endpoint and closes the connection to it that has been idle longest. The caller must hold p.mu.
 func (p *pool) closeAnyIdle() {
 	for endpoint := range p.idle {
 		p.closeOldest(endpoint, 1)
--- a/internal/upstream/request.go
+++ b/internal/upstream/request.go
@@ -28,7 +28,7 @@
 	// Upload is the remainder of the body; nil if Body is complete.
 	Upload *Upload
 
-	isProbe bool // whether the request is a probe of the sidecar itself; probes leave some connections to requests
+	isProbe bool // whether this is the sidecar's own probe; probes leave some connections to clients' requests
 }
 
 // encode returns the bytes of the request for an attempt whose remaining time is that of ctx. They include the body; if
--- a/internal/upstream/response.go
+++ b/internal/upstream/response.go
@@ -19,8 +19,8 @@
 	// trips between sites.
 	responseStallTimeout = 100 * time.Millisecond
 
-	// maxInterimResponses is the maximum number of responses to one request: interim (1xx) responses and the final one.
-	maxInterimResponses = 10
+	// maxResponsesPerRequest is the maximum number of responses to one request: interim (1xx) responses and the final one.
+	maxResponsesPerRequest = 10
 
 	// maxBufferingTime is how long a response of unknown length is buffered before it is streamed.
 	maxBufferingTime = 20 * time.Millisecond
@@ -31,7 +31,7 @@
 	errBodyTooLarge = fmt.Errorf("the response body is too large; the limit of a forwarded body is %d bytes",
 		httpmsg.MaxBodyBytes)
 	errAmbiguousFraming = errors.New("the response does not define the end of its body in exactly one way")
-	errTooManyInterim   = fmt.Errorf("no final response among the first %d responses", maxInterimResponses)
+	errTooManyInterim   = fmt.Errorf("no final response among the first %d responses", maxResponsesPerRequest)
 )
 
 // readResponse reads one response. The body of a 200 response is buffered if it is small and the memory budget allows
@@ -65,7 +65,7 @@
 
 // readHead reads the head of the next final response. It skips interim responses before it.
 func (c *conn) readHead(method string) (response *http.Response, head httpmsg.HeadScanner, err error) {
-	for range maxInterimResponses {
+	for range maxResponsesPerRequest {
 		c.stallTimeout = 0
 		if _, err = c.reader.Peek(1); err != nil {
 			return nil, head, err
