--- a/cmd/simhost/host.go
+++ b/cmd/simhost/host.go
@@ -13,8 +13,8 @@
 type host struct {
 	decoder         wire.Decoder
 	reply           wire.Reply
-	instances       map[uint32]*instance // by instance number
-	reportedUnknown [256]bool            // by event code: whether an unknown event was reported
+	instances       map[uint32]*instance // instances by instance number
+	reportedUnknown [256]bool            // whether an unknown event was reported, by event code
 	stderr          io.Writer
 }
 
@@ -22,11 +22,11 @@
 	return &host{instances: map[uint32]*instance{}, stderr: stderr}
 }
 
-// instanceTarget identifies the instance that receives the events of a batch. Each batch starts without one; an
-// instance record selects it.
+// instanceTarget identifies the instance that receives the events of a batch. No instance is selected at the start of a
+// batch; each instance record selects one for the events that follow the record.
 type instanceTarget struct {
 	number   uint32 // number of the instance; valid if selected is true
-	selected bool   // whether the batch had an instance record yet
+	selected bool   // whether the batch has had an instance record
 }
 
 // handleBatch passes the events of a batch to their instances, and returns the reply. The reply is valid until the next
--- a/cmd/simhost/instance.go
+++ b/cmd/simhost/instance.go
@@ -16,8 +16,8 @@
 
 var _ balancer.Actions = (*instance)(nil)
 
-// handle passes an event to the balancer. If the balancer panics, handle writes an exception record and the instance
-// has failed.
+// handle passes an event to the balancer. If the balancer panics, handle writes an exception record and drops the
+// balancer: the instance has then failed.
 func (i *instance) handle(now balancer.Micros, event *wire.Event) {
 	defer func() {
 		if p := recover(); p != nil {
@@ -71,8 +71,9 @@
 	}
 }
 
-// Send writes a deliver record. In the simulator, an attempt starts at the time of the record, so Send ignores the
-// latest time to connect. The attempt may take until the client's deadline.
+// Send writes a deliver record. In the simulator, an attempt starts at the time of the record without waiting for a
+// connection. Send therefore ignores its last parameter, which limits that wait. The attempt may take until the
+// client's deadline.
 func (i *instance) Send(id uint64, endpoint uint32, _ balancer.Micros) {
 	i.reply.Deliver(id, endpoint, 0)
 }
--- a/cmd/simhost/main.go
+++ b/cmd/simhost/main.go
@@ -19,10 +19,10 @@
 	"oakproxy/internal/wire"
 )
 
-const inputBufferSize = 1 << 18 // in bytes
+const inputBufferSize = 1 << 18 // size of the read buffer for standard input, in bytes
 
-// gcPercent is the target percentage of the garbage collector (GOGC). The high value makes collections rare, because in
-// the steady state nothing is allocated.
+// gcPercent is the target percentage of the garbage collector (GOGC). The high value makes collections rare. They would
+// free little, because in the steady state nothing is allocated.
 const gcPercent = 400
 
 func main() {
--- a/internal/config/compare.go
+++ b/internal/config/compare.go
@@ -35,7 +35,7 @@
 // same hash have the same settings, regardless of the format of their files.
 func (c *Config) Hash() string {
 	fleet := c.fleetSettings()
-	fleet.Settings.Zone, fleet.Settings.Index = 0, 0 // differ between the sidecars of a fleet
+	fleet.Settings.Zone, fleet.Settings.Index = 0, 0 // both differ between the sidecars of a fleet
 	fleet.Zones, fleet.MachineKinds = slices.Sorted(slices.Values(c.Zones)), slices.Sorted(slices.Values(c.MachineKinds))
 	text, err := json.Marshal(fleet)
 	if err != nil {
@@ -50,7 +50,7 @@
 	return c.DiscoveryAddress == next.DiscoveryAddress && reflect.DeepEqual(c.fleetSettings(), next.fleetSettings())
 }
 
-// RestartKeys returns the keys of the file whose values in next differ from c and can change only by a restart.
+// RestartKeys returns the keys of the file that can change only by a restart and whose values in c and next differ.
 func (c *Config) RestartKeys(next *Config) (keys []string) {
 	for _, k := range [...]struct {
 		key  string
@@ -90,7 +90,9 @@
 }
 
 // ChangesDiscovery reports whether a reload from c to next requires a new watch of discovery. That is the case if the
-// address, the mode or the poll interval of discovery changes, or if the same entries are interpreted differently.
+// address, the mode or the poll interval of discovery changes, or the drain grace, which determines the time limits of
+// calls for pushed lists. It is also the case if the list of zones or of machine kinds changes, because the same
+// entries are then interpreted differently.
 func (c *Config) ChangesDiscovery(next *Config) bool {
 	before, after := &c.Settings, &next.Settings
 	return c.DiscoveryAddress != next.DiscoveryAddress || before.SubscribeToDiscovery != after.SubscribeToDiscovery ||
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -52,8 +52,8 @@
 // is set if the platform keeps that socket open and every process of the sidecar inherits it.
 const InheritedSocketVariable = "BALANCER_PASSED_SOCKET"
 
-// adminAddressVariable is the environment variable that overrides the admin address of the file. It may differ between
-// the processes of one sidecar, which share a file.
+// adminAddressVariable is the environment variable that overrides the admin address in the configuration file. The
+// processes of one sidecar share that file but may need different admin addresses.
 const adminAddressVariable = "BALANCER_ADMIN_ADDR"
 
 // Load reads a configuration file and applies the environment variables to it. If the file cannot be read for a
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -64,7 +64,7 @@
 	}
 }
 
-// flatten writes a settings object as settings text, the format of the simulator's first message.
+// flatten writes a settings object as settings text, the format of the settings in the simulator's begin record.
 func TestFlattenWritesSettingsText(t *testing.T) {
 	var out strings.Builder
 	flatten(&out, "", map[string]any{"a": map[string]any{"b": []any{
--- a/internal/config/doc.go
+++ b/internal/config/doc.go
@@ -1,5 +1,5 @@
 // Package config reads the configuration of a sidecar from its file and the environment, compares configurations, and
-// counts the generations of the configuration in force.
+// numbers the generations of the configuration in force. Each change of that configuration begins a new generation.
 //
 // The deployment and protocol pages, which are not part of this repository, describe the format of the file. It
 // contains addresses, limits, the endpoints known at the start, and the settings object, which contains the same
@@ -14,5 +14,5 @@
 //     settings that distinguish the sidecars of one fleet. The hash is computed from JSON whose keys are fixed by
 //     struct tags.
 //
-// The package opens no sockets and makes no balancing decisions. The caller puts a configuration into force.
+// The package opens no sockets and makes no balancing decisions. Its caller puts a configuration into force.
 package config
--- a/internal/config/host.go
+++ b/internal/config/host.go
@@ -13,8 +13,8 @@
 	Directory   string            // directory of the files that the processes of one sidecar share; empty to store none
 	LimitMemory func(bytes int64) // sets the memory limit of the process; nil if the sidecar must not set it
 
-	Files system.FileOps // file operations; the zero value uses the operating system, tests inject faults
-	Time  system.Clock   // clock; the zero value uses the system clock, tests change its time
+	Files system.FileOps // file operations; the zero value uses the operating system; tests inject faults here
+	Time  system.Clock   // clock; the zero value uses the system clock; tests set a clock whose time they change
 }
 
 // OwnProcessHost returns the Host of a sidecar that is alone in its process.
--- a/internal/config/merge.go
+++ b/internal/config/merge.go
@@ -7,8 +7,8 @@
 const UnknownIndex = 255
 
 // Merge returns the configuration in force after a reload from c to next. Keys that can change only by a restart keep
-// their values in c. Zones and machine kinds in c keep their numbers; those that only next lists get the numbers after
-// them.
+// their values in c. Zones and machine kinds in c keep their numbers. Zones and machine kinds that only next lists get
+// the numbers that follow.
 func (c *Config) Merge(next *Config) *Config {
 	merged := *c
 	merged.DiscoveryAddress, merged.Limits.Sockets = next.DiscoveryAddress, next.Limits.Sockets
@@ -34,8 +34,8 @@
 	return all
 }
 
-// NameIndex returns the index of name in names, which are the zones or machine kinds, or UnknownIndex if it is not
-// there.
+// NameIndex returns the index of a name in the list of zones or of machine kinds, or UnknownIndex if the list does not
+// contain the name.
 func NameIndex(names []string, name string) uint8 {
 	if i := slices.Index(names, name); i >= 0 && i < UnknownIndex {
 		return uint8(i)
--- a/internal/config/parse.go
+++ b/internal/config/parse.go
@@ -13,8 +13,8 @@
 	"oakproxy/internal/wire"
 )
 
-// minSockets is the smallest number of file descriptors with which a sidecar can work. It needs them for its own files
-// and listeners, and for connections to some clients, some endpoints and discovery.
+// minSockets is the smallest number of file descriptors with which a sidecar can work. A sidecar needs descriptors for
+// its own files and listeners, and for connections to some clients, some endpoints and discovery.
 const minSockets = 64
 
 // errMissing is the error for a required key that is absent.
@@ -26,7 +26,7 @@
 	Listen    string          `json:"listen"`
 	Discovery string          `json:"discovery"`
 	Admin     string          `json:"admin_addr"`
-	Seed      string          `json:"seed"` // hexadecimal
+	Seed      string          `json:"seed"` // seed of the random number generators, in hexadecimal
 	Limits    Limits          `json:"limits"`
 	Known     json.RawMessage `json:"known"`    // JSON of a discovery.List
 	Settings  json.RawMessage `json:"settings"` // see parseSettings
@@ -75,8 +75,9 @@
 	return nil
 }
 
-// sidecarSettings are the parts of the settings object that only a sidecar with real sockets needs. The balancer
-// identifies zones, machine kinds and report fields by numbers instead of names, and has no idle connections.
+// sidecarSettings are the parts of the settings object that only a sidecar with real sockets needs. The balancer does
+// not need them, because it identifies zones, machine kinds and report fields by numbers instead of names, and has no
+// idle connections.
 type sidecarSettings struct {
 	Zones        []string `json:"areas"`
 	MachineKinds []string `json:"skus"`
--- a/internal/config/settings_text.go
+++ b/internal/config/settings_text.go
@@ -6,7 +6,7 @@
 	"strings"
 )
 
-// flatten writes a JSON value as settings text, the format that the simulator sends in its first message and that
+// flatten writes a JSON value as settings text, the format that the simulator sends in a begin record and that
 // wire.ParseSettings reads. Each value becomes a line path=value. A list of objects becomes a line path.count=N and the
 // lines of each object, whose paths contain the index of the object. Any other list becomes one line with commas
 // between the items.
--- a/internal/config/snapshot.go
+++ b/internal/config/snapshot.go
@@ -10,10 +10,10 @@
 const FirstGeneration = 1
 
 // Snapshot is a configuration in force, with data derived from it. A Snapshot must not be changed, because the
-// goroutines of clients read it while the event loop puts the next one into force.
+// goroutines of clients may still read it when the event loop puts the next Snapshot into force.
 type Snapshot struct {
 	*Config
-	Generation int               // FirstGeneration at the start; each change adds 1
+	Generation int               // number of the generation: FirstGeneration at the start, 1 more after each change
 	FileHash   string            // Hash of the configuration as read from the file, before Merge
 	Classes    map[string]uint8  // index in Settings.Classes by name
 	Tenants    map[string]uint16 // index in Settings.Tenants by name
--- a/internal/discovery/client.go
+++ b/internal/discovery/client.go
@@ -29,7 +29,7 @@
 	VersionResetTimeout time.Duration // time without a list after which an older version is accepted
 
 	url         string        // URL of a call for the complete list
-	watchWait   time.Duration // longest time that a call of a watch waits for a change; jitter shortens it
+	watchWait   time.Duration // longest time that a call of a watch waits for a change; jitter shortens each wait
 	callTimeout time.Duration // timeout of a call that does not wait for a change
 }
 
@@ -37,9 +37,9 @@
 type Options struct {
 	Address      string        // host:port of the service
 	PollInterval time.Duration // maximum time that a list may be in use without a watch or a call
-	DrainGrace   time.Duration // time after which no request may be sent to a draining endpoint
+	DrainGrace   time.Duration // time after an endpoint begins to drain, from which no request may be sent to it
 	Subscribe    bool          // whether the balancer decides when to poll and watch; otherwise lists are pushed
-	Wait         time.Duration // how long calls of a watch wait for a change; 0 to derive it from PollInterval
+	Wait         time.Duration // how long calls of a watch wait for a change; 0 to derive the time from PollInterval
 
 	// Dial connects to the service. If it is nil, the standard dialer is used.
 	Dial func(ctx context.Context, network, address string) (net.Conn, error)
@@ -65,8 +65,9 @@
 }
 
 // fetch makes one call. If after is nil, it requests the complete list. Otherwise, it requests the changes since
-// version *after, which may be 0, and asks discovery to wait up to wait for a change. The error is a *MalformedError if
-// an answer with status 200 arrived but cannot be used.
+// version *after, which may be 0, and asks discovery to wait for a change if there are none. The parameter wait is the
+// longest time for which discovery is asked to wait; it may be 0. The error is a *MalformedError if an answer with
+// status 200 arrived but cannot be used.
 func (c *Client) fetch(ctx context.Context, after *uint64, wait time.Duration) (List, error) {
 	timeout := c.callTimeout
 	if wait > 0 {
--- a/internal/discovery/doc.go
+++ b/internal/discovery/doc.go
@@ -6,6 +6,10 @@
 // sequence of such calls, one after another. A Client makes the calls of a watch and passes each usable list to its
 // caller.
 //
+// The configuration selects one of two modes. If lists are polled, the balancer decides when to poll and watch. If
+// lists are pushed, an agent on the machine receives them and answers the calls in place of the service; the caller
+// then watches the agent without being asked by the balancer.
+//
 // These invariants hold:
 //
 //   - Each call has a timeout. The timeouts satisfy the inequalities in the comments of the constants.
@@ -14,5 +18,6 @@
 //     older complete list.
 //   - An invalid entry does not make the other entries of a list unusable. Its endpoint is treated as draining.
 //
-// The package does not store the list, and does not decide when to watch again after a failure; the balancer does.
+// The package does not store the list, and does not decide when to watch again after a failure. The balancer decides
+// that if lists are polled, and the caller if lists are pushed.
 package discovery
--- a/internal/discovery/list.go
+++ b/internal/discovery/list.go
@@ -16,7 +16,7 @@
 
 	Unusable   int       // number of entries that cannot be used
 	FirstError error     // error of the first entry that cannot be used; nil if there is none
-	date       time.Time // date of the answer by discovery's clock, truncated to seconds; zero if unknown
+	date       time.Time // date of the answer according to discovery's clock, truncated to seconds; zero if unknown
 }
 
 // errNoVersion is the error for a list without a version.
--- a/internal/discovery/timing.go
+++ b/internal/discovery/timing.go
@@ -16,7 +16,8 @@
 //
 // The balancer chooses the backoff. The constants of package balancer state how much time remains for it.
 const (
-	// WatchGrace is the time that a call of a watch may take in addition to its wait before it counts as failed.
+	// WatchGrace is the time that a call of a watch may take in addition to its wait before the call is regarded as
+	// failed.
 	WatchGrace = time.Duration(balancer.WatchGrace) * time.Microsecond
 
 	// maxWatchWait is the longest time that a call of a watch asks discovery to wait for a change.
@@ -25,9 +26,9 @@
 	// callTimeout is the timeout of a call that does not wait for a change, if lists are polled.
 	callTimeout = time.Duration(balancer.DiscoveryCallTimeout) * time.Microsecond
 
-	// notificationDelay concerns changes that a call of a watch did not report: the protocol regards the sidecar as
-	// notified of such a change this long after the end of the call's wait (protocol page, section Figures). The list must
-	// not become older than PollInterval, so the wait of a call satisfies
+	// notificationDelay applies to a change that a call of a watch did not report. It is the time from the end of the
+	// call's wait to the moment at which the protocol regards the sidecar as notified of the change (protocol page,
+	// section Figures). The list must not become older than PollInterval, so the wait of a call satisfies
 	//
 	//	wait + notificationDelay <= PollInterval, unless wait is minWatchWait.
 	notificationDelay = 2 * time.Second
@@ -45,8 +46,8 @@
 	//
 	//	watchPause < 200 ms,
 	//
-	// because a call that comes later than that begins a new watch (protocol page, section Discovery). The difference
-	// leaves time for a sidecar that has to wait for its CPU core.
+	// because a call that comes later than 200 ms after the answer begins a new watch (protocol page, section Discovery).
+	// The difference leaves time for a sidecar that has to wait for its CPU core.
 	watchPause = 20 * time.Millisecond
 
 	// malformedRetryDelay is the mean pause before a call is repeated because its answer was malformed.
@@ -57,7 +58,7 @@
 // single older version does not show whether that happened or the answer is outdated.
 const (
 	// versionResetPolls is the number of poll intervals without a list after which an older version is accepted. It equals
-	// the number of poll intervals for which the protocol counts a failed call as a watch (wire page,
+	// the number of poll intervals for which the protocol regards a failed call as a watch (wire page,
 	// contract.ask-within).
 	versionResetPolls = 4
 
--- a/internal/discovery/watch.go
+++ b/internal/discovery/watch.go
@@ -15,7 +15,7 @@
 type Position struct {
 	After          *uint64   // version since which to request changes; nil to request the complete list
 	CurrentVersion uint64    // version of the list in use
-	VersionResetAt time.Time // time from which an older complete list is accepted as a restart of the version numbers
+	VersionResetAt time.Time // time from which an older complete list is accepted as the start of new version numbers
 }
 
 // check returns an error that wraps ErrOutdated if a list is older than the list in use and is not accepted as a
--- a/internal/httpmsg/headscan.go
+++ b/internal/httpmsg/headscan.go
@@ -3,8 +3,9 @@
 import "bytes"
 
 // HeadScanner scans the bytes of a message for information that net/http hides. If a head has both Content-Length and
-// Transfer-Encoding, net/http drops the former without an error. Two programs may then disagree about where the body
-// ends, and one may take for a request what the other takes for the body.
+// Transfer-Encoding, net/http drops Content-Length without an error. A program that uses Content-Length instead
+// disagrees with net/http about where the body ends. One of the two may then read a part of the body as another
+// message.
 //
 // The zero value is ready for the first byte of a message. A HeadScanner is not safe for concurrent use.
 type HeadScanner struct {
--- a/internal/stages/histogram.go
+++ b/internal/stages/histogram.go
@@ -5,9 +5,10 @@
 	"time"
 )
 
-// Buckets of a histogram of durations in microseconds. Each range from a power of two to the next is divided evenly
-// into subBuckets buckets. The width of a bucket is thus at most 1/8 of its lower bound, and a quantile exceeds the
-// exact value by at most that width. The last bucket begins at about a minute, which is longer than clients wait.
+// Buckets of a histogram of durations in microseconds. Each duration below subBuckets has a bucket of its own. From
+// there on, each range from a power of two to the next is divided evenly into subBuckets buckets, so the width of a
+// bucket is at most 1/8 of its lower bound. A quantile exceeds the exact value by at most the width of a bucket. The
+// last bucket begins at about a minute, which is longer than clients wait.
 const (
 	subBucketBits = 3
 	subBuckets    = 1 << subBucketBits // buckets per power of two
@@ -38,7 +39,7 @@
 	return uint64(bucket%subBuckets+subBuckets+1) << shift
 }
 
-// add counts a duration. A negative duration counts as 0.
+// add counts a duration. It counts a negative duration in the bucket of 0.
 func (h *histogram) add(d time.Duration) {
 	h.counts[bucketIndex(uint64(max(0, d.Microseconds())))]++
 	h.total++
--- a/internal/stages/recorder.go
+++ b/internal/stages/recorder.go
@@ -28,7 +28,8 @@
 	}
 }
 
-// Totals are the sums of a Recorder at one instant. Two Totals give the means over the interval between their instants.
+// Totals are the number of requests and the sums of their stages' durations that a Recorder has at one instant. Two
+// Totals give the means over the interval between their instants.
 type Totals struct {
 	requests uint64
 	sums     [stageCount]time.Duration
--- a/internal/stages/stages.go
+++ b/internal/stages/stages.go
@@ -10,7 +10,7 @@
 const (
 	stageRead      stage = iota // reading the request's body, after its head
 	stageQueue                  // waiting until the event loop takes the request from its queue
-	stageProbeWait              // waiting until the balancer starts the first attempt; it may wait for load probes
+	stageProbeWait              // waiting until the balancer starts the first attempt, perhaps after load probes
 	stageConnect                // waiting for a connection to the endpoint
 	stageWrite                  // writing the request, up to its last byte
 	stageEndpoint               // waiting until the response, or the beginning of a streamed one, is read
--- a/internal/stages/stages_test.go
+++ b/internal/stages/stages_test.go
@@ -5,7 +5,8 @@
 	"time"
 )
 
-// A quantile is the upper bound of its bucket, which exceeds the exact value by at most 1/8 of it.
+// A quantile is the upper bound of a bucket. It exceeds the exact value by at most 1/8 of the exact value plus one
+// microsecond.
 func TestHistogramQuantilesAreWithinABucket(t *testing.T) {
 	var h histogram
 	if got := h.quantile(0.99); got != 0 {
@@ -29,7 +30,7 @@
 	}
 }
 
-// Each stage lasts from the end of the one before it, and the overhead is the sum of all stages except the endpoint's.
+// Each stage begins at the end of the previous stage, and the overhead is the sum of all stages except the endpoint's.
 func TestStagesAddUpToTheRequest(t *testing.T) {
 	start := time.Unix(1000, 0)
 	at := func(ms int) time.Time { return start.Add(time.Duration(ms) * time.Millisecond) }
--- a/internal/system/clock.go
+++ b/internal/system/clock.go
@@ -6,8 +6,8 @@
 	"unsafe"
 )
 
-// Clock is a source of instants that remain meaningful after the process has ended. A nil field stands for the clock of
-// the operating system; WithDefaults sets it.
+// Clock is a source of instants that remain meaningful after the process has ended. WithDefaults sets each field that
+// is nil to the clock of the operating system.
 type Clock struct {
 	Wall   func() time.Time     // wall clock, which may be stepped in either direction
 	Uptime func() time.Duration // time since the machine's start; never stepped, and the same for all processes
@@ -33,13 +33,13 @@
 // Now returns the current time as a Timestamp. Both functions of the clock must be set.
 func (c Clock) Now() Timestamp { return Timestamp{c.Wall().UnixMilli(), c.Uptime().Milliseconds()} }
 
-// timestampResolution is the resolution of a Timestamp, which has whole milliseconds. Rounding may place a timestamp
-// ahead of the clock that it comes from by at most this much.
+// timestampResolution is the resolution of a Timestamp, which has whole milliseconds. Age accepts a timestamp that is
+// ahead of the clock by at most this much, because the difference may be due to rounding.
 const timestampResolution = time.Millisecond
 
 // Age returns how long ago a timestamp was taken. It uses the uptime if the timestamp has one, and otherwise the wall
-// clock. The age is not known if the timestamp is ahead of the clock; an uptime that is ahead comes from before the
-// latest start of the machine. Both functions of the clock must be set.
+// clock. The age is not known if the timestamp is ahead of the clock by more than timestampResolution; an uptime that
+// is ahead of the clock was recorded before the latest start of the machine. Both functions of the clock must be set.
 func (c Clock) Age(timestamp Timestamp) (age time.Duration, known bool) {
 	if timestamp.UptimeMS > 0 {
 		age = c.Uptime() - time.Duration(timestamp.UptimeMS)*time.Millisecond
--- a/internal/system/files.go
+++ b/internal/system/files.go
@@ -6,14 +6,14 @@
 	"os"
 )
 
-// FileOps are the file operations that may fail temporarily, for example on a disk that is full or has errors. A nil
-// field stands for the operation of the operating system; WithDefaults sets it. Tests replace operations to inject
+// FileOps are the file operations that may fail temporarily, for example on a disk that is full or has errors.
+// WithDefaults sets each field that is nil to the operation of the operating system. Tests replace operations to inject
 // faults.
 type FileOps struct {
-	Read   func(file *os.File, maxBytes int64) ([]byte, error) // reads to the end of the file, but at most maxBytes
+	Read   func(file *os.File, maxBytes int64) ([]byte, error) // reads at most maxBytes bytes, up to the end of the file
 	Write  func(file *os.File, data []byte) error              // writes all of data
 	Sync   func(file *os.File) error                           // flushes the written data to disk
-	Rename func(from, to string) error                         // atomically replaces the file named to
+	Rename func(from, to string) error                         // atomically renames a file, replacing one at the new path
 }
 
 // WithDefaults returns a copy of the operations in which the system's operations replace the fields that are nil.
@@ -37,7 +37,7 @@
 }
 
 // ReadFile returns at most the first maxBytes bytes of a file, and the os.FileInfo of the file that they come from. All
-// operations must be set. An error is either an *fs.PathError or the error of Read.
+// fields of o must be set (see WithDefaults). An error is either an *fs.PathError or the error of o.Read.
 func (o FileOps) ReadFile(path string, maxBytes int64) ([]byte, os.FileInfo, error) {
 	file, err := os.Open(path)
 	if err != nil {
@@ -55,7 +55,7 @@
 // ReplaceFile replaces the contents of a file atomically: a reader sees either all of the old contents or all of the
 // new ones, even if this process is killed at any moment. If durable is true, the new contents are on disk before
 // ReplaceFile renames the file. ReplaceFile first writes to temporaryPath, which only one process may use at a time,
-// and overwrites a file that a killed process has left there. All operations must be set.
+// and overwrites a file that a killed process has left there. All fields of o must be set (see WithDefaults).
 func (o FileOps) ReplaceFile(path, temporaryPath string, data []byte, durable bool) error {
 	file, err := os.OpenFile(temporaryPath, os.O_CREATE|os.O_WRONLY|os.O_TRUNC, 0o600)
 	if err != nil {
--- a/internal/system/retry.go
+++ b/internal/system/retry.go
@@ -21,9 +21,9 @@
 	// DialRetryDelay is the pause between two dials that fail because of a resource shortage on this machine.
 	DialRetryDelay = 5 * time.Millisecond
 
-	// DialRetryTimeout is how long a dial that fails because of such a shortage is repeated. The endpoint is not at
-	// fault, so a dial to another endpoint would not do better. The time is limited because the request's remaining time
-	// is running out and other requests wait for the same resource.
+	// DialRetryTimeout is how long a dial that fails because of a resource shortage on this machine is repeated. The
+	// endpoint is not at fault, so a dial to another endpoint would be as likely to fail. The time is limited because the
+	// request's remaining time is running out and other requests wait for the same resource.
 	DialRetryTimeout = 50 * time.Millisecond
 )
 
@@ -39,7 +39,7 @@
 }
 
 // RetryAtStart calls f as Retry does, for up to StartTimeout. It retries after the errors in transientStartErrors,
-// whose causes may pass during the start of the process.
+// whose causes may disappear during the start of the process.
 func RetryAtStart(ctx context.Context, f func() error) error {
 	isTransient := func(err error) bool { return IsErrno(err, transientStartErrors) }
 	return Retry(ctx, StartTimeout, StartRetryDelay, isTransient, f)
--- a/internal/system/sockets.go
+++ b/internal/system/sockets.go
@@ -54,7 +54,7 @@
 }
 
 // PeerClosed reports whether the peer has closed its side or the connection is broken, even if bytes are left to read.
-// It also reports true if the connection is closed or has no descriptor.
+// It also reports true if this process has closed the connection or the connection has no descriptor.
 func PeerClosed(c net.Conn) bool {
 	closed := false
 	err := control(c, func(fd int) { closed = pollPeerClosed(fd) })
@@ -76,13 +76,13 @@
 	_ = raw.Read(func(fd uintptr) (done bool) { return pollPeerClosed(int(fd)) })
 }
 
-// maxDataAge is the longest plausible age of the latest bytes of a connection. Clients do not wait that long, so a
-// greater age is not that of a request.
+// maxDataAge is the longest plausible age of the latest bytes of a connection. Clients do not wait that long, so bytes
+// of a greater age cannot belong to a request for which a client still waits.
 const maxDataAge = time.Minute
 
-// LastDataAge returns how long ago the latest bytes of a connection arrived at this machine. It counts from the arrival
-// even if the bytes were read later or not at all, for example because the process was descheduled or had not accepted
-// the connection. It returns 0 if the age is not known.
+// LastDataAge returns how long ago the latest bytes of a connection arrived at this machine. The age is counted from
+// the arrival even if the bytes were read later or not at all, for example because the process was descheduled or had
+// not accepted the connection. LastDataAge returns 0 if the age is not known or exceeds maxDataAge.
 func LastDataAge(c net.Conn) time.Duration {
 	var age time.Duration
 	err := control(c, func(fd int) {
--- a/internal/system/sockets_test.go
+++ b/internal/system/sockets_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// A peek that a signal interrupts is repeated. A resource shortage of this machine does not make the connection count
-// as closed.
+// A peek that a signal interrupts is repeated. A resource shortage on this machine does not make Peek report the
+// connection as closed.
 func TestPeekIgnoresSignalsAndShortages(t *testing.T) {
 	calls := 0
 	result := peekWith(func() (int, error) {
--- a/internal/system/syscalls.go
+++ b/internal/system/syscalls.go
@@ -5,7 +5,8 @@
 	"unsafe"
 )
 
-// This file contains the system calls that the standard library does not wrap. The sidecar depends on no other module.
+// This file contains the system calls that the standard library does not wrap. It makes them directly, because the
+// sidecar depends on no other module.
 
 // pollFD has the layout of Linux's struct pollfd.
 type pollFD struct {
@@ -21,7 +22,7 @@
 )
 
 // pollPeerClosed reports whether the peer of a socket has closed its side or the connection is broken. It calls
-// ppoll(2) without waiting. If the call fails, nothing is known about the peer, and it returns false.
+// ppoll(2) without waiting. If the call fails, nothing is known about the peer, and pollPeerClosed returns false.
 func pollPeerClosed(fd int) bool {
 	poll := pollFD{fd: int32(fd), events: pollRdHup}
 	var noWait syscall.Timespec
--- a/internal/upstream/bodystream.go
+++ b/internal/upstream/bodystream.go
@@ -10,8 +10,8 @@
 // streamStallTimeout limits how long a read of a streamed response body waits for a byte.
 const streamStallTimeout = 5 * time.Second
 
-// BodyStream is the remainder of a response body that is forwarded as it arrives. It owns the connection until it is
-// closed. Its reader must close it exactly once.
+// BodyStream is the remainder of a response body that is forwarded as it arrives. The stream owns the connection until
+// the stream is closed. The reader of the stream must close it exactly once.
 type BodyStream struct {
 	pool      *pool
 	conn      *conn
--- a/internal/upstream/client.go
+++ b/internal/upstream/client.go
@@ -18,9 +18,9 @@
 // probeTimeout limits the duration of a probe, including the time to connect.
 const probeTimeout = 400 * time.Millisecond
 
-// Client sends requests to endpoints. It does not use http.Transport, which repeats an idempotent request by itself
-// when the idle connection that it was sent on turns out to be dead: each repetition would be an attempt that the
-// balancer did not decide.
+// Client sends requests to endpoints. It does not use http.Transport. If a request was sent on an idle connection that
+// turns out to be dead, http.Transport repeats the request by itself if the request is idempotent. Each repetition
+// would be an attempt that the balancer did not decide.
 //
 // The methods of a Client may be called concurrently.
 type Client struct {
@@ -39,7 +39,7 @@
 	// Err is the reason why the attempt failed without a valid response. It is nil if a response determines Status.
 	Err error
 	// Header and Body are the header and the body of a 200 response. If Stream is nil, Body is the complete body;
-	// otherwise it is the buffered beginning.
+	// otherwise Body is its buffered beginning.
 	Header http.Header
 	Body   []byte
 	// Stream is the remainder of the body; nil if Body is complete. The receiver of the Result must close it.
--- a/internal/upstream/conn.go
+++ b/internal/upstream/conn.go
@@ -15,8 +15,9 @@
 	// size does not wait for the endpoint.
 	maxBufferedWrite = 4 << 10
 
-	// maxWriteDelay limits how long the last bytes of a request may wait until the endpoint has accepted the bytes
-	// before them. X-Time-Left-Ms may exceed the client's remaining time by at most 0.15 s.
+	// maxWriteDelay limits how long the last bytes of a request may wait until the endpoint has accepted the bytes before
+	// them. The limit must be less than 0.15 s: X-Time-Left-Ms is sent before the wait, and may exceed the client's
+	// remaining time by at most 0.15 s.
 	maxWriteDelay = 100 * time.Millisecond
 )
 
@@ -63,14 +64,15 @@
 func (c *conn) interrupt() { c.SetDeadline(time.Unix(1, 0)) }
 
 // alive reports whether an idle connection is open and has nothing to read. An endpoint may close an idle connection at
-// any time. A request that is written after that is lost: its outcome is a reset, after which it may have run.
+// any time. A request that is written on a closed connection is lost: its outcome is a reset, which does not show
+// whether the request has run.
 func (c *conn) alive() bool { return !system.Readable(c.Conn) }
 
 // writeRequest writes an encoded request. If it returns an error, the last byte was not written.
 //
-// X-Time-Left-Ms counts from the start of the write, and the endpoint must not run a request whose X-Time-Left-Ms is
-// wrong. A request of more than maxBufferedWrite bytes is therefore written up to its last byte first. If that takes
-// longer than maxWriteDelay, the last byte is not written.
+// X-Time-Left-Ms is the time that the client has left at the start of the write, and the endpoint must not run a
+// request whose X-Time-Left-Ms is wrong. If a request has more than maxBufferedWrite bytes, writeRequest therefore
+// writes all bytes except the last one first. If that takes longer than maxWriteDelay, it does not write the last byte.
 func (c *conn) writeRequest(data []byte) error {
 	last := len(data) - 1
 	if len(data) <= maxBufferedWrite {
--- a/internal/upstream/exchange.go
+++ b/internal/upstream/exchange.go
@@ -14,12 +14,13 @@
 	body      []byte      // the complete body or, if stream is not nil, its buffered beginning
 	stream    *BodyStream // the remainder of the body; nil if body is complete
 	release   func()      // releases the memory reserved for body; nil if none was reserved
-	writtenAt time.Time   // when the last byte of the request was written, or the last one before its upload
+	writtenAt time.Time   // when the last byte of the request before its upload, if any, was written
 	reusable  bool        // whether the connection may carry another request after the response
 }
 
-// exchange writes one request on a connection and reads the response or, if the response is streamed, its beginning.
-// It owns the connection and releases it at the end, unless the result has a stream: then the stream owns it.
+// exchange writes one request on a connection and reads the response or, if the response is streamed, its beginning. It
+// owns the connection until its end. If the result has a stream, the stream owns the connection from then on; otherwise
+// exchange releases the connection.
 func (u *Client) exchange(ctx context.Context, c *conn, request *Request, gate *Gate) (
 	result *exchangeResult, err error) {
 	c.ctx, c.readLimit.N = ctx, maxResponseHeadBytes+httpmsg.MaxBufferedBytes
@@ -49,7 +50,7 @@
 	if err != nil {
 		return &unsentError{err}
 	}
-	// Bytes that arrived before the request is sent are not its response and must not be read as such.
+	// Bytes that arrived before the request is sent are not the response to this request, and must not be read as one.
 	if c.used && !c.alive() {
 		return errStaleConnection
 	}
--- a/internal/upstream/gate_test.go
+++ b/internal/upstream/gate_test.go
@@ -10,8 +10,8 @@
 	"oakproxy/internal/sidecartest"
 )
 
-// While an attempt waits for its connection, the reason to send it may cease to hold. Then the attempt must not begin,
-// and its outcome must prove that it never ran.
+// While an attempt waits for its connection, the reason to send the request may disappear. Then the attempt must not
+// begin, and its outcome must prove that the request never ran.
 func TestGateClosedDuringDialPreventsAttempt(t *testing.T) {
 	for name, closeGate := range map[string]func(u *Client, endpoint *Endpoint, g *Gate, cancel func()){
 		"endpoint retired":  func(u *Client, endpoint *Endpoint, _ *Gate, _ func()) { u.Retire(endpoint) },
--- a/internal/upstream/loadreport.go
+++ b/internal/upstream/loadreport.go
@@ -7,17 +7,17 @@
 	"strings"
 )
 
-// maxReportValue is the largest valid value in a load report. A larger value counts as malformed.
+// maxReportValue is the largest valid value in a load report. A larger value is treated like a malformed one.
 const maxReportValue = 1e6
 
 // ReportFormat lists the fields of a load report in the order of config.Config.ReportFields. Formats are compared by
 // pointer: reports that were parsed in the same format have the same pointer.
 type ReportFormat struct{ fields []string }
 
-// ParseLoadReport parses a load report, which is a list of the form name=value,name=value. It returns the values in the
-// order of the current format, and that format. A value that is missing, repeated, malformed or out of range is NaN;
-// the balancer ignores a NaN and keeps the value that it had. If the report is empty or the format has no fields, the
-// returned slice is nil.
+// ParseLoadReport parses a load report, which is a list of the form name=value,name=value. It returns the current
+// format, and the values in the order of that format. A value that is missing, repeated, malformed or out of range is
+// NaN; the balancer ignores a NaN and keeps the value from an earlier report. If the report is empty or the format has
+// no fields, the returned slice is nil.
 func (u *Client) ParseLoadReport(text string) ([]float32, *ReportFormat) {
 	format := u.CurrentFormat.Load()
 	if text == "" || len(format.fields) == 0 {
--- a/internal/upstream/outcome.go
+++ b/internal/upstream/outcome.go
@@ -58,7 +58,7 @@
 
 // unsentStatus returns the status of an attempt whose request was not completely written because of err. The status is
 // ConnectFailed, which is the endpoint's fault, unless this machine lacked a resource, the sidecar no longer wanted to
-// send the request, or the client failed to write it.
+// send the request, or the client failed to send the body.
 func unsentStatus(ctx context.Context, err error) balancer.Status {
 	var clientErr *clientError
 	local := slices.ContainsFunc(localErrors, func(reason error) bool { return errors.Is(err, reason) })
--- a/internal/upstream/outcome_test.go
+++ b/internal/upstream/outcome_test.go
@@ -157,8 +157,8 @@
 	}
 }
 
-// A dial that fails because of a resource shortage on this machine is retried for a limited time. The failure never
-// counts as the endpoint's.
+// A dial that fails because of a resource shortage on this machine is retried for a limited time. The failure is never
+// attributed to the endpoint.
 func TestDialRetriesLocalResourceShortage(t *testing.T) {
 	e := sidecartest.NewEndpoint(t, sidecartest.AlwaysRespond(sidecartest.ServedResponse))
 	for name, c := range map[string]struct {
--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -11,16 +11,18 @@
 )
 
 const (
-	// defaultReuseDelay is how long a connection stays unused after a response. If the endpoint sends a duplicate of
-	// the response, the duplicate arrives some milliseconds later.
+	// defaultReuseDelay is how long a connection is not used after a response. If the endpoint sends a duplicate of the
+	// response, the duplicate arrives some milliseconds later. The delay is longer than that, so the check before the next
+	// use of the connection finds the duplicate.
 	defaultReuseDelay = 20 * time.Millisecond
 
-	// probeReserveDivisor sets how many connections probes leave to requests: maxOpen / probeReserveDivisor.
+	// probeReserveDivisor sets how many connections probes leave to requests: pool.maxOpen / probeReserveDivisor, where
+	// pool.maxOpen is the limit on open connections.
 	probeReserveDivisor = 4
 )
 
-// Endpoint is one incarnation of an endpoint at one address. [Client.Retire] closes it permanently when the endpoint is
-// draining, removed or restarted.
+// Endpoint is one incarnation of an endpoint at one address; each start of the endpoint begins a new incarnation.
+// [Client.Retire] closes the incarnation permanently when the endpoint is draining, removed or restarted.
 type Endpoint struct {
 	Address       string // host:port
 	StartedUnixMS int64  // when the incarnation started, in Unix milliseconds
@@ -32,11 +34,11 @@
 type pool struct {
 	// Dialer opens connections. The configuration sets its Timeout.
 	Dialer net.Dialer
-	// ReuseDelay is how long a connection stays unused after a response. It must be set before the first attempt.
+	// ReuseDelay is how long a connection is not used after a response. It must be set before the first attempt.
 	ReuseDelay time.Duration
 
 	mu          sync.Mutex            // guards Dialer.Timeout, Endpoint.closed and the fields below
-	maxIdleTime time.Duration         // a connection that has been idle for this long is not used again
+	maxIdleTime time.Duration         // time after which an idle connection is not used again
 	maxOpen     int                   // maximum number of connections counted in open
 	open        int                   // number of connections that are not closed, including those being dialled
 	idle        map[*Endpoint][]*conn // idle connections by endpoint, the most recently used last
@@ -57,8 +59,8 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.Dialer.Timeout = dial
-	// An endpoint closes an idle connection when its own idle timeout has passed, at the latest. A request that is
-	// written after that is lost, so a connection is reused only within 3/4 of that time.
+	// An endpoint closes an idle connection at the latest when the endpoint's own idle timeout has passed. A request that
+	// is written on a closed connection is lost, so a connection is reused only within 3/4 of that timeout.
 	p.maxIdleTime = idle * 3 / 4
 }
 
@@ -81,7 +83,7 @@
 // ConnectionLimits are the limits on connections to endpoints.
 type ConnectionLimits struct {
 	DialTimeout    time.Duration
-	MaxIdleTime    time.Duration // a connection is reused only within this time after its latest response
+	MaxIdleTime    time.Duration // time after a connection's latest response, within which it may be reused
 	MaxConnections int
 }
 
@@ -219,9 +221,9 @@
 }
 
 // popIdle removes an idle connection to an endpoint from the pool and returns it, or returns nil if there is none. It
-// chooses the most recently used connection among those whose reuse delay has passed, and closes those that it finds
-// unusable. The reuse delay exists because a duplicate of the last response may follow it, and would be read as the
-// response to the next request. The caller must hold p.mu.
+// chooses the most recently used connection among those whose reuse delay has passed, and closes the unusable
+// connections that it finds. The reuse delay exists because a duplicate of the last response may arrive after the
+// response, and would be read as the response to the next request. The caller must hold p.mu.
 func (p *pool) popIdle(endpoint *Endpoint) *conn {
 	for {
 		list := p.idle[endpoint]
--- a/internal/upstream/pool_test.go
+++ b/internal/upstream/pool_test.go
@@ -15,8 +15,8 @@
 	"oakproxy/internal/sidecartest"
 )
 
-// No request may be written on an idle connection that its endpoint has closed: the
-// outcome would be a reset, after which the request may have run.
+// No request may be written on an idle connection that its endpoint has closed: the outcome would be a reset, which
+// does not show whether the request has run.
 func TestStaleIdleConnectionIsReplaced(t *testing.T) {
 	closed := make(chan struct{}, 2)
 	e := sidecartest.NewEndpoint(t, func(e *sidecartest.Endpoint, conn net.Conn, in *bufio.Reader) {
@@ -39,8 +39,8 @@
 	}
 }
 
-// Idle connections are closed before the endpoint's own idle timeout, both by an attempt
-// that would use one and by Prune.
+// Idle connections are closed before the endpoint's own idle timeout has passed, both by Prune and by an attempt that
+// would otherwise use such a connection.
 func TestIdleConnectionsExpireBeforeEndpointClosesThem(t *testing.T) {
 	e := sidecartest.NewEndpoint(t, sidecartest.AlwaysRespond(sidecartest.ServedResponse))
 	u, endpoint := newTestClient(t, 4), &Endpoint{Address: e.Address}
@@ -74,8 +74,8 @@
 	}
 }
 
-// The number of open connections is limited. To open one to another endpoint, the pool closes an idle connection, but
-// not a connection that is in use.
+// The number of open connections is limited. To open a connection to another endpoint, the pool closes an idle
+// connection, but not a connection that is in use.
 func TestOpenConnectionsAreLimited(t *testing.T) {
 	quick := sidecartest.NewEndpoint(t, sidecartest.AlwaysRespond(sidecartest.ServedResponse))
 	slow := sidecartest.NewEndpoint(t, sidecartest.NeverRespond)
--- a/internal/upstream/request.go
+++ b/internal/upstream/request.go
@@ -31,13 +31,14 @@
 	isProbe bool // whether this is the sidecar's own probe; probes leave some connections to clients' requests
 }
 
-// encode returns the bytes of the request for an attempt whose remaining time is that of ctx. They include the body; if
-// the request has an upload, they end with the head.
+// encode returns the bytes of the request for an attempt. They include the body; if the request has an upload, they end
+// with the head. X-Time-Left-Ms is the time until the deadline of ctx or, if the request has an upload,
+// Upload.TimeLeft.
 func (r *Request) encode(ctx context.Context) ([]byte, error) {
 	header := http.Header{}
 	httpmsg.CopyEndToEnd(header, r.Header)
 	length := int64(len(r.Body))
-	if r.Upload != nil { // the client's remaining time counts from the upload's last byte
+	if r.Upload != nil { // the client's remaining time starts at the upload's last byte
 		length = r.Upload.Length
 		header.Set(timeLeftHeader, strconv.FormatInt(r.Upload.TimeLeft.Milliseconds(), 10))
 	} else if deadline, ok := ctx.Deadline(); ok {
--- a/internal/upstream/response.go
+++ b/internal/upstream/response.go
@@ -63,7 +63,7 @@
 	return result, nil
 }
 
-// readHead reads the head of the next final response. It skips interim responses before it.
+// readHead reads the head of the next final response. It skips the interim responses before the final one.
 func (c *conn) readHead(method string) (response *http.Response, head httpmsg.HeadScanner, err error) {
 	for range maxResponsesPerRequest {
 		c.stallTimeout = 0
@@ -104,8 +104,9 @@
 }
 
 // hasUnambiguousFraming reports whether a response defines the end of its body in exactly one way: by one
-// Content-Length, by Transfer-Encoding, or by closing the connection, which HTTP/1.0 or a line Connection: close
-// announces. The scanned head is needed because http.ReadResponse hides one definition if there are two.
+// Content-Length, by Transfer-Encoding, or by closing the connection. The use of HTTP/1.0 or a line "Connection: close"
+// announces that the connection will be closed. The scanned head is needed because http.ReadResponse hides one of the
+// definitions if there are two.
 func hasUnambiguousFraming(response *http.Response, head httpmsg.HeadScanner) bool {
 	switch {
 	case head.ContentLengthCount > 1:
@@ -135,7 +136,7 @@
 		size = httpmsg.MaxBufferedBytes
 	}
 	if size > httpmsg.MaxBufferedBytes || !u.BodyMemory.Reserve(size) {
-		// Wait for the body's first byte: if the endpoint fails before it, the request may still be retried.
+		// Wait for the body's first byte: if the endpoint fails before that byte, the request may still be retried.
 		if _, err := c.reader.Peek(1); err != nil {
 			return err
 		}
--- a/internal/upstream/upload.go
+++ b/internal/upstream/upload.go
@@ -15,19 +15,20 @@
 // MaxUploadTime limits how long a client may take to send a request body that is forwarded as it arrives.
 const MaxUploadTime = 10 * time.Minute
 
-// clientBody is the part of a request's body that its client has yet to send.
+// clientBody reads the part of a request's body that has not been buffered, as it arrives from the client.
 type clientBody interface {
 	io.Reader
 	// LastDataAge returns how long ago the latest bytes from the client arrived at this machine.
 	LastDataAge() time.Duration
 	// ClientClosed reports whether the client has ended its side of the connection.
 	ClientClosed() bool
-	// Discard reads and discards the data that the client still sends. It begins no read after maxDuration.
+	// Discard reads and discards the data that the client still sends. It begins no read after maxDuration has passed.
 	Discard(maxDuration time.Duration)
 }
 
 // Upload is the part of a request's body that follows the buffered beginning. It is forwarded as it arrives, by one
-// attempt only. The client's handler owns it again once Finish has returned.
+// attempt only. That attempt owns the upload from its start until Finish returns, and the client's handler owns it
+// before and after.
 type Upload struct {
 	// Length is the length of the complete body in bytes; -1 if the length is unknown.
 	Length int64
@@ -74,8 +75,8 @@
 	return u.consumed.Load() || uploadPhase(u.phase.Load()) != uploadStreaming
 }
 
-// Read reads from the client's body on behalf of the attempt. It fails once the upload is stopped. An error of the
-// client's side is a clientError and is also sent to ClientFailure.
+// Read reads from the client's body on behalf of the attempt. It fails once the upload is stopped. If reading from the
+// client fails, Read returns a clientError, and sends it to ClientFailure if it is the first one.
 func (u *Upload) Read(p []byte) (int, error) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -101,7 +102,8 @@
 // still streaming; if not, it has already been stopped or its last bytes may have been sent.
 func (u *Upload) Stop() bool { return u.enterFinalPhase(uploadStopped) }
 
-// Deadline returns when the client's time is up. It is valid once the last byte of the body has been written.
+// Deadline returns the instant until which the client waits for the response. It is valid once the last byte of the
+// body has been written.
 func (u *Upload) Deadline() time.Time { return u.lastDataAt.Add(u.TimeLeft) }
 
 // Finish ends the attempt's use of the body, because nothing may read the body once the client's handler has returned.
@@ -113,8 +115,9 @@
 }
 
 // beginLastWrite is the check before the last bytes are written. It returns errUploadStopped if they must not be
-// written. X-Time-Left-Ms was sent as if it counted from the last bytes, so the request must not run if they have
-// waited for longer than maxWriteDelay, or if the client has disconnected.
+// written. X-Time-Left-Ms was sent with the head, but states the time left when the last bytes arrive from the client.
+// The request must therefore not run if the last bytes have waited for longer than maxWriteDelay. Nor must it run if
+// the client has disconnected.
 func (u *Upload) beginLastWrite() error {
 	if time.Since(u.lastDataAt) > maxWriteDelay || u.Body.ClientClosed() {
 		u.Stop()
@@ -125,8 +128,9 @@
 	return nil
 }
 
-// sendUpload forwards a request's body as it arrives. Until the last byte is written, the request has not run. An
-// endpoint that responds or closes the connection before that does not want the remainder of the body.
+// sendUpload forwards a request's body as it arrives. Until the last byte is written, the request has not run. If the
+// endpoint responds or closes the connection before that, it does not want the remainder of the body, and sendUpload
+// stops the upload.
 func (u *Client) sendUpload(ctx context.Context, c *conn, request *Request) error {
 	writeDone := make(chan error, 1)
 	go func() {
@@ -157,7 +161,7 @@
 type uploadWriter struct {
 	*conn
 	upload    *Upload
-	remaining int64 // bytes until the end of the body; negative if the length is unknown
+	remaining int64 // number of bytes until the end of the body; negative if the length is unknown
 }
 
 // Write writes one piece of the body. If the length of the body is known, Write calls beginLastWrite before the last
--- a/internal/wire/config_text.go
+++ b/internal/wire/config_text.go
@@ -10,8 +10,8 @@
 	"oakproxy/balancer"
 )
 
-// settingsText holds the key-value pairs of a settings text and the first error in them. After an error, the methods
-// return default values, so callers need not check for an error after each key.
+// settingsText contains the key-value pairs of a settings text and the first error in them. A method that finds an
+// absent or invalid value returns a default value, so callers need to check for an error only after the last key.
 type settingsText struct {
 	values map[string]string // values by key
 	err    error             // the first error; nil if there is none
@@ -112,7 +112,7 @@
 }
 
 // objectCount returns the number of objects in a list, which is the value of the key list+".count", or 0 if that key is
-// absent. It sets an error if the number is not between 0 and limit, or if one of the objects has no key in the text.
+// absent. It sets an error if the number is not between 0 and limit, or if the text has no key for one of the objects.
 func (t *settingsText) objectCount(list string, limit int64) int {
 	key := list + ".count"
 	length := t.integer(key, 0)
@@ -127,8 +127,8 @@
 	return int(length)
 }
 
-// presentObjects reports for each index below length whether the object of the list with that index has at least one
-// key in the text.
+// presentObjects reports, for each index below length, whether the text has at least one key of the object at this
+// index of the list.
 func (t *settingsText) presentObjects(list string, length int64) []bool {
 	present := make([]bool, length)
 	for key := range t.values {
--- a/internal/wire/decoder.go
+++ b/internal/wire/decoder.go
@@ -19,7 +19,8 @@
 }
 
 // Reset starts decoding a frame from ReadFrame and returns the batch number and the current time in the frame's header.
-// Decoded events may refer to the bytes of the frame, so the caller must not overwrite it while it uses them.
+// Decoded events may refer to the bytes of the frame, so the caller must not overwrite the frame while it uses the
+// events.
 func (d *Decoder) Reset(frame []byte) (batch uint32, now balancer.Micros, err error) {
 	if len(frame) < batchHeaderSize {
 		return 0, 0, batchHeaderError(len(frame), "frame is shorter than a batch header")
--- a/internal/wire/decoder_test.go
+++ b/internal/wire/decoder_test.go
@@ -22,7 +22,7 @@
 	return b
 }
 
-// frame returns the frame of a batch with these records, batch number 12 and the current time 0x805c5a.
+// frame returns the frame of a batch that consists of records, with batch number 12 and the current time 0x805c5a.
 func frame(records ...[]byte) []byte {
 	body := bytes.Join(records, nil)
 	f := binary.BigEndian.AppendUint32(nil, 12)
@@ -121,8 +121,8 @@
 	}
 }
 
-// A membership record refers to the latest manifest record with its list number that precedes it, also within a batch
-// and across batches.
+// The list number in a membership record refers to the last preceding manifest record that has the same list number, in
+// the same batch or in an earlier one.
 func TestListNumberRefersToLatestManifest(t *testing.T) {
 	first := "1a 0000001a 00 00000001 00000001 00 00 0000 00 3f800000 0000000000000000"
 	second := "1a 0000001a 00 00000001 00000002 00 00 0000 01 3f800000 0000000000000000"
--- a/internal/wire/event.go
+++ b/internal/wire/event.go
@@ -6,7 +6,7 @@
 // fields keep the values that earlier records set. Slices are valid until the next call of Decoder.Next. The comment of
 // each field names the events that set it.
 type Event struct {
-	Code   EventCode // all events
+	Code   EventCode // all events: code of the record
 	Offset int       // all events: offset of the record in bytes from the start of its frame
 
 	Instance uint32 // Instance: number of the instance that receives the following events
--- a/internal/wire/frame.go
+++ b/internal/wire/frame.go
@@ -27,11 +27,11 @@
 	recordSizeOffset  = 1 // in a record header
 )
 
-// Limits on the memory used to read a frame, in bytes.
+// Sizes that determine how much memory is used to read a frame, in bytes.
 const (
-	maxFrameSize      = 1 << 30
-	initialBufferSize = 1 << 16
-	readChunkSize     = 1 << 20 // most bytes read at once, so that a false frame size alone allocates little memory
+	maxFrameSize      = 1 << 30 // size of the largest frame that is accepted
+	initialBufferSize = 1 << 16 // size of the first buffer
+	readChunkSize     = 1 << 20 // most bytes read at once; a false frame size alone thus allocates little memory
 )
 
 // FrameError is the error for malformed input. It says which record is malformed, where and why.
--- a/internal/wire/lists.go
+++ b/internal/wire/lists.go
@@ -21,8 +21,9 @@
 	received [maxLists]bool // whether a manifest record with this number has been decoded
 }
 
-// readManifest reads the fields of a manifest record and caches its list: 5 list number (1), 6 number of entries (4),
-// 10 entries. The numbers are offsets in bytes from the start of the record, with sizes in parentheses.
+// readManifest reads the fields of a manifest record and caches its list. Listed as offset in bytes from the start of
+// the record, name and, in parentheses, size in bytes, the fields are: 5 list number (1), 6 number of entries (4), 10
+// entries.
 func (l *endpointLists) readManifest(r *recordReader) {
 	number := r.u8()
 	if number >= maxLists {
@@ -45,7 +46,7 @@
 func (r *recordReader) manifestEntry() balancer.Endpoint {
 	var e balancer.Endpoint
 	e.ID = r.u32()
-	e.Name = uint64(e.ID) // all instances use the same ID for an endpoint
+	e.Name = uint64(e.ID) // the ID serves as the name, because it is the same for all instances
 	e.Zone = r.u8()
 	e.MachineKind = r.u8()
 	e.Cell = r.u16()
@@ -73,10 +74,10 @@
 	return update
 }
 
-// readMembership reads the fields of a membership record, which notifies an instance of an endpoint list, and looks the
-// list up: 5 version (4), 9 list number (1), 10 kind (1). The numbers are offsets in bytes from the start of the
-// record, with sizes in parentheses. The list number is ignored if the kind is balancer.ListFailed: a failed discovery
-// call yields no list.
+// readMembership reads the fields of a membership record, which notifies an instance of an endpoint list, and looks up
+// the list. Listed as offset in bytes from the start of the record, name and, in parentheses, size in bytes, the fields
+// are: 5 version (4), 9 list number (1), 10 kind (1). The list number is ignored if the kind is balancer.ListFailed,
+// because a failed discovery call yields no list.
 func (l *endpointLists) readMembership(r *recordReader, e *Event) {
 	r.u32() // the version of the list, which the balancer does not use
 	number := r.u8()
--- a/internal/wire/record.go
+++ b/internal/wire/record.go
@@ -41,8 +41,8 @@
 	return r.err
 }
 
-// bytes returns the next n bytes without copying them from the frame. It returns nil if the record has an error or
-// fewer than n bytes remain, which is an error.
+// bytes returns the next n bytes without copying them from the frame. If fewer than n bytes remain, it sets err and
+// returns nil. It also returns nil if err is already set.
 func (r *recordReader) bytes(n int) []byte {
 	if r.err != nil {
 		return nil
@@ -89,8 +89,8 @@
 // micros reads a duration in microseconds that is encoded in 4 bytes.
 func (r *recordReader) micros() balancer.Micros { return balancer.Micros(r.u32()) }
 
-// status reads the result of an attempt or a probe. An unknown code is an error and yields balancer.EndpointError, so
-// that it never looks like success.
+// status reads the result of an attempt or a probe. For an unknown code, it sets err and returns
+// balancer.EndpointError, so that the result never looks like success.
 func (r *recordReader) status() balancer.Status {
 	code := r.u16()
 	status, known := statuses.find(code)
--- a/internal/wire/reply.go
+++ b/internal/wire/reply.go
@@ -141,6 +141,6 @@
 func (r *Reply) u32(v uint32) { r.buf = binary.BigEndian.AppendUint32(r.buf, v) }
 func (r *Reply) u64(v uint64) { r.buf = binary.BigEndian.AppendUint64(r.buf, v) }
 
-// micros appends a duration in 4 bytes. A negative duration becomes 0, and one that is too long becomes the longest
-// duration that 4 bytes can hold.
+// micros appends a duration in 4 bytes. A negative duration becomes 0. A duration that does not fit in 4 bytes becomes
+// the longest one that does.
 func (r *Reply) micros(v balancer.Micros) { r.u32(uint32(min(max(v, 0), math.MaxUint32))) }
--- a/internal/wire/tables.go
+++ b/internal/wire/tables.go
@@ -19,8 +19,8 @@
 	return meaning, false
 }
 
-// statuses lists the results of an attempt or a probe. The codes resemble HTTP status codes, but the protocol defines
-// them.
+// statuses lists the results of an attempt or a probe. The protocol defines the codes. They resemble HTTP status codes,
+// but some have another meaning: for example, 410 means Gone in HTTP, but NotSent here.
 var statuses = codeTable[uint16, balancer.Status]{
 	{200, balancer.OK},
 	{500, balancer.EndpointError},
