--- a/internal/stages/stages.go
+++ b/internal/stages/stages.go
@@ -5,12 +5,12 @@
 // stage is a part of a request's way through the sidecar.
 type stage uint8
 
-// The stages of a request that its first attempt served, in chronological order. stageOverhead is not a stage but the
-// sum of all stages except stageEndpoint.
+// The stages of a request with a single attempt, in chronological order. Requests with several attempts are not
+// recorded. stageOverhead is not a stage but the sum of all stages except stageEndpoint.
 const (
 	stageRead      stage = iota // reading the request's body, after its head
 	stageQueue                  // waiting until the event loop takes the request from its queue
-	stageProbeWait              // waiting until the balancer starts the first attempt; it may wait for load probes
+	stageProbeWait              // waiting until the balancer starts the first attempt, perhaps after load probes
 	stageConnect                // waiting for a connection to the endpoint
 	stageWrite                  // writing the request, up to its last byte
 	stageEndpoint               // waiting until the response, or the beginning of a streamed one, is read
--- a/internal/upstream/response.go
+++ b/internal/upstream/response.go
@@ -19,8 +19,8 @@
 	// trips between sites.
 	responseStallTimeout = 100 * time.Millisecond
 
-	// maxInterimResponses is the maximum number of responses to one request: interim (1xx) responses and the final one.
-	maxInterimResponses = 10
+	// maxResponsesPerRequest is the maximum number of responses to one request: interim (1xx) responses and the final one.
+	maxResponsesPerRequest = 10
 
 	// maxBufferingTime is how long a response of unknown length is buffered before it is streamed.
 	maxBufferingTime = 20 * time.Millisecond
@@ -31,7 +31,7 @@
 	errBodyTooLarge = fmt.Errorf("the response body is too large; the limit of a forwarded body is %d bytes",
 		httpmsg.MaxBodyBytes)
 	errAmbiguousFraming = errors.New("the response does not define the end of its body in exactly one way")
-	errTooManyInterim   = fmt.Errorf("no final response among the first %d responses", maxInterimResponses)
+	errTooManyInterim   = fmt.Errorf("no final response among the first %d responses", maxResponsesPerRequest)
 )
 
 // readResponse reads one response. The body of a 200 response is buffered if it is small and the memory budget allows
@@ -63,9 +63,9 @@
 	return result, nil
 }
 
-// readHead reads the head of the next final response. It skips interim responses before it.
+// readHead reads the head of the next final response. It skips the interim responses before the final one.
 func (c *conn) readHead(method string) (response *http.Response, head httpmsg.HeadScanner, err error) {
-	for range maxInterimResponses {
+	for range maxResponsesPerRequest {
 		c.stallTimeout = 0
 		if _, err = c.reader.Peek(1); err != nil {
 			return nil, head, err
@@ -104,8 +104,9 @@
 }
 
 // hasUnambiguousFraming reports whether a response defines the end of its body in exactly one way: by one
-// Content-Length, by Transfer-Encoding, or by closing the connection, which HTTP/1.0 or a line Connection: close
-// announces. The scanned head is needed because http.ReadResponse hides one definition if there are two.
+// Content-Length, by Transfer-Encoding, or by closing the connection. The use of HTTP/1.0 or a line "Connection: close"
+// announces that the connection will be closed. The scanned head is needed because http.ReadResponse hides one of the
+// definitions if there are two.
 func hasUnambiguousFraming(response *http.Response, head httpmsg.HeadScanner) bool {
 	switch {
 	case head.ContentLengthCount > 1:
@@ -135,7 +136,7 @@
 		size = httpmsg.MaxBufferedBytes
 	}
 	if size > httpmsg.MaxBufferedBytes || !u.BodyMemory.Reserve(size) {
-		// Wait for the body's first byte: if the endpoint fails before it, the request may still be retried.
+		// Wait for the body's first byte: if the endpoint fails before that byte, the request may still be retried.
 		if _, err := c.reader.Peek(1); err != nil {
 			return err
 		}
