--- a/balancer/admission.go
+++ b/balancer/admission.go
@@ -112,9 +112,9 @@
 // waitForProbes probes a few random endpoints for r, and puts r on the waitlist until they answer. It returns
 // false if r should be dispatched at once.
 func (a *admission) waitForProbes(now Micros, r *request) bool {
-	// With s the recent share of requests rejected, a request gets probes with probability
-	// max(minProbedRequestShare, 2 - 2 s). Above s = 1/2, this share thus falls: clients retry, and the probes
-	// for all their requests could overload the fleet by themselves.
+	// A request gets probes with probability max(minProbedRequestShare, 2 - 2 s), where s is the recent share of
+	// requests rejected. Above s = 1/2, the probability falls as s grows: clients retry, and the probes for all
+	// their requests could overload the fleet by themselves.
 	probing := a.probes.probesWithRequests() && a.settings.Limits.Probes && len(a.settings.ReportFields) > 0
 	if !probing || a.random.uniform() > max(minProbedRequestShare, 2-2*a.demand.recentRejectedShare()) {
 		return false
--- a/balancer/breaker.go
+++ b/balancer/breaker.go
@@ -4,13 +4,13 @@
 // outlier ejection.
 
 // The constants are those of go-zero's adaptive breaker (its pull request 5366). That breaker follows
-// client-side throttling in the SRE book (chapter "Handling Overload"): K is the number of requests allowed
-// for each accepted one. Here, K falls as more buckets in a row fail.
+// client-side throttling in the SRE book (chapter "Handling Overload"): the accept factor K is the number of
+// requests allowed for each accepted one. Here, K falls as more buckets in a row fail.
 const (
 	breakerWindow     = 10 * second // time span of the outcomes that a breaker judges by
 	breakerBuckets    = 40          // number of buckets in the window
-	maxAcceptFactor   = 1.5         // K if the latest bucket with outcomes has a success
-	minAcceptFactor   = 1.1         // K if every bucket of the window has failures alone
+	maxAcceptFactor   = 1.5         // accept factor K if the latest bucket with outcomes has a success
+	minAcceptFactor   = 1.1         // accept factor K if every bucket of the window has only failures
 	protectedRequests = 5           // a window with no more requests than this drops none: too few to judge by
 
 	// forcedTrialInterval is the time after which a request is let through without a draw, so that a recovery
@@ -167,7 +167,7 @@
 
 // throttle draws whether the error throttle over all endpoints rejects a request. The throttle is needed
 // where each endpoint gets few requests: no breaker of a single endpoint then counts more than its protected
-// requests. An answer later than its latency objective does not count as accepted, because it shows overload.
+// requests. An answer later than the latency objective does not count as accepted, because it shows overload.
 func (k *breakers) throttle(now Micros) bool {
 	k.recentAttempts.decay(now)
 	probability := dropProbability(k.recentAttempts.requests, maxAcceptFactor*k.recentAttempts.accepts)
@@ -195,8 +195,8 @@
 	}
 }
 
-// recordOutcome counts the outcome of a for the breaker, the failure share and the rejected share of its
-// endpoint.
+// recordOutcome counts the outcome of the attempt a in the breaker, the failure share and the rejected share
+// of its endpoint.
 func (k *breakers) recordOutcome(now Micros, a *attempt, status Status, latency Micros) {
 	e := a.endpoint
 	switch status {
--- a/balancer/breaker_test.go
+++ b/balancer/breaker_test.go
@@ -18,11 +18,11 @@
 		{"empty", 0, 0, 0, 1, 0},
 		{"within protected requests", 0, 5, 0, 1, 0},
 		{"one beyond protected requests", 0, 6, 0, 1, 1.0 / 7},
-		// 30 requests, 10 of them accepted, all in the newest bucket: K stays 1.5.
+		// 30 requests, 10 of them accepted, all in the newest bucket: accept factor K stays 1.5.
 		{"two thirds fail", 10, 20, 0, 1, (30.0 - 5 - 15) / 31},
 		{"dropped requests count", 10, 0, 20, 1, (30.0 - 5 - 15) / 31},
 		{"all accepted", 40, 0, 0, 1, 0},
-		// 20 buckets with failures alone after the accepted requests: K = 1.5 - 0.4*20/40 = 1.3.
+		// 20 buckets with only failures after the accepted requests: accept factor K = 1.5 - 0.4*20/40 = 1.3.
 		{"K falls", 10, 20, 0, 20, (30.0 - 5 - 13) / 31},
 	} {
 		var k circuitBreaker
--- a/balancer/demand.go
+++ b/balancer/demand.go
@@ -15,7 +15,7 @@
 
 	latencyObjectiveDivisor = 5 // a class's work until its first sample = its latency objective / this
 
-	// Goal.WorstClass adds to the gain of class i
+	// Goal.WorstClass adds this term to the gain of class i, which the method priority defines:
 	//
 	//	WorstClass / max(minWorkShareDivisor, w_i) x exp(-(s_i - min s) / servedInTimeLeadDivisor)
 	//
@@ -127,8 +127,8 @@
 }
 
 // resolveClass returns the class and the tenant of a request, which names both by their positions in the
-// settings that it was read under. Either is nil if its position is out of range; the tenant also if the
-// current settings have none of its name.
+// settings that it was read under. Both are nil if the position of the class is out of range. The tenant is
+// also nil if its own position is out of range, or if the current settings have no tenant of its name.
 func (d *demand) resolveClass(in *Request) (*class, *tenant) {
 	s := in.ReceivedUnder
 	if s == nil {
@@ -170,7 +170,7 @@
 //	(gain of r's class / largest gain of any class) x priority of r's tenant
 //
 // The gain of a class is what one unit of its work adds to the goal. It grows with the priority weight of the
-// class. It is larger the less the class's share served in time exceeds the least such share of any class.
+// class. It falls as the class's share of requests served in time rises above the least such share.
 func (d *demand) priority(now Micros, r *request) float64 {
 	var totalWork, totalWeight float64
 	minServedInTime := 1.0
@@ -206,8 +206,9 @@
 // the priority is w divided by the largest w of any tenant.
 //
 // Only this balancer's traffic and rejections are known. The ratio of total demand to the sum of all quotas
-// is assumed to equal the ratio of requests to admitted requests here. The priority is relative because a
-// factor common to all tenants would cause more rejections, and these would lower all priorities again.
+// is assumed to equal the ratio of requests to admitted requests at this balancer. The priority is relative
+// because a factor common to all tenants would cause more rejections, and these would lower all priorities
+// again.
 func (d *demand) tenantPriority(now Micros, r *request) float64 {
 	if r.tenant == nil {
 		return 1
--- a/balancer/endpoint.go
+++ b/balancer/endpoint.go
@@ -20,10 +20,10 @@
 	Endpoint
 	listed       bool    // the endpoint is in the list that is being read
 	cordoned     bool    // operators have removed the endpoint from service
-	awaitsTrial  bool    // operators have returned the endpoint to service and wait for it to serve a request
+	awaitsTrial  bool    // this balancer may send an uncordoned endpoint a request at once; see offerTrial
 	warming      bool    // result of the latest call of isWarming
 	warmingSince Micros  // start of the warm-up
-	warmingWork  float64 // microseconds of work charged to the endpoint since then; begin sets a start value
+	warmingWork  float64 // work charged since warmingSince plus a start value, in microseconds; see begin
 
 	inFlight           int    // own attempts without an outcome whose body was sent
 	uploading          int    // own attempts without an outcome whose body is still being sent
--- a/balancer/estimates.go
+++ b/balancer/estimates.go
@@ -37,7 +37,7 @@
 
 // EndpointEstimate is what is known about one process of an endpoint.
 type EndpointEstimate struct {
-	Name             uint64  // name of the endpoint
+	Name             uint64  // hash of the endpoint's name
 	StartTime        Micros  // start of the process
 	MeasuredAt       Micros  `json:"PaceAt"` // instant of the latest sample of ServiceTimeRatio
 	ServiceTimeRatio float64 `json:"Pace"`   // mean of measured / predicted service time
--- a/balancer/loadreport.go
+++ b/balancer/loadreport.go
@@ -37,8 +37,8 @@
 func (l *loadReport) queued() bool { return l.aheadOfProbe >= minRequestsAhead }
 
 // readReport derives a load report from the answer to a probe of e. load holds the reported figures in the
-// order of Settings.ReportFields. latency is the probe's in microseconds. It updates the latency of e's zone
-// and the share of queued probes.
+// order of Settings.ReportFields. latency is the probe's in microseconds. readReport also updates the latency
+// of e's zone and the share of queued probes.
 func (est *estimator) readReport(e *endpoint, latency float64, load []float32) loadReport {
 	fields := est.settings.ReportFields
 	inFlight, queue := reportValue(fields, load, FieldInFlight), reportValue(fields, load, FieldQueue)
--- a/balancer/membership.go
+++ b/balancer/membership.go
@@ -12,7 +12,7 @@
 	cordoned          map[uint64]bool             // whether endpoints are cordoned, by their name
 	restoredEstimates map[uint64]EndpointEstimate // estimates from Restore by name, until the endpoint is listed
 	removedStartTimes map[uint64]Micros           // start times of removed endpoints, by name
-	listReceived      bool                        // a list arrived; cached ones count if not subscribing
+	listReceived      bool                        // a list arrived; cached ones count only without subscription
 	listReceivedAt    Micros                      // instant of the latest list that is not cached; 0 for none
 	maxWeight         float64                     // largest weight ever listed; random draws are scaled by it
 }
--- a/balancer/pick.go
+++ b/balancer/pick.go
@@ -130,9 +130,9 @@
 // affinityPick returns an endpoint for a request with a key, or nil. The candidates are the first endpoint of
 // affinityRanking in the own zone, the first one in other zones and the next warming endpoint. If the one of
 // least cost would answer too late (requests queue there, and the predicted latency exceeds the limit), the
-// second endpoints of the ranking take the place of the first ones. If that one would be too late as well,
-// affinityPick returns nil, and the pool decides. Only where reports are sparse is the pool too old to do
-// better: the first choice is then returned although it is too late, and the request is rejected.
+// second endpoints of the ranking take the place of the first ones. If the best of these would be too
+// late as well, affinityPick returns nil, and the pool decides. Only where reports are sparse is the pool too
+// old to do better: the first choice is then returned although it is too late, and the request is rejected.
 func (p *picker) affinityPick(now Micros, r *request, excluded *endpoint) *endpoint {
 	if !p.settings.KeyAffinity || r.Key == 0 {
 		return nil
--- a/balancer/pick_test.go
+++ b/balancer/pick_test.go
@@ -70,7 +70,8 @@
 	}
 }
 
-// A random endpoint must be found in every list that has one, also if the list is short or has endpoints of weight 0.
+// randomEndpoint must find an endpoint in every list that is not empty, also if the list is short or has endpoints of
+// weight 0.
 func TestRandomEndpointFindsAnyUsableOne(t *testing.T) {
 	for n := range 12 {
 		list := readyEndpoints(n)
--- a/balancer/prediction.go
+++ b/balancer/prediction.go
@@ -104,9 +104,9 @@
 //
 //	ratio = (F + (E - F) * max(0, 1 - age / maxServiceTimeRatioAge)) * W
 //
-// where F is the fleet's ratio, E is e's own once warm, age is the time since E's latest sample, and W is
-// warmingSlowdown. Without recent samples the ratio returns to the fleet's, so that an endpoint once found
-// slow is tried again.
+// where F is the fleet's ratio, E is e's own ratio without the slowdown by the warm-up, age is the time since
+// E's latest sample, and W is warmingSlowdown. Without recent samples the ratio returns to the fleet's, so
+// that an endpoint once found slow is tried again.
 func (est *estimator) serviceTimeRatio(now Micros, e *endpoint) float64 {
 	typical := est.fleetServiceTimeRatio.valueOr(1)
 	relativeAge := float64(now-e.serviceTimeRatioAt) / float64(maxServiceTimeRatioAge)
@@ -197,7 +197,8 @@
 	}
 	est.updateTrend(now, sample.latency/a.predictedWithoutTrend)
 	if !sample.lowerBound && r.logWorkHint != 0 && measuredRatio > 0 {
-		// Inaccurate hints overstate large work and understate small work: a gradient step in logarithms.
+		// Inaccurate hints overstate large work and understate small work. The exponent is therefore corrected
+		// by a gradient step, computed with the logarithms of the hint and of the error.
 		step := workHintLearningRate * r.logWorkHint * math.Log(measuredRatio/predictedRatio)
 		est.workHintExponent = min(1, max(0, est.workHintExponent+step))
 	}
--- a/balancer/probing.go
+++ b/balancer/probing.go
@@ -3,7 +3,7 @@
 // Probing: when endpoints are probed, and the pool of endpoints with a fresh load report, as in Prequal.
 
 const (
-	maxRoundGap       = second / 10 // longest mean delay between rounds, if that permits one probe a round
+	maxRoundGap       = second / 10 // longest mean delay between rounds, if that time permits a probe
 	maxProbesPerRound = 3           // endpoints probed in one round, at most
 	lostProbeTimeout  = 5 * second  // an unanswered probe prevents another of the same endpoint for this time
 
@@ -61,8 +61,8 @@
 // rate returns the number of probes per second that the price permits in rounds, at least 1.
 func (p *prober) rate(now Micros) float64 {
 	probesPerRequest := min(maxProbesPerRequest, maxRoundProbeCost/p.settings.Prices.Probe)
-	// The price counts for requests that are sent. While all requests are rejected, load reports must still
-	// show a recovery.
+	// Rejected requests do not add to the probes that the price permits. But there must be load reports even
+	// while all requests are rejected, since these reports show a recovery.
 	return max(1, probesPerRequest*p.demand.rate(now)*
 		max(minProbedRequestShare, 1-p.demand.recentRejectedShare()))
 }
--- a/balancer/reconfigure_test.go
+++ b/balancer/reconfigure_test.go
@@ -153,8 +153,9 @@
 	}
 }
 
-// The class and tenant of a request that was received under earlier settings are resolved by their names there. The
-// class is found even if it was removed since. If its idempotency was changed, the stricter one applies.
+// If a request was received under earlier settings, its class and tenant are looked up by the names that these settings
+// give them. The class applies even if the current settings no longer have it. If the class of that name is stricter
+// about repeated execution in the current settings, the request counts as non-idempotent.
 func TestRequestReceivedUnderEarlierSettings(t *testing.T) {
 	s := testSettings()
 	s.Tenants = []Tenant{{Name: "a", QuotaRate: 50}, {Name: "b", QuotaRate: 50}}
--- a/balancer/settings.go
+++ b/balancer/settings.go
@@ -17,7 +17,7 @@
 //	                                   - DiscoveryCallTimeout = 0.8 s
 //	after a call that failed at once:  at most NotificationDeadline - DiscoveryCallTimeout = 3.3 s
 //
-// While nothing changes, each watch of a fleet makes one call every 1.5 to 2 s.
+// While nothing changes, the watch of each balancer makes one call every 1.5 to 2 s.
 const (
 	NotificationDeadline Micros = 6_000_000
 	DiscoveryCallTimeout        = NotificationDeadline * 9 / 20 // for a call that does not wait for a change
@@ -72,10 +72,10 @@
 	Idempotency         Idempotency        `json:"Repeat"`
 	DeduplicationScope  DeduplicationScope `json:"Group"`
 	DeduplicationWindow Micros             `json:"Window"`    // how long endpoints drop duplicates
-	LatencyObjective    Micros             `json:"Aim"`       // an answer within this time earns the full weight
+	LatencyObjective    Micros             `json:"Aim"`       // longest latency that earns all of PriorityWeight
 	ClientTimeout       Micros             `json:"GiveUp"`    // the client's timeout over all its attempts
 	PriorityWeight      float64            `json:"Worth"`     // weight of one request; see Settings.WeightByWork
-	LateWeight          float64            `json:"LateWorth"` // share of the weight that a late answer earns
+	LateWeight          float64            `json:"LateWorth"` // share of PriorityWeight for a later answer
 	Streaming           bool               `json:"Stream"`    // responses are streamed; see HandleHeaders
 }
 
--- a/balancer/slowstart.go
+++ b/balancer/slowstart.go
@@ -6,23 +6,26 @@
 // endpoint, in proportion to their warm-up fractions. The warming endpoints take turns: the next request goes
 // to the one with the least work divided by its warm-up fraction.
 //
-// Bound on the requests that all balancers together send to one warming endpoint in OverloadWindow, with
+// All balancers together send to one warming endpoint, in OverloadWindow, at most this number of requests:
+//
+//	k N r = 0.49 N r              if the endpoint was not cordoned
+//	k N + 2 b = 2 + 1.29 N        if it was uncordoned and N <= 22
+//	k N + 2 b = 20 + 0.49 N       if it was uncordoned and N > 22
+//
+// where
 //
 //	N = requests that the endpoint may get in OverloadWindow
 //	r = load of the warm endpoints, as a share of their capacity
 //	k = overloadFactorShare x (1 + maxExtraFraction) / workChargeFactor = 0.28 x 2 / 1.15 = 0.49
 //	b = min(maxTrialBalancers, 1 + trialBalancersPerRequest x N) = min(10, 1 + 0.4 N)
 //
-//	not cordoned before:   k N r = 0.49 N r
-//	no longer cordoned:    k N + 2 b = 2 + 1.29 N    up to N = 22
-//	                                 = 20 + 0.49 N   above
-//	overload:              from N + 2 sqrt(N) + 2
+// An overload is expected only from N + 2 sqrt(N) + 2 requests on.
 //
-// The first line holds for four reasons: the bucket fills at overloadFactorShare of the permitted rate, the
-// warm-up fraction exceeds the least one by up to the factor 1 + maxExtraFraction, each request is charged
-// workChargeFactor times its work, and no balancer starts with the tokens of a complete request. The second
-// line is for r = 1, warm endpoints at full load: each of b balancers may send trialRequestsPerBalancer = 2
-// requests more.
+// The bound k N r holds for four reasons: the bucket fills at overloadFactorShare of the permitted rate, the
+// likely warm-up fraction is at most 1 + maxExtraFraction times the guaranteed one, each request is charged
+// workChargeFactor times its work, and no balancer starts with the tokens of a complete request. The bounds
+// for an uncordoned endpoint assume r = 1, that is, warm endpoints at full load. They add the
+// trialRequestsPerBalancer = 2 requests that each of b balancers may send.
 const (
 	// overloadFactorShare multiplies Contract.OverloadFactor. The product, at most 1, is the load that a warming
 	// endpoint may get, as a share of a warm endpoint's load and per unit of warm-up fraction.
@@ -31,9 +34,12 @@
 	workChargeFactor = 1.15 // tokens charged for a request, as a multiple of its work
 	probeWorkShare   = 0.01 // work of a probe as a share of referenceWork, the mean work of a request
 
-	// The warm-up fraction that measured latencies show may exceed the least one, f, which the contract sets, by
-	// up to f x maxExtraFraction x min(1, n / samplesForMaxExtraFraction), with n the number of latencies
-	// measured. With overloadFactorShare, that stays far below an overload.
+	// The contract guarantees a warm-up fraction f. The fraction estimated from latencies exceeds f by at most
+	//
+	//	f x maxExtraFraction x min(1, n / samplesForMaxExtraFraction)
+	//
+	// where n is the number of latencies measured. With overloadFactorShare, that stays far below an
+	// overload.
 	maxExtraFraction           = 1.0
 	samplesForMaxExtraFraction = 20
 
@@ -47,7 +53,8 @@
 	//	min(maxTrialBalancers, 1 + trialBalancersPerRequest x N)
 	//
 	// balancers, where N is the number of requests that it may get in OverloadWindow at its initial warm-up
-	// fraction. Each of them may send trialRequestsPerBalancer requests, the work of its probes included.
+	// fraction. Each of these balancers gets tokens for trialRequestsPerBalancer requests, from which its probes
+	// of the endpoint are paid, too.
 	maxTrialBalancers        = 10
 	trialBalancersPerRequest = 0.4
 	trialRequestsPerBalancer = 2
@@ -129,7 +136,7 @@
 func (s *slowStart) refill(now Micros, work float64) {
 	var warmEndpoints, usableEndpoints float64          // numbers of endpoints
 	var fractionSum float64                             // sum of the warm-up fractions of warming endpoints
-	var nextWorkPerFraction, minWorkPerFraction float64 // work / warm-up fraction: for s.next, and the least
+	var nextWorkPerFraction, minWorkPerFraction float64 // (warmingWork + work) / fraction of s.next; the least
 	s.next = nil
 	contract := &s.settings.Contract
 	for _, e := range s.membership.list() {
--- a/balancer/slowstart_test.go
+++ b/balancer/slowstart_test.go
@@ -177,7 +177,7 @@
 		t.Errorf("%.1f requests per warming endpoint on average, want %.1f to %.1f", got, 0.3*fair, fair)
 	}
 	if float64(largest) > 2*fair {
-		t.Errorf("one warming endpoint got %d requests, want %.1f at most, twice its warm-up fraction", largest, 2*fair)
+		t.Errorf("one warming endpoint got %d requests, want %.1f at most, twice its fair share", largest, 2*fair)
 	}
 }
 
--- a/balancer/stats.go
+++ b/balancer/stats.go
@@ -31,7 +31,7 @@
 
 	TypicalLoad      float64 // typical number of requests of other balancers at an endpoint
 	ServiceTimeRatio float64 // measured / predicted service time, averaged over the fleet
-	Slowdown         float64 // measured / predicted latency over all endpoints; 1 if that may be noise
+	Slowdown         float64 // factor by which all endpoints are slower than predicted; 1 if that may be noise
 	RejectedShare    float64 // share of recent requests that were rejected at arrival
 	ReportsLate      bool    // load reports arrive late, so their means are used instead
 }
