--- a/balancer/admission_test.go
+++ b/balancer/admission_test.go
@@ -5,8 +5,10 @@
 	"testing"
 )
 
-// If a class's work is estimated too high, its requests must not be rejected forever: some are sent as trials. But one
-// trial per second at each of a thousand balancers with little traffic would keep an overloaded fleet overloaded.
+// If the work of a class is estimated too high, its requests must not be rejected forever. Some requests that are
+// predicted too late are therefore sent as trials, and their latencies correct the estimate. Trials must be a share of
+// the requests: one trial per second at each of a thousand balancers with little traffic would keep an overloaded
+// fleet overloaded.
 func TestTooLateRejectionLetsTrialsThrough(t *testing.T) {
 	for _, c := range []struct {
 		interval           Micros // time between two requests
@@ -28,9 +30,10 @@
 }
 
 // A balancer with few requests in a large fleet cannot keep its pool of load reports fresh. It must probe endpoints
-// when a request arrives and send the request to the best of them. No request may be lost while it waits for probes.
+// when a request arrives, and send the request to the least loaded of the probed endpoints. No request may be lost
+// while it waits for probes.
 func TestQuietBalancerProbesBeforeItSends(t *testing.T) {
-	startWaiting := func() (*Balancer, *recorder) { // request 1 waits for its probes when this returns
+	startWaiting := func() (*Balancer, *recorder) { // returns a balancer at which request 1 waits for probes
 		s := testSettings()
 		s.Balancers = 1000
 		b, r := startBalancer(t, s, readyEndpoints(40))
@@ -111,7 +114,8 @@
 	}
 }
 
-// Trials add to the load of an overloaded endpoint: each trial that is not served in time must make later trials rarer.
+// Trials are requests that are sent although they are predicted too late. They add to the load of an overloaded
+// endpoint: each trial that is not served in time must make later trials rarer.
 func TestFailedTrialsMakeTrialsRarer(t *testing.T) {
 	b, r := startBalancer(t, testSettings(), readyEndpoints(1))
 	b.demand.classes[0].work.value = float64(100 * second)
--- a/balancer/averages_test.go
+++ b/balancer/averages_test.go
@@ -2,6 +2,7 @@
 
 import "testing"
 
+// An average that started from 0, rather than from its first sample, would be too low for many samples.
 func TestEWMATakesItsFirstSampleInFull(t *testing.T) {
 	var a ewma
 	if got := a.valueOr(7); got != 7 {
@@ -14,6 +15,8 @@
 	}
 }
 
+// The first sample must not dominate the mean, so the first samples have equal weights. Later samples have the given
+// weight, so that the mean follows changes.
 func TestCumulativeMeanBeginsAsPlainMean(t *testing.T) {
 	var m cumulativeMean
 	for _, x := range []float64{9, 1, 2} {
@@ -29,6 +32,7 @@
 	}
 }
 
+// A measured rate must match a steady rate of events, and must not remain high after the last event.
 func TestDecayingRate(t *testing.T) {
 	var m decayingRate
 	for now := Micros(0); now < 20*second; now += second / 100 {
@@ -42,6 +46,8 @@
 	}
 }
 
+// A single slow probe must not change the latency of a zone. Neither a latency within the usual deviation nor any
+// latency before the ring of samples is full may be taken for queueing.
 func TestZoneLatencyIsAMedian(t *testing.T) {
 	var z zoneLatency
 	for i, x := range []float64{100, 110, 90, 5000, 100, 95, 105, 100, 100} {
--- a/balancer/breaker_test.go
+++ b/balancer/breaker_test.go
@@ -7,6 +7,8 @@
 
 func almostEqual(a, b float64) bool { return math.Abs(a-b) < 1e-9 }
 
+// An endpoint that fails most requests must be relieved. But the breaker must drop nothing while all requests are
+// accepted, or while too few have been sent to judge by.
 func TestErrorDropProbability(t *testing.T) {
 	for _, c := range []struct {
 		name              string
@@ -18,11 +20,13 @@
 		{"empty", 0, 0, 0, 1, 0},
 		{"within protected requests", 0, 5, 0, 1, 0},
 		{"one beyond protected requests", 0, 6, 0, 1, 1.0 / 7},
-		// 30 requests, 10 of them accepted, all in the newest bucket: accept factor K stays 1.5.
+		// The drop probability is (requests - protectedRequests - K x accepted) / (requests + 1), with
+		// protectedRequests = 5. The accept factor K is 1.5 here: the 10 accepted requests and the 20 others are all
+		// in the newest bucket.
 		{"two thirds fail", 10, 20, 0, 1, (30.0 - 5 - 15) / 31},
 		{"dropped requests count", 10, 0, 20, 1, (30.0 - 5 - 15) / 31},
 		{"all accepted", 40, 0, 0, 1, 0},
-		// 20 buckets with only failures after the accepted requests: accept factor K = 1.5 - 0.4*20/40 = 1.3.
+		// After the accepted requests come 20 of the 40 buckets with only failures: K = 1.5 - 0.4*20/40 = 1.3.
 		{"K falls", 10, 20, 0, 20, (30.0 - 5 - 13) / 31},
 	} {
 		var k circuitBreaker
@@ -45,6 +49,8 @@
 	}
 }
 
+// Failures that are older than the window must have no effect: otherwise the breaker would still drop requests after
+// the endpoint has recovered.
 func TestBreakerWindowDropsOldBuckets(t *testing.T) {
 	var k circuitBreaker
 	for range 100 {
@@ -65,6 +71,8 @@
 	}
 }
 
+// The base latency must fall fast and rise slowly. If it followed the latencies of an overload, the overloaded
+// endpoint would look normal.
 func TestBreakerLatencyAverages(t *testing.T) {
 	var k circuitBreaker
 	k.addLatency(100)
@@ -84,6 +92,8 @@
 	}
 }
 
+// The share of dropped requests must grow with the latency, up to a limit. Nothing may be dropped at an endpoint
+// without samples or with a normal latency.
 func TestLatencyDropProbability(t *testing.T) {
 	for _, c := range []struct {
 		name                   string
@@ -92,7 +102,8 @@
 	}{
 		{"no sample", 0, 0, 1000, 0},
 		{"below three times the base latency", 100, 299, 1000, 0},
-		{"half of the range", 100, 625, 1000, 0.15}, // (625-300)/(950-300)*0.3
+		// The range is from 3 x base latency = 300 to 0.95 x timeout = 950: (625-300)/(950-300)*0.3 = 0.15.
+		{"half of the range", 100, 625, 1000, 0.15},
 		{"at the ceiling", 100, 950, 1000, 0.3},
 		{"capped", 100, 5000, 1000, 0.3},
 		{"ceiling under the threshold", 400, 5000, 1000, 0},
@@ -104,6 +115,8 @@
 	}
 }
 
+// The breaker of a failing endpoint must drop most requests. If it dropped all of them, a recovery would never be
+// noticed.
 func TestBreakerLetsTrialsThrough(t *testing.T) {
 	b, _ := startBalancer(t, testSettings(), readyEndpoints(1))
 	e := b.membership.endpoints[0]
@@ -154,6 +167,8 @@
 	}
 }
 
+// An endpoint that fails fast seems idle and would therefore attract most requests. It must be avoided, but also be
+// tried again, so that a recovery is noticed.
 func TestFailingEndpointIsAvoidedAndTriedAgain(t *testing.T) {
 	b, r := startBalancer(t, testSettings(), readyEndpoints(3))
 	now := second
--- a/balancer/cordon_test.go
+++ b/balancer/cordon_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-// withNames sets the names of the endpoints of a list, in place: 100 plus the ID.
+// withNames sets the name of each endpoint of a list, in place, to 100 plus its ID. It returns the list.
 func withNames(list []Endpoint) []Endpoint {
 	for i := range list {
 		list[i].Name = uint64(100 + list[i].ID)
@@ -89,8 +89,8 @@
 	}
 }
 
-// An endpoint that is no longer cordoned gets a request at once, although warm endpoints would answer sooner. Of a
-// thousand balancers, only a few may send one.
+// An endpoint that is no longer cordoned gets a request at once, although warm endpoints would answer sooner. Only a
+// few of a thousand balancers may send it a request at once, since a request from every balancer could overload it.
 func TestUncordonedEndpointIsUsedSoon(t *testing.T) {
 	used := 0
 	for seed := range uint64(1000) {
--- a/balancer/demand_test.go
+++ b/balancer/demand_test.go
@@ -2,6 +2,8 @@
 
 import "testing"
 
+// While requests are rejected, a tenant that exceeds its quota must have a lower priority than a tenant within its
+// quota. Otherwise the excess of the first tenant would be served at the expense of the second.
 func TestTenantOverQuotaHasLowerPriority(t *testing.T) {
 	s := testSettings()
 	s.OverQuotaWeight = 0.05
--- a/balancer/determinism_test.go
+++ b/balancer/determinism_test.go
@@ -5,6 +5,7 @@
 	"testing"
 )
 
+// The same settings, seed and events must result in the same actions: otherwise a run could not be reproduced.
 func TestSameEventsGiveSameActions(t *testing.T) {
 	run := func() *recorder {
 		b, r := startBalancer(t, testSettings(), readyEndpoints(5))
@@ -25,6 +26,7 @@
 	}
 }
 
+// Once the balancer has records to reuse, a request must allocate no memory: garbage collection would delay requests.
 func TestSteadyStateDoesNotAllocate(t *testing.T) {
 	b, r := startBalancer(t, testSettings(), readyEndpoints(5))
 	id := uint64(0)
--- a/balancer/discovery_test.go
+++ b/balancer/discovery_test.go
@@ -5,10 +5,10 @@
 	"testing"
 )
 
-// By the protocol, a balancer may count as notified of a change even though it missed the change because its
-// subscription broke. The first call after the break must therefore come early enough for its answer to arrive within
-// the drain grace, whatever that grace is. Later calls back off. Without an earlier subscription, the first call backs
-// off, too.
+// A balancer whose subscription breaks may miss a change of the endpoint list, although the protocol regards it as
+// notified. A draining endpoint serves requests only for the drain grace. The first call after the break must
+// therefore come early enough for its answer to arrive within the drain grace, however short or long that grace is.
+// Later calls back off. If the balancer was not subscribed before, its first call backs off, too.
 func TestBrokenSubscriptionIsRenewedWithinDrainGrace(t *testing.T) {
 	for _, grace := range []Micros{0, second / 5, second / 2, 2 * second, 30 * second} {
 		s := testSettings()
@@ -48,6 +48,8 @@
 	}
 }
 
+// If a call to discovery fails or its answer is lost, the balancer must keep its endpoints and call again: otherwise
+// its endpoint list would never change again. Once subscribed, it must not call.
 func TestFailedSubscriptionIsRetried(t *testing.T) {
 	s := testSettings()
 	s.SubscribeToDiscovery = true
@@ -72,7 +74,7 @@
 		before := now
 		if n%2 == 0 {
 			b.HandleEndpoints(now, ListFailed, nil)
-		} // otherwise, the answer is lost
+		} // if n is odd, the answer to the call is lost
 		fireTimer()
 		if now-before > s.Contract.PollInterval {
 			t.Fatalf("call %d came %d us after the one before, want %d us at most", n+1, now-before, s.Contract.PollInterval)
--- a/balancer/estimates_test.go
+++ b/balancer/estimates_test.go
@@ -69,7 +69,8 @@
 	}
 }
 
-// Estimates that are invalid, or that name only other classes, must not change the work or make an estimate invalid.
+// Estimates that are invalid, or that name only other classes, must not change the work of a class or make an estimate
+// invalid.
 func TestInvalidEstimatesAreIgnored(t *testing.T) {
 	noWork := []ClassWorkEstimate{{"read", 0}}
 	otherClass := []ClassWorkEstimate{{"elsewhere", 1}}
--- a/balancer/ledger_test.go
+++ b/balancer/ledger_test.go
@@ -2,8 +2,8 @@
 
 import "testing"
 
-// For each class and each status of the first attempt, a second attempt is sent only if the class permits it, and only
-// within the deduplication scope.
+// For each class and each status of the first attempt, a second attempt is sent only if the class permits one after
+// that status. If the first attempt may have executed, the second must be within the deduplication scope of the class.
 func TestAttemptsAfterEachOutcome(t *testing.T) {
 	neverExecuted := map[Status]bool{Rejected: true, ConnectFailed: true, NotSent: true}
 	for class := range uint8(5) {
@@ -33,6 +33,8 @@
 	}
 }
 
+// A retry after the deduplication window could execute a request a second time. The window starts when the first
+// attempt that may have executed is sent, not when that attempt ends.
 func TestDeduplicationWindowStartsAtFirstExecutedAttempt(t *testing.T) {
 	s := testSettings()
 	s.Limits.HedgedRequests = false
@@ -46,6 +48,8 @@
 	}
 }
 
+// A request that cannot be sent, for lack of an endpoint or because its deadline has passed, must be rejected at once
+// and must not remain in the ledger.
 func TestNoEndpointMeansRejection(t *testing.T) {
 	b, r := startBalancer(t, testSettings(), nil)
 	b.HandleRequest(1000, testRequest(1, 4, 1000))
@@ -56,6 +60,8 @@
 	}
 }
 
+// If an attempt gets no answer, its request must end at the deadline. A late outcome must still be recorded for the
+// endpoint. The timer of the ended request must not end a later request that uses the same slot of the ledger.
 func TestUnansweredAttemptEndsAtTheDeadline(t *testing.T) {
 	b, r := startBalancer(t, testSettings(), readyEndpoints(1))
 	b.HandleRequest(1000, testRequest(1, 4, 1000))
--- a/balancer/loadreport_test.go
+++ b/balancer/loadreport_test.go
@@ -6,6 +6,8 @@
 	"testing"
 )
 
+// A load report that is empty, or whose load is negative, infinite or not a number, must not become the load of an
+// endpoint. A probe result for an unknown endpoint must have no effect.
 func TestInvalidLoadReportsAreIgnored(t *testing.T) {
 	b, _ := startBalancer(t, testSettings(), readyEndpoints(1))
 	nan := float32(math.NaN())
@@ -51,9 +53,9 @@
 	}
 }
 
-// While reports are late, the mean of each endpoint's reports is its load: an endpoint under heavy load from other
-// balancers must still show a higher load than an idle one, and the mean over the fleet must not raise any latency
-// limit.
+// While reports are late, the load of an endpoint is taken to be the mean of its reports: an endpoint under heavy load
+// from other balancers must still show a higher load than an idle one. The mean of the reports over the fleet must not
+// raise any latency limit.
 func TestDelayedReportsAreAveragedByEndpoint(t *testing.T) {
 	b, _ := startBalancer(t, testSettings(), readyEndpoints(2))
 	b.demand.classes[0].requestRate.add(0, 1)
@@ -77,7 +79,7 @@
 	}
 }
 
-// Where reports are old or hold no count of requests, a slow answer to a probe must still show that requests queue.
+// Where reports are old or contain no count of requests, a slow answer to a probe must still show that requests queue.
 func TestQueuedProbeShowsLoad(t *testing.T) {
 	s := testSettings()
 	s.ReportFields = []ReportField{FieldServedRate, FieldUtilization}
@@ -100,12 +102,12 @@
 	}
 }
 
-// The latency of probes to a distant zone varies by as much as the work of a request. This variation must not be taken
-// for queueing, and a few quick answers at the start must not make all later probes seem to have queued.
+// The latency of probes to a distant zone varies by as much as the service time of a request. This variation must not
+// be taken for queueing, and a few quick answers at the start must not make all later probes seem to have queued.
 func TestVaryingZoneLatencyIsNoQueue(t *testing.T) {
 	for _, c := range []struct {
 		name         string
-		quickAnswers int // number of answers in 200 us at the start
+		quickAnswers int // number of answers at the start that take 200 us each
 	}{{"latencies vary", 0}, {"quick answers at the start", 3}} {
 		s := testSettings()
 		s.Classes[0].LatencyObjective = 50_000
@@ -143,8 +145,8 @@
 	}
 }
 
-// Only idle endpoints answer a probe in time. In an overload, probe timeouts must count as load: otherwise the fleet
-// would seem idle, and no request would be rejected.
+// In an overload, only idle endpoints answer a probe in time. Probe timeouts must therefore be taken as load:
+// otherwise the fleet would seem idle, and no request would be rejected.
 func TestProbeTimeoutsCountAsLoad(t *testing.T) {
 	s := testSettings()
 	s.Balancers = 1000
@@ -165,7 +167,8 @@
 	}
 }
 
-// A probe timeout must count as load only where probes queue behind requests. Elsewhere the probe was lost.
+// A probe timeout must be taken as load only in a fleet where probes queue behind requests. In any other fleet, it
+// means that the probe was lost.
 func TestLostProbeIsNotLoad(t *testing.T) {
 	b, _ := startBalancer(t, testSettings(), readyEndpoints(2))
 	for i := range Micros(20) {
@@ -184,9 +187,9 @@
 	}
 }
 
-// A balancer that probes one of sixty endpoints per second must not reject requests because of its latest few reports,
-// which may be outliers: they must not move its typical load much. A balancer that probes many endpoints follows its
-// latest reports.
+// A balancer that probes one of sixty endpoints per second must not reject requests because of its latest few reports.
+// These may be outliers, so they must hardly change the typical load, which is the mean of the reported loads. A
+// balancer that probes many endpoints must follow its latest reports.
 func TestFewReportsDoNotMoveTypicalLoad(t *testing.T) {
 	for _, c := range []struct {
 		name             string
--- a/balancer/membership_test.go
+++ b/balancer/membership_test.go
@@ -22,8 +22,8 @@
 }
 
 // A listed start time may be wrong, since clocks may be stepped forwards or backwards. An endpoint process that the
-// previous list did not name is new, and counts as warming up whatever its start time. An endpoint that returns as the
-// same process stays warm, and so does one whose start time is long ago in the first list.
+// previous list did not name is new, and is regarded as warming up whatever its start time. An endpoint that returns
+// as the same process stays warm. So does an endpoint whose start time in the first list is long ago.
 func TestStartTimeOfASteppedClock(t *testing.T) {
 	const hour = 3600 * second
 	const startedAt = 10 * hour // start of this balancer, by its own clock
@@ -59,6 +59,7 @@
 	}
 }
 
+// A request that is sent to a draining or removed endpoint may be lost when the endpoint stops.
 func TestDrainingEndpointGetsNoRequests(t *testing.T) {
 	b, r := startBalancer(t, testSettings(), readyEndpoints(2))
 	b.HandleEndpoints(1000, ListDelta, []Endpoint{{ID: 1, State: Draining}})
--- a/balancer/overload_test.go
+++ b/balancer/overload_test.go
@@ -16,7 +16,7 @@
 	rng            splitMix64
 	clientAttempts uint64 // number of client attempts so far; also the ID of the latest one
 	offered        []int  // number of client requests by the second of their arrival
-	inTime         []int  // number of these requests that were served within the latency objective
+	inTime         []int  // number of offered requests that were served within the latency objective
 }
 
 // clientHost is the host of one balancer, with the attempts that clients sent to that balancer.
@@ -38,14 +38,14 @@
 	request  *clientRequest
 	id       uint64
 	deadline Micros
-	jobs     []*job // one for each attempt of the balancer
+	jobs     []*job // work at servers, one job for each attempt that the balancer sent
 }
 
 // job is one attempt of a balancer at a server, queued or being served.
 type job struct {
-	remainingWork float64 // microseconds at speed 1
+	remainingWork float64 // time in microseconds that the rest takes on a core of speed 1
 	server        *server
-	startedAt     Micros           // instant at which it got a slot; 0 while it is queued
+	startedAt     Micros           // instant at which the job got a slot; 0 while it is queued
 	onDone        func(now Micros) // called when the work is done
 	ended         bool             // done or abandoned
 }
@@ -59,8 +59,8 @@
 	advancedTo      Micros    // instant up to which the work of the jobs is computed
 	timerGeneration int       // generation of the latest timer; earlier timers have no effect
 	meanLoad        float64   // requests per core, averaged with loadTimeConstant
-	lastReport      []float32 // queued requests, and recent service time in milliseconds
-	serviceTime     ewma      // average time in microseconds from getting a slot to the end
+	lastReport      []float32 // number of queued requests, and serviceTime in milliseconds
+	serviceTime     ewma      // average time in microseconds from when a job gets a slot to its end
 	overloadedAt    Micros    // instant from which meanLoad has exceeded overloadFrom; 0 if it does not
 	idleAt          Micros    // instant from which meanLoad has been below idleBelow; 0 if it is not
 	overloaded      bool
@@ -74,23 +74,23 @@
 	simMaxAttempts      = 3          // attempts of a client per request
 	meanWork            = 27_000.0   // mean work of a request
 	handshakeWork       = 1100       // work of setting up a connection
-	reportPeriod        = second     // interval between the load reports of a server
+	reportPeriod        = second     // interval at which a server updates its load report
 	slotsPerCore        = 4          // requests that a core serves concurrently; the others queue
 )
 
 // A server becomes overloaded once its mean load has exceeded overloadFrom for overloadAfter. Its work then takes
 // overloadSlowdown times as long, until its mean load has been below idleBelow for idleAfter.
 const (
-	overloadFrom     = 4.0        // requests per core
+	overloadFrom     = 4.0        // mean load in requests per core
 	overloadAfter    = 2 * second // time above overloadFrom until the server is overloaded
 	overloadSlowdown = 2.7        // divides the speed of an overloaded server
-	idleBelow        = 0.4        // requests per core
+	idleBelow        = 0.4        // mean load in requests per core
 	idleAfter        = 3 * second // time below idleBelow until the server is no longer overloaded
 	loadTimeConstant = 500_000.0  // time constant of the mean load's exponential decay, in microseconds
 )
 
-// newService returns a service with started balancers. The endpoints are of three kinds in turn, which differ in cores
-// and speed.
+// newService returns a service with started balancers. The endpoints alternate between three kinds, which differ in
+// the number and the speed of their cores.
 func newService(t *testing.T, balancers, endpoints int) *service {
 	t.Helper()
 	s := &service{rng: 11, offered: make([]int, 64), inTime: make([]int, 64)}
@@ -121,8 +121,8 @@
 	return s
 }
 
-// startTraffic starts client requests at the given rate per second, which may change with time, until an instant. Some
-// balancers get several times the mean rate.
+// startTraffic starts client requests, up to the instant until. The function rate returns their rate per second at an
+// instant. Some balancers get several times the mean rate.
 func (s *service) startTraffic(rate func(now Micros) float64, until Micros) {
 	var next func(now Micros)
 	next = func(now Micros) {
@@ -230,7 +230,7 @@
 	v.service.after(reportPeriod, v.report)
 }
 
-// serving returns the jobs that have a slot; the others wait for one.
+// serving returns the jobs that have a slot. The other jobs wait for a slot.
 func (v *server) serving() []*job {
 	return v.jobs[:min(len(v.jobs), slotsPerCore*int(v.cores))]
 }
@@ -313,8 +313,8 @@
 }
 
 // A burst of a few seconds beyond the endpoints' capacity leaves the endpoints overloaded and the clients retrying.
-// From five seconds after the burst on, with demand within the capacity again, nearly as many requests must be served
-// in time as before it.
+// From five seconds after the burst on, when demand is within the capacity again, nearly as large a share of the
+// requests must be served in time as before the burst.
 func TestFleetRecoversFromABurst(t *testing.T) {
 	const (
 		burstFrom = 6 * second
@@ -370,8 +370,8 @@
 	}
 }
 
-// inTimeShare returns the share of requests served within the latency objective, of those that arrived from one instant
-// to another.
+// inTimeShare returns the share of client requests that were served within the latency objective. It considers the
+// requests that arrived at the instant from or later, and before the instant to.
 func (s *service) inTimeShare(from, to Micros) float64 {
 	var offered, inTime int
 	for at := from / second; at < to/second; at++ {
@@ -381,9 +381,10 @@
 	return float64(inTime) / float64(max(1, offered))
 }
 
-// If a balancer sends few requests to each of many endpoints, no circuit breaker counts more than its protected
-// requests. While hardly any request is served in time, the throttle over all endpoints must reject at least half of
-// the requests, and let at least one per second through. Soon after all are served in time again, it must reject none.
+// If a balancer sends few requests to each of many endpoints, no circuit breaker of an endpoint drops a request: each
+// has at most protectedRequests requests in its window, too few to judge by. While hardly any request is served in
+// time, the error throttle over all endpoints must reject at least half of the requests, and let at least one per
+// second through. Soon after all requests are served in time again, it must reject none.
 func TestErrorThrottleCoversAllEndpoints(t *testing.T) {
 	for _, late := range []struct {
 		name   string
@@ -395,7 +396,7 @@
 			id, now := uint64(0), Micros(0)
 			var outcomes []event // outcomes of attempts in flight, by time
 			// sendRequests passes n requests to the balancer, one every 50 ms. Each attempt ends with the given status
-			// after the given latency. It returns the number of requests that the balancer sent.
+			// after the given latency. sendRequests returns the number of requests that the balancer sent.
 			sendRequests := func(n int, status Status, latency Micros) (sent int) {
 				for range n {
 					now += 50_000
--- a/balancer/pick_test.go
+++ b/balancer/pick_test.go
@@ -4,6 +4,8 @@
 	"testing"
 )
 
+// A load report does not include the requests that the balancer has sent since. They must be added to the reported
+// load: otherwise the endpoint with the lowest report would get all requests until its next report.
 func TestPickPrefersLeastLoadWithOwnRequests(t *testing.T) {
 	s := testSettings()
 	s.Balancers = 1
@@ -88,9 +90,9 @@
 	}
 }
 
-// An endpoint that rejects some requests before they execute, and serves the others at once, ranks before one that
-// would answer too late, even if the former is ejected. An ejected endpoint whose failures may have executed ranks
-// after the late one.
+// An endpoint that rejects some requests before they execute, and serves the others at once, ranks before an endpoint
+// that would answer too late, even if the rejecting endpoint is ejected. But an ejected endpoint ranks after the late
+// one if its failed attempts may have executed.
 func TestRejectingEndpointRanksBeforeALateOne(t *testing.T) {
 	for _, c := range []struct {
 		status Status
@@ -132,7 +134,7 @@
 	affinity                   bool
 	key                        uint64
 	overloaded                 bool // the endpoints that the key maps to are overloaded
-	manyProbes                 bool // the probe rate suffices for a fresh pool
+	manyProbes                 bool // the probe rate suffices to keep the load reports in the pool fresh
 	minEndpoints, maxEndpoints int  // limits of the number of endpoints that get requests
 }
 
@@ -178,8 +180,8 @@
 }
 
 // With key affinity, all balancers send the requests of a key to the same two endpoints, and choose between them by
-// load. A request may go elsewhere only if it would be too late at both, and only if this balancer has enough fresh
-// reports to choose another endpoint. Otherwise it is rejected.
+// load. If a request would be too late at both, it goes to another endpoint if this balancer has enough fresh load
+// reports to choose one, and is rejected if not.
 func TestKeyAffinityPicksRendezvousEndpoints(t *testing.T) {
 	for _, c := range []affinityCase{
 		{"affinity", true, 5, false, false, 1, 2},
@@ -217,8 +219,8 @@
 	}
 }
 
-// Without probes there are no reports. Random draws must then add other endpoints to those that a key maps to, as they
-// do for requests without a key.
+// Without probes there are no load reports. The endpoints that a key maps to must then not be the only candidates:
+// others must be drawn at random, as for a request without a key.
 func TestKeyAffinityWithoutProbesUsesOtherEndpoints(t *testing.T) {
 	s := testSettings()
 	s.KeyAffinity, s.Balancers, s.Limits.Probes, s.Prices.Probe = true, 40, false, 0.08
--- a/balancer/prediction_test.go
+++ b/balancer/prediction_test.go
@@ -5,8 +5,9 @@
 	"testing"
 )
 
-// serveBatch has the balancer handle count requests at the instant now, each with the work hint hint if that is above
-// 0. Each attempt that it sends is answered after latency. serveBatch returns the number of rejected requests.
+// serveBatch passes count requests to the balancer at the instant now. Each request has the work hint hint, or none if
+// hint is 0. Each attempt that the balancer sends is answered after the given latency. serveBatch returns the number
+// of rejected requests.
 func serveBatch(b *Balancer, r *recorder, now Micros, count int, hint, latency Micros) int {
 	r.sends, r.rejected = nil, nil
 	for i := range count {
@@ -22,8 +23,8 @@
 }
 
 // Requests that are answered within the round-trip time of a probe have hardly any measurable work. A stall of the
-// sidecar's own process delays all answers that are due at that moment. It must not make idle endpoints seem so slow
-// that requests are rejected.
+// sidecar's own process delays all answers that are due during the stall. These late answers must not make idle
+// endpoints seem so slow that requests are rejected.
 func TestStallAfterFastAnswersRejectsNothing(t *testing.T) {
 	const (
 		batchSize   = 16
@@ -76,7 +77,7 @@
 	before := b.estimates.latency(now, b.membership.endpoints[0], 20_000)
 	now += second / 10
 	serveBatch(b, r, now, 1, 2, 30_000)
-	now += 10 * second // by then the trend has decayed
+	now += 10 * second // by then the trend, the fleet's mean of latency / prediction, has decayed
 	b.membership.endpoints[0].serviceTimeRatioAt = now
 	if after := b.estimates.latency(now, b.membership.endpoints[0], 20_000); after > 2*before {
 		t.Errorf("expected latency %.0f us after an answer in 30,000 us, want at most twice the %.0f us before",
@@ -98,13 +99,15 @@
 	}
 }
 
-// The capacity of a warming endpoint grows with its warm-up fraction. Its expected service time ratio must fall
-// accordingly, also once a ratio has been measured there.
+// The capacity of a warming endpoint grows with its warm-up fraction. Its expected service time ratio, the ratio of
+// the actual to the predicted service time, must fall accordingly, even after a ratio has been measured at the
+// endpoint.
 func TestWarmingEndpointIsExpectedToBeSlow(t *testing.T) {
 	b, _ := startBalancer(t, testSettings(), readyEndpoints(2))
 	b.HandleEndpoints(1000, ListDelta, []Endpoint{{ID: 9, State: Ready, StartTime: 1000}})
 	e := b.membership.byID[9]
-	// The warm-up fraction f is 0.2, which implies a slowdown of 1/f = 5.
+	// The warm-up fraction f is 0.2, which implies a service time ratio of 1/f = 5. Before any sample, the endpoint is
+	// expected to have the share initialWarmingSlowness of the excess 5 - 1 = 4.
 	if got := b.estimates.serviceTimeRatio(1000, e); !almostEqual(got, 1+4*initialWarmingSlowness) {
 		t.Errorf("service time ratio %v at the start, before any sample, want %v", got, 1+4*initialWarmingSlowness)
 	}
@@ -121,7 +124,7 @@
 	}
 }
 
-// If the entire fleet slows down, a higher latency must be expected at once also of an endpoint that was measured as
+// If the entire fleet slows down, the expected latency must rise at once, even at an endpoint that was measured as
 // fast. Soon after the recovery, the expected latency must be as before.
 func TestFleetWideSlowdownIsLearnedAtOnce(t *testing.T) {
 	b, r := startBalancer(t, testSettings(), readyEndpoints(4))
@@ -130,7 +133,7 @@
 		for i := range n {
 			now := from + 1000*Micros(i)
 			id := uint64(now)
-			b.HandleProbe(now, 1, OK, 500, []float32{9}) // so that the other endpoints serve
+			b.HandleProbe(now, 1, OK, 500, []float32{9}) // endpoint 1 seems busy, so the others get the requests
 			b.HandleRequest(now, Request{ID: id, Deadline: now + second, WorkHint: 10_000, HasWorkHint: true})
 			if len(r.sends) == 0 || r.sends[len(r.sends)-1].id != id {
 				continue // rejected
@@ -160,8 +163,8 @@
 	}
 }
 
-// Attempts that were sent before a slowdown was detected must not raise it a second time: many are in flight by then,
-// and their outcomes come after the detection.
+// Many attempts are in flight when a slowdown is detected, and their outcomes come afterwards. Since they were sent
+// before the detection, these outcomes must not raise the estimated slowdown a second time.
 func TestSlowdownIsNotOverestimated(t *testing.T) {
 	b, r := startBalancer(t, testSettings(), readyEndpoints(4))
 	now := second
@@ -182,7 +185,8 @@
 	}
 }
 
-// A slowdown at which all requests are rejected yields no further outcomes. It must decay without them.
+// If the estimated slowdown is so high that all requests are rejected, there are no further outcomes that could
+// correct it. The estimate must therefore decay with time.
 func TestSlowdownDecaysWithoutOutcomes(t *testing.T) {
 	b, _ := startBalancer(t, testSettings(), readyEndpoints(4))
 	b.estimates.trend, b.estimates.trendAt = maxTrendRatio, second
@@ -195,8 +199,8 @@
 	}
 }
 
-// A work hint must count only as far as it predicts the latency. Otherwise requests with wrong hints are rejected
-// although endpoints are idle.
+// Work hints must affect the predicted latency only as far as they have matched the measured latencies. Otherwise
+// requests with wrong hints are rejected although endpoints are idle.
 func TestWorkHintExponentIsLearned(t *testing.T) {
 	for _, c := range []struct {
 		name                     string
@@ -223,8 +227,9 @@
 	}
 }
 
-// If an endpoint has answered a later attempt, the timeout of an earlier one must not raise the trend: the earlier one
-// was lost, and the endpoint is not slow. Otherwise the entire fleet would count as slow.
+// If an endpoint has answered a later attempt, the timeout of an earlier attempt must not raise the trend, which is
+// the mean of latency / prediction over all endpoints. The earlier attempt was lost, and the endpoint is not slow. If
+// lost attempts raised the trend, the entire fleet would be regarded as slow.
 func TestOvertakenAttemptsDoNotAffectTrend(t *testing.T) {
 	for name, overtaken := range map[string]bool{"overtaken": true, "not overtaken": false} {
 		b, r := startBalancer(t, testSettings(), readyEndpoints(1))
--- a/balancer/probing_test.go
+++ b/balancer/probing_test.go
@@ -5,6 +5,7 @@
 	"testing"
 )
 
+// An old load report must not make the balancer prefer an endpoint, whose load may have changed since.
 func TestPoolDropsOldReports(t *testing.T) {
 	s := testSettings()
 	b, r := startBalancer(t, s, readyEndpoints(2))
@@ -25,7 +26,7 @@
 // A balancer that rejects all requests must still detect that endpoints have recovered, so it must keep probing.
 func TestProbesContinueWhileAllRequestsAreRejected(t *testing.T) {
 	s := testSettings()
-	s.Prices.Probe = maxRoundProbeCost // permits one probe per request
+	s.Prices.Probe = maxRoundProbeCost // at this price, one probe per request is permitted
 	b, _ := startBalancer(t, s, readyEndpoints(4))
 	for i := range 1000 {
 		b.demand.requestRate.add(5000*Micros(i), 1)
--- a/balancer/reconfigure_test.go
+++ b/balancer/reconfigure_test.go
@@ -89,8 +89,8 @@
 	}
 }
 
-// If a class becomes stricter about repeated execution, that also applies to its open requests: no attempt follows one
-// that may have executed, and the final answer does not promise that a retry is harmless.
+// If a class becomes stricter about repeated execution, that also applies to its open requests. After an attempt that
+// may have executed, no other attempt is sent, and the final answer does not promise that a retry is harmless.
 func TestStricterIdempotencyAppliesToOpenRequests(t *testing.T) {
 	setIdempotency := func(to Idempotency) func(*Settings) { return func(s *Settings) { s.Classes[0].Idempotency = to } }
 	renameClass := func(to string) func(*Settings) { return func(s *Settings) { s.Classes[0].Name = to } }
@@ -133,8 +133,8 @@
 	}
 }
 
-// If a class becomes non-idempotent while several attempts of an open request may have executed, those in flight are
-// withdrawn. If only one attempt may have executed, it continues.
+// If a class becomes non-idempotent while several attempts of an open request may have executed, those of them that
+// are in flight are withdrawn. If only one attempt may have executed, it continues.
 func TestStricterIdempotencyWithdrawsAttempts(t *testing.T) {
 	b, r := startBalancer(t, testSettings(), readyEndpoints(4))
 	b.HandleRequest(1000, testRequest(1, 0, 1000))
@@ -153,9 +153,9 @@
 	}
 }
 
-// If a request was received under earlier settings, its class and tenant are looked up by the names that these settings
-// give them. The class applies even if the current settings no longer have it. If the class of that name is stricter
-// about repeated execution in the current settings, the request counts as non-idempotent.
+// If a request was received under earlier settings, its class and tenant are looked up by the names that the earlier
+// settings give them. The class applies even if the current settings no longer have it. If the current settings have a
+// class of that name that is stricter about repeated execution, the request is treated as non-idempotent.
 func TestRequestReceivedUnderEarlierSettings(t *testing.T) {
 	s := testSettings()
 	s.Tenants = []Tenant{{Name: "a", QuotaRate: 50}, {Name: "b", QuotaRate: 50}}
@@ -230,8 +230,8 @@
 	}
 }
 
-// The balancer must not accumulate memory over many changes of the settings: a free record refers to at most one class,
-// and the classes and tenants of earlier settings are dropped.
+// The balancer must not accumulate memory over many changes of the settings. A ledger record that no request uses
+// refers to at most one class, and the classes and tenants of earlier settings are dropped.
 func TestReconfigureKeepsNoOldSettings(t *testing.T) {
 	b, _ := startBalancer(t, testSettings(), readyEndpoints(4))
 	for i := range 1000 {
--- a/balancer/retries_test.go
+++ b/balancer/retries_test.go
@@ -16,9 +16,9 @@
 	}
 }
 
-// If endpoints lose some requests and answer the others in time, an overdue attempt counts as lost once its endpoint
-// has answered a later attempt. It is then hedged if the request's class permits that. The first answer ends the
-// request and cancels its other attempts.
+// If endpoints lose some requests and answer the others in time, an overdue attempt is regarded as lost once its
+// endpoint has answered a later attempt. The request is then hedged if its class permits hedging. The first answer
+// ends the request and cancels its other attempts.
 func TestLostAttemptsAreHedged(t *testing.T) {
 	for class, wantHedges := range []int{1, 1, 1, 1, 0} {
 		b, r := startBalancer(t, testSettings(), readyEndpoints(4))
@@ -60,9 +60,9 @@
 	}
 }
 
-// A retry of a request with an idempotency key has a latest start: the end of the deduplication window less the
-// round-trip time. First attempts, retries of idempotent requests, and retries after an attempt that never executed
-// have none.
+// A retry of a request with an idempotency key has a latest start, the instant after which the host must not start it.
+// It is the end of the deduplication window less the round-trip time. First attempts, retries of idempotent requests,
+// and retries after an attempt that never executed have no latest start.
 func TestRetryWithKeyCarriesLatestStart(t *testing.T) {
 	const roundTrip = 20_000
 	for name, c := range map[string]struct {
--- a/balancer/rules_test.go
+++ b/balancer/rules_test.go
@@ -15,7 +15,7 @@
 	requests   map[uint64]*checkedRequest // all requests by ID, including ended ones
 	violations []string
 	timers     []pendingTimer
-	probes     []uint32 // endpoints of probes without a result
+	probes     []uint32 // IDs of the probed endpoints, one for each probe without a result
 }
 
 // checkedRequest is the state of a request as its client and the endpoints know it.
@@ -150,7 +150,7 @@
 	maxInterval      int        // upper bound of the time between two events, in microseconds
 	listed           []Endpoint // endpoints that discovery lists
 	massRestartsLeft int        // how many more times all endpoints restart at once
-	open             []uint64   // IDs of all requests sent to the balancer, including ended ones
+	requestIDs       []uint64   // IDs of all requests sent to the balancer, including ended ones
 	nextID           uint64
 	maxWaiting       int // largest number of requests that waited for probes at the same time
 }
@@ -230,10 +230,10 @@
 	switch n := p.random.Intn(20); {
 	case n < 8:
 		p.sendRequest()
-	case n < 15 && len(p.open) > 0:
-		p.endAttempt(p.open[p.random.Intn(len(p.open))])
-	case n < 16 && len(p.open) > 0:
-		p.abandonRequest(p.open[p.random.Intn(len(p.open))])
+	case n < 15 && len(p.requestIDs) > 0:
+		p.endAttempt(p.requestIDs[p.random.Intn(len(p.requestIDs))])
+	case n < 16 && len(p.requestIDs) > 0:
+		p.abandonRequest(p.requestIDs[p.random.Intn(len(p.requestIDs))])
 	case n < 18:
 		p.answerProbes()
 	default:
@@ -249,11 +249,12 @@
 	}
 	p.nextID++
 	p.requests[in.ID] = &checkedRequest{request: in}
-	p.open = append(p.open, in.ID)
+	p.requestIDs = append(p.requestIDs, in.ID)
 	p.balancer.HandleRequest(p.now, in)
 }
 
-// endAttempt ends the first attempt of the request that is in flight, if there is one, with a random status.
+// endAttempt ends the request's first attempt in flight, with a random status. It does nothing if no attempt is in
+// flight.
 func (p *randomPlay) endAttempt(id uint64) {
 	r := p.requests[id]
 	i := slices.IndexFunc(r.attempts, func(a checkedAttempt) bool { return a.inFlight })
@@ -334,8 +335,8 @@
 	p.balancer.HandleEndpoints(p.now, kind, entries)
 }
 
-// The balancer follows the rules under random events, in a small fleet (seeds below 40) and in a large one with various
-// settings.
+// The balancer follows the rules under random events. The seeds below 40 play a small fleet, the others a large fleet
+// with various settings.
 func TestRulesHoldUnderRandomEvents(t *testing.T) {
 	for seed := range int64(100) {
 		s := testSettings()
--- a/balancer/settings_test.go
+++ b/balancer/settings_test.go
@@ -5,6 +5,7 @@
 	"testing"
 )
 
+// New must reject invalid settings, and its error must name the invalid setting.
 func TestNewReturnsSettingError(t *testing.T) {
 	for _, c := range []struct {
 		key        string
--- a/balancer/simulation_test.go
+++ b/balancer/simulation_test.go
@@ -104,8 +104,8 @@
 func (host *simulatedHost) Log(string)            {}
 
 // checkWarmingBudget returns the largest share of its budget that any warming endpoint got in any overload window, and
-// an error if that exceeds 1. The budget is n + 2 sqrt(n) + 2 requests, where the settings permit n and the rest is a
-// margin for random variation.
+// an error if that share exceeds 1. The budget is n + 2 sqrt(n) + 2 requests, where n is the number that the settings
+// permit and the rest is a margin for random variation.
 func (f *fleet) checkWarmingBudget() (worst float64, err error) {
 	worst, where := f.worstWindow(func(n float64) float64 { return n + 2*math.Sqrt(n) + 2 })
 	if worst > 1 {
@@ -115,11 +115,12 @@
 }
 
 // Whatever the number of balancers, the requests that all of them together send to a warming endpoint must stay within
-// its budget: if one endpoint starts alone, if many start one after the other, and if one is no longer cordoned.
+// its budget. This applies if one endpoint starts alone, if many start one after the other, and if an endpoint is no
+// longer cordoned.
 func TestAllBalancersTogetherKeepTheWarmingBudget(t *testing.T) {
 	warmingRequests := 0
 	for _, balancers := range []int{4, 30, 300} {
-		for _, work := range []float64{25_000, 150_000} { // the number of requests permitted at first is large, or small
+		for _, work := range []float64{25_000, 150_000} { // microseconds; the less, the more requests are permitted
 			for name, start := range map[string]func(f *fleet){
 				"one starts": func(f *fleet) { f.startEndpoints(1, 0) },
 				"many start one after the other": func(f *fleet) {
--- a/balancer/slowstart_test.go
+++ b/balancer/slowstart_test.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-// slowStartBudgetWithMargin returns the number of requests of mean work that may reach a warming endpoint which is
-// permitted n of them: n and a margin for random variation.
+// slowStartBudgetWithMargin returns how many requests of mean work a warming endpoint may get if the settings permit
+// n: n plus a margin for random variation.
 func slowStartBudgetWithMargin(n float64) float64 {
 	if n < 30 {
 		return n + 3*math.Sqrt(n) + 3
@@ -16,8 +16,8 @@
 }
 
 // worstWindow returns the largest share of its budget that any warming endpoint got in any overload window, and a
-// description of that endpoint and window. budget returns the number of requests that may reach an endpoint which is
-// permitted n of them.
+// description of that endpoint and window. budget returns how many requests an endpoint may get, with a margin, if the
+// settings permit n.
 func (f *fleet) worstWindow(budget func(n float64) float64) (worst float64, where string) {
 	c := f.settings.Contract
 	for id, at := range f.received {
@@ -52,8 +52,8 @@
 	}
 }
 
-// restartBalancers replaces every balancer by a new one that has received the endpoint list and nothing else. The seeds
-// of the new balancers count up from seed.
+// restartBalancers replaces every balancer by a new one that has received the endpoint list and nothing else. The new
+// balancer with index i has the seed seed + i.
 func (f *fleet) restartBalancers(t *testing.T, seed uint64) {
 	t.Helper()
 	for i := range f.hosts {
@@ -96,9 +96,9 @@
 	return cases
 }
 
-// No warming endpoint may get more than its budget in a small fleet either: if one balancer sends all requests, if
-// nearly all or all endpoints are warming up, under a burst, and if the balancers restart with the endpoints and have
-// no estimates.
+// In a small fleet, too, no warming endpoint may get more than its budget. The budget must not be exceeded if one
+// balancer sends all requests, if nearly all or all endpoints are warming up, or under a burst. Nor may it be exceeded
+// if the balancers restart together with the endpoints and so have no estimates.
 func TestSmallFleetsKeepTheSlowStartBudget(t *testing.T) {
 	const restartAt, end = 4 * second, 12 * second
 	for _, c := range smallFleets() {
@@ -123,8 +123,9 @@
 	}
 }
 
-// The bucket of a balancer with little traffic takes minutes to fill with the tokens of one request to a warming
-// endpoint. Therefore, not all balancers may start with an empty bucket.
+// A balancer may send a request to a warming endpoint only if its token bucket contains the tokens for it. With little
+// traffic, the bucket takes minutes to collect the tokens of one request. Therefore, not all balancers may start with
+// an empty bucket.
 func TestQuietBalancersTogetherServeWarmingEndpoints(t *testing.T) {
 	const balancers = 200
 	allowed := 0
@@ -136,7 +137,7 @@
 		b.Start(0)
 		b.HandleEndpoints(0, ListCached, readyEndpoints(10))
 		for i := range Micros(10) {
-			b.slowStart.sentWorkRate.add(i*second, 80_000) // one request a second
+			b.slowStart.sentWorkRate.add(i*second, 80_000) // one request of 80,000 us of work per second
 		}
 		b.HandleEndpoints(10*second, ListDelta, []Endpoint{{ID: 11, Weight: 1, StartTime: 10 * second}})
 		for i := range Micros(6) {
@@ -147,8 +148,9 @@
 			allowed++
 		}
 	}
-	// In 5 s, a warm endpoint gets half a request from each balancer. A warming endpoint may get that half request times
-	// overloadFactorShare x OverloadFactor = 0.7 times its warm-up fraction, which rises here from 0.2 to 0.6.
+	// In 5 s, a warm endpoint gets half a request from each balancer. A warming endpoint may get 0.5 x
+	// overloadFactorShare x OverloadFactor x f = 0.35 f requests, where f is its warm-up fraction, which rises here
+	// from 0.2 to 0.6.
 	if allowed < 5 || allowed > 60 {
 		t.Errorf("%d of %d balancers with little traffic may send to a warming endpoint within 5 s, want 5 to 60",
 			allowed, balancers)
@@ -156,7 +158,7 @@
 }
 
 // Of many balancers with few requests each, none collects the tokens for a request to each warming endpoint. Together,
-// they must still send the warming endpoints as much as these can serve, and too much to none of them.
+// they must still send the warming endpoints as many requests as these can serve, and too many to none of them.
 func TestManyQuietBalancersUseWarmingEndpoints(t *testing.T) {
 	const warm, warming, balancers = 20, 20, 80
 	counts := map[uint32]int{} // requests by endpoint ID since the warming endpoints were listed
@@ -170,8 +172,9 @@
 			largest = max(largest, n)
 		}
 	}
-	// 800 requests per second are 40 per second at a warm endpoint. The warm-up fraction rises from 0.2 to 0.44 in these
-	// 3 s, with a mean of 0.32.
+	// The balancers together get 800 requests per second, which are 40 per second at each of the 20 warm endpoints.
+	// The fair share of a warming endpoint is this rate times its warm-up fraction, which rises from 0.2 to 0.44 in
+	// these 3 s, with a mean of 0.32.
 	fair := 0.32 * 40 * 3
 	if got := float64(total) / warming; got < 0.3*fair || got > fair {
 		t.Errorf("%.1f requests per warming endpoint on average, want %.1f to %.1f", got, 0.3*fair, fair)
@@ -226,8 +229,8 @@
 	run(5*second, 8*second)
 }
 
-// After enough answers by warming endpoints that are as quick as those of warm ones, warming endpoints get more than
-// their least warm-up fraction permits. If they answer slowly, they get little more.
+// If warming endpoints answer as quickly as warm ones, they get more requests, after enough answers, than their
+// guaranteed warm-up fraction permits. If they answer slowly, they get little more.
 func TestWarmingShareFollowsMeasuredLatency(t *testing.T) {
 	// tokensAfter returns the tokens that the bucket gains in 0.1 s, after a warming endpoint has given this number of
 	// answers with this latency.
@@ -281,7 +284,7 @@
 	received := map[uint32]int{}
 	for id := range uint64(200) {
 		now += 20_000
-		b.slowStart.sentWorkRate = decayingRate{10_000_000, now} // constant, even if requests are rejected
+		b.slowStart.sentWorkRate = decayingRate{10_000_000, now} // keeps the rate constant, even if requests are rejected
 		for e, load := range []float32{40, 40, 0} {
 			b.HandleProbe(now, uint32(e+1), OK, 1000, []float32{load})
 		}
@@ -301,8 +304,9 @@
 	}
 }
 
-// warmingSends returns the number of requests to each warming endpoint in the overload window that begins with their
-// start, and the mean number to each of ten warm endpoints, at a constant rate of requests per second.
+// warmingSends has a balancer handle requests at a constant rate per second. It returns the number of requests to each
+// warming endpoint in the overload window that begins with their start, and the mean number to each of ten warm
+// endpoints in the same window.
 func warmingSends(t *testing.T, rate, warmingEndpoints int) (warming []int, warm float64) {
 	t.Helper()
 	s := testSettings()
@@ -340,6 +344,8 @@
 	return warming, warm
 }
 
+// A warming endpoint that got as many requests as a warm one could be overloaded. It must get at most the share that
+// its warm-up fraction permits.
 func TestWarmingEndpointGetsItsSlowStartShare(t *testing.T) {
 	for _, c := range []struct{ rate, warmingEndpoints int }{{100, 1}, {500, 1}, {500, 2}, {2000, 2}} {
 		warming, warm := warmingSends(t, c.rate, c.warmingEndpoints)
@@ -353,6 +359,8 @@
 	}
 }
 
+// If the only endpoint restarts, the slow start must limit its requests, but must not block all of them for lack of a
+// warm endpoint.
 func TestSingleEndpointRestarts(t *testing.T) {
 	b, r := startBalancer(t, testSettings(), readyEndpoints(1)[:1])
 	b.HandleEndpoints(second, ListDelta, []Endpoint{{ID: 1, State: Ready, StartTime: second}})
--- a/balancer/source_test.go
+++ b/balancer/source_test.go
@@ -68,7 +68,7 @@
 	}
 }
 
-// The package imports only these standard packages, since it does no I/O and reads no clock.
+// The package does no I/O and reads no clock, so it imports only the standard packages in the set allowed.
 func TestModuleImports(t *testing.T) {
 	allowed := map[string]bool{`"fmt"`: true, `"math"`: true, `"slices"`: true, `"strconv"`: true}
 	files, err := filepath.Glob("*.go")
--- a/balancer/streaming_test.go
+++ b/balancer/streaming_test.go
@@ -2,8 +2,8 @@
 
 import "testing"
 
-// A request whose body is forwarded while it arrives does not count as load until the last byte of its body was sent.
-// Its latency is measured from that instant.
+// A request whose body is forwarded while it arrives is not counted as in flight, and so not as load, until the last
+// byte of its body was sent. Its latency is measured from that instant.
 func TestStreamedRequestIsTimedFromItsLastByte(t *testing.T) {
 	b, r := startBalancer(t, testSettings(), readyEndpoints(1))
 	in := testRequest(1, 0, 0)
@@ -34,8 +34,8 @@
 	}
 }
 
-// After a failed attempt, a request whose body the host no longer has is rejected if it never executed, and fails if it
-// may have. A request whose body is complete is retried at another endpoint.
+// After a failed attempt, a request whose body the host no longer has is rejected if it never executed, and fails if
+// it may have executed. A request whose complete body the host still has is retried at another endpoint.
 func TestConsumedBodyIsNotRetried(t *testing.T) {
 	for _, c := range []struct {
 		status                              Status
@@ -61,6 +61,8 @@
 	}
 }
 
+// Once a streamed response has begun, the client has a part of it. The deadline must then neither end the request nor
+// cause another attempt.
 func TestStreamedAnswerIsNotInterrupted(t *testing.T) {
 	b, r := startBalancer(t, testSettings(), readyEndpoints(2))
 	b.HandleRequest(1000, testRequest(1, 0, 1000))
--- a/balancer/waitlist_test.go
+++ b/balancer/waitlist_test.go
@@ -2,8 +2,8 @@
 
 import "testing"
 
-// A request resumes when the last of its probes has ended, or the first that finds an idle endpoint. The latest request
-// resumes first.
+// A request resumes when the last of its probes has ended, or as soon as one of them finds an idle endpoint. Of
+// several requests that can resume, the one that was added last resumes first.
 func TestWaitlistResumesRequests(t *testing.T) {
 	busy, idle, other := &endpoint{}, &endpoint{}, &endpoint{}
 	busy.reportedAt, busy.reportedLoad = 1000, 9
@@ -39,6 +39,7 @@
 	}
 }
 
+// Removing a request that does not wait, or no longer waits, must leave the other requests on the waitlist.
 func TestWaitlistRemoveIgnoresOthers(t *testing.T) {
 	var w waitlist
 	first, second, absent := &request{}, &request{}, &request{}
