--- a/balancer/admission.go
+++ b/balancer/admission.go
@@ -5,7 +5,8 @@
 // Admission: whether a request is sent or rejected, and whether endpoints are probed for it first.
 
 // Bounds of requestsPerTrial. A trial is a request that is sent although it is predicted too late; see
-// tooLate. requestsPerTrial starts at the minimum and doubles with each trial that is not served in time.
+// tooLate. requestsPerTrial starts at the minimum and doubles with each trial that is not served in time. It
+// returns to the minimum when a request is served in time.
 const (
 	minRequestsPerTrial = 10
 	maxRequestsPerTrial = 640
@@ -70,13 +71,13 @@
 
 // tooLate reports whether r is rejected because e, the best endpoint, is predicted to answer it too late.
 //
-// At an endpoint where no request queues, no request counts as too late. A few samples of a long-tailed
+// At an endpoint where no request queues, no request is regarded as too late. A few samples of a long-tailed
 // latency can make a healthy endpoint look slow there, and a slow sidecar makes all endpoints look slow.
 // Rejecting requests helps in neither case.
 //
 // As with a half-open circuit breaker, some requests that are predicted too late are sent as trials, so that
-// a wrong estimate is corrected. Their number is a share of the requests: one trial per second at each of a
-// thousand balancers would be more than an overloaded fleet can serve.
+// a wrong estimate is corrected. Trials are limited to a share of the requests predicted too late: one trial
+// per second at each of a thousand balancers would be more than an overloaded fleet can serve.
 func (a *admission) tooLate(now Micros, r *request, e *endpoint) bool {
 	expected, limit := a.estimates.latency(now, e, r.work), a.estimates.latencyLimit(now, r, e)
 	late := expected > limit && a.estimates.queueingFactor(now, e) > 1
@@ -113,8 +114,8 @@
 // false if r should be dispatched at once.
 func (a *admission) waitForProbes(now Micros, r *request) bool {
 	// A request gets probes with probability max(minProbedRequestShare, 2 - 2 s), where s is the recent share of
-	// requests rejected. Above s = 1/2, the probability falls as s grows: clients retry, and the probes for all
-	// their requests could overload the fleet by themselves.
+	// requests rejected. Above s = 1/2, the probability falls as s grows: clients retry, and the probes alone
+	// could overload the fleet if they were sent for all requests.
 	probing := a.probes.probesWithRequests() && a.settings.Limits.Probes && len(a.settings.ReportFields) > 0
 	if !probing || a.random.uniform() > max(minProbedRequestShare, 2-2*a.demand.recentRejectedShare()) {
 		return false
--- a/balancer/averages.go
+++ b/balancer/averages.go
@@ -33,7 +33,7 @@
 }
 
 // cumulativeMean is a moving average that begins as the arithmetic mean of its samples. Where samples are
-// rare, the first sample of an ewma would dominate it for many seconds.
+// rare, the first sample would dominate an ewma for many seconds.
 type cumulativeMean struct {
 	value   float64
 	samples int // number of samples, at most maxMeanSamples
--- a/balancer/balancer.go
+++ b/balancer/balancer.go
@@ -29,7 +29,8 @@
 // by value, and New connects them by pointers:
 //
 //   - prober -> slowStart -> estimator -> prober: a probe is charged to the slow start budget, that budget
-//     depends on measured latencies, and the estimates depend on how recent the probes keep the load reports.
+//     depends on estimates from measured latencies, and the estimates depend on the age of the load reports,
+//     which arrive with the answers to probes.
 //   - admission <-> retrier: when admission sends an attempt, the retrier starts the timer after which the
 //     attempt may be hedged, and a retry or hedged request is admitted like a first attempt.
 //
@@ -107,9 +108,10 @@
 
 // Reconfigure applies new settings atomically, or returns a *SettingError and changes nothing. A class or
 // tenant keeps its estimates if the new settings have one of the same name. All endpoints and their state are
-// kept. An open request keeps the class under which it arrived, unless the new settings are stricter about
-// repeated execution. Reconfigure returns attempts that could then execute a request twice. The host must
-// withdraw each of them whose first byte has not been sent yet.
+// kept. An open request keeps the class under which it arrived, but becomes non-idempotent if the new
+// settings are stricter about repeated execution. Reconfigure returns the attempts in flight that could then
+// execute a non-idempotent request twice. The host must withdraw each of them whose first byte has not been
+// sent yet.
 func (b *Balancer) Reconfigure(s Settings) ([]AttemptID, error) {
 	if err := s.Validate(); err != nil {
 		return nil, err
@@ -151,8 +153,8 @@
 		}
 		b.ledger.reject(r)
 	case r.awaitingProbes:
-		// The time since each unanswered probe also counts as a probe delay. Only idle endpoints answer in
-		// time: with their answers alone, an overloaded fleet would look idle.
+		// The time since an unanswered probe was sent is learned as a probe delay, too. Only idle endpoints
+		// answer in time: with their answers alone, an overloaded fleet would look idle.
 		for _, e := range r.awaitedEndpoints {
 			b.estimates.learnProbeDelay(float64(now - e.lastProbeAt))
 		}
@@ -195,7 +197,7 @@
 }
 
 // HandleBodyWritten handles the sending of the last byte of a streamed request body. The latency of the
-// request and of its attempt counts from then on, and the deadline is replaced by the given one.
+// request and of its attempt is measured from then on, and the deadline is replaced by the given one.
 func (b *Balancer) HandleBodyWritten(now Micros, id uint64, deadline Micros) {
 	if r := b.ledger.lookup(id); r != nil && !r.answered && len(r.attempts) > 0 {
 		b.ledger.recordBodyWritten(now, r, deadline)
@@ -284,9 +286,9 @@
 	b.membership.endUpdate(now, kind)
 }
 
-// updateEndpoint stores an entry of an endpoint list. If the entry is a new endpoint or a new process of a
-// known one, it is put into slow start unless it started at least SlowStartDuration ago, and is probed if
-// probeNew is set. A start time of 0 means long ago.
+// updateEndpoint stores an entry of an endpoint list. An endpoint that is new or runs a new process is put
+// into slow start, unless this process started at least SlowStartDuration ago. It is also probed if probeNew
+// is set. A start time of 0 means long ago.
 func (b *Balancer) updateEndpoint(now Micros, in *Endpoint, probeNew bool) {
 	e, startTime, newProcess := b.membership.update(now, in)
 	if !newProcess {
--- a/balancer/breaker.go
+++ b/balancer/breaker.go
@@ -11,18 +11,19 @@
 	breakerBuckets    = 40          // number of buckets in the window
 	maxAcceptFactor   = 1.5         // accept factor K if the latest bucket with outcomes has a success
 	minAcceptFactor   = 1.1         // accept factor K if every bucket of the window has only failures
-	protectedRequests = 5           // a window with no more requests than this drops none: too few to judge by
+	protectedRequests = 5           // a window with at most this many requests drops none: too few to judge by
 
-	// forcedTrialInterval is the time after which a request is let through without a draw, so that a recovery
-	// is noticed.
+	// forcedTrialInterval is the time after which a breaker or the throttle lets a request through as a trial,
+	// without a random draw, so that a recovery is noticed. It is also the shortest time between two trials of
+	// a class; see admission.tooLate.
 	forcedTrialInterval = second
 
 	latencyThresholdFactor    = 3    // multiple of the base latency above which requests are dropped
 	latencyCeilingShare       = 0.95 // share of the client's timeout at which the drop probability is largest
 	maxLatencyDropProbability = 0.3  // upper bound of the drop probability by latency
 
-	// Divisors of the latency averages: with divisor n, an average a becomes (x + (n-1) a) / n by the latest
-	// latency x, which so has a weight of 1/n.
+	// Divisors of the latency averages: with divisor n, the latest latency x changes an average a to
+	// (x + (n-1) a) / n. The weight of x is therefore 1/n.
 	baseLatencyFallDivisor = 4   // divisor for the base latency if x is below it
 	baseLatencyRiseDivisor = 100 // divisor if x is above it: the base latency must not follow an overload
 	currentLatencyDivisor  = 4   // divisor for the current latency
@@ -32,11 +33,11 @@
 type circuitBreaker struct {
 	buckets        [breakerBuckets]breakerBucket // ring of the buckets in the window
 	newestBucket   int64                         // number of the newest bucket, counted from instant 0
-	requests       int                           // sum over the window
-	accepts        int                           // sum over the window
+	requests       int                           // requests in the window
+	accepts        int                           // accepted requests in the window
 	baseLatency    float64                       // microseconds; falls fast, rises slowly; 0 without samples
-	currentLatency float64                       // microseconds; average of the latest few
-	lastTrialAt    Micros                        // instant at which a request was last let through as a trial
+	currentLatency float64                       // microseconds; mean of the latest few; 0 without samples
+	lastTrialAt    Micros                        // instant of the latest trial; see forcedTrialInterval
 }
 
 // breakerBucket counts the requests in one part of the window, breakerWindow/breakerBuckets long. Requests
@@ -122,7 +123,7 @@
 //
 // limited to 0..maxLatencyDropProbability, where threshold = latencyThresholdFactor * base latency and
 // ceiling = latencyCeilingShare * timeout. It is 0 without samples, and if ceiling <= threshold. timeout is
-// the client's in microseconds.
+// the client's timeout in microseconds.
 func (k *circuitBreaker) latencyDropProbability(timeout float64) float64 {
 	threshold := latencyThresholdFactor * k.baseLatency
 	ceiling := latencyCeilingShare * timeout
@@ -134,7 +135,8 @@
 }
 
 // dropProbability returns max(0, (requests - protectedRequests - allowed) / (requests + 1)), where allowed is
-// K times the accepted requests. Client-side throttling in the SRE book has no protected requests.
+// the accept factor K times the number of accepted requests. Client-side throttling in the SRE book has no
+// protected requests.
 func dropProbability(requests, allowed float64) float64 {
 	return max(0, (requests-protectedRequests-allowed)/(requests+1))
 }
@@ -166,8 +168,9 @@
 }
 
 // throttle draws whether the error throttle over all endpoints rejects a request. The throttle is needed
-// where each endpoint gets few requests: no breaker of a single endpoint then counts more than its protected
-// requests. An answer later than the latency objective does not count as accepted, because it shows overload.
+// where each endpoint gets few requests: the window of a single breaker then holds at most protectedRequests,
+// and the breaker drops none. An answer later than the latency objective is not counted as accepted, because
+// it shows overload.
 func (k *breakers) throttle(now Micros) bool {
 	k.recentAttempts.decay(now)
 	probability := dropProbability(k.recentAttempts.requests, maxAcceptFactor*k.recentAttempts.accepts)
--- a/balancer/demand.go
+++ b/balancer/demand.go
@@ -5,24 +5,24 @@
 // Demand: classes and tenants with the statistics of each, and the priority of a request.
 
 const (
-	// quotaTolerance multiplies each tenant's quota, as estimated from this balancer's traffic alone, before the
-	// tenant's rate is compared with it. A rejected share of up to 1 - 1/1.25 therefore lowers no priority.
+	// quotaTolerance multiplies a tenant's quota, as estimated from this balancer's traffic alone. The estimate
+	// is also multiplied by 1 - s, where s is the rejected share: s up to 1 - 1/1.25 = 0.2 lowers no priority.
 	quotaTolerance = 1.25
 
 	// worstWindowMultiplier multiplies Goal.WorstWindow where it is added to Goal.Overall: requests are rejected
 	// only in the worst windows, so priorities matter more there than overall.
 	worstWindowMultiplier = 4.0
 
-	latencyObjectiveDivisor = 5 // a class's work until its first sample = its latency objective / this
+	latencyObjectiveDivisor = 5 // latency objective of a class / its work before the first sample
 
 	// Goal.WorstClass adds this term to the gain of class i, which the method priority defines:
 	//
 	//	WorstClass / max(minWorkShareDivisor, w_i) x exp(-(s_i - min s) / servedInTimeLeadDivisor)
 	//
-	// where w_i is its share of all work, s_i its share of requests served in time, and min s the least s_i of
-	// any class. A lead s_i - min s of servedInTimeLeadDivisor lowers this term by a factor of e.
+	// where w_i is the class's share of all work, s_i its share of requests served in time, and min s the least
+	// s_i of any class. A lead s_i - min s of servedInTimeLeadDivisor lowers this term by a factor of e.
 	minWorkShareDivisor     = 0.05 // lower bound of the divisor w_i
-	servedInTimeLeadDivisor = 0.1  // divides the lead
+	servedInTimeLeadDivisor = 0.1  // divides the lead s_i - min s
 )
 
 // demand holds the classes and tenants of the current settings, and the rate of requests.
@@ -60,7 +60,7 @@
 	return demand{environment: env, rejectedShare: newEWMA(0)}
 }
 
-// configure replaces the classes and tenants. A new one takes the statistics of the earlier one of its name.
+// configure replaces the classes and tenants, but keeps the statistics of each name that remains.
 func (d *demand) configure(s *Settings) {
 	classes := make([]*class, len(s.Classes))
 	for i, definition := range s.Classes {
@@ -88,7 +88,7 @@
 // recentRejectedShare returns the recent share of requests rejected at arrival, 0 to 1.
 func (d *demand) recentRejectedShare() float64 { return d.rejectedShare.value }
 
-// referenceWork returns the mean work of the first class, in microseconds. It stands for a typical request.
+// referenceWork returns the mean work of the first class, in microseconds, as that of a typical request.
 func (d *demand) referenceWork() float64 { return d.classes[0].work.value }
 
 // recordArrival adds a request to the total rate and to the rates of its class and its tenant.
@@ -126,9 +126,9 @@
 	return &class{definition, current.classStats}
 }
 
-// resolveClass returns the class and the tenant of a request, which names both by their positions in the
-// settings that it was read under. Both are nil if the position of the class is out of range. The tenant is
-// also nil if its own position is out of range, or if the current settings have no tenant of its name.
+// resolveClass returns the class and the tenant of a request, whose fields Class and Tenant are positions in
+// the settings ReceivedUnder. Both results are nil if the position of the class is out of range. The tenant
+// is also nil if its own position is out of range, or if the current settings have no tenant of its name.
 func (d *demand) resolveClass(in *Request) (*class, *tenant) {
 	s := in.ReceivedUnder
 	if s == nil {
@@ -192,7 +192,7 @@
 			ownGain = gain
 		}
 	}
-	if !(maxGain > 0) || ownGain < 0 { // !(maxGain > 0) holds for NaN, too
+	if !(maxGain > 0) || ownGain < 0 { // !(maxGain > 0) is also true for NaN
 		return 1 // no weight is set, or the current settings lack r's class
 	}
 	return ownGain / maxGain * d.tenantPriority(now, r)
@@ -206,9 +206,9 @@
 // the priority is w divided by the largest w of any tenant.
 //
 // Only this balancer's traffic and rejections are known. The ratio of total demand to the sum of all quotas
-// is assumed to equal the ratio of requests to admitted requests at this balancer. The priority is relative
-// because a factor common to all tenants would cause more rejections, and these would lower all priorities
-// again.
+// is assumed to equal the ratio of requests to admitted requests at this balancer. Rejections therefore
+// lower w. The priority is relative to the largest w, since rejections would otherwise lower all priorities,
+// and so cause more rejections.
 func (d *demand) tenantPriority(now Micros, r *request) float64 {
 	if r.tenant == nil {
 		return 1
--- a/balancer/discovery.go
+++ b/balancer/discovery.go
@@ -2,7 +2,7 @@
 
 // Discovery: when the balancer calls discovery to subscribe to the endpoint list.
 
-// minInitialBackoff bounds the first backoff after a watch that broke:
+// minInitialBackoff is the lower bound of DrainGrace/4 in the first backoff after a watch broke:
 //
 //	min(PollInterval/20, max(DrainGrace/4, minInitialBackoff))
 //
--- a/balancer/endpoint.go
+++ b/balancer/endpoint.go
@@ -8,7 +8,7 @@
 	ejectThreshold         = 0.4        // failure share from which an endpoint is ejected
 
 	// Weights of the latest outcome in the failure share. A healthy endpoint hardly ever returns an error, but
-	// connection failures and timeouts also occur at healthy endpoints and weigh less.
+	// connection failures and timeouts also occur at healthy endpoints and therefore weigh less.
 	failureWeight           = 0.5
 	connectionFailureWeight = 0.25
 
@@ -20,24 +20,24 @@
 	Endpoint
 	listed       bool    // the endpoint is in the list that is being read
 	cordoned     bool    // operators have removed the endpoint from service
-	awaitsTrial  bool    // this balancer may send an uncordoned endpoint a request at once; see offerTrial
-	warming      bool    // result of the latest call of isWarming
+	awaitsTrial  bool    // uncordoned, and this balancer may send it a request at once; see offerTrial
+	warming      bool    // the endpoint is in slow start, as of the latest call of isWarming
 	warmingSince Micros  // start of the warm-up
 	warmingWork  float64 // work charged since warmingSince plus a start value, in microseconds; see begin
 
-	inFlight           int    // own attempts without an outcome whose body was sent
-	uploading          int    // own attempts without an outcome whose body is still being sent
+	inFlight           int    // this balancer's attempts without an outcome whose body was sent
+	uploading          int    // this balancer's attempts without an outcome whose body is still being sent
 	lastSentAt         Micros // sending time of the latest attempt
 	lastAnsweredSentAt Micros // latest sending time of an attempt to which the endpoint responded
-	lastResponseAt     Micros // latest response to an attempt or a probe
+	lastResponseAt     Micros // time of the latest response to an attempt or a probe
 	probeInFlight      bool
 	lastProbeAt        Micros
 
 	hasReport        bool
 	pooled           bool
-	reportedAt       Micros  // time of the latest load report; 0 if a probe failed since then
-	reportedLoad     float64 // requests of other balancers at the endpoint, by the latest load report
-	inFlightAtReport int     // own requests in flight at reportedAt
+	reportedAt       Micros  // time of the latest load report; 0 if there is none, or a probe failed since
+	reportedLoad     float64 // requests of other balancers at the endpoint, according to the latest report
+	inFlightAtReport int     // inFlight at reportedAt
 	meanReportedLoad ewma    // moving average of reportedLoad
 
 	serviceTimeRatio   ewma    // measured / predicted service time, without the slowdown by the warm-up
@@ -90,6 +90,6 @@
 	e.failureShareAt = now
 }
 
-// isEjected reports whether e is an outlier, which fails so often that it gets attempts only if no other
-// endpoint may get them.
+// isEjected reports whether e is an outlier, which fails so often that other endpoints are preferred; see the
+// methods cost, randomEndpoint and affinityRanking of picker.
 func (e *endpoint) isEjected(now Micros) bool { return e.currentFailureShare(now) >= ejectThreshold }
--- a/balancer/estimates.go
+++ b/balancer/estimates.go
@@ -3,16 +3,16 @@
 import "slices"
 
 // Estimates is what a balancer has learned about the fleet. The next process of the same sidecar continues
-// from it: learning it again takes seconds, in which the first slow answers would count as typical of all
+// from it: learning it again takes seconds, in which the first slow answers would be taken as typical of all
 // endpoints. The JSON keys are those that processes of earlier versions read.
 type Estimates struct {
 	ServiceTimeRatio float64 `json:"Pace"`  // mean of measured / predicted service time over the fleet
 	QueuedProbeShare float64 `json:"Waits"` // share of probes that queued behind requests
-	LateReportShare  float64 `json:"Lag"`   // share of load reports that came late
+	LateReportShare  float64 `json:"Lag"`   // share of load reports that came late; see checkReportDelay
 	ReportsLate      bool    // each endpoint's mean load replaces its reports, as too many came late
 
 	TypicalLoad        float64 `json:"Usual"`     // mean of the requests of other balancers at a warm endpoint
-	TypicalWarmingLoad float64 `json:"UsualCold"` // the same at an endpoint that is warming up
+	TypicalWarmingLoad float64 `json:"UsualCold"` // mean of such requests at an endpoint that is warming up
 
 	WarmingSlowness float64 `json:"Chill"`  // measured share of the slowdown that the warm-up fraction implies
 	WarmingSamples  int     `json:"Chills"` // number of samples in WarmingSlowness
--- a/balancer/events.go
+++ b/balancer/events.go
@@ -71,7 +71,8 @@
 	NotSent              // the attempt was never sent
 )
 
-// Outcome is the result of an attempt. LoadReport is valid only during the call; no decision depends on it.
+// Outcome is the result of an attempt. LoadReport is valid only during the call of HandleOutcome; no decision
+// depends on it.
 type Outcome struct {
 	ID           uint64 // ID of the request
 	Attempt      int    // index of the attempt in the order of sending, from 0
--- a/balancer/ledger.go
+++ b/balancer/ledger.go
@@ -133,7 +133,7 @@
 }
 
 // recordBodyWritten records that the last byte of a streamed request body was sent. After that, the body
-// can't be sent again. The latency of the request and its latest attempt counts from now.
+// can't be sent again. The latency of the request and its latest attempt is measured from now.
 func (l *ledger) recordBodyWritten(now Micros, r *request, deadline Micros) {
 	r.arrivedAt, r.Deadline, r.bodyConsumed = now, deadline, true
 	a := &r.attempts[len(r.attempts)-1]
--- a/balancer/loadreport.go
+++ b/balancer/loadreport.go
@@ -5,8 +5,8 @@
 // This file reads load reports: the figures about an endpoint's load that its answers to probes carry.
 
 const (
-	queuedProbeThreshold = 0.05 // share of queued probes above which probes count as queueing behind requests
-	minRequestsAhead     = 0.5  // a probe counts as queued if it waited for at least this many requests
+	queuedProbeThreshold = 0.05 // share of queued probes above which probes of this fleet queue behind requests
+	minRequestsAhead     = 0.5  // a probe is regarded as queued if it waited for at least this many requests
 
 	initialTypicalLoad        = 0.5 // typical load, in requests, before any report has arrived
 	initialTypicalLoadSamples = 10  // number of samples that initialTypicalLoad stands for in the mean
@@ -19,15 +19,15 @@
 	shareSampleWeight             = 0.02 // weight in the shares of queued probes, late reports and rejections
 
 	maxLateReportShare  = 0.1 // share of late reports above which each endpoint's mean load replaces its reports
-	lateReportTolerance = 0.5 // requests by which a report on time may fall short of the own requests in flight
+	lateReportTolerance = 0.5 // a report on time may count up to this many fewer requests than are in flight
 	arrivalRoundTrips   = 5.0 // round-trip times after which a request is taken to have arrived
 )
 
 // loadReport is the load at an endpoint, as derived from the answer to one probe.
 type loadReport struct {
 	inFlight     float64 // requests at the endpoint; negative if unknown
-	counted      bool    // the endpoint reported a count; if false, inFlight is derived from other figures
-	aheadOfProbe float64 // requests that the probe waited for, from its latency
+	counted      bool    // the endpoint reported inFlight itself; if false, it is derived from other figures
+	aheadOfProbe float64 // requests that the probe waited for, estimated from its latency
 }
 
 // known reports whether the load is known.
@@ -37,8 +37,8 @@
 func (l *loadReport) queued() bool { return l.aheadOfProbe >= minRequestsAhead }
 
 // readReport derives a load report from the answer to a probe of e. load holds the reported figures in the
-// order of Settings.ReportFields. latency is the probe's in microseconds. readReport also updates the latency
-// of e's zone and the share of queued probes.
+// order of Settings.ReportFields. latency is that of the probe, in microseconds. readReport also updates the
+// latency of e's zone and the share of queued probes.
 func (est *estimator) readReport(e *endpoint, latency float64, load []float32) loadReport {
 	fields := est.settings.ReportFields
 	inFlight, queue := reportValue(fields, load, FieldInFlight), reportValue(fields, load, FieldQueue)
@@ -87,8 +87,9 @@
 }
 
 // checkReportDelay detects whether load reports show an earlier load. A report is late if it counts fewer
-// requests than this balancer has in flight at e, unless some of those have not arrived yet. If the share of
-// late reports is high, the load estimates use the mean of each endpoint's reports instead of the latest one.
+// requests than this balancer has in flight at e, unless some of these requests may not have arrived yet.
+// If the share of late reports is high, the load estimates use the mean of each endpoint's reports instead of
+// the latest one.
 func (est *estimator) checkReportDelay(now Micros, e *endpoint, report *loadReport) {
 	sentRequestsArrived := float64(now-e.lastSentAt) > arrivalRoundTrips*est.roundTrip(e)
 	if !report.counted || e.inFlight <= 0 || !sentRequestsArrived {
@@ -112,14 +113,14 @@
 	}
 }
 
-// learnProbeDelay updates the typical load by a probe that has waited for waited microseconds, as if a report
-// had given the load that explains this delay.
+// learnProbeDelay updates the typical load by the time in microseconds that a probe has waited, as if a
+// report had given the load that explains this delay.
 func (est *estimator) learnProbeDelay(waited float64) {
 	est.typicalLoad.add(assumedCores+est.requestsAhead(waited), typicalLoadSampleWeight)
 }
 
-// requestsAhead returns the number n of requests that a probe waits for if it waits for waited microseconds:
-// n = waited / W * assumedCores, where W is the reference work of a request.
+// requestsAhead returns the number n of requests ahead of a probe, estimated from its waiting time:
+// n = t / W * assumedCores, where t is the parameter waited and W the reference work, both in microseconds.
 func (est *estimator) requestsAhead(waited float64) float64 {
 	return waited / est.demand.referenceWork() * assumedCores
 }
--- a/balancer/membership.go
+++ b/balancer/membership.go
@@ -12,7 +12,7 @@
 	cordoned          map[uint64]bool             // whether endpoints are cordoned, by their name
 	restoredEstimates map[uint64]EndpointEstimate // estimates from Restore by name, until the endpoint is listed
 	removedStartTimes map[uint64]Micros           // start times of removed endpoints, by name
-	listReceived      bool                        // a list arrived; cached ones count only without subscription
+	listReceived      bool                        // a list arrived; if subscribing, one that is not cached
 	listReceivedAt    Micros                      // instant of the latest list that is not cached; 0 for none
 	maxWeight         float64                     // largest weight ever listed; random draws are scaled by it
 }
@@ -120,9 +120,9 @@
 
 // effectiveStartTime returns the instant at which the process of an added or restarted endpoint started.
 //
-// The listed start time is by another clock, which may have been stepped. A process that the latest list did
-// not name cannot be warm yet, unless it was removed and is listed again. If its listed start time says that
-// it was warm at the latest list, it is taken to start now.
+// The listed start time was read from another clock, which may have been stepped. A process that the previous
+// list did not name cannot be warm yet, unless it was removed and is listed again. If its listed start time
+// says that it was already warm at the time of the previous list, the process is taken to start now.
 func (m *membership) effectiveStartTime(now Micros, in *Endpoint) Micros {
 	removedStartTime, wasRemoved := m.removedStartTimes[in.Name]
 	returned := wasRemoved && removedStartTime == in.StartTime
--- a/balancer/pick.go
+++ b/balancer/pick.go
@@ -54,7 +54,7 @@
 	objective := float64(r.class.LatencyObjective)
 	expected := p.estimates.latency(now, e, r.work)
 	// An ejected endpoint whose failures are mostly rejections ranks before a late one: a rejected request has
-	// not executed.
+	// not executed, so it can be retried.
 	ejected := e.isEjected(now) && e.rejectedShare.value < maxRejectedShare
 	late := expected > p.estimates.latencyLimit(now, r, e)
 	total := expected + (e.currentFailureShare(now)+indicator(ejected)+indicator(late))*objective
@@ -66,7 +66,7 @@
 // isLocal reports whether e is in the balancer's own zone.
 func (p *picker) isLocal(e *endpoint) bool { return int(e.Zone) == p.settings.Zone }
 
-// mayConsider reports whether the ledger permits to send r to e, e is not excluded, and no attempt of r went
+// mayConsider reports whether the ledger permits sending r to e, e is not excluded, and no attempt of r went
 // to e before. excluded may be nil.
 func (p *picker) mayConsider(now Micros, r *request, excluded, e *endpoint) bool {
 	return e != excluded && !r.triedAt(e) && p.ledger.maySend(now, r, e)
@@ -130,9 +130,10 @@
 // affinityPick returns an endpoint for a request with a key, or nil. The candidates are the first endpoint of
 // affinityRanking in the own zone, the first one in other zones and the next warming endpoint. If the one of
 // least cost would answer too late (requests queue there, and the predicted latency exceeds the limit), the
-// second endpoints of the ranking take the place of the first ones. If the best of these would be too
-// late as well, affinityPick returns nil, and the pool decides. Only where reports are sparse is the pool too
-// old to do better: the first choice is then returned although it is too late, and the request is rejected.
+// second endpoints of the ranking take the place of the first ones. If the best of these would answer
+// too late as well, affinityPick returns nil, and pick selects from the pool of fresh load reports. Only
+// where reports are sparse is this pool too old to do better. affinityPick then returns its first choice
+// although that would answer too late, and admission rejects the request, unless it is sent as a trial.
 func (p *picker) affinityPick(now Micros, r *request, excluded *endpoint) *endpoint {
 	if !p.settings.KeyAffinity || r.Key == 0 {
 		return nil
@@ -182,7 +183,8 @@
 		return e
 	}
 	var best candidate
-	// The random start decides between endpoints of equal cost: all balancers may hold the same list.
+	// The random start decides between endpoints of equal cost. All balancers may hold the same list, and would
+	// otherwise choose the same endpoint.
 	for i, start := 0, int(p.random.uniform()*float64(len(pool))); i < len(pool); i++ {
 		p.consider(now, r, excluded, pool[(start+i)%len(pool)], &best)
 	}
--- a/balancer/prediction.go
+++ b/balancer/prediction.go
@@ -10,22 +10,22 @@
 	assumedCores = 2.0
 
 	maxServiceTimeRatioAge = 10 * second // age at which an endpoint's ratio has faded linearly to the fleet's
-	trendTimeConstant      = second      // time constant of the trend's exponential decay to 1
+	trendTimeConstant      = second      // time constant of the exponential decay of estimator.trend to 1
 
 	// Sample weights: an average a with weight w becomes a + w (x - a) by its latest sample x.
-	serviceTimeRatioSampleWeight      = 0.03 // weight in the ratio of an endpoint
-	fleetServiceTimeRatioSampleWeight = 0.02 // weight in the ratio of the fleet
+	serviceTimeRatioSampleWeight      = 0.03 // weight in the service time ratio of an endpoint
+	fleetServiceTimeRatioSampleWeight = 0.02 // weight in the service time ratio of the fleet
 	workSampleWeight                  = 0.01 // weight in the mean work of a class
 	trendSampleWeight                 = 0.1  // weight in the trend
 
 	minClassWorkShare   = 0.001 // lower bound of a class's work, as a share of its latency objective
-	minRequestWorkShare = 0.1   // lower bound of the divisor of measuredRatio, as a share of the class's work
+	minRequestWorkShare = 0.1   // lower bound of the divisor in measuredRatio, as a share of the class's work
 
 	maxTrendRatio    = 5.0 // upper bound of a trend sample: one outlier must not make the fleet look slow
-	minSlowdownTrend = 1.5 // trend above which the fleet counts as slow; divides the trend in slowdown
+	minSlowdownTrend = 1.5 // trend above which the fleet is regarded as slow; see the method slowdown
 
-	initialWorkHintExponent = 0.5   // exponent before any outcome
-	workHintLearningRate    = 0.005 // exponent step / (ln(hint / mean work) * ln(measured / predicted))
+	initialWorkHintExponent = 0.5   // workHintExponent before any outcome
+	workHintLearningRate    = 0.005 // workHintExponent step / (ln(hint / mean work) * ln(measured / predicted))
 
 	// Shares of a request's headroom (see latencyLimit) that it may spend queueing. The rest of the headroom is
 	// a margin for the variance of latencies.
@@ -42,10 +42,10 @@
 	zoneLatencies         [256]zoneLatency // probe latencies, indexed by Endpoint.Zone
 	fleetServiceTimeRatio ewma             // mean of measured / predicted service time at warm endpoints
 	queuedProbeShare      ewma             // share of probes that queued behind requests
-	lateReportShare       ewma             // share of load reports found to be late
+	lateReportShare       ewma             // share of load reports found to be late; see checkReportDelay
 	reportsLate           bool             // reports are late so often that endpoints' mean loads replace them
 	typicalLoad           cumulativeMean   // mean number of requests of other balancers at a warm endpoint
-	typicalWarmingLoad    cumulativeMean   // the same at a warming endpoint, to which balancers send less
+	typicalWarmingLoad    cumulativeMean   // like typicalLoad, at a warming endpoint, which gets fewer requests
 	workHintExponent      float64          // actual work grows with this power of its hint; 0 to 1
 	trend                 float64          // mean of latency / prediction over all endpoints, as of trendAt
 	trendAt               Micros           // instant of the latest sample of trend
@@ -66,11 +66,11 @@
 //
 //	load = others + own + (B - 1) / 2 * sent
 //
-// where others is the load of other balancers by the latest report, own this balancer's requests in flight
+// where others is the load of other balancers in the latest report, own this balancer's requests in flight
 // at e, B the number of balancers, and sent the increase of own since the report. The last term applies only
-// if probes go in rounds. It assumes that half of the other balancers sent as much as this one: otherwise all
-// would choose the endpoint with the same low report. Without a report, or if reports are late, load is
-// e's mean load + own: late reports do not show the present load, but their mean still ranks endpoints.
+// if probes go in rounds. It assumes that half of the other balancers sent as much as this one; without this
+// term, all would choose the endpoint with the lowest report. Without a report, or if reports are late, load
+// is e's mean load + own: late reports do not show the present load, but their mean still ranks endpoints.
 func (est *estimator) load(now Micros, e *endpoint) float64 {
 	typical := est.typicalLoad.value
 	if e.warming {
@@ -132,7 +132,7 @@
 }
 
 // latency returns the predicted latency in microseconds of a request sent to e now:
-// roundTrip + work * slowdown * serviceTimeRatio * queueingFactor. work is the request's in microseconds.
+// roundTrip + work * slowdown * serviceTimeRatio * queueingFactor. work is in microseconds.
 func (est *estimator) latency(now Micros, e *endpoint, work float64) float64 {
 	return est.roundTrip(e) +
 		work*est.slowdown(now)*est.serviceTimeRatio(now, e)*est.queueingFactor(now, e)
@@ -148,14 +148,14 @@
 //
 //	limit = min(U + share * headroom, D),  headroom = objective - elapsed - U
 //
-// where U is the latency of r at e without load, objective the latency objective of its class, elapsed the
-// time since its arrival, D the time until its deadline, and share the part of the headroom that it may spend
+// where U is the latency of r at e without load, objective the latency objective of r's class, elapsed the
+// time since r's arrival, D the time until r's deadline, and share the part of the headroom that r may spend
 // queueing. Requests of high priority get a larger share, so that those of low priority are shed first.
 func (est *estimator) latencyLimit(now Micros, r *request, e *endpoint) float64 {
 	unloaded := est.roundTrip(e) + r.work*est.slowdown(now)*est.serviceTimeRatio(now, e)
 	queueingShare := max(minQueueingShare, maxQueueingShare*r.priority)
 	if n := len(r.attempts); n > 0 && r.attempts[n-1].declaredLost {
-		// The lost attempt has used up the time for queueing: the next may use all that is left.
+		// The lost attempt has used up the time for queueing: the next one may use all of the headroom.
 		queueingShare = 1
 	}
 	headroom := float64(r.class.LatencyObjective) - float64(now-r.arrivedAt) - unloaded
@@ -177,11 +177,11 @@
 // latencySample is the latency of an attempt, or a lower bound of it.
 type latencySample struct {
 	latency    float64 // microseconds
-	lowerBound bool    // no answer had arrived within latency
+	lowerBound bool    // the attempt had no answer yet after this latency
 }
 
 // learnServiceTime updates the service time ratios, the trend, the work hint exponent, the warming slowness
-// and the work of r's class by the latency of r's attempt a.
+// and the work of r's class from the latency of r's attempt a.
 func (est *estimator) learnServiceTime(now Micros, r *request, a *attempt, sample latencySample) {
 	e, c := a.endpoint, r.class
 	unloaded := max(0, sample.latency-est.roundTrip(e)) / a.queueingFactor
@@ -190,7 +190,7 @@
 	predictedRatio, warmingFactor := est.serviceTimeRatio(now, e), est.warmingSlowdown(now, e)
 	measuredRatio := predictedRatio +
 		(unloaded-predictedRatio*r.work)/max(r.work, minRequestWorkShare*c.work.value)
-	// If a later attempt was answered first, this one may be lost, and its latency then says nothing about
+	// If e answered a later attempt first, this one may be lost, and its latency then says nothing about
 	// service times.
 	if sample.lowerBound && (measuredRatio <= predictedRatio || e.lastAnsweredSentAt > a.sentAt) {
 		return
@@ -226,16 +226,16 @@
 }
 
 // updateTrend updates the trend by one outcome. The trend is needed when the entire fleet slows down or
-// recovers: the ratio of an endpoint to which this balancer sends few requests would show that late. ratio is
-// latency / prediction, with the prediction made without the trend: otherwise requests sent before the trend
-// rose would raise it a second time.
+// recovers: the service time ratio of an endpoint that gets few requests from this balancer shows that late.
+// The parameter ratio is latency / prediction, with the prediction made without the trend: otherwise requests
+// sent before the trend rose would raise it a second time.
 func (est *estimator) updateTrend(now Micros, ratio float64) {
 	trend := est.currentTrend(now)
 	est.trend, est.trendAt = trend+(min(ratio, maxTrendRatio)-trend)*trendSampleWeight, now
 }
 
 // currentTrend returns 1 + (T - 1) * exp(-age / trendTimeConstant), where T is the trend at its latest sample
-// and age is the time since then. Without this decay, a trend that rejects all requests would never end.
+// and age is the time since then. Without the decay, a trend that rejects all requests would never fall.
 func (est *estimator) currentTrend(now Micros) float64 {
 	return 1 + (est.trend-1)*math.Exp(-float64(now-est.trendAt)/float64(trendTimeConstant))
 }
--- a/balancer/probing.go
+++ b/balancer/probing.go
@@ -3,19 +3,19 @@
 // Probing: when endpoints are probed, and the pool of endpoints with a fresh load report, as in Prequal.
 
 const (
-	maxRoundGap       = second / 10 // longest mean delay between rounds, if that time permits a probe
+	maxRoundGap       = second / 10 // longest mean delay between rounds, unless the price permits no probe in it
 	maxProbesPerRound = 3           // endpoints probed in one round, at most
 	lostProbeTimeout  = 5 * second  // an unanswered probe prevents another of the same endpoint for this time
 
 	// Limits on the cost of the probes per request. Each probe costs Prices.Probe, so limit / Prices.Probe is
 	// the permitted number of probes per request. The first limit applies if endpoints are probed in rounds, the
-	// second if probes are sent when a request arrives: the reports are then fresher, and worth more.
+	// second if probes are sent when a request arrives: the reports are then fresher, and so worth more.
 	maxRoundProbeCost   = 0.005
 	maxRequestProbeCost = 0.02
 
 	maxProbesPerRequest     = 4.0
-	minProbedRequestShare   = 0.3  // share of requests that probes are sent for, at least, despite rejections
-	maxProbeWaitShare       = 0.1  // share of its latency objective that a request waits for its probes, at most
+	minProbedRequestShare   = 0.3  // least share of requests for which probes are sent, despite rejections
+	maxProbeWaitShare       = 0.1  // longest wait of a request for probes, as a share of its latency objective
 	reportTTLObjectiveShare = 0.25 // age limit of a report as a share of the latency objective, if withRequests
 
 	// If endpoints are probed in rounds, a report is fresh for the time in which reportTTLRounds probes per
@@ -36,9 +36,9 @@
 	slowStart  *slowStart
 
 	pool             []*endpoint // endpoints with a fresh load report
-	probesPerRequest float64     // probes that the price permits for each request, if withRequests
+	probesPerRequest float64     // probes that the price permits for each request in the mode withRequests
 	withRequests     bool        // probes are sent when a request arrives, not in rounds
-	roundsActive     bool        // the timer of the next round runs
+	roundsActive     bool        // a timer for the next round is running
 }
 
 // start sets probesPerRequest from the price. It starts the probe rounds if probes are permitted and the
@@ -75,8 +75,8 @@
 	}
 }
 
-// freshPool returns the pool for a request of this latency objective. It first drops the endpoints that may
-// not be sent to and those whose report is too old. The caller must not modify the slice.
+// freshPool returns the pool for a request of this latency objective. It first drops the endpoints that are
+// not usable and those whose report is too old. The caller must not modify the slice.
 func (p *prober) freshPool(now, objective Micros) []*endpoint {
 	maxAge := p.maxReportAge(now, objective)
 	kept := p.pool[:0]
@@ -101,14 +101,14 @@
 
 // reportsSparse reports whether probing the complete list once takes longer than reportTTLRounds times
 // minReportTTL. The typical load of the fleet then stands in for the load of nearly all endpoints, and a few
-// outliers must not change it.
+// outliers must not change that typical load much.
 func (p *prober) reportsSparse(now Micros) bool {
 	return p.settings.Limits.Probes && len(p.settings.ReportFields) > 0 &&
 		float64(len(p.membership.list()))/p.rate(now) > reportTTLRounds*float64(minReportTTL)/float64(second)
 }
 
 // probe sends a probe to e if probes are permitted, e is usable and no probe of it is in flight. A probe
-// without answer counts as lost after lostProbeTimeout.
+// without answer is regarded as lost after lostProbeTimeout.
 func (p *prober) probe(now Micros, e *endpoint) {
 	lost := now-e.lastProbeAt > lostProbeTimeout
 	if p.settings.Limits.Probes && e.usable() && (lost || !e.probeInFlight) {
--- a/balancer/request.go
+++ b/balancer/request.go
@@ -35,7 +35,7 @@
 	queueingFactor        float64 // queueing factor of the endpoint at sending time
 	overdueAt             Micros  // instant of the next check whether the attempt is lost
 	suspectedLost         bool    // the attempt was found overdue, and its endpoint was probed
-	declaredLost          bool    // no answer is expected, so a hedged request is permitted; one may still come
+	declaredLost          bool    // no answer is expected, but may still come; a hedged request is permitted
 	warming               bool    // the endpoint was warming up at sending time
 	inFlight              bool    // the attempt has no outcome yet
 	mayHaveExecuted       bool    // the endpoint may have executed the attempt, or may yet execute it
--- a/balancer/retries.go
+++ b/balancer/retries.go
@@ -1,6 +1,7 @@
 package balancer
 
-// Retries and hedged requests.
+// Retries and hedged requests. A retry is an attempt that follows a failed one. A hedged request is an
+// attempt that is sent because an earlier one, still in flight, was declared lost.
 
 const (
 	maxBudget    = 10.0 // limit of a budget, in attempts
@@ -10,11 +11,11 @@
 	lossRateWeight     = 0.02 // weight of the latest outcome in the loss rate
 	minHedgingLossRate = 0.01 // loss rate from which overdue attempts are hedged
 
-	// An attempt is overdue after
+	// An attempt becomes overdue when the time since it was sent reaches
 	//
 	//	max(overdueFactor * predicted latency, minOverdueShare * latency objective)
 	//
-	// since it was sent. If it can't be declared lost at the time of a check, it is checked again after
+	// If the attempt can't be declared lost at the time of a check, it is checked again after
 	//
 	//	time since it was sent / overdueRecheckDivisor
 	overdueFactor         = 2.5
--- a/balancer/rules.go
+++ b/balancer/rules.go
@@ -18,8 +18,9 @@
 			r.class.DeduplicationScope.covers(first, e)
 }
 
-// covers reports whether e drops a duplicate of the first possibly executed attempt: e must be in the same
-// zone or cell as the endpoint of that attempt, or anywhere, as the scope says.
+// covers reports whether e drops duplicates of first, the first possibly executed attempt of a request. Under
+// ScopeAll, e may be any endpoint. Under ScopeZone and ScopeCell, e must be in the zone or cell of the
+// endpoint to which first was sent.
 func (scope DeduplicationScope) covers(first *attempt, e *endpoint) bool {
 	return scope == ScopeAll || scope == ScopeZone && e.Zone == first.zone ||
 		scope == ScopeCell && e.Cell == first.cell
@@ -43,9 +44,9 @@
 }
 
 // restrictIdempotency makes r non-idempotent if the class in force with the name of r's class is stricter
-// than r's idempotency: r may lack the key by which endpoints drop duplicates. It returns the attempts that
-// the host must withdraw: those in flight if r is non-idempotent and several of its attempts may have
-// executed.
+// than r's idempotency. IdempotentWithKey would not be safe, since r may lack the key by which endpoints drop
+// duplicates. restrictIdempotency returns the attempts that the host must withdraw: all in flight, if r is
+// non-idempotent and several of its attempts may have executed.
 func (l *ledger) restrictIdempotency(r *request) (withdrawn []AttemptID) {
 	if c := l.demand.classNamed(r.class.Name); c != nil && c.Idempotency > r.idempotency {
 		r.idempotency = NonIdempotent
--- a/balancer/settings.go
+++ b/balancer/settings.go
@@ -152,7 +152,7 @@
 	Zone                 int
 	Zones                int
 	MachineKinds         int  `json:"Kinds"`
-	SubscribeToDiscovery bool `json:"Subscribe"` // discovery sends lists only in response to calls
+	SubscribeToDiscovery bool `json:"Subscribe"` // endpoint lists arrive only after calls of Actions.Watch
 
 	Classes      []Class
 	Tenants      []Tenant
--- a/balancer/slowstart.go
+++ b/balancer/slowstart.go
@@ -14,14 +14,14 @@
 //
 // where
 //
-//	N = requests that the endpoint may get in OverloadWindow
+//	N = requests that the endpoint may get in OverloadWindow under Contract.OverloadFactor
 //	r = load of the warm endpoints, as a share of their capacity
 //	k = overloadFactorShare x (1 + maxExtraFraction) / workChargeFactor = 0.28 x 2 / 1.15 = 0.49
 //	b = min(maxTrialBalancers, 1 + trialBalancersPerRequest x N) = min(10, 1 + 0.4 N)
 //
 // An overload is expected only from N + 2 sqrt(N) + 2 requests on.
 //
-// The bound k N r holds for four reasons: the bucket fills at overloadFactorShare of the permitted rate, the
+// The bound k N r follows from four facts: the bucket fills at overloadFactorShare of the permitted rate, the
 // likely warm-up fraction is at most 1 + maxExtraFraction times the guaranteed one, each request is charged
 // workChargeFactor times its work, and no balancer starts with the tokens of a complete request. The bounds
 // for an uncordoned endpoint assume r = 1, that is, warm endpoints at full load. They add the
@@ -38,13 +38,13 @@
 	//
 	//	f x maxExtraFraction x min(1, n / samplesForMaxExtraFraction)
 	//
-	// where n is the number of latencies measured. With overloadFactorShare, that stays far below an
-	// overload.
+	// where n is the number of latencies measured. Even with this excess, overloadFactorShare
+	// keeps the load far below an overload.
 	maxExtraFraction           = 1.0
 	samplesForMaxExtraFraction = 20
 
 	// The warming slowness is the measured slowness of warming endpoints as a share of the slowness that their
-	// least warm-up fraction implies.
+	// guaranteed warm-up fraction implies.
 	initialWarmingSlowness = 0.2  // warming slowness before the first sample
 	warmingSlownessWeight  = 0.05 // weight of the latest sample in the average
 
@@ -60,7 +60,7 @@
 	trialRequestsPerBalancer = 2
 )
 
-// slowStart holds the token bucket that all warming endpoints share, and whose turn it is.
+// slowStart holds the token bucket that all warming endpoints share, and chooses which of them is next.
 type slowStart struct {
 	*environment
 	demand     *demand
@@ -78,8 +78,8 @@
 //
 // A balancer with little traffic takes a long time to fill the bucket with the tokens of one request. Each
 // balancer therefore starts with a random number of tokens below that. The initial warmingWork is random,
-// too, so that each starts with a random endpoint. A new endpoint starts at the leastWorkPerFraction of the
-// others; otherwise, it would get all requests until it has caught up.
+// too, so that each balancer starts with a random endpoint. A new endpoint starts at the leastWorkPerFraction
+// of the others; otherwise, it would get all requests until it has caught up.
 func (s *slowStart) begin(now Micros, e *endpoint, since Micros) {
 	requestCharge := workChargeFactor * s.demand.referenceWork()
 	e.warming, e.warmingSince = true, min(since, now)
@@ -169,7 +169,7 @@
 	capacity := max(fillRate*float64(contract.OverloadWindow)/float64(second)/2, work*workChargeFactor)
 	s.tokens += fillRate * float64(now-s.tokensAt) / float64(second)
 	if s.next != nil && s.tokens > capacity {
-		// An endpoint that does not use the tokens is busy or far away, and would block all others. The tokens
+		// If s.next has not used the tokens, it is busy or far away, and would block all others. The tokens
 		// above the capacity are charged to it, so that another endpoint becomes the next.
 		s.next.warmingWork += s.tokens - capacity
 	}
--- a/balancer/waitlist.go
+++ b/balancer/waitlist.go
@@ -29,8 +29,8 @@
 	}
 }
 
-// nextResumable is called when a probe of e has ended. It searches backwards from the exclusive index before
-// for a request that no longer has to wait, and returns that request and its index, or nil if there is none.
+// nextResumable is called when a probe of e has ended. It searches backwards from index before-1 for a
+// request that no longer has to wait, and returns that request and its index, or nil if there is none.
 // The latest request thus comes first. Each request that the search passes no longer awaits the probe of e.
 func (w *waitlist) nextResumable(now Micros, e *endpoint, before int) (*request, int) {
 	for i := min(before, len(w.requests)) - 1; i >= 0; i-- {
