--- a/cmd/sidecar/faults_test.go
+++ b/cmd/sidecar/faults_test.go
@@ -77,7 +77,7 @@
 	return old
 }
 
-// waitForExit waits until the replaced process old exits. It fails the test if the process ended with an error or
+// waitForExit waits until old, the replaced process, exits. It fails the test if the process ended with an error or
 // aborted requests.
 func (fleet *faultyFleet) waitForExit(old *program) {
 	fleet.t.Helper()
@@ -116,7 +116,7 @@
 	maxUnanswered int // limit on requests whose connection ended without a response
 }
 
-// maxUnansweredWhenDrained limits the requests that stay unanswered because a drained sidecar closes an idle connection
+// maxUnansweredWhenDrained limits the requests that get no response because a drained sidecar closes an idle connection
 // while a request is on its way. A client has at most one open connection and one request on it, so each closed
 // connection leaves at most one request unanswered.
 const maxUnansweredWhenDrained = 40
@@ -219,9 +219,9 @@
 }
 
 // Guards against a fault or an operation that ends the process, loses or duplicates a response, or stops the service
-// for good. During each one the process must keep running, each forwarded request must get exactly one response, and
-// requests must be served afterwards. A connection may end without a response to its request only while the sidecar is
-// drained or its process is replaced.
+// for good. During each fault or operation the process must keep running, and each forwarded request must get exactly
+// one response. Requests must be served afterwards. A connection may end without a response to its request only while
+// the sidecar is drained or its process is replaced.
 func TestServesThroughFaults(t *testing.T) {
 	for name, fault := range processFaults {
 		t.Run(name, func(t *testing.T) {
@@ -254,8 +254,8 @@
 	clients.check(t, 100)
 }
 
-// Guards against forwarding too much remaining time after a pause. A process that is stopped while requests wait in its
-// socket would do so if it counted each request's time from the moment when it reads the request.
+// Guards against forwarding too much remaining time after a pause. This would happen if a process that is stopped while
+// requests wait in its socket counted each request's time from the moment when it reads the request.
 func TestPausedProcessForwardsRemainingTime(t *testing.T) {
 	const pause, slack = 500 * time.Millisecond, 350 * time.Millisecond // slack is for a busy machine
 	fleet := newFaultyFleet(t)
@@ -290,8 +290,8 @@
 }
 
 // Guards against losing an operator's confirmed override, or storing a damaged state, when a process is killed during
-// admin calls. After each kill, the state file that the next process uses must hold every override whose admin call
-// succeeded.
+// admin calls. After each kill, the state file that the next process uses must contain every override whose admin
+// call succeeded.
 func TestKilledProcessKeepsConfirmedOverrides(t *testing.T) {
 	fleet := newFaultyFleet(t)
 	expected := map[string]bool{}
@@ -326,8 +326,8 @@
 	}
 }
 
-// checkOverrides checks that the state file at path holds the expected overrides. The keys of expected are endpoint
-// names; the values say whether the endpoint is cordoned. It ignores other endpoints.
+// checkOverrides checks that the state file at path contains the expected overrides. The keys of expected are endpoint
+// names; the values say whether the endpoint is cordoned. checkOverrides ignores endpoints that are not in expected.
 func checkOverrides(t *testing.T, path string, expected map[string]bool) {
 	t.Helper()
 	var stored struct {
--- a/cmd/sidecar/frozen_test.go
+++ b/cmd/sidecar/frozen_test.go
@@ -20,10 +20,10 @@
 	"golang.org/x/sys/unix"
 )
 
-// The tests in this file guard against changes of names and keys that other versions and other programs rely on: those
-// of stored files, environment variables, admin calls, headers and the deploy file. During a hand-over two versions run
-// side by side and read each other's files. An earlier release, from before the names in the code changed, wrote the
-// files in testdata/release.
+// The tests in this file guard against changes of names and keys that other versions and other programs rely on: names
+// and keys in stored files, environment variables, admin calls, headers and the deploy file. During a hand-over two
+// versions run side by side and read each other's files. The files in testdata/release were written by an earlier
+// release, before the names in the code were changed.
 
 // releaseFiles is the folder of the files that the earlier release wrote.
 const releaseFiles = "testdata/release"
@@ -32,7 +32,8 @@
 // covers every setting.
 const releaseHash = "51fb5868301e"
 
-// unusedAddress is an address that refuses connections, so the balancer measures nothing at endpoints there.
+// unusedAddress is an address that refuses connections. An endpoint with this address gives the balancer no
+// measurements.
 const unusedAddress = "127.0.0.1:1"
 
 // releaseConfig returns the configuration of the earlier release with the given addresses in place of its placeholders.
@@ -88,7 +89,7 @@
 	return object
 }
 
-// checkKeys fails the test unless object has exactly the keys in want. The failure message begins with what.
+// checkKeys fails the test unless object has exactly the keys in want. The failure message begins with the text what.
 func checkKeys(t *testing.T, what string, object any, want ...string) {
 	t.Helper()
 	got := slices.Sorted(maps.Keys(object.(map[string]any)))
@@ -114,7 +115,7 @@
 }
 
 // Guards against a version that ignores the files of the earlier release, or stores files that the earlier release
-// cannot read. Either happens when a change in the code also changes the name of a file or one of its keys.
+// cannot read. Either happens when a change in the code also changes the name of a file or one of the file's keys.
 func TestReadsAndWritesFilesOfThePreviousRelease(t *testing.T) {
 	socket := newPassedSocket(t)
 	for _, name := range []string{"oakproxy-state.json", "oakproxy-learned.json"} {
@@ -175,8 +176,8 @@
 	}
 }
 
-// checkLearnedFile waits until the program has stored its estimates (the warm-start data) again. It checks that they
-// equal learned, apart from times, and that the keys in the file are those of the earlier release.
+// checkLearnedFile waits until the program has stored its estimates (the warm-start data) again. It checks that the
+// estimates equal those in learned, apart from times, and that the keys in the file are those of the earlier release.
 func checkLearnedFile(t *testing.T, folder string, learned map[string]any) {
 	t.Helper()
 	written := learned
--- a/cmd/sidecar/largefleet_test.go
+++ b/cmd/sidecar/largefleet_test.go
@@ -24,8 +24,8 @@
 	largeFleetTenants   = 1024
 	largeFleetPeers     = 1024
 	largeFleetSidecars  = 350
-	minMemoryMB         = 32  // smallest setting limits.memory_mb that the platform documents
-	minSockets          = 256 // smallest setting limits.sockets that the platform documents
+	minMemoryMB         = 32  // smallest value of limits.memory_mb that the platform documents, in MB
+	minSockets          = 256 // smallest value of limits.sockets that the platform documents
 )
 
 // endpointList returns the given version of the endpoint list as JSON. If complete is false, the list states that it
@@ -66,7 +66,7 @@
 }
 
 // largeFleet is a discovery service that lists largeFleetEndpoints endpoints, and two servers that stand for the
-// endpoints of the two halves of the list. The second half drains once drain is closed.
+// endpoints of the two halves of the list. Once the channel drain is closed, the second half is listed as Terminating.
 type largeFleet struct {
 	discovery          *httptest.Server
 	ready              countingEndpoint // serves the first half of the list
@@ -91,8 +91,8 @@
 }
 
 // ServeHTTP answers discovery calls. A caller that has version 41 of the list gets version 42. A caller that has
-// version 42 gets version 43, in which the second half drains, once drain is closed. Later calls get no answer; the
-// first of them closes callAfterDrain.
+// version 42 waits until the channel drain is closed, and then gets version 43, in which the second half drains. Later
+// calls get no answer; the first of them closes callAfterDrain.
 func (f *largeFleet) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	switch {
 	case r.FormValue("after") == "41" && r.FormValue("wait_ms") == "0":
@@ -145,8 +145,9 @@
 	return string(text)
 }
 
-// sendReads sends n requests, 16 at a time, with changing tenants and session keys. It fails the test unless each is
-// served. After every 50 requests it counts the program's open file descriptors, and it returns the largest count.
+// sendReads sends n requests, 16 at a time, with changing tenants and session keys. It fails the test unless each
+// request is served. After every 50 requests it counts the program's open file descriptors, and it returns the largest
+// count.
 func sendReads(t *testing.T, p *program, listen string, n int) (descriptors int) {
 	t.Helper()
 	var senders sync.WaitGroup
@@ -218,8 +219,8 @@
 }
 
 // Guards against a sidecar that needs more memory or file descriptors than the smallest documented limits when its
-// configuration and its endpoint list have the full length of a large fleet. It must accept both, serve requests, and
-// continue to serve when half of the endpoints drain at once.
+// configuration and its endpoint list have the full length of a large fleet. The sidecar must accept both, serve
+// requests, and continue to serve when half of the endpoints drain at once.
 func TestLargeFleetFitsSmallestLimits(t *testing.T) {
 	fleet, listen := newLargeFleet(t), freeAddress(t)
 	p := launch(t, command(t, fleet.config(t, listen)))
--- a/cmd/sidecar/main.go
+++ b/cmd/sidecar/main.go
@@ -1,9 +1,9 @@
 // Command sidecar runs one load-balancing sidecar beside an application. It accepts the application's requests and
 // forwards them to the endpoints that discovery lists.
 //
-// The environment variable BALANCER_CONFIG holds the path of its configuration file, which it reads at the start and
-// again after each SIGHUP. SIGTERM and SIGINT shut it down gracefully. It logs to standard error; docs/operations.md
-// describes the log lines.
+// The environment variable BALANCER_CONFIG holds the path of the configuration file. The sidecar reads the file at the
+// start and again after each SIGHUP. SIGTERM and SIGINT shut the sidecar down gracefully. It logs to standard error;
+// docs/operations.md describes the log lines.
 package main
 
 import (
@@ -33,7 +33,7 @@
 	logFlushTimeout = 100 * time.Millisecond
 )
 
-// errNoConfig is the error of a start if the environment variable configVar is not set or empty.
+// errNoConfig is the error of a start if the environment variable configVar is empty or not set.
 var errNoConfig = errors.New("environment variable " + configVar + " is not set")
 
 func main() {
@@ -44,7 +44,7 @@
 }
 
 // logLevel returns the minimum level of log lines. It reads the level from the environment variable logLevelVar, and
-// returns info if the variable is not set or empty.
+// returns info if the variable is empty or not set.
 func logLevel() (level slog.Level, err error) {
 	text := os.Getenv(logLevelVar)
 	if text == "" {
@@ -78,7 +78,8 @@
 	if err != nil {
 		return err
 	}
-	// A log that nobody reads must neither block requests (asynclog drops lines) nor end the process (SIGPIPE).
+	// A log that nobody reads must not block requests, so asynclog drops lines. It must not end the process either, so
+	// SIGPIPE is ignored.
 	signal.Ignore(syscall.SIGPIPE)
 	logWriter := asynclog.New(os.Stderr)
 	defer logWriter.Close(logFlushTimeout)
--- a/cmd/sidecar/main_test.go
+++ b/cmd/sidecar/main_test.go
@@ -18,7 +18,8 @@
 	"oakproxy/internal/faults"
 )
 
-// TestMain runs the program instead of the tests if SIDECAR_TEST_RUN is set. Tests start the test binary that way.
+// TestMain runs the program instead of the tests if SIDECAR_TEST_RUN is set. Tests start the program by running
+// the test binary with this variable.
 func TestMain(m *testing.M) {
 	if os.Getenv("SIDECAR_TEST_RUN") != "" {
 		if injection := os.Getenv(injectionVar); injection != "" {
@@ -116,8 +117,9 @@
 	}
 }
 
-// Guards against an interruption of service while one process replaces another on the same inherited socket. Both must
-// become ready at their own admin addresses, and the second must serve alone after the first is shut down.
+// Guards against an interruption of service while one process replaces another on the same inherited socket. Both
+// processes must become ready at their own admin addresses, and the second must serve alone after the first is shut
+// down.
 func TestHandOverOnPassedSocket(t *testing.T) {
 	socket := newPassedSocket(t)
 	http.DefaultTransport.(*http.Transport).CloseIdleConnections()
@@ -148,7 +150,7 @@
 	waitFor(t, "the second process to answer", func() bool { return second.health() == http.StatusServiceUnavailable })
 	ended := make(chan error, 1)
 	for i := range 400 {
-		if i == 200 { // a rollback ends the second process
+		if i == 200 { // as in a rollback, end the second process
 			second.signal(syscall.SIGTERM)
 			go func() { ended <- second.Wait() }()
 		}
--- a/cmd/sidecar/program_test.go
+++ b/cmd/sidecar/program_test.go
@@ -42,7 +42,7 @@
 	return listener.Addr().String()
 }
 
-// configJSON returns a configuration that listens at listen. It has one class, and one endpoint that refuses
+// configJSON returns a configuration with the given listen address. It has one class, and one endpoint that refuses
 // connections.
 func configJSON(listen string) string {
 	return fmt.Sprintf(`{"name":"n0","listen":%q,"discovery":"127.0.0.1:1","seed":"1f",
@@ -77,7 +77,7 @@
 	return strings.Count(l.text.String(), text)
 }
 
-// waitFor waits until condition returns true. After 20 s it fails the test with a message that contains what.
+// waitFor waits until condition returns true. After 20 s it fails the test with a message that contains the text what.
 func waitFor(t *testing.T, what string, condition func() bool) {
 	t.Helper()
 	for deadline := time.Now().Add(20 * time.Second); !condition(); time.Sleep(5 * time.Millisecond) {
@@ -144,7 +144,7 @@
 }
 
 // withEndpoint starts an endpoint that responds with status 200. It returns the configuration text with the address of
-// that endpoint in place of the one that refuses connections.
+// that endpoint in place of the address that refuses connections.
 func withEndpoint(t *testing.T, text string) string {
 	t.Helper()
 	endpoint := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
--- a/cmd/sidecar/termination_test.go
+++ b/cmd/sidecar/termination_test.go
@@ -43,9 +43,9 @@
 	return e.ids[id]
 }
 
-// terminationConfig returns a configuration that listens at listen. It has the given number of endpoints, all at the
-// address endpoint, and two classes, whose longest deadline is 0.7 s. If a test has at least one endpoint per request,
-// no request is rejected because other requests time out.
+// terminationConfig returns a configuration with the given listen address. It has the given number of endpoints, all at
+// the same given address, and two classes, whose longest deadline is 0.7 s. If a test has at least one endpoint per
+// request, timeouts of some requests cannot cause the rejection of others.
 func terminationConfig(listen, endpoint string, endpoints int) string {
 	hosts := make([]string, endpoints)
 	for i := range hosts {
@@ -59,7 +59,8 @@
 			`{"name":"order","repeat":"side_effect","target":300000,"give-up":700000}]`, 1)
 }
 
-// lateRequest is a request that is sent on an idle connection after SIGTERM, with a delay.
+// lateRequest is a request that is sent on an idle connection after SIGTERM. delay is the time from SIGTERM until it is
+// sent, and timeLeft is the remaining time that it states in X-Time-Left-Ms.
 type lateRequest struct {
 	id, method, class string
 	delay, timeLeft   time.Duration
--- a/cmd/sidecar/traffic_test.go
+++ b/cmd/sidecar/traffic_test.go
@@ -103,8 +103,8 @@
 	}
 }
 
-// newFaultProxy starts a proxy in front of the endpoint at the address to. The proxy injects a fault into most of its
-// connections: a delay, a truncated response, small chunks, no response, or a reset.
+// newFaultProxy starts a proxy in front of an endpoint, whose address is the argument to. The proxy injects a fault
+// into most of its connections: a delay, a truncated response, small chunks, no response, or a reset.
 func newFaultProxy(t *testing.T, to string) (address string) {
 	t.Helper()
 	proxy, err := faults.NewProxy(to, func(connection int) faults.ConnFault {
@@ -138,11 +138,11 @@
 	stopping chan struct{}    // closed to stop the clients
 	clients  sync.WaitGroup
 
-	answered, served atomic.Int64         // requests with a response, and those of them with status 200
+	answered, served atomic.Int64         // numbers of requests that got any response, and that got status 200
 	mu               sync.Mutex           // guards the fields below
-	violations       []string             // messages, which check reports
+	violations       []string             // messages that the method check reports
 	unanswered       []string             // ids of requests whose connection ended without a response
-	abandoned        map[string]time.Time // when clients abandoned requests, by id
+	abandoned        map[string]time.Time // times at which clients abandoned their requests, by the request's id
 }
 
 // trafficTimeLeft is the remaining time that each request states in X-Time-Left-Ms.
@@ -221,7 +221,7 @@
 	}
 }
 
-// writeRequest writes a request of class order if nonIdempotent, and otherwise one of class read.
+// writeRequest writes a request of class order if nonIdempotent is true, and a request of class read otherwise.
 func (tr *traffic) writeRequest(conn net.Conn, id string, nonIdempotent bool) error {
 	method, class := http.MethodGet, "read"
 	if nonIdempotent {
@@ -274,9 +274,9 @@
 	return err == nil && !response.Close
 }
 
-// recordUnanswered records a request whose connection ended without a response. That is allowed if the sidecar closed
-// the idle connection while the request was on its way. It is a violation if the client's read timed out; check also
-// fails the test if the sidecar had forwarded the request.
+// recordUnanswered records a request whose connection ended without a response. Such an end is allowed if the sidecar
+// closed the idle connection while the request was on its way, but it is a violation if the client's read timed out.
+// The method check also fails the test if the sidecar had forwarded the request.
 func (tr *traffic) recordUnanswered(id string, err error) {
 	var netErr net.Error
 	if errors.As(err, &netErr) && netErr.Timeout() {
@@ -287,8 +287,9 @@
 	tr.mu.Unlock()
 }
 
-// check fails the test if there were violations. maxUnanswered limits the requests whose connection ended without a
-// response.
+// check fails the test if there were violations, if a forwarded request got no response, if an abandoned request
+// arrived at an endpoint too late, or if no request was served. maxUnanswered limits the requests whose connection
+// ended without a response.
 func (tr *traffic) check(t *testing.T, maxUnanswered int) {
 	t.Helper()
 	tr.mu.Lock()
--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -1,5 +1,7 @@
-// Package admin serves the calls of operators at the sidecar's second address, admin_addr: the health check, cordon and
-// uncordon of an endpoint, and quiesce and resume of the sidecar.
+// Package admin serves the calls of operators at the sidecar's second address, which the setting admin_addr holds: the
+// health check, cordon and uncordon of an endpoint, and quiesce and resume of the sidecar. A cordoned endpoint gets no
+// new attempts until it is uncordoned. Quiesce begins a drain, during which clients are made to leave the sidecar, and
+// resume ends it.
 //
 // The package shares no connections, limits or memory budget with the listener for clients, so that operators can reach
 // the sidecar when it is overloaded. It passes what operators set to an operatorstate.Store, which applies it and keeps
@@ -32,7 +34,7 @@
 
 const (
 	maxHeadBytes = 4 << 10
-	maxBodyBytes = 4 << 10 // limits the body of a call, which is read and discarded
+	maxBodyBytes = 4 << 10 // maximum size of the body of a call; the body is read and discarded
 )
 
 // Sidecar is the part of the sidecar that admin calls query. Its methods must be safe for concurrent use.
@@ -59,8 +61,8 @@
 	handle func(request *http.Request) error
 }
 
-// callError is the failure of a call with the status code and text of the response. The response to any other error
-// has status 500.
+// callError is the error of a failed call. It holds the status code and the text of the response. The response to any
+// other error has status 500.
 type callError struct {
 	statusCode int
 	reason     string
@@ -100,9 +102,9 @@
 }
 
 // Serve serves calls until ctx ends. It also refreshes the store regularly, to apply what operators set in another
-// process of the same sidecar. If MaxConnections connections are open, one without an open call is closed to make room
-// for a new one: one that is being closed already or, if there is none, the one that has been silent for longest. The
-// error says why the listener ended and is never nil; it is http.ErrServerClosed after the end of ctx.
+// process of the same sidecar. If MaxConnections connections are open, a new connection takes the place of a connection
+// without an open call: one that is being closed already or, if there is none, the one that has been silent for
+// longest. The error says why the listener ended and is never nil; it is http.ErrServerClosed after the end of ctx.
 func (s *Server) Serve(ctx context.Context, listener net.Listener) error {
 	s.store.Refresh()
 	go s.followStore(ctx)
--- a/internal/asynclog/writer.go
+++ b/internal/asynclog/writer.go
@@ -25,7 +25,7 @@
 
 	mu      sync.Mutex
 	closed  bool
-	dropped int // lines dropped since the last call of takeDropped
+	dropped int // number of lines dropped since the last call of takeDropped
 }
 
 // New returns a Writer to destination and starts its goroutine, which ends after Close, once the queue is empty. Errors
--- a/internal/downstream/body.go
+++ b/internal/downstream/body.go
@@ -15,7 +15,8 @@
 	// maxBodyLag limits the lag of a body that takes longer than smallRequestTimeout: how much later the body arrives
 	// than at minBodyRate.
 	maxBodyLag = 900 * time.Millisecond
-	// minBodyRate is the lowest rate of a large body, in bytes per second. Slow clients write at twice this rate.
+	// minBodyRate is the lowest rate of a large body, in bytes per second. Slow clients write at twice this rate, so
+	// this limit does not affect them.
 	minBodyRate = 32 << 10
 	// MaxLinger is how long a client may go on writing a request that was rejected before it was read completely.
 	MaxLinger = 2 * time.Second
@@ -28,9 +29,9 @@
 type Body struct {
 	conn           *Conn
 	body           io.Reader
-	smallDeadline  time.Time     // smallRequestTimeout after the start of the request
-	remainingLag   time.Duration // maxBodyLag less the current lag behind minBodyRate
-	remainingBytes int64         // httpmsg.MaxBodyBytes less the bytes read so far
+	smallDeadline  time.Time     // no minimum rate before this time: smallRequestTimeout after the start of the request
+	remainingLag   time.Duration // how much the lag behind minBodyRate may still grow: maxBodyLag less the current lag
+	remainingBytes int64         // how many bytes may still be read: httpmsg.MaxBodyBytes less the bytes read so far
 }
 
 // NewBody returns a Body that reads from body, which is the body of the request that is being read from c.
@@ -46,8 +47,8 @@
 	}
 }
 
-// Read reads the part of the body that has arrived, and waits if there is none. The error is ErrBodyTooLarge if the
-// body exceeds httpmsg.MaxBodyBytes, and matches os.ErrDeadlineExceeded if the body arrives too slowly.
+// Read reads the part of the body that has arrived, and waits if no bytes have arrived. The error is ErrBodyTooLarge if
+// the body exceeds httpmsg.MaxBodyBytes, and matches os.ErrDeadlineExceeded if the body arrives too slowly.
 func (b *Body) Read(p []byte) (int, error) {
 	start := time.Now()
 	deadline := start.Add(b.remainingLag)
@@ -64,10 +65,10 @@
 	return n, err
 }
 
-// Discard reads and drops the remainder of the body of a client that is still writing after its response was sent. It
+// Discard reads and drops the remainder of a body that the client is still writing after its response was sent. It
 // ends at the end of the body or when a read fails. It begins no read after maxDuration has passed, but does not
-// interrupt a read that is waiting. Without Discard, the kernel would reset a connection that is closed with unread
-// bytes, and the client could get the reset instead of its response.
+// interrupt a read that is waiting. Discard is needed because the kernel resets a connection that is closed with unread
+// bytes, and the client could then get the reset instead of its response.
 func (b *Body) Discard(maxDuration time.Duration) {
 	chunk := httpmsg.ChunkBuffers.Get().(*[httpmsg.ChunkBytes]byte)
 	defer httpmsg.ChunkBuffers.Put(chunk)
--- a/internal/downstream/conn.go
+++ b/internal/downstream/conn.go
@@ -31,25 +31,29 @@
 	// The following fields are guarded by listener.mu.
 	state        connState     // changed only by listener.setState
 	listElement  *list.Element // the entry in listener.waiting (stateWaiting) or listener.closing (stateClosing); else nil
-	lastActivity time.Time     // the latest of the accept, the last bytes read and the end of the last request
+	lastActivity time.Time     // latest of these times: accept, last bytes read, end of the last request
 	used         bool          // a request has begun on the connection
 
 	mu sync.Mutex // guards the fields below
 
 	// The request that is being read, and its response.
-	head             httpmsg.HeadScanner // scans what was read since the last complete request
-	requestStart     time.Time           // time of the accept; for later requests: of the first byte, zero until then
-	responseWritten  bool                // something was written since the start of the request
-	awaitingResponse bool                // a complete request was read and its response has not begun
-	pipelined        bool                // bytes were read after a complete request; they are not served
-	disconnected     chan struct{}       // closed on a disconnect after pipelined bytes; nil before NotifyDisconnect
+	head httpmsg.HeadScanner // scans what was read since the last complete request
+	// requestStart is the time at which the request began: the accept for the first request of the connection, and the
+	// first byte for each later request. Until that byte it is zero.
+	requestStart     time.Time
+	responseWritten  bool          // something was written since the start of the request
+	awaitingResponse bool          // a complete request was read and its response has not begun
+	pipelined        bool          // bytes were read after a complete request; they are not served
+	disconnected     chan struct{} // closed on a disconnect after pipelined bytes; nil before NotifyDisconnect
 
 	// Whether the connection may be read, and how it is closed.
-	phase         readPhase // changed only by setPhase
-	readDeadline  time.Time // latest deadline set by net/http or Body; expireIfIdle sets only that of the socket
-	peerClosed    bool      // the client has closed its side, or the connection is broken
-	resetOnClose  bool      // the connection is closed with a reset
-	rejectPartial bool      // Close answers a partly received request with rejectionResponse
+	phase readPhase // changed only by setPhase
+	// readDeadline is the read deadline that net/http or Body set last. expireIfIdle and rejectIfPartial change only the
+	// deadline of the socket, so that readDeadline can be restored.
+	readDeadline  time.Time
+	peerClosed    bool // the client has closed its side, or the connection is broken
+	resetOnClose  bool // the connection is closed with a reset
+	rejectPartial bool // Close answers a partly received request with rejectionResponse
 }
 
 // newConn returns the Conn for raw, a connection that was just accepted.
@@ -78,7 +82,7 @@
 }
 
 // recordRead records the result of a read of the socket, and returns the result for the caller of Read. If the
-// connection was evicted or closed during the read, that is net.ErrClosed and no data.
+// connection was evicted or closed during the read, the result is net.ErrClosed and no data.
 func (c *Conn) recordRead(data []byte, err error) (int, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -127,16 +131,16 @@
 }
 
 // limitSendBuffer limits how many bytes of a response the kernel holds that the client has not received yet. If a
-// client stops reading, a write then soon blocks and reaches its deadline. If the kernel refuses the limit, that
-// happens only after more bytes were written.
+// client stops reading, a write then soon blocks and reaches its deadline. If the kernel refuses the limit, the write
+// blocks only after more bytes.
 func (c *Conn) limitSendBuffer(bytes int) {
 	if t, ok := c.Conn.(*net.TCPConn); ok {
 		_ = t.SetWriteBuffer(bytes)
 	}
 }
 
-// BeginRequest marks that a request is open on the connection, which from then on is neither evicted nor expired. It
-// returns false if the connection was evicted or closed; the request must not be served then.
+// BeginRequest marks that a request is open on the connection. Until EndRequest, the connection is then neither evicted
+// nor expired. BeginRequest returns false if the connection was evicted or closed; the request must not be served then.
 func (c *Conn) BeginRequest() bool {
 	c.listener.mu.Lock()
 	defer c.listener.mu.Unlock()
--- a/internal/downstream/conn_close.go
+++ b/internal/downstream/conn_close.go
@@ -59,7 +59,7 @@
 // closeWithReason closes the connection and counts the close under reason. Calls after the first do nothing.
 func (c *Conn) closeWithReason(reason closeReason) {
 	c.mu.Lock()
-	evicted := c.phase == phaseEvicted // evictOne has counted the close then
+	evicted := c.phase == phaseEvicted // if so, evictOne has counted the close
 	closeNow := c.resetOnClose || c.peerClosed || evicted
 	sendRejection := c.rejectPartial && c.head.Size > 0 && c.head.HeadSize == 0 && !c.responseWritten
 	firstCall := c.setPhase(phaseClosed)
@@ -120,9 +120,9 @@
 }
 
 // expireIfIdle starts the expiry of the connection if nothing was read from it since the last complete request. It
-// wakes the waiting read, which calls cancelExpiry to decide whether the connection is closed. It may be called
-// repeatedly, which is needed if net/http has set a deadline of its own since the last call: the read would otherwise
-// go on waiting. The caller holds listener.mu.
+// wakes the waiting read, which calls cancelExpiry to decide whether the connection is closed. A repeated call sets the
+// deadline in the past again: if net/http has replaced it by a deadline of its own since the last call, the read would
+// otherwise continue to wait. The caller holds listener.mu.
 func (c *Conn) expireIfIdle() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -135,9 +135,9 @@
 }
 
 // cancelExpiry is called when a read has reached its deadline. It returns true if the deadline was set by expireIfIdle
-// and bytes have arrived nevertheless: closing the connection would lose a request then, so the read is to be repeated.
-// If no bytes have arrived, or the deadline in c.readDeadline has passed, too, it completes the expiry and returns
-// false. It also returns false if the connection is not expiring.
+// and bytes have arrived nevertheless. Closing the connection would then lose a request, so the caller must repeat the
+// read. If no bytes have arrived, or the deadline in c.readDeadline has passed, too, cancelExpiry completes the expiry
+// and returns false. It also returns false if the connection is not expiring.
 func (c *Conn) cancelExpiry() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/downstream/conn_test.go
+++ b/internal/downstream/conn_test.go
@@ -24,8 +24,8 @@
 func (c *brokenConn) Read([]byte) (int, error)        { return 0, c.err }
 func (c *brokenConn) SetReadDeadline(time.Time) error { return nil }
 
-// A connection that breaks because of a timeout, a router's error or a reset counts as closed by its peer. If it breaks
-// after the last byte of a request, the request may have been executed.
+// A connection that breaks because of a timeout, a router's error or a reset is treated as closed by its peer. If the
+// connection breaks after the last byte of a request, the request may have been executed.
 func TestBrokenConnectionCountsAsClosedByPeer(t *testing.T) {
 	for _, errno := range []syscall.Errno{syscall.ETIMEDOUT, syscall.EHOSTUNREACH, syscall.ENETUNREACH,
 		syscall.ECONNRESET, syscall.EPIPE} {
@@ -171,7 +171,7 @@
 	if got, err := read(c); got != "GET" || err != nil {
 		t.Errorf("read %q with error %v, want %q and no error", got, err, "GET")
 	}
-	l.ExpireIdle(0, 0) // a part of a request was read
+	l.ExpireIdle(0, 0) // has no effect, because a part of a request was read
 	io.WriteString(client, " /")
 	if got, err := read(c); got != " /" || err != nil {
 		t.Errorf("after a part of a request: read %q with error %v, want %q and no error", got, err, " /")
--- a/internal/downstream/listener.go
+++ b/internal/downstream/listener.go
@@ -12,8 +12,8 @@
 	"oakproxy/internal/system"
 )
 
-// MaxRejected is the largest number of connections beyond the limit that may be open at a time while they are being
-// rejected. They use file descriptors that the sidecar keeps in reserve.
+// MaxRejected is the largest number of connections beyond Listener.MaxConnections that may be open at a time while they
+// are being rejected. They use file descriptors that the sidecar keeps in reserve.
 const MaxRejected = 4
 
 // acceptErrorLogInterval is the minimum time between two log lines about failed accepts.
@@ -25,7 +25,8 @@
 // Accept must be called by one goroutine only, that of net/http's Serve. All other methods are safe for concurrent use.
 type Listener struct {
 	net.Listener
-	// Log receives a line for failed accepts. Nil means that they are not logged. Set it before the first Accept.
+	// Log receives at most one line about failed accepts per acceptErrorLogInterval. Nil means that they are not logged.
+	// Set it before the first Accept.
 	Log *slog.Logger
 	// MaxConnections is the limit on open connections. Once Accept was called, only SetLimits changes it, with mu held.
 	MaxConnections int
@@ -36,8 +37,8 @@
 	mu                 sync.Mutex // guards the fields below and some fields of Conn; taken before Conn.mu
 	open               int        // the number of open connections, rejected and half-closed ones included
 	used               int        // the number of open connections on which a request has begun
-	waiting            list.List  // the *Conn in stateWaiting; the one without activity for longest is first
-	closing            list.List  // the *Conn in stateClosing; the one half-closed for longest is first
+	waiting            list.List  // every *Conn in stateWaiting, ordered by lastActivity, the earliest first
+	closing            list.List  // every *Conn in stateClosing, ordered by the time of the half-close, the earliest first
 	closeCounts        CloseCounts
 	acceptErrors       uint64
 	lastAcceptErrorLog time.Time
@@ -45,11 +46,13 @@
 
 // Accept returns the next connection, which is a *Conn. If the limit is reached, Accept makes room by evicting a
 // connection that carries no request: one that is being closed or, if there is none, the one that has been silent for
-// longest. The latter may be idle or have sent a part of a head: a client that is merely slow keeps sending, and so is
-// not silent for long. If no connection can be evicted, the new one gets a 503 and is closed.
+// longest. A silent connection may be idle or have sent a part of a request head. A client that is merely slow keeps
+// sending, so its connection is not silent for long. If no connection can be evicted, the new one gets a 503 and is
+// closed.
 //
-// After an error of accept(2) that is transient or concerns one connection, Accept tries again: net/http would stop
-// serving after some of them. It returns only errors after which no later call can succeed, such as net.ErrClosed.
+// After an error of accept(2) that is transient or concerns one connection, Accept tries again, because net/http would
+// stop serving after some of these errors. It returns only errors after which no later call can succeed, such as
+// net.ErrClosed.
 func (l *Listener) Accept() (net.Conn, error) {
 	for {
 		raw, err := l.Listener.Accept()
--- a/internal/downstream/pipelining.go
+++ b/internal/downstream/pipelining.go
@@ -8,11 +8,11 @@
 // maxPipelinedBytes limits how many bytes are read after a request to notice that the client disconnects.
 const maxPipelinedBytes = 1 << 20
 
-// NotifyDisconnect marks that a complete request was read and awaits its response. nothingFollows is the result of
-// FinishRequestRead: no bytes after the request were read. If the client sends bytes after the request and closes its
-// side before the response begins, the returned channel is closed. Clients must send one request at a time, so those
-// bytes are not served. net/http does not notice a disconnect after such bytes: while a handler runs, it reads only one
-// byte.
+// NotifyDisconnect marks that a complete request was read and awaits its response. nothingFollows must be the result of
+// FinishRequestRead, which is true if no bytes after the request were read. The returned channel is closed if the
+// client sends bytes after the request and disconnects before the response begins. net/http does not notice such a
+// disconnect: while a handler runs, it reads only one byte, and so does not reach the end of the connection. The bytes
+// themselves are not served, because clients must send one request at a time.
 func (c *Conn) NotifyDisconnect(nothingFollows bool) (disconnected <-chan struct{}) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/downstream/relay.go
+++ b/internal/downstream/relay.go
@@ -42,7 +42,7 @@
 	}
 }
 
-// writeAndFlush writes one chunk to w and flushes it to the socket by control.
+// writeAndFlush writes one chunk to w and flushes it to the socket with control.
 func writeAndFlush(w io.Writer, control *http.ResponseController, chunk []byte) error {
 	if _, err := w.Write(chunk); err != nil {
 		return fmt.Errorf("write a chunk of the response: %w", err)
--- a/internal/downstream/request_error.go
+++ b/internal/downstream/request_error.go
@@ -7,7 +7,7 @@
 	"oakproxy/internal/httpmsg"
 )
 
-// RequestError is the error for a request that is rejected because of its contents. Match it by errors.As.
+// RequestError is the error for a request that is rejected because of its contents. Match it with errors.As.
 type RequestError struct {
 	StatusCode int    // the status code of the rejection
 	reason     string // the text of the rejection's body
--- a/internal/downstream/state.go
+++ b/internal/downstream/state.go
@@ -2,7 +2,8 @@
 
 import "time"
 
-// connState is the state by which the listener accounts for a connection. Listener.mu guards it.
+// connState says how the listener counts a connection and which of the listener's lists contains it. Listener.mu guards
+// the state.
 type connState uint8
 
 const (
@@ -10,7 +11,7 @@
 	stateWaiting                    // no request is open: the connection is idle, or its next request is being read
 	stateServing                    // a request is open: from BeginRequest to EndRequest or Close
 	stateRejecting                  // the connection limit is reached: the connection gets a 503 and is closed
-	stateClosing                    // half-closed, until the client closes its side
+	stateClosing                    // half-closed: the sidecar has closed its side, but the client has not
 	stateReleased                   // no longer counted as open: its file descriptor is released
 	connStateCount
 )
@@ -25,16 +26,16 @@
 	stateWaiting: {
 		stateServing:  true, // BeginRequest
 		stateClosing:  true, // Close
-		stateReleased: true, // Close of a broken connection, or eviction
+		stateReleased: true, // Close once the client has closed its side or the connection is broken, or eviction
 	},
 	stateServing: {
 		stateWaiting:  true, // EndRequest
 		stateClosing:  true, // Close
-		stateReleased: true, // Close of a broken connection, or with a reset
+		stateReleased: true, // Close once the client has closed its side or the connection is broken, or after ResetOnClose
 	},
 	stateRejecting: {
 		stateClosing:  true, // Close, once the rejection is written
-		stateReleased: true, // Close of a broken connection
+		stateReleased: true, // Close once the client has closed its side or the connection is broken
 	},
 	stateClosing: {
 		stateReleased: true, // the client has closed its side, closeTimeout has passed, or eviction
--- a/internal/downstream/state_test.go
+++ b/internal/downstream/state_test.go
@@ -5,7 +5,7 @@
 // Each transition that connTransitions allows updates the counts and lists to match the state. Any other transition
 // changes nothing.
 func TestSetStateKeepsCountsAndListsInStep(t *testing.T) {
-	// pathTo lists, for each state, transitions that lead to it from stateNew.
+	// pathTo lists, for each state, the states that a connection in stateNew must enter in turn to reach it.
 	pathTo := [connStateCount][]connState{
 		stateWaiting:   {stateWaiting},
 		stateServing:   {stateWaiting, stateServing},
--- a/internal/faults/process.go
+++ b/internal/faults/process.go
@@ -23,7 +23,7 @@
 const rlimitNoFile = 7 // RLIMIT_NOFILE on Linux
 
 // LimitDescriptors sets the soft limit on the file descriptors of a process, and returns the previous limit. While the
-// process has that many or more open, accept and socket fail with EMFILE.
+// process has at least limit descriptors open, accept and socket fail with EMFILE.
 func LimitDescriptors(process *os.Process, limit uint64) (previous uint64, err error) {
 	var old syscall.Rlimit
 	if err := prlimit(process.Pid, nil, &old); err != nil {
@@ -35,7 +35,8 @@
 	return old.Cur, nil
 }
 
-// prlimit stores the RLIMIT_NOFILE of a process in old and sets it to next. It skips an argument that is nil.
+// prlimit stores the RLIMIT_NOFILE of a process in old, and sets the limit to next. If old is nil, it stores nothing.
+// If next is nil, it does not change the limit.
 func prlimit(pid int, next, old *syscall.Rlimit) error {
 	_, _, errno := syscall.RawSyscall6(syscall.SYS_PRLIMIT64, uintptr(pid), rlimitNoFile,
 		uintptr(unsafe.Pointer(next)), uintptr(unsafe.Pointer(old)), 0, 0)
--- a/internal/faults/proxy.go
+++ b/internal/faults/proxy.go
@@ -24,12 +24,12 @@
 // Proxy is a TCP proxy on the loopback interface in front of one address. NewProxy starts it and Close stops it.
 type Proxy struct {
 	upstream    string                         // address of the endpoint
-	chooseFault func(connection int) ConnFault // returns the fault of a connection, by the connection's number
+	chooseFault func(connection int) ConnFault // returns the fault of a connection, given the connection's number, from 0
 	listener    net.Listener
 }
 
 // NewProxy starts a proxy in front of the address upstream. chooseFault returns the fault of a connection, given the
-// connection's number, which counts from 0. It is not called concurrently.
+// connection's number, which counts from 0. chooseFault is not called concurrently.
 func NewProxy(upstream string, chooseFault func(connection int) ConnFault) (*Proxy, error) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -90,7 +90,7 @@
 }
 
 // relayResponses forwards the endpoint's bytes to the client until either side ends the connection. If f.TruncateAfter
-// is not 0, it stops after that many bytes.
+// is not 0, it stops after that many bytes and, unless f.CleanEnd is set, makes the later close of client a reset.
 func (f ConnFault) relayResponses(client, endpoint *net.TCPConn) {
 	forwarded, buffer := 0, make([]byte, 32<<10)
 	if f.ChunkBytes > 0 {
--- a/internal/handover/doc.go
+++ b/internal/handover/doc.go
@@ -1,5 +1,5 @@
 // Package handover lets the processes of one sidecar share its listening socket, and detect each other while one
-// replaces the other.
+// process replaces another. To be detected, each process holds a slot: a locked file in a directory that they share.
 //
 // The package guarantees:
 //
--- a/internal/handover/listen.go
+++ b/internal/handover/listen.go
@@ -22,9 +22,10 @@
 	ErrNotTCP        = errors.New("not TCP")
 )
 
-// Listen returns the listener for clients. If passed is empty, it is a new listener at address; otherwise passed is the
-// number of the descriptor of an inherited listening socket. Until ctx ends, Listen retries errors that are transient
-// during a start (system.RetryAtStart). An error about the inherited socket names config.InheritedSocketVariable.
+// Listen returns the listener for clients. If the argument passed is empty, Listen opens a new listener at address.
+// Otherwise passed is the descriptor number of an inherited listening socket, and the listener uses that socket. Until
+// ctx ends, Listen retries errors that are transient during a start (system.RetryAtStart). An error about the inherited
+// socket names config.InheritedSocketVariable.
 func Listen(ctx context.Context, address, passed string) (net.Listener, error) {
 	if passed == "" {
 		listener, err := ListenAt(ctx, address)
@@ -51,9 +52,9 @@
 	return listener, err
 }
 
-// inherit returns a listener on the socket whose descriptor number is passed. If the descriptor is a listening socket,
-// inherit takes ownership of it.
-// Closing the listener closes only this process's descriptor: other processes continue to accept.
+// inherit returns a listener on an inherited socket. The argument passed is the number of the socket's descriptor. If
+// the descriptor is a listening socket, inherit takes ownership of it. Closing the listener closes only this process's
+// descriptor: other processes continue to accept.
 func inherit(ctx context.Context, passed string) (net.Listener, error) {
 	fd, err := parseListeningDescriptor(passed)
 	if err != nil {
@@ -76,7 +77,8 @@
 	return listener, nil
 }
 
-// parseListeningDescriptor parses passed as the number of a descriptor, and checks that it is a listening socket.
+// parseListeningDescriptor parses the argument passed as the number of a descriptor, and checks that the descriptor is
+// a listening socket.
 func parseListeningDescriptor(passed string) (fd int, err error) {
 	fd, err = strconv.Atoi(passed)
 	if err != nil || fd < 0 {
--- a/internal/handover/slot.go
+++ b/internal/handover/slot.go
@@ -38,8 +38,8 @@
 // errSlotHeld is the error of lockSlotFile if another process holds the slot.
 var errSlotHeld = errors.New("another process holds the slot")
 
-// Slot registers a process as one of the processes of a sidecar, by a locked file in the directory that they share. Its
-// methods are safe for concurrent use, except Release.
+// Slot registers a process as one of the processes of a sidecar, by means of a locked file in the directory that they
+// share. Its methods are safe for concurrent use, except Release.
 type Slot struct {
 	dir   string
 	index int
@@ -73,7 +73,7 @@
 }
 
 // lockSlotFile opens the slot file at path, locks it and clears it. If another process holds the lock, it returns
-// errSlotHeld rather than the errno EWOULDBLOCK, because opening or clearing the file may fail with the same errno.
+// errSlotHeld. The errno EWOULDBLOCK would be ambiguous, because opening or clearing the file may fail with it, too.
 func lockSlotFile(path string) (*os.File, error) {
 	file, err := os.OpenFile(path, os.O_CREATE|os.O_RDWR, 0o600)
 	if err != nil {
@@ -102,7 +102,7 @@
 }
 
 // Peers returns how many other processes of the sidecar are alive, and how many of those are ready to serve. If a slot
-// currently cannot be inspected, its last known state counts.
+// currently cannot be inspected, its last known state is used.
 func (s *Slot) Peers() (alive, ready int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/operatorstate/doc.go
+++ b/internal/operatorstate/doc.go
@@ -1,5 +1,5 @@
-// Package operatorstate stores the settings that operators make by hand: whether the sidecar is drained, and which
-// endpoints are cordoned.
+// Package operatorstate stores the settings that operators make by hand: whether the sidecar is drained, so that
+// clients leave it, and which endpoints are cordoned, so that they get no new attempts.
 //
 // All processes of one sidecar share the state file, because a replacement process runs beside its predecessor for a
 // while. The package guarantees:
@@ -7,7 +7,7 @@
 //   - When Store.Update returns nil, the update is on disk and in effect in the calling process.
 //   - An update reads, changes and writes the file under one lock, so no process overwrites another's update.
 //   - The file is replaced by a rename. A reader sees one complete version, even if a writer is killed.
-//   - A read error is treated as transient: the state in effect stays, and the file is read again later.
+//   - A read error is treated as transient: the current state stays in effect, and the file is read again later.
 //
 // The package does not decide how a cordon or a drain affects requests; Store.Apply does. It does not watch the file
 // either: the owner of a Store calls Store.Refresh every PollInterval.
--- a/internal/operatorstate/file.go
+++ b/internal/operatorstate/file.go
@@ -30,7 +30,7 @@
 func (s *Store) path() string { return filepath.Join(s.Directory, FileName) }
 
 // read returns the stored state, or the state in effect if the file does not exist or is invalid. An error means that
-// the file is currently unreadable; it may then hold another process's update.
+// the file is currently unreadable; the file may contain another process's update.
 func (s *Store) read() (State, error) {
 	stored, info, err := s.readFile()
 	if system.IsReadError(err) {
--- a/internal/operatorstate/lock.go
+++ b/internal/operatorstate/lock.go
@@ -14,11 +14,12 @@
 const (
 	lockFileName = "oakproxy-state.lock"
 
-	// lockTimeout limits the wait for another process to release the lock. An admin call must be answered within 1 s.
+	// lockTimeout limits the wait for another process to release the lock. An admin call must be answered within 1 s, and
+	// the wait is a part of that time.
 	lockTimeout = 500 * time.Millisecond
 
-	// lockRetryDelay is the pause between two attempts to take the lock. An update holds the lock while it reads the file
-	// and writes and syncs the new one.
+	// lockRetryDelay is the pause between two attempts to take the lock. The other process holds the lock only during an
+	// update: it reads the file, and writes and syncs the new one.
 	lockRetryDelay = 5 * time.Millisecond
 )
 
--- a/internal/operatorstate/state.go
+++ b/internal/operatorstate/state.go
@@ -33,8 +33,8 @@
 	return system.Timestamp{UnixMS: o.SetUnixMS, UptimeMS: o.UptimeMS}
 }
 
-// SetCordon records that the named endpoint is cordoned or uncordoned at now. It does nothing if the endpoint is in
-// that state already, so repeated calls keep the time of the first.
+// SetCordon records that the named endpoint is cordoned or uncordoned at the time now. It does nothing if the endpoint
+// is in that state already, so repeated calls keep the time of the first call.
 func (st *State) SetCordon(name string, cordoned bool, now system.Timestamp) {
 	// Clone the name: it may be a substring of a request, which the state would otherwise keep in memory.
 	override := Override{Name: strings.Clone(name), Cordoned: cordoned, SetUnixMS: now.UnixMS, UptimeMS: now.UptimeMS}
--- a/internal/operatorstate/store.go
+++ b/internal/operatorstate/store.go
@@ -16,9 +16,9 @@
 // takes effect in this one within PollInterval.
 const PollInterval = 50 * time.Millisecond
 
-// Store keeps the state in a file that the processes of one sidecar share while one replaces the other. An update by
-// one process takes effect in all of them. The exported fields must be set before the first call and not be changed
-// after.
+// Store keeps the state in a file that the processes of one sidecar share while one process replaces another. An update
+// by one process takes effect in all of them. The exported fields must be set before the first call and not be changed
+// afterwards.
 type Store struct {
 	Directory string               // directory of the state file and the lock file
 	Sidecar   string               // name of the sidecar; a state file of another sidecar is ignored
@@ -31,7 +31,7 @@
 	mu       sync.Mutex
 	current  State       // state in effect
 	fileInfo os.FileInfo // info of the file version read or written last; nil if unknown
-	warnedAt time.Time   // when a read error was last logged
+	warnedAt time.Time   // when a read error was last logged; zero if never
 }
 
 // Load returns the state that the previous process stored. It must be called before any request is forwarded, and does
@@ -66,7 +66,7 @@
 }
 
 // Update calls change to modify the state. When Update returns nil, the new state is stored durably and in effect in
-// this process. On an error the change is neither stored nor in effect. The error wraps that of the file system, or
+// this process. On an error the change is neither stored nor in effect. The error wraps an error of the file system, or
 // syscall.EWOULDBLOCK if another process did not release the lock in time.
 func (s *Store) Update(change func(*State)) error {
 	s.mu.Lock()
@@ -85,7 +85,7 @@
 	change(&next)
 	next.Overrides = slices.DeleteFunc(next.Overrides, s.isObsolete)
 	if err := s.write(next); err != nil {
-		s.apply(stored) // may hold another process's update, which Refresh would skip: read has set fileInfo
+		s.apply(stored) // stored may contain another process's update; Refresh would skip it, since read has set fileInfo
 		return err
 	}
 	s.apply(next)
--- a/internal/operatorstate/store_test.go
+++ b/internal/operatorstate/store_test.go
@@ -65,7 +65,7 @@
 				if err := s.setCordon("a", true); err != nil {
 					t.Fatal(err)
 				}
-				if err := other.setCordon("b", true); err != nil { // s has not read it yet
+				if err := other.setCordon("b", true); err != nil { // s has not read this update yet
 					t.Fatal(err)
 				}
 				disk.Fail(operation, err)
--- a/internal/warmstart/doc.go
+++ b/internal/warmstart/doc.go
@@ -1,5 +1,6 @@
-// Package warmstart saves the balancer's estimates to a file, and loads them in the process that replaces this one. The
-// new process then does not start without measurements.
+// Package warmstart saves the balancer's estimates, which summarize its measurements (see balancer.Estimates), to a
+// file. It loads them in the process that replaces this one, so that the new process need not start without
+// measurements.
 //
 // The file is a cache: losing it costs only some seconds of worse balancing decisions. Writes are therefore neither
 // durable nor retried. A file that is unreadable, belongs to another sidecar, has another version or is too old is
--- a/internal/warmstart/file.go
+++ b/internal/warmstart/file.go
@@ -27,7 +27,7 @@
 	Sidecar       string             `json:"sidecar"`  // name of the sidecar that the estimates belong to
 	SavedUnixMS   int64              `json:"at_ms"`    // Unix time of the save in milliseconds
 	SavedUptimeMS int64              `json:"up_ms"`    // machine uptime at the save in milliseconds
-	Clock         balancer.Micros    `json:"clock_us"` // time of the save on the balancer's clock in the saving process
+	Clock         balancer.Micros    `json:"clock_us"` // time of the save in µs, on the clock of the saving balancer
 	Estimates     balancer.Estimates `json:"learned"`
 }
 
@@ -50,7 +50,7 @@
 // and age is the time since the save. The clocks of two processes may differ by a constant offset.
 func (c *fileContents) shiftTo(now balancer.Micros, age time.Duration) {
 	if c.Clock <= 0 {
-		return // a file without the time of a balancer's clock has no times to convert
+		return // a file without a time on the balancer's clock has no times to convert
 	}
 	offset := now - age.Microseconds() - c.Clock
 	for i := range c.Estimates.Endpoints {
