--- a/internal/sidecar/actions.go
+++ b/internal/sidecar/actions.go
@@ -48,8 +48,8 @@
 	}()
 }
 
-// Reject responds with status 503, which tells the client that a retry is harmless. If retryAfter is not 0, it tells
-// the client how long to wait before a retry.
+// Reject responds with status 503, which tells the client that a retry is harmless. If retryAfter is not 0, the
+// response also tells the client how long to wait before a retry.
 func (l *loop) Reject(id uint64, retryAfter balancer.Micros) {
 	l.respond(l.requests.byID[id], finalResponse{code: http.StatusServiceUnavailable, retryAfter: retryAfter})
 }
@@ -88,8 +88,9 @@
 	}()
 }
 
-// Watch starts the watch of the endpoint list at the last version received, or stops it. If the settings subscribe to
-// discovery, the balancer decides when to restart the watch after a failure. Otherwise the watch restarts by itself.
+// Watch starts the watch of the endpoint list, from the last version received, if on is true. Otherwise Watch stops the
+// watch. If the settings subscribe to discovery, the balancer decides when to restart the watch after a failure. If
+// they do not, the watch restarts by itself.
 func (l *loop) Watch(on bool) {
 	if !on {
 		l.watcher.stop()
--- a/internal/sidecar/admin_test.go
+++ b/internal/sidecar/admin_test.go
@@ -19,7 +19,7 @@
 )
 
 // startAdmin serves admin calls for a running sidecar, which keeps its operator state in dir. It returns the address
-// that it serves them on.
+// of the listener for admin calls.
 func (h *harness) startAdmin(dir string) string {
 	h.t.Helper()
 	listener, err := admin.Listen(h.t.Context(), "127.0.0.1:0")
--- a/internal/sidecar/clients_test.go
+++ b/internal/sidecar/clients_test.go
@@ -43,7 +43,7 @@
 
 // A request with both Content-Length and Transfer-Encoding can hide (smuggle) another request in its body. The sidecar
 // rejects it as soon as it has read the head, and reads nothing after the head as a request. A handler cannot detect
-// such a request by itself: net/http does not show it the second framing.
+// such a request by itself: net/http does not show the second framing to the handler.
 func TestRequestSmuggledInABodyIsNotServed(t *testing.T) {
 	e := newServingEndpoint(t)
 	h := start(t, nil, ready("s-1", e.Address))
@@ -330,8 +330,8 @@
 	h.awaitReleasedMemory()
 }
 
-// Idle clients may hold all client connections while discovery is down. They must leave enough descriptors for the
-// calls of discovery: once it recovers, its list applies and requests are sent to the endpoints in it.
+// Idle clients may hold all client connections while discovery is down. They must leave enough descriptors for
+// calls to discovery: once discovery recovers, its list applies and requests are sent to the endpoints in it.
 func TestIdleClientsDoNotStarveDiscovery(t *testing.T) {
 	first, second := newServingEndpoint(t), newServingEndpoint(t)
 	h := start(t, nil, ready("s-1", first.Address))
--- a/internal/sidecar/clock.go
+++ b/internal/sidecar/clock.go
@@ -9,7 +9,7 @@
 // clock provides the balancer's time: microseconds from a monotonic clock. It starts at the Unix time of its creation,
 // so that the Unix times in discovery's answers need no conversion except for clock skew.
 type clock struct {
-	start       time.Time       // creation of the clock, with its monotonic reading
+	start       time.Time       // time when the clock was created, with a monotonic reading
 	startMicros balancer.Micros // Unix time in microseconds at start, according to the wall clock
 }
 
--- a/internal/sidecar/discovery_test.go
+++ b/internal/sidecar/discovery_test.go
@@ -29,7 +29,7 @@
 	return n
 }
 
-// withLongDiscoveryWait makes calls of discovery wait longer than a test takes: 11 to 15 s, because of the jitter.
+// withLongDiscoveryWait makes calls to discovery wait longer than a test takes: 11 to 15 s, because of the jitter.
 func withLongDiscoveryWait(cfg *config.Config) { cfg.DiscoveryWait = 15 * time.Second }
 
 // The watch resumes from the known version, even if that is 0. If it left out the version, discovery would answer each
--- a/internal/sidecar/doc.go
+++ b/internal/sidecar/doc.go
@@ -5,6 +5,11 @@
 // reports their outcomes to the balancer. Package upstream interprets responses and load reports, and package config
 // reads configuration files.
 //
+// Operators can drain the sidecar, so that its clients move to other sidecars, and cordon an endpoint, so that no new
+// attempt is sent to it. An operator's decision to cordon or uncordon an endpoint is an override. Several processes of
+// one sidecar may run at a time, because a new process runs beside the old one until it takes over. They share the
+// limits of the sidecar. Each process registers itself in a slot, by which the others notice it.
+//
 // Invariants:
 //   - The goroutine that runs loop.run owns the balancer and the tables of requests and endpoints. Other goroutines
 //     access them only through the event queue.
--- a/internal/sidecar/endpoints.go
+++ b/internal/sidecar/endpoints.go
@@ -14,9 +14,9 @@
 type endpointTable struct {
 	byID      map[uint32]*endpoint
 	idByName  map[string]uint32                 // the balancer's ids, by host name
-	lastID    uint32                            // id given last; ids count from 1
+	lastID    uint32                            // id given last; ids start at 1
 	overrides map[string]operatorstate.Override // the operators' overrides, by host name
-	retire    func(*upstream.Endpoint)          // function that closes a target: no attempt is sent to it any more
+	retire    func(*upstream.Endpoint)          // function that closes a target, so that nothing is sent to it any more
 }
 
 func newEndpointTable(retire func(*upstream.Endpoint)) endpointTable {
@@ -24,14 +24,15 @@
 		overrides: map[string]operatorstate.Override{}, retire: retire}
 }
 
-// endpoint is an entry of the table. It is deleted once discovery has removed the endpoint and nothing is in flight to
-// it: endpoints come and go all day under new names, and the table must not grow with each of them.
+// endpoint is an entry of the table. The entry is deleted once discovery has removed the endpoint and no attempt or
+// probe to the endpoint is in flight. Otherwise the table would grow without limit, because endpoints come and go all
+// day under new names.
 type endpoint struct {
 	name      string
 	entry     discovery.Entry    // the latest entry from discovery
-	startedAt balancer.Micros    // start of the endpoint's process by the loop's clock; 0 means long ago
+	startedAt balancer.Micros    // start of the endpoint's process by the loop's clock; 0 if unknown, taken as long ago
 	target    *upstream.Endpoint // target of attempts and probes; nil unless the endpoint is ready and not cordoned
-	inFlight  int                // attempts and probes without an outcome
+	inFlight  int                // number of attempts and probes without an outcome
 	removed   bool               // whether discovery has removed the endpoint
 }
 
@@ -124,8 +125,8 @@
 	return t.idByName[name] != 0 || t.overrides[name].Cordoned
 }
 
-// setOverrides replaces the operators' overrides and returns those that are new or have changed. If a cordoned host has
-// no override any more, its cordon was lifted: the host gets an override that lifts it as of now.
+// setOverrides replaces the operators' overrides and returns those that are new or have changed. If a host that was
+// cordoned has no new override, its cordon was lifted. The host then gets an override that lifts the cordon as of now.
 func (t *endpointTable) setOverrides(newOverrides []operatorstate.Override, now func() system.Timestamp) (
 	changed []operatorstate.Override) {
 	next := make(map[string]operatorstate.Override, len(newOverrides))
@@ -155,7 +156,8 @@
 }
 
 // acquire counts an attempt or probe as in flight and returns the endpoint's target, or nil if nothing may be sent to
-// the endpoint. The endpoint may be missing from the table: the balancer may still know one that was just deleted.
+// the endpoint. The endpoint may be missing from the table: the balancer may still know an endpoint that was
+// just deleted.
 func (t *endpointTable) acquire(id uint32) *upstream.Endpoint {
 	e := t.byID[id]
 	if e == nil {
--- a/internal/sidecar/events.go
+++ b/internal/sidecar/events.go
@@ -20,7 +20,7 @@
 	queued  chan event
 	urgent  chan event
 	ended   <-chan struct{} // channel that is closed when the loop ends; no event is handled after that
-	maxWait time.Duration   // longest time that a posted event has waited in queued since the last call of takeMaxWait
+	maxWait time.Duration   // longest wait in the channel queued, of events handled since the last call of takeMaxWait
 }
 
 func newEventQueue(ended <-chan struct{}) eventQueue {
@@ -60,7 +60,7 @@
 }
 
 // takeMaxWait returns the longest time that an event has waited in the queue, among those handled since the previous
-// call. Urgent events do not count.
+// call. Urgent events are left out.
 func (q *eventQueue) takeMaxWait() time.Duration {
 	longest := q.maxWait
 	q.maxWait = 0
--- a/internal/sidecar/faults_test.go
+++ b/internal/sidecar/faults_test.go
@@ -35,8 +35,8 @@
 	}
 }
 
-// Tests that a process slot is acquired once its directory exists, and that a ready peer found there still counts as
-// alive and ready while its slot file cannot be read.
+// Tests that a process slot is acquired once its directory exists. Tests also that another process, once found ready,
+// is still regarded as alive and ready if its slot file cannot be read.
 func TestProcessSlotDespiteFaults(t *testing.T) {
 	e := newServingEndpoint(t)
 	h := start(t, nil, ready("s-1", e.Address))
@@ -58,7 +58,7 @@
 		t.Fatal(err)
 	}
 	h.await("the other process", h.server.hasReadyPeer)
-	path := filepath.Join(dir, "oakproxy-process.1") // the slot after the sidecar's own
+	path := filepath.Join(dir, "oakproxy-process.1") // the other process's slot file; the sidecar has slot 0
 	if err := os.Rename(path, path+".gone"); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/sidecar/forward.go
+++ b/internal/sidecar/forward.go
@@ -40,7 +40,7 @@
 			return
 		case <-admissionClosed:
 			admissionClosed = nil
-			if upload.Stop() { // if not, the last byte may have been sent, so the request still awaits its response
+			if upload.Stop() { // false if the last byte may have been sent; the request then still awaits its response
 				s.abandon(r)
 				rejectTerminating(x.w)
 				s.inFlight.remove(openReq)
@@ -59,8 +59,9 @@
 			panic(http.ErrAbortHandler)
 		case <-x.in.Context().Done():
 			s.abandon(r)
-			// The client may have closed only its sending side and may still be reading. The panic closes the connection,
-			// so that the client cannot read a complete response that no endpoint has sent.
+			// The client may have closed only its sending side and may still be reading. If the handler returned,
+			// net/http would write a complete, empty response, which no endpoint has sent. The panic closes the
+			// connection instead.
 			panic(http.ErrAbortHandler)
 		}
 	}
@@ -76,7 +77,7 @@
 	s.loop.events.post(func(now balancer.Micros) { s.loop.handleClientGone(now, r) })
 }
 
-// respond writes the final response. The request counts as in flight until the last byte of the response is written.
+// respond writes the final response. The request is in flight until the last byte of the response is written.
 func (s *server) respond(x *exchange, r *request, openReq *openRequest, response finalResponse) {
 	defer response.close()
 	if upload := x.message.Upload; upload != nil {
--- a/internal/sidecar/harness_test.go
+++ b/internal/sidecar/harness_test.go
@@ -52,8 +52,8 @@
 	wrapListener func(net.Listener) net.Listener // function that wraps the clients' listener; may be nil
 }
 
-// newConfig returns a configuration whose known list has these entries. editSettings changes the settings; it may be
-// nil.
+// newConfig returns a configuration whose known list, the endpoint list for the start, has these entries. editSettings
+// changes the settings; it may be nil.
 func newConfig(
 	t *testing.T,
 	discoveryAddress string,
@@ -83,7 +83,7 @@
 }
 
 // start runs a sidecar whose configuration and discovery service list these entries, and waits until it is ready.
-// editSettings changes its settings; it may be nil.
+// editSettings changes the settings of the configuration; it may be nil.
 func start(t *testing.T, editSettings func(settings map[string]any), entries ...discovery.Entry) *harness {
 	t.Helper()
 	return startWithConfig(t, editSettings, nil, entries...)
--- a/internal/sidecar/inflight.go
+++ b/internal/sidecar/inflight.go
@@ -8,15 +8,16 @@
 )
 
 // openRequest is a client's request from the time when it was read until the last byte of its response is written.
+// An upload is a request whose body is streamed: the sidecar forwards it while it arrives.
 type openRequest struct {
-	id        string // X-Correlation-Id
+	id        string // value of X-Correlation-Id
 	class     string
 	conn      *downstream.Conn
 	arrivedAt time.Time
 	deadline  time.Time // the client's deadline; for an upload, the time when reading its body is given up
 
-	isUpload      bool          // whether the body is streamed; the response is then due timeAfterBody after its last byte
-	timeAfterBody time.Duration // for an upload, the time that the client grants from the last byte of the body
+	isUpload      bool          // whether the body is streamed
+	timeAfterBody time.Duration // for an upload, time from the body's last byte until the response is due; otherwise 0
 }
 
 func newOpenRequest(x *exchange, deadline time.Time) *openRequest {
@@ -45,7 +46,7 @@
 	return true
 }
 
-// remove removes a request from the set if it is still in it.
+// remove removes a request from the set if the set still contains that request.
 func (f *inFlightRequests) remove(r *openRequest) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/internal/sidecar/loop.go
+++ b/internal/sidecar/loop.go
@@ -19,11 +19,12 @@
 )
 
 const (
-	pruneInterval = time.Second     // time between closings of long-idle connections, and between saves of the estimates
+	pruneInterval = time.Second     // interval of closing endpoints' long-idle connections and saving the estimates
 	statsInterval = 2 * time.Second // time between log lines of statistics
 )
 
-// balancerAPI is the set of methods of *balancer.Balancer that the loop calls. Tests replace it with recorders.
+// balancerAPI is the set of methods of *balancer.Balancer that the loop calls. Tests replace the balancer with a
+// recorder.
 type balancerAPI interface {
 	Start(now balancer.Micros)
 	HandleEndpoints(now balancer.Micros, kind balancer.ListUpdate, entries []balancer.Endpoint)
@@ -40,9 +41,9 @@
 	Stats(now balancer.Micros) balancer.Stats
 }
 
-// loop owns the balancer and the tables. The goroutine that runs run passes every event to the balancer and carries out
-// the balancer's Actions. It never waits for the network: attempts, probes and the watch of the endpoint list run in
-// other goroutines, which report back through the event queue.
+// loop owns the balancer and the tables of requests and endpoints. The goroutine that calls run, the loop's goroutine,
+// passes every event to the balancer and carries out the balancer's Actions. It never waits for the network: attempts,
+// probes and the watch of the endpoint list run in other goroutines, which report back through the event queue.
 //
 // Any goroutine may use the fields of the first group. The fields of the second group are set before run is called and
 // do not change. The loop's goroutine owns the fields of the third group.
@@ -50,7 +51,7 @@
 	log              *slog.Logger
 	clock            clock
 	operatorClock    system.Clock    // clock for the times of operators' overrides, which outlive the process
-	ctx              context.Context // context whose end stops the loop; a field because balancer.Actions passes none
+	ctx              context.Context // context whose end stops the loop; a field, as balancer.Actions passes no context
 	upstream         *upstream.Client
 	events           eventQueue
 	hasReadyEndpoint atomic.Bool                     // whether any endpoint of the table can be sent requests
@@ -59,14 +60,14 @@
 
 	// onLimitsChanged applies limits that a reload has changed; may be nil.
 	onLimitsChanged func()
-	// closeCounts returns the numbers of clients' connections that were closed, by cause; may be nil.
+	// closeCounts returns how many clients' connections were closed for each cause; may be nil.
 	closeCounts func() downstream.CloseCounts
 	// warmStart has the estimates of an earlier process, for the balancer to start with; may be nil.
 	warmStart *balancer.Estimates
 	// saveEstimates stores the balancer's estimates. It is called once every pruneInterval; may be nil.
 	saveEstimates func(now balancer.Micros, estimates balancer.Estimates)
 
-	cfg             *config.Config // the configuration of current
+	cfg             *config.Config // configuration in force, which the field current also contains
 	rejectedReloads int            // number of configurations that reload has rejected
 	balancer        balancerAPI
 	requests        requestTable
@@ -160,7 +161,7 @@
 	in.ID, r.deadline = r.id, in.Deadline
 	r.times.Dequeued = time.Now()
 	if in.ReceivedUnder == &l.cfg.Settings {
-		in.ReceivedUnder = nil // the settings have not changed since the request was read
+		in.ReceivedUnder = nil // nil means the settings in force, which have not changed since the request was read
 	}
 	if upload := r.message.Upload; upload != nil {
 		upload.OnWritten = func() {
@@ -171,8 +172,8 @@
 	l.requests.forgetIfDone(r)
 }
 
-// handleBodyWritten handles the end of a streamed request body. The time that the client grants for the response counts
-// from the body's last byte.
+// handleBodyWritten handles the end of a streamed request body. The time that the client grants for the response
+// begins with the arrival of the body's last byte.
 func (l *loop) handleBodyWritten(now balancer.Micros, r *request) {
 	if !r.finished {
 		r.deadline = now + time.Until(r.message.Upload.Deadline()).Microseconds()
@@ -180,8 +181,8 @@
 	}
 }
 
-// handleClientGone ends a request whose client has disconnected. If the request already has its final response, which
-// nobody will read, handleClientGone closes that response.
+// handleClientGone ends a request whose client has disconnected. If the request already has its final response,
+// handleClientGone closes the response, because nobody will read it.
 func (l *loop) handleClientGone(now balancer.Micros, r *request) {
 	if r.finished {
 		unread := <-r.response
--- a/internal/sidecar/outage_test.go
+++ b/internal/sidecar/outage_test.go
@@ -31,8 +31,8 @@
 }
 
 // Ways in which an outage begins and ends. silenceOnce leaves the open calls without an answer, and resetOnce resets
-// their connections; later calls are answered. While discovery refuses, new calls get status 503. While it refuses with
-// a delay, they get it after 1 s. While it hangs, new calls are never answered.
+// their connections; later calls are answered. While discovery refuses, new calls get status 503. While discovery
+// refuses with a delay, new calls get status 503 after 1 s. While discovery hangs, new calls are never answered.
 var (
 	silenceOnce = func(service *scriptedDiscovery) { service.silenceOpenCalls() }
 	resetOnce   = func(service *scriptedDiscovery) { service.resetConnections() }
@@ -53,7 +53,8 @@
 	endHanging   = func(service *scriptedDiscovery) { service.setResponsive(true) }
 )
 
-// outages are the outages under test, by name. In an overloaded one, discovery queues calls after it has recovered.
+// outages are the outages under test, by name. If the name says overloaded, discovery queues calls after it has
+// recovered.
 var outages = map[string]outage{
 	"silent once":             {silenceOnce, doNothing, 0},
 	"silent once, overloaded": {silenceOnce, doNothing, 2 * time.Second},
@@ -145,9 +146,9 @@
 	})
 }
 
-// A new process that has a known list is ready at once, whatever the state of discovery. A process without one is ready
-// soon after discovery can be reached. Endpoints that have drained since the known list was written get no requests
-// once discovery has recovered.
+// A new process that has a known list is ready at once, whatever the state of discovery. A process without such a list
+// is ready soon after discovery can be reached. Endpoints that have drained since the known list was written get no
+// requests once discovery has recovered.
 func TestReadyInTime(t *testing.T) {
 	const readyLimit = 10 * time.Second
 	hang := func(service *scriptedDiscovery) { service.setResponsive(false) }
@@ -158,8 +159,8 @@
 	for outageName, c := range map[string]struct {
 		knowsList     bool // whether the configuration has a known list
 		begin         func(service *scriptedDiscovery)
-		recoveryDelay time.Duration // from the start to the recovery of discovery
-		readyWithin   time.Duration // limit from the start to readiness
+		recoveryDelay time.Duration // time from the start until discovery recovers; 0 if it can always be reached
+		readyWithin   time.Duration // longest time from the start until the process is ready
 	}{
 		"known list, discovery hangs":         {true, hang, 30 * time.Second, 0},
 		"known list, discovery refuses":       {true, refuse, 30 * time.Second, 0},
@@ -202,7 +203,7 @@
 						if !c.knowsList {
 							return
 						}
-						// Drains since the known list apply once discovery has recovered.
+						// Drains that began after the known list was written apply once discovery has recovered.
 						service.drainEndpoint()
 						time.Sleep(time.Until(began.Add(c.recoveryDelay + 6*time.Second)))
 						if !hasNoTarget(l, "s-1") {
--- a/internal/sidecar/parse.go
+++ b/internal/sidecar/parse.go
@@ -11,8 +11,8 @@
 	"oakproxy/internal/downstream"
 )
 
-// singleValueHeaders are the headers that a request may contain only once. With two values, another parser on the way
-// to the endpoint might use the second one.
+// singleValueHeaders are the headers that a request may contain only once. The sidecar would use the first of two
+// values, but another parser on the way to the endpoint might use the second.
 var singleValueHeaders = []string{"X-Correlation-Id", "X-Service-Class", "X-Account", "X-Session-Key",
 	"X-Time-Left-Ms", "X-Repeat", "X-Weight-Hint", "Idempotency-Key"}
 
--- a/internal/sidecar/read.go
+++ b/internal/sidecar/read.go
@@ -76,10 +76,10 @@
 // serveComplete responds to a request whose body has been read completely. arrived is the time of the request's arrival
 // by the loop's clock.
 func (s *server) serveComplete(x *exchange, arrived balancer.Micros) {
-	if x.request.Deadline > 0 { // 0 for readyPath; the time that the client grants counts from the request's last byte
+	if x.request.Deadline > 0 { // 0 for readyPath; otherwise the client's time begins with the request's last byte
 		x.request.Deadline += max(0, s.loop.clock.now()-system.LastDataAge(x.conn.Conn).Microseconds()-arrived)
 	}
-	// Otherwise the read deadline would end the request's context while the response is still awaited.
+	// If the read deadline stayed set, it would end the request's context while the response is still awaited.
 	clearReadDeadline(x.conn)
 	nothingFollows := x.conn.FinishRequestRead(x.in.ContentLength)
 	if x.in.URL.Path == readyPath {
--- a/internal/sidecar/reload_test.go
+++ b/internal/sidecar/reload_test.go
@@ -72,8 +72,9 @@
 	return text.String()
 }
 
-// Requests of a class are served once a reload has added the class, and rejected once a reload has removed it. The same
-// holds for tenants. The other classes keep their rules, even if their position in the list changes.
+// Requests of a class are served once a reload has added the class, and rejected once a reload has removed it. Tenants
+// are added and removed in the same way. The other classes keep their rules, even if their position in the list
+// changes.
 func TestReloadAddsAndRemovesClassesAndTenants(t *testing.T) {
 	e := newServingEndpoint(t)
 	h := start(t, nil, ready("s-1", e.Address))
@@ -113,8 +114,8 @@
 	check("with the tenant", map[string]int{"read": 200})
 }
 
-// A request in flight keeps the class that it started with if a reload moves, changes or removes that class: its retry
-// is still sent, and its late outcome is reported, so that the loop holds no request in the end.
+// A request in flight keeps the class that it started with if a reload moves, changes or removes that class. The
+// request's retry is still sent. Its late outcome is reported, so that the loop has no request left in the end.
 func TestRequestStartedBeforeAReloadIsServed(t *testing.T) {
 	for name, alter := range map[string]func(map[string]any){
 		"class moved":     func(s map[string]any) { slices.Reverse(classes(s)) },
--- a/internal/sidecar/requests.go
+++ b/internal/sidecar/requests.go
@@ -13,7 +13,7 @@
 // those with attempts in flight. The loop's goroutine owns it.
 type requestTable struct {
 	byID   map[uint64]*request
-	lastID uint64 // id given last; ids count from 1
+	lastID uint64 // id given last; ids start at 1
 }
 
 func newRequestTable() requestTable { return requestTable{byID: map[uint64]*request{}} }
@@ -42,7 +42,7 @@
 	response     chan finalResponse // channel for the final response, with room for it; sent to at most once
 	finished     bool               // whether the final response was sent to the channel response, or the client is gone
 	attempts     []attempt
-	inFlight     int         // attempts without an outcome
+	inFlight     int         // number of attempts without an outcome
 	clientClosed func() bool // function that reports whether the client has closed its connection
 	times        stages.RequestTimes
 }
@@ -60,8 +60,9 @@
 	}
 }
 
-// finish marks the request as finished, after which it gets no new attempt. It cancels attempts that are not sent yet,
-// even if the settings do not allow cancelling attempts: no endpoint knows of such an attempt.
+// finish marks the request as finished, after which the request gets no new attempt. It cancels the attempts that are
+// not sent yet, even if the settings do not allow cancelling attempts: no endpoint knows of an attempt that was not
+// sent.
 func (r *request) finish() {
 	r.finished = true
 	for i := range r.attempts {
--- a/internal/sidecar/response.go
+++ b/internal/sidecar/response.go
@@ -14,9 +14,9 @@
 // writeResponse writes the final response, and relays the part of its body that is still arriving from the endpoint.
 func (s *server) writeResponse(w http.ResponseWriter, conn *downstream.Conn, r *request, response finalResponse) {
 	r.times.ResultReceived = time.Now()
-	// Clients must send one request at a time. Bytes that follow this request are not served as another one, and the
-	// connection is closed after the response: only the client's framing of this request indicates that they do not
-	// belong to it.
+	// Clients must send one request at a time. Bytes that follow this request are not served as another request, and
+	// the connection is closed after the response. The reason is that only the client's framing says that these bytes
+	// do not belong to this request, and the framing may be wrong.
 	extraBytes := conn.BeginResponse()
 	bodyPending := false
 	if upload := r.message.Upload; upload != nil {
@@ -101,7 +101,8 @@
 	if response.length >= 0 {
 		w.Header().Set("Content-Length", strconv.FormatInt(response.length, 10))
 	}
-	// net/http counts its write timeout from the head of the request, which may have been read long ago.
+	// net/http's write timeout begins when the request's head is read, which may be long ago. The deadline is therefore
+	// set anew.
 	http.NewResponseController(w).SetWriteDeadline(time.Now().Add(writeTimeout))
 	w.WriteHeader(response.code)
 	w.Write(response.body)
--- a/internal/sidecar/scripteddiscovery_test.go
+++ b/internal/sidecar/scripteddiscovery_test.go
@@ -166,7 +166,7 @@
 	return true
 }
 
-// drainEndpoint changes the endpoint's health to draining, which answers the open calls.
+// drainEndpoint changes the endpoint's health to draining. The open calls are then answered.
 func (s *scriptedDiscovery) drainEndpoint() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/sidecar/sendgate_test.go
+++ b/internal/sidecar/sendgate_test.go
@@ -13,7 +13,8 @@
 )
 
 // Tests that a retry of a request with an idempotency key is not sent if its connection is ready only after the class's
-// window, even though the balancer decided on the retry within the window. The client still gets a response.
+// deduplication window, even though the balancer decided on the retry within the window. The client still gets a
+// response.
 func TestRetryIsNotSentAfterItsWindow(t *testing.T) {
 	const window = 2 * time.Second // long enough for the balancer to decide on the retry within the window
 	reset := make(chan struct{})
--- a/internal/sidecar/server.go
+++ b/internal/sidecar/server.go
@@ -21,16 +21,17 @@
 	responseMargin      = 2 * time.Millisecond
 	maxRequestHeadBytes = 32 << 10
 	maxTimeLeft         = time.Minute // upper limit of the time that a client grants a request in X-Time-Left-Ms
-	maxIDLength         = 256         // bytes of a correlation id; the ids that the protocol defines have 16
+	maxIDLength         = 256         // maximum bytes of a correlation id; the ids that the protocol defines have 16
 
 	// A client that exceeds these timeouts is silent, deliberately slow or dead. It may stay connected for 3 s at most.
 	readTimeout  = 2500 * time.Millisecond // limit on reading a request's head; a slow client may take 2 s
 	idleTimeout  = 2100 * time.Millisecond // limit on the time between requests; the protocol allows closing after 2 s
-	writeTimeout = 2 * time.Second         // limit on writing the response; the socket buffer holds it if the client reads
+	writeTimeout = 2 * time.Second         // limit on writing a response; the socket buffer has room if the client reads
 )
 
-// While the sidecar drains, idle connections are closed after a minimum idle time. It is shorter for a connection that
-// has carried a request: the application's clients use most connections soon after they open them.
+// While the sidecar drains, idle connections are closed after a minimum idle time. The application's clients use most
+// connections soon after they open them. The minimum is therefore longer for a connection that has carried no request:
+// its first request is probably on its way.
 const (
 	sweepInterval = 20 * time.Millisecond  // time between two checks for idle connections
 	minIdleUsed   = 200 * time.Millisecond // minimum idle time of a connection that has carried a request
@@ -47,7 +48,7 @@
 	usedConnectionsDivisor = 6
 
 	bodyMemoryDivisor = 8           // 1/bodyMemoryDivisor of the memory is for the bodies of requests and responses
-	busyRetryAfter    = time.Second // Retry-After of a rejection because the memory for bodies is in use
+	busyRetryAfter    = time.Second // Retry-After of a request that is rejected because the memory for bodies is used up
 	minConnections    = 12          // lowest connection limit of a process that shares the descriptors with another one
 )
 
@@ -65,10 +66,11 @@
 	drainedByOperator atomic.Bool   // whether an operator has drained the sidecar
 	drainPeriod       time.Duration // time from SIGTERM until admission closes
 
-	// slot is this process's slot. It is nil until it is acquired, and always if there can be no other process.
+	// slot is the mark by which the sidecar's other processes notice this one. It is nil until it is acquired, and it
+	// remains nil if there can be no other process.
 	slot         atomic.Pointer[handover.Slot]
 	limitsMu     sync.Mutex // mutex that is held while the limits are applied
-	processCount int        // processes of this sidecar, which share its limits; guarded by limitsMu
+	processCount int        // number of processes of this sidecar, which share its limits; guarded by limitsMu
 }
 
 // connContextKey is the key of the client's connection in the context of a request.
--- a/internal/sidecar/shutdown.go
+++ b/internal/sidecar/shutdown.go
@@ -11,8 +11,8 @@
 // Shutdown after SIGTERM has the following phases. No request waits for the time limit of another: each gets its
 // response by its own deadline, and no request is admitted that could not get its response in time.
 //
-//	draining          lasts for the drain period from SIGTERM: requests are admitted as before, but each response
-//	                  and each pause between requests ends the connection; new connections are accepted as before,
+//	draining          lasts for the drain period from SIGTERM: requests are admitted as before, but a connection is
+//	                  closed after its next response or when it is idle; new connections are accepted as before,
 //	                  unless another process of the sidecar is ready, which then accepts them
 //	admission closed  connections without a request are closed, requests read from now on are rejected before any
 //	                  attempt, and streamed bodies are stopped before their last byte is forwarded
@@ -21,12 +21,12 @@
 
 const (
 	// defaultDrainPeriod is the drain period outside tests. Clients continue to connect for 0.4 s after SIGTERM, and
-	// requests that arrive up to 0.7 s after SIGTERM must get a response.
+	// requests that arrive up to 0.7 s after SIGTERM must get a response. After the drain period, it is a rejection.
 	defaultDrainPeriod = 600 * time.Millisecond
 
 	killDelay        = 700 * time.Millisecond // SIGKILL follows SIGTERM after the longest client timeout plus killDelay
-	maxClientTimeout = 3 * time.Second        // upper limit of the longest client timeout in that sum
-	killMargin       = 150 * time.Millisecond // partial requests are rejected this long before SIGKILL
+	maxClientTimeout = 3 * time.Second        // upper limit of the longest client timeout in the time of SIGKILL
+	killMargin       = 150 * time.Millisecond // time before SIGKILL at which partial requests are rejected
 	responseGrace    = 500 * time.Millisecond // how long after its deadline a request in flight may still be answered
 
 	// closeGrace is the time for clients to close their connections once nothing is in flight. It is longer than
@@ -68,7 +68,7 @@
 		time.Sleep(time.Until(drainEnd))
 	}
 	if err := s.clients.Listener.Close(); err != nil && !errors.Is(err, net.ErrClosed) {
-		s.log.Warn("closing the listener failed", "error", err) // the shutdown goes on: requests in flight need responses
+		s.log.Warn("closing the listener failed", "error", err) // shutdown continues: requests in flight need responses
 	}
 	s.logPhase("listener closed", started)
 	time.Sleep(time.Until(drainEnd))
@@ -82,13 +82,13 @@
 }
 
 // awaitInFlight waits until every request in flight has its response and every connection is closed, within the time
-// limits above. Requests that are still incomplete shortly before SIGKILL is due are rejected; that time counts from
-// started.
+// limits above. Requests that are still incomplete shortly before SIGKILL is due are rejected. The time of SIGKILL is
+// computed from started, the start of the shutdown.
 func (s *server) awaitInFlight(started, admissionClosedAt time.Time) {
 	longestTimeout := min(s.loop.current.Load().LongestClientTimeout(), maxClientTimeout)
 	partialDeadline := started.Add(longestTimeout + killDelay - killMargin)
 	idleSince := time.Time{} // start of the period with nothing in flight; zero while a request is in flight
-	// The loop starts with a pause because a connection may be in the process of being accepted.
+	// The loop starts with a pause because a connection that is just being accepted may not be in the count yet.
 	for time.Sleep(sweepInterval); s.clients.Count() > 0; time.Sleep(sweepInterval) {
 		now := time.Now()
 		s.clients.ExpireIdle(0, 0)
--- a/internal/sidecar/shutdown_test.go
+++ b/internal/sidecar/shutdown_test.go
@@ -19,7 +19,7 @@
 // defaultClientTimeout is the client timeout (give-up) in tests that do not depend on its length.
 const defaultClientTimeout = 3 * time.Second
 
-// startForShutdown starts a sidecar with one endpoint, without a drain period, whose classes all have the given client
+// startForShutdown starts a sidecar with one endpoint and without a drain period. All its classes have the given client
 // timeout. closeAdmission begins the shutdown and waits until admission is closed.
 func startForShutdown(
 	t *testing.T,
@@ -180,8 +180,8 @@
 		s["classes"] = []any{map[string]any{"name": "find", "repeat": "side_effect", "target": 1, "give-up": 1}}
 	})
 	closeAdmission()
-	// The reloaded client timeout of 1 µs and the time of SIGKILL that follows from it will have passed; the request's
-	// own deadline will not.
+	// After this pause, the reloaded client timeout of 1 µs has passed, and so has the time of SIGKILL that follows
+	// from this timeout. The request's own deadline has not passed.
 	time.Sleep(killDelay + responseGrace + closeGrace)
 	close(release)
 	if got := <-pending; got.code != http.StatusOK {
--- a/internal/sidecar/sidecar_test.go
+++ b/internal/sidecar/sidecar_test.go
@@ -93,8 +93,8 @@
 	}
 }
 
-// Each attempt has exactly one outcome. The balancer gets the outcomes in the order of the attempts. Only the last has
-// Answered set: the request then has its final response.
+// Each attempt has exactly one outcome. The balancer gets the outcomes in the order of the attempts. Only the last
+// outcome has Answered set, because the request has its final response by then.
 func TestOutcomesAreReportedOnceAndInOrder(t *testing.T) {
 	e := sidecartest.NewEndpoint(t, sidecartest.RespondFirstThen(sidecartest.RejectedResponse, sidecartest.ServedResponse))
 	h := start(t, nil, ready("s-1", e.Address), ready("s-2", e.Address))
@@ -198,7 +198,7 @@
 	}
 }
 
-// A client that has closed only its sending side counts as disconnected. It must not read a response that looks
+// A client that has closed only its sending side is treated as disconnected. It must not read a response that looks
 // complete although no endpoint sent one.
 func TestHalfClosedClientGetsNoResponse(t *testing.T) {
 	e := sidecartest.NewEndpoint(t, sidecartest.NeverRespond)
@@ -225,7 +225,7 @@
 		<-release
 		io.WriteString(conn, sidecartest.ServedResponse)
 	})
-	// While the settings do not allow cancelling attempts, an attempt outlives its request.
+	// These settings do not allow cancelling attempts, so that the attempt outlives its request.
 	h := start(t, func(s map[string]any) { s["limits"].(map[string]any)["cancel"] = false }, ready("s-1", e.Address))
 	ctx, cancel := context.WithCancel(context.Background())
 	go h.send(h.request("pay", "x", time.Minute).WithContext(ctx))
--- a/internal/sidecar/slot.go
+++ b/internal/sidecar/slot.go
@@ -10,11 +10,11 @@
 
 const (
 	slotPollInterval = 100 * time.Millisecond
-	heapTenths       = 8 // tenths of the memory limit that the Go runtime may use; it does not count all memory
+	heapTenths       = 8 // tenths of the memory limit for the Go runtime, which does not count all memory
 )
 
-// acquireSlot acquires a slot for this process, by which the sidecar's other processes notice it. If that fails,
-// followPeers retries.
+// acquireSlot acquires a slot for this process, by which the sidecar's other processes notice this one. If no slot
+// can be acquired, followPeers retries.
 func (s *server) acquireSlot(ctx context.Context, dir string) {
 	var slot *handover.Slot
 	err := system.RetryAtStart(ctx, func() (err error) {
@@ -47,7 +47,7 @@
 				s.log.Info("processes of this sidecar", "count", processCount)
 			}
 			if !markedReady && s.loop.hasReadyEndpoint.Load() {
-				// If this fails, for example because the disk is full, the next round retries.
+				// If MarkReady fails, for example because the disk is full, the next pass of the loop retries.
 				markedReady = slot.MarkReady() == nil
 			}
 		}
--- a/internal/sidecar/syscalls_test.go
+++ b/internal/sidecar/syscalls_test.go
@@ -17,8 +17,8 @@
 	"oakproxy/internal/system"
 )
 
-// Tests that the time that a request waits in the accept backlog counts against its deadline: the endpoint is granted
-// no more time than the client has left.
+// Tests that the time that a request waits in the accept backlog is deducted from the time that the client grants: the
+// endpoint is granted no more time than the client has left.
 func TestTimeInTheAcceptBacklogCounts(t *testing.T) {
 	var arrivedAt time.Time
 	e := sidecartest.NewEndpoint(t, func(e *sidecartest.Endpoint, conn net.Conn, in *bufio.Reader) {
@@ -33,7 +33,7 @@
 		func(inner net.Listener) net.Listener { listener.Listener = inner; return listener },
 		ready("s-1", e.Address),
 	)
-	const failures = 100 // a delay of system.AcceptRetryDelay follows each, in all more than 0.5 s
+	const failures = 100 // failed calls of Accept; a delay of system.AcceptRetryDelay follows each, more than 0.5 s in all
 	listener.Fail(slices.Repeat([]error{syscall.ENFILE}, failures))
 	h.dial() // the accept that is already pending may still accept this connection
 	conn := h.dial()
--- a/internal/sidecar/upload_test.go
+++ b/internal/sidecar/upload_test.go
@@ -66,13 +66,13 @@
 	h.awaitReleasedMemory()
 }
 
-// A client may take longer to send its body than X-Time-Left-Ms allows for the response: that time counts from the last
-// byte of the body.
+// A client may take longer to send its body than X-Time-Left-Ms allows for the response, because the time for the
+// response begins with the last byte of the body.
 func TestSlowBodyIsAwaited(t *testing.T) {
 	t.Parallel()
 	e := sidecartest.NewEndpoint(t, writeBodyLength)
 	h := start(t, nil, ready("s-1", e.Address))
-	const pieceBytes = 8 << 10 // one piece every 1/8 s is 64 KiB/s; the tiny body is sent byte by byte, in 2 s
+	const pieceBytes = 8 << 10 // one such piece every 1/8 s is 64 KiB/s; the tiny body is sent byte by byte, in 2 s
 	for name, size := range map[string]int{"tiny": 16, "buffered": 48 << 10, "streamed": 192 << 10} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -216,7 +216,7 @@
 	connectFailed := func() bool { return slices.Contains(h.recorder.statuses(), balancer.ConnectFailed) }
 	const minRequests = 8
 	// The balancer picks the endpoint of the first attempt at random. The test sends at least minRequests requests, and
-	// goes on until one of them was retried after a failed connection.
+	// then continues until one of the requests was retried after a failed connection.
 	for sent, deadline := 0, time.Now().Add(sidecartest.WaitTimeout); sent < minRequests || !connectFailed(); sent++ {
 		if time.Now().After(deadline) {
 			t.Fatal("got no failed connection, want one")
--- a/internal/sidecar/watch_test.go
+++ b/internal/sidecar/watch_test.go
@@ -20,14 +20,14 @@
 
 // The tests in this file run on the fake clock of testing/synctest, with in-process pipes in place of sockets.
 
-// A watch is silent if discovery does not answer its open call. The sidecar then counts as notified of a change at the
-// later of two times: silenceLimit after the silence began, and waitEndLimit after the end of the wait that the open
-// call had asked for. From the notification of a drain, the sidecar may send requests to the endpoint only for the
-// drain grace, which is the setting drain-grace.
+// After the sidecar is notified of a drain, it may send requests to the endpoint only for the drain grace, which is the
+// setting drain-grace. A watch is silent if discovery does not answer its open call. The sidecar is then regarded as
+// notified of a change at the later of two times: silenceLimit after the silence began, and waitEndLimit after the end
+// of the wait that the open call had asked for.
 const (
 	silenceLimit    = 6 * time.Second       // time from the beginning of the silence to the notification
 	waitEndLimit    = 2 * time.Second       // time from the end of the open call's wait to the notification
-	timingTolerance = 50 * time.Millisecond // time by which a limit may be exceeded, as in tests with sockets
+	timingTolerance = 50 * time.Millisecond // time by which a limit may be exceeded; the same as in tests with sockets
 )
 
 // startWithScriptedDiscovery starts a loop that knows the endpoint s-1 and watches a scripted discovery service. It
@@ -38,8 +38,8 @@
 	return startWatching(t, dial, alter), service
 }
 
-// startWatching starts a loop that knows the endpoint s-1 as ready and dials discovery with dial. seed, if given,
-// replaces the seed of the configuration; of several values, the last one counts.
+// startWatching starts a loop that knows the endpoint s-1 as ready and dials discovery with the function dial. seed, if
+// given, replaces the seed of the configuration; of several values, the last one is used.
 func startWatching(t *testing.T, dial dialFunc, alter func(settings map[string]any), seed ...uint64) *loop {
 	t.Helper()
 	return startWatchingWith(t, dial, func(cfg *config.Config) {
@@ -103,8 +103,8 @@
 	return c
 }
 
-// requireDrained waits for the drain grace and timingTolerance, counted from notified, the time at which the sidecar
-// counts as notified of the drain of s-1. It fails the test if the endpoint s-1 still has a target then.
+// requireDrained waits until the drain grace and timingTolerance have passed since notified, which is the time when the
+// sidecar is regarded as notified of the drain of s-1. It fails the test if the endpoint s-1 still has a target then.
 func requireDrained(t *testing.T, l *loop, notified time.Time) {
 	t.Helper()
 	grace := time.Duration(l.cfg.Settings.Contract.DrainGrace) * time.Microsecond
@@ -115,10 +115,10 @@
 }
 
 // An open watch falls silent, then an endpoint begins to drain and keeps running. The sidecar must not wait for the
-// silent call: nothing may be sent to the endpoint after the drain grace, counted from the notification.
+// silent call, because nothing may be sent to the endpoint once the drain grace has passed since the notification.
 func TestSilentWatchIsReopenedInTime(t *testing.T) {
 	for name, alter := range discoveryVariants {
-		for _, silentAfter := range []time.Duration{0, 3 * time.Second, 11 * time.Second} { // from the watch's start
+		for _, silentAfter := range []time.Duration{0, 3 * time.Second, 11 * time.Second} { // time since the watch began
 			t.Run(name+", silent after "+silentAfter.String(), func(t *testing.T) {
 				synctest.Test(t, func(t *testing.T) {
 					l, service := startWithScriptedDiscovery(t, alter)
@@ -171,8 +171,8 @@
 	}
 }
 
-// With pushed lists, the sidecar counts as notified of a change as soon as the agent has it, whether or not a watch is
-// open. A drain applies within the drain grace even if the watch was reset or the process is new.
+// With pushed lists, the sidecar is regarded as notified of a change as soon as the agent has the change, whether or
+// not a watch is open. A drain applies within the drain grace even if the watch was reset or the process is new.
 func TestPushedDrainsApplyWithoutAWatch(t *testing.T) {
 	for name, grace := range map[string]int{"grace 2 s": 2_000_000, "grace 0.5 s": 500_000} {
 		pushed := func(s map[string]any) {
@@ -208,8 +208,9 @@
 	}
 }
 
-// A reload may move discovery to another address. The sidecar counts as notified of a change that the new discovery
-// service has 4 s after SIGHUP, even if the first call there is never answered and later calls are queued.
+// A reload may move discovery to another address. Four seconds after SIGHUP, the sidecar is regarded as notified of
+// any change that the new discovery service has, even if the first call to that service is never answered and later
+// calls are queued.
 func TestReloadedDiscoveryIsWatchedInTime(t *testing.T) {
 	for name, alter := range discoveryVariants {
 		t.Run(name, func(t *testing.T) {
@@ -247,8 +248,9 @@
 	}
 }
 
-// The sidecar counts as notified of a drain when discovery sends the list with it, even if the list is malformed. The
-// sidecar must therefore repeat the call so soon that the drain still applies within the drain grace.
+// The sidecar is regarded as notified of a drain when discovery sends the list that contains the drain, even if the
+// list is malformed. The sidecar must therefore repeat the call so soon that the drain still applies within the drain
+// grace.
 func TestMalformedListIsRequestedAgainInTime(t *testing.T) {
 	for fault, text := range map[string]string{
 		"truncated": `{"seq":2,"whole":true,"hosts":[{"host":"s-1","hea`,
@@ -305,8 +307,9 @@
 	synctest.Wait()
 }
 
-// A list with a lower version does not undo a drain of a newer list, and its call counts as failed. If discovery has
-// restarted its version numbers, its lists are accepted after a while, and earlier drains persist.
+// A list with a lower version does not undo a drain of a newer list, and the call that returned it is counted as
+// failed. If discovery has restarted its version numbers, its lists are accepted after a while, and earlier drains
+// persist.
 func TestOlderListsDoNotUndoDrains(t *testing.T) {
 	const olderList = `{"seq":1,"whole":true,"hosts":[` +
 		`{"host":"s-1","dial":"127.0.0.1:1","health":"Ready"},{"host":"s-2","dial":"127.0.0.1:1","health":"Ready"}]}`
@@ -328,7 +331,7 @@
 				}
 				service.mu.Unlock()
 				service.resetConnections()
-				for time.Since(restarted) < 30*time.Second { // less than four times ask-within, which is 10 s
+				for time.Since(restarted) < 30*time.Second { // an older list is accepted after 4 times ask-within, 40 s
 					time.Sleep(50 * time.Millisecond)
 					if !hasNoTarget(l, "s-1") || !hasNoTarget(l, "s-2") {
 						t.Fatalf("an older list was applied after %v", time.Since(restarted))
--- a/internal/sidecar/watcher.go
+++ b/internal/sidecar/watcher.go
@@ -41,8 +41,8 @@
 	handleWatchEnded(now balancer.Micros, err error)
 }
 
-// start ends the current watch and starts one at the current position, which runs until ctx ends. If the watch fails,
-// it is restarted after a delay if retry is set; otherwise the handler decides when to restart it.
+// start ends the current watch and starts a new one at the current position. The new watch runs until ctx ends. If it
+// fails and retry is true, it is restarted after a delay. If retry is false, the handler decides when to restart it.
 func (w *discoveryWatcher) start(ctx context.Context, events *eventQueue, h watchHandler, retry bool) {
 	w.stop()
 	ctx, w.stop = context.WithCancel(ctx)
--- a/internal/sidecartest/dials.go
+++ b/internal/sidecartest/dials.go
@@ -11,7 +11,7 @@
 // BlockedDials controls the dials to one address, which block until the test unblocks them. BlockDials creates it.
 type BlockedDials struct {
 	Started chan struct{} // channel that is closed when the first dial has begun
-	Unblock chan struct{} // the test closes it to unblock all dials, or sends one value to unblock one dial
+	Unblock chan struct{} // channel that the test closes to unblock all dials, or sends a value to unblock one dial
 
 	startOnce sync.Once
 }
--- a/internal/sidecartest/endpoint.go
+++ b/internal/sidecartest/endpoint.go
@@ -12,7 +12,7 @@
 
 // Endpoint is an endpoint whose responses a test writes byte by byte.
 type Endpoint struct {
-	Address string // host:port of its listener
+	Address string // host:port of the endpoint's listener
 
 	mu          sync.Mutex
 	connections int             // number of accepted connections
--- a/internal/sidecartest/handlers.go
+++ b/internal/sidecartest/handlers.go
@@ -28,8 +28,8 @@
 	}
 }
 
-// RespondFirstThen returns a Handler that writes the response first to the endpoint's first request, counted over all
-// connections, and the response others to all other requests.
+// RespondFirstThen returns a Handler that responds to the endpoint's first request, counted over all connections, with
+// the parameter first, and to all other requests with the parameter others.
 func RespondFirstThen(first, others string) Handler {
 	return func(e *Endpoint, conn net.Conn, in *bufio.Reader) {
 		for e.ReadRequest(in) != nil {
@@ -42,15 +42,15 @@
 	}
 }
 
-// BlockAll returns a Handler that serves each request only after it has received from release.
+// BlockAll returns a Handler that serves each request only after the Handler has received from the channel release.
 func BlockAll(release <-chan struct{}) Handler { return blockPaths("", release) }
 
-// BlockPay returns a Handler that serves requests whose path begins with /pay only after it has received from release,
-// and all other requests immediately.
+// BlockPay returns a Handler that serves requests whose path begins with /pay only after the Handler has received
+// from the channel release, and all other requests immediately.
 func BlockPay(release <-chan struct{}) Handler { return blockPaths("/pay", release) }
 
-// blockPaths returns a Handler that serves requests whose path begins with prefix only after it has received from
-// release, and all other requests immediately.
+// blockPaths returns a Handler that serves requests whose path begins with prefix only after the Handler has
+// received from the channel release, and all other requests immediately.
 func blockPaths(prefix string, release <-chan struct{}) Handler {
 	return func(e *Endpoint, conn net.Conn, in *bufio.Reader) {
 		for r := e.ReadRequest(in); r != nil; r = e.ReadRequest(in) {
--- a/internal/sidecartest/listener.go
+++ b/internal/sidecartest/listener.go
@@ -15,7 +15,7 @@
 	Errors []error // errors of the next calls of Accept; set it before the listener is used, or call Fail
 }
 
-// Fail sets the errors of the next calls of Accept. It replaces those that are left.
+// Fail sets the errors of the next calls of Accept. It replaces the errors that are left.
 func (l *FaultyListener) Fail(errs []error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
