--- a/cmd/emulator/commands.go
+++ b/cmd/emulator/commands.go
@@ -23,7 +23,7 @@
 	defaultReal     = 8
 	defaultSeed     = 1
 	unknownCommit   = "unknown"
-	modifiedSuffix  = "+" // suffix of the commit if the work tree is modified
+	modifiedSuffix  = "+" // suffix of the commit hash if tracked files are modified or their state is unknown
 )
 
 // rootCommand is the program's root command.
@@ -66,7 +66,7 @@
 	flags.Uint64Var(&c.seed, "seed", defaultSeed, "seed of all random choices")
 }
 
-// options reads the scenario file, determines the paths of the programs and the commit, and returns the options of a
+// options reads the scenario file, determines the commit and the paths of the programs, and returns the options of a
 // run. The caller sets the size and the number of the play.
 func (c *commonFlags) options() (play.Options, error) {
 	file, err := spec.Read(c.file)
--- a/cmd/emulator/harness_test.go
+++ b/cmd/emulator/harness_test.go
@@ -65,8 +65,8 @@
 	return newEmulator(t, append(arguments, extraArguments...)...)
 }
 
-// processes returns the number of processes that belong to this emulator, itself included. They have its temporary
-// directory in their environment.
+// processes returns the number of processes that belong to this emulator, itself included. All of these processes have
+// the emulator's temporary directory in their environment.
 func (e *emulator) processes() int {
 	count := 0
 	paths, _ := filepath.Glob("/proc/[0-9]*/environ")
@@ -79,7 +79,7 @@
 	return count
 }
 
-// checkExitCode checks the exit code of a program that returned this error.
+// checkExitCode checks the exit code of a program. The parameter err is the error that running the program returned.
 func checkExitCode(t *testing.T, err error, want int) {
 	t.Helper()
 	var exit *exec.ExitError
--- a/cmd/emulator/main.go
+++ b/cmd/emulator/main.go
@@ -22,7 +22,7 @@
 	exitBadInput = 2
 )
 
-// errInterrupted is the cause of a run's end by a signal.
+// errInterrupted is the cause with which a signal ends a run.
 var errInterrupted = errors.New("interrupted")
 
 func main() {
--- a/cmd/emulator/report.go
+++ b/cmd/emulator/report.go
@@ -54,7 +54,8 @@
 	return result.WriteTable(table, runs)
 }
 
-// writePlot writes the plot. If no run has any of the default metrics, it only prints a message.
+// writePlot writes the plot. If no metrics were requested and no usable run has any of the default metrics, it only
+// prints a message.
 func (o *outputFlags) writePlot(runs []*result.Run) error {
 	metrics := o.metrics
 	if len(metrics) == 0 {
@@ -62,7 +63,7 @@
 	}
 	err := result.WritePlot(o.plot, runs, metrics)
 	if errors.Is(err, result.ErrNothingToPlot) && len(o.metrics) == 0 {
-		fmt.Fprintln(os.Stderr, err) // not an error: no run may be usable, which the table shows
+		fmt.Fprintln(os.Stderr, err) // not an error: the table already shows which runs are not usable
 		return nil
 	}
 	return err
--- a/cmd/emulator/sweep.go
+++ b/cmd/emulator/sweep.go
@@ -47,8 +47,9 @@
 	return command
 }
 
-// run plays the scenario at all sizes in order, repeats this for each play, and writes the table and the plot. The seed
-// increases by 1 from play to play.
+// run plays the scenario once at each size, in order, and repeats this until each size has been played s.plays times.
+// Then it writes the table and the plot. The first play of each size uses s.seed; the seed increases by 1 with each
+// further play.
 func (s *sweep) run(ctx context.Context) error {
 	options, err := s.options()
 	if err != nil {
--- a/internal/emulator/endpoint/config.go
+++ b/internal/emulator/endpoint/config.go
@@ -3,8 +3,8 @@
 import "time"
 
 const (
-	minColdCapacity  = 0.01       // lower limit of Config.ColdCapacity: a cold endpoint is at most 100 times slower
-	defaultLoadField = "inflight" // value of an empty Config.LoadField
+	minColdCapacity  = 0.01       // lower limit of Config.ColdCapacity: cold is at most 100 times slower than warm
+	defaultLoadField = "inflight" // value that replaces an empty Config.LoadField
 )
 
 // Config configures an endpoint. Zone, MachineKind and Cell describe where the endpoint runs; they do not affect how
--- a/internal/emulator/endpoint/counts.go
+++ b/internal/emulator/endpoint/counts.go
@@ -13,7 +13,7 @@
 	Served       uint64 // 200 responses written
 	Rejected     uint64 // requests rejected because the queue was full, the endpoint drained or the deadline had passed
 	MissingIDs   uint64 `json:"MissingID"` // 404 responses to requests without a correlation ID
-	Duplicates   uint64 // admitted requests whose correlation ID the endpoint had admitted before
+	Duplicates   uint64 // admitted requests whose correlation ID the endpoint had recently admitted already
 	Abandoned    uint64 // requests whose client disconnected while they were queued or running
 	HealthChecks uint64 `json:"Probes"` // GET requests for /health/live or /stats
 	BytesIn      uint64
--- a/internal/emulator/endpoint/endpoint.go
+++ b/internal/emulator/endpoint/endpoint.go
@@ -2,7 +2,8 @@
 //
 // An endpoint serves requests and health checks. It models the processing of requests as service time on a number of
 // cores with a bounded queue in front of them. It can simulate planned changes and faults of its process and machine:
-// draining, restart, crash, hang and loss of the network. Counters survive restarts. The endpoint does no real work
+// draining, restart, crash, hang and loss of the network. An incarnation is the simulated process from one start to
+// its end; a restart begins a new incarnation. Counters continue across incarnations. The endpoint does no real work
 // for a request, and of the request it stores only the correlation ID.
 package endpoint
 
@@ -33,7 +34,7 @@
 	mu          sync.Mutex
 	acceptor    *acceptor // nil while the simulated process is down
 	queue       *queue    // queue of the current incarnation
-	startedAt   time.Time // time of the last cold start; zero for a warm first start, which counts as long ago
+	startedAt   time.Time // time of the last cold start; zero if the first start was warm, as if it were long ago
 	draining    bool
 	unreachable bool // set by Disconnect until Restart, Crash, Recover or Close
 	closed      bool
@@ -60,8 +61,8 @@
 // Config returns the configuration of the endpoint, with defaults filled in.
 func (e *Endpoint) Config() Config { return e.config }
 
-// StartedMS returns the time of the last cold start as Unix time in milliseconds. It returns 0 for an endpoint that
-// started warm, which stands for a start long ago.
+// StartedMS returns the time of the last cold start as Unix time in milliseconds. For an endpoint that started warm it
+// returns 0, which stands for a start long ago.
 func (e *Endpoint) StartedMS() int64 {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/internal/emulator/endpoint/faults.go
+++ b/internal/emulator/endpoint/faults.go
@@ -10,9 +10,9 @@
 	e.stop()
 }
 
-// Disconnect simulates a machine that has lost its network: until Restart or Recover, open connections stay open but
-// carry no responses, and attempts to connect time out. It has no effect on an endpoint that has crashed or is
-// already disconnected. It returns ErrClosed after Close.
+// Disconnect simulates a machine that has lost its network: until Restart, Recover or Crash, open connections stay
+// open but carry no responses, and attempts to connect time out. It has no effect on an endpoint that has crashed or
+// is already disconnected. It returns ErrClosed after Close.
 func (e *Endpoint) Disconnect() error {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/internal/emulator/endpoint/listener.go
+++ b/internal/emulator/endpoint/listener.go
@@ -11,7 +11,7 @@
 )
 
 const (
-	backlogFillTimeout  = time.Second      // time limit of fillBacklog, and of the connection that it opens
+	backlogFillTimeout  = time.Second      // time limit of fillBacklog, and of opening its connection
 	backlogPollInterval = time.Millisecond // interval at which fillBacklog checks the length of the backlog
 )
 
--- a/internal/emulator/endpoint/pausegate.go
+++ b/internal/emulator/endpoint/pausegate.go
@@ -2,7 +2,7 @@
 
 import "sync"
 
-// pauseGate blocks the goroutines that call wait while it is paused. The zero value is not paused.
+// pauseGate blocks the goroutines that call wait while the gate is paused. The zero value is not paused.
 type pauseGate struct {
 	mu      sync.Mutex
 	resumed chan struct{} // closed by resume; nil while the gate is not paused
--- a/internal/emulator/endpoint/queue.go
+++ b/internal/emulator/endpoint/queue.go
@@ -24,7 +24,7 @@
 	conn     *httpconn.Conn
 	deadline time.Time // zero if the request has no deadline
 	state    taskState
-	element  *list.Element // element of queue.queued that holds the task, while its state is queued
+	element  *list.Element // element of queue.queued that holds the task; valid while the task is queued
 }
 
 // queue is a bounded FIFO queue in front of a number of cores.
--- a/internal/emulator/endpoint/serve.go
+++ b/internal/emulator/endpoint/serve.go
@@ -116,7 +116,8 @@
 	return e.write(c, status, body)
 }
 
-// reject responds to a request that has not been processed and will not be. The response tells the client so.
+// reject responds to a request that the endpoint has not processed and will not process. The header X-Unprocessed
+// tells the client so.
 func (e *Endpoint) reject(c *httpconn.Conn, status int) error {
 	e.counters.rejected.Add(1)
 	return e.write(c, status, nil, httpconn.Field{Name: unprocessedHeader, Value: "1"})
--- a/internal/emulator/fleet/config.go
+++ b/internal/emulator/fleet/config.go
@@ -123,11 +123,11 @@
 	File      *spec.File
 	Layout    *Layout
 	Discovery string // address of the discovery server
-	Seed      uint64 // seed of the sidecar at position 0; the one at position p gets Seed+p
+	Seed      uint64 // seed of the sidecar at position 0; the sidecar at position p gets Seed+p
 }
 
-// Encode returns the content of a sidecar's configuration file in the given version, counted from 1. The sidecar is to
-// listen on the address listen.
+// Encode returns the content of a sidecar's configuration file in the given version, counted from 1. The parameter
+// listen is the address on which the sidecar has to listen.
 func (c *Configurations) Encode(s Sidecar, listen string, version int) ([]byte, error) {
 	options := c.File.Sidecar
 	return json.Marshal(Configuration{
--- a/internal/emulator/fleet/layout.go
+++ b/internal/emulator/fleet/layout.go
@@ -13,8 +13,9 @@
 	"oakproxy/internal/emulator/spec"
 )
 
-// Each endpoint listens on a loopback address of its own: 127.(firstZoneOctet+zone).x.y, where x = i / hostsPerOctet
-// and y = 1 + i % hostsPerOctet for endpoint i of its zone, counted from 0.
+// Each endpoint listens on a loopback address of its own: 127.(firstZoneOctet+zone).x.y, where zone is the index of
+// the endpoint's zone, x = i / hostsPerOctet, y = 1 + i % hostsPerOctet, and i is the number of the endpoint within
+// its zone, counted from 0.
 const (
 	firstZoneOctet = 64
 	hostsPerOctet  = 250
@@ -37,8 +38,8 @@
 	Address     string // address to listen on, with port 0
 }
 
-// Sidecar is one sidecar's place in the fleet. It belongs to the same application as the endpoint whose index in
-// Layout.Endpoints is the sidecar's position, if there is one.
+// Sidecar is one sidecar's place in the fleet. If Layout.Endpoints has an element at index Position, that endpoint
+// belongs to the same application as the sidecar.
 type Sidecar struct {
 	Name     string
 	Position int  // index in Layout.Sidecars
@@ -87,7 +88,8 @@
 		Name:     fmt.Sprintf("sidecar-%04d", i),
 		Position: i,
 		Zone:     zone,
-		// indexInZone*realCount/total, rounded down, grows by 1 after each real sidecar.
+		// indexInZone*realCount/total, rounded down, is the number of real sidecars before this one in its zone. The
+		// sidecar is real if the number is larger for the next index.
 		Real: (indexInZone+1)*realCount/total > indexInZone*realCount/total,
 	}
 }
--- a/internal/emulator/httpconn/conn.go
+++ b/internal/emulator/httpconn/conn.go
@@ -36,8 +36,8 @@
 // readerPool holds *bufio.Reader values that no connection is using.
 var readerPool = sync.Pool{New: func() any { return bufio.NewReaderSize(nil, readBufferSize) }}
 
-// Traffic counts the bytes that a group of connections reads and writes. The zero value is ready for use; it is safe
-// for concurrent use.
+// Traffic counts the bytes that a group of connections reads and writes. The zero value is ready for use. Traffic is
+// safe for concurrent use.
 type Traffic struct {
 	in, out atomic.Uint64
 }
@@ -141,7 +141,8 @@
 	_ = c.socket.Close()
 }
 
-// requestReader is a Conn as an io.Reader, which starts with the byte that AwaitRequest has read.
+// requestReader is an io.Reader that returns first the byte that AwaitRequest has read, and then the bytes from the
+// socket.
 type requestReader Conn
 
 // Read implements io.Reader.
--- a/internal/emulator/load/client.go
+++ b/internal/emulator/load/client.go
@@ -77,9 +77,9 @@
 
 func newClient() *client { return &client{idle: map[string][]*connection{}} }
 
-// do sends a request and reads its response. It gives up at the deadline. It returns errStaleConnection if it used an
-// idle connection that failed before the first byte of a response, since the target may have closed it while it was
-// idle. With the source fresh, do never returns errStaleConnection.
+// do sends a request and reads its response. It gives up at the deadline. If it used an idle connection and the
+// connection failed before the first byte of the response, do returns errStaleConnection, because the target may have
+// closed the connection while it was idle. With the source fresh, do never returns errStaleConnection.
 func (c *client) do(ctx context.Context, r *request, deadline time.Time, source connectionSource) (*response, error) {
 	ctx, cancel := context.WithDeadline(ctx, deadline)
 	defer cancel()
--- a/internal/emulator/load/generator.go
+++ b/internal/emulator/load/generator.go
@@ -3,7 +3,8 @@
 // The schedule gives each request an intended start, which does not depend on responses, and latencies are measured
 // from the intended start. A slow target therefore cannot hide its latency by delaying later requests (coordinated
 // omission). The same plan with the same seed yields the same schedule. The generator neither retries nor hedges
-// requests, with one exception: it resends a request once if the request failed on a stale connection.
+// requests, with one exception: it resends a request once if the request failed on a stale connection, that is, an
+// idle connection that the target has closed. Requests of a direct plan are never resent.
 package load
 
 import (
@@ -17,7 +18,8 @@
 )
 
 // timerSlack is how late a timer of the Go runtime may fire: these timers have a resolution of milliseconds while the
-// process is idle. Therefore the last timerSlack of a wait is a nanosleep system call, which ctx cannot interrupt.
+// process is idle. Therefore sleepUntil uses a timer only until timerSlack before the end of a wait, and the system
+// call nanosleep for the rest. A context cannot interrupt nanosleep.
 const timerSlack = 2 * time.Millisecond
 
 // generator is a run of a plan.
@@ -60,7 +62,7 @@
 }
 
 // dispatch starts each request of the plan at its intended start, or as soon as there is a free slot. A request that
-// gets no slot is recorded as unsent, or as cancelled if ctx is done.
+// gets no slot before its deadline is recorded as unsent. If ctx is done first, it is recorded as cancelled.
 func (g *generator) dispatch(ctx context.Context) {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
@@ -84,7 +86,7 @@
 	}
 }
 
-// sleepUntil waits until the time at. It returns false if ctx is done by then.
+// sleepUntil waits until the given time. It returns false if ctx is done by then.
 func sleepUntil(ctx context.Context, timer *time.Timer, at time.Time) bool {
 	if coarseWait := time.Until(at) - timerSlack; coarseWait > 0 {
 		timer.Reset(coarseWait)
--- a/internal/emulator/load/histogram.go
+++ b/internal/emulator/load/histogram.go
@@ -27,7 +27,8 @@
 	return &Histogram{hdrhistogram.New(lowestMicros, highestMicros, significantDigits)}
 }
 
-// Record counts a duration. A duration outside the range of the histogram counts as the nearest bound.
+// Record counts a duration. A duration outside the range of the histogram is recorded as the nearest limit of the
+// range.
 func (h *Histogram) Record(d time.Duration) {
 	// RecordValue fails only on values outside the range.
 	_ = h.counts.RecordValue(min(highestMicros, max(lowestMicros, d.Microseconds())))
--- a/internal/emulator/load/load_test.go
+++ b/internal/emulator/load/load_test.go
@@ -97,8 +97,8 @@
 	}
 }
 
-// respondByClass gives the requests of each class in TestOutcomesAreCounted the outcome that the test expects of the
-// class.
+// respondByClass responds to the requests of TestOutcomesAreCounted. The class of a request determines the response,
+// and thus the outcome that the test expects.
 func respondByClass(w http.ResponseWriter, r *http.Request) {
 	switch r.URL.Path {
 	case "/full":
--- a/internal/emulator/load/plan.go
+++ b/internal/emulator/load/plan.go
@@ -28,7 +28,7 @@
 	Method            string        // GET or POST; empty means POST if HasIdempotencyKey is set, and GET otherwise
 	HasIdempotencyKey bool          // whether requests carry an Idempotency-Key header
 	Timeout           time.Duration // limit on the time from the intended start to the response; 0 means 1 s
-	Weight            float64       // share of the class in the requests, relative to the weights of the other classes
+	Weight            float64       // relative frequency: the class gets Weight / (sum of all weights) of the requests
 }
 
 // Plan describes the load to send.
--- a/internal/emulator/load/report.go
+++ b/internal/emulator/load/report.go
@@ -67,7 +67,7 @@
 	return &Report{Latency: NewHistogram(), AllLatency: NewHistogram(), SendDelay: NewHistogram()}
 }
 
-// Merge adds the result of a concurrent run to r. Elapsed becomes the longer one of both runs.
+// Merge adds the result of a concurrent run to r. Elapsed becomes the longer of the two durations.
 func (r *Report) Merge(other *Report) {
 	r.Direct = r.Direct || other.Direct
 	r.Elapsed = max(r.Elapsed, other.Elapsed)
--- a/internal/emulator/play/changes.go
+++ b/internal/emulator/play/changes.go
@@ -23,9 +23,9 @@
 		action: r.rollOutBurst})
 }
 
-// rollOutSequentially rolls out the scenario's number of changes at its interval. Each change waits until every sidecar
-// has applied the previous one or reloadTimeout has passed. If no sidecar applies a change in time, the remaining
-// changes are not made and the phase gets a note.
+// rollOutSequentially rolls out as many changes as the scenario has events, one at each interval of the scenario. It
+// starts a change only after every sidecar has applied the previous change or reloadTimeout has passed. If no sidecar
+// applies a change in time, the remaining changes are not made and the phase gets a note.
 func (r *runner) rollOutSequentially(ctx context.Context, phase *result.Phase) error {
 	scenario := r.options.Scenario
 	var delaysFromOwnReplacement, delaysFromFirstReplacement []time.Duration
--- a/internal/emulator/play/configfiles.go
+++ b/internal/emulator/play/configfiles.go
@@ -26,7 +26,7 @@
 	return len(text), os.Rename(temporaryPath, path)
 }
 
-// writeConfigs replaces the configuration files of all real and simulated sidecars, in this order.
+// writeConfigs replaces the configuration files of all real sidecars and then those of all simulated sidecars.
 func (r *runner) writeConfigs() (*rollout, error) {
 	change := &rollout{startedAt: time.Now(), replacedAt: map[string]time.Time{}}
 	replace := func(s fleet.Sidecar, listen string) error {
--- a/internal/emulator/play/endpoints.go
+++ b/internal/emulator/play/endpoints.go
@@ -49,8 +49,8 @@
 	}
 }
 
-// instances returns entries for discovery's endpoint list: the given endpoints with their current addresses and this
-// health.
+// instances returns entries for discovery's endpoint list: the given endpoints with their current addresses and the
+// given health.
 func (r *runner) instances(endpoints []fleet.Endpoint, health string) []registry.Instance {
 	r.incarnationsMu.Lock()
 	defer r.incarnationsMu.Unlock()
@@ -63,7 +63,7 @@
 }
 
 // applyAction makes the workers of the given endpoints apply an action to them, and records the addresses and start
-// times of the endpoints after it.
+// times that the endpoints have after the action.
 func (r *runner) applyAction(ctx context.Context, action worker.Action, endpoints []fleet.Endpoint) error {
 	namesByWorker := make([][]string, len(r.endpointWorkers))
 	for _, e := range endpoints {
@@ -83,7 +83,7 @@
 	return err
 }
 
-// announce updates the entries of endpoints in discovery's endpoint list with this health, and returns the version of
+// announce sets the given health in the entries of endpoints in discovery's endpoint list, and returns the version of
 // the list that contains the update.
 func (r *runner) announce(ctx context.Context, endpoints []fleet.Endpoint, health string) (worker.ListVersion, error) {
 	var version worker.ListVersion
--- a/internal/emulator/play/loadplan.go
+++ b/internal/emulator/play/loadplan.go
@@ -34,8 +34,8 @@
 	return done
 }
 
-// stopLoad stops the load of a phase, waits for its reports and returns them. It adds the planned requests in the
-// reports to r.plannedRequests. A nil loadDone means that no load was started.
+// stopLoad stops the load of a phase, waits for its reports and returns them. It adds the numbers of planned requests
+// in the reports to r.plannedRequests. A nil loadDone means that no load was started.
 func (r *runner) stopLoad(ctx context.Context, loadDone <-chan loadResult) (worker.LoadReports, error) {
 	if loadDone == nil {
 		return worker.LoadReports{}, nil
@@ -117,9 +117,10 @@
 	return converted
 }
 
-// requestBudget returns how many requests a plan may send, at least 1. The requests that remain of limits.requests are
-// divided between the plans in proportion to their rates: remaining * rate / totalRate, where totalRate is the rate of
-// the direct load and of the load through all real sidecars, including those excluded from load.
+// requestBudget returns how many requests a plan with the given rate may send, at least 1. The requests that earlier
+// phases have left of limits.requests are divided between the plans in proportion to their rates. The result is
+// remaining * rate / totalRate, where remaining is the number of requests left, and totalRate is the sum of the rates
+// of the direct load and of the load through all real sidecars, including those excluded from load.
 func (r *runner) requestBudget(rate float64) int {
 	loadOptions := r.scenarioFile().Load
 	totalRate := loadOptions.CallsPerSecond*float64(len(r.real)) + loadOptions.DirectCallsPerSecond
--- a/internal/emulator/play/measure.go
+++ b/internal/emulator/play/measure.go
@@ -44,7 +44,7 @@
 	return nil
 }
 
-// run runs the plan's action, if there is one, and waits until the plan's duration has passed since the start of run.
+// run runs the plan's action, if there is one, and waits until the plan's duration has passed since run was called.
 func (p phasePlan) run(ctx context.Context, phase *result.Phase) error {
 	end := time.Now().Add(p.duration)
 	if p.action != nil {
--- a/internal/emulator/play/monitor.go
+++ b/internal/emulator/play/monitor.go
@@ -14,8 +14,8 @@
 	progressInterval = 2 * time.Second        // minimum time between progress lines
 )
 
-// monitor records the peak memory, ends the run if its processes exceed limits.memory_mb, and writes progress lines. It
-// returns when ctx is done or the limit is exceeded.
+// monitor records the peak memory, ends the run if the run's processes exceed limits.memory_mb, and writes progress
+// lines. It returns when ctx is done or the limit is exceeded.
 func (r *runner) monitor(ctx context.Context) {
 	tick := time.NewTicker(monitorInterval)
 	defer tick.Stop()
--- a/internal/emulator/play/options.go
+++ b/internal/emulator/play/options.go
@@ -28,7 +28,7 @@
 	Seed     uint64
 	Commit   string
 
-	Emulator    Program   // program of a worker, which gets its role as an additional last argument
+	Emulator    Program   // program of the workers; each gets its role as an additional last argument
 	Sidecar     Program   // program of a real sidecar
 	Progress    io.Writer // destination of progress lines; nil discards them
 	ScratchRoot string    // parent of the run's temporary directory; empty means the system's default
--- a/internal/emulator/play/propagation.go
+++ b/internal/emulator/play/propagation.go
@@ -9,7 +9,7 @@
 )
 
 // propagationTimeout is how long the emulator waits for a version of the endpoint list to reach all sidecars. A
-// sidecar that has not received the version by then counts as missing.
+// sidecar that has not received the version by then is recorded as missing.
 const propagationTimeout = 10 * time.Second
 
 // propagation collects how long versions of the endpoint list took to reach sidecars, and how often a sidecar did not
@@ -41,8 +41,8 @@
 	for _, completions := range received {
 		collected.missing += len(completions.Missing)
 		for _, completion := range completions.Completed {
-			// A sidecar that started after the version was created received it in its first, complete list: that is
-			// startup, not propagation.
+			// A sidecar that started after the version was created received the version in its first list, which is
+			// complete. This belongs to the sidecar's startup and is not counted as propagation.
 			if completion.StartedAt.Before(version.CreatedAt) {
 				collected.delays = append(collected.delays, completion.At.Sub(version.CreatedAt))
 			}
--- a/internal/emulator/play/real.go
+++ b/internal/emulator/play/real.go
@@ -18,9 +18,9 @@
 	readyPollInterval = 20 * time.Millisecond // interval between readiness checks of a sidecar that starts
 	configVariable    = "BALANCER_CONFIG"     // environment variable that holds the path of the configuration file
 
-	// Real sidecars listen on 127.realSidecarOctet.x.y, where x = index / hostsPerOctet and
-	// y = 1 + index % hostsPerOctet. Each has an IP address of its own, so that no outgoing connection of another
-	// process can occupy its port.
+	// Real sidecars listen on 127.realSidecarOctet.x.y, where index is the sidecar's number among the real sidecars,
+	// counted from 0, x = index / hostsPerOctet, and y = 1 + index % hostsPerOctet. Each has an IP address of its own,
+	// so that no outgoing connection of another process can occupy its port.
 	realSidecarOctet = 32
 	hostsPerOctet    = 250
 )
@@ -33,11 +33,11 @@
 	events        *sidecarlog.Events
 	child         *process.Child // nil while no process of the sidecar runs
 	startedAt     time.Time
-	pastUsage     process.Usage // processor time and bytes of the sidecar's processes that were killed
+	pastUsage     process.Usage // processor time and bytes read and written, of the sidecar's killed processes
 }
 
-// freeAddress returns an address with a free port for the real sidecar of this index, on an IP address that only that
-// sidecar uses. It does not reserve the port: another process may take it before the sidecar does.
+// freeAddress returns an address with a free port for the real sidecar with the given index, on an IP address that no
+// other sidecar uses. It does not reserve the port: another process may take it before the sidecar does.
 func freeAddress(index int) (string, error) {
 	address := fmt.Sprintf("127.%d.%d.%d:0", realSidecarOctet, index/hostsPerOctet, 1+index%hostsPerOctet)
 	listener, err := net.Listen("tcp", address)
@@ -85,8 +85,8 @@
 	return nil
 }
 
-// awaitReady waits until a real sidecar is ready, and returns the time since its start. It returns an error if ctx is
-// done first.
+// awaitReady waits until a real sidecar is ready, and returns the time since the sidecar's start. It returns an error
+// if ctx is done first.
 func (s *realSidecar) awaitReady(ctx context.Context) (time.Duration, error) {
 	client := http.Client{Transport: &http.Transport{DisableKeepAlives: true}}
 	for {
--- a/internal/emulator/play/replace.go
+++ b/internal/emulator/play/replace.go
@@ -17,8 +17,8 @@
 	workerIndex int // index of the worker that hosts the sidecar
 }
 
-// playReplacements measures load without events, then load while endpoints and their sidecars restart, a pair at each
-// interval of the scenario. The endpoints that will restart get no direct load in any phase.
+// playReplacements measures load without events, then load while endpoints and their sidecars restart, one endpoint
+// and its sidecar at each interval of the scenario. The endpoints that will restart get no direct load in any phase.
 func playReplacements(ctx context.Context, r *runner) error {
 	chosen := r.chooseReplacements(r.options.Scenario.Events)
 	for _, c := range chosen {
--- a/internal/emulator/play/roles.go
+++ b/internal/emulator/play/roles.go
@@ -7,8 +7,8 @@
 	"oakproxy/internal/emulator/result"
 )
 
-// descriptorReserveDivisor defines when a process is near its limit of file descriptors: when less than
-// limit / descriptorReserveDivisor of them are free.
+// descriptorReserveDivisor defines when a process is near its limit of file descriptors: when it can open fewer than
+// limit / descriptorReserveDivisor further descriptors.
 const descriptorReserveDivisor = 20
 
 // roleTotals is the resource usage of all processes of a role. Processor time and bytes are counted from the start of
--- a/internal/emulator/play/rollout.go
+++ b/internal/emulator/play/rollout.go
@@ -15,8 +15,8 @@
 	"oakproxy/internal/emulator/worker"
 )
 
-// reloadTimeout is how long the emulator waits for the sidecars to apply a change. A sidecar that has not applied it by
-// then counts as missing.
+// reloadTimeout is how long the emulator waits for the sidecars to apply a change. A sidecar that has not applied the
+// change by then is recorded as missing.
 const reloadTimeout = 10 * time.Second
 
 // rollout describes one replacement of all configuration files.
@@ -28,8 +28,8 @@
 
 // appliedTimes holds the times at which sidecars applied the configuration in their files.
 type appliedTimes struct {
-	byName  map[string]time.Time // time at which each sidecar applied it, by sidecar name
-	missing int                  // number of sidecars that had not applied it after reloadTimeout
+	byName  map[string]time.Time // time at which each sidecar applied its configuration, by sidecar name
+	missing int                  // number of sidecars that had not applied their configuration after reloadTimeout
 }
 
 // rollOutNextVersion increments the configuration's version, replaces all configuration files and makes all sidecars
--- a/internal/emulator/play/runner.go
+++ b/internal/emulator/play/runner.go
@@ -37,7 +37,7 @@
 	layout         *fleet.Layout
 	configurations *fleet.Configurations
 	scratch        string         // temporary directory that holds the configuration files
-	processes      *process.Group // the child processes
+	processes      *process.Group // child processes of the run
 	run            *result.Run
 	cancel         context.CancelCauseFunc // ends the run early, with the given cause
 
@@ -172,7 +172,7 @@
 // setPhase sets the phase that progress lines name.
 func (r *runner) setPhase(phase string) { r.currentPhase.Store(&phase) }
 
-// pause waits for a duration. If ctx is done by the end, pause returns the cause of ctx.
+// pause waits for a duration. If ctx is done before or during the wait, pause returns the cause of ctx at once.
 func pause(ctx context.Context, duration time.Duration) error {
 	system.Sleep(ctx, duration)
 	return context.Cause(ctx)
--- a/internal/emulator/play/sidecars.go
+++ b/internal/emulator/play/sidecars.go
@@ -37,7 +37,7 @@
 }
 
 // startSidecars starts all sidecars and waits until they are ready. The starts are spread evenly over
-// limits.start_spread * sidecars / startSpreadFleetSize.
+// limits.start_spread * sidecars / startSpreadFleetSize, where sidecars is the number of sidecars.
 func (r *runner) startSidecars(ctx context.Context) error {
 	var err error
 	if r.simulatedSidecarWorkers, err = r.startWorkers(worker.SidecarsRole, len(r.simulatedSidecars)); err != nil {
@@ -69,8 +69,9 @@
 // startupTimes are the distributions of the times from a sidecar's start until it is ready.
 type startupTimes struct{ real, simulated result.Distribution }
 
-// startSidecarSet starts real sidecars and simulated sidecars at the same time, each group evenly over startSpread, and
-// waits until they are ready. byWorker holds the simulated sidecars of each worker.
+// startSidecarSet starts real sidecars and simulated sidecars at the same time, and waits until they are ready. The
+// starts of each of the two groups are spread evenly over startSpread. byWorker holds the simulated sidecars of each
+// worker.
 func (r *runner) startSidecarSet(
 	ctx context.Context, realSidecars []*realSidecar, byWorker [][]fleet.Sidecar, startSpread time.Duration,
 ) (startupTimes, error) {
@@ -126,7 +127,7 @@
 }
 
 // startSimulatedSidecars starts simulated sidecars evenly over startSpread, and waits until they are ready. byWorker
-// holds the sidecars of each worker. Sidecars that are not ready within limits.ready count as missing.
+// holds the sidecars of each worker. Sidecars that are not ready within limits.ready are recorded as missing.
 func (r *runner) startSimulatedSidecars(
 	ctx context.Context, byWorker [][]fleet.Sidecar, startSpread time.Duration,
 ) (result.Distribution, error) {
--- a/internal/emulator/play/snapshot.go
+++ b/internal/emulator/play/snapshot.go
@@ -55,7 +55,7 @@
 	return sumCounts[worker.SidecarCounts](ctx, r.simulatedSidecarWorkers, worker.CountSidecars)
 }
 
-// sumCounts requests the counts of each worker with a message of this kind, and returns their sum.
+// sumCounts requests the counts of each worker with a message of the given kind, and returns the sum of the counts.
 func sumCounts[Counts any, Sum interface {
 	*Counts
 	Add(Counts)
--- a/internal/emulator/play/start.go
+++ b/internal/emulator/play/start.go
@@ -7,8 +7,8 @@
 )
 
 const (
-	// startSpreadFleetSize is the number of sidecars whose starts are spread over limits.start_spread. The spread is
-	// proportional to the number of sidecars.
+	// startSpreadFleetSize is the size of a fleet, in sidecars, whose starts are spread over exactly
+	// limits.start_spread. For other fleets, the time is proportional to the number of sidecars.
 	startSpreadFleetSize   = 860
 	simulatedListenAddress = "127.0.0.1:0" // port 0 lets the system choose the port
 )
--- a/internal/emulator/play/zone.go
+++ b/internal/emulator/play/zone.go
@@ -10,7 +10,7 @@
 	"oakproxy/internal/emulator/worker"
 )
 
-// failedZone is the number of the zone that fails.
+// failedZone is the index of the zone that fails.
 const failedZone = 0
 
 // zoneMembers are the endpoints and sidecars of a zone.
@@ -39,7 +39,7 @@
 		action: func(ctx context.Context, phase *result.Phase) error { return r.recoverZone(ctx, phase, members) }})
 }
 
-// zoneMembersOf returns the endpoints and sidecars of the zone with this number.
+// zoneMembersOf returns the endpoints and sidecars of the zone with the given index.
 func (r *runner) zoneMembersOf(zone int) *zoneMembers {
 	members := &zoneMembers{simulated: make([][]fleet.Sidecar, len(r.simulatedSidecars))}
 	for _, e := range r.layout.Endpoints {
@@ -138,7 +138,7 @@
 }
 
 // recordPropagation waits until the simulated sidecars have received a version of the endpoint list, and records the
-// distribution of the delays under a name. The version counts as the phase's only event.
+// distribution of the delays under a name. It sets the phase's number of events to 1.
 func (r *runner) recordPropagation(
 	ctx context.Context, phase *result.Phase, version worker.ListVersion, name string,
 ) error {
--- a/internal/emulator/process/group.go
+++ b/internal/emulator/process/group.go
@@ -85,7 +85,7 @@
 }
 
 // Start starts a program as a child process. If the emulator dies without a call of Stop, the kernel kills the child,
-// unless Program.Piped is set: a piped child reads the end of its input instead, so that it can clean up.
+// unless Program.Piped is set: a piped child instead reads the end of its input and can clean up before it exits.
 func (g *Group) Start(program Program) (*Child, error) {
 	command := exec.Command(program.Path, program.Arguments...)
 	command.Env = append(os.Environ(), program.Environment...)
@@ -155,7 +155,7 @@
 	return alive
 }
 
-// ResidentKB returns the resident memory of all running children, in kB.
+// ResidentKB returns the resident memory of all running children, in KiB.
 func (g *Group) ResidentKB() int64 {
 	var sum int64
 	for _, child := range g.Children() {
--- a/internal/emulator/process/usage.go
+++ b/internal/emulator/process/usage.go
@@ -1,7 +1,7 @@
 // Package process starts and stops child processes and reads the resource usage of processes and of the machine.
 //
 // No child process outlives its group: Group.Stop waits until all children have exited, and if the emulator dies, the
-// kernel or the end of their input stops them. Resource usage is read from /proc of Linux.
+// children are stopped by the kernel or by the end of their input. Resource usage is read from /proc of Linux.
 package process
 
 import (
@@ -17,7 +17,7 @@
 
 const (
 	procDirectory  = "/proc"
-	ticksPerSecond = 100 // unit of processor times in /proc: 1/100 s (USER_HZ)
+	ticksPerSecond = 100 // ticks per second; /proc gives processor times in ticks (USER_HZ)
 	bytesPerKB     = 1024
 )
 
@@ -71,7 +71,7 @@
 	return int(limit.Cur), err
 }
 
-// ResidentKB reads the resident memory of a process, in kB.
+// ResidentKB reads the resident memory of a process, in KiB.
 func ResidentKB(pid int) (int64, error) {
 	status, err := readFields(filepath.Join(procDirectory, strconv.Itoa(pid), "status"))
 	return status["VmRSS"], err
@@ -83,8 +83,8 @@
 	if err != nil {
 		return 0, err
 	}
-	// The second field, the program name in parentheses, may contain any characters, so that the last closing
-	// parenthesis ends it. The first field after it has number 3.
+	// The second field, the program name in parentheses, may contain any characters. Therefore the last closing
+	// parenthesis ends the second field, and the field after it has number 3.
 	const firstField, userField, systemField = 3, 14, 15
 	fields := bytes.Fields(text[bytes.LastIndexByte(text, ')')+1:])
 	if len(fields) <= systemField-firstField {
@@ -162,7 +162,7 @@
 	return float64(c.Busy-earlier.Busy) / float64(c.Total-earlier.Total)
 }
 
-// MachineMemoryKB reads the memory size of the machine, in kB.
+// MachineMemoryKB reads the memory size of the machine, in KiB.
 func MachineMemoryKB() (int64, error) {
 	fields, err := readFields(filepath.Join(procDirectory, "meminfo"))
 	return fields["MemTotal"], err
--- a/internal/emulator/registry/call.go
+++ b/internal/emulator/registry/call.go
@@ -49,7 +49,8 @@
 	}
 }
 
-// countCPU runs step and adds to handlingCPU the processor time that the thread spends on it. step must not block.
+// countCPU runs step and adds to handlingCPU the processor time that the thread spends on step. The function step must
+// not block.
 func (s *Server) countCPU(step func()) {
 	runtime.LockOSThread()
 	defer runtime.UnlockOSThread()
@@ -114,8 +115,8 @@
 }
 
 // awaitCapacity waits until the rate limit admits the call. If the rate limit would delay the call for longer than
-// MaxQueueDelay, awaitCapacity waits for MaxQueueDelay and returns false. The error says that the client has
-// disconnected or sent a byte in the meantime.
+// MaxQueueDelay, awaitCapacity waits for MaxQueueDelay and returns false. It returns an error if the client
+// disconnects or sends a byte during the wait.
 func (s *Server) awaitCapacity(c *httpconn.Conn) (admitted bool, err error) {
 	reservation := s.limiter.Reserve()
 	delay := reservation.Delay()
@@ -137,8 +138,9 @@
 	return s.down
 }
 
-// respondToWatch responds to a watch when there is a newer version, when its wait is over, or with a 503 when an outage
-// has begun.
+// respondToWatch responds to a watch when the list's version differs from the client's, or when the wait of the watch
+// is over. It responds with a 503 if an outage has begun before the watch is pending; an outage that begins later
+// resets the connection.
 func (s *Server) respondToWatch(c *httpconn.Conn, call listCall) error {
 	watch := &pendingWatch{conn: c, afterVersion: call.afterVersion, deadline: time.Now().Add(call.wait)}
 	defer s.removeWatch(watch)
@@ -158,8 +160,8 @@
 }
 
 // nextResponse returns the response to a watch if it is due, or down = true during an outage. Otherwise it returns nil
-// and false and registers the watch as pending: the connection of the watch is woken when the list changes, when its
-// wait is over (unless the registry is silent), or when the registry stops being silent.
+// and false and registers the watch as pending: the connection of the watch is woken when the list changes, when the
+// wait of the watch is over (unless the registry is silent), or when the registry stops being silent.
 func (s *Server) nextResponse(watch *pendingWatch) (due *response, down bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/emulator/registry/counts.go
+++ b/internal/emulator/registry/counts.go
@@ -15,7 +15,7 @@
 type Counts struct {
 	ListCalls         uint64 `json:"WholeCalls"`   // calls for the complete list
 	WatchCalls        uint64 `json:"WatchCalls"`   // calls for the changes after a version
-	CompleteResponses uint64 `json:"WholeAnswers"` // responses with the complete list, to calls of either kind
+	CompleteResponses uint64 `json:"WholeAnswers"` // responses with the complete list, to list calls and to watches
 	DeltaResponses    uint64 `json:"Changed"`      // responses with the changed entries only
 	EmptyResponses    uint64 `json:"Empty"`        // responses to watches without any changed entry
 	Unavailable       uint64 `json:"Unavailable"`  // 503 responses
--- a/internal/emulator/registry/list.go
+++ b/internal/emulator/registry/list.go
@@ -33,7 +33,7 @@
 	Hosts    []Instance `json:"hosts"`
 }
 
-// versionChange holds the entries that changed from the previous version to version.
+// versionChange holds a version and the entries that differ from the version before it.
 type versionChange struct {
 	version   uint64
 	instances []Instance
@@ -60,10 +60,10 @@
 	version      uint64
 	names        []string             // hosts of the instances, in the order in which they were added
 	byName       map[string]Instance  // instances by host
-	history      []versionChange      // changes of consecutive versions; the last one led to version
+	history      []versionChange      // changes of consecutive versions, oldest first; the last is the current version's
 	historyLimit int                  // maximum length of history
-	complete     *response            // encoded complete list of version; nil until it is requested
-	deltas       map[uint64]*response // encoded changes to version, by the version of the client
+	complete     *response            // response with the complete list of the current version; nil until requested
+	deltas       map[uint64]*response // responses with the changes since a client's version, by that version
 }
 
 func newEndpointList(historyLimit int) *endpointList {
@@ -138,8 +138,8 @@
 	return l.complete
 }
 
-// responseAfter returns the response to a watch whose client has the version after: the entries that have changed
-// since then, or the complete list if the history does not cover all of these changes.
+// responseAfter returns the response to a watch whose client has the given version: the entries that have changed
+// since that version, or the complete list if the history does not cover all of these changes.
 func (l *endpointList) responseAfter(after uint64) *response {
 	if !l.historyCovers(after) {
 		return l.completeResponse()
@@ -157,12 +157,12 @@
 	return delta
 }
 
-// historyCovers reports whether the history contains every change since the version after.
+// historyCovers reports whether the history contains every change since the given version.
 func (l *endpointList) historyCovers(after uint64) bool {
 	return after <= l.version && after+uint64(len(l.history)) >= l.version
 }
 
-// changesAfter returns the latest entry of each instance that changed since the version after.
+// changesAfter returns the latest entry of each instance that has changed since the given version.
 func (l *endpointList) changesAfter(after uint64) []Instance {
 	hosts := []Instance{}
 	position := map[string]int{}
--- a/internal/emulator/registry/listen.go
+++ b/internal/emulator/registry/listen.go
@@ -9,7 +9,7 @@
 )
 
 // Listen starts to serve at an address, in addition to the addresses that are served already. It returns the address
-// that it listens on, and ErrClosed after Close.
+// that it listens on. After Close it returns ErrClosed.
 func (s *Server) Listen(address string) (net.Addr, error) {
 	listener, err := net.Listen("tcp", address)
 	if err != nil {
@@ -28,8 +28,8 @@
 	return listener.Addr(), nil
 }
 
-// Move starts to serve at a new address. All earlier addresses stop accepting connections immediately, and their open
-// connections are closed after 1.5 s.
+// Move starts to serve at a new address, which it returns. All earlier addresses stop accepting connections
+// immediately, and their open connections are closed after 1.5 s.
 func (s *Server) Move(address string) (net.Addr, error) {
 	s.mu.Lock()
 	previous := make(map[net.Listener]*httpconn.Set, len(s.listeners))
--- a/internal/emulator/registry/server.go
+++ b/internal/emulator/registry/server.go
@@ -29,15 +29,15 @@
 
 // Options are the settings of a Server.
 type Options struct {
-	// CallsPerSecond is the rate at which calls are admitted, without bursts; 0 means no limit. A watch counts as one
-	// call, which is admitted when it arrives.
+	// CallsPerSecond is the rate at which calls are admitted, without bursts; 0 means no limit. The limit treats a
+	// watch as one call, which is admitted when the watch arrives.
 	CallsPerSecond float64
 	// MaxQueueDelay is the longest time that a call may wait to be admitted; 0 means no limit. A call that would have
 	// to wait longer gets a 503 after MaxQueueDelay.
 	MaxQueueDelay time.Duration
 	// History is the number of versions whose changes are kept; 0 means 256.
 	History int
-	// Logger is where changes of the simulated faults are logged; nil means slog.Default().
+	// Logger receives log records about simulated faults and failed accepts; nil means slog.Default().
 	Logger *slog.Logger
 }
 
@@ -56,7 +56,7 @@
 	list        *endpointList
 	watches     map[*pendingWatch]struct{}
 	listeners   map[net.Listener]*httpconn.Set // open listeners, each with its connections
-	connections httpconn.Set                   // connections of all listeners, including those that Move has closed
+	connections httpconn.Set                   // connections of all listeners, including listeners that Move has closed
 	down        bool                           // set by SetDown
 	silent      bool                           // set by SetSilent
 	closed      bool
@@ -86,7 +86,7 @@
 	}
 }
 
-// Set replaces the complete list, which creates one new version. Every pending watch gets the complete list.
+// Set replaces the complete list and thereby creates one new version. Every pending watch gets the complete list.
 func (s *Server) Set(instances []Instance) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -94,7 +94,8 @@
 	s.wakeWatches()
 }
 
-// Update applies the changes, which creates one new version. A change with health Removed removes the instance.
+// Update applies the changes to the list and thereby creates one new version. A change with health Removed removes the
+// instance.
 func (s *Server) Update(changes ...Instance) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/emulator/result/distribution.go
+++ b/internal/emulator/result/distribution.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// NewDistribution returns the distribution of the measured durations in times, with the given name. total is the number
-// of durations that were expected; total - len(times) of them count as missing.
+// NewDistribution returns the distribution of the measured durations in times, with the given name. total is the
+// number of durations that were expected; total - len(times) of them are recorded as missing.
 func NewDistribution(name string, total int, times []time.Duration) Distribution {
 	sorted := slices.Sorted(slices.Values(times))
 	return Distribution{
@@ -19,8 +19,8 @@
 	}
 }
 
-// quantile returns the smallest of the sorted values such that at least the given fraction of the values, from 0 to 1,
-// is not greater than it. It returns 0 if there are no values.
+// quantile returns the smallest of the sorted values that at least the given fraction (0 to 1) of the values do not
+// exceed. It returns 0 if there are no values.
 func quantile(sorted []time.Duration, fraction float64) time.Duration {
 	if len(sorted) == 0 {
 		return 0
--- a/internal/emulator/result/fit.go
+++ b/internal/emulator/result/fit.go
@@ -17,7 +17,7 @@
 // Point is a metric's value in one run.
 type Point struct {
 	Size  int // number of sidecars
-	Play  int // number of the run among those of this size, from 1
+	Play  int // number of the run among the runs of the same size, from 1
 	Value float64
 }
 
@@ -37,7 +37,7 @@
 	Residuals   []float64 // value minus the line's value, for each point in order
 	MaxResidual float64   // the largest absolute residual
 	RMSResidual float64   // root mean square of the residuals
-	PlayRange   float64   // largest difference between two plays of the same size
+	PlayRange   float64   // largest difference between the values of two plays of the same size
 }
 
 // At returns the line's value at a number of sidecars.
--- a/internal/emulator/result/metrics.go
+++ b/internal/emulator/result/metrics.go
@@ -54,7 +54,7 @@
 	return nil
 }
 
-// metric returns a metric whose name starts with the phase's name and goes on with the formatted text.
+// metric returns a metric whose name consists of the phase's name, a colon and the formatted text.
 func (p *Phase) metric(value float64, unit, format string, args ...any) Metric {
 	return Metric{Name: p.Name + ": " + fmt.Sprintf(format, args...), Unit: unit, Value: value}
 }
@@ -102,8 +102,8 @@
 	}
 }
 
-// requestMetrics returns the latencies of requests through sidecars, the share that was not served, and the latency
-// that sidecars add to that of direct calls.
+// requestMetrics returns the latencies of requests through sidecars, the share of these requests that were not served,
+// and how much longer their latencies are than those of direct calls.
 func (p *Phase) requestMetrics() []Metric {
 	if p.Proxied == nil || p.Proxied.Counts.Planned == 0 {
 		return nil
@@ -124,8 +124,9 @@
 }
 
 // requestCosts returns the processor time of one request at a real sidecar and at an endpoint, without the processor
-// time that they use while idle: (cpu - idleCPU/idleSeconds*seconds) / requests, where idleCPU and idleSeconds are
-// those of the idle phase.
+// time that they use while idle: (cpu - idleCPU/idleSeconds*seconds) / requests. Here, cpu is the processor time of
+// the role, seconds is the length of the phase, and idleCPU and idleSeconds are the same values of the idle phase.
+// requests is the number of requests that the real sidecars served or that the endpoints received.
 func (p *Phase) requestCosts(idle *Phase) []Metric {
 	if p.Proxied == nil || p.Proxied.Counts.Served == 0 || p.Endpoints.Requests == 0 {
 		return nil
@@ -163,8 +164,10 @@
 }
 
 // eventMetrics returns the processor time that one event costs one unit of each role, without the processor time that
-// the role uses for load alone: (cpu - baselineCPU/baselineSeconds*seconds) / events / units, where baselineCPU and
-// baselineSeconds are those of the loaded phase.
+// the role uses for load alone: (cpu - baselineCPU/baselineSeconds*seconds) / events / units. Here, cpu is the
+// processor time of the role, seconds is the length of the phase, and baselineCPU and baselineSeconds are the same
+// values of the loaded phase. events is the number of events in the phase, and units is the number of units of the
+// role.
 func (p *Phase) eventMetrics(baseline *Phase) []Metric {
 	if p.Events == 0 {
 		return nil
--- a/internal/emulator/result/result.go
+++ b/internal/emulator/result/result.go
@@ -19,8 +19,8 @@
 // Version is the version of the format of result files.
 const Version = 1
 
-// SaturationThreshold is the fraction of the machine's processor time, from 0 to 1, above which the machine limits the
-// results of a run, so that they do not describe the fleet.
+// SaturationThreshold is the fraction of the machine's processor time, from 0 to 1, above which the results of a run
+// are regarded as limited by the machine, so that they do not describe the fleet.
 const SaturationThreshold = 0.85
 
 // Run holds the results of one play of a scenario. It is one line of a result file.
@@ -39,7 +39,8 @@
 	// Saturated is set if a phase exceeded SaturationThreshold or has NearDescriptorLimit set.
 	Saturated bool    `json:"saturated"`
 	Seconds   float64 `json:"seconds"`
-	// PeakMemoryMB is the peak resident memory of all processes together. Shared pages count once per process.
+	// PeakMemoryMB is the peak resident memory of all processes together. A shared page is included once for each
+	// process that maps it.
 	PeakMemoryMB float64 `json:"peak_memory_mb"`
 	Startup      Startup `json:"startup"`
 	Phases       []Phase `json:"phases"`
@@ -57,8 +58,8 @@
 // Startup holds the measurements of the fleet's start.
 type Startup struct {
 	Seconds        float64         `json:"seconds"`      // time from the first sidecar's start until the last one is ready
-	SimulatedReady Distribution    `json:"hollow_ready"` // from a sidecar's start to its first non-empty endpoint list
-	RealReady      Distribution    `json:"real_ready"`   // from a process's start until /health/ready responds with 200
+	SimulatedReady Distribution    `json:"hollow_ready"` // times from start to first non-empty endpoint list
+	RealReady      Distribution    `json:"real_ready"`   // times from start until /health/ready responds with 200
 	Discovery      registry.Counts `json:"discovery"`
 }
 
@@ -98,7 +99,7 @@
 	Units       int     `json:"units"` // number of sidecars, endpoints or other instances in the processes
 	CPUSeconds  float64 `json:"cpu_seconds"`
 	ResidentMB  float64 `json:"resident_mb"`
-	PeakMB      float64 `json:"peak_mb"` // peak resident memory since each process's start
+	PeakMB      float64 `json:"peak_mb"` // sum of the peak resident memory of each process since its start
 	Descriptors int     `json:"descriptors"`
 	ReadBytes   uint64  `json:"read_bytes"`  // bytes read by system calls, including those from sockets
 	WriteBytes  uint64  `json:"write_bytes"` // bytes written by system calls, including those to sockets
@@ -142,7 +143,7 @@
 	P99MS          float64     `json:"p99_ms"`
 	P999MS         float64     `json:"p999_ms"`
 	MaxMS          float64     `json:"max_ms"`
-	SendDelayP99MS float64     `json:"late_p99_ms"` // delay from the intended start to the actual one
+	SendDelayP99MS float64     `json:"late_p99_ms"` // 99th percentile of the delay from the intended to the actual start
 	CPUSeconds     float64     `json:"cpu_seconds"`
 }
 
@@ -166,7 +167,7 @@
 // Milliseconds returns a duration in milliseconds.
 func Milliseconds(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
 
-// Usage returns the usage of a role in a phase. It returns nil if the phase has none.
+// Usage returns the usage of a role in a phase. It returns nil if the phase has no entry for the role.
 func (p *Phase) Usage(role Role) *RoleUsage {
 	for i := range p.Roles {
 		if p.Roles[i].Role == role {
--- a/internal/emulator/result/result_test.go
+++ b/internal/emulator/result/result_test.go
@@ -88,7 +88,8 @@
 	}
 }
 
-// The cost of an event is the processor time of its phase less that of the loaded phase, scaled to the same duration.
+// The cost of a phase's events is the processor time of the phase minus the processor time of the loaded phase, scaled
+// to the same duration.
 func TestEventMetricsAreRelativeToTheLoadedPhase(t *testing.T) {
 	usage := func(cpu float64) []RoleUsage {
 		return []RoleUsage{{Role: SimulatedSidecar, Processes: 1, Units: 10, CPUSeconds: cpu}}
--- a/internal/emulator/result/summary.go
+++ b/internal/emulator/result/summary.go
@@ -79,7 +79,7 @@
 		c.Lost(), c.Mismatched, c.Unsent, c.Cancelled)
 }
 
-// writeDistributions writes a line for each distribution that expected at least one time.
+// writeDistributions writes a line for each distribution for which at least one duration was expected.
 func writeDistributions(table io.Writer, distributions []Distribution) {
 	for _, s := range distributions {
 		if s.Total > 0 {
--- a/internal/emulator/result/table.go
+++ b/internal/emulator/result/table.go
@@ -8,8 +8,8 @@
 	"strings"
 )
 
-// WriteTable writes the metrics of runs as a Markdown table. Each row has the mean over the plays of each size, and the
-// fit over all sizes. The table omits runs that are not usable.
+// WriteTable writes the metrics of runs as a Markdown table. Each row shows one metric: its mean over the plays of
+// each size, and its fit over all sizes. The table omits runs that are not usable.
 func WriteTable(out io.Writer, runs []*Run) error {
 	if len(runs) == 0 {
 		_, err := fmt.Fprintln(out, "No runs.")
--- a/internal/emulator/sidecarlog/events.go
+++ b/internal/emulator/sidecarlog/events.go
@@ -30,7 +30,7 @@
 // Events records the events of one sidecar. New creates one. It is safe for concurrent use.
 type Events struct {
 	mu      sync.Mutex
-	changed chan struct{}   // closed and replaced with every event
+	changed chan struct{}   // closed and replaced by a new channel at every event
 	readyAt time.Time       // time of the first list with an endpoint; zero until then
 	lists   []endpointList  // received lists; consecutive lists of the same version are stored once
 	applied []appliedConfig // applied configurations, the latest last
@@ -127,7 +127,7 @@
 	}
 }
 
-// ConfigApplied returns the Condition that the configuration that a sidecar applied last has the given hash.
+// ConfigApplied returns the Condition that a sidecar's latest applied configuration has the given hash.
 func ConfigApplied(hash string) Condition {
 	return func(e *Events) (time.Time, bool) {
 		last := len(e.applied) - 1
--- a/internal/emulator/spec/read.go
+++ b/internal/emulator/spec/read.go
@@ -27,7 +27,8 @@
 // Error returns the message, which names the input at fault.
 func (e *InputError) Error() string { return e.err.Error() }
 
-// Unwrap returns the error that InputErrorf formatted. It has the same message, and wraps the operand of %w.
+// Unwrap returns the error that InputErrorf formatted. That error has the same message as e, and wraps the operand of
+// %w.
 func (e *InputError) Unwrap() error { return e.err }
 
 // InputErrorf returns an *InputError with a message formatted as by fmt.Errorf, including %w.
--- a/internal/emulator/spec/spec.go
+++ b/internal/emulator/spec/spec.go
@@ -4,8 +4,8 @@
 //
 // Each field of the scenario file has two tags: the decoder of the file uses the toml tag, and the encoder of stored
 // results uses the json tag. The keys in both tags are equal, so that a result shows the keys of the scenario file.
-// They must not change. Some differ from the names in the code: a simulated sidecar, which runs within a worker's
-// process, is written as "hollow", and the idle phase as "rest".
+// The keys must not change. Some of them differ from the names in the code: a simulated sidecar, which runs within a
+// worker's process, is written as "hollow", and the idle phase as "rest".
 package spec
 
 import "time"
@@ -126,9 +126,10 @@
 	Idle        Duration `toml:"rest" json:"rest"`     // length of the idle phase, which has no load; 0 omits the phase
 	Loaded      Duration `toml:"loaded" json:"loaded"` // length of the phase with load and no events; 0 omits the phase
 
-	// PerDay is the number of events per day, changes or restarts, in the system that the scenario represents.
+	// PerDay is the number of events (changes or restarts) per day in the system that the scenario represents.
 	PerDay int `toml:"per_day" json:"per_day,omitempty"`
-	// Compression is how many times as fast as in the system that the scenario represents the events are played.
+	// Compression is the factor by which events are played faster than they occur in the system that the scenario
+	// represents.
 	Compression float64 `toml:"compression" json:"compression,omitempty"`
 	Events      int     `toml:"events" json:"events,omitempty"` // number of events to play
 	// Burst is the number of changes in the burst that follows the events. 0 omits the burst.
@@ -138,7 +139,7 @@
 	DrainDuration Duration `toml:"drain" json:"drain,omitempty"`
 	// DetectionDelay is the time from a zone's loss until discovery removes the zone's endpoints.
 	DetectionDelay Duration `toml:"notice" json:"notice,omitempty"`
-	Outage         Duration `toml:"gone" json:"gone,omitempty"` // length of the phase in which a zone is lost
+	Outage         Duration `toml:"gone" json:"gone,omitempty"` // length of the phase that starts when the zone is lost
 	// Recovery is the length of the phase that starts when the zone recovers.
 	Recovery Duration `toml:"back" json:"back,omitempty"`
 }
--- a/internal/emulator/worker/messages.go
+++ b/internal/emulator/worker/messages.go
@@ -1,7 +1,9 @@
-// Package worker implements the worker processes of the emulator and defines the messages that they exchange with it.
+// Package worker implements the worker processes of the emulator and defines the messages between the emulator and its
+// workers.
 //
 // A worker has one role: it hosts the discovery server, it hosts endpoints, it hosts simulated sidecars, or it sends
-// requests. When its input ends, it stops everything that it has started. Messages are exchanged only between
+// requests. When its input ends, it stops everything that it has started. An incarnation of an endpoint or a simulated
+// sidecar lasts from one start to its end; a restart begins a new incarnation. Messages are exchanged only between
 // processes of the same build. The counters are the only messages that are stored, in result files.
 package worker
 
@@ -103,7 +105,7 @@
 // SidecarFile holds the name of a sidecar and the path of its configuration file.
 type SidecarFile struct{ Name, Path string }
 
-// Sidecars holds the sidecars to start. Their starts are spread evenly over the duration Over.
+// Sidecars holds the sidecars to start. Over is the time over which their starts are spread evenly.
 type Sidecars struct {
 	Files []SidecarFile
 	Over  time.Duration
@@ -112,9 +114,9 @@
 // SidecarNames selects the sidecars of a request. If Names is empty, it selects all running sidecars.
 type SidecarNames struct{ Names []string }
 
-// AwaitRequest waits until each of the selected sidecars meets a condition, which depends on the kind of the request:
-// AwaitReady waits until the sidecar is ready, AwaitList until it has received an endpoint list of this version or a
-// newer one, and AwaitConfig until it has applied the configuration in its file.
+// AwaitRequest asks a worker to wait until each of the selected sidecars meets a condition, which depends on the kind
+// of the request: AwaitReady waits until the sidecar is ready, AwaitList until it has received the endpoint list of
+// the given version or a newer one, and AwaitConfig until it has applied the configuration in its file.
 type AwaitRequest struct {
 	Names   []string      // names of the sidecars; empty means all running sidecars
 	Version uint64        // endpoint list version, for AwaitList only
--- a/internal/emulator/worker/sidecars.go
+++ b/internal/emulator/worker/sidecars.go
@@ -17,8 +17,8 @@
 // errAlreadyRunning is returned for a request to start a sidecar that is running.
 var errAlreadyRunning = errors.New("sidecar is already running")
 
-// sidecarService implements the role hollow: it hosts simulated sidecars. They run the same code as a sidecar
-// that has a process of its own, but many of them share the worker process, and they have no application.
+// sidecarService implements the role hollow: it hosts simulated sidecars. They run the same code as a sidecar that has
+// a process of its own, but many of them share the worker process, and no application sends requests to them.
 type sidecarService struct {
 	mu         sync.Mutex
 	sidecars   map[string]*simulatedSidecar // latest incarnation of each sidecar, by name
@@ -128,7 +128,7 @@
 	return s.await(ctx, request, func(sidecar *simulatedSidecar) sidecarlog.Condition {
 		cfg, err := readConfig(sidecar.file.Path)
 		if err != nil {
-			// No configuration can match an unreadable file, so the sidecar counts as missing.
+			// No configuration can match an unreadable file, so the sidecar is reported as missing.
 			return func(*sidecarlog.Events) (time.Time, bool) { return time.Time{}, false }
 		}
 		return sidecarlog.ConfigApplied(cfg.Hash())
--- a/internal/emulator/worker/worker.go
+++ b/internal/emulator/worker/worker.go
@@ -40,7 +40,7 @@
 	return nil, spec.InputErrorf("unknown role %q", role)
 }
 
-// matchesNames reports whether names contains name. Empty names match every name.
+// matchesNames reports whether names contains name. An empty list matches every name.
 func matchesNames(names []string, name string) bool {
 	return len(names) == 0 || slices.Contains(names, name)
 }
