--- a/internal/upstream/upload.go
+++ b/internal/upstream/upload.go
@@ -154,7 +154,8 @@
 		return &unsentError{err}
 	}
 	c.SetDeadline(time.Time{})
-	return ctx.Err() // the deadline that interrupt has set may have been overwritten
+	// The deadline that c.interrupt sets when ctx is cancelled may have been overwritten, so ctx itself is checked.
+	return ctx.Err()
 }
 
 // uploadWriter writes an upload to an endpoint. The endpoint must accept each piece within httpmsg.ChunkTimeout.
--- a/internal/wire/frame.go
+++ b/internal/wire/frame.go
@@ -31,7 +31,9 @@
 const (
 	maxFrameSize      = 1 << 30 // size of the largest frame that is accepted
 	initialBufferSize = 1 << 16 // size of the first buffer
-	readChunkSize     = 1 << 20 // most bytes read at once; a false frame size alone thus allocates little memory
+	// readChunkSize is the largest number of bytes read at once. The buffer grows only as bytes arrive, so a header with
+	// a false frame size does not by itself cause a large allocation.
+	readChunkSize = 1 << 20
 )
 
 // FrameError is the error for malformed input. It says which record is malformed, where and why.
