--- a/balancer/breaker_test.go
+++ b/balancer/breaker_test.go
@@ -21,8 +21,8 @@
 		{"within protected requests", 0, 5, 0, 1, 0},
 		{"one beyond protected requests", 0, 6, 0, 1, 1.0 / 7},
 		// The drop probability is (requests - protectedRequests - K x accepted) / (requests + 1), with
-		// protectedRequests = 5. The accept factor K is 1.5 here: the 10 accepted requests and the 20 others are all
-		// in the newest bucket.
+		// protectedRequests = 5. The accept factor K has its maximum, 1.5, if the newest bucket has an accepted
+		// request. That is so in the next cases, where all requests are in one bucket.
 		{"two thirds fail", 10, 20, 0, 1, (30.0 - 5 - 15) / 31},
 		{"dropped requests count", 10, 0, 20, 1, (30.0 - 5 - 15) / 31},
 		{"all accepted", 40, 0, 0, 1, 0},
--- a/balancer/probing.go
+++ b/balancer/probing.go
@@ -23,8 +23,8 @@
 	minReportTTL    = second
 	reportTTLRounds = 3
 
-	// minInFlightPerEndpoint is the mean number of this balancer's requests in flight per endpoint from which
-	// these requests show the load of endpoints well enough.
+	// If this balancer has at least minInFlightPerEndpoint requests in flight per endpoint on average, these
+	// requests show the load of endpoints well enough.
 	minInFlightPerEndpoint = 0.1
 )
 
--- a/balancer/retries.go
+++ b/balancer/retries.go
@@ -15,7 +15,7 @@
 	//
 	//	max(overdueFactor * predicted latency, minOverdueShare * latency objective)
 	//
-	// If the attempt can't be declared lost at the time of a check, it is checked again after
+	// Then handleOverdue checks whether the attempt can be declared lost. If not, it checks again after
 	//
 	//	time since it was sent / overdueRecheckDivisor
 	overdueFactor         = 2.5
--- a/balancer/settings.go
+++ b/balancer/settings.go
@@ -122,9 +122,9 @@
 	AnswerGrace  Micros `json:"AnswerSlack"`
 }
 
-// Prices holds the deductions from the users' score, whose criteria Goal weighs. Each price is multiplied by
-// the number of its events per request, such as the probes per request. No decision depends on WastedAttempt
-// or LateFailure.
+// Prices holds deductions from the score that users give the service; Goal has the weights of the score's
+// criteria. Each price is multiplied by the number of its events per request, such as the probes per request.
+// No decision depends on WastedAttempt or LateFailure.
 type Prices struct {
 	CrossZone     float64
 	Probe         float64
--- a/balancer/stats.go
+++ b/balancer/stats.go
@@ -17,12 +17,13 @@
 	PredictedLatency, Latency Micros // sums over the attempts with status OK
 	ProbeLatency              Micros // sum over the probes with status OK
 
-	// Attempts sent to endpoints that were warming up at that time, those of them that ended with status OK or
-	// Timeout, and the sums of latencies over those with status OK.
+	// Attempts to endpoints that were warming up when the attempt was sent: the number sent, the numbers that
+	// ended with status OK and with status Timeout, and the sums of predicted and measured latency over those
+	// with status OK.
 	WarmingAttempts, WarmingOK, WarmingTimeouts uint64
 	WarmingPredictedLatency, WarmingLatency     Micros
 
-	ReportedLoad float64 // sum over the load reports of the requests at the endpoint
+	ReportedLoad float64 // number of requests at the endpoint in each load report, summed over all reports
 	QueuedProbes uint64  // probes that queued behind requests
 
 	// Open requests; attempts in flight whose body has been sent, and whose body is still being sent; all known
@@ -33,7 +34,7 @@
 	ServiceTimeRatio float64 // measured / predicted service time, averaged over the fleet
 	Slowdown         float64 // factor by which all endpoints are slower than predicted; 1 if that may be noise
 	RejectedShare    float64 // share of recent requests that were rejected at arrival
-	ReportsLate      bool    // load reports arrive late, so their means are used instead
+	ReportsLate      bool    // too many load reports are late, so each endpoint's mean load replaces its reports
 }
 
 // countOutcome counts the end of an attempt.
