--- a/balancer/actions.go
+++ b/balancer/actions.go
@@ -11,7 +11,7 @@
 	Reject(id uint64, retryAfter Micros)
 	// Fail gives the final answer "failed", which does not tell the client whether a retry is harmless.
 	Fail(id uint64)
-	// Cancel stops waiting for an attempt. The host still reports its outcome.
+	// Cancel stops waiting for an attempt. The host still reports the outcome of the attempt.
 	Cancel(id uint64, attempt int)
 	// StartTimer requests a call of HandleTimer with this token after delay.
 	StartTimer(delay Micros, token uint32)
--- a/balancer/balancer.go
+++ b/balancer/balancer.go
@@ -8,10 +8,11 @@
 //   - The same settings, seed and events result in the same actions, in the same order. The balancer does no
 //     I/O, reads no clock and starts no goroutine. The order of random draws and of floating-point operations
 //     affects the decisions.
-//   - It is not safe for concurrent use: the host serializes the events.
+//   - A Balancer is not safe for concurrent use: the host serializes the events.
 //   - Each request gets exactly one final answer, unless its client disconnects first.
-//   - Only the ledger enforces the rules (attempt limits, idempotency, deduplication, slow start). Every
-//     attempt, rejection and failure goes through it, so no other component can break a rule.
+//   - Only the ledger, the record of requests and attempts, enforces the rules (attempt limits, idempotency,
+//     deduplication, slow start). Every attempt, rejection and failure goes through the ledger, so no other
+//     component can break a rule.
 //
 // The balancer transfers no data, opens no connections and stores nothing. The host does all of that.
 //
@@ -28,7 +29,7 @@
 // The decisions require two cycles of references between components. Balancer therefore holds all components
 // by value, and New connects them by pointers:
 //
-//   - prober -> slowStart -> estimator -> prober: a probe is charged to the slow start budget, that budget
+//   - prober -> slowStart -> estimator -> prober: a probe is charged to the slow start budget, this budget
 //     depends on estimates from measured latencies, and the estimates depend on the age of the load reports,
 //     which arrive with the answers to probes.
 //   - admission <-> retrier: when admission sends an attempt, the retrier starts the timer after which the
@@ -106,12 +107,12 @@
 	b.probes.start()
 }
 
-// Reconfigure applies new settings atomically, or returns a *SettingError and changes nothing. A class or
-// tenant keeps its estimates if the new settings have one of the same name. All endpoints and their state are
-// kept. An open request keeps the class under which it arrived, but becomes non-idempotent if the new
-// settings are stricter about repeated execution. Reconfigure returns the attempts in flight that could then
-// execute a non-idempotent request twice. The host must withdraw each of them whose first byte has not been
-// sent yet.
+// Reconfigure applies new settings atomically, or returns a *SettingError and changes nothing. A class keeps
+// its estimates if the new settings have a class of the same name, and so does a tenant. All endpoints and
+// their state are kept. An open request keeps the class under which it arrived, but becomes non-idempotent if
+// the new settings are stricter about repeated execution. Reconfigure returns the attempts in flight that
+// could then execute a non-idempotent request twice. The host must withdraw each of these attempts unless its
+// first byte has been sent.
 func (b *Balancer) Reconfigure(s Settings) ([]AttemptID, error) {
 	if err := s.Validate(); err != nil {
 		return nil, err
@@ -153,8 +154,8 @@
 		}
 		b.ledger.reject(r)
 	case r.awaitingProbes:
-		// The time since an unanswered probe was sent is learned as a probe delay, too. Only idle endpoints
-		// answer in time: with their answers alone, an overloaded fleet would look idle.
+		// The time since an unanswered probe was sent is learned as a probe delay, too. In an overloaded fleet,
+		// only idle endpoints answer in time, and their answers alone would make the whole fleet look idle.
 		for _, e := range r.awaitedEndpoints {
 			b.estimates.learnProbeDelay(float64(now - e.lastProbeAt))
 		}
@@ -165,7 +166,7 @@
 }
 
 // HandleRequest handles the arrival of a client's request. The request is ignored if the ledger already holds
-// one with the same ID.
+// a request with the same ID.
 func (b *Balancer) HandleRequest(now Micros, in Request) {
 	if b.ledger.lookup(in.ID) != nil {
 		return
@@ -237,8 +238,8 @@
 	b.retries.retry(now, r, a)
 }
 
-// HandleProbe handles the end of a probe of the endpoint with this ID. load holds the figures of the load
-// report in the order of Settings.ReportFields; it is valid only during the call.
+// HandleProbe handles the end of a probe of the endpoint with this ID. The slice load contains the figures of
+// the load report in the order of Settings.ReportFields, and is valid only during the call.
 func (b *Balancer) HandleProbe(now Micros, id uint32, status Status, latency Micros, load []float32) {
 	e := b.membership.lookup(id)
 	if e == nil {
@@ -267,8 +268,9 @@
 	b.estimates.checkReportDelay(now, e, &report)
 }
 
-// HandleEndpoints handles an endpoint list, a change to it, or a failed call to discovery. entries is valid
-// only during the call.
+// HandleEndpoints handles an endpoint list, a change to it, or a failed call to discovery. The slice entries
+// is valid only during the call. A new endpoint whose StartTime is 0 is regarded as started now if it appears
+// after the first list from discovery, otherwise as started long ago.
 func (b *Balancer) HandleEndpoints(now Micros, kind ListUpdate, entries []Endpoint) {
 	if kind == ListFailed {
 		b.log(now, "discovery", "discovery call failed or watch broken; keeping the endpoint list and retrying")
@@ -287,8 +289,8 @@
 }
 
 // updateEndpoint stores an entry of an endpoint list. An endpoint that is new or runs a new process is put
-// into slow start, unless this process started at least SlowStartDuration ago. It is also probed if probeNew
-// is set. A start time of 0 means long ago.
+// into slow start, unless this process started at least SlowStartDuration ago. The endpoint is also probed if
+// probeNew is set. A startTime of 0 means that the process started long ago.
 func (b *Balancer) updateEndpoint(now Micros, in *Endpoint, probeNew bool) {
 	e, startTime, newProcess := b.membership.update(now, in)
 	if !newProcess {
--- a/balancer/endpoint.go
+++ b/balancer/endpoint.go
@@ -2,10 +2,12 @@
 
 import "math"
 
+// The failure share of an endpoint is a moving average over the outcomes of attempts that recordOutcome gets:
+// 1 for a failure, 0 for a success.
 const (
-	failureHalfLife        = 3 * second // half-life of the failure share while there are no outcomes
-	negligibleFailureShare = 0.01       // failure share up to which it is taken as 0
-	ejectThreshold         = 0.4        // failure share from which an endpoint is ejected
+	failureHalfLife        = 3 * second // time in which the failure share halves without an outcome
+	negligibleFailureShare = 0.01       // a failure share up to this value is regarded as 0
+	ejectThreshold         = 0.4        // least failure share at which an endpoint is ejected
 
 	// Weights of the latest outcome in the failure share. A healthy endpoint hardly ever returns an error, but
 	// connection failures and timeouts also occur at healthy endpoints and therefore weigh less.
@@ -18,9 +20,9 @@
 // endpoint is the state that a balancer keeps about an endpoint.
 type endpoint struct {
 	Endpoint
-	listed       bool    // the endpoint is in the list that is being read
+	listed       bool    // the latest update of the endpoint list contains the endpoint
 	cordoned     bool    // operators have removed the endpoint from service
-	awaitsTrial  bool    // uncordoned, and this balancer may send it a request at once; see offerTrial
+	awaitsTrial  bool    // the endpoint was uncordoned, and this balancer may test it at once; see offerTrial
 	warming      bool    // the endpoint is in slow start, as of the latest call of isWarming
 	warmingSince Micros  // start of the warm-up
 	warmingWork  float64 // work charged since warmingSince plus a start value, in microseconds; see begin
@@ -33,14 +35,14 @@
 	probeInFlight      bool
 	lastProbeAt        Micros
 
-	hasReport        bool
-	pooled           bool
+	hasReport        bool    // a load report has arrived from the current process
+	pooled           bool    // the endpoint is in the pool of endpoints with a recent load report
 	reportedAt       Micros  // time of the latest load report; 0 if there is none, or a probe failed since
 	reportedLoad     float64 // requests of other balancers at the endpoint, according to the latest report
-	inFlightAtReport int     // inFlight at reportedAt
+	inFlightAtReport int     // inFlight when the latest load report arrived
 	meanReportedLoad ewma    // moving average of reportedLoad
 
-	serviceTimeRatio   ewma    // measured / predicted service time, without the slowdown by the warm-up
+	serviceTimeRatio   ewma    // mean of measured / predicted service time, without the slowdown by the warm-up
 	serviceTimeRatioAt Micros  // time of the latest sample of serviceTimeRatio
 	failureShare       float64 // share of failures at failureShareAt; see currentFailureShare
 	failureShareAt     Micros
--- a/balancer/events.go
+++ b/balancer/events.go
@@ -19,7 +19,7 @@
 	Cell        uint16
 	State       EndpointState
 	Weight      float32 // capacity relative to other endpoints
-	StartTime   Micros  // start of the endpoint's current process; 0 means long ago
+	StartTime   Micros  // start of the current process; 0 if unknown, see HandleEndpoints
 }
 
 // ListUpdate is the kind of an update of the endpoint list. It determines the meaning of the entries.
@@ -39,7 +39,7 @@
 	ID            uint64
 	Key           uint64 // hash of the affinity key; 0 means none
 	Deadline      Micros // instant at which the client stops waiting for an answer to this request
-	WorkHint      Micros // expected work; valid if HasWorkHint is set
+	WorkHint      Micros // work that the client expects; valid if HasWorkHint is set
 	HasWorkHint   bool
 	ClientRetry   bool // the client marked the request as a retry
 	IsWrite       bool
--- a/balancer/helpers_test.go
+++ b/balancer/helpers_test.go
@@ -54,7 +54,7 @@
 	probes       []uint32 // IDs of the probed endpoints
 	timers       []uint32 // tokens of the timers
 	delays       []Micros // delay of each timer, in the order of timers
-	watches      int      // calls of Watch
+	watches      int      // number of calls of Watch
 	logs         []string
 }
 
--- a/balancer/ledger.go
+++ b/balancer/ledger.go
@@ -32,7 +32,7 @@
 func (l *ledger) lookup(id uint64) *request { return l.requests[id] }
 
 // byToken returns the request whose timers have this token, or nil. It also returns a finished request whose
-// record has not been used again.
+// record has not been reused.
 func (l *ledger) byToken(token uint32) *request {
 	slot := int(token&(1<<slotBits-1)) - firstRequestToken
 	if token < firstRequestToken || slot < 0 || slot >= len(l.slots) || l.slots[slot].timerToken != token {
@@ -44,7 +44,7 @@
 // openRequests returns the number of requests without a final answer.
 func (l *ledger) openRequests() int { return l.open }
 
-// full reports whether more requests are open than permitted.
+// full reports whether more requests are open than permitted, including the request that just arrived.
 func (l *ledger) full() bool { return l.open > l.settings.Limits.MaxOpenRequests }
 
 // newRequest adds a request to the ledger and returns its record, or returns nil if its class is unknown.
@@ -76,7 +76,7 @@
 	return r
 }
 
-// finish marks r as answered and cancels its attempts in flight, if attempts may be cancelled. The record
+// finish marks r as answered and cancels its attempts in flight, if Limits.CancelAttempts is set. The record
 // remains in the ledger until the last of these attempts has an outcome.
 func (l *ledger) finish(r *request) {
 	if !r.answered {
--- a/balancer/reconfigure_test.go
+++ b/balancer/reconfigure_test.go
@@ -133,8 +133,8 @@
 	}
 }
 
-// If a class becomes non-idempotent while several attempts of an open request may have executed, those of them that
-// are in flight are withdrawn. If only one attempt may have executed, it continues.
+// If a class becomes non-idempotent and several attempts of an open request may have executed, the attempts of this
+// request that are in flight are withdrawn. If only one attempt may have executed, that attempt continues.
 func TestStricterIdempotencyWithdrawsAttempts(t *testing.T) {
 	b, r := startBalancer(t, testSettings(), readyEndpoints(4))
 	b.HandleRequest(1000, testRequest(1, 0, 1000))
@@ -155,7 +155,7 @@
 
 // If a request was received under earlier settings, its class and tenant are looked up by the names that the earlier
 // settings give them. The class applies even if the current settings no longer have it. If the current settings have a
-// class of that name that is stricter about repeated execution, the request is treated as non-idempotent.
+// class of the same name that is stricter about repeated execution, the request is treated as non-idempotent.
 func TestRequestReceivedUnderEarlierSettings(t *testing.T) {
 	s := testSettings()
 	s.Tenants = []Tenant{{Name: "a", QuotaRate: 50}, {Name: "b", QuotaRate: 50}}
--- a/balancer/request.go
+++ b/balancer/request.go
@@ -12,13 +12,13 @@
 	arrivedAt        Micros
 	work             float64 // expected service time in microseconds at an endpoint without load
 	logWorkHint      float64 // ln(work hint / mean work of the class); 0 without a work hint
-	priority         float64 // priority of class and tenant at the latest decision, 0 to 1
+	priority         float64 // priority by class and tenant at the latest decision, 0 to 1
 	attempts         []attempt
-	inFlight         int     // attempts without an outcome
+	inFlight         int     // number of attempts without an outcome
 	servedInTime     float64 // 1 once an answer came within the latency objective, else 0
 	answered         bool    // the final answer was given, or the client disconnected
 	streaming        bool    // a streamed response has begun, so no other attempt may follow
-	isTrial          bool    // the request was sent although its answer was expected too late
+	isTrial          bool    // the request was sent although its answer was predicted to come too late
 	bodyConsumed     bool    // the body can't be sent again
 	awaitingProbes   bool
 	awaitedEndpoints []*endpoint // endpoints whose probes the request waits for
@@ -27,15 +27,15 @@
 // attempt is one send of a request.
 type attempt struct {
 	endpoint              *endpoint
-	zone                  uint8  // zone of the endpoint at sending time; its list entry may change later
+	zone                  uint8  // zone of the endpoint at sending time; the endpoint may change its zone later
 	cell                  uint16 // cell of the endpoint at sending time
 	sentAt                Micros
 	predictedLatency      float64 // microseconds
 	predictedWithoutTrend float64 // microseconds; predictedLatency without the fleet-wide slowdown
-	queueingFactor        float64 // queueing factor of the endpoint at sending time
+	queueingFactor        float64 // predicted service time / service time without load, at sending time
 	overdueAt             Micros  // instant of the next check whether the attempt is lost
 	suspectedLost         bool    // the attempt was found overdue, and its endpoint was probed
-	declaredLost          bool    // no answer is expected, but may still come; a hedged request is permitted
+	declaredLost          bool    // an answer is unlikely but may still come; a hedged request is permitted
 	warming               bool    // the endpoint was warming up at sending time
 	inFlight              bool    // the attempt has no outcome yet
 	mayHaveExecuted       bool    // the endpoint may have executed the attempt, or may yet execute it
--- a/balancer/retries.go
+++ b/balancer/retries.go
@@ -4,20 +4,20 @@
 // attempt that is sent because an earlier one, still in flight, was declared lost.
 
 const (
-	maxBudget    = 10.0 // limit of a budget, in attempts
+	maxBudget    = 10.0 // largest value of a budget, in attempts
 	retryDeposit = 0.2  // attempts that each request adds to the budget for retries
 	hedgeDeposit = 0.2  // attempts that each request adds to the budget for hedged requests
 
 	lossRateWeight     = 0.02 // weight of the latest outcome in the loss rate
-	minHedgingLossRate = 0.01 // loss rate from which overdue attempts are hedged
+	minHedgingLossRate = 0.01 // least loss rate at which overdue attempts are hedged
 
 	// An attempt becomes overdue when the time since it was sent reaches
 	//
 	//	max(overdueFactor * predicted latency, minOverdueShare * latency objective)
 	//
-	// Then handleOverdue checks whether the attempt can be declared lost. If not, it checks again after
+	// Then handleOverdue checks whether the attempt can be declared lost. If not, the next check follows after
 	//
-	//	time since it was sent / overdueRecheckDivisor
+	//	time since the attempt was sent / overdueRecheckDivisor
 	overdueFactor         = 2.5
 	minOverdueShare       = 0.25
 	overdueRecheckDivisor = 2
@@ -40,7 +40,7 @@
 
 	retryBudget budget
 	hedgeBudget budget
-	lossRate    ewma // share of attempts that were lost in the network or at an endpoint
+	lossRate    ewma // moving average of the share of attempts that were lost; see recordLoss
 }
 
 func newRetrier(env *environment, p *prober, est *estimator, a *admission, l *ledger) retrier {
@@ -80,8 +80,9 @@
 // answered a later attempt first, or if it has not responded to anything since the attempt was sent, not
 // even to the probe that was sent when the attempt was first found overdue.
 //
-// An attempt that is merely queued is not hedged, since that would double the work of an overloaded endpoint.
-// For the same reason, hedging requires a minimum loss rate: without losses, overdue attempts are just slow.
+// An attempt that is merely queued is not hedged: a hedged request would double the work of an overloaded
+// endpoint. For the same reason, hedging requires a minimum loss rate: without losses, overdue attempts are
+// just slow.
 func (t *retrier) handleOverdue(now Micros, r *request, a *attempt) {
 	e := a.endpoint
 	if t.lossRate.value < minHedgingLossRate {
--- a/balancer/rules.go
+++ b/balancer/rules.go
@@ -44,9 +44,9 @@
 }
 
 // restrictIdempotency makes r non-idempotent if the class in force with the name of r's class is stricter
-// than r's idempotency. IdempotentWithKey would not be safe, since r may lack the key by which endpoints drop
-// duplicates. restrictIdempotency returns the attempts that the host must withdraw: all in flight, if r is
-// non-idempotent and several of its attempts may have executed.
+// than r's idempotency. r never becomes IdempotentWithKey, since it may lack the key by which endpoints drop
+// duplicates. If r is non-idempotent and several of its attempts may have executed, restrictIdempotency
+// returns all attempts in flight, which the host must withdraw.
 func (l *ledger) restrictIdempotency(r *request) (withdrawn []AttemptID) {
 	if c := l.demand.classNamed(r.class.Name); c != nil && c.Idempotency > r.idempotency {
 		r.idempotency = NonIdempotent
--- a/balancer/rules_test.go
+++ b/balancer/rules_test.go
@@ -295,8 +295,9 @@
 	p.probes = p.probes[:0]
 }
 
-// changeList changes a random endpoint or restarts all endpoints. It then sends the full list, a part of the list as
-// if it were complete, the changed entry, or a failed call to discovery.
+// changeList changes a random endpoint, and sometimes restarts all endpoints. After a restart of all endpoints it sends
+// the full list. Otherwise it sends a part of the list as if it were complete, the changed entry twice, or a failed
+// call to discovery.
 func (p *randomPlay) changeList() {
 	e := &p.listed[p.random.Intn(len(p.listed))]
 	e.State = EndpointState(p.random.Intn(3))
--- a/balancer/settings.go
+++ b/balancer/settings.go
@@ -6,11 +6,12 @@
 // may choose freely. The host's clock never runs backwards.
 type Micros = int64
 
-// Time limits for the calls to discovery that deliver changes of the endpoint list. The protocol requires a
-// sidecar to be notified of a change within NotificationDeadline from when discovery has the change and is
-// reachable, whatever the state of the sidecar's earlier calls. That time may include a call that hangs or a
-// watch that went silent, then the backoff, then a call that queues at discovery. The backoff is therefore
-// limited to the time that the two calls leave:
+// Time limits for the calls to discovery that deliver changes of the endpoint list. A watch is a series of
+// calls, each of which waits for a change. The protocol requires a sidecar to be notified of a change within
+// NotificationDeadline from when discovery has the change and is reachable, whatever the state of the
+// sidecar's earlier calls. That time may include a call that hangs or a watch that went silent, then the
+// backoff, then a call that queues at discovery. The backoff is therefore limited to the part of
+// NotificationDeadline that the calls before and after it leave:
 //
 //	after a call that timed out:       at most NotificationDeadline - 2 DiscoveryCallTimeout = 0.6 s
 //	after a watch that went silent:    at most NotificationDeadline - WatchDuration - WatchGrace
@@ -20,9 +21,9 @@
 // While nothing changes, the watch of each balancer makes one call every 1.5 to 2 s.
 const (
 	NotificationDeadline Micros = 6_000_000
-	DiscoveryCallTimeout        = NotificationDeadline * 9 / 20 // for a call that does not wait for a change
+	DiscoveryCallTimeout        = NotificationDeadline * 9 / 20 // timeout of a call that does not wait
 	WatchDuration               = NotificationDeadline / 3      // longest time that a call may wait for a change
-	WatchGrace                  = NotificationDeadline / 12     // permitted delay of the answer "no change"
+	WatchGrace                  = NotificationDeadline / 12     // time that a call may take beyond its wait
 )
 
 // Idempotency states the effect of executing a request twice. A larger value is stricter.
@@ -66,23 +67,24 @@
 )
 
 // Class describes one class of requests. DeduplicationScope and DeduplicationWindow are used only with
-// IdempotentWithKey. No decision depends on LateWeight or Streaming.
+// IdempotentWithKey. An answer is late if its latency exceeds LatencyObjective. No decision depends on
+// LateWeight or Streaming.
 type Class struct {
 	Name                string
 	Idempotency         Idempotency        `json:"Repeat"`
 	DeduplicationScope  DeduplicationScope `json:"Group"`
 	DeduplicationWindow Micros             `json:"Window"`    // how long endpoints drop duplicates
-	LatencyObjective    Micros             `json:"Aim"`       // longest latency that earns all of PriorityWeight
+	LatencyObjective    Micros             `json:"Aim"`       // longest latency of an answer that is not late
 	ClientTimeout       Micros             `json:"GiveUp"`    // the client's timeout over all its attempts
 	PriorityWeight      float64            `json:"Worth"`     // weight of one request; see Settings.WeightByWork
-	LateWeight          float64            `json:"LateWorth"` // share of PriorityWeight for a later answer
+	LateWeight          float64            `json:"LateWorth"` // share of PriorityWeight for a late answer
 	Streaming           bool               `json:"Stream"`    // responses are streamed; see HandleHeaders
 }
 
 // Tenant describes one tenant and its quota. No decision depends on CapacityShare.
 type Tenant struct {
 	Name          string
-	QuotaRate     float64 `json:"Allowance"` // requests per second through all balancers together
+	QuotaRate     float64 `json:"Allowance"` // quota in requests per second, over all balancers
 	CapacityShare float64 `json:"Share"`
 }
 
@@ -95,8 +97,8 @@
 	RetryAfter     bool
 	PeerMessages   bool `json:"Tell"`
 
-	MaxAttempts     int    // limit per request, including the first attempt
-	MaxOpenRequests int    `json:"MaxOpen"` // limit per balancer
+	MaxAttempts     int    // largest number of attempts of a request, including the first
+	MaxOpenRequests int    `json:"MaxOpen"` // largest number of open requests of a balancer
 	MaxRetryAfter   Micros // longest Retry-After that clients respect
 	DialTimeout     Micros
 }
@@ -112,8 +114,8 @@
 	SlowStartInitialFraction float64 `json:"ColdFrom"`
 	SlowStartDuration        Micros  `json:"RampTime"`
 
-	// A warming endpoint becomes overloaded if it receives OverloadFactor times its present capacity for
-	// OverloadWindow.
+	// A warming endpoint becomes overloaded if it receives requests at OverloadFactor times its present capacity
+	// for OverloadWindow.
 	OverloadFactor float64 `json:"FallMultiple"`
 	OverloadWindow Micros  `json:"OverloadFor"`
 
@@ -141,11 +143,11 @@
 	WorstTenant float64
 }
 
-// Settings configures a balancer, in New and in Reconfigure. After it has been passed to either, neither the
-// balancer nor the host may modify it. No decision depends on Index, Zones, MachineKinds or Tick.
+// Settings configures a balancer, in New and in Reconfigure. A Settings that was passed to one of these
+// functions must not be modified afterwards. No decision depends on Index, Zones, MachineKinds or Tick.
 //
 // Balancers is the number of balancers in the tier, including this one. Index is the position of this
-// balancer among them, and Zone is its zone.
+// balancer among them, from 0, and Zone is this balancer's zone.
 type Settings struct {
 	Balancers            int
 	Index                int `json:"Position"`
@@ -156,7 +158,7 @@
 
 	Classes      []Class
 	Tenants      []Tenant
-	ReportFields []ReportField `json:"Fields"` // figures of a load report, in their order there
+	ReportFields []ReportField `json:"Fields"` // meaning of each figure of a load report, in order
 
 	Limits          Limits
 	Contract        Contract
@@ -165,7 +167,7 @@
 	Tick            Micros  // shortest time between two rounds of events
 	OverQuotaWeight float64 `json:"OverShareWorth"` // relative weight of a request above its tenant's quota
 	WeightByWork    bool    `json:"WorthByWork"`    // PriorityWeight is per unit of work, not per request
-	KeyAffinity     bool    `json:"WarmKeys"`       // a request takes less work where its key was served lately
+	KeyAffinity     bool    `json:"WarmKeys"`       // endpoints that served a key lately need less work for it
 }
 
 // SettingError reports an invalid setting. In an error from this package, Key is the path of the setting in
--- a/balancer/stats.go
+++ b/balancer/stats.go
@@ -7,34 +7,37 @@
 type Stats struct {
 	Requests, Attempts, Rejected, Failed uint64
 
-	// Attempts not sent, by reason: no endpoint was permitted, the answer would have come too late, the circuit
-	// breakers of two endpoints dropped the attempt, or the error throttle dropped it.
+	// Attempts not sent, by reason: no endpoint was permitted; the answer was predicted to come too late; the
+	// circuit breaker of the chosen endpoint dropped the attempt, and there was no second endpoint or its
+	// breaker dropped the attempt, too; or the error throttle, the breaker over all endpoints, dropped it.
 	NoEndpoint, TooLate, BreakerRejected, Throttled uint64
 
-	Outcomes [NotSent + 1]uint64 // ended attempts by status
-	Probes   [NotSent + 1]uint64 // ended probes by status
+	Outcomes [NotSent + 1]uint64 // number of ended attempts, indexed by Status
+	Probes   [NotSent + 1]uint64 // number of ended probes, indexed by Status
 
-	PredictedLatency, Latency Micros // sums over the attempts with status OK
-	ProbeLatency              Micros // sum over the probes with status OK
+	PredictedLatency, Latency Micros // sums of predicted and measured latency over the attempts with status OK
+	ProbeLatency              Micros // sum of the latency of the probes with status OK
 
-	// Attempts to endpoints that were warming up when the attempt was sent: the number sent, the numbers that
-	// ended with status OK and with status Timeout, and the sums of predicted and measured latency over those
-	// with status OK.
+	// Attempts to endpoints that were warming up when the attempt was sent: the number of attempts sent, the
+	// numbers of attempts that ended with status OK and with status Timeout, and the sums of predicted and
+	// measured latency over the attempts with status OK.
 	WarmingAttempts, WarmingOK, WarmingTimeouts uint64
 	WarmingPredictedLatency, WarmingLatency     Micros
 
-	ReportedLoad float64 // number of requests at the endpoint in each load report, summed over all reports
-	QueuedProbes uint64  // probes that queued behind requests
+	ReportedLoad float64 // sum over all load reports of the number of requests at the endpoint
+	QueuedProbes uint64  // number of probes whose latency shows that they queued behind requests
 
-	// Open requests; attempts in flight whose body has been sent, and whose body is still being sent; all known
-	// endpoints, and those in each state. Pooled endpoints are those with a recent load report.
+	// Present numbers. Open requests lack a final answer. InFlight counts the attempts without an outcome whose
+	// request body has been sent, Uploading those whose body is still being sent. Listed counts all known
+	// endpoints. Cordoned endpoints were removed from service by operators, endpoints that are warming up are in
+	// slow start, ejected endpoints failed too often, and pooled endpoints have a recent load report.
 	Open, InFlight, Uploading, Listed, Cordoned, WarmingUp, Ejected, Pooled int
 
 	TypicalLoad      float64 // typical number of requests of other balancers at an endpoint
-	ServiceTimeRatio float64 // measured / predicted service time, averaged over the fleet
-	Slowdown         float64 // factor by which all endpoints are slower than predicted; 1 if that may be noise
-	RejectedShare    float64 // share of recent requests that were rejected at arrival
-	ReportsLate      bool    // too many load reports are late, so each endpoint's mean load replaces its reports
+	ServiceTimeRatio float64 // mean of measured / predicted service time at warm endpoints
+	Slowdown         float64 // factor by which all endpoints are slower than predicted; 1 if it may be noise
+	RejectedShare    float64 // share of recent requests that were rejected at arrival, 0 to 1
+	ReportsLate      bool    // load reports often show an earlier load; each endpoint's mean load replaces them
 }
 
 // countOutcome counts the end of an attempt.
@@ -84,8 +87,9 @@
 	s.Slowdown, s.ReportsLate = est.slowdown(now), est.reportsLate
 }
 
-// Since formats the increase of the counts from old to s, and the estimates of the state that s holds, as
-// name=value pairs. Latencies are means in milliseconds.
+// Since formats the increase of each count from old to s, and the estimates in s of the current state, as
+// name=value pairs. Latencies are means in milliseconds. The reported load is the mean over the probes with
+// status OK.
 func (s *Stats) Since(old *Stats) string {
 	meanMillis := func(sum Micros, n uint64) float64 { return float64(sum) / 1000 / float64(max(1, n)) }
 	formatStatuses := func(current, previous *[NotSent + 1]uint64) (text string) {
