--- a/internal/downstream/conn.go
+++ b/internal/downstream/conn.go
@@ -113,7 +113,8 @@
 	return c.Conn.Write(p)
 }
 
-// SetReadDeadline sets the read deadline, as net.Conn does. The deadline is restored if an expiry is cancelled.
+// SetReadDeadline sets the read deadline, as net.Conn does. It also records the deadline, to set it again if the
+// expiry of the idle connection is cancelled.
 func (c *Conn) SetReadDeadline(t time.Time) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/downstream/listener.go
+++ b/internal/downstream/listener.go
@@ -87,8 +87,8 @@
 	dropped                 // MaxRejected is reached, too: the connection is closed at once and never counted as open
 )
 
-// admit decides on a new connection, and counts it unless the decision is dropped. It evicts other connections if
-// that is needed to stay within the limit.
+// admit decides on a new connection. It counts the connection as open if it returns accepted or rejected. It evicts
+// other connections if that is needed to stay within the limit.
 func (l *Listener) admit(c *Conn) acceptDecision {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/sidecar/shutdown_test.go
+++ b/internal/sidecar/shutdown_test.go
@@ -180,8 +180,8 @@
 		s["classes"] = []any{map[string]any{"name": "find", "repeat": "side_effect", "target": 1, "give-up": 1}}
 	})
 	closeAdmission()
-	// After this pause, the reloaded client timeout of 1 µs has passed, and so has the time of SIGKILL that follows
-	// from this timeout. The request's own deadline has not passed.
+	// After this pause, the reloaded client timeout of 1 µs has passed. The time of SIGKILL, which shutdown computes
+	// from that timeout, has passed, too. The request's own deadline has not passed.
 	time.Sleep(killDelay + responseGrace + closeGrace)
 	close(release)
 	if got := <-pending; got.code != http.StatusOK {
