--- a/cmd/sidecar/largefleet_test.go
+++ b/cmd/sidecar/largefleet_test.go
@@ -218,9 +218,9 @@
 	return kb
 }
 
-// Guards against a sidecar that needs more memory or file descriptors than the smallest documented limits when its
-// configuration and its endpoint list have the full length of a large fleet. The sidecar must accept both, serve
-// requests, and continue to serve when half of the endpoints drain at once.
+// Guards against exceeding the smallest documented limits of memory and file descriptors in a large fleet. The sidecar
+// must accept the full-length configuration and endpoint list of such a fleet, serve requests, and continue to serve
+// when half of the endpoints drain at once.
 func TestLargeFleetFitsSmallestLimits(t *testing.T) {
 	fleet, listen := newLargeFleet(t), freeAddress(t)
 	p := launch(t, command(t, fleet.config(t, listen)))
--- a/cmd/sidecar/termination_test.go
+++ b/cmd/sidecar/termination_test.go
@@ -44,8 +44,8 @@
 }
 
 // terminationConfig returns a configuration with the given listen address. It has the given number of endpoints, all at
-// the same given address, and two classes, whose longest deadline is 0.7 s. If a test has at least one endpoint per
-// request, timeouts of some requests cannot cause the rejection of others.
+// the same given address, and two classes, whose longest deadline is 0.7 s. If a test asks for at least as
+// many endpoints as it sends requests, timeouts of some requests cannot cause the rejection of others.
 func terminationConfig(listen, endpoint string, endpoints int) string {
 	hosts := make([]string, endpoints)
 	for i := range hosts {
--- a/cmd/sidecar/traffic_test.go
+++ b/cmd/sidecar/traffic_test.go
@@ -138,7 +138,7 @@
 	stopping chan struct{}    // closed to stop the clients
 	clients  sync.WaitGroup
 
-	answered, served atomic.Int64         // numbers of requests that got any response, and that got status 200
+	answered, served atomic.Int64         // answered: requests with any response; served: those with status 200
 	mu               sync.Mutex           // guards the fields below
 	violations       []string             // messages that the method check reports
 	unanswered       []string             // ids of requests whose connection ended without a response
