--- a/internal/emulator/endpoint/serve.go
+++ b/internal/emulator/endpoint/serve.go
@@ -79,8 +79,8 @@
 	return e.complete(c, queue, t, id)
 }
 
-// complete waits until the service time of an admitted task is over, the task has expired or its client has
-// disconnected, and writes the response.
+// complete waits until the service time of an admitted task is over or the task has expired, and then writes the
+// response. If the client disconnects or sends a byte before that, complete returns an error and writes no response.
 func (e *Endpoint) complete(c *httpconn.Conn, q *queue, t *task, id string) error {
 	err := c.AwaitWake()
 	e.pauseGate.wait()
