--- a/balancer/settings.go
+++ b/balancer/settings.go
@@ -7,10 +7,10 @@
 type Micros = int64
 
 // Time limits for the calls to discovery that deliver changes of the endpoint list. A watch is a series of
-// calls, each of which waits for a change. The protocol requires a sidecar to be notified of a change within
-// NotificationDeadline from when discovery has the change and is reachable, whatever the state of the
-// sidecar's earlier calls. That time may include a call that hangs or a watch that went silent, then the
-// backoff, then a call that queues at discovery. The backoff is therefore limited to the part of
+// calls, each of which waits for a change. The protocol requires that a sidecar receives a change within
+// NotificationDeadline, whatever the state of its earlier calls. The time starts when discovery has the
+// change and can be reached. In the worst case, it covers a call that hangs or a watch that went silent,
+// then the backoff, then a call that queues at discovery. The backoff is therefore limited to the part of
 // NotificationDeadline that the calls before and after it leave:
 //
 //	after a call that timed out:       at most NotificationDeadline - 2 DiscoveryCallTimeout = 0.6 s
--- a/balancer/stats.go
+++ b/balancer/stats.go
@@ -27,10 +27,11 @@
 	ReportedLoad float64 // sum over all load reports of the number of requests at the endpoint
 	QueuedProbes uint64  // number of probes whose latency shows that they queued behind requests
 
-	// Present numbers. Open requests lack a final answer. InFlight counts the attempts without an outcome whose
-	// request body has been sent, Uploading those whose body is still being sent. Listed counts all known
-	// endpoints. Cordoned endpoints were removed from service by operators, endpoints that are warming up are in
-	// slow start, ejected endpoints failed too often, and pooled endpoints have a recent load report.
+	// Current numbers of requests, attempts and endpoints. Open requests have no final answer yet. InFlight and
+	// Uploading count the attempts that have no outcome yet: InFlight if the request body has been sent,
+	// Uploading if it is still being sent. Listed counts all known endpoints. Cordoned endpoints were removed
+	// from service by operators, endpoints that are warming up are in slow start, ejected endpoints failed too
+	// often, and pooled endpoints have a recent load report.
 	Open, InFlight, Uploading, Listed, Cordoned, WarmingUp, Ejected, Pooled int
 
 	TypicalLoad      float64 // typical number of requests of other balancers at an endpoint
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -23,7 +23,7 @@
 	Seed             uint64            // seed of the random number generators
 	Limits           Limits            // resources that the platform grants the sidecar
 	Settings         balancer.Settings // settings of the balancer
-	Host             Host              // resources of the process that the sidecar may use
+	Host             Host              // what the sidecar may use of its process: files, memory limit, clock
 
 	KnownEndpoints discovery.List // endpoint list to use until discovery answers; it may be outdated
 	Zones          []string       // names of zones; the index is the number that the balancer uses
--- a/internal/upstream/loadreport.go
+++ b/internal/upstream/loadreport.go
@@ -11,7 +11,7 @@
 const maxReportValue = 1e6
 
 // ReportFormat lists the fields of a load report in the order of config.Config.ReportFields. Formats are compared by
-// pointer: reports that were parsed in the same format have the same pointer.
+// pointer: two reports have the same format if ParseLoadReport returned the same *ReportFormat for both.
 type ReportFormat struct{ fields []string }
 
 // ParseLoadReport parses a load report, which is a list of the form name=value,name=value. It returns the current
