--- a/balancer/admission.go
+++ b/balancer/admission.go
@@ -69,7 +69,8 @@
 	return true
 }
 
-// tooLate reports whether r is rejected because e, the best endpoint, is predicted to answer it too late.
+// tooLate reports whether r is rejected because e, the best endpoint, is predicted to answer it too late for
+// the work to be worthwhile.
 //
 // At an endpoint where no request queues, no request is regarded as too late. A few samples of a long-tailed
 // latency can make a healthy endpoint look slow there, and a slow sidecar makes all endpoints look slow.
--- a/balancer/discovery.go
+++ b/balancer/discovery.go
@@ -6,7 +6,8 @@
 //
 //	min(PollInterval/20, max(DrainGrace/4, minInitialBackoff))
 //
-// The delay before a call is drawn from 0.5 to 1.5 times the backoff.
+// The delay before a call is drawn from 0.5 to 1.5 times the backoff, or times the limit in failed if that is
+// less.
 const minInitialBackoff = second / 20
 
 // discoveryPoller subscribes to changes of the endpoint list and retries failed calls to discovery.
@@ -15,7 +16,7 @@
 	subscribed bool
 	nextPollAt Micros // instant of the next call, which is skipped if subscribed by then
 	lastPollAt Micros // instant of the latest call
-	backoff    Micros // mean delay before the next call; 0 after a success
+	backoff    Micros // mean delay before the next call, unless limited; 0 after a success
 }
 
 // start schedules the first call after a random delay, since all balancers may start at the same time.
--- a/balancer/membership.go
+++ b/balancer/membership.go
@@ -13,7 +13,7 @@
 	restoredEstimates map[uint64]EndpointEstimate // estimates from Restore by name, until the endpoint is listed
 	removedStartTimes map[uint64]Micros           // start times of removed endpoints, by name
 	listReceived      bool                        // a list arrived; if subscribing, one that is not cached
-	listReceivedAt    Micros                      // instant of the latest list that is not cached; 0 for none
+	listReceivedAt    Micros                      // time of latest list or delta that is not cached; 0 for none
 	maxWeight         float64                     // largest weight ever listed; random draws are scaled by it
 }
 
--- a/balancer/probing.go
+++ b/balancer/probing.go
@@ -7,9 +7,10 @@
 	maxProbesPerRound = 3           // endpoints probed in one round, at most
 	lostProbeTimeout  = 5 * second  // an unanswered probe prevents another of the same endpoint for this time
 
-	// Limits on the cost of the probes per request. Each probe costs Prices.Probe, so limit / Prices.Probe is
-	// the permitted number of probes per request. The first limit applies if endpoints are probed in rounds, the
-	// second if probes are sent when a request arrives: the reports are then fresher, and so worth more.
+	// Limits on the cost of the probes per request, as shares of the score (see Prices). Each probe costs
+	// Prices.Probe, so limit / Prices.Probe is the permitted number of probes per request. The first limit
+	// applies if endpoints are probed in rounds, the second if probes are sent when a request arrives: the
+	// reports are then fresher, and so worth more.
 	maxRoundProbeCost   = 0.005
 	maxRequestProbeCost = 0.02
 
@@ -61,8 +62,9 @@
 // rate returns the number of probes per second that the price permits in rounds, at least 1.
 func (p *prober) rate(now Micros) float64 {
 	probesPerRequest := min(maxProbesPerRequest, maxRoundProbeCost/p.settings.Prices.Probe)
-	// Rejected requests do not add to the probes that the price permits. But there must be load reports even
-	// while all requests are rejected, since these reports show a recovery.
+	// The price is paid for requests that are sent, so rejected requests do not add to the probes that it
+	// permits. But there must be load reports even while all requests are rejected, since these reports show a
+	// recovery.
 	return max(1, probesPerRequest*p.demand.rate(now)*
 		max(minProbedRequestShare, 1-p.demand.recentRejectedShare()))
 }
--- a/internal/wire/reply.go
+++ b/internal/wire/reply.go
@@ -53,8 +53,8 @@
 	r.micros(timeout)
 }
 
-// Decline rejects a request that had no effect, so that the client can retry it safely. retryAfter is the delay after
-// which the client should retry; 0 means that no delay is suggested.
+// Decline rejects a request and tells the client that a retry is harmless. retryAfter is the delay after which the
+// client should retry; 0 means that no delay is suggested.
 func (r *Reply) Decline(id uint64, retryAfter balancer.Micros) {
 	r.recordHeader(Decline, sizeU64+sizeU32)
 	r.u64(id)
