--- a/balancer/ledger_test.go
+++ b/balancer/ledger_test.go
@@ -84,7 +84,7 @@
 }
 
 // An unusual request, such as one of an unknown class or without a usable endpoint, gets exactly one final answer and
-// at most one attempt.
+// at most one attempt. A request whose ID is already in use is not accepted a second time.
 func TestUnusualRequestsAreAnsweredOnce(t *testing.T) {
 	for name, c := range map[string]struct {
 		list  []Endpoint
--- a/balancer/membership_test.go
+++ b/balancer/membership_test.go
@@ -22,8 +22,8 @@
 }
 
 // A listed start time may be wrong, since clocks may be stepped forwards or backwards. An endpoint process that the
-// previous list did not name is new, and is regarded as warming up whatever its start time. An endpoint that returns
-// as the same process stays warm. So does an endpoint whose start time in the first list is long ago.
+// previous list did not name is new, and is regarded as warming up whatever its start time, unless the same process
+// was removed earlier and returns: it stays warm. So does an endpoint whose start time in the first list is long ago.
 func TestStartTimeOfASteppedClock(t *testing.T) {
 	const hour = 3600 * second
 	const startedAt = 10 * hour // start of this balancer, by its own clock
--- a/balancer/slowstart_test.go
+++ b/balancer/slowstart_test.go
@@ -148,9 +148,9 @@
 			allowed++
 		}
 	}
-	// In 5 s, a warm endpoint gets half a request from each balancer. A warming endpoint may get 0.5 x
-	// overloadFactorShare x OverloadFactor x f = 0.35 f requests, where f is its warm-up fraction, which rises here
-	// from 0.2 to 0.6.
+	// In 5 s, a warm endpoint gets half a request from each balancer. A warming endpoint may get overloadFactorShare x
+	// OverloadFactor x f = 0.7 f times as many, which is 0.35 f requests. Its warm-up fraction f rises here from 0.2
+	// to 0.6.
 	if allowed < 5 || allowed > 60 {
 		t.Errorf("%d of %d balancers with little traffic may send to a warming endpoint within 5 s, want 5 to 60",
 			allowed, balancers)
--- a/internal/sidecar/discovery_test.go
+++ b/internal/sidecar/discovery_test.go
@@ -110,7 +110,7 @@
 	for name, c := range map[string]struct {
 		text     string
 		unusable int
-		targets  string // names of the endpoints that keep a target if the list is not complete
+		targets  string // those of s-1, s-2 and s-3, all ready before, that keep a target if the list is not complete
 	}{
 		"unknown state":      {entryJSON("s-3", "Paused", e.Address), 1, "s-1"},
 		"no address":         {entryJSON("s-3", "Ready", "nowhere"), 1, "s-1"},
