--- a/cmd/simhost/instance.go
+++ b/cmd/simhost/instance.go
@@ -50,8 +50,8 @@
 	i.balancer.Start(now)
 }
 
-// dispatch calls the balancer's method for an event. The balancer has no method for whisper events, so dispatch ignores
-// them.
+// dispatch calls the balancer's method for an event. The balancer has no method for whisper events, which are messages
+// of peers, so dispatch ignores them.
 func (i *instance) dispatch(now balancer.Micros, event *wire.Event) {
 	switch event.Code {
 	case wire.Membership:
--- a/internal/downstream/listener_test.go
+++ b/internal/downstream/listener_test.go
@@ -96,8 +96,8 @@
 	}
 }
 
-// A connection that carries a request is not evicted for a new one, even if the request has not been read yet. If all
-// connections carry requests, the new one is rejected.
+// A connection that carries a request, or a part of one that has not been read yet, is not evicted for a new one. If
+// all connections carry requests, the new one is rejected.
 func TestConnectionWithRequestIsNotEvicted(t *testing.T) {
 	l := newTestListener(t, 3)
 	client, unreadConn := l.connect()
@@ -107,7 +107,7 @@
 	client, readConn := l.connect()
 	io.WriteString(client, sidecartest.ReadHead+"\r\n")
 	awaitReadable(t, readConn)
-	if _, err := readConn.Read(make([]byte, 1<<10)); err != nil { // reads the complete request
+	if _, err := readConn.Read(make([]byte, 1<<10)); err != nil { // the complete request; its handler has yet to begin
 		t.Fatal(err)
 	}
 	_, latestConn := l.connect()
