--- a/internal/sidecar/run.go
+++ b/internal/sidecar/run.go
@@ -14,9 +14,9 @@
 	"oakproxy/internal/warmstart"
 )
 
-// Run serves requests until ctx ends. It then finishes the requests that it has admitted and returns. Each
-// configuration received from reloads is put in force or rejected before the next one is received. Run returns an error
-// if an address cannot be opened, the configuration is invalid or the clients' listener fails.
+// Run serves requests until ctx ends. It then finishes the requests that it has admitted and returns. Any number of
+// configurations may be sent to reloads at any time. Each is put in force or rejected before the next one is received.
+// Run returns an error if an address cannot be opened, the configuration is invalid or the clients' listener fails.
 func Run(ctx context.Context, cfg *config.Config, reloads <-chan *config.Config, log *slog.Logger) error {
 	listener, err := handover.Listen(ctx, cfg.ListenAddress, cfg.InheritedSocket)
 	if err != nil {
--- a/internal/sidecar/server.go
+++ b/internal/sidecar/server.go
@@ -49,7 +49,7 @@
 
 	bodyMemoryDivisor = 8           // 1/bodyMemoryDivisor of the memory is for the bodies of requests and responses
 	busyRetryAfter    = time.Second // Retry-After of a request that is rejected because the memory for bodies is used up
-	minConnections    = 12          // lowest connection limit of a process that shares the descriptors with another one
+	minConnections    = 12          // lowest connection limit of each process, however few descriptors there are
 )
 
 // server accepts the application's requests. Its handlers run in the goroutines of net/http, one for each connection,
--- a/internal/sidecar/shutdown.go
+++ b/internal/sidecar/shutdown.go
@@ -21,7 +21,8 @@
 
 const (
 	// defaultDrainPeriod is the drain period outside tests. Clients continue to connect for 0.4 s after SIGTERM, and
-	// requests that arrive up to 0.7 s after SIGTERM must get a response. After the drain period, it is a rejection.
+	// requests that arrive up to 0.7 s after SIGTERM must get a response. Requests that arrive after the drain period
+	// get a rejection as their response.
 	defaultDrainPeriod = 600 * time.Millisecond
 
 	killDelay        = 700 * time.Millisecond // SIGKILL follows SIGTERM after the longest client timeout plus killDelay
