--- a/cmd/emulator/report.go
+++ b/cmd/emulator/report.go
@@ -63,7 +63,7 @@
 	}
 	err := result.WritePlot(o.plot, runs, metrics)
 	if errors.Is(err, result.ErrNothingToPlot) && len(o.metrics) == 0 {
-		fmt.Fprintln(os.Stderr, err) // not an error: the table already shows which runs are not usable
+		fmt.Fprintln(os.Stderr, err) // not an error: all runs may be unusable, and the table says how many it omits
 		return nil
 	}
 	return err
--- a/internal/emulator/endpoint/counts.go
+++ b/internal/emulator/endpoint/counts.go
@@ -14,7 +14,7 @@
 	Rejected     uint64 // requests rejected because the queue was full, the endpoint drained or the deadline had passed
 	MissingIDs   uint64 `json:"MissingID"` // 404 responses to requests without a correlation ID
 	Duplicates   uint64 // admitted requests whose correlation ID the endpoint had recently admitted already
-	Abandoned    uint64 // requests whose client disconnected while they were queued or running
+	Abandoned    uint64 // requests whose client disconnected or sent more data while they were queued or running
 	HealthChecks uint64 `json:"Probes"` // GET requests for /health/live or /stats
 	BytesIn      uint64
 	BytesOut     uint64
--- a/internal/emulator/httpconn/conn.go
+++ b/internal/emulator/httpconn/conn.go
@@ -74,7 +74,8 @@
 	return err
 }
 
-// ReadRequest reads a complete request after AwaitRequest has returned nil. It discards the body of the request.
+// ReadRequest reads a complete request after AwaitRequest has returned nil. It counts the bytes of the body and
+// discards them. It returns ErrBodyTooLarge if the body is too large, and ErrPipelined if more data has arrived after the body.
 func (c *Conn) ReadRequest() (*http.Request, error) {
 	reader := readerPool.Get().(*bufio.Reader)
 	defer readerPool.Put(reader)
