--- a/internal/emulator/httpconn/conn.go
+++ b/internal/emulator/httpconn/conn.go
@@ -75,7 +75,8 @@
 }
 
 // ReadRequest reads a complete request after AwaitRequest has returned nil. It counts the bytes of the body and
-// discards them. It returns ErrBodyTooLarge if the body is too large, and ErrPipelined if more data has arrived after the body.
+// discards them. It returns ErrBodyTooLarge if the body is too large, and ErrPipelined if more data has arrived after
+// the body.
 func (c *Conn) ReadRequest() (*http.Request, error) {
 	reader := readerPool.Get().(*bufio.Reader)
 	defer readerPool.Put(reader)
