--- a/internal/emulator/process/usage.go
+++ b/internal/emulator/process/usage.go
@@ -64,8 +64,8 @@
 	return u, err
 }
 
-// MaxDescriptors returns the soft limit on the open file descriptors of this process. The emulator takes it as the limit
-// of its child processes as well.
+// MaxDescriptors returns the soft limit on the open file descriptors of this process. The emulator takes it as the
+// limit of its child processes as well.
 func MaxDescriptors() (int, error) {
 	var limit syscall.Rlimit
 	err := syscall.Getrlimit(syscall.RLIMIT_NOFILE, &limit)
