--- a/internal/emulator/endpoint/queue.go
+++ b/internal/emulator/endpoint/queue.go
@@ -18,8 +18,8 @@
 	done                     // finish has removed the task
 )
 
-// task is a request in a queue. The connection of the task is woken when the task's service time is over or its
-// deadline has passed.
+// task is a request in a queue. The connection of the task is woken when the task's service time is over or it
+// has expired.
 type task struct {
 	conn     *httpconn.Conn
 	deadline time.Time // zero if the request has no deadline
