--- a/balancer/discovery.go
+++ b/balancer/discovery.go
@@ -16,7 +16,7 @@
 	subscribed bool
 	nextPollAt Micros // instant of the next call, which is skipped if subscribed by then
 	lastPollAt Micros // instant of the latest call
-	backoff    Micros // mean delay before the next call, unless limited; 0 after a success
+	backoff    Micros // mean delay before the next call, unless failed shortens it; 0 after a success
 }
 
 // start schedules the first call after a random delay, since all balancers may start at the same time.
--- a/balancer/endpoint.go
+++ b/balancer/endpoint.go
@@ -25,10 +25,10 @@
 	awaitsTrial  bool    // the endpoint was uncordoned, and this balancer may test it at once; see offerTrial
 	warming      bool    // the endpoint is in slow start, as of the latest call of isWarming
 	warmingSince Micros  // start of the warm-up
-	warmingWork  float64 // work charged since warmingSince plus a start value, in microseconds; see begin
+	warmingWork  float64 // start value set by begin, plus the work charged since then, in microseconds
 
-	inFlight           int    // this balancer's attempts without an outcome whose body was sent
-	uploading          int    // this balancer's attempts without an outcome whose body is still being sent
+	inFlight           int    // attempts of this balancer that have sent their body and have no outcome yet
+	uploading          int    // attempts of this balancer that are still sending their body and have no outcome
 	lastSentAt         Micros // sending time of the latest attempt
 	lastAnsweredSentAt Micros // latest sending time of an attempt to which the endpoint responded
 	lastResponseAt     Micros // time of the latest response to an attempt or a probe
--- a/balancer/slowstart_test.go
+++ b/balancer/slowstart_test.go
@@ -157,8 +157,8 @@
 	}
 }
 
-// Of many balancers with few requests each, none collects the tokens for a request to each warming endpoint. Together,
-// they must still send the warming endpoints as many requests as these can serve, and too many to none of them.
+// A balancer with few requests doesn't collect enough tokens to send a request to every warming endpoint. Many such
+// balancers must together still use the capacity of the warming endpoints, and send none of them too many requests.
 func TestManyQuietBalancersUseWarmingEndpoints(t *testing.T) {
 	const warm, warming, balancers = 20, 20, 80
 	counts := map[uint32]int{} // requests by endpoint ID since the warming endpoints were listed
