--- a/internal/discovery/timing.go
+++ b/internal/discovery/timing.go
@@ -26,9 +26,9 @@
 	// callTimeout is the timeout of a call that does not wait for a change, if lists are polled.
 	callTimeout = time.Duration(balancer.DiscoveryCallTimeout) * time.Microsecond
 
-	// notificationDelay applies to a change that a call of a watch did not report. It is the time from the end of the
-	// call's wait to the moment at which the protocol regards the sidecar as notified of the change (protocol page,
-	// section Figures). The list must not become older than PollInterval, so the wait of a call satisfies
+	// If a call of a watch does not report a change, the protocol regards the sidecar as notified of the change
+	// notificationDelay after the end of the call's wait (protocol page, section Figures). The list must not become
+	// older than PollInterval, so the wait of a call satisfies
 	//
 	//	wait + notificationDelay <= PollInterval, unless wait is minWatchWait.
 	notificationDelay = 2 * time.Second
--- a/internal/upstream/conn.go
+++ b/internal/upstream/conn.go
@@ -16,8 +16,8 @@
 	maxBufferedWrite = 4 << 10
 
 	// maxWriteDelay limits how long the last bytes of a request may wait until the endpoint has accepted the bytes before
-	// them. The limit must be less than 0.15 s: X-Time-Left-Ms is sent before the wait, and may exceed the client's
-	// remaining time by at most 0.15 s.
+	// them. X-Time-Left-Ms is sent before this wait, so its value exceeds the client's remaining time by the duration of
+	// the wait. It may exceed that time by at most 0.15 s, so the limit must be less than 0.15 s.
 	maxWriteDelay = 100 * time.Millisecond
 )
 
