--- a/internal/downstream/close_reason.go
+++ b/internal/downstream/close_reason.go
@@ -13,7 +13,7 @@
 	closedByClient        closeReason = iota // the client closed its side, or the connection broke
 	closedAfterResponse                      // the connection was closed after a response with Connection: close
 	closedIdle                               // no complete request arrived in time
-	closedDraining                           // the idle connection was expired by a drain, a termination or a lower limit
+	closedDraining                           // a drain, a termination or a lowered limit expired the idle connection
 	closedEvicted                            // the connection was evicted to make room for a new one
 	closedConnectionLimit                    // the connection exceeded the connection limit
 	closedTruncated                          // the response was cut off, and the connection was reset
--- a/internal/downstream/conn_test.go
+++ b/internal/downstream/conn_test.go
@@ -24,8 +24,9 @@
 func (c *brokenConn) Read([]byte) (int, error)        { return 0, c.err }
 func (c *brokenConn) SetReadDeadline(time.Time) error { return nil }
 
-// A connection that breaks because of a timeout, a router's error or a reset is treated as closed by its peer. If the
-// connection breaks after the last byte of a request, the request may have been executed.
+// A connection that breaks because of a timeout, a router's error or a reset is treated as closed by its peer. An
+// upload whose client's connection has broken is therefore stopped before its last bytes are sent to the endpoint:
+// after the last byte, the request may have been executed.
 func TestBrokenConnectionCountsAsClosedByPeer(t *testing.T) {
 	for _, errno := range []syscall.Errno{syscall.ETIMEDOUT, syscall.EHOSTUNREACH, syscall.ENETUNREACH,
 		syscall.ECONNRESET, syscall.EPIPE} {
--- a/internal/sidecar/watch_test.go
+++ b/internal/sidecar/watch_test.go
@@ -21,9 +21,9 @@
 // The tests in this file run on the fake clock of testing/synctest, with in-process pipes in place of sockets.
 
 // After the sidecar is notified of a drain, it may send requests to the endpoint only for the drain grace, which is the
-// setting drain-grace. A watch is silent if discovery does not answer its open call. The sidecar is then regarded as
-// notified of a change at the later of two times: silenceLimit after the silence began, and waitEndLimit after the end
-// of the wait that the open call had asked for.
+// setting drain-grace. A watch is silent if discovery does not answer its open call. The drain grace then begins
+// without an answer, as if the sidecar had been notified of the change at the later of two times: silenceLimit after
+// the silence began, and waitEndLimit after the end of the wait that the open call had asked for.
 const (
 	silenceLimit    = 6 * time.Second       // time from the beginning of the silence to the notification
 	waitEndLimit    = 2 * time.Second       // time from the end of the open call's wait to the notification
