--- a/cmd/sidecar/traffic_test.go
+++ b/cmd/sidecar/traffic_test.go
@@ -276,7 +276,7 @@
 
 // recordUnanswered records a request whose connection ended without a response. Such an end is allowed if the sidecar
 // closed the idle connection while the request was on its way, but it is a violation if the client's read timed out.
-// The method check also fails the test if the sidecar had forwarded the request.
+// In addition, (*traffic).check fails the test if the sidecar had forwarded the request.
 func (tr *traffic) recordUnanswered(id string, err error) {
 	var netErr net.Error
 	if errors.As(err, &netErr) && netErr.Timeout() {
