--- a/balancer/demand.go
+++ b/balancer/demand.go
@@ -13,7 +13,7 @@
 	// only in the worst windows, so priorities matter more there than overall.
 	worstWindowMultiplier = 4.0
 
-	latencyObjectiveDivisor = 5 // latency objective of a class / its work before the first sample
+	latencyObjectiveDivisor = 5 // until its first sample, the work of a class is its latency objective / this
 
 	// Goal.WorstClass adds this term to the gain of class i, which the method priority defines:
 	//
--- a/balancer/endpoint.go
+++ b/balancer/endpoint.go
@@ -25,7 +25,7 @@
 	awaitsTrial  bool    // the endpoint was uncordoned, and this balancer may test it at once; see offerTrial
 	warming      bool    // the endpoint is in slow start, as of the latest call of isWarming
 	warmingSince Micros  // start of the warm-up
-	warmingWork  float64 // start value set by begin, plus the work charged since then, in microseconds
+	warmingWork  float64 // work charged since the warm-up began, in microseconds; begin sets its initial value
 
 	inFlight           int    // attempts of this balancer that have sent their body and have no outcome yet
 	uploading          int    // attempts of this balancer that are still sending their body and have no outcome
--- a/balancer/slowstart.go
+++ b/balancer/slowstart.go
@@ -43,8 +43,8 @@
 	maxExtraFraction           = 1.0
 	samplesForMaxExtraFraction = 20
 
-	// The warming slowness is the measured slowness of warming endpoints as a share of the slowness that their
-	// guaranteed warm-up fraction implies.
+	// The warming slowness is 0 if warming endpoints are as fast as warm ones, and 1 if they are as slow as
+	// their guaranteed warm-up fraction implies. It is estimated from measured latencies.
 	initialWarmingSlowness = 0.2  // warming slowness before the first sample
 	warmingSlownessWeight  = 0.05 // weight of the latest sample in the average
 
