--- a/internal/upstream/exchange.go
+++ b/internal/upstream/exchange.go
@@ -14,7 +14,7 @@
 	body      []byte      // the complete body or, if stream is not nil, its buffered beginning
 	stream    *BodyStream // the remainder of the body; nil if body is complete
 	release   func()      // releases the memory reserved for body; nil if none was reserved
-	writtenAt time.Time   // when the last byte of the request before its upload, if any, was written
+	writtenAt time.Time   // when the whole request or, if it has an upload, only its head was written
 	reusable  bool        // whether the connection may carry another request after the response
 }
 
--- a/internal/upstream/request.go
+++ b/internal/upstream/request.go
@@ -38,7 +38,7 @@
 	header := http.Header{}
 	httpmsg.CopyEndToEnd(header, r.Header)
 	length := int64(len(r.Body))
-	if r.Upload != nil { // the client's remaining time starts at the upload's last byte
+	if r.Upload != nil { // the time left is counted from the arrival of the upload's last byte
 		length = r.Upload.Length
 		header.Set(timeLeftHeader, strconv.FormatInt(r.Upload.TimeLeft.Milliseconds(), 10))
 	} else if deadline, ok := ctx.Deadline(); ok {
