--- a/internal/downstream/listener.go
+++ b/internal/downstream/listener.go
@@ -132,9 +132,9 @@
 	return l.setState(c, stateClosing)
 }
 
-// SetLimits sets MaxConnections and MaxUsed. If n more connections than maxConnections are open, it selects the n
-// connections without an open request that have been silent for longest, and starts the expiry of those among them that
-// have received no part of a request.
+// SetLimits sets MaxConnections and MaxUsed. If more than maxConnections connections are open, it selects as many as
+// exceed the limit from those without an open request, the longest silent first. It starts the expiry of each selected
+// connection, except those on which a part of a request has arrived.
 func (l *Listener) SetLimits(maxConnections, maxUsed int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/sidecar/stream_test.go
+++ b/internal/sidecar/stream_test.go
@@ -143,8 +143,8 @@
 	}
 }
 
-// An endpoint may reset its connection before its response has ended. The client must never take the part that arrived
-// for a complete response: it gets an error status if relaying has not begun, and a truncated response otherwise.
+// An endpoint may reset its connection before its response has ended. The partial response must never look complete to
+// the client: it gets an error status if relaying has not begun, and a truncated response otherwise.
 func TestTruncatedResponseIsNeverComplete(t *testing.T) {
 	for name, beginning := range map[string]string{
 		"without a length":   "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\npart",
