--- a/cmd/sidecar/frozen_test.go
+++ b/cmd/sidecar/frozen_test.go
@@ -89,8 +89,8 @@
 	return object
 }
 
-// checkKeys fails the test unless object has exactly the keys in want. The failure message begins with the value of
-// what.
+// checkKeys fails the test unless object has exactly the keys in want. The parameter what names the object in the
+// failure message.
 func checkKeys(t *testing.T, what string, object any, want ...string) {
 	t.Helper()
 	got := slices.Sorted(maps.Keys(object.(map[string]any)))
--- a/internal/operatorstate/doc.go
+++ b/internal/operatorstate/doc.go
@@ -9,6 +9,7 @@
 //   - The file is replaced by a rename. A reader sees one complete version, even if a writer is killed.
 //   - A read error is treated as transient: the current state stays in effect, and the file is read again later.
 //
-// The package does not decide how a cordon or a drain affects requests; Store.Apply does. It does not watch the file
-// either: the owner of a Store calls Store.Refresh every PollInterval.
+// The package does not decide how a cordon or a drain affects requests: the owner of a Store supplies the callback
+// Store.Apply, which puts the state into effect. The package does not watch the file either: the owner calls
+// Store.Refresh every PollInterval.
 package operatorstate
